--- a/api.go
+++ b/api.go
@@ -31,30 +31,30 @@
 	Draining
 )
 
-// Figure is the meaning of one value of a load report.
-type Figure uint8
+// LoadMetric is the meaning of one value of a load report.
+type LoadMetric uint8
 
 // The figures a load report may hold. FigureUnknown stands for any other one and is skipped.
 const (
-	FigureUnknown     Figure = iota
-	FigureFreeLines          // lines free at the server
-	FigureLines              // lines in all
-	FigureOutstanding        // messages in work at its processor
-	FigureQueue              // messages waiting there
-	FigureUtilisation        // busy share of the processor
-	FigureWait               // wait at its processor, in milliseconds
-	FigureRate               // new set-ups a second it can take from all senders
-	FigureShare              // share of new set-ups, 0 to 1, that each sender shall hold back
+	LoadMetricUnknown       LoadMetric = iota
+	LoadMetricFreeLines                // lines free at the server
+	LoadMetricTotalLines               // lines in all
+	LoadMetricOutstanding              // messages in work at its processor
+	LoadMetricQueue                    // messages waiting there
+	LoadMetricUtilisation              // busy share of the processor
+	LoadMetricWait                     // wait at its processor, in milliseconds
+	LoadMetricRate                     // new set-ups a second it can take from all senders
+	LoadMetricHoldBackShare            // share of new set-ups, 0 to 1, that each sender shall hold back
 )
 
-// Repeat says when an attempt that may have run can be made again.
-type Repeat uint8
+// RetryPolicy says when an attempt that may have run can be made again.
+type RetryPolicy uint8
 
 // The kinds of repeat.
 const (
-	RepeatFree  Repeat = iota // always
-	RepeatGuard               // only where the group drops repeats, within a window
-	RepeatNever               // never
+	RetryAlways  RetryPolicy = iota // always
+	RetryGuarded                    // only where the group drops repeats, within a window
+	RetryNever                      // never
 )
 
 // Class is a class of call.
@@ -62,7 +62,7 @@
 	Aim      time.Duration // stands in time for its full worth
 	Deadline time.Duration // the caller gives up for good
 	Worth    float64
-	Repeat   Repeat
+	Retry    RetryPolicy
 	Cells    []int // the cells it may be sent to; none listed: any
 }
 
@@ -71,21 +71,21 @@
 
 // Settings are what a controller knows of its deployment from the start.
 type Settings struct {
-	Classes        []Class
-	Tenants        []Tenant
-	OverShareWorth float64       // worth of a call beyond its tenant's share
-	Report         []Figure      // the values of a load report, in order
-	MaxAttempts    int           // attempts a call may have
-	MaxRetryAfter  time.Duration // longest wait callers are told; 0: they get no hint
-	CanCancel      bool          // Cancel is permitted
-	OwnCell        int           // own cell in a mesh, where nothing may be sent; else -1
-	ResendGap      time.Duration // a waiting set-up is sent again after this; 0: never
-	ReleaseGuard   time.Duration // wait before a call whose attempt ended badly is sent again
-	ColdFrom       float64       // share of its capacity at which a core server starts
-	ColdRamp       time.Duration // and the time by which it is warm
-	TipMultiple    float64       // more than this times its capacity, for TipAfter, tips it over
-	TipAfter       time.Duration
-	AskForList     bool // the list comes only when asked for
+	Classes            []Class
+	Tenants            []Tenant
+	OverShareWorth     float64       // worth of a call beyond its tenant's share
+	ReportMetrics      []LoadMetric  // the values of a load report, in order
+	MaxAttempts        int           // attempts a call may have
+	MaxRetryAfter      time.Duration // longest wait callers are told; 0: they get no hint
+	CanCancel          bool          // Cancel is permitted
+	OwnCell            int           // own cell in a mesh, where nothing may be sent; else -1
+	RetransmitInterval time.Duration // a waiting set-up is sent again after this; 0: never
+	ReleaseGuard       time.Duration // wait before a call whose attempt ended badly is sent again
+	ColdInitialShare   float64       // share of its capacity at which a core server starts
+	ColdRamp           time.Duration // and the time by which it is warm
+	OverloadMultiple   float64       // more than this times its capacity, for TipAfter, tips it over
+	OverloadAfter      time.Duration
+	ListOnRequest      bool // the list comes only when asked for
 }
 
 // ListEntry is one core server of a list.
@@ -139,20 +139,20 @@
 	ListFailed struct{}
 	// Arrival is a call that now needs exactly one final answer.
 	Arrival struct {
-		Call    CallID
-		Class   int
-		Tenant  int    // its place in Settings.Tenants; any other: none that is known
-		Number  uint64 // the number called; 0: none
-		Cell    int    // cell of first choice; -1: none
-		Cut     bool   // it was cut and comes again
-		Transit bool   // it may go to Cell only
-		Within  time.Duration
+		Call        CallID
+		Class       int
+		Tenant      int    // its place in Settings.Tenants; any other: none that is known
+		Number      uint64 // the number called; 0: none
+		Cell        int    // cell of first choice; -1: none
+		Interrupted bool   // it was cut and comes again
+		Transit     bool   // it may go to Cell only
+		TimeLeft    time.Duration
 	}
-	// Standing says that a call stands.
-	Standing struct {
-		Call   CallID
-		Server ServerID
-		Took   time.Duration
+	// Established says that a call stands.
+	Established struct {
+		Call      CallID
+		Server    ServerID
+		SetUpTime time.Duration
 	}
 	// Outcome is the end of an attempt. Final is set when the call needs no further answer.
 	Outcome struct {
@@ -167,8 +167,8 @@
 	}
 	// CallerGone says that the caller has left.
 	CallerGone struct{ Call CallID }
-	// Wake is a timer that has come due.
-	Wake struct{ Token uint32 }
+	// TimerFired is a timer that has come due.
+	TimerFired struct{ Token uint32 }
 	// Health is a report that came by itself or by a probe; OK is false if the probe failed.
 	Health struct {
 		Server ServerID
@@ -177,15 +177,15 @@
 	}
 )
 
-func (ListFull) event()   {}
-func (ListDelta) event()  {}
-func (ListFailed) event() {}
-func (Arrival) event()    {}
-func (Standing) event()   {}
-func (Outcome) event()    {}
-func (CallerGone) event() {}
-func (Wake) event()       {}
-func (Health) event()     {}
+func (ListFull) event()    {}
+func (ListDelta) event()   {}
+func (ListFailed) event()  {}
+func (Arrival) event()     {}
+func (Established) event() {}
+func (Outcome) event()     {}
+func (CallerGone) event()  {}
+func (TimerFired) event()  {}
+func (Health) event()      {}
 
 // Action is something the edge proxy shall do; see the types below.
 type Action interface{ action() }
--- a/cmd/elmseam/main.go
+++ b/cmd/elmseam/main.go
@@ -77,45 +77,45 @@
 	}
 	var second *m3ua.M3UA
 	var speaker *bgp.Speaker
-	up := &upgrade{path: handover.Path(os.Getenv("TMPDIR"), cfg.Name), limits: cfg.Limits.HandOver, memory: memory, log: log, loud: link.Sparse(log)}
+	up := &upgrade{path: handover.SocketPath(os.Getenv("TMPDIR"), cfg.Name), limits: cfg.Limits.HandOver, memory: memory, log: log, loud: link.SampledLogger(log)}
 	able := make(chan struct{})
-	var tier *peers.Peers
+	var tier *peers.Socket
 	var front atomic.Pointer[platform.Platform] // before anything is posted
-	sparse := link.Sparse(log)
-	l := loop.New(c, cfg.Limits.Inbox, func(e core.Effect) {
+	sparse := link.SampledLogger(log)
+	l := loop.New(c, cfg.Limits.EventQueue, func(e core.Effect) {
 		switch e := e.(type) {
 		case core.Serving:
 			if second != nil {
-				second.Serving(e.Yes)
+				second.SetServing(e.On)
 			}
 			if speaker != nil {
-				speaker.Serving(e.Yes)
+				speaker.SetServing(e.On)
 			}
-		case core.Able:
+		case core.ReadyToServe:
 			close(able)
 		case core.CloseListener:
 			up.closeListener()
-		case core.ToPeer:
+		case core.SendToMember:
 			tier.Send(e)
-		case core.PeerChanged:
-			sparse.Info().Int("member", e.Member).Stringer("was", e.Was).Stringer("is", e.Is).Uint64("incarnation", e.Incarnation).Msg("membership changed")
-		case core.Draining:
-			front.Load().Drain(e.On)
-		case core.WorkTold:
+		case core.MemberChanged:
+			sparse.Info().Int("member", e.Member).Stringer("was", e.Old).Stringer("is", e.New).Uint64("incarnation", e.Incarnation).Msg("membership changed")
+		case core.DrainChanged:
+			front.Load().SetDraining(e.On)
+		case core.MaintenanceProgress:
 			sparse.Info().Int("member", e.Member).Stringer("stage", e.Record.Stage).Uint64("epoch", e.Record.Epoch).Msg("maintenance")
 		case core.ToPredecessor:
 			up.toPredecessor(e)
 		case core.ToSuccessor:
-			up.tell(e.Front, 0, e.Effect)
-		case core.Dropped:
-			if second != nil && e.Front != platform.Front {
-				second.Dropped(e.ID)
+			up.tell(e.Protocol, 0, e.Effect)
+		case core.ForgetCall:
+			if second != nil && e.Protocol != platform.Protocol {
+				second.FreeCircuit(e.ID)
 			}
 		}
 	}, log)
 
 	if members.Enabled {
-		sock, join, permitted, err := cfg.Tier(members)
+		sock, join, permitted, err := cfg.TierConfig(members)
 		if err != nil {
 			return err
 		}
@@ -134,7 +134,7 @@
 
 	first := platform.New(cfg.Platform(), l, log)
 	front.Store(first)
-	l.Dialer(platform.Front, first.Dial)
+	l.SetDialer(platform.Protocol, first.Dial)
 	up.loop, up.front = l, first
 	preceded := up.take(cfg.Listen)
 	if !preceded {
@@ -163,10 +163,10 @@
 			return fmt.Errorf("mgmt: %w", err)
 		}
 		defer door.Close()
-		l.Publish(cfg.Limits.Figures)
-		ops := &mgmt.Door{
-			Limits: cfg.Limits.Mgmt, Figures: l.Figures, Names: first.Classes,
-			Drain: first.Drain, Post: l.Post, Log: log, Peers: tier,
+		l.PublishEvery(cfg.Limits.StatsInterval)
+		ops := &mgmt.AdminServer{
+			Limits: cfg.Limits.Mgmt, Snapshot: l.Snapshot, ClassNames: first.Classes,
+			SetDraining: first.SetDraining, Post: l.Post, Log: log, Peers: tier,
 		}
 		log.Info().Str("mgmt", door.Addr().String()).Msg("door for operators")
 		go ops.Serve(door)
@@ -175,8 +175,8 @@
 	defer speaking.Wait()
 	defer cancel()
 
-	retry := cfg.Limits.Feed.Retry
-	fronts := func(string) core.Front { return platform.Front }
+	retry := cfg.Limits.Feed.RetryDelay
+	fronts := func(string) core.Protocol { return platform.Protocol }
 	var known []core.Event
 	if preceded {
 		known = append(known, core.Predecessor{Present: true})
@@ -186,12 +186,12 @@
 		if err != nil {
 			return fmt.Errorf("m3ua.%w", err)
 		}
-		l.Dialer(m3ua.Front, second.Dial)
-		fronts = func(name string) core.Front {
-			if second.Reaches(name) {
-				return m3ua.Front
+		l.SetDialer(m3ua.Protocol, second.Dial)
+		fronts = func(name string) core.Protocol {
+			if second.HasServer(name) {
+				return m3ua.Protocol
 			}
-			return platform.Front
+			return platform.Protocol
 		}
 		known = append(known, second.Servers())
 		ml, err := net.Listen("tcp", sig.M3UA.Listen)
@@ -216,15 +216,15 @@
 		}
 		speaking.Go(func() { speaker.Run(ctx) })
 	}
-	for _, cmd := range cfg.Known {
+	for _, cmd := range cfg.InitialCommands {
 		list, err := cmd.List(fronts, true)
 		if err != nil {
 			return err
 		}
 		known = append(known, list)
 	}
-	follow := &feed.Feed{Cursor: cfg.Cursor, Front: fronts, Limits: cfg.Limits.Feed, Post: l.Post, Log: log}
-	follow.Follow(cfg.Channel, nil)
+	follow := &feed.Feed{Cursor: cfg.Cursor, ProtocolFor: fronts, Limits: cfg.Limits.Feed, Post: l.Post, Log: log}
+	follow.Follow(cfg.CommandChannel, nil)
 	serve = append(serve, func() { follow.Run(ctx) })
 
 	// reload takes in the configuration as it stands in its file now. With one that makes no sense nothing changes.
@@ -248,10 +248,10 @@
 		if again, err := config.LoadMembers(path, named); err != nil {
 			log.Error().Err(err).Msg("members' file not taken over")
 		} else if tier != nil && again.Maintenance.Enabled {
-			l.Post(core.Order{Event: maintenance.Budget{B: again.Budget(len(cfg.Peers))}})
+			l.Post(core.MaintenanceRequest{Event: maintenance.SetBudget{Budget: again.MaintenanceBudget(len(cfg.Peers))}})
 		}
-		follow.Follow(cfg.Channel, cfg.Known)
-		log.Info().Str("channel", cfg.Channel).Msg("configuration taken over")
+		follow.Follow(cfg.CommandChannel, cfg.InitialCommands)
+		log.Info().Str("channel", cfg.CommandChannel).Msg("configuration taken over")
 	}
 	go func() {
 		for _, ev := range known {
@@ -267,7 +267,7 @@
 			case <-stops:
 				log.Info().Msg("stopping")
 				if !up.stop() {
-					first.Stop()
+					first.MarkStopping()
 				}
 				l.Post(core.Stop{})
 			}
@@ -282,14 +282,14 @@
 }
 
 // signalling reads the file of the second front. Without one there is only the first.
-func signalling() (config.Signalling, error) {
+func signalling() (config.SignallingFile, error) {
 	path, named := os.LookupEnv("ELMSEAM_SIGNALLING")
 	if !named {
 		path = signallingFile
 	}
 	s, err := config.LoadSignalling(path)
 	if !named && errors.Is(err, fs.ErrNotExist) {
-		return config.Signalling{}, nil
+		return config.SignallingFile{}, nil
 	}
 	return s, err
 }
--- a/cmd/elmseam/upgrade.go
+++ b/cmd/elmseam/upgrade.go
@@ -31,14 +31,14 @@
 
 	mu       sync.Mutex
 	host     *net.UnixListener
-	links    map[core.Link]core.Link // the predecessor's names of connections, and ours
-	next     *handover.Peer          // the successor
-	lent     bool                    // which has the listener too
-	ended    bool                    // the listener is being closed
-	ready    bool                    // it serves
-	stopping bool                    // and this process is to end
-	moving   bool                    // and hands its callers on
-	passed   map[core.Link]bool
+	links    map[core.ConnID]core.ConnID // the predecessor's names of connections, and ours
+	next     *handover.Peer              // the successor
+	lent     bool                        // which has the listener too
+	ended    bool                        // the listener is being closed
+	ready    bool                        // it serves
+	stopping bool                        // and this process is to end
+	moving   bool                        // and hands its callers on
+	passed   map[core.ConnID]bool
 }
 
 // take gets the listener of a process that serves the address, if there is one.
@@ -46,12 +46,12 @@
 	if a, err := net.ResolveTCPAddr("tcp", listen); err == nil {
 		listen = a.String()
 	}
-	old, l, err := handover.Take(u.path, listen, u.limits)
+	old, l, err := handover.RequestListener(u.path, listen, u.limits)
 	if err != nil {
 		u.log.Debug().Err(err).Msg("nothing to take over")
 		return false
 	}
-	u.old, u.listener, u.links = old, l, make(map[core.Link]core.Link)
+	u.old, u.listener, u.links = old, l, make(map[core.ConnID]core.ConnID)
 	u.log.Info().Msg("taking over from a running process")
 	return true
 }
@@ -71,18 +71,18 @@
 			return
 		}
 		switch m.Kind {
-		case handover.Moving: // the next one is to find this process
+		case handover.Transferring: // the next one is to find this process
 			u.wait()
-			u.loop.Post(core.Predecessor{Present: true, Moving: true})
-		case handover.Caller:
+			u.loop.Post(core.Predecessor{Present: true, Transferring: true})
+		case handover.CallerConn:
 			u.adopt(m, file)
-		case handover.Over:
-			u.loop.Post(core.Over{IDs: m.IDs})
+		case handover.CallsEnded:
+			u.loop.Post(core.EndedCalls{IDs: m.IDs})
 		case handover.Effect:
 			u.mu.Lock()
-			to := u.links[m.Link]
+			to := u.links[m.Conn]
 			u.mu.Unlock()
-			u.loop.Post(core.Relayed{Front: m.Front, Link: to, Effect: m.ToEffect()})
+			u.loop.Post(core.Relayed{Protocol: m.Protocol, Conn: to, Effect: m.ToEffect()})
 		}
 	}
 }
@@ -96,19 +96,19 @@
 	file.Close()
 	if err != nil {
 		u.log.Warn().Err(err).Msg("a caller's connection can't be taken over")
-		u.old.Send(handover.Message{Kind: handover.CallerDown, Link: m.Link})
+		u.old.Send(handover.Message{Kind: handover.CallerDown, Conn: m.Conn})
 		return
 	}
-	ours := u.loop.NewLink()
+	ours := u.loop.NewConnID()
 	u.mu.Lock()
-	u.links[m.Link] = ours
+	u.links[m.Conn] = ours
 	u.mu.Unlock()
-	up := core.CallerUp{Link: ours, Front: platform.Front, Asked: m.Asked, Open: m.Open, Stand: m.Stand}
-	u.front.Adopt(conn, m.Rest, up, func() {
+	up := core.CallerUp{Conn: ours, Protocol: platform.Protocol, HadSetUp: m.Asked, Open: m.Pending, Established: m.Established}
+	u.front.Adopt(conn, m.Unprocessed, up, func() {
 		u.mu.Lock()
-		delete(u.links, m.Link)
+		delete(u.links, m.Conn)
 		u.mu.Unlock()
-		u.old.Send(handover.Message{Kind: handover.CallerDown, Link: m.Link})
+		u.old.Send(handover.Message{Kind: handover.CallerDown, Conn: m.Conn})
 	})
 	u.loud.Info().Uint64("link", uint64(ours)).Msg("a caller's connection taken over")
 }
@@ -120,7 +120,7 @@
 	}
 	switch ev := e.Event.(type) {
 	case core.CallerEnd:
-		var from core.Link
+		var from core.ConnID
 		u.mu.Lock()
 		for of, ours := range u.links {
 			if ours == ev.From {
@@ -128,7 +128,7 @@
 			}
 		}
 		u.mu.Unlock()
-		u.old.Send(handover.Message{Kind: handover.CallerEnd, Link: from, ID: ev.ID})
+		u.old.Send(handover.Message{Kind: handover.CallerEnd, Conn: from, ID: ev.ID})
 	case core.ServerEnd:
 		u.old.Send(handover.Message{Kind: handover.ServerEnd, Server: ev.Server, ID: ev.ID, Reason: ev.Reason})
 	}
@@ -148,7 +148,7 @@
 	if u.host != nil || u.path == "" || u.moving {
 		return
 	}
-	host, err := handover.Host(u.path)
+	host, err := handover.Listen(u.path)
 	if err != nil {
 		u.log.Info().Err(err).Msg("no hand-over to a newer process")
 		return
@@ -174,14 +174,14 @@
 	case u.next != nil:
 		why = "another process is taking over"
 	case u.ended:
-		why = handover.Ending
+		why = handover.ReasonExiting
 	case !ok:
 		why = "the listener can't be handed over"
 	default:
 		u.lent = true
 	}
 	u.mu.Unlock()
-	next, err := handover.Greet(conn, u.listen, why, listener, u.limits)
+	next, err := handover.AcceptSuccessor(conn, u.listen, why, listener, u.limits)
 	if err != nil {
 		u.mu.Lock()
 		u.lent = u.next != nil
@@ -192,7 +192,7 @@
 	u.log.Info().Msg("a newer process has come")
 	u.memory.share(1)
 	u.mu.Lock()
-	u.next, u.passed = next, make(map[core.Link]bool)
+	u.next, u.passed = next, make(map[core.ConnID]bool)
 	u.mu.Unlock()
 	go u.serve(next)
 }
@@ -215,11 +215,11 @@
 			u.move()
 		case handover.CallerDown:
 			u.mu.Lock()
-			delete(u.passed, m.Link)
+			delete(u.passed, m.Conn)
 			u.mu.Unlock()
-			u.loop.Post(core.CallerDown{Link: m.Link})
+			u.loop.Post(core.CallerDown{Conn: m.Conn})
 		case handover.CallerEnd:
-			u.loop.Post(core.CallerEnd{ID: m.ID, From: m.Link})
+			u.loop.Post(core.CallerEnd{ID: m.ID, From: m.Conn})
 		case handover.ServerEnd:
 			u.loop.Post(core.ServerEnd{Server: m.Server, ID: m.ID, Reason: m.Reason})
 		}
@@ -231,14 +231,14 @@
 	if !u.moving {
 		u.next, u.ready, u.lent = nil, false, false
 		if u.stopping {
-			u.front.Stop()
+			u.front.MarkStopping()
 		}
 	}
 	u.mu.Unlock()
 	u.memory.share(-1)
 	u.log.Warn().Msg("the newer process has gone")
 	for l := range passed {
-		u.loop.Post(core.CallerDown{Link: l})
+		u.loop.Post(core.CallerDown{Conn: l})
 	}
 }
 
@@ -276,8 +276,8 @@
 			u.host.Close()
 		}
 		u.listener.Close() // the successor has the same: nobody who waits there is turned away
-		u.front.Successor(u)
-		u.next.Send(handover.Message{Kind: handover.Moving})
+		u.front.SetSuccessor(u)
+		u.next.Send(handover.Message{Kind: handover.Transferring})
 	}
 	u.mu.Unlock() // the loop may want it before it takes the event
 	if !begins {
@@ -287,12 +287,12 @@
 	u.log.Info().Msg("handing over")
 }
 
-// Take is handed a caller's connection for the successor.
-func (u *upgrade) Take(pass core.Pass, rest []byte, conn syscall.Conn) error {
+// Transfer is handed a caller's connection for the successor.
+func (u *upgrade) Transfer(pass core.Transfer, rest []byte, conn syscall.Conn) error {
 	u.mu.Lock()
 	next := u.next
 	u.mu.Unlock()
-	err := next.SendFile(handover.Message{Kind: handover.Caller, Link: pass.To, Rest: rest, Open: pass.Open, Stand: pass.Stand, Asked: pass.Asked}, conn)
+	err := next.SendFile(handover.Message{Kind: handover.CallerConn, Conn: pass.To, Unprocessed: rest, Pending: pass.Open, Established: pass.Established, Asked: pass.HadSetUp}, conn)
 	if err != nil {
 		return err
 	}
@@ -303,17 +303,17 @@
 	}
 	u.mu.Unlock()
 	if gone { // it may have read of it: nobody can go on there
-		u.loop.Post(core.CallerDown{Link: pass.To})
+		u.loop.Post(core.CallerDown{Conn: pass.To})
 	}
 	return nil
 }
 
-// Tell passes on what is for a caller whose connection the successor has, or with a link of 0 any.
-func (u *upgrade) Tell(link core.Link, e core.Effect) {
-	u.tell(platform.Front, link, e)
+// ForwardEffect passes on what is for a caller whose connection the successor has, or with a link of 0 any.
+func (u *upgrade) ForwardEffect(link core.ConnID, e core.Effect) {
+	u.tell(platform.Protocol, link, e)
 }
 
-func (u *upgrade) tell(front core.Front, link core.Link, e core.Effect) {
+func (u *upgrade) tell(front core.Protocol, link core.ConnID, e core.Effect) {
 	u.mu.Lock()
 	next := u.next
 	u.mu.Unlock()
@@ -331,7 +331,7 @@
 		return
 	}
 	if moving {
-		next.Send(handover.Message{Kind: handover.Over, IDs: c.Over(u.limits.Over)})
+		next.Send(handover.Message{Kind: handover.CallsEnded, IDs: c.RecentlyEnded(u.limits.MaxEndedCalls)})
 		next.Flush()
 	}
 	next.Close()
@@ -362,6 +362,6 @@
 
 // collect sets the garbage collector to the part there is.
 func (m *memory) collect() {
-	debug.SetMemoryLimit(m.limits.Memory / int64(1+m.others))
-	debug.SetGCPercent(m.limits.GC)
+	debug.SetMemoryLimit(m.limits.MemoryLimit / int64(1+m.others))
+	debug.SetGCPercent(m.limits.GCPercent)
 }
--- a/cmd/elmseamctl/check.go
+++ b/cmd/elmseamctl/check.go
@@ -41,13 +41,13 @@
 		},
 	}
 	f := cmd.Flags()
-	f.StringVar(&cfg.Model, "model", explore.Calls, "what is explored: calls, circuits of the second front; members of a tier, their works, or their parts of budgets")
+	f.StringVar(&cfg.Model, "model", explore.ModelCalls, "what is explored: calls, circuits of the second front; members of a tier, their works, or their parts of budgets")
 	f.IntVar(&cfg.Servers, "servers", 2, "servers, circuits, or members")
 	f.IntVar(&cfg.Calls, "calls", 2, "calls, or periods of turmoil")
 	f.IntVar(&cfg.Attempts, "attempts", 4, "attempts that a call may have")
 	f.IntVar(&cfg.Faults, "faults", 1, "disturbances in all: resets, lost connections, changes of the list, give-ups ...")
 	f.IntVar(&cfg.Pauses, "pauses", 1, "times that 120 ms pass with no timer due")
-	f.DurationVar(&cfg.Wait, "wait", time.Second, "how long a caller waits")
+	f.DurationVar(&cfg.GiveUp, "wait", time.Second, "how long a caller waits")
 	f.Uint64Var(&cfg.Seed, "seed", 0, "of the decisions, and of the walks")
 	f.IntVar(&b.Depth, "depth", 0, "stop after so many things that happen one after the other (0: at none)")
 	f.DurationVar(&b.Time, "time", 5*time.Minute, "stop after this time (0: at none)")
@@ -68,10 +68,10 @@
 // report says what was explored, and what was not.
 func report(out io.Writer, cfg explore.Config, r *explore.Report, path string) error {
 	fmt.Fprintf(out, "%s: %d servers, %d calls, %d attempts, %d faults, %d pauses: %d states, %d steps, %d ends, %v, %d MiB\n",
-		cfg.Model, cfg.Servers, cfg.Calls, cfg.Attempts, cfg.Faults, cfg.Pauses, r.States, r.Steps, r.Ends, r.Elapsed.Round(time.Millisecond), r.Memory>>20)
-	if r.Trace != nil {
-		fmt.Fprintf(out, "BROKEN %v, in %d steps\n", &r.Trace.Broken, len(r.Trace.Actions))
-		if err := write(out, r.Trace, path); err != nil {
+		cfg.Model, cfg.Servers, cfg.Calls, cfg.Attempts, cfg.Faults, cfg.Pauses, r.States, r.Steps, r.TerminalStates, r.Elapsed.Round(time.Millisecond), r.Memory>>20)
+	if r.Counterexample != nil {
+		fmt.Fprintf(out, "BROKEN %v, in %d steps\n", &r.Counterexample.Violation, len(r.Counterexample.Actions))
+		if err := write(out, r.Counterexample, path); err != nil {
 			return err
 		}
 		return outcome(exitBroken)
@@ -80,7 +80,7 @@
 		fmt.Fprintf(out, "complete: every state that can be reached, %d things deep; no rule is broken\n", r.Depth)
 		return nil
 	}
-	fmt.Fprintf(out, "INCOMPLETE, stopped by the bound on %s: every state up to %d things deep, some beyond", r.Why, r.Depth)
+	fmt.Fprintf(out, "INCOMPLETE, stopped by the bound on %s: every state up to %d things deep, some beyond", r.StopReason, r.Depth)
 	if r.Walks > 0 {
 		fmt.Fprintf(out, ", %d ways sampled to the end", r.Walks)
 	}
@@ -116,7 +116,7 @@
 		return fmt.Errorf("%s: %w", path, err)
 	}
 	n := 0
-	v, err := t.Play(t.Config, func(a explore.Action, at time.Duration) {
+	v, err := t.Replay(t.Config, func(a explore.Action, at time.Duration) {
 		n++
 		fmt.Fprintf(out, "%3d %8v  %s\n", n, at, a)
 	})
--- a/cmd/elmseamctl/lab.go
+++ b/cmd/elmseamctl/lab.go
@@ -49,7 +49,7 @@
 					close(stop)
 				}
 			}()
-			res, err := lab.Run(s, lab.Options{Binary: binary, Out: out, Log: log, Stop: stop})
+			res, err := lab.Run(s, lab.Options{Binary: binary, OutDir: out, Log: log, Stop: stop})
 			if errors.Is(err, lab.ErrLab) {
 				fmt.Fprintln(os.Stderr, "elmseamctl:", err)
 				return outcome(labFailed)
@@ -66,7 +66,7 @@
 				return outcome(labFailed)
 			}
 			printVerdict(c, res, out)
-			if !res.Held {
+			if !res.Passed {
 				return outcome(labBroken)
 			}
 			return nil
@@ -81,12 +81,12 @@
 func printVerdict(c *cobra.Command, res *lab.Result, out string) {
 	w := c.OutOrStdout()
 	fmt.Fprintf(w, "%s: offered %d, served %d, refused %d, lost %d, excused %d, unsent %d; lab lag at most %v, %d spans not judged\n",
-		res.Scenario, res.Offered, res.Served, res.Refused, res.Lost, res.Excused, res.Unsent, res.LagMax, res.BlindSpans)
-	for _, b := range res.Breaches {
+		res.Scenario, res.Offered, res.Served, res.Refused, res.Lost, res.Excused, res.Unsent, res.MaxLag, res.LagSpans)
+	for _, b := range res.Violations {
 		fmt.Fprintf(w, "BROKEN %s: first at %v, %d times: %s\n", b.Rule, b.First, b.Count, b.Detail)
 	}
 	verdict := "held"
-	if !res.Held {
+	if !res.Passed {
 		verdict = "broken"
 	}
 	fmt.Fprintf(w, "%s; table and logs in %s\n", verdict, out)
--- a/cmd/elmseamctl/main_test.go
+++ b/cmd/elmseamctl/main_test.go
@@ -18,8 +18,8 @@
 // members prints a line for each of the tier, and its exit code tells whether a majority is seen.
 func TestMembersCommand(t *testing.T) {
 	heard := int64(200)
-	view := mgmt.Tier{Self: 0, Majority: true, ColdShare: 1, Members: []mgmt.Member{{Number: 0, State: "alive", Incarnation: 7},
-		{Number: 1, Address: "127.0.0.2:7946", State: "suspect", HeardMS: &heard}, {Number: 2, State: "unknown"}}}
+	view := mgmt.TierStatus{Self: 0, Majority: true, ColdShare: 1, Members: []mgmt.MemberStatus{{Index: 0, State: "alive", Incarnation: 7},
+		{Index: 1, Address: "127.0.0.2:7946", State: "suspect", LastDatagramAgeMS: &heard}, {Index: 2, State: "unknown"}}}
 	status := http.StatusOK
 	door := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(status)
@@ -51,9 +51,9 @@
 // drains by a peer's word alone.
 func TestServersCommand(t *testing.T) {
 	age := int64(300)
-	view := mgmt.Servers{Self: 1, Active: true, Servers: []mgmt.Server{{Name: "hlr-1", State: "ready",
-		Told: []mgmt.Told{{Number: 0, ShareMS: &age, Rate: 12.5, FloorUS: 8800, AgeMS: 700}, {Number: 1, Drains: true}}}},
-		Parts: []mgmt.Part{{Number: 0, Use: 3, Holders: []int{-1, 0, 0, 1, 1, 1, 0, -1}}}}
+	view := mgmt.ServersStatus{Self: 1, QuotasActive: true, Servers: []mgmt.ServerStatus{{Name: "hlr-1", State: "ready",
+		Reports: []mgmt.MemberReport{{Index: 0, HoldBackAgeMS: &age, Rate: 12.5, MinSetUpTimeUS: 8800, AgeMS: 700}, {Index: 1, Draining: true}}}},
+		Quotas: []mgmt.Quota{{Index: 0, Usable: 3, Holders: []int{-1, 0, 0, 1, 1, 1, 0, -1}}}}
 	door := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { json.NewEncoder(w).Encode(view) }))
 	defer door.Close()
 	var text strings.Builder
@@ -63,8 +63,8 @@
 			t.Errorf("no %q in\n%s", want, &text)
 		}
 	}
-	for want, spoil := range map[int]func(s *mgmt.Server){exitPassed: func(*mgmt.Server) {}, exitBroken: func(s *mgmt.Server) { s.Failing = 0.9 }} {
-		view.Servers[0].Failing = 0
+	for want, spoil := range map[int]func(s *mgmt.ServerStatus){exitPassed: func(*mgmt.ServerStatus) {}, exitBroken: func(s *mgmt.ServerStatus) { s.FailingShare = 0.9 }} {
+		view.Servers[0].FailingShare = 0
 		spoil(&view.Servers[0])
 		if got := run([]string{"servers", strings.TrimPrefix(door.URL, "http://")}); got != want {
 			t.Errorf("exit code %d, want %d", got, want)
@@ -108,7 +108,7 @@
 
 // Each play of a trial has a seed of its own: medians of one play said five times are none.
 func TestPlaysDiffer(t *testing.T) {
-	all, err := outcomes(swarm.Trial{Members: 5, Limits: membership.Defaults(), Warm: 5 * time.Second, Span: time.Second, Kill: true}, 4)
+	all, err := outcomes(swarm.Experiment{Members: 5, Limits: membership.Defaults(), WarmUp: 5 * time.Second, Measured: time.Second, Kill: true}, 4)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/elmseamctl/maintenance.go
+++ b/cmd/elmseamctl/maintenance.go
@@ -48,7 +48,7 @@
 			if err != nil {
 				return err
 			}
-			var m mgmt.Maintenance
+			var m mgmt.MaintenanceStatus
 			if status != http.StatusOK || json.Unmarshal([]byte(text), &m) != nil {
 				return fmt.Errorf("%s: %d: %.80s", args[0], status, strings.TrimSpace(text))
 			}
@@ -62,18 +62,18 @@
 	return callDoor(method, address, "/ops/maintenance?"+url.Values{"member": members}.Encode(), wait)
 }
 
-func printMaintenance(out io.Writer, m mgmt.Maintenance) {
+func printMaintenance(out io.Writer, m mgmt.MaintenanceStatus) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "MEMBER\tNAME\tSTAGE\tASKED\tTRIES\tEPOCH")
-	for _, part := range [][]mgmt.Request{m.Out, m.Queue, m.Over} {
+	for _, part := range [][]mgmt.MaintenanceRequest{m.Granted, m.Queue, m.Ended} {
 		for _, r := range part {
-			fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%d\t%d\n", r.Number, r.Name, r.Stage, r.Asked.Format(time.RFC3339), r.Tries, r.Epoch)
+			fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%d\t%d\n", r.Index, r.Name, r.Stage, r.RequestedAt.Format(time.RFC3339), r.Restarts, r.Epoch)
 		}
 	}
 	w.Flush()
 	settled := ""
-	if !m.Settled {
+	if !m.Recovered {
 		settled = "; NOT settled yet: it grants nothing and takes no request"
 	}
-	fmt.Fprintf(out, "%d out of at most %d%s\n", len(m.Out), m.Budget, settled)
+	fmt.Fprintf(out, "%d out of at most %d%s\n", len(m.Granted), m.Budget, settled)
 }
--- a/cmd/elmseamctl/members.go
+++ b/cmd/elmseamctl/members.go
@@ -40,7 +40,7 @@
 }
 
 // askTier asks a door for what it holds of its tier.
-func askTier(address string, wait time.Duration) (t mgmt.Tier, err error) {
+func askTier(address string, wait time.Duration) (t mgmt.TierStatus, err error) {
 	status, text, err := callDoor(http.MethodGet, address, "/ops/members", wait)
 	if err != nil {
 		return t, err
@@ -70,18 +70,18 @@
 	return res.StatusCode, string(b), err
 }
 
-func printTier(out io.Writer, t mgmt.Tier) {
+func printTier(out io.Writer, t mgmt.TierStatus) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "MEMBER\tADDRESS\tSTATE\tFOR\tHEARD\tINCARNATION")
 	for _, m := range t.Members {
 		heard := "never"
 		switch {
-		case m.Number == t.Self:
+		case m.Index == t.Self:
 			heard = "itself"
-		case m.HeardMS != nil:
-			heard = ms(*m.HeardMS) + " ago"
+		case m.LastDatagramAgeMS != nil:
+			heard = ms(*m.LastDatagramAgeMS) + " ago"
 		}
-		fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\t%d\n", m.Number, m.Address, m.State, ms(m.ForMS), heard, m.Incarnation)
+		fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\t%d\n", m.Index, m.Address, m.State, ms(m.StateAgeMS), heard, m.Incarnation)
 	}
 	w.Flush()
 	majority := "sees a majority"
--- a/cmd/elmseamctl/servers.go
+++ b/cmd/elmseamctl/servers.go
@@ -34,7 +34,7 @@
 			if status != http.StatusOK {
 				return fmt.Errorf("%s: %d: %.80s", args[0], status, text)
 			}
-			var s mgmt.Servers
+			var s mgmt.ServersStatus
 			if err := json.Unmarshal([]byte(text), &s); err != nil {
 				return fmt.Errorf("%s: not a view of servers: %w", args[0], err)
 			}
@@ -49,7 +49,7 @@
 }
 
 // printServers says no where a server is held for failing, or for draining by a peer's word alone.
-func printServers(out io.Writer, s mgmt.Servers) (well bool) {
+func printServers(out io.Writer, s mgmt.ServersStatus) (well bool) {
 	well = true
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	if len(s.Servers) > 0 {
@@ -57,37 +57,37 @@
 	}
 	for _, one := range s.Servers {
 		state := one.State
-		if one.Heard {
+		if one.DrainReported {
 			state += " (heard)"
 		}
-		well = well && !one.Heard && one.Failing <= 0.5
-		fmt.Fprintf(w, "%s\t%s\tall\t\t%.2f\t\t%.1f\t\t%.2f\t\n", one.Name, state, one.Share, one.Rate, one.Failing)
-		for _, t := range one.Told {
-			by, report := fmt.Sprint(t.Number), "none"
-			if t.Number == s.Self {
+		well = well && !one.DrainReported && one.FailingShare <= 0.5
+		fmt.Fprintf(w, "%s\t%s\tall\t\t%.2f\t\t%.1f\t\t%.2f\t\n", one.Name, state, one.HoldBackShare, one.MeanRate, one.FailingShare)
+		for _, t := range one.Reports {
+			by, report := fmt.Sprint(t.Index), "none"
+			if t.Index == s.Self {
 				by += " (itself)"
 			}
-			if t.ShareMS != nil {
-				report = ms(*t.ShareMS) + " ago"
+			if t.HoldBackAgeMS != nil {
+				report = ms(*t.HoldBackAgeMS) + " ago"
 			}
 			says := ""
-			if t.Drains {
+			if t.Draining {
 				says = "drains"
 			}
-			fmt.Fprintf(w, "\t%s\t%s\t%s\t%.2f\t%s\t%.1f\t%.0f\t%d\t%v\n", says, by, ms(t.AgeMS), t.Share, report, t.Rate, t.Lines, t.Bad,
-				time.Duration(t.FloorUS)*time.Microsecond)
+			fmt.Fprintf(w, "\t%s\t%s\t%s\t%.2f\t%s\t%.1f\t%.0f\t%d\t%v\n", says, by, ms(t.AgeMS), t.HoldBackShare, report, t.Rate, t.Lines, t.FailureWeight,
+				time.Duration(t.MinSetUpTimeUS)*time.Microsecond)
 		}
-		if one.More > 0 {
-			fmt.Fprintf(w, "\t\t%d others\n", one.More)
+		if one.Omitted > 0 {
+			fmt.Fprintf(w, "\t\t%d others\n", one.Omitted)
 		}
 	}
 	w.Flush()
-	if len(s.Parts) == 0 {
+	if len(s.Quotas) == 0 {
 		return well
 	}
 	w = tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "PART OF\tUSED HERE\tLENT\tGRANTED TO, BY EIGHTH")
-	for _, p := range s.Parts {
+	for _, p := range s.Quotas {
 		var holders []string
 		for u, h := range p.Holders {
 			switch {
@@ -99,10 +99,10 @@
 				holders = append(holders, fmt.Sprint(h))
 			}
 		}
-		fmt.Fprintf(w, "%d\t%d of 8\t%d\t%s\n", p.Number, p.Use, p.Lent, strings.Join(holders, " "))
+		fmt.Fprintf(w, "%d\t%d of 8\t%d\t%s\n", p.Index, p.Usable, p.Lent, strings.Join(holders, " "))
 	}
 	w.Flush()
-	if !s.Active {
+	if !s.QuotasActive {
 		fmt.Fprintln(out, "no server is cold: no part is held")
 	}
 	return well
--- a/cmd/elmseamctl/tier.go
+++ b/cmd/elmseamctl/tier.go
@@ -44,7 +44,7 @@
 }
 
 // outcomes runs so many plays of a trial, as many at once as there are processors.
-func outcomes(t swarm.Trial, plays int) ([]swarm.Outcome, error) {
+func outcomes(t swarm.Experiment, plays int) ([]swarm.Outcome, error) {
 	all, errs := make([]swarm.Outcome, plays), make([]error, plays)
 	room := make(chan struct{}, runtime.GOMAXPROCS(0))
 	var wg sync.WaitGroup
@@ -85,8 +85,8 @@
 		name := fmt.Sprintf("%.0f %% lost", 100*loss)
 		names = append(names, name)
 		for _, n := range sizes {
-			all, err := outcomes(swarm.Trial{Members: n, Limits: l, Loss: loss, Delay: trialDelay,
-				Warm: 30 * time.Second, Span: 20 * time.Second, Kill: true}, plays)
+			all, err := outcomes(swarm.Experiment{Members: n, Limits: l, Loss: loss, MaxDelay: trialDelay,
+				WarmUp: 30 * time.Second, Measured: 20 * time.Second, Kill: true}, plays)
 			if err != nil {
 				return err
 			}
@@ -100,11 +100,11 @@
 				worst = max(worst, periods(o.AllDead))
 			}
 			dead := middle(all, func(o swarm.Outcome) float64 { return periods(o.AllDead) })
-			bytes := middle(all, func(o swarm.Outcome) float64 { return o.Bytes })
+			bytes := middle(all, func(o swarm.Outcome) float64 { return o.ByteRate })
 			fmt.Fprintf(w, "| %d | %.0f %% | %.1f | %.0f | %.1f | %.1f | %.1f | %.1f |\n", n, 100*loss,
-				middle(all, func(o swarm.Outcome) float64 { return o.Datagrams }), bytes,
-				middle(all, func(o swarm.Outcome) float64 { return periods(o.Suspected) }),
-				middle(all, func(o swarm.Outcome) float64 { return periods(o.Dead) }), dead, worst)
+				middle(all, func(o swarm.Outcome) float64 { return o.DatagramRate }), bytes,
+				middle(all, func(o swarm.Outcome) float64 { return periods(o.FirstSuspected) }),
+				middle(all, func(o swarm.Outcome) float64 { return periods(o.FirstDead) }), dead, worst)
 			detection[name] = append(detection[name], [2]float64{float64(n), dead})
 			load[name] = append(load[name], [2]float64{float64(n), bytes})
 		}
@@ -125,19 +125,19 @@
 		loss             float64
 	}{{5, 3, 200 * time.Millisecond, 0}, {8, 3, 200 * time.Millisecond, 0}, {8, 3, 200 * time.Millisecond, 0.3},
 		{300, 24, 10 * time.Second, 0}, {300, 24, 10 * time.Second, 0.3}} {
-		t := swarm.Trial{Members: c.members, Limits: membership.Defaults(), Loss: c.loss, Delay: trialDelay, Warm: 30 * time.Second, Span: 20 * time.Second}
+		t := swarm.Experiment{Members: c.members, Limits: membership.Defaults(), Loss: c.loss, MaxDelay: trialDelay, WarmUp: 30 * time.Second, Measured: 20 * time.Second}
 		without, err := outcomes(t, plays)
 		if err != nil {
 			return err
 		}
-		t.Servers, t.Hear = c.servers, c.hear
+		t.Servers, t.ReportInterval = c.servers, c.hear
 		with, err := outcomes(t, plays)
 		if err != nil {
 			return err
 		}
-		bytes := func(o swarm.Outcome) float64 { return o.Bytes }
+		bytes := func(o swarm.Outcome) float64 { return o.ByteRate }
 		fmt.Fprintf(w, "| %d | %d | every %v | %.0f %% | %.1f | %.0f | %.0f | %.1f s | %.1f s |\n", c.members, c.servers, c.hear, 100*c.loss,
-			middle(with, func(o swarm.Outcome) float64 { return o.Datagrams }), middle(with, bytes), middle(without, bytes),
+			middle(with, func(o swarm.Outcome) float64 { return o.DatagramRate }), middle(with, bytes), middle(without, bytes),
 			middle(with, func(o swarm.Outcome) float64 { return o.OwnAge.Seconds() }), middle(with, func(o swarm.Outcome) float64 { return o.AnyAge.Seconds() }))
 	}
 	return nil
@@ -155,16 +155,22 @@
 		fmt.Fprint(w, " --- |")
 	}
 	fmt.Fprintln(w)
-	base := swarm.Trial{Members: 32, Delay: trialDelay, Warm: 20 * time.Second, Span: 120 * time.Second}
+	base := swarm.Experiment{Members: 32, MaxDelay: trialDelay, WarmUp: 20 * time.Second, Measured: 120 * time.Second}
 	for _, c := range []struct {
 		name  string
-		apply func(*swarm.Trial)
+		apply func(*swarm.Experiment)
 	}{
-		{"30 % of the datagrams lost", func(t *swarm.Trial) { t.Loss = 0.3 }},
-		{"8 stand still for 2 s of every 2.25 s", func(t *swarm.Trial) { t.Troubled, t.Pause, t.Every = 8, 2*time.Second, 2250*time.Millisecond }},
-		{"8 stand still for 4 s of every 5 s", func(t *swarm.Trial) { t.Troubled, t.Pause, t.Every = 8, 4*time.Second, 5*time.Second }},
-		{"8 stand still for 8 s of every 9 s", func(t *swarm.Trial) { t.Troubled, t.Pause, t.Every = 8, 8*time.Second, 9*time.Second }},
-		{"8 take in all 600 ms late", func(t *swarm.Trial) { t.Troubled, t.Slow = 8, 600*time.Millisecond }},
+		{"30 % of the datagrams lost", func(t *swarm.Experiment) { t.Loss = 0.3 }},
+		{"8 stand still for 2 s of every 2.25 s", func(t *swarm.Experiment) {
+			t.Impaired, t.PauseDuration, t.PauseInterval = 8, 2*time.Second, 2250*time.Millisecond
+		}},
+		{"8 stand still for 4 s of every 5 s", func(t *swarm.Experiment) {
+			t.Impaired, t.PauseDuration, t.PauseInterval = 8, 4*time.Second, 5*time.Second
+		}},
+		{"8 stand still for 8 s of every 9 s", func(t *swarm.Experiment) {
+			t.Impaired, t.PauseDuration, t.PauseInterval = 8, 8*time.Second, 9*time.Second
+		}},
+		{"8 take in all 600 ms late", func(t *swarm.Experiment) { t.Impaired, t.SlowDelay = 8, 600*time.Millisecond }},
 	} {
 		fmt.Fprintf(w, "| %s |", c.name)
 		for _, v := range swarm.Variants {
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -21,7 +21,7 @@
 		RunE: func(*cobra.Command, []string) error {
 			host := wire.NewHost()
 			if members {
-				host.Join(membership.Defaults())
+				host.EnableMembership(membership.Defaults())
 			}
 			out := bufio.NewWriter(os.Stdout)
 			return host.Serve(bufio.NewReader(os.Stdin), out, out.Flush)
--- a/controller.go
+++ b/controller.go
@@ -168,12 +168,12 @@
 	hint       time.Duration // told with a refusal
 	usual      []usualTry    // of each class
 	busy       [busyNumbers]busyNumber
-	busyAt     int         // next to be replaced
-	mix        *shares.Mix // of the tenants' calls
-	born       Time        // first event
-	stands     counter     // calls that stood at warm servers
-	offered    counter     // calls that came
-	meanLines  float64     // of the servers that tell their lines
+	busyAt     int             // next to be replaced
+	mix        *shares.Tracker // of the tenants' calls
+	born       Time            // first event
+	stands     counter         // calls that stood at warm servers
+	offered    counter         // calls that came
+	meanLines  float64         // of the servers that tell their lines
 	measured   Time
 	lineTime   float64 // line seconds of warm servers, decayed
 	perLine    float64 // set-ups a second that stand from here for each line of a warm server
@@ -233,26 +233,26 @@
 	switch {
 	case set.MaxRetryAfter < 0:
 		return fmt.Errorf("MaxRetryAfter: negative time %v", set.MaxRetryAfter)
-	case set.ResendGap < 0:
-		return fmt.Errorf("ResendGap: negative time %v", set.ResendGap)
+	case set.RetransmitInterval < 0:
+		return fmt.Errorf("ResendGap: negative time %v", set.RetransmitInterval)
 	case set.ReleaseGuard < 0:
 		return fmt.Errorf("ReleaseGuard: negative time %v", set.ReleaseGuard)
-	case set.TipAfter < 0:
-		return fmt.Errorf("TipAfter: negative time %v", set.TipAfter)
+	case set.OverloadAfter < 0:
+		return fmt.Errorf("TipAfter: negative time %v", set.OverloadAfter)
 	case set.ColdRamp < 0:
 		return fmt.Errorf("ColdRamp: negative time %v", set.ColdRamp)
-	case !(set.ColdFrom >= 0 && set.ColdFrom <= 1):
-		return fmt.Errorf("ColdFrom: %v is no share", set.ColdFrom)
-	case !(set.TipMultiple >= 0):
-		return fmt.Errorf("TipMultiple: %v is negative", set.TipMultiple)
+	case !(set.ColdInitialShare >= 0 && set.ColdInitialShare <= 1):
+		return fmt.Errorf("ColdFrom: %v is no share", set.ColdInitialShare)
+	case !(set.OverloadMultiple >= 0):
+		return fmt.Errorf("TipMultiple: %v is negative", set.OverloadMultiple)
 	}
-	for _, f := range set.Report {
-		if f != FigureUnknown {
+	for _, f := range set.ReportMetrics {
+		if f != LoadMetricUnknown {
 			return nil
 		}
 	}
-	if len(set.Report) > 0 {
-		return fmt.Errorf("Report: no known figure among %d", len(set.Report))
+	if len(set.ReportMetrics) > 0 {
+		return fmt.Errorf("Report: no known figure among %d", len(set.ReportMetrics))
 	}
 	return nil
 }
@@ -276,13 +276,13 @@
 		c.asked, c.askAt = false, now+resubscribe
 	case Arrival:
 		c.arrive(ev)
-	case Standing:
+	case Established:
 		c.standing(ev)
 	case Outcome:
 		c.outcome(ev)
 	case CallerGone:
 		c.callerGone(ev.Call)
-	case Wake:
+	case TimerFired:
 		c.wake(CallID(ev.Token))
 	case Health:
 		if s := c.byID[ev.Server]; s != nil {
@@ -297,7 +297,7 @@
 
 // follow subscribes to the list where it has to be asked for.
 func (c *Controller) follow() {
-	if c.set.AskForList && !c.asked && c.now >= c.askAt {
+	if c.set.ListOnRequest && !c.asked && c.now >= c.askAt {
 		c.asked = true
 		c.do(Subscribe{})
 	}
@@ -369,10 +369,11 @@
 	s.own, s.ownAt = share, c.now
 }
 
-// Learn takes in what others of the tier have seen of a server. A report that came to them after the last one
-// here stands for one, but lifts no full cut. One that fails for them is cut at its next bad ending here. A
-// sender just back begins with the rates that they have; no budget while cold grows by that, see coldPart.
-func (c *Controller) Learn(now Time, id ServerID, l Learned) {
+// ApplyTierReport takes in what others of the tier have seen of a server. A report that came to them after
+// the last one here stands for one, but lifts no full cut. One that fails for them is cut at its next bad
+// ending here. A sender just back begins with the rates that they have; no budget while cold grows by that,
+// see coldPart.
+func (c *Controller) ApplyTierReport(now Time, id ServerID, l TierReport) {
 	s := c.byID[id]
 	if s == nil {
 		return
@@ -384,7 +385,7 @@
 		s.faults = max(s.faults, failLimit-1)
 	}
 	if s.floor == 0 {
-		s.floor = l.Floor
+		s.floor = l.RoundTrip
 	}
 	if (c.young(now) || c.foreign > 0) && s.stands.count == 0 && l.Rate > 0 {
 		if c.foreign == 0 { // as if it had counted for so long
@@ -400,12 +401,12 @@
 // It guards against a server that has processor to spare and turns all away for want of lines.
 func (c *Controller) freeLines(s *server, r Report) {
 	free, all := -1.0, -1.0
-	for i, f := range c.set.Report {
+	for i, f := range c.set.ReportMetrics {
 		switch {
 		case i >= len(r):
-		case f == FigureFreeLines:
+		case f == LoadMetricFreeLines:
 			free = r[i]
-		case f == FigureLines:
+		case f == LoadMetricTotalLines:
 			all = r[i]
 		}
 	}
@@ -419,17 +420,17 @@
 // A rate is for all senders, and this one's part of it is not known: streams differ and peers die. It is
 // set against the highest rate that the server has told, of which it needs some part for what is offered.
 func (c *Controller) shareTold(s *server, r Report) (share float64, known bool) {
-	for i, f := range c.set.Report {
+	for i, f := range c.set.ReportMetrics {
 		if i >= len(r) || !(r[i] >= 0) {
 			continue
 		}
 		asked := 0.0
 		switch f {
-		case FigureShare:
+		case LoadMetricHoldBackShare:
 			asked = r[i]
-		case FigureWait:
+		case LoadMetricWait:
 			asked = c.shareOfWait(time.Duration(r[i] * float64(time.Millisecond)))
-		case FigureRate:
+		case LoadMetricRate:
 			s.topRate = max(s.topRate, r[i])
 			asked = 1 - r[i]/max(rateNeeded*s.topRate, 1e-9)
 		default:
@@ -448,7 +449,7 @@
 
 // gaps is so many resend gaps.
 func (c *Controller) gaps(n float64) time.Duration {
-	gap := c.set.ResendGap
+	gap := c.set.RetransmitInterval
 	if gap <= 0 {
 		gap = defaultGap
 	}
@@ -581,7 +582,7 @@
 // they cost a call less than a refusal does, and a server seldom fails every call.
 func (c *Controller) lastResort(k *call) *server {
 	for _, s := range c.servers {
-		if s.full && s.errs && !k.low && k.class.Repeat == RepeatFree && c.usable(s, k) && c.coldPasses(s) &&
+		if s.full && s.errs && !k.low && k.class.Retry == RetryAlways && c.usable(s, k) && c.coldPasses(s) &&
 			c.linePasses(s, k) && !c.unanswered(s, true, 1) {
 			return s
 		}
@@ -675,8 +676,8 @@
 
 // coldTimes is how many set-ups a cold server may get for each that it takes when warm.
 func (c *Controller) coldTimes(s *server, now Time) float64 {
-	warm := c.set.ColdFrom + (1-c.set.ColdFrom)*float64(now-s.started)/float64(c.set.ColdRamp)
-	return coldSafety * c.set.TipMultiple * warm
+	warm := c.set.ColdInitialShare + (1-c.set.ColdInitialShare)*float64(now-s.started)/float64(c.set.ColdRamp)
+	return coldSafety * c.set.OverloadMultiple * warm
 }
 
 // coldPart is this sender's own part of a cold server, as set-ups a second of a warm one: what it took before
@@ -787,7 +788,7 @@
 // was lost. The call goes on elsewhere if it can.
 func (c *Controller) giveUp(a *attempt) {
 	k := a.call
-	if a.lost = true; !a.dropped && c.set.CanCancel && k.class.Repeat == RepeatFree && !k.gone {
+	if a.lost = true; !a.dropped && c.set.CanCancel && k.class.Retry == RetryAlways && !k.gone {
 		a.dropped = true
 		c.do(Cancel{Call: k.id, Attempt: k.sends - 1})
 	}
@@ -810,11 +811,11 @@
 	}
 	k := &call{
 		id: ev.Call, class: &c.set.Classes[ev.Class], number: ev.Number, cell: ev.Cell, transit: ev.Transit,
-		most: c.set.MaxAttempts, end: c.now + ev.Within - answerMargin,
+		most: c.set.MaxAttempts, end: c.now + ev.TimeLeft - answerMargin,
 	}
 	c.offered.add(c.now)
 	late, over := c.lateTry(ev), c.overShare(ev.Tenant)
-	k.low, k.cut = late || over, ev.Cut
+	k.low, k.cut = late || over, ev.Interrupted
 	c.calls[k.id] = k
 	if c.numberBusy(k.number) {
 		c.refuse(k, c.set.MaxRetryAfter)
@@ -848,29 +849,29 @@
 
 // overShare says whether a call is one of those beyond its tenant's share, where these are worth little.
 func (c *Controller) overShare(tenant int) bool {
-	return c.set.OverShareWorth*greatWorth < 1 && c.mix.Beyond(c.now, tenant)
+	return c.set.OverShareWorth*greatWorth < 1 && c.mix.ExceedsShare(c.now, tenant)
 }
 
 // lateTry says whether a try is known to come after the aim has passed. Most tries have the time that
 // callers usually give one (found by majority vote); another time is what is left of the deadline.
 func (c *Controller) lateTry(ev Arrival) bool {
 	u, class := &c.usual[ev.Class], &c.set.Classes[ev.Class]
-	usual := ev.Within <= u.within+answerMargin && ev.Within >= u.within-answerMargin
+	usual := ev.TimeLeft <= u.within+answerMargin && ev.TimeLeft >= u.within-answerMargin
 	switch {
 	case usual:
 		u.votes = min(u.votes+1, maxVotes)
 	case u.votes > 0:
 		u.votes--
 	default:
-		u.within = ev.Within
+		u.within = ev.TimeLeft
 	}
-	return !usual && u.votes > 0 && class.Deadline-ev.Within > class.Aim
+	return !usual && u.votes > 0 && class.Deadline-ev.TimeLeft > class.Aim
 }
 
 // refuse gives a call its final answer: refused, or failed where an attempt may have run.
 func (c *Controller) refuse(k *call, retryAfter time.Duration) {
 	delete(c.calls, k.id)
-	if k.mayRun && k.class.Repeat != RepeatFree {
+	if k.mayRun && k.class.Retry != RetryAlways {
 		c.do(Fail{Call: k.id})
 		return
 	}
@@ -888,7 +889,7 @@
 	return a
 }
 
-func (c *Controller) standing(ev Standing) {
+func (c *Controller) standing(ev Established) {
 	k := c.calls[ev.Call]
 	if k == nil {
 		return
@@ -904,10 +905,10 @@
 	}
 	s.stands.add(c.now)
 	s.faults = 0
-	if s.floor == 0 || ev.Took < s.floor {
-		s.floor = ev.Took
+	if s.floor == 0 || ev.SetUpTime < s.floor {
+		s.floor = ev.SetUpTime
 	}
-	s.lag, s.lagAt = max(ev.Took-s.way(), 0), c.now
+	s.lag, s.lagAt = max(ev.SetUpTime-s.way(), 0), c.now
 	if s.full && a.trial {
 		s.full, s.trial, s.told = false, false, 0
 	}
@@ -985,7 +986,7 @@
 // much time left that a stall of this proxy does not lose it: while it is held nothing else answers it.
 func (c *Controller) again(k *call) {
 	room := min(c.gaps(stallRoom), time.Duration(stallAims*float64(k.class.Aim)))
-	if k.sends >= k.most || k.mayRun && k.class.Repeat != RepeatFree ||
+	if k.sends >= k.most || k.mayRun && k.class.Retry != RetryAlways ||
 		k.after > c.now && k.after > k.end-room {
 		c.refuse(k, c.hint)
 		return
--- a/controller_test.go
+++ b/controller_test.go
@@ -25,18 +25,18 @@
 
 func settings() Settings {
 	return Settings{
-		Classes:       []Class{{Aim: 2 * time.Second, Deadline: 9 * time.Second, Worth: 1}},
-		Report:        []Figure{FigureFreeLines, FigureLines, FigureWait},
-		MaxAttempts:   4,
-		MaxRetryAfter: 2 * time.Second,
-		CanCancel:     true,
-		OwnCell:       -1,
-		ResendGap:     500 * ms,
-		ReleaseGuard:  300 * ms,
-		ColdFrom:      0.3,
-		ColdRamp:      14 * time.Second,
-		TipMultiple:   2,
-		TipAfter:      1500 * ms,
+		Classes:            []Class{{Aim: 2 * time.Second, Deadline: 9 * time.Second, Worth: 1}},
+		ReportMetrics:      []LoadMetric{LoadMetricFreeLines, LoadMetricTotalLines, LoadMetricWait},
+		MaxAttempts:        4,
+		MaxRetryAfter:      2 * time.Second,
+		CanCancel:          true,
+		OwnCell:            -1,
+		RetransmitInterval: 500 * ms,
+		ReleaseGuard:       300 * ms,
+		ColdInitialShare:   0.3,
+		ColdRamp:           14 * time.Second,
+		OverloadMultiple:   2,
+		OverloadAfter:      1500 * ms,
 	}
 }
 
@@ -76,7 +76,7 @@
 // call brings in a call with a first choice and returns its id and what was done with it.
 func (b *bench) call(cell int) (CallID, []Action) {
 	b.next++
-	return b.next, b.on(Arrival{Call: b.next, Cell: cell, Within: 3 * time.Second})
+	return b.next, b.on(Arrival{Call: b.next, Cell: cell, TimeLeft: 3 * time.Second})
 }
 
 // sentTo is the server of the first Send; 0 if there is none.
@@ -102,7 +102,7 @@
 	id, acts := b.call(cell)
 	s := sentTo(acts)
 	if s != 0 {
-		b.on(Standing{Call: id, Server: s, Took: took})
+		b.on(Established{Call: id, Server: s, SetUpTime: took})
 	}
 	return s
 }
@@ -129,18 +129,18 @@
 func TestShareOfFigures(t *testing.T) {
 	tests := []struct {
 		name   string
-		figure Figure
+		figure LoadMetric
 		value  float64
 		want   float64
 	}{
-		{"share as told", FigureShare, 0.4, 0.4},
-		{"share over one", FigureShare, 7, 1},
-		{"no wait", FigureWait, 0, 0},
-		{"little wait", FigureWait, 40, 0},
+		{"share as told", LoadMetricHoldBackShare, 0.4, 0.4},
+		{"share over one", LoadMetricHoldBackShare, 7, 1},
+		{"no wait", LoadMetricWait, 0, 0},
+		{"little wait", LoadMetricWait, 40, 0},
 	}
 	for _, tt := range tests {
 		set := settings()
-		set.Report = []Figure{FigureUnknown, tt.figure}
+		set.ReportMetrics = []LoadMetric{LoadMetricUnknown, tt.figure}
 		b := newBench(t, set, 1)
 		got, known := b.c.shareTold(b.c.byID[1], Report{0, tt.value})
 		if !known || math.Abs(got-tt.want) > 1e-9 {
@@ -148,7 +148,7 @@
 		}
 	}
 	set := settings()
-	set.Report = []Figure{FigureRate}
+	set.ReportMetrics = []LoadMetric{LoadMetricRate}
 	b := newBench(t, set, 1)
 	for _, tt := range []struct{ rate, want float64 }{{40, 0}, {30, 0}, {10, 0.5}, {0, 1}, {39, 0}} {
 		if got, _ := b.c.shareTold(b.c.byID[1], Report{tt.rate}); math.Abs(got-tt.want) > 1e-9 {
@@ -172,7 +172,7 @@
 func TestThinningOverALongRun(t *testing.T) {
 	for _, share := range []float64{0.1, 0.25, 0.5, 0.9} {
 		set := settings()
-		set.Report = []Figure{FigureShare}
+		set.ReportMetrics = []LoadMetric{LoadMetricHoldBackShare}
 		b := newBench(t, set, 1)
 		sent := 0
 		const n = 2000
@@ -226,9 +226,9 @@
 		tenant := []int{0, 1, 1, 1, 7, -1}[i%6]
 		b.next++
 		offered[tenant]++
-		if s := sentTo(b.on(Arrival{Call: b.next, Cell: 1, Tenant: tenant, Within: 3 * time.Second})); s != 0 {
+		if s := sentTo(b.on(Arrival{Call: b.next, Cell: 1, Tenant: tenant, TimeLeft: 3 * time.Second})); s != 0 {
 			sent[tenant]++
-			b.on(Standing{Call: b.next, Server: s, Took: 20 * ms})
+			b.on(Established{Call: b.next, Server: s, SetUpTime: 20 * ms})
 		}
 	}
 	for tenant, want := range map[int][2]float64{0: {0.95, 1}, 1: {0.2, 0.8}, 7: {0, 0.5}, -1: {0, 0.5}} {
@@ -241,7 +241,7 @@
 // Calls of great worth are held back last, and the ordinary ones make up for them.
 func TestGreatWorthThinnedLast(t *testing.T) {
 	set := settings()
-	set.Report = []Figure{FigureShare}
+	set.ReportMetrics = []LoadMetric{LoadMetricHoldBackShare}
 	set.Classes = append(set.Classes, Class{Aim: time.Second, Deadline: 6 * time.Second, Worth: 8})
 	b := newBench(t, set, 1)
 	sent, offered := [2]int{}, [2]int{}
@@ -254,9 +254,9 @@
 		}
 		b.next++
 		offered[class]++
-		if sentTo(b.on(Arrival{Call: b.next, Class: class, Cell: 1, Within: 3 * time.Second})) == 1 {
+		if sentTo(b.on(Arrival{Call: b.next, Class: class, Cell: 1, TimeLeft: 3 * time.Second})) == 1 {
 			sent[class]++
-			b.on(Standing{Call: b.next, Server: 1, Took: 20 * ms})
+			b.on(Established{Call: b.next, Server: 1, SetUpTime: 20 * ms})
 		}
 	}
 	if sent[1] != offered[1] {
@@ -269,7 +269,7 @@
 
 func TestReportReplacedAndLapsed(t *testing.T) {
 	set := settings()
-	set.Report = []Figure{FigureShare}
+	set.ReportMetrics = []LoadMetric{LoadMetricHoldBackShare}
 	b := newBench(t, set, 2)
 	s := b.c.byID[1]
 	tell := func(share float64) { b.on(Health{Server: 1, OK: true, Report: Report{share}}) }
@@ -279,7 +279,7 @@
 		t.Errorf("share %v after a second report, want 0.5", got)
 	}
 	b.pass(b.c.gaps(reportLapse))
-	b.on(Wake{})
+	b.on(TimerFired{})
 	if got := b.c.share(s); got != 0 {
 		t.Errorf("share %v after the lapse, want none", got)
 	}
@@ -297,7 +297,7 @@
 	b.want("before", sentTo(acts), 1)
 	acts = b.on(Outcome{Call: id, Server: 1, Cause: CauseFull, Refusal: RefusalProcessor, Report: Report{50, 100, 900}})
 	b.want("the refused call goes on", sentTo(acts), 2)
-	b.on(Standing{Call: id, Server: 2, Took: 20 * ms})
+	b.on(Established{Call: id, Server: 2, SetUpTime: 20 * ms})
 	b.report(1, 50, 100, 0)
 	b.pass(100 * ms)
 	b.want("an older report does not lift the cut", b.answered(1, 20*ms), 2)
@@ -306,7 +306,7 @@
 	b.want("trial", sentTo(acts), 1)
 	b.want("second call during the trial", b.answered(1, 20*ms), 2)
 	b.pass(30 * ms)
-	b.on(Standing{Call: trial, Server: 1, Took: 30 * ms})
+	b.on(Established{Call: trial, Server: 1, SetUpTime: 30 * ms})
 	b.want("after the trial", b.answered(1, 20*ms), 1)
 }
 
@@ -359,7 +359,7 @@
 		b.pass(60 * ms)
 		b.want("while it is unanswered", b.answered(1, 20*ms), 2)
 	}
-	b.on(Standing{Call: stuck, Server: 1, Took: 20 * ms})
+	b.on(Established{Call: stuck, Server: 1, SetUpTime: 20 * ms})
 	b.want("after the answer", b.answered(1, 20*ms), 1)
 }
 
@@ -389,7 +389,7 @@
 // Redials multiply what a share lets through; a pressed server still gets no more than it answers.
 func TestWindowOfAPressedServer(t *testing.T) {
 	set := settings()
-	set.Report = []Figure{FigureShare}
+	set.ReportMetrics = []LoadMetric{LoadMetricHoldBackShare}
 	b := newBench(t, set, 1)
 	b.on(Health{Server: 1, OK: true, Report: Report{0.5}})
 	sent := 0
@@ -452,7 +452,7 @@
 // with an eighth of what it could take.
 func TestEaseIsGraded(t *testing.T) {
 	set := settings()
-	set.Report = []Figure{FigureShare}
+	set.ReportMetrics = []LoadMetric{LoadMetricHoldBackShare}
 	room := func(share float64) float64 {
 		b := newBench(t, set, 2)
 		b.steady(2)
@@ -479,7 +479,7 @@
 		t.Errorf("call without time left: %v, want a refusal", acts)
 	}
 	b.next++
-	b.on(Arrival{Call: b.next, Cell: 1, Within: 20 * ms})
+	b.on(Arrival{Call: b.next, Cell: 1, TimeLeft: 20 * ms})
 	b.pass(20 * ms)
 	if acts := b.on(Outcome{Call: b.next, Server: 1, Cause: CauseNotSent}); !refused(acts) {
 		t.Errorf("not sent, its time up: %v, want a refusal", acts)
@@ -500,7 +500,7 @@
 func TestHastyTimeoutCutsNothing(t *testing.T) {
 	b := newBench(t, settings(), 2)
 	b.next++
-	b.on(Arrival{Call: b.next, Cell: 1, Within: 30 * ms})
+	b.on(Arrival{Call: b.next, Cell: 1, TimeLeft: 30 * ms})
 	b.pass(30 * ms)
 	b.on(Outcome{Call: b.next, Server: 1, Cause: CauseTimeout})
 	b.want("next call", b.answered(1, 20*ms), 1)
@@ -514,7 +514,7 @@
 		id, acts := b.call(1)
 		b.want("silent server", sentTo(acts), 1)
 		b.pass(time.Second)
-		b.on(Wake{Token: uint32(id)})
+		b.on(TimerFired{Token: uint32(id)})
 	}
 	b.want("after a long silence", b.answered(1, 20*ms), 2)
 	b.pass(b.c.gaps(reportLapse))
@@ -533,7 +533,7 @@
 			b.report(1, 50, 100, 0)
 		}
 		b.pass(100 * ms)
-		b.on(Wake{Token: uint32(id)})
+		b.on(TimerFired{Token: uint32(id)})
 		want := ServerID(2)
 		if ease {
 			want = 1
@@ -549,13 +549,13 @@
 	b := newBench(t, settings(), 2)
 	b.next++
 	lost := b.next
-	b.on(Arrival{Call: lost, Cell: 1, Within: 5 * time.Second})
+	b.on(Arrival{Call: lost, Cell: 1, TimeLeft: 5 * time.Second})
 	b.pass(time.Second)
-	b.on(Wake{Token: uint32(lost)})
+	b.on(TimerFired{Token: uint32(lost)})
 	next, acts := b.call(1)
 	b.want("after two gaps", sentTo(acts), 1)
 	b.pass(20 * ms)
-	acts = b.on(Standing{Call: next, Server: 1, Took: 20 * ms})
+	acts = b.on(Established{Call: next, Server: 1, SetUpTime: 20 * ms})
 	if len(acts) != 1 || acts[0] != (Cancel{Call: lost}) {
 		t.Fatalf("after the later answer: %v, want the lost one called off", acts)
 	}
@@ -564,7 +564,7 @@
 		t.Error("sent again before the release guard")
 	}
 	b.pass(300 * ms)
-	b.want("the lost call", sentTo(b.on(Wake{Token: uint32(lost)})), 2)
+	b.want("the lost call", sentTo(b.on(TimerFired{Token: uint32(lost)})), 2)
 	b.want("the server", b.answered(1, 20*ms), 1)
 }
 
@@ -578,7 +578,7 @@
 		b.want("failing server", sentTo(acts), 1)
 		acts = b.on(Outcome{Call: id, Server: 1, Cause: CauseBusy})
 		b.want("the failed call goes on", sentTo(acts), 2)
-		b.on(Standing{Call: id, Server: 2, Took: 20 * ms})
+		b.on(Established{Call: id, Server: 2, SetUpTime: 20 * ms})
 	}
 	b.want("after errors in a row", b.answered(1, 20*ms), 2)
 	b.pass(b.c.gaps(reportLapse))
@@ -602,7 +602,7 @@
 					b.report(1, 900, 1000, 0)
 				}
 			}
-			b.on(Wake{Token: uint32(id)})
+			b.on(TimerFired{Token: uint32(id)})
 		}
 		if cut := b.c.byID[1].full; cut == reports {
 			t.Errorf("reports %v: cut %v", reports, cut)
@@ -616,19 +616,19 @@
 func TestLastResort(t *testing.T) {
 	for name, c := range map[string]struct {
 		cause  Cause
-		repeat Repeat
+		repeat RetryPolicy
 		known  bool // the tenant
 		want   ServerID
 	}{
-		"errors":            {CauseBusy, RepeatFree, true, 1},
-		"little worth":      {CauseBusy, RepeatFree, false, 0},
-		"not to be made up": {CauseBusy, RepeatNever, true, 0},
-		"processor full":    {CauseFull, RepeatFree, true, 0},
-		"no connection":     {CauseUnreachable, RepeatFree, true, 0},
-		"silence":           {CauseTimeout, RepeatFree, true, 0},
+		"errors":            {CauseBusy, RetryAlways, true, 1},
+		"little worth":      {CauseBusy, RetryAlways, false, 0},
+		"not to be made up": {CauseBusy, RetryNever, true, 0},
+		"processor full":    {CauseFull, RetryAlways, true, 0},
+		"no connection":     {CauseUnreachable, RetryAlways, true, 0},
+		"silence":           {CauseTimeout, RetryAlways, true, 0},
 	} {
 		set := settings()
-		set.Tenants, set.OverShareWorth, set.Classes[0].Repeat = []Tenant{{Name: "a", Allowance: 1}}, 0.1, c.repeat
+		set.Tenants, set.OverShareWorth, set.Classes[0].Retry = []Tenant{{Name: "a", Allowance: 1}}, 0.1, c.repeat
 		b := newBench(t, set, 2)
 		b.steady(2)
 		call := func() (CallID, []Action) {
@@ -638,17 +638,17 @@
 			if !c.known {
 				tenant = -1
 			}
-			return b.next, b.on(Arrival{Call: b.next, Cell: 1, Tenant: tenant, Within: 3 * time.Second})
+			return b.next, b.on(Arrival{Call: b.next, Cell: 1, Tenant: tenant, TimeLeft: 3 * time.Second})
 		}
 		for range failLimit {
 			if id, acts := call(); sentTo(acts) == 1 {
 				if c.cause == CauseTimeout {
 					b.pass(b.c.gaps(hopeless))
-					b.on(Wake{Token: uint32(id)})
+					b.on(TimerFired{Token: uint32(id)})
 				}
 				acts = b.on(Outcome{Call: id, Server: 1, Cause: c.cause, Refusal: RefusalProcessor})
 				if s := sentTo(acts); s != 0 {
-					b.on(Standing{Call: id, Server: s, Took: 20 * ms})
+					b.on(Established{Call: id, Server: s, SetUpTime: 20 * ms})
 				}
 			}
 		}
@@ -691,7 +691,7 @@
 			id, acts := b.call(1)
 			b.want("half failing server", sentTo(acts), 1)
 			b.on(Outcome{Call: id, Server: 1, Cause: CauseBusy})
-			b.on(Standing{Call: id, Server: 2, Took: 20 * ms})
+			b.on(Established{Call: id, Server: 2, SetUpTime: 20 * ms})
 		}
 		b.pass(100 * ms)
 		b.want("the third call", b.answered(1, 20*ms), 1)
@@ -703,7 +703,7 @@
 	b := newBench(t, settings(), 2)
 	dial := func(number uint64) (CallID, []Action) {
 		b.next++
-		return b.next, b.on(Arrival{Call: b.next, Cell: 1, Number: number, Within: 3 * time.Second})
+		return b.next, b.on(Arrival{Call: b.next, Cell: 1, Number: number, TimeLeft: 3 * time.Second})
 	}
 	id, _ := dial(7)
 	acts := b.on(Outcome{Call: id, Server: 1, Cause: CauseBusy, Refusal: RefusalNumber})
@@ -715,7 +715,7 @@
 	}
 	id, acts = dial(8)
 	b.want("another number", sentTo(acts), 1)
-	b.on(Standing{Call: id, Server: 1, Took: 20 * ms})
+	b.on(Established{Call: id, Server: 1, SetUpTime: 20 * ms})
 	b.pass(b.c.gaps(busyHold))
 	_, acts = dial(7)
 	b.want("after the hold", sentTo(acts), 1)
@@ -750,7 +750,7 @@
 		{3 * time.Second, false},
 	}
 	for i, tt := range tests {
-		if got := b.c.lateTry(Arrival{Within: tt.within}); got != tt.late {
+		if got := b.c.lateTry(Arrival{TimeLeft: tt.within}); got != tt.late {
 			t.Errorf("try %d of %v: late %v, want %v", i, tt.within, got, tt.late)
 		}
 	}
@@ -806,14 +806,14 @@
 	for i, from := range sent {
 		n := 0
 		for _, at := range sent[i:] {
-			if at < from+set.TipAfter {
+			if at < from+set.OverloadAfter {
 				n++
 			}
 		}
-		warm := set.ColdFrom + (1-set.ColdFrom)*float64(from-began)/float64(set.ColdRamp)
-		limit := set.TipMultiple * warm * perSecond * set.TipAfter.Seconds()
+		warm := set.ColdInitialShare + (1-set.ColdInitialShare)*float64(from-began)/float64(set.ColdRamp)
+		limit := set.OverloadMultiple * warm * perSecond * set.OverloadAfter.Seconds()
 		if float64(n) > limit+slack {
-			t.Fatalf("%d set-ups within %v from %v on, limit %.1f", n, set.TipAfter, from-began, limit)
+			t.Fatalf("%d set-ups within %v from %v on, limit %.1f", n, set.OverloadAfter, from-began, limit)
 		}
 	}
 }
@@ -847,15 +847,15 @@
 			t.Fatalf("cause %d: %v, want a timer after the release guard", cause, acts)
 		}
 		b.now = timer.At
-		b.want("after the guard", sentTo(b.on(Wake{Token: timer.Token})), 2)
+		b.want("after the guard", sentTo(b.on(TimerFired{Token: timer.Token})), 2)
 	}
 }
 
 func TestStrangeEventsAreIgnored(t *testing.T) {
 	b := newBench(t, settings(), 1)
 	for _, ev := range []Event{
-		Standing{Call: 99, Server: 9}, Outcome{Call: 99, Server: 9, Cause: CauseTimeout},
-		CallerGone{Call: 99}, Wake{Token: 99}, Health{Server: 9}, ListFailed{}, ListDelta{},
+		Established{Call: 99, Server: 9}, Outcome{Call: 99, Server: 9, Cause: CauseTimeout},
+		CallerGone{Call: 99}, TimerFired{Token: 99}, Health{Server: 9}, ListFailed{}, ListDelta{},
 	} {
 		if acts := b.on(ev); len(acts) != 0 {
 			t.Errorf("%T for something unknown: %v, want nothing", ev, acts)
@@ -919,7 +919,7 @@
 
 func TestListAskedFor(t *testing.T) {
 	set := settings()
-	set.AskForList = true
+	set.ListOnRequest = true
 	c, err := New(set, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -954,7 +954,7 @@
 	end    Time
 	out    ServerID
 	after  Time
-	repeat Repeat
+	repeat RetryPolicy
 	mayRun bool
 	called bool // its attempt was called off
 }
@@ -965,15 +965,15 @@
 	set.CanCancel = rng.IntN(2) == 0
 	set.MaxAttempts = rng.IntN(6)
 	set.MaxRetryAfter = time.Duration(rng.IntN(3)) * time.Second
-	set.ResendGap = time.Duration(rng.IntN(3)) * 250 * ms
+	set.RetransmitInterval = time.Duration(rng.IntN(3)) * 250 * ms
 	set.ReleaseGuard = time.Duration(rng.IntN(3)) * 150 * ms
-	set.ColdFrom, set.TipMultiple = rng.Float64(), 3*rng.Float64()
+	set.ColdInitialShare, set.OverloadMultiple = rng.Float64(), 3*rng.Float64()
 	set.OverShareWorth = rng.Float64()
 	set.Tenants = []Tenant{{Allowance: rng.Float64() * 20}, {Allowance: rng.Float64() * 20}}
 	set.Classes = nil
 	for range 1 + rng.IntN(3) {
 		set.Classes = append(set.Classes, Class{
-			Aim: time.Second, Deadline: 9 * time.Second, Worth: rng.Float64() * 9, Repeat: Repeat(rng.IntN(3)),
+			Aim: time.Second, Deadline: 9 * time.Second, Worth: rng.Float64() * 9, Retry: RetryPolicy(rng.IntN(3)),
 		})
 	}
 	return set
@@ -1000,7 +1000,7 @@
 					t.Fatalf("seed %d: call %d sent within the release guard", seed, a.Call)
 				case drained[a.Server]:
 					t.Fatalf("seed %d: sent to draining server %d", seed, a.Server)
-				case k.mayRun && k.repeat != RepeatFree:
+				case k.mayRun && k.repeat != RetryAlways:
 					t.Fatalf("seed %d: call %d sent again though it may have run", seed, a.Call)
 				}
 				k.out, k.called = a.Server, false
@@ -1011,7 +1011,7 @@
 				}
 				k.called = true
 			case Refuse:
-				if k := live[a.Call]; k == nil || k.mayRun && k.repeat != RepeatFree {
+				if k := live[a.Call]; k == nil || k.mayRun && k.repeat != RetryAlways {
 					t.Fatalf("seed %d: call %d answered twice, or refused though it may have run", seed, a.Call)
 				}
 				delete(live, a.Call)
@@ -1030,16 +1030,16 @@
 		due := timers[b.now]
 		delete(timers, b.now)
 		for _, token := range due {
-			check(b.on(Wake{Token: token}))
+			check(b.on(TimerFired{Token: token}))
 		}
 		if rng.IntN(10) == 0 {
 			id := b.next + 1
 			class, within := rng.IntN(len(set.Classes)), time.Duration(1+rng.IntN(8))*500*ms
-			live[id] = &liveCall{end: b.now + within, repeat: set.Classes[class].Repeat}
+			live[id] = &liveCall{end: b.now + within, repeat: set.Classes[class].Retry}
 			b.next = id
 			check(b.on(Arrival{
 				Call: id, Class: class, Tenant: rng.IntN(3), Number: uint64(rng.IntN(5)), Cell: 1 + rng.IntN(4),
-				Cut: rng.IntN(9) == 0, Within: within,
+				Interrupted: rng.IntN(9) == 0, TimeLeft: within,
 			}))
 		}
 		for id := CallID(1); id <= b.next; id++ {
@@ -1073,7 +1073,7 @@
 			}
 			if cause == CauseEnded {
 				delete(live, id)
-				check(b.on(Standing{Call: id, Server: s, Took: 20 * ms}))
+				check(b.on(Established{Call: id, Server: s, SetUpTime: 20 * ms}))
 				continue
 			}
 			proves := cause == CauseFull || cause == CauseUnreachable || cause == CauseNotSent
@@ -1102,8 +1102,8 @@
 		{"negative deadline", func(s *Settings) { s.Classes[0].Deadline = -1 }, "Deadline"},
 		{"negative guard", func(s *Settings) { s.ReleaseGuard = -1 }, "ReleaseGuard"},
 		{"negative ramp", func(s *Settings) { s.ColdRamp = -1 }, "ColdRamp"},
-		{"cold share over one", func(s *Settings) { s.ColdFrom = 2 }, "ColdFrom"},
-		{"unknown figures alone", func(s *Settings) { s.Report = []Figure{FigureUnknown} }, "Report"},
+		{"cold share over one", func(s *Settings) { s.ColdInitialShare = 2 }, "ColdFrom"},
+		{"unknown figures alone", func(s *Settings) { s.ReportMetrics = []LoadMetric{LoadMetricUnknown} }, "Report"},
 	}
 	for _, tt := range tests {
 		set := settings()
@@ -1185,7 +1185,9 @@
 	return sent
 }
 
-func stand(b *bench, id CallID, s ServerID) { b.on(Standing{Call: id, Server: s, Took: 20 * ms}) }
+func stand(b *bench, id CallID, s ServerID) {
+	b.on(Established{Call: id, Server: s, SetUpTime: 20 * ms})
+}
 
 // However many senders there are, together they stay under the cold limit in each window, also in the first.
 func TestRuleColdServerNotTippedByMany(t *testing.T) {
@@ -1273,8 +1275,8 @@
 	b.report(3, 50, 100, 0)
 	for range 5 {
 		b.next++
-		b.want("great call", sentTo(b.on(Arrival{Call: b.next, Class: 1, Cell: 1, Within: 3 * time.Second})), 3)
-		b.on(Standing{Call: b.next, Server: 3, Took: 20 * ms})
+		b.want("great call", sentTo(b.on(Arrival{Call: b.next, Class: 1, Cell: 1, TimeLeft: 3 * time.Second})), 3)
+		b.on(Established{Call: b.next, Server: 3, SetUpTime: 20 * ms})
 	}
 }
 
@@ -1322,7 +1324,7 @@
 // sign of a queue. It thinned calls out, and one set-up that waited for it held the next ones back.
 func TestWaysVary(t *testing.T) {
 	set := settings()
-	set.ResendGap = 125 * ms
+	set.RetransmitInterval = 125 * ms
 	b := newBench(t, set, 1)
 	b.report(1, 900, 1000, 0)
 	b.answered(1, 40*ms)
@@ -1341,8 +1343,8 @@
 // the way is as long as the limit: the next was refused while the one before was still under way.
 func TestWindowCoversTheWay(t *testing.T) {
 	set := settings()
-	set.ResendGap = 125 * ms
-	set.Report = []Figure{FigureFreeLines, FigureLines, FigureShare}
+	set.RetransmitInterval = 125 * ms
+	set.ReportMetrics = []LoadMetric{LoadMetricFreeLines, LoadMetricTotalLines, LoadMetricHoldBackShare}
 	b := newBench(t, set, 1)
 	for range 30 * 20 {
 		b.pass(time.Second / 30)
@@ -1372,8 +1374,8 @@
 	b.report(1, 900, 1000, 400) // pressed
 	for range 40 {
 		b.next++
-		b.on(Arrival{Call: b.next, Class: 1, Cell: 1, Within: 3 * time.Second})
-		b.on(Standing{Call: b.next, Server: 2, Took: 20 * ms})
+		b.on(Arrival{Call: b.next, Class: 1, Cell: 1, TimeLeft: 3 * time.Second})
+		b.on(Established{Call: b.next, Server: 2, SetUpTime: 20 * ms})
 	}
 	b.report(1, 900, 1000, 4000) // jammed
 	b.report(2, 900, 1000, 0)
@@ -1385,7 +1387,7 @@
 // The hint sent callers away for all of the aim, and no call was held for the release guard as none had 2 s left.
 func TestTimesGoByTheSettings(t *testing.T) {
 	set := settings()
-	set.Classes[0].Aim, set.ResendGap, set.ReleaseGuard = 320*ms, 125*ms, 100*ms
+	set.Classes[0].Aim, set.RetransmitInterval, set.ReleaseGuard = 320*ms, 125*ms, 100*ms
 	b := newBench(t, set, 2)
 	id, _ := b.call(1)
 	acts := b.on(Outcome{Call: id, Server: 1, Cause: CauseReset})
@@ -1410,13 +1412,13 @@
 		t.Error("a full cut holds for over ten gaps")
 	}
 	// A gap longer than the call itself: no call that was cut was ever sent again.
-	set.ResendGap = 10 * time.Second
+	set.RetransmitInterval = 10 * time.Second
 	b = newBench(t, set, 2)
 	id, _ = b.call(1)
 	if acts := b.on(Outcome{Call: id, Server: 1, Cause: CauseReset}); len(acts) != 1 || acts[0] != (SetTimer{Token: uint32(id), At: b.now + 100*ms}) {
 		t.Errorf("with a gap of 10 s a call with 3 s left is not held for the guard: %v", acts)
 	}
-	set.ResendGap = 125 * ms
+	set.RetransmitInterval = 125 * ms
 	b = newBench(t, set, 0)
 	if _, acts := b.call(1); len(acts) != 1 || acts[0].(Refuse).RetryAfter != 80*ms {
 		t.Errorf("refused with %v, want a hint of 80 ms", acts)
@@ -1438,9 +1440,9 @@
 			for i := range b.N {
 				now += ms
 				id := CallID(i + 1)
-				acts = c.Handle(now, Arrival{Call: id, Cell: 1 + i%servers, Within: 3 * time.Second}, acts[:0])
+				acts = c.Handle(now, Arrival{Call: id, Cell: 1 + i%servers, TimeLeft: 3 * time.Second}, acts[:0])
 				if s := sentTo(acts); s != 0 {
-					acts = c.Handle(now, Standing{Call: id, Server: s, Took: 20 * ms}, acts[:0])
+					acts = c.Handle(now, Established{Call: id, Server: s, SetUpTime: 20 * ms}, acts[:0])
 				}
 			}
 		})
@@ -1461,8 +1463,8 @@
 	sends := func(class int) (n int) {
 		for range 20 {
 			b.next++
-			if sentTo(b.on(Arrival{Call: b.next, Class: class, Cell: 1, Within: 3 * time.Second})) != 0 {
-				b.on(Standing{Call: b.next, Server: 1, Took: 20 * ms})
+			if sentTo(b.on(Arrival{Call: b.next, Class: class, Cell: 1, TimeLeft: 3 * time.Second})) != 0 {
+				b.on(Established{Call: b.next, Server: 1, SetUpTime: 20 * ms})
 				n++
 			}
 		}
@@ -1512,7 +1514,7 @@
 	b.on(ListFull{Entries: ready(2), Cached: true})
 	for s := ServerID(1); s <= 2; s++ {
 		b.report(s, 900, 1000, 0)
-		c.Learn(b.now, s, Learned{Rate: 5, Floor: 15 * ms})
+		c.ApplyTierReport(b.now, s, TierReport{Rate: 5, RoundTrip: 15 * ms})
 	}
 	if f := c.byID[1].floor; f != 15*ms {
 		t.Errorf("a way of %v, the others' is 15ms", f)
@@ -1545,37 +1547,37 @@
 // a full cut. A server that fails for most is cut at the next bad ending, and not before.
 func TestLearnedReports(t *testing.T) {
 	set := settings()
-	set.Report = []Figure{FigureShare}
+	set.ReportMetrics = []LoadMetric{LoadMetricHoldBackShare}
 	b := newBench(t, set, 2)
 	s := b.c.byID[1]
 	b.on(Health{Server: 1, OK: true, Report: Report{0.2}})
-	b.c.Learn(b.now, 1, Learned{Share: 0.9, ShareAt: b.now - ms})
+	b.c.ApplyTierReport(b.now, 1, TierReport{Share: 0.9, ShareAt: b.now - ms})
 	if b.c.share(s) > 0.3 {
 		t.Errorf("an older report stands: %v", b.c.share(s))
 	}
 	b.pass(ms)
-	b.c.Learn(b.now, 1, Learned{Share: 0.9, ShareAt: b.now})
+	b.c.ApplyTierReport(b.now, 1, TierReport{Share: 0.9, ShareAt: b.now})
 	b.c.now = b.now
 	if b.c.share(s) < 0.8 {
 		t.Errorf("a newer report does not stand: %v", b.c.share(s))
 	}
-	if k, _ := b.c.Known(1, b.now); k.Share != 0.2 {
+	if k, _ := b.c.Observed(1, b.now); k.Share != 0.2 {
 		t.Errorf("what was heard is told on for the own: %+v", k)
 	}
 	id, _ := b.call(2)
 	b.on(Outcome{Call: id, Server: 2, Cause: CauseFull, Refusal: RefusalProcessor, Final: true})
-	b.c.Learn(b.now, 2, Learned{Share: 0, ShareAt: b.now + ms})
-	if !b.c.Avoids(2, b.now) {
+	b.c.ApplyTierReport(b.now, 2, TierReport{Share: 0, ShareAt: b.now + ms})
+	if !b.c.Blocked(2, b.now) {
 		t.Error("a peer's word of ease lifts a full cut")
 	}
 	b = newBench(t, set, 2)
-	b.c.Learn(b.now, 1, Learned{Failing: true})
-	if b.c.Avoids(1, b.now) {
+	b.c.ApplyTierReport(b.now, 1, TierReport{Failing: true})
+	if b.c.Blocked(1, b.now) {
 		t.Error("cut by the word alone")
 	}
 	id, _ = b.call(1)
 	b.on(Outcome{Call: id, Server: 1, Cause: CauseBusy})
-	if !b.c.Avoids(1, b.now) {
+	if !b.c.Blocked(1, b.now) {
 		t.Error("not cut at the next bad ending")
 	}
 }
@@ -1588,7 +1590,7 @@
 	b.steady(2)
 	s := b.c.byID[2]
 	part, own := b.c.partOf(s), b.c.coldPart(s)
-	b.c.Carry(b.now, 5.0/3)
+	b.c.ScaleRates(b.now, 5.0/3)
 	b.call(1)
 	if got := b.c.partOf(s); math.Abs(got-part*5/3) > 0.1*part {
 		t.Errorf("a part of %.2f when two of five have died, of %.2f before", got, part)
@@ -1596,7 +1598,7 @@
 	if got := b.c.coldPart(s); math.Abs(got-own) > 0.1*own {
 		t.Errorf("a cold server's part of %.2f when two of five have died, of %.2f before", got, own)
 	}
-	b.c.Carry(b.now, 3.0/5)
+	b.c.ScaleRates(b.now, 3.0/5)
 	b.call(1)
 	if got := b.c.partOf(s); math.Abs(got-part) > 0.1*part {
 		t.Errorf("a part of %.2f when they are back, of %.2f before", got, part)
--- a/example_test.go
+++ b/example_test.go
@@ -10,13 +10,13 @@
 // A proxy with two core servers: the first choice gets the call until it says that it is full.
 func Example() {
 	c, err := elmseam.New(elmseam.Settings{
-		Classes:       []elmseam.Class{{Aim: 2 * time.Second, Deadline: 9 * time.Second, Worth: 1}},
-		Report:        []elmseam.Figure{elmseam.FigureWait},
-		MaxAttempts:   4,
-		MaxRetryAfter: 2 * time.Second,
-		OwnCell:       -1,
-		ResendGap:     500 * time.Millisecond,
-		ReleaseGuard:  300 * time.Millisecond,
+		Classes:            []elmseam.Class{{Aim: 2 * time.Second, Deadline: 9 * time.Second, Worth: 1}},
+		ReportMetrics:      []elmseam.LoadMetric{elmseam.LoadMetricWait},
+		MaxAttempts:        4,
+		MaxRetryAfter:      2 * time.Second,
+		OwnCell:            -1,
+		RetransmitInterval: 500 * time.Millisecond,
+		ReleaseGuard:       300 * time.Millisecond,
 	}, 1)
 	if err != nil {
 		fmt.Println(err)
@@ -32,7 +32,7 @@
 			fmt.Printf("%T%+v\n", a, a)
 		}
 	}
-	show(c.Handle(now, elmseam.Arrival{Call: 7, Cell: 1, Within: 3 * time.Second}, nil))
+	show(c.Handle(now, elmseam.Arrival{Call: 7, Cell: 1, TimeLeft: 3 * time.Second}, nil))
 	now += 30 * time.Millisecond
 	show(c.Handle(now, elmseam.Outcome{
 		Call: 7, Server: 101, Cause: elmseam.CauseFull, Refusal: elmseam.RefusalProcessor,
--- a/internal/bgp/bgp_test.go
+++ b/internal/bgp/bgp_test.go
@@ -81,8 +81,8 @@
 	s, err := New(Config{
 		AS: 64512, RouterID: "127.0.0.1", Service: "127.0.9.1/32", NextHop: "127.0.0.1", HoldS: holdS,
 		Peers: []Peer{{l.Addr().String(), 64513}},
-	}, Limits{Connect: time.Second, RetryLeast: time.Millisecond, RetryMost: 4 * time.Millisecond, Routes: 100, Link: link.Limits{
-		ReadFirst: 64, Message: mostSize, Outbox: 1 << 16, WriteStall: time.Second, Stuck: 50 * time.Millisecond,
+	}, Limits{ConnectTimeout: time.Second, RetryMin: time.Millisecond, RetryMax: 4 * time.Millisecond, MaxRoutes: 100, Conn: link.Limits{
+		InitialBufferSize: 64, MaxMessageSize: mostSize, MaxQueuedBytes: 1 << 16, WriteTimeout: time.Second, FlushTimeout: 50 * time.Millisecond,
 	}}, func(ev core.Event) { events <- ev }, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
@@ -97,7 +97,7 @@
 func TestServiceAddress(t *testing.T) {
 	s, l, _ := speaker(t, 90)
 	n := accept(t, l, 90)
-	s.Serving(true)
+	s.SetServing(true)
 	// By hand from RFC 4271: no withdrawal, ORIGIN IGP, AS_PATH of one AS of four bytes, NEXT_HOP, the prefix.
 	want := "0000" + "0014" + "40010100" + "400206" + "0201" + "0000fc00" + "400304" + "7f000001" + "20" + "7f000901"
 	if got := hex.EncodeToString(n.next(msgUpdate)); got != want {
@@ -108,7 +108,7 @@
 	if u, err := parseUpdate(n.next(msgUpdate)); err != nil || len(u.announced) != 1 {
 		t.Errorf("on the new session: %+v, %v", u, err)
 	}
-	s.Serving(false)
+	s.SetServing(false)
 	if got, want := hex.EncodeToString(n.next(msgUpdate)), "0005207f0009010000"; got != want {
 		t.Errorf("withdrawn by %s, want %s", got, want)
 	}
@@ -151,7 +151,7 @@
 	s, l, events := speaker(t, 90)
 	n := accept(t, l, 90)
 	next := netip.MustParseAddr("127.0.0.2")
-	for i := range 3 * s.limits.Routes {
+	for i := range 3 * s.limits.MaxRoutes {
 		p := netip.PrefixFrom(netip.AddrFrom4([4]byte{127, 1, byte(i >> 8), byte(i)}), 32)
 		n.Write(announcement(p, next, 64513, true, true))
 		n.Write(withdrawal(p))
--- a/internal/bgp/speaker.go
+++ b/internal/bgp/speaker.go
@@ -35,11 +35,11 @@
 
 // Limits are a speaker's times and sizes.
 type Limits struct {
-	Connect    time.Duration
-	RetryLeast time.Duration // before a session is tried again, doubling
-	RetryMost  time.Duration
-	Routes     int // that peers may announce in all
-	Link       link.Limits
+	ConnectTimeout time.Duration
+	RetryMin       time.Duration // before a session is tried again, doubling
+	RetryMax       time.Duration
+	MaxRoutes      int // that peers may announce in all
+	Conn           link.Limits
 }
 
 // Speaker holds a session with each peer.
@@ -65,7 +65,7 @@
 // New checks the configuration. An error names the field.
 func New(c Config, limits Limits, post func(core.Event), log zerolog.Logger) (*Speaker, error) {
 	s := &Speaker{
-		as: c.AS, hold: uint16(c.HoldS), peers: c.Peers, limits: limits, post: post, log: log, loud: link.Sparse(log),
+		as: c.AS, hold: uint16(c.HoldS), peers: c.Peers, limits: limits, post: post, log: log, loud: link.SampledLogger(log),
 		sessions: make(map[*session]bool), routes: make(map[netip.Prefix]map[string]bool),
 	}
 	var err error
@@ -93,8 +93,8 @@
 	return s, nil
 }
 
-// Serving announces the service address, or withdraws it.
-func (s *Speaker) Serving(yes bool) {
+// SetServing announces the service address, or withdraws it.
+func (s *Speaker) SetServing(yes bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ready = yes
@@ -114,7 +114,7 @@
 
 // keep makes a session again whenever it ends, at doubling gaps while none comes up.
 func (s *Speaker) keep(ctx context.Context, p Peer) {
-	gap := s.limits.RetryLeast
+	gap := s.limits.RetryMin
 	for ctx.Err() == nil {
 		up, err := s.session(ctx, p)
 		if ctx.Err() != nil {
@@ -122,13 +122,13 @@
 		}
 		s.log.Info().Err(err).Str("peer", p.Address).Msg("BGP session ended")
 		if up {
-			gap = s.limits.RetryLeast
+			gap = s.limits.RetryMin
 		}
 		select {
 		case <-ctx.Done():
 		case <-time.After(gap):
 		}
-		gap = min(2*gap, s.limits.RetryMost)
+		gap = min(2*gap, s.limits.RetryMax)
 	}
 }
 
@@ -155,14 +155,14 @@
 
 // session holds one session, and says whether it was established.
 func (s *Speaker) session(ctx context.Context, p Peer) (up bool, err error) {
-	d := net.Dialer{Timeout: s.limits.Connect}
+	d := net.Dialer{Timeout: s.limits.ConnectTimeout}
 	conn, err := d.DialContext(ctx, "tcp", p.Address)
 	if err != nil {
 		return false, err
 	}
 	defer conn.Close()
 	ses := &session{
-		s: s, peer: p, conn: conn, out: link.NewOutbox(conn, s.limits.Link), external: p.AS != s.as,
+		s: s, peer: p, conn: conn, out: link.NewOutbox(conn, s.limits.Conn), external: p.AS != s.as,
 		heard: make(map[netip.Prefix]bool)}
 	defer context.AfterFunc(ctx, func() { ses.notify(errCease) })()
 	ses.out.Post(link.Item{Data: open{s.as, s.hold, s.id}.build()})
@@ -296,8 +296,8 @@
 		if s.change(p, ses.peer.Address, true) {
 			s.tell(p, true)
 		}
-		if len(s.routes) > s.limits.Routes {
-			return &fault{errPrefixes, fmt.Sprintf("more than %d routes", s.limits.Routes)}
+		if len(s.routes) > s.limits.MaxRoutes {
+			return &fault{errPrefixes, fmt.Sprintf("more than %d routes", s.limits.MaxRoutes)}
 		}
 	}
 	return nil
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -57,13 +57,13 @@
 func (w *world) start(m int) {
 	n := w.nodes[m]
 	n.life++
-	n.r, _, _ = New(Config{Self: m, Tier: len(w.nodes), Limits: w.limits, Seed: w.rng.Uint64(), Without: w.without}, w.clock(m))
+	n.r, _, _ = New(Config{Self: m, TierSize: len(w.nodes), Limits: w.limits, Seed: w.rng.Uint64(), DisabledGuards: w.without}, w.clock(m))
 	for o := range w.nodes {
-		w.step(m, There{o, w.nodes[o].r != nil || w.nodes[o].life == 0})
-		w.step(o, There{m, true})
+		w.step(m, MemberAvailability{o, w.nodes[o].r != nil || w.nodes[o].life == 0})
+		w.step(o, MemberAvailability{m, true})
 	}
-	w.step(m, Use{w.use[m]})
-	w.step(m, Cold{Server: 7, Rate: 10, Until: w.clock(m) + time.Hour})
+	w.step(m, Demand{w.use[m]})
+	w.step(m, ColdServer{Server: 7, Rate: 10, Until: w.clock(m) + time.Hour})
 }
 
 func (w *world) kill(m int) {
@@ -74,7 +74,7 @@
 // tell has all hold a member to be there, or not.
 func (w *world) tell(m int, there bool) {
 	for o := range w.nodes {
-		w.step(o, There{m, there})
+		w.step(o, MemberAvailability{m, there})
 	}
 }
 
@@ -86,14 +86,14 @@
 	for _, e := range n.r.Step(w.clock(m), ev) {
 		switch e := e.(type) {
 		case Send:
-			if len(e.Data) > datagram.Max {
+			if len(e.Data) > datagram.MaxSize {
 				w.t.Fatalf("a datagram of %d bytes", len(e.Data))
 			}
 			if !w.lost(m, e.To) {
 				w.queue = append(w.queue, happening{w.now + w.delay(), e.To, 0, Datagram{m, e.Data}})
 			}
 		case Timer:
-			w.queue = append(w.queue, happening{time.Duration(float64(e.At-epoch) / n.pace), m, n.life, Due{e.Token}})
+			w.queue = append(w.queue, happening{time.Duration(float64(e.At-epoch) / n.pace), m, n.life, TimerFired{e.Token}})
 		}
 	}
 	w.whole()
@@ -107,7 +107,7 @@
 			if n.r == nil || n.paused {
 				continue
 			}
-			use := n.r.Use(w.clock(m), p)
+			use := n.r.Usable(w.clock(m), p)
 			if all&use != 0 {
 				w.t.Fatalf("at %v units %08b of part %d are used by member %d and another", w.now, all&use, p, m)
 			}
@@ -154,7 +154,7 @@
 func (w *world) units(part int) (n int) {
 	for m, e := range w.nodes {
 		if e.r != nil && !e.paused {
-			for u := e.r.Use(w.clock(m), part); u != 0; u &= u - 1 {
+			for u := e.r.Usable(w.clock(m), part); u != 0; u &= u - 1 {
 				n++
 			}
 		}
@@ -189,41 +189,41 @@
 		t.Errorf("one who is there may use %v a second, %t; its own part is 10", rate, known)
 	}
 	w.resume(3)
-	if use := w.nodes[3].r.Use(w.clock(3), 3); use != sure {
+	if use := w.nodes[3].r.Usable(w.clock(3), 3); use != sure {
 		t.Errorf("who stood still uses units %08b when it wakes, want the sure one", use)
 	}
 	w.tell(3, true)
 	w.run(16 * time.Second)
-	if use := w.nodes[3].r.Use(w.clock(3), 3); use != sure|movable {
+	if use := w.nodes[3].r.Usable(w.clock(3), 3); use != sure|movable {
 		t.Errorf("and then %08b, want all", use)
 	}
 }
 
 // A busy one borrows from an idle one at once; what is lent is not used by its owner, and comes back when the borrower dies.
 func TestLent(t *testing.T) {
-	for _, without := range []Guard{0, GuardLent} {
+	for _, without := range []Guard{0, GuardLoan} {
 		w := newWorld(t, 2, without, 1)
 		both := func() (n Mask) {
-			return w.nodes[0].r.Use(w.clock(0), 1) & w.nodes[1].r.Use(w.clock(1), 1)
+			return w.nodes[0].r.Usable(w.clock(0), 1) & w.nodes[1].r.Usable(w.clock(1), 1)
 		}
 		w.run(4 * time.Second)
 		w.use[0] = 3
 		if without != 0 { // the rule is seen broken
 			w.lost = func(from, _ int) bool { return false }
 			w.nodes[1].r.lent[3] = loan{0, w.clock(1) + time.Second}
-			if use := w.nodes[1].r.Use(w.clock(1), 1); use&(1<<3) == 0 {
+			if use := w.nodes[1].r.Usable(w.clock(1), 1); use&(1<<3) == 0 {
 				t.Error("without its guard a member does not use what it has lent")
 			}
 			continue
 		}
-		w.step(0, Use{3})
+		w.step(0, Demand{3})
 		w.run(6 * time.Second)
-		if n := w.units(1); both() != 0 || n != Units || w.nodes[0].r.Use(w.clock(0), 1) == 0 {
-			t.Errorf("%d units of the idle one's part are used, %08b by both; the busy one uses %08b", n, both(), w.nodes[0].r.Use(w.clock(0), 1))
+		if n := w.units(1); both() != 0 || n != Units || w.nodes[0].r.Usable(w.clock(0), 1) == 0 {
+			t.Errorf("%d units of the idle one's part are used, %08b by both; the busy one uses %08b", n, both(), w.nodes[0].r.Usable(w.clock(0), 1))
 		}
 		w.kill(0)
 		w.run(6*time.Second + 2*w.limits.Lease)
-		if use := w.nodes[1].r.Use(w.clock(1), 1) &^ sure; use != 0 {
+		if use := w.nodes[1].r.Usable(w.clock(1), 1) &^ sure; use != 0 {
 			t.Errorf("one of two sees no majority and uses units %08b", use)
 		}
 	}
@@ -291,7 +291,7 @@
 				cut[m] = !cut[m]
 			case 5:
 				w.use[m] = 3 * w.rng.Float64()
-				w.step(m, Use{w.use[m]})
+				w.step(m, Demand{w.use[m]})
 			}
 			for m, n := range w.nodes {
 				if n.paused && w.rng.IntN(3) == 0 {
@@ -325,17 +325,17 @@
 
 // A tier too great for it keeps fixed parts, and garbage is counted.
 func TestGreatTiersAndGarbage(t *testing.T) {
-	r, _, err := New(Config{Tier: 300, Limits: Defaults()}, epoch)
-	if err != nil || r.Moves() || len(r.Step(epoch, Cold{7, 1, epoch + time.Hour})) > 0 {
+	r, _, err := New(Config{TierSize: 300, Limits: Defaults()}, epoch)
+	if err != nil || r.Transferable() || len(r.Step(epoch, ColdServer{7, 1, epoch + time.Hour})) > 0 {
 		t.Errorf("%v: parts move among 300", err)
 	}
 	if _, known := r.Rate(epoch, 7); known {
 		t.Error("a rate where parts don't move")
 	}
-	r, _, _ = New(Config{Tier: 5, Limits: Defaults()}, epoch)
+	r, _, _ = New(Config{TierSize: 5, Limits: Defaults()}, epoch)
 	rng := rand.New(rand.NewPCG(1, 1))
 	for range 2000 {
-		m := message{Kind: kind(rng.IntN(7)), Tier: 5, Seq: rng.Uint32(), Life: rng.Uint64N(3), Items: []int64{}, Rates: []int64{}}
+		m := message{Kind: kind(rng.IntN(7)), Tier: 5, Seq: rng.Uint32(), Incarnation: rng.Uint64N(3), Items: []int64{}, Rates: []int64{}}
 		for range rng.IntN(4) {
 			m.Items = append(m.Items, rng.Int64N(1<<12)-5)
 		}
@@ -348,7 +348,7 @@
 		}
 		r.Step(epoch, Datagram{rng.IntN(7) - 1, data})
 	}
-	if f := r.Figures(); f.Garbled < 500 || f.Strange == 0 {
+	if f := r.Counters(); f.Malformed < 500 || f.UnknownSenders == 0 {
 		t.Errorf("%+v", f)
 	}
 }
--- a/internal/budget/loans.go
+++ b/internal/budget/loans.go
@@ -47,10 +47,10 @@
 // they are needed, then of the member that has most to spare.
 func (r *Reducer) ask() {
 	needs := int(math.Ceil(r.use / hungryAt * Units))
-	again := make([]Mask, r.cfg.Tier)
+	again := make([]Mask, r.cfg.TierSize)
 	best := -1
 	for p := range r.held {
-		own := r.Use(r.now, p)
+		own := r.Usable(r.now, p)
 		for u, until := range r.borrowed[p] {
 			if r.now < until {
 				again[p] |= 1 << u
@@ -101,7 +101,7 @@
 	if left = left.Truncate(time.Millisecond); units == 0 || left <= 0 {
 		return
 	}
-	until := r.now + time.Duration(float64(left)*(1+2*r.cfg.Limits.Drift))
+	until := r.now + time.Duration(float64(left)*(1+2*r.cfg.Limits.MaxDrift))
 	for u := range r.lent {
 		if units&(1<<u) != 0 {
 			r.lent[u] = loan{to, max(until, r.lent[u].Until)}
@@ -117,7 +117,7 @@
 		return
 	}
 	until := r.wantAt + r.cfg.Limits.sure(time.Duration(m.Items[1])*time.Millisecond)
-	if !r.has(GuardEnd) {
+	if !r.has(GuardExpiry) {
 		until = r.now + 2*r.cfg.Limits.Lease
 	}
 	if until > r.now {
@@ -130,8 +130,8 @@
 	}
 }
 
-// Use are the units of a member's part that this one may use at a time.
-func (r *Reducer) Use(now Time, part int) (units Mask) {
+// Usable are the units of a member's part that this one may use at a time.
+func (r *Reducer) Usable(now Time, part int) (units Mask) {
 	now = max(now, r.now)
 	if part == r.cfg.Self {
 		units = sure
@@ -141,7 +141,7 @@
 			units |= 1 << u
 		}
 	}
-	if part == r.cfg.Self && r.has(GuardLent) {
+	if part == r.cfg.Self && r.has(GuardLoan) {
 		units &^= r.lentOut(now)
 	}
 	return units
@@ -151,23 +151,23 @@
 // that it was not told of, or where parts do not move.
 func (r *Reducer) Rate(now Time, server uint32) (rate float64, known bool) {
 	c := r.known(server)
-	if c == nil || max(now, r.now) >= c.Until || !r.Moves() {
+	if c == nil || max(now, r.now) >= c.Until || !r.Transferable() {
 		return 0, false
 	}
 	for p, own := range c.Rates {
 		if own > 0 {
-			rate += own * float64(r.Use(now, p).Count()) / Units
+			rate += own * float64(r.Usable(now, p).Count()) / Units
 		}
 	}
 	return rate, true
 }
 
-// Parts are what is known of each member's part. What is returned is the caller's.
-func (r *Reducer) Parts() (all []Part) {
+// Quotas are what is known of each member's part. What is returned is the caller's.
+func (r *Reducer) Quotas() (all []Quota) {
 	for p := range r.held {
-		e := Part{Use: r.Use(r.now, p), Grants: r.grants[p]}
+		e := Quota{Usable: r.Usable(r.now, p), Grants: r.grants[p]}
 		for u := range e.Grants {
-			if r.now >= e.Grants[u].Until {
+			if r.now >= e.Grants[u].Expiry {
 				e.Grants[u].Holder = -1
 			}
 		}
@@ -179,8 +179,8 @@
 	return all
 }
 
-// Active says whether a server is cold now.
-func (r *Reducer) Active() bool { return r.ticking }
+// AnyCold says whether a server is cold now.
+func (r *Reducer) AnyCold() bool { return r.ticking }
 
-// Figures are the figures of now.
-func (r *Reducer) Figures() Figures { return r.figures }
+// Counters are the figures of now.
+func (r *Reducer) Counters() Counters { return r.figures }
--- a/internal/budget/reducer.go
+++ b/internal/budget/reducer.go
@@ -57,16 +57,16 @@
 	use      float64 // negative: not known
 	ticks    uint32
 	ticking  bool
-	figures  Figures
+	figures  Counters
 }
 
 // New begins a member's part.
 func New(cfg Config, now Time) (*Reducer, []Effect, error) {
 	switch {
-	case cfg.Tier < 1 || cfg.Tier > math.MaxUint16:
-		return nil, nil, fmt.Errorf("tier: %d members, not in [1, %d]", cfg.Tier, math.MaxUint16)
-	case cfg.Self < 0 || cfg.Self >= cfg.Tier:
-		return nil, nil, fmt.Errorf("self: %d is none of %d members", cfg.Self, cfg.Tier)
+	case cfg.TierSize < 1 || cfg.TierSize > math.MaxUint16:
+		return nil, nil, fmt.Errorf("tier: %d members, not in [1, %d]", cfg.TierSize, math.MaxUint16)
+	case cfg.Self < 0 || cfg.Self >= cfg.TierSize:
+		return nil, nil, fmt.Errorf("self: %d is none of %d members", cfg.Self, cfg.TierSize)
 	}
 	if err := cfg.Limits.Check(); err != nil {
 		return nil, nil, err
@@ -76,12 +76,12 @@
 		rng: rand.New(rand.NewPCG(cfg.Seed, 0x62756467)),
 	}
 	r.asked, r.want = uint32(r.life), uint32(r.life) // what answers an earlier life's is passed over
-	if !r.has(GuardForget) || cfg.Tier == 1 {
+	if !r.has(GuardRecover) || cfg.TierSize == 1 {
 		r.settled = 0
 	}
-	if r.Moves() {
-		r.there, r.spare, r.wanted = make([]bool, cfg.Tier), make([]uint8, cfg.Tier), make([]Time, cfg.Tier)
-		r.grants, r.held, r.borrowed = make([][Units]Grant, cfg.Tier), make([][Units]Time, cfg.Tier), make([][Units]Time, cfg.Tier)
+	if r.Transferable() {
+		r.there, r.spare, r.wanted = make([]bool, cfg.TierSize), make([]uint8, cfg.TierSize), make([]Time, cfg.TierSize)
+		r.grants, r.held, r.borrowed = make([][Units]Grant, cfg.TierSize), make([][Units]Time, cfg.TierSize), make([][Units]Time, cfg.TierSize)
 		r.there[cfg.Self] = true
 		for p := range r.grants {
 			for u := range Units {
@@ -92,15 +92,15 @@
 	return r, nil, nil
 }
 
-// Moves says whether parts move at all: in a tier too great for it each keeps its own.
-func (r *Reducer) Moves() bool { return r.cfg.Tier <= r.cfg.Limits.Members }
+// Transferable says whether parts move at all: in a tier too great for it each keeps its own.
+func (r *Reducer) Transferable() bool { return r.cfg.TierSize <= r.cfg.Limits.MaxMembers }
 
 // Step takes in one event. The effects are to be carried out in their order. A time before that of the last Step counts
 // as the last one's.
 func (r *Reducer) Step(now Time, ev Event) []Effect {
 	r.now = max(now, r.now)
-	if !r.Moves() {
-		if ev, ok := ev.(Cold); ok {
+	if !r.Transferable() {
+		if ev, ok := ev.(ColdServer); ok {
 			r.cold(ev)
 		}
 		return nil
@@ -109,18 +109,18 @@
 	switch ev := ev.(type) {
 	case Datagram:
 		r.datagram(ev)
-	case Due:
+	case TimerFired:
 		if ev.Token.seq == r.ticks {
 			r.tick()
 		}
-	case There:
-		if ev.Member >= 0 && ev.Member < r.cfg.Tier && ev.Member != r.cfg.Self {
-			r.there[ev.Member] = ev.Yes
+	case MemberAvailability:
+		if ev.Member >= 0 && ev.Member < r.cfg.TierSize && ev.Member != r.cfg.Self {
+			r.there[ev.Member] = ev.Available
 		}
-	case Cold:
+	case ColdServer:
 		r.cold(ev)
-	case Use:
-		r.use = max(ev.Parts, 0)
+	case Demand:
+		r.use = max(ev.Quotas, 0)
 	}
 	out := r.out
 	r.out = nil
@@ -128,13 +128,13 @@
 }
 
 func (r *Reducer) do(e Effect)      { r.out = append(r.out, e) }
-func (r *Reducer) has(g Guard) bool { return r.cfg.Without&g == 0 }
-func (r *Reducer) quorum() int      { return r.cfg.Tier/2 + 1 }
+func (r *Reducer) has(g Guard) bool { return r.cfg.DisabledGuards&g == 0 }
+func (r *Reducer) quorum() int      { return r.cfg.TierSize/2 + 1 }
 
 // cold takes in that a server is cold. The own rate of one never falls while it is: parts of the others that are used here
 // are counted in theirs, and nobody's should grow with the callers of those who are dead. It is for who tells it to say
 // until when it may grow.
-func (r *Reducer) cold(ev Cold) {
+func (r *Reducer) cold(ev ColdServer) {
 	if ev.Until <= r.now || !(ev.Rate >= 0) {
 		return
 	}
@@ -144,7 +144,7 @@
 	}
 	c.Until = max(c.Until, ev.Until)
 	c.Rates[r.cfg.Self] = max(c.Rates[r.cfg.Self], ev.Rate)
-	if r.Moves() && !r.ticking {
+	if r.Transferable() && !r.ticking {
 		r.ticking = true
 		r.tick()
 	}
@@ -158,10 +158,10 @@
 			return &r.servers[i]
 		}
 	}
-	if len(r.servers) >= r.cfg.Limits.Servers {
+	if len(r.servers) >= r.cfg.Limits.MaxServers {
 		return nil
 	}
-	c := cold{Server: name, Rates: make([]float64, r.cfg.Tier)}
+	c := cold{Server: name, Rates: make([]float64, r.cfg.TierSize)}
 	for m := range c.Rates {
 		c.Rates[m] = -1
 	}
@@ -184,7 +184,7 @@
 
 // claim asks all for the own units, and for those of the absent whose heir this member is.
 func (r *Reducer) claim() {
-	c := claiming{Asked: r.now, Parts: make([]Mask, r.cfg.Tier), Votes: make([][Units]int, r.cfg.Tier), By: []int{r.cfg.Self}}
+	c := claiming{Asked: r.now, Parts: make([]Mask, r.cfg.TierSize), Votes: make([][Units]int, r.cfg.TierSize), By: []int{r.cfg.Self}}
 	r.asked++
 	c.Seq = r.asked
 	var items []int64
@@ -204,7 +204,7 @@
 	for p, units := range c.Parts {
 		r.tally(&r.rounds[len(r.rounds)-1], p, r.vote(r.cfg.Self, r.life, c.Seq, p, units))
 	}
-	for m := range r.cfg.Tier {
+	for m := range r.cfg.TierSize {
 		if m != r.cfg.Self {
 			r.send(m, message{Kind: claim, Seq: c.Seq, Items: items, Rates: r.rates()})
 		}
@@ -249,14 +249,14 @@
 			continue
 		}
 		g := &r.grants[part][u]
-		same := g.Holder == to && (g.Life == life || !r.has(GuardLife))
-		if r.now < g.Until && !same && r.has(GuardOther) {
+		same := g.Holder == to && (g.Incarnation == life || !r.has(GuardIncarnation))
+		if r.now < g.Expiry && !same && r.has(GuardExclusive) {
 			if owner && g.Holder != to {
 				r.wanted[part] = r.now
 			}
 			continue
 		}
-		*g = Grant{Holder: to, Life: life, Seq: seq, Until: r.now + r.cfg.Limits.Lease}
+		*g = Grant{Holder: to, Incarnation: life, Seq: seq, Expiry: r.now + r.cfg.Limits.Lease}
 		yes |= 1 << u
 	}
 	return yes
@@ -272,13 +272,13 @@
 			continue
 		}
 		until := c.Asked + r.cfg.Limits.sure(r.cfg.Limits.Lease)
-		if !r.has(GuardEnd) {
+		if !r.has(GuardExpiry) {
 			until = r.now + 2*r.cfg.Limits.Lease
 		}
 		if until > r.now && r.held[part][u] == 0 {
 			r.figures.Granted++
 			if part != r.cfg.Self {
-				r.figures.Inherited++
+				r.figures.TakenOver++
 			}
 		}
 		if until > r.now {
@@ -309,17 +309,17 @@
 
 // datagram takes one in.
 func (r *Reducer) datagram(d Datagram) {
-	if d.From < 0 || d.From >= r.cfg.Tier {
-		r.figures.Strange++
+	if d.From < 0 || d.From >= r.cfg.TierSize {
+		r.figures.UnknownSenders++
 		return
 	}
-	m, err := decode(d.Data, r.cfg.Tier)
+	m, err := decode(d.Data, r.cfg.TierSize)
 	switch {
 	case err != nil:
-		r.figures.Garbled++
+		r.figures.Malformed++
 		return
-	case int(m.Tier) != r.cfg.Tier, d.From == r.cfg.Self:
-		r.figures.Strange++
+	case int(m.Tier) != r.cfg.TierSize, d.From == r.cfg.Self:
+		r.figures.UnknownSenders++
 		return
 	}
 	r.spare[d.From] = m.Spare
@@ -356,9 +356,9 @@
 	var items []int64
 	for _, w := range m.Items {
 		p, units := int(w>>Units), Mask(w)
-		yes := r.vote(from, m.Life, m.Seq, p, units)
-		r.figures.Yes += uint64(yes.Count())
-		r.figures.No += uint64((units &^ yes).Count())
+		yes := r.vote(from, m.Incarnation, m.Seq, p, units)
+		r.figures.VotesGranted += uint64(yes.Count())
+		r.figures.VotesRefused += uint64((units &^ yes).Count())
 		if yes != 0 {
 			items = append(items, int64(p)<<Units|int64(yes))
 		}
@@ -405,8 +405,8 @@
 	if len(items) == 0 {
 		return
 	}
-	m := message{Kind: back, Seq: c.Seq, Life: r.life, Items: items}
-	for to := range r.cfg.Tier {
+	m := message{Kind: back, Seq: c.Seq, Incarnation: r.life, Items: items}
+	for to := range r.cfg.TierSize {
 		if to == r.cfg.Self {
 			r.givenBack(to, m)
 		} else {
@@ -419,15 +419,15 @@
 func (r *Reducer) givenBack(from int, m message) {
 	for _, w := range m.Items {
 		for u := 1; u < Units; u++ {
-			if g := &r.grants[w>>Units][u]; Mask(w)&(1<<u) != 0 && g.Holder == from && g.Life == m.Life && g.Seq <= m.Seq {
-				g.Holder, g.Until = -1, 0
+			if g := &r.grants[w>>Units][u]; Mask(w)&(1<<u) != 0 && g.Holder == from && g.Incarnation == m.Incarnation && g.Seq <= m.Seq {
+				g.Holder, g.Expiry = -1, 0
 			}
 		}
 	}
 }
 
 func (r *Reducer) send(to int, m message) {
-	m.Tier, m.Life, m.Spare = uint16(r.cfg.Tier), r.life, uint8(r.idle().Count())
+	m.Tier, m.Incarnation, m.Spare = uint16(r.cfg.TierSize), r.life, uint8(r.idle().Count())
 	if m.Items == nil {
 		m.Items = []int64{}
 	}
@@ -435,11 +435,11 @@
 		m.Rates = []int64{}
 	}
 	data := datagram.Encode(Version, m)
-	for len(data) > datagram.Max { // rates come again
+	for len(data) > datagram.MaxSize { // rates come again
 		m.Rates = m.Rates[:len(m.Rates)-2]
 		data = datagram.Encode(Version, m)
 	}
 	r.figures.Sent++
-	r.figures.Bytes += uint64(len(data))
+	r.figures.SentBytes += uint64(len(data))
 	r.do(Send{To: to, Data: data})
 }
--- a/internal/budget/types.go
+++ b/internal/budget/types.go
@@ -42,15 +42,15 @@
 
 // Limits are the times and counts. Check says which make no sense.
 type Limits struct {
-	Lease   time.Duration // of a unit: what a dead member leaves can be had after it
-	Drift   float64       // share by which clocks may differ in their pace
-	Members int           // tiers of more keep fixed parts: each is a fraction of a set-up there
-	Servers int           // cold ones at once
+	Lease      time.Duration // of a unit: what a dead member leaves can be had after it
+	MaxDrift   float64       // share by which clocks may differ in their pace
+	MaxMembers int           // tiers of more keep fixed parts: each is a fraction of a set-up there
+	MaxServers int           // cold ones at once
 }
 
 // Defaults are limits for the platform.
 func Defaults() Limits {
-	return Limits{Lease: 2 * time.Second, Drift: 0.01, Members: 32, Servers: 12}
+	return Limits{Lease: 2 * time.Second, MaxDrift: 0.01, MaxMembers: 32, MaxServers: 12}
 }
 
 // Check names the first limit that makes no sense.
@@ -58,12 +58,12 @@
 	switch {
 	case l.Lease < 200*time.Millisecond || l.Lease > time.Minute:
 		return fmt.Errorf("lease: %v, not in [200ms, 1m]", l.Lease)
-	case !(l.Drift >= 0 && l.Drift <= 0.2):
-		return fmt.Errorf("drift: %v, not in [0, 0.2]", l.Drift)
-	case l.Members < 1 || l.Members > 32:
-		return fmt.Errorf("members: %d, not in [1, 32]", l.Members) // a claim of all parts fits a datagram
-	case l.Servers < 1 || l.Servers > 12:
-		return fmt.Errorf("servers: %d, not in [1, 12]", l.Servers)
+	case !(l.MaxDrift >= 0 && l.MaxDrift <= 0.2):
+		return fmt.Errorf("drift: %v, not in [0, 0.2]", l.MaxDrift)
+	case l.MaxMembers < 1 || l.MaxMembers > 32:
+		return fmt.Errorf("members: %d, not in [1, 32]", l.MaxMembers) // a claim of all parts fits a datagram
+	case l.MaxServers < 1 || l.MaxServers > 12:
+		return fmt.Errorf("servers: %d, not in [1, 12]", l.MaxServers)
 	}
 	return nil
 }
@@ -73,20 +73,20 @@
 
 // sure is for how long a holder believes in a lease, from the moment at which it asked for it.
 func (l Limits) sure(lease time.Duration) time.Duration {
-	return time.Duration(float64(lease) * (1 - 2*l.Drift))
+	return time.Duration(float64(lease) * (1 - 2*l.MaxDrift))
 }
 
 // longest is the longest that a grant of an earlier life may count anywhere, by any clock.
 func (l Limits) longest() time.Duration {
-	return time.Duration(float64(l.Lease)*(1+2*l.Drift)) + l.round()
+	return time.Duration(float64(l.Lease)*(1+2*l.MaxDrift)) + l.round()
 }
 
 // Config is what a member is told.
 type Config struct {
-	Self, Tier int // the own number, and how many members there are
-	Limits     Limits
-	Seed       uint64
-	Without    Guard // taken out, for checks that have to see a rule broken; no program sets it
+	Self, TierSize int // the own number, and how many members there are
+	Limits         Limits
+	Seed           uint64
+	DisabledGuards Guard // taken out, for checks that have to see a rule broken; no program sets it
 }
 
 // Guard names a part of the protocol that a check can take out.
@@ -94,11 +94,11 @@
 
 // The guards.
 const (
-	GuardEnd    Guard = 1 << iota // what is held ends by the own clock, from when it was asked for
-	GuardOther                    // a unit granted to one is refused to others
-	GuardLife                     // a member that starts anew is another than the one before
-	GuardForget                   // who starts anew grants nothing until what it may have granted is over
-	GuardLent                     // what is lent is not used
+	GuardExpiry      Guard = 1 << iota // what is held ends by the own clock, from when it was asked for
+	GuardExclusive                     // a unit granted to one is refused to others
+	GuardIncarnation                   // a member that starts anew is another than the one before
+	GuardRecover                       // who starts anew grants nothing until what it may have granted is over
+	GuardLoan                          // what is lent is not used
 )
 
 // Event is something that has happened; see the types below.
@@ -110,29 +110,29 @@
 		From int
 		Data []byte
 	}
-	// Due is a timer that has come due.
-	Due struct{ Token Token }
-	// There says whether a member is held to be there (membership).
-	There struct {
-		Member int
-		Yes    bool
+	// TimerFired is a timer that has come due.
+	TimerFired struct{ Token Token }
+	// MemberAvailability says whether a member is held to be there (membership).
+	MemberAvailability struct {
+		Member    int
+		Available bool
 	}
-	// Cold says that a server, by the hash of its name and its start, is cold until a time, and what rate, in set-ups a
+	// ColdServer says that a server, by the hash of its name and its start, is cold until a time, and what rate, in set-ups a
 	// second, this member's own whole part of it is: it holds for all of that time, unless a greater one is told.
-	Cold struct {
+	ColdServer struct {
 		Server uint32
 		Rate   float64
 		Until  Time
 	}
-	// Use says how much of its own part this member could use now: 1, all of it; 2, twice as much.
-	Use struct{ Parts float64 }
+	// Demand says how much of its own part this member could use now: 1, all of it; 2, twice as much.
+	Demand struct{ Quotas float64 }
 )
 
-func (Datagram) event() {}
-func (Due) event()      {}
-func (There) event()    {}
-func (Cold) event()     {}
-func (Use) event()      {}
+func (Datagram) event()           {}
+func (TimerFired) event()         {}
+func (MemberAvailability) event() {}
+func (ColdServer) event()         {}
+func (Demand) event()             {}
 
 // Effect is something to be carried out; see the types below.
 type Effect interface{ effect() }
@@ -156,46 +156,46 @@
 // Token says what a timer is for.
 type Token struct{ seq uint32 }
 
-// Figures count what has been done since the start.
-type Figures struct {
-	Claims    uint64 // rounds
-	Granted   uint64 // units that a majority granted anew
-	Inherited uint64 // of those, units of others' parts
-	Expired   uint64 // units whose lease ran out here
-	Borrowed  uint64
-	Lent      uint64
-	Yes, No   uint64 // units in answers to others' claims
-	Sent      uint64 // datagrams
-	Bytes     uint64
-	Garbled   uint64 // dropped
-	Strange   uint64 // dropped: of a tier of another size, or from nobody of it
+// Counters count what has been done since the start.
+type Counters struct {
+	Claims                     uint64 // rounds
+	Granted                    uint64 // units that a majority granted anew
+	TakenOver                  uint64 // of those, units of others' parts
+	Expired                    uint64 // units whose lease ran out here
+	Borrowed                   uint64
+	Lent                       uint64
+	VotesGranted, VotesRefused uint64 // units in answers to others' claims
+	Sent                       uint64 // datagrams
+	SentBytes                  uint64
+	Malformed                  uint64 // dropped
+	UnknownSenders             uint64 // dropped: of a tier of another size, or from nobody of it
 }
 
-// Part is what is known here of one member's part.
-type Part struct {
-	Use    Mask // units that this member may use now
+// Quota is what is known here of one member's part.
+type Quota struct {
+	Usable Mask // units that this member may use now
 	Lent   Mask // of its own, to others
 	Grants [Units]Grant
 }
 
 // Grant is what this member, as one of the tier, has granted of a unit.
 type Grant struct {
-	Holder int // -1: nobody
-	Life   uint64
-	Seq    uint32
-	Until  Time
+	Holder      int // -1: nobody
+	Incarnation uint64
+	Seq         uint32
+	Expiry      Time
 }
 
 // message is what a datagram holds.
 type message struct {
-	_     struct{} `cbor:",toarray"`
-	Kind  kind
-	Tier  uint16
-	Seq   uint32 // of the claim, or of the loan asked for
-	Life  uint64 // of the sender
-	Spare uint8  // units of its own that the sender could lend
-	Items []int64
-	Rates []int64 // of the sender's part: server, thousandths of a set-up a second
+	_           struct{} `cbor:",toarray"`
+	Kind        kind
+	Tier        uint16
+	Seq         uint32 // of the claim, or of the loan asked for
+	Incarnation uint64 // of the sender
+	Spare       uint8  // units of its own that the sender could lend
+	Items       []int64
+	Rates       []int64 // of the sender's part: server, thousandths of a set-up a second
 }
 
 type kind uint8
@@ -213,10 +213,10 @@
 
 // decode reads a datagram of a tier of n members. What makes no sense in it makes all of it garbled.
 func decode(data []byte, n int) (m message, err error) {
-	if err := datagram.Decode(data, Version, datagram.Max, &m); err != nil {
+	if err := datagram.Decode(data, Version, datagram.MaxSize, &m); err != nil {
 		return m, err
 	}
-	bad := m.Kind >= kinds || m.Life == 0 || len(m.Rates)%2 != 0 || m.Kind >= borrow && len(m.Items) != itemsOfLoan
+	bad := m.Kind >= kinds || m.Incarnation == 0 || len(m.Rates)%2 != 0 || m.Kind >= borrow && len(m.Items) != itemsOfLoan
 	for i, w := range m.Items {
 		switch m.Kind {
 		case claim, grant, back:
@@ -229,7 +229,7 @@
 		bad = bad || m.Rates[i] < 0 || m.Rates[i] > 1<<32-1 || m.Rates[i+1] < 0 || m.Rates[i+1] > 1e9
 	}
 	if bad {
-		return m, datagram.ErrGarbled
+		return m, datagram.ErrMalformed
 	}
 	return m, nil
 }
--- a/internal/circuits/circuits.go
+++ b/internal/circuits/circuits.go
@@ -45,21 +45,21 @@
 
 // The guards.
 const (
-	GuardConfirm Guard = 1 << iota // a circuit that was released here waits for the server's RLC
-	GuardCount                     // and for as many as there were RELs
-	GuardOverdue                   // a release that is not confirmed goes out again
+	GuardConfirm      Guard = 1 << iota // a circuit that was released here waits for the server's RLC
+	GuardReleaseCount                   // and for as many as there were RELs
+	GuardOverdue                        // a release that is not confirmed goes out again
 )
 
-// Break takes guards out. No program does.
-func (c *Circuits) Break(g Guard) { c.lacks = g }
+// DisableGuards takes guards out. No program does.
+func (c *Circuits) DisableGuards(g Guard) { c.lacks = g }
 
 func (c *Circuits) has(g Guard) bool { return c.lacks&g == 0 }
 
 // New makes so many circuits, all free.
 func New(n int) *Circuits { return &Circuits{all: make([]circuit, n), of: make(map[core.ID]uint16)} }
 
-// Take finds a free circuit for a call whose IAM goes out. Those that settle are the last resort of none.
-func (c *Circuits) Take(id core.ID) (cic uint16, ok bool) {
+// Allocate finds a free circuit for a call whose IAM goes out. Those that settle are the last resort of none.
+func (c *Circuits) Allocate(id core.ID) (cic uint16, ok bool) {
 	for range c.all {
 		i := c.next
 		if c.next++; c.next == len(c.all) {
@@ -80,8 +80,8 @@
 	}
 }
 
-// End takes in that a call is released here, and says on which circuit a REL has to go out.
-func (c *Circuits) End(id core.ID, now time.Time) (cic uint16, ok bool) {
+// Release takes in that a call is released here, and says on which circuit a REL has to go out.
+func (c *Circuits) Release(id core.ID, now time.Time) (cic uint16, ok bool) {
 	cic, there := c.of[id]
 	if !there || c.all[cic].use != calling && c.all[cic].use != standing {
 		return 0, false
@@ -122,16 +122,16 @@
 	k.rels = max(k.rels-1, 0)
 	switch {
 	case k.use != releasing && k.use != settling:
-	case k.rels == 0 || !c.has(GuardCount):
+	case k.rels == 0 || !c.has(GuardReleaseCount):
 		k.use, k.doubt = free, false
 	default:
 		k.use, k.since = settling, now
 	}
 }
 
-// Lost gives up the set-ups that were open on a connection that has ended. What was on its way is lost with it, and an
+// ConnLost gives up the set-ups that were open on a connection that has ended. What was on its way is lost with it, and an
 // RLC of ours may have been: a server that waits for it holds the circuit.
-func (c *Circuits) Lost(now time.Time) {
+func (c *Circuits) ConnLost(now time.Time) {
 	for i := range c.all {
 		switch k := &c.all[i]; {
 		case k.use == free && k.doubt:
--- a/internal/circuits/circuits_test.go
+++ b/internal/circuits/circuits_test.go
@@ -11,16 +11,16 @@
 // circuit that a new call has taken.
 func TestReleasesCross(t *testing.T) {
 	c, now := New(1), time.Unix(1000, 0)
-	c.Take(1)
-	c.End(1, now)
+	c.Allocate(1)
+	c.Release(1, now)
 	if _, there := c.Released(0); there {
 		t.Error("the server's release frees a circuit whose release by us is on its way")
 	}
-	if _, ok := c.Take(2); ok {
+	if _, ok := c.Allocate(2); ok {
 		t.Error("the circuit is taken before the server has confirmed")
 	}
 	c.Confirmed(0, now)
-	if _, ok := c.Take(2); !ok {
+	if _, ok := c.Allocate(2); !ok {
 		t.Error("the circuit is not free after the confirmation")
 	}
 	if c.Confirmed(0, now); len(c.Calls()) != 1 {
@@ -33,21 +33,21 @@
 // answer to the next call. A server that confirms only one doesn't cost the circuit either.
 func TestReleasedTwice(t *testing.T) {
 	c, now := New(1), time.Unix(1000, 0)
-	c.Take(1)
-	c.End(1, now)
+	c.Allocate(1)
+	c.Release(1, now)
 	now = now.Add(confirm)
 	if cics := c.Overdue(now, confirm); len(cics) != 1 {
 		t.Fatalf("overdue: %v", cics)
 	}
 	c.Confirmed(0, now)
-	if _, ok := c.Take(2); ok {
+	if _, ok := c.Allocate(2); ok {
 		t.Error("the circuit is taken while a second RLC may be on its way")
 	}
 	c.Confirmed(0, now)
-	if _, ok := c.Take(3); !ok {
+	if _, ok := c.Allocate(3); !ok {
 		t.Error("the circuit is not free after both")
 	}
-	c.End(3, now)
+	c.Release(3, now)
 	now = now.Add(confirm)
 	c.Overdue(now, confirm)
 	c.Confirmed(0, now)
@@ -62,12 +62,12 @@
 // on the next connection, and calls that stand keep theirs. Numbers that no circuit has change nothing.
 func TestConnectionLost(t *testing.T) {
 	c, now := New(3), time.Unix(1000, 0)
-	c.Take(1)
-	c.Take(2)
+	c.Allocate(1)
+	c.Allocate(2)
 	c.Answered(1)
-	c.Take(3)
-	c.End(3, now)
-	c.Lost(now)
+	c.Allocate(3)
+	c.Release(3, now)
+	c.ConnLost(now)
 	if cics := c.Unconfirmed(now); len(cics) != 2 || len(c.Calls()) != 1 {
 		t.Errorf("unconfirmed %v, calls %v", cics, c.Calls())
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -27,39 +27,39 @@
 
 // Limits are all sizes, counts and times. They are filled by Load, at the start and for each reload, and handed down.
 type Limits struct {
-	Core core.Limits
-	Link link.Limits // of a caller's connection
+	Core       core.Limits
+	CallerConn link.Limits // of a caller's connection
 
-	ServerLink link.Limits
+	ServerConn link.Limits
 
-	Feed    feed.Limits
-	Dial    time.Duration // to connect to a server
-	Confirm time.Duration // a release not confirmed by then is sent again
-	Callers int           // connections of callers at once
-	Inbox   int           // events that wait for the core
-	Figures time.Duration // between snapshots of the figures
-	Mgmt    mgmt.Limits
+	Feed           feed.Limits
+	DialTimeout    time.Duration // to connect to a server
+	ConfirmTimeout time.Duration // a release not confirmed by then is sent again
+	MaxCallers     int           // connections of callers at once
+	EventQueue     int           // events that wait for the core
+	StatsInterval  time.Duration // between snapshots of the figures
+	Mgmt           mgmt.Limits
 
-	HandOver handover.Limits
-	Peers    peers.Limits
-	Member   membership.Limits  // filled by Tier, from the members' file
-	Work     maintenance.Limits // and so are these
-	Memory   int64              // bytes the garbage collector aims to stay under
-	GC       int                // per cent that the heap may grow by before that
+	HandOver    handover.Limits
+	Peers       peers.Limits
+	Membership  membership.Limits  // filled by Tier, from the members' file
+	Maintenance maintenance.Limits // and so are these
+	MemoryLimit int64              // bytes the garbage collector aims to stay under
+	GCPercent   int                // per cent that the heap may grow by before that
 }
 
 // Config is all that a softswitch is told.
 type Config struct {
-	Name     string
-	Listen   string
-	Mgmt     string // where operators call; empty: nowhere
-	Seed     uint64
-	Channel  string
-	Cursor   int64
-	Known    []feed.Command
-	Settings elmseam.Settings
-	Node     settings.Node
-	Limits   Limits
+	Name            string
+	Listen          string
+	Mgmt            string // where operators call; empty: nowhere
+	Seed            uint64
+	CommandChannel  string
+	Cursor          int64
+	InitialCommands []feed.Command
+	Settings        elmseam.Settings
+	Deployment      settings.Deployment
+	Limits          Limits
 
 	PeerListen string   // where datagrams of the tier come
 	Peers      []string // its softswitches' addresses, by number
@@ -124,7 +124,7 @@
 
 // build checks the fields and fills the limits.
 func build(f file) (*Config, error) {
-	c := &Config{Name: f.Name, Listen: f.Listen, Mgmt: f.Mgmt, Channel: f.Channel, Cursor: f.Known.Cursor, Known: f.Known.Cmds,
+	c := &Config{Name: f.Name, Listen: f.Listen, Mgmt: f.Mgmt, CommandChannel: f.Channel, Cursor: f.Known.Cursor, InitialCommands: f.Known.Cmds,
 		PeerListen: f.PeerListen, Peers: f.Peers}
 	if c.Name == "" {
 		return nil, fmt.Errorf("name: missing")
@@ -149,27 +149,27 @@
 	if f.Limits.Sockets < leastSockets {
 		return nil, fmt.Errorf("limits.sockets: %d, %d are needed", f.Limits.Sockets, leastSockets)
 	}
-	for i, cmd := range c.Known {
-		if _, err := cmd.List(func(string) core.Front { return "" }, true); err != nil {
+	for i, cmd := range c.InitialCommands {
+		if _, err := cmd.List(func(string) core.Protocol { return "" }, true); err != nil {
 			return nil, fmt.Errorf("known.cmds[%d]: %w", i, err)
 		}
 	}
 	if len(f.Settings) == 0 {
 		return nil, fmt.Errorf("settings: missing")
 	}
-	if err = settings.Whole(f.Settings); err != nil {
+	if err = settings.Validate(f.Settings); err != nil {
 		return nil, err
 	}
 	if c.Settings, err = settings.Decode(f.Settings); err != nil {
 		return nil, err
 	}
-	if c.Node, err = settings.DecodeNode(f.Settings); err != nil {
+	if c.Deployment, err = settings.DecodeDeployment(f.Settings); err != nil {
 		return nil, err
 	}
 	if _, err = elmseam.New(c.Settings, c.Seed); err != nil {
 		return nil, err
 	}
-	c.Limits = limits(f, c.Node)
+	c.Limits = limits(f, c.Deployment)
 	return c, nil
 }
 
@@ -184,7 +184,7 @@
 			return nil, fmt.Errorf("%s: missing", key)
 		}
 	}
-	settings.Follow(old.Node, &c.Node, &c.Settings, old.Settings)
+	settings.KeepClassIndexes(old.Deployment, &c.Deployment, &c.Settings, old.Settings)
 	return c, nil
 }
 
@@ -201,7 +201,7 @@
 const endedSize = 128
 
 // limits fills the one set of limits, from what the platform tells where it does.
-func limits(f file, n settings.Node) Limits {
+func limits(f file, n settings.Deployment) Limits {
 	message := 16 << 10
 	memory := int64(f.Limits.MemoryMB) << 20
 	callers := f.Limits.Sockets / 2       // callers that behave hold a third; a quarter may come to the second front
@@ -210,68 +210,68 @@
 	}
 	l := Limits{
 		Core: core.Limits{
-			AnswerMargin: 15 * time.Millisecond,
-			Rebind:       100 * time.Millisecond, // a crossing close shows within 50 ms
-			RedialLeast:  100 * time.Millisecond,
-			RedialMost:   500 * time.Millisecond,
-			Lines:        map[core.Front]int{platform.Front: 2},
-			ServerLines:  f.Limits.Sockets - callers - ownSockets,
-			Mute:         100 * time.Millisecond, // any answer takes less where the server isn't pressed
-			Left:         16,
-			Owed:         1000,
-			ServerLost:   5 * time.Second,        // releases are owed 8 s after the end at the latest
-			Hearsay:      10 * time.Second,       // a list is up to 7 s late
-			DrainGrace:   500 * time.Millisecond, // the front asks every 0.1 s and sends new ones for 0.2 s more
-			DrainTake:    1500 * time.Millisecond,
-			DrainSweep:   20 * time.Millisecond,
-			DrainIdle:    20 * time.Millisecond,
-			Transient:    map[core.Front]bool{platform.Front: true},
-			HandStand:    4000, // they fit into one message
-			HandGrace:    100 * time.Millisecond,
-			StopGrace:    700 * time.Millisecond,
-			StopMost:     max(n.LongestWait, 3*time.Second) + 600*time.Millisecond,
-			StopLinger:   60 * time.Millisecond, // what crosses a close does so within 50 ms
-			Callers:      callers - callers/8,   // the rest are on their way in or out
-			Fresh:        250 * time.Millisecond,
-			MaxOpen:      n.MaxOpen,
-			Ended:        int(memory / 8 / endedSize),
-			Probe:        probe.Limits{Permitted: n.Probes, Rate: 1, Burst: 2, Timeout: 1500 * time.Millisecond},
-			Routes:       10000,
-			RetryHint:    max(n.LeastAim/4, 50*time.Millisecond), // a redial can still stand in time
-			Remember:     max(n.LongestWait, 10*time.Second) * 6,
+			AnswerMargin:        15 * time.Millisecond,
+			Rebind:              100 * time.Millisecond, // a crossing close shows within 50 ms
+			MinRedial:           100 * time.Millisecond,
+			MaxRedial:           500 * time.Millisecond,
+			ConnsPerServer:      map[core.Protocol]int{platform.Protocol: 2},
+			MaxServerConns:      f.Limits.Sockets - callers - ownSockets,
+			UnresponsiveAfter:   100 * time.Millisecond, // any answer takes less where the server isn't pressed
+			MaxRemovedServers:   16,
+			MaxPendingReleases:  1000,
+			ServerLostAfter:     5 * time.Second,        // releases are owed 8 s after the end at the latest
+			ReportedDrainTTL:    10 * time.Second,       // a list is up to 7 s late
+			DrainGrace:          500 * time.Millisecond, // the front asks every 0.1 s and sends new ones for 0.2 s more
+			DrainRefuseAfter:    1500 * time.Millisecond,
+			DrainCheckInterval:  20 * time.Millisecond,
+			DrainIdle:           20 * time.Millisecond,
+			Transient:           map[core.Protocol]bool{platform.Protocol: true},
+			MaxTransferredCalls: 4000, // they fit into one message
+			HandOverGrace:       100 * time.Millisecond,
+			StopGrace:           700 * time.Millisecond,
+			MaxStopWait:         max(n.MaxWait, 3*time.Second) + 600*time.Millisecond,
+			StopLinger:          60 * time.Millisecond, // what crosses a close does so within 50 ms
+			MaxCallerConns:      callers - callers/8,   // the rest are on their way in or out
+			NewConnGrace:        250 * time.Millisecond,
+			MaxOpen:             n.MaxOpenCalls,
+			MaxEndedCalls:       int(memory / 8 / endedSize),
+			Probe:               probe.Limits{Permitted: n.ProbesEnabled, Rate: 1, Burst: 2, Timeout: 1500 * time.Millisecond},
+			MaxRoutes:           10000,
+			RetryHint:           max(n.MinAim/4, 50*time.Millisecond), // a redial can still stand in time
+			EndedCallTTL:        max(n.MaxWait, 10*time.Second) * 6,
 		},
-		Link: link.Limits{
-			ReadFirst: 4 << 10, Message: message, Outbox: 1 << 20,
-			WriteStall: 5 * time.Second, Stuck: 50 * time.Millisecond,
-			First: 2500 * time.Millisecond, Idle: max(n.LongestWait, 10*time.Second) + 2*time.Second,
-			Linger: 250 * time.Millisecond, Drain: 256 << 10,
+		CallerConn: link.Limits{
+			InitialBufferSize: 4 << 10, MaxMessageSize: message, MaxQueuedBytes: 1 << 20,
+			WriteTimeout: 5 * time.Second, FlushTimeout: 50 * time.Millisecond,
+			MessageTimeout: 2500 * time.Millisecond, IdleTimeout: max(n.MaxWait, 10*time.Second) + 2*time.Second,
+			LingerTimeout: 250 * time.Millisecond, MaxLingerBytes: 256 << 10,
 		},
 		Feed: feed.Limits{
-			Connect: time.Second, Silence: 2500 * time.Millisecond, // a comment comes each second
-			Renew: 5 * time.Second, // what is told counts as heard after 7 s
-			Retry: 100 * time.Millisecond, Event: 1 << 20, First: 4 << 10,
+			ConnectTimeout: time.Second, ReadTimeout: 2500 * time.Millisecond, // a comment comes each second
+			RenewAfter: 5 * time.Second, // what is told counts as heard after 7 s
+			RetryDelay: 100 * time.Millisecond, MaxEventSize: 1 << 20, InitialBufferSize: 4 << 10,
 		},
-		Dial:    n.ConnectTimeout,
-		Confirm: 15 * time.Second, // T1 of Q.764 at its least
-		Callers: callers,
-		Inbox:   4096,
-		Figures: 50 * time.Millisecond, // they may be 0.5 s old
-		Mgmt:    mgmt.Limits{Callers: min(16, f.Limits.Sockets/16), Head: 8 << 10, Read: 2 * time.Second, Write: time.Second, Fresh: 2 * time.Second, Drains: 16},
+		DialTimeout:    n.ConnectTimeout,
+		ConfirmTimeout: 15 * time.Second, // T1 of Q.764 at its least
+		MaxCallers:     callers,
+		EventQueue:     4096,
+		StatsInterval:  50 * time.Millisecond, // they may be 0.5 s old
+		Mgmt:           mgmt.Limits{MaxConns: min(16, f.Limits.Sockets/16), MaxRequestSize: 8 << 10, ReadTimeout: 2 * time.Second, WriteTimeout: time.Second, MaxStatsAge: 2 * time.Second, MaxOrders: 16},
 		HandOver: handover.Limits{
-			Hello: time.Second, Ending: 2 * time.Second, Write: time.Second, Packet: 128 << 10, Queue: 4 << 20, Over: 4096,
+			HelloTimeout: time.Second, ExitTimeout: 2 * time.Second, WriteTimeout: time.Second, MaxMessageSize: 128 << 10, MaxQueuedBytes: 4 << 20, MaxEndedCalls: 4096,
 		},
-		Peers:  peers.Limits{Queue: 256, Rate: 400, Retry: 100 * time.Millisecond},
-		Memory: memory * 6 / 10,
-		GC:     200,
+		Peers:       peers.Limits{Queue: 256, Rate: 400, Retry: 100 * time.Millisecond},
+		MemoryLimit: memory * 6 / 10,
+		GCPercent:   200,
 	}
 	// Callers that read nothing and set-ups that stay open hold no more than a quarter of the memory each.
-	l.ServerLink = l.Link
-	l.ServerLink.Line, l.ServerLink.Silence = 500*time.Millisecond, 3*time.Second
-	l.ServerLink.Linger = 50 * time.Millisecond // they close at once; a descriptor may be needed
-	l.Link.Outbox = min(l.Link.Outbox, max(int(memory/4)/callers, 2*message))
-	l.Core.OpenBytes = int(memory / 4)
-	if l.Dial <= 0 {
-		l.Dial = 500 * time.Millisecond
+	l.ServerConn = l.CallerConn
+	l.ServerConn.LineTimeout, l.ServerConn.MaxSilence = 500*time.Millisecond, 3*time.Second
+	l.ServerConn.LingerTimeout = 50 * time.Millisecond // they close at once; a descriptor may be needed
+	l.CallerConn.MaxQueuedBytes = min(l.CallerConn.MaxQueuedBytes, max(int(memory/4)/callers, 2*message))
+	l.Core.MaxCallBytes = int(memory / 4)
+	if l.DialTimeout <= 0 {
+		l.DialTimeout = 500 * time.Millisecond
 	}
 	if l.Core.MaxOpen <= 0 {
 		l.Core.MaxOpen = 20000
--- a/internal/config/members.go
+++ b/internal/config/members.go
@@ -19,66 +19,66 @@
 	"elmseam/internal/peers"
 )
 
-// Members is the file that tells whether this softswitch takes part in its tier's membership, and how. What it leaves
+// MembersFile is the file that tells whether this softswitch takes part in its tier's membership, and how. What it leaves
 // out is membership.Defaults.
-type Members struct {
-	Enabled      bool     `toml:"enabled"`
-	Period       duration `toml:"period"`
-	Timeout      duration `toml:"timeout"`
-	Indirect     int      `toml:"indirect"`
-	SuspicionMin float64  `toml:"suspicion_min"`
-	SuspicionMax float64  `toml:"suspicion_max"`
-	Confirm      int      `toml:"confirm"`
-	Retransmit   int      `toml:"retransmit"`
-	Health       int      `toml:"health"`
-	Stall        duration `toml:"stall"`
-	Reclaim      int      `toml:"reclaim"`
+type MembersFile struct {
+	Enabled        bool     `toml:"enabled"`
+	Period         duration `toml:"period"`
+	Timeout        duration `toml:"timeout"`
+	IndirectProbes int      `toml:"indirect"`
+	SuspicionMin   float64  `toml:"suspicion_min"`
+	SuspicionMax   float64  `toml:"suspicion_max"`
+	Confirmations  int      `toml:"confirm"`
+	RetransmitMult int      `toml:"retransmit"`
+	MaxHealth      int      `toml:"health"`
+	StallThreshold duration `toml:"stall"`
+	ReclaimPeriods int      `toml:"reclaim"`
 
 	Maintenance Maintenance `toml:"maintenance"`
-	Parts       Parts       `toml:"parts"`
+	Quotas      Quotas      `toml:"parts"`
 	Knowledge   Knowledge   `toml:"knowledge"`
 }
 
 // Knowledge is the part of the file that tells whether this softswitch shares what it has seen of the servers with its tier.
 // What it leaves out is knowledge.Defaults.
 type Knowledge struct {
-	Enabled  bool     `toml:"enabled"`
-	HalfLife duration `toml:"half_life"`
-	Lasting  duration `toml:"lasting"`
-	Forget   duration `toml:"forget"`
-	Ask      int      `toml:"ask"`
+	Enabled      bool     `toml:"enabled"`
+	HalfLife     duration `toml:"half_life"`
+	SlowHalfLife duration `toml:"lasting"`
+	MaxAge       duration `toml:"forget"`
+	Fanout       int      `toml:"ask"`
 }
 
 func (k Knowledge) limits() knowledge.Limits {
 	l := knowledge.Defaults()
-	l.HalfLife, l.Lasting, l.Forget, l.Ask = k.HalfLife.Duration, k.Lasting.Duration, k.Forget.Duration, k.Ask
+	l.HalfLife, l.SlowHalfLife, l.MaxAge, l.Fanout = k.HalfLife.Duration, k.SlowHalfLife.Duration, k.MaxAge.Duration, k.Fanout
 	return l
 }
 
-// Parts is the part of the file that tells whether parts of a just-started server's budget move between softswitches. What
+// Quotas is the part of the file that tells whether parts of a just-started server's budget move between softswitches. What
 // it leaves out is budget.Defaults.
-type Parts struct {
-	Enabled bool     `toml:"enabled"`
-	Lease   duration `toml:"lease"`
-	Drift   float64  `toml:"drift"`
-	Members int      `toml:"members"`
+type Quotas struct {
+	Enabled    bool     `toml:"enabled"`
+	Lease      duration `toml:"lease"`
+	MaxDrift   float64  `toml:"drift"`
+	MaxMembers int      `toml:"members"`
 }
 
-func (p Parts) limits() budgets.Limits {
+func (p Quotas) limits() budgets.Limits {
 	l := budgets.Defaults()
-	l.Lease, l.Drift, l.Members = p.Lease.Duration, p.Drift, p.Members
+	l.Lease, l.MaxDrift, l.MaxMembers = p.Lease.Duration, p.MaxDrift, p.MaxMembers
 	return l
 }
 
 // Maintenance is the part of the file that tells whether this softswitch takes part in its tier's ordered maintenance. What
 // it leaves out is maintenance.Defaults.
 type Maintenance struct {
-	Enabled bool     `toml:"enabled"`
-	Budget  budget   `toml:"budget"`
-	Lease   duration `toml:"lease"`
-	Work    duration `toml:"work"`
-	Round   duration `toml:"round"`
-	Drift   float64  `toml:"drift"`
+	Enabled      bool     `toml:"enabled"`
+	Budget       budget   `toml:"budget"`
+	Lease        duration `toml:"lease"`
+	WorkLease    duration `toml:"work"`
+	RoundTimeout duration `toml:"round"`
+	MaxDrift     float64  `toml:"drift"`
 }
 
 // budget is a count, or a share of the tier: 2 or "20%".
@@ -115,13 +115,13 @@
 
 func (m Maintenance) limits(tier int) maintenance.Limits {
 	l := maintenance.Defaults()
-	l.Budget, l.Lease, l.Work = m.Budget.of(tier), m.Lease.Duration, m.Work.Duration
-	l.Round, l.Drift = m.Round.Duration, m.Drift
+	l.Budget, l.Lease, l.WorkLease = m.Budget.of(tier), m.Lease.Duration, m.WorkLease.Duration
+	l.Round, l.MaxDrift = m.RoundTimeout.Duration, m.MaxDrift
 	return l
 }
 
-// Budget is how many of a tier may be out for work at once, by the file.
-func (m Members) Budget(tier int) int { return m.Maintenance.Budget.of(tier) }
+// MaintenanceBudget is how many of a tier may be out for work at once, by the file.
+func (m MembersFile) MaintenanceBudget(tier int) int { return m.Maintenance.Budget.of(tier) }
 
 // duration is a time written as text.
 type duration struct{ time.Duration }
@@ -134,13 +134,13 @@
 
 // LoadMembers reads the file. Without one that was not named there is no membership. An error is one line that names
 // the field.
-func LoadMembers(path string, named bool) (Members, error) {
+func LoadMembers(path string, named bool) (MembersFile, error) {
 	text, err := os.ReadFile(path)
 	switch {
 	case !named && errors.Is(err, fs.ErrNotExist):
-		return Members{}, nil
+		return MembersFile{}, nil
 	case err != nil:
-		return Members{}, err
+		return MembersFile{}, err
 	}
 	m, err := ParseMembers(string(text))
 	if err != nil {
@@ -150,20 +150,20 @@
 }
 
 // ParseMembers reads the file's text. An error is one line that names the field.
-func ParseMembers(text string) (Members, error) {
+func ParseMembers(text string) (MembersFile, error) {
 	l := membership.Defaults()
-	m := Members{
-		Period: duration{l.Period}, Timeout: duration{l.Timeout}, Indirect: l.Indirect, SuspicionMin: l.SuspicionMin,
-		SuspicionMax: l.SuspicionMax, Confirm: l.Confirm, Retransmit: l.Retransmit, Health: l.Health,
-		Stall: duration{l.Stall}, Reclaim: l.Reclaim,
+	m := MembersFile{
+		Period: duration{l.Period}, Timeout: duration{l.Timeout}, IndirectProbes: l.Indirect, SuspicionMin: l.SuspicionMin,
+		SuspicionMax: l.SuspicionMax, Confirmations: l.Confirm, RetransmitMult: l.Retransmit, MaxHealth: l.MaxHealth,
+		StallThreshold: duration{l.StallThreshold}, ReclaimPeriods: l.ReclaimPeriods,
 	}
 	w := maintenance.Defaults()
-	m.Maintenance = Maintenance{Budget: budget{Count: w.Budget}, Lease: duration{w.Lease}, Work: duration{w.Work},
-		Round: duration{w.Round}, Drift: w.Drift}
+	m.Maintenance = Maintenance{Budget: budget{Count: w.Budget}, Lease: duration{w.Lease}, WorkLease: duration{w.WorkLease},
+		RoundTimeout: duration{w.Round}, MaxDrift: w.MaxDrift}
 	b := budgets.Defaults()
-	m.Parts = Parts{Lease: duration{b.Lease}, Drift: b.Drift, Members: b.Members}
+	m.Quotas = Quotas{Lease: duration{b.Lease}, MaxDrift: b.MaxDrift, MaxMembers: b.MaxMembers}
 	k := knowledge.Defaults()
-	m.Knowledge = Knowledge{HalfLife: duration{k.HalfLife}, Lasting: duration{k.Lasting}, Forget: duration{k.Forget}, Ask: k.Ask}
+	m.Knowledge = Knowledge{HalfLife: duration{k.HalfLife}, SlowHalfLife: duration{k.SlowHalfLife}, MaxAge: duration{k.MaxAge}, Fanout: k.Fanout}
 	meta, err := toml.Decode(text, &m)
 	if err != nil {
 		return m, err
@@ -174,7 +174,7 @@
 	if err := m.Maintenance.limits(1).Check(); err != nil {
 		return m, fmt.Errorf("maintenance.%w", err)
 	}
-	if err := m.Parts.limits().Check(); err != nil {
+	if err := m.Quotas.limits().Check(); err != nil {
 		return m, fmt.Errorf("parts.%w", err)
 	}
 	if err := m.Knowledge.limits().Check(); err != nil {
@@ -183,7 +183,7 @@
 	if m.Knowledge.Enabled && !m.Enabled {
 		return m, errors.New("knowledge.enabled: needs membership (enabled = true)")
 	}
-	if m.Parts.Enabled && !m.Enabled {
+	if m.Quotas.Enabled && !m.Enabled {
 		return m, errors.New("parts.enabled: needs membership (enabled = true)")
 	}
 	if m.Maintenance.Enabled && !m.Enabled {
@@ -192,40 +192,40 @@
 	return m, m.limits().Check()
 }
 
-func (m Members) limits() membership.Limits {
+func (m MembersFile) limits() membership.Limits {
 	l := membership.Defaults()
-	l.Period, l.Timeout, l.Indirect = m.Period.Duration, m.Timeout.Duration, m.Indirect
-	l.SuspicionMin, l.SuspicionMax, l.Confirm = m.SuspicionMin, m.SuspicionMax, m.Confirm
-	l.Retransmit, l.Health, l.Stall, l.Reclaim = m.Retransmit, m.Health, m.Stall.Duration, m.Reclaim
+	l.Period, l.Timeout, l.Indirect = m.Period.Duration, m.Timeout.Duration, m.IndirectProbes
+	l.SuspicionMin, l.SuspicionMax, l.Confirm = m.SuspicionMin, m.SuspicionMax, m.Confirmations
+	l.Retransmit, l.MaxHealth, l.StallThreshold, l.ReclaimPeriods = m.RetransmitMult, m.MaxHealth, m.StallThreshold.Duration, m.ReclaimPeriods
 	return l
 }
 
-// Tier is what the socket of the tier's datagrams is told, and how the core joins: membership and, where the file says
+// TierConfig is what the socket of the tier's datagrams is told, and how the core joins: membership and, where the file says
 // so, maintenance. Needed are the platform's addresses and the own number; an error names the field. Permitted says
 // whether the settings allow datagrams at all.
-func (c *Config) Tier(m Members) (sock peers.Config, join []core.Event, permitted bool, err error) {
-	if !c.Node.PeerMessages {
+func (c *Config) TierConfig(m MembersFile) (sock peers.Config, join []core.Event, permitted bool, err error) {
+	if !c.Deployment.PeerMessagesEnabled {
 		return sock, join, false, nil
 	}
-	c.Limits.Member = m.limits()
+	c.Limits.Membership = m.limits()
 	switch n := len(c.Peers); {
 	case n == 0:
 		return sock, join, true, errors.New("peers: missing")
-	case c.Node.Tier != 0 && c.Node.Tier != n:
-		return sock, join, true, fmt.Errorf("peers: %d of them, settings.peers-total says %d", n, c.Node.Tier)
+	case c.Deployment.TierSize != 0 && c.Deployment.TierSize != n:
+		return sock, join, true, fmt.Errorf("peers: %d of them, settings.peers-total says %d", n, c.Deployment.TierSize)
 	}
-	sock = peers.Config{Listen: c.PeerListen, Peers: c.Peers, Self: c.Node.Me, Limits: c.Limits.Peers}
-	join = append(join, core.Join{Config: membership.Config{Self: c.Node.Me, Tier: len(c.Peers), Limits: c.Limits.Member, Seed: c.Seed}})
+	sock = peers.Config{Listen: c.PeerListen, Peers: c.Peers, Self: c.Deployment.Self, Limits: c.Limits.Peers}
+	join = append(join, core.StartMembership{Config: membership.Config{Self: c.Deployment.Self, TierSize: len(c.Peers), Limits: c.Limits.Membership, Seed: c.Seed}})
 	if m.Maintenance.Enabled {
-		c.Limits.Work = m.Maintenance.limits(len(c.Peers))
-		join = append(join, core.Plan{Config: maintenance.Config{Self: c.Node.Me, Tier: len(c.Peers), Zone: c.Node.Zone, Name: c.Name,
-			Limits: c.Limits.Work, Seed: c.Seed}})
+		c.Limits.Maintenance = m.Maintenance.limits(len(c.Peers))
+		join = append(join, core.StartMaintenance{Config: maintenance.Config{Self: c.Deployment.Self, TierSize: len(c.Peers), Zone: c.Deployment.Zone, Name: c.Name,
+			Limits: c.Limits.Maintenance, Seed: c.Seed}})
 	}
 	if m.Knowledge.Enabled {
-		join = append(join, core.Know{Config: knowledge.Config{Self: c.Node.Me, Tier: len(c.Peers), Limits: m.Knowledge.limits(), Seed: c.Seed}})
+		join = append(join, core.StartKnowledge{Config: knowledge.Config{Self: c.Deployment.Self, TierSize: len(c.Peers), Limits: m.Knowledge.limits(), Seed: c.Seed}})
 	}
-	if m.Parts.Enabled {
-		join = append(join, core.Share{Config: budgets.Config{Self: c.Node.Me, Tier: len(c.Peers), Limits: m.Parts.limits(), Seed: c.Seed}})
+	if m.Quotas.Enabled {
+		join = append(join, core.StartBudget{Config: budgets.Config{Self: c.Deployment.Self, TierSize: len(c.Peers), Limits: m.Quotas.limits(), Seed: c.Seed}})
 	}
 	return sock, join, true, nil
 }
--- a/internal/config/signalling.go
+++ b/internal/config/signalling.go
@@ -11,15 +11,15 @@
 	"elmseam/internal/platform"
 )
 
-// Signalling is the file that tells of the second front. The platform knows nothing of it.
-type Signalling struct {
-	Enabled bool       `toml:"enabled"`
-	M3UA    m3ua.File  `toml:"m3ua"`
-	BGP     bgp.Config `toml:"bgp"`
+// SignallingFile is the file that tells of the second front. The platform knows nothing of it.
+type SignallingFile struct {
+	Enabled bool            `toml:"enabled"`
+	M3UA    m3ua.FileConfig `toml:"m3ua"`
+	BGP     bgp.Config      `toml:"bgp"`
 }
 
 // LoadSignalling reads the file. An error is one line that names the field.
-func LoadSignalling(path string) (s Signalling, err error) {
+func LoadSignalling(path string) (s SignallingFile, err error) {
 	meta, err := toml.DecodeFile(path, &s)
 	if err != nil {
 		return s, fmt.Errorf("%s: %w", path, err)
@@ -38,22 +38,22 @@
 // Platform is what the platform's front is told.
 func (c *Config) Platform() platform.Config {
 	return platform.Config{
-		Node: c.Node, Link: c.Limits.Link, ServerLink: c.Limits.ServerLink, Dial: c.Limits.Dial, Callers: c.Limits.Callers,
+		Deployment: c.Deployment, CallerConn: c.Limits.CallerConn, ServerConn: c.Limits.ServerConn, DialTimeout: c.Limits.DialTimeout, MaxCallers: c.Limits.MaxCallers,
 	}
 }
 
 // M3UA is what the second front is told beside its file.
-func (c *Config) M3UA(file m3ua.File) m3ua.Config {
+func (c *Config) M3UA(file m3ua.FileConfig) m3ua.Config {
 	return m3ua.Config{
-		File: file, Node: c.Node, Link: c.Limits.Link, ServerLink: c.Limits.ServerLink,
-		Dial: c.Limits.Dial, Callers: c.Limits.Callers / 4, Confirm: c.Limits.Confirm,
+		FileConfig: file, Deployment: c.Deployment, CallerConn: c.Limits.CallerConn, ServerConn: c.Limits.ServerConn,
+		DialTimeout: c.Limits.DialTimeout, MaxCallers: c.Limits.MaxCallers / 4, ConfirmTimeout: c.Limits.ConfirmTimeout,
 	}
 }
 
 // BGP are the limits of the BGP speaker.
 func (l Limits) BGP() bgp.Limits {
 	return bgp.Limits{
-		Connect: l.Feed.Connect, RetryLeast: 250 * time.Millisecond, RetryMost: 30 * time.Second,
-		Routes: l.Core.Routes, Link: l.Link,
+		ConnectTimeout: l.Feed.ConnectTimeout, RetryMin: 250 * time.Millisecond, RetryMax: 30 * time.Second,
+		MaxRoutes: l.Core.MaxRoutes, Conn: l.CallerConn,
 	}
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -44,7 +44,7 @@
 	print    uint64        // of the set-up's text: one that comes again is the same
 	size     int           // bytes it keeps
 	guard    time.Duration // the release gap that it came under
-	front    Front
+	front    Protocol
 	deadline Time
 	orphan   bool // its caller's connection has ended
 	answered bool // the final answer is out
@@ -52,10 +52,10 @@
 	sends    int
 	most     int // attempts it may have, by the settings of its set-up
 	out      *attempt
-	past     []Link  // that earlier attempts went over
-	gap      Time    // not sent again before
-	stands   *server // where it stands
-	desc     []byte  // what that server answered
+	past     []ConnID // that earlier attempts went over
+	gap      Time     // not sent again before
+	stands   *server  // where it stands
+	desc     []byte   // what that server answered
 }
 
 // server is a server of the list.
@@ -87,7 +87,7 @@
 
 // line is a connection to a server.
 type line struct {
-	link      Link
+	link      ConnID
 	used      Time // for a set-up, last
 	malformed bool // something on it could not be read: nothing new goes there
 	mute      Time // nothing has been heard since this set-up went out; 0: something has
@@ -95,8 +95,8 @@
 
 // caller is the connection of a caller.
 type caller struct {
-	link   Link
-	front  Front
+	link   ConnID
+	front  Protocol
 	asked  bool // it has brought a set-up
 	stood  bool // one of them stood
 	handed bool // to a successor: its effects go there
@@ -116,10 +116,10 @@
 // Core is the reducer.
 type Core struct {
 	limits   Limits
-	guard    time.Duration    // the release gap
-	most     int              // attempts a call may have
-	columns  []elmseam.Figure // of a report, as the module reads them
-	tenants  []elmseam.Tenant // by their places in the module
+	guard    time.Duration        // the release gap
+	most     int                  // attempts a call may have
+	columns  []elmseam.LoadMetric // of a report, as the module reads them
+	tenants  []elmseam.Tenant     // by their places in the module
 	prober   *probe.Prober
 	ctl      *elmseam.Controller
 	now      Time
@@ -135,7 +135,7 @@
 	lastID   elmseam.ServerID
 	left     []left           // servers that have gone, oldest first
 	routes   map[string]Route // withdrawn
-	callers  map[Link]*caller
+	callers  map[ConnID]*caller
 	links    []*caller // oldest first
 	room     bool      // a timer runs that looks for some
 	pending  []*pendingRelease
@@ -149,13 +149,13 @@
 	draining bool
 	drained  Time   // when that began or ended
 	drains   uint32 // how often it did
-	figures  Figures
+	figures  Stats
 	hook     Hook
 	handing  bool                 // callers' connections are handed to a successor
 	preceded bool                 // a predecessor has calls of callers who are here
 	halved   bool                 // which holds as many callers as are here
-	foreign  map[ID]Link          // and owes these set-ups an answer
-	stood    map[ID]Link          // calls that stand from before it handed their callers on
+	foreign  map[ID]ConnID        // and owes these set-ups an answer
+	stood    map[ID]ConnID        // calls that stand from before it handed their callers on
 	able     bool                 // this process could serve, once
 	fleet    *membership.Reducer  // nil: this softswitch knows nothing of the others of its tier
 	self     int                  // its number there
@@ -169,7 +169,7 @@
 
 // pendingRelease is a release that finds no connection of its caller.
 type pendingRelease struct {
-	front Front
+	front Protocol
 	id    ID
 	why   Reason
 	at    Time
@@ -185,7 +185,7 @@
 		limits:  limits,
 		guard:   set.ReleaseGuard,
 		most:    set.MaxAttempts,
-		columns: set.Report,
+		columns: set.ReportMetrics,
 		tenants: set.Tenants,
 		prober:  probe.New(limits.Probe),
 		ctl:     ctl,
@@ -194,10 +194,10 @@
 		servers: make(map[string]*server),
 		byID:    make(map[elmseam.ServerID]*server),
 		routes:  make(map[string]Route),
-		callers: make(map[Link]*caller),
+		callers: make(map[ConnID]*caller),
 		ended:   make(map[ID]Time),
-		foreign: make(map[ID]Link),
-		stood:   make(map[ID]Link),
+		foreign: make(map[ID]ConnID),
+		stood:   make(map[ID]ConnID),
 	}
 	c.figures.room(len(set.Classes))
 	return c, nil
@@ -215,13 +215,13 @@
 	case CallerUp:
 		c.callerUp(ev)
 	case CallerDown:
-		c.callerDown(ev.Link)
+		c.callerDown(ev.Conn)
 	case CallerIdle:
-		if l := c.callers[ev.Link]; l != nil && !c.busy()[ev.Link] {
+		if l := c.callers[ev.Conn]; l != nil && !c.busy()[ev.Conn] {
 			c.closeGracefully(l)
 		}
 	case CallerMalformed:
-		if l := c.callers[ev.Link]; l != nil {
+		if l := c.callers[ev.Conn]; l != nil {
 			l.malformed = true
 			c.settle()
 		}
@@ -239,14 +239,14 @@
 		c.serverEnd(ev)
 	case ServerReport:
 		if s := c.servers[ev.Server]; s != nil {
-			s.heard(ev.Link)
+			s.heard(ev.Conn)
 			c.health(s, ev.Report)
 		}
 	case ServerMalformed:
 		c.malformed(ev)
 	case ServerSilent:
 		c.silent(ev)
-	case ServerTested:
+	case ServerProbeAnswer:
 		c.tested(ev)
 	case ServerPaused:
 		if s := c.servers[ev.Server]; s != nil {
@@ -255,7 +255,7 @@
 		}
 	case Route:
 		c.route(ev)
-	case Written:
+	case EndWritten:
 		c.written(ev)
 	case NotSent:
 		c.notSent(ev)
@@ -263,60 +263,60 @@
 		c.list(ev)
 	case Configured:
 		if err := c.ctl.Configure(ev.Settings); err != nil {
-			c.do(Broken{Rule: err.Error()})
-			c.figures.Invalid++
+			c.do(Violation{Rule: err.Error()})
+			c.figures.ConfigsInvalid++
 			break
 		}
-		c.figures.Loaded++
+		c.figures.ConfigsLoaded++
 		c.figures.room(len(ev.Settings.Classes))
 		c.limits, c.guard, c.most = ev.Limits, ev.Settings.ReleaseGuard, ev.Settings.MaxAttempts
 		c.prober.Configure(ev.Limits.Probe)
-		c.columns, c.tenants = ev.Settings.Report, ev.Settings.Tenants
+		c.columns, c.tenants = ev.Settings.ReportMetrics, ev.Settings.Tenants
 	case Misconfigured:
-		c.figures.Invalid++
+		c.figures.ConfigsInvalid++
 	case Drain:
 		c.byHand(ev.On)
-	case Plan:
+	case StartMaintenance:
 		c.plan(ev)
-	case Order:
+	case MaintenanceRequest:
 		c.toWork(ev.Event)
-	case Share:
+	case StartBudget:
 		c.share(ev)
-	case Know:
+	case StartKnowledge:
 		c.know(ev)
-	case Join:
+	case StartMembership:
 		c.join(ev)
-	case Peer:
+	case MemberDatagram:
 		c.peer(ev)
 	case HandOver:
 		c.handOver()
-	case Parked:
-		c.moved(ev.Link)
-	case Passed:
-		if l := c.callers[ev.Link]; l != nil {
+	case ReadingStopped:
+		c.moved(ev.Conn)
+	case Transferred:
+		if l := c.callers[ev.Conn]; l != nil {
 			l.passing = false
 		}
-	case Kept:
-		if l := c.callers[ev.Link]; l != nil {
+	case TransferFailed:
+		if l := c.callers[ev.Conn]; l != nil {
 			l.handed, l.passing, l.kept = false, false, true
 		}
 	case Predecessor:
 		c.predecessor(ev)
 	case Relayed:
 		c.relayed(ev)
-	case Over:
+	case EndedCalls:
 		for _, id := range ev.IDs {
 			c.remember(id)
 		}
-	case Sent:
+	case OfferWritten:
 		c.figures.Sends++
-	case Due:
+	case TimerFired:
 		c.due(ev.Token)
 	case Stop:
 		if !c.stopping {
 			c.stopping = true
 			c.timer(c.now+c.limits.StopGrace, Token{kind: tokenStop})
-			c.timer(c.now+c.limits.StopMost, Token{kind: tokenFinal})
+			c.timer(c.now+c.limits.MaxStopWait, Token{kind: tokenFinal})
 			c.toPeers(membership.Drain{On: true})
 		}
 	}
@@ -331,7 +331,7 @@
 
 // tell hands the module an event and carries out what it decides.
 func (c *Core) tell(ev elmseam.Event) {
-	if c.hook.Deaf != nil && c.hook.Deaf(ev) {
+	if c.hook.SuppressEvent != nil && c.hook.SuppressEvent(ev) {
 		return
 	}
 	actions := c.ctl.Handle(c.now, ev, nil)
@@ -370,15 +370,15 @@
 	}
 	if yes = yes && !c.stopping && !c.draining; yes != c.serving {
 		c.serving = yes
-		c.do(Serving{Yes: yes})
-		c.toWork(maintenance.Serving{Yes: yes})
+		c.do(Serving{On: yes})
+		c.toWork(maintenance.Serving{Serving: yes})
 	}
 	if !c.able && yes {
 		for _, s := range c.order {
 			c.able = c.able || s.told == elmseam.Ready && len(s.lines) > 0
 		}
 		if c.able {
-			c.do(Able{})
+			c.do(ReadyToServe{})
 		}
 	}
 	if c.graced && !c.ending && len(c.calls) == 0 && len(c.pending) == 0 && !c.keeps() {
@@ -408,7 +408,7 @@
 	}
 	for _, s := range c.order {
 		for _, l := range s.lines {
-			if c.limits.Transient[s.Front] {
+			if c.limits.Transient[s.Protocol] {
 				c.do(GracefulClose{To: l.link})
 			}
 		}
@@ -433,7 +433,7 @@
 	from := c.callers[ev.From]
 	if from == nil { // its connection has been closed: it comes again on another
 		if c.calls[ev.ID] == nil {
-			c.do(Dropped{ID: ev.ID})
+			c.do(ForgetCall{ID: ev.ID})
 		}
 		return
 	}
@@ -450,8 +450,8 @@
 		c.do(Rejected{To: ev.From, ID: ev.ID, Reason: Congested, RetryAfter: c.limits.RetryHint})
 		return
 	}
-	left := ev.Left - (c.now - ev.At) - c.limits.AnswerMargin
-	size := len(ev.Desc) + len(ev.Key)
+	left := ev.TimeLeft - (c.now - ev.At) - c.limits.AnswerMargin
+	size := len(ev.Desc) + len(ev.NumberText)
 	switch {
 	case ev.Class < 0:
 		c.do(Rejected{To: ev.From, ID: ev.ID, Reason: Unsupported})
@@ -459,7 +459,7 @@
 	case ev.Class >= len(c.figures.Classes): // it comes with a configuration that is on its way here
 		c.do(Rejected{To: ev.From, ID: ev.ID, Reason: Congested, RetryAfter: c.limits.RetryHint})
 		return
-	case left <= 0 || c.away() || c.graced && !c.handing || c.ending || c.open >= c.limits.MaxOpen || c.bytes+size > c.limits.OpenBytes:
+	case left <= 0 || c.away() || c.graced && !c.handing || c.ending || c.open >= c.limits.MaxOpen || c.bytes+size > c.limits.MaxCallBytes:
 		c.do(Rejected{To: ev.From, ID: ev.ID, Reason: Congested, RetryAfter: c.limits.RetryHint})
 		c.count(ev.Class, false, Congested)
 		return
@@ -471,9 +471,9 @@
 	c.bytes += size
 	c.timer(k.deadline, Token{kind: tokenDeadline, call: k.ID, cid: k.cid})
 	c.tell(elmseam.Arrival{
-		Call: k.cid, Class: ev.Class, Number: ev.Number, Cell: ev.Cell, Cut: ev.Cut,
-		Tenant: slices.IndexFunc(c.tenants, func(t elmseam.Tenant) bool { return t.Name == ev.Tenant }),
-		Within: left,
+		Call: k.cid, Class: ev.Class, Number: ev.Number, Cell: ev.Cell, Interrupted: ev.Interrupted,
+		Tenant:   slices.IndexFunc(c.tenants, func(t elmseam.Tenant) bool { return t.Name == ev.Tenant }),
+		TimeLeft: left,
 	})
 	k.Tenant = ""
 }
@@ -500,7 +500,7 @@
 // printOf tells set-ups apart by what they ask for.
 func printOf(ev SetUp) uint64 {
 	h := fnv.New64a()
-	h.Write(append([]byte(ev.Key), 0, byte(ev.Class)))
+	h.Write(append([]byte(ev.NumberText), 0, byte(ev.Class)))
 	h.Write(ev.Desc)
 	return h.Sum64()
 }
@@ -508,13 +508,13 @@
 // final gives a call its one final answer other than standing.
 func (c *Core) final(k *call, r Rejected) {
 	if k.answered {
-		c.do(Broken{ID: k.ID, Rule: "second final answer"})
+		c.do(Violation{ID: k.ID, Rule: "second final answer"})
 		return
 	}
 	switch {
 	case k.gone:
 	case k.orphan:
-		c.do(Dropped{Front: k.front, ID: k.ID})
+		c.do(ForgetCall{Protocol: k.front, ID: k.ID})
 	default:
 		r.To, r.ID = k.From, k.ID
 		c.do(r)
@@ -540,7 +540,7 @@
 
 // drop forgets a call, but for its id.
 func (c *Core) drop(k *call) {
-	if c.calls[k.ID] != k || !c.has(GuardMemory) {
+	if c.calls[k.ID] != k || !c.has(GuardForgetEnded) {
 		return
 	}
 	c.bytes -= k.size
@@ -554,7 +554,7 @@
 func (c *Core) remember(id ID) {
 	c.ended[id] = c.now
 	c.endedAt = append(c.endedAt, over{id, c.now})
-	for len(c.endedAt) > 0 && (c.endedAt[0].at < c.now-c.limits.Remember || c.limits.Ended > 0 && len(c.endedAt) > c.limits.Ended) {
+	for len(c.endedAt) > 0 && (c.endedAt[0].at < c.now-c.limits.EndedCallTTL || c.limits.MaxEndedCalls > 0 && len(c.endedAt) > c.limits.MaxEndedCalls) {
 		if c.ended[c.endedAt[0].id] == c.endedAt[0].at {
 			delete(c.ended, c.endedAt[0].id)
 		}
@@ -566,15 +566,15 @@
 // too many, and the server takes new work. Within the release gap it waits.
 func (c *Core) send(k *call, a elmseam.Send) {
 	s := c.byID[a.Server]
-	if k.answered || k.gone || k.out != nil && c.has(GuardOut) || s == nil {
-		c.do(Broken{ID: k.ID, Rule: "send of a call that may not be sent"})
+	if k.answered || k.gone || k.out != nil && c.has(GuardSingleAttempt) || s == nil {
+		c.do(Violation{ID: k.ID, Rule: "send of a call that may not be sent"})
 		return
 	}
 	at := &attempt{number: k.sends, server: s, at: c.now}
 	k.sends++
 	k.out, s.out[k.ID] = at, k
 	switch {
-	case c.now >= k.deadline || k.most > 0 && k.sends > k.most && c.has(GuardMost), s.told != elmseam.Ready && c.has(GuardPhase):
+	case c.now >= k.deadline || k.most > 0 && k.sends > k.most && c.has(GuardMaxAttempts), s.told != elmseam.Ready && c.has(GuardPhase):
 		c.outcome(k, elmseam.Outcome{Cause: elmseam.CauseNotSent})
 		return
 	case a.Timeout > 0:
@@ -588,7 +588,7 @@
 	s := k.out.server
 	l := c.lineTo(s)
 	switch {
-	case c.now < k.gap && c.has(GuardGap):
+	case c.now < k.gap && c.has(GuardResendWait):
 		c.timer(k.gap, Token{kind: tokenGap, call: k.ID, cid: k.cid, number: uint32(k.out.number)})
 	case l == nil && !c.dial(s):
 		c.outcome(k, elmseam.Outcome{Cause: elmseam.CauseNotSent})
@@ -599,7 +599,7 @@
 		if l.mute == 0 {
 			l.mute = c.now
 		}
-		c.do(Offer{To: l.link, ID: k.ID, Class: k.Name, Key: k.Key, Desc: k.SetUp.Desc, Cell: s.Cell, Until: k.deadline})
+		c.do(Offer{To: l.link, ID: k.ID, Class: k.Name, NumberText: k.NumberText, Desc: k.SetUp.Desc, Cell: s.Cell, Until: k.deadline})
 	}
 }
 
@@ -611,7 +611,7 @@
 		c.outcome(k, elmseam.Outcome{Cause: elmseam.CauseNotSent})
 	case a.phase == sent:
 		a.phase, a.cause = ending, cause
-		c.do(End{To: a.line.link, ID: k.ID, Tell: true})
+		c.do(End{To: a.line.link, ID: k.ID, Notify: true})
 	}
 }
 
@@ -636,21 +636,21 @@
 }
 
 // written says that the end of an attempt has left.
-func (c *Core) written(ev Written) {
-	if k := c.at(ev.Server, ev.Link, ev.ID); k != nil && k.out.phase == ending {
+func (c *Core) written(ev EndWritten) {
+	if k := c.at(ev.Server, ev.Conn, ev.ID); k != nil && k.out.phase == ending {
 		c.outcome(k, elmseam.Outcome{Cause: k.out.cause})
 	}
 }
 
 // notSent says that an attempt never left.
 func (c *Core) notSent(ev NotSent) {
-	if k := c.at(ev.Server, ev.Link, ev.ID); k != nil {
+	if k := c.at(ev.Server, ev.Conn, ev.ID); k != nil {
 		c.outcome(k, elmseam.Outcome{Cause: elmseam.CauseNotSent})
 	}
 }
 
 // at finds the call that has an attempt out at a server, on a connection.
-func (c *Core) at(name string, on Link, id ID) *call {
+func (c *Core) at(name string, on ConnID, id ID) *call {
 	s := c.servers[name]
 	if s == nil {
 		return nil
@@ -664,7 +664,7 @@
 
 // stale says whether what has come on a connection concerns an earlier attempt of the call: that one went over it, and
 // the one that is out did not.
-func (k *call) stale(on Link) bool {
+func (k *call) stale(on ConnID) bool {
 	return slices.Contains(k.past, on) && (k.out.line == nil || k.out.line.link != on)
 }
 
@@ -673,7 +673,7 @@
 	var out elmseam.Report
 	for i, f := range c.columns {
 		for _, t := range r {
-			if t.Figure != f {
+			if t.Metric != f {
 				continue
 			}
 			for len(out) < len(c.columns) {
@@ -700,9 +700,9 @@
 		return
 	}
 	for _, l := range s.lines {
-		l.malformed = l.malformed || l.link == ev.Link
+		l.malformed = l.malformed || l.link == ev.Conn
 	}
-	if k := c.at(ev.Server, ev.Link, ev.ID); k != nil && k.out.phase == sent {
+	if k := c.at(ev.Server, ev.Conn, ev.ID); k != nil && k.out.phase == sent {
 		c.giveUp(k, elmseam.CauseReset)
 	}
 	c.retire(s)
@@ -717,19 +717,19 @@
 	if s == nil {
 		return
 	}
-	s.heard(ev.Link)
+	s.heard(ev.Conn)
 	k := s.out[ev.ID]
 	switch {
 	case k == nil && s.standing[ev.ID] != nil:
 		return // said twice
-	case k != nil && k.stale(ev.Link) && c.has(GuardFinal):
+	case k != nil && k.stale(ev.Conn) && c.has(GuardSingleAnswer):
 		return // to an earlier attempt, whose end is on the way
 	case k == nil:
 		c.endAt(s, ev.ID)
 		return
-	case k.out.phase != sent && c.has(GuardFinal):
+	case k.out.phase != sent && c.has(GuardSingleAnswer):
 		return // its end is on the way
-	case (k.orphan || k.gone || k.answered) && c.has(GuardFinal) || c.now > k.deadline+c.limits.AnswerMargin:
+	case (k.orphan || k.gone || k.answered) && c.has(GuardSingleAnswer) || c.now > k.deadline+c.limits.AnswerMargin:
 		c.giveUp(k, elmseam.CauseCancelled)
 		return
 	}
@@ -747,7 +747,7 @@
 	}
 	c.do(Answered{To: k.From, ID: k.ID, Desc: ev.Desc})
 	c.count(k.Class, true, Normal)
-	c.tell(elmseam.Standing{Call: k.cid, Server: s.id, Took: took})
+	c.tell(elmseam.Established{Call: k.cid, Server: s.id, SetUpTime: took})
 	c.health(s, ev.Report)
 	c.retire(s)
 	c.settle()
@@ -759,10 +759,10 @@
 	if s == nil {
 		return
 	}
-	s.heard(ev.Link)
+	s.heard(ev.Conn)
 	o := elmseam.Outcome{Refusal: ev.Refusal, Report: c.told(ev.Report)}
 	if k := s.standing[ev.ID]; k != nil {
-		if ev.Refuses { // a second answer to its set-up
+		if ev.RefusalOnly { // a second answer to its set-up
 			c.health(s, ev.Report)
 			return
 		}
@@ -773,7 +773,7 @@
 		return
 	}
 	k := s.out[ev.ID]
-	if k == nil || k.out.phase != sent || k.stale(ev.Link) {
+	if k == nil || k.out.phase != sent || k.stale(ev.Conn) {
 		c.health(s, ev.Report)
 		if k == nil {
 			c.stray(ev)
@@ -796,7 +796,7 @@
 // stray passes on the release of a call that stood before this program started, or that this program
 // never saw: it is nobody's second answer, as ids of calls that ended here are remembered.
 func (c *Core) stray(ev ServerEnd) {
-	if _, known := c.ended[ev.ID]; known && c.has(GuardRelease) || c.calls[ev.ID] != nil || ev.Reason == Full || ev.Reason == Busy || ev.Reason == Unsent {
+	if _, known := c.ended[ev.ID]; known && c.has(GuardSingleRelease) || c.calls[ev.ID] != nil || ev.Reason == Full || ev.Reason == Busy || ev.Reason == Unsent {
 		return
 	}
 	if c.preceded { // it knows whether it is over
@@ -809,7 +809,7 @@
 		c.release(l.front, l.link, ev.ID, ev.Reason)
 		return
 	}
-	told := make(map[Front]bool)
+	told := make(map[Protocol]bool)
 	for _, l := range c.links { // whose it was isn't known
 		if !told[l.front] {
 			told[l.front] = true
@@ -846,7 +846,7 @@
 
 // release sends a caller the end of a call that stood, on its connection or another of its front, best one
 // that has had calls and is in use; if there is none, on the next.
-func (c *Core) release(front Front, to Link, id ID, why Reason) {
+func (c *Core) release(front Protocol, to ConnID, id ID, why Reason) {
 	if c.callers[to] == nil {
 		var best *caller
 		for _, l := range c.links {
@@ -855,7 +855,7 @@
 			}
 		}
 		if best == nil && c.handing && c.limits.Transient[front] {
-			c.do(ToSuccessor{Front: front, Effect: Released{ID: id, Reason: why}})
+			c.do(ToSuccessor{Protocol: front, Effect: Released{ID: id, Reason: why}})
 			return
 		}
 		if best == nil {
@@ -872,10 +872,10 @@
 	waiting := c.pending
 	c.pending = nil
 	for _, p := range waiting {
-		if p.at > c.now-c.limits.Remember {
+		if p.at > c.now-c.limits.EndedCallTTL {
 			c.release(p.front, 0, p.id, p.why)
 		} else {
-			c.do(Dropped{Front: p.front, ID: p.id})
+			c.do(ForgetCall{Protocol: p.front, ID: p.id})
 		}
 	}
 }
@@ -890,7 +890,7 @@
 	case k == nil:
 		_, known := c.ended[ev.ID]
 		switch {
-		case known, ev.Moot:
+		case known, ev.SetUpDiscarded:
 		case c.preceded:
 			delete(c.stood, ev.ID)
 			delete(c.foreign, ev.ID)
@@ -920,7 +920,7 @@
 		return
 	}
 	if k.orphan {
-		c.do(Dropped{Front: k.front, ID: k.ID})
+		c.do(ForgetCall{Protocol: k.front, ID: k.ID})
 	}
 	c.tell(elmseam.CallerGone{Call: k.cid})
 	c.close(k)
@@ -928,8 +928,8 @@
 
 // callerUp takes in a connection of a caller.
 func (c *Core) callerUp(ev CallerUp) {
-	l := &caller{link: ev.Link, front: ev.Front, heard: c.now}
-	c.callers[ev.Link] = l
+	l := &caller{link: ev.Conn, front: ev.Protocol, heard: c.now}
+	c.callers[ev.Conn] = l
 	c.links = append(c.links, l)
 	c.adopt(l, ev)
 	c.settle()
@@ -942,8 +942,8 @@
 }
 
 // busy are the connections on which a set-up is open, here or with a predecessor.
-func (c *Core) busy() map[Link]bool {
-	busy := make(map[Link]bool)
+func (c *Core) busy() map[ConnID]bool {
+	busy := make(map[ConnID]bool)
 	for _, k := range c.calls {
 		if !k.answered && !k.gone && !k.orphan {
 			busy[k.From] = true
@@ -958,7 +958,7 @@
 // settle closes the connections that have to go and have no set-up open: those from which nothing can be read and, where
 // there are too many, those that can be missed first. Where each has one open there are too many for a while.
 func (c *Core) settle() {
-	most := c.limits.Callers
+	most := c.limits.MaxCallerConns
 	if c.halved { // descriptors are shared
 		most /= 2
 	}
@@ -974,9 +974,9 @@
 	for len(c.links) > most {
 		victim := c.spare(busy)
 		if victim == nil {
-			if !c.room && c.limits.Fresh > 0 {
+			if !c.room && c.limits.NewConnGrace > 0 {
 				c.room = true
-				c.timer(c.now+c.limits.Fresh, Token{kind: tokenRoom})
+				c.timer(c.now+c.limits.NewConnGrace, Token{kind: tokenRoom})
 			}
 			return
 		}
@@ -992,10 +992,10 @@
 
 // spare is the connection that can be missed first: one that has never asked for anything, the oldest of them,
 // or else the one that has been idle longest. One that has just come can't: what it asks is on its way.
-func (c *Core) spare(busy map[Link]bool) (victim *caller) {
+func (c *Core) spare(busy map[ConnID]bool) (victim *caller) {
 	for _, l := range c.links[:max(len(c.links)-1, 0)] {
 		switch {
-		case busy[l.link], l.handed, !l.asked && c.now < l.heard+c.limits.Fresh:
+		case busy[l.link], l.handed, !l.asked && c.now < l.heard+c.limits.NewConnGrace:
 		case victim == nil, victim.asked && !l.asked, victim.asked == l.asked && l.heard < victim.heard:
 			victim = l
 		}
@@ -1004,13 +1004,13 @@
 }
 
 // forgetCaller takes a connection off the list.
-func (c *Core) forgetCaller(l Link) {
+func (c *Core) forgetCaller(l ConnID) {
 	delete(c.callers, l)
 	c.links = slices.DeleteFunc(c.links, func(have *caller) bool { return have.link == l })
 }
 
 // callerDown ends a caller's connection. Its set-ups may come again on another one shortly.
-func (c *Core) callerDown(l Link) {
+func (c *Core) callerDown(l ConnID) {
 	c.forgetCaller(l)
 	c.forgetForeign(l)
 	for _, k := range inOrder(c.calls) {
@@ -1029,7 +1029,7 @@
 	}
 	switch t.kind {
 	case tokenController:
-		c.tell(elmseam.Wake{Token: t.number})
+		c.tell(elmseam.TimerFired{Token: t.number})
 	case tokenDeadline:
 		if !k.answered {
 			c.deadline(k)
@@ -1054,7 +1054,7 @@
 			}
 		}
 	case tokenLost:
-		if s := c.servers[t.server]; s != nil && s.lost != 0 && c.now >= s.lost+c.limits.ServerLost {
+		if s := c.servers[t.server]; s != nil && s.lost != 0 && c.now >= s.lost+c.limits.ServerLostAfter {
 			c.cutAll(s)
 		}
 	case tokenDrain:
@@ -1074,19 +1074,19 @@
 	case tokenProbe:
 		c.overdue(t)
 	case tokenMember:
-		c.toPeers(membership.Due{Token: t.member})
+		c.toPeers(membership.TimerFired{Token: t.member})
 	case tokenKnow:
 		c.seen()
-		c.toKnow(knowledge.Due{Token: t.know})
+		c.toKnow(knowledge.TimerFired{Token: t.know})
 	case tokenHearsay:
 		c.unhear(t.server)
 	case tokenParts:
-		c.toParts(budget.Use{Parts: c.coldUse()})
+		c.toParts(budget.Demand{Quotas: c.coldUse()})
 		c.colds()
-		c.toParts(budget.Due{Token: t.parts})
+		c.toParts(budget.TimerFired{Token: t.parts})
 		c.allot()
 	case tokenWork:
-		c.toWork(maintenance.Due{Token: t.work})
+		c.toWork(maintenance.TimerFired{Token: t.work})
 	}
 }
 
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -33,34 +33,34 @@
 	"share told": {
 		Classes:     []elmseam.Class{{Aim: time.Second, Deadline: 9 * time.Second, Worth: 1}},
 		MaxAttempts: 4, MaxRetryAfter: 2 * time.Second, CanCancel: true, OwnCell: -1,
-		ResendGap: 500 * ms, ReleaseGuard: 200 * ms, ColdFrom: 0.3, ColdRamp: 14 * time.Second,
-		TipMultiple: 2.5, TipAfter: time.Second,
+		RetransmitInterval: 500 * ms, ReleaseGuard: 200 * ms, ColdInitialShare: 0.3, ColdRamp: 14 * time.Second,
+		OverloadMultiple: 2.5, OverloadAfter: time.Second,
 	},
 	"wait told": {
 		Classes: []elmseam.Class{{Aim: 1500 * ms, Deadline: 9 * time.Second, Worth: 1}, {Aim: 1500 * ms, Deadline: 9 * time.Second, Worth: 3}},
 		Tenants: []elmseam.Tenant{{Name: "x", Allowance: 54}, {Name: "y", Allowance: 19}}, OverShareWorth: 0.1,
-		Report:      []elmseam.Figure{elmseam.FigureFreeLines, elmseam.FigureLines, elmseam.FigureWait},
-		MaxAttempts: 5, MaxRetryAfter: 2 * time.Second, CanCancel: true, OwnCell: -1,
-		ResendGap: 800 * ms, ReleaseGuard: 300 * ms, ColdFrom: 0.29, ColdRamp: 14 * time.Second,
-		TipMultiple: 3, TipAfter: time.Second,
+		ReportMetrics: []elmseam.LoadMetric{elmseam.LoadMetricFreeLines, elmseam.LoadMetricTotalLines, elmseam.LoadMetricWait},
+		MaxAttempts:   5, MaxRetryAfter: 2 * time.Second, CanCancel: true, OwnCell: -1,
+		RetransmitInterval: 800 * ms, ReleaseGuard: 300 * ms, ColdInitialShare: 0.29, ColdRamp: 14 * time.Second,
+		OverloadMultiple: 3, OverloadAfter: time.Second,
 	},
 }
 
 func rigOf(t *testing.T, set elmseam.Settings) *rig {
 	t.Helper()
 	c, err := New(set, 1, Limits{
-		AnswerMargin: 15 * ms, Rebind: 100 * ms, RedialLeast: 100 * ms, RedialMost: 500 * ms,
-		Probe:      probe.Limits{Permitted: len(set.Tenants) > 0, Rate: 5, Burst: 2, Timeout: 300 * ms},
-		ServerLost: 6 * time.Second, StopGrace: 700 * ms, StopMost: 9 * time.Second, Callers: 100, MaxOpen: 100, OpenBytes: 100, Remember: time.Minute, Hearsay: 5 * time.Second,
+		AnswerMargin: 15 * ms, Rebind: 100 * ms, MinRedial: 100 * ms, MaxRedial: 500 * ms,
+		Probe:           probe.Limits{Permitted: len(set.Tenants) > 0, Rate: 5, Burst: 2, Timeout: 300 * ms},
+		ServerLostAfter: 6 * time.Second, StopGrace: 700 * ms, MaxStopWait: 9 * time.Second, MaxCallerConns: 100, MaxOpen: 100, MaxCallBytes: 100, EndedCallTTL: time.Minute, ReportedDrainTTL: 5 * time.Second,
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	r := &rig{t: t, c: c, now: time.Hour}
-	r.step(CallerUp{Link: 1, Front: "f"})
+	r.step(CallerUp{Conn: 1, Protocol: "f"})
 	r.list(elmseam.Ready, elmseam.Ready)
-	r.step(ServerUp{Server: "a", Address: "a:1", Link: 10})
-	r.step(ServerUp{Server: "b", Address: "b:1", Link: 11})
+	r.step(ServerUp{Server: "a", Address: "a:1", Conn: 10})
+	r.step(ServerUp{Server: "b", Address: "b:1", Conn: 11})
 	return r
 }
 
@@ -87,23 +87,23 @@
 			said += fmt.Sprintf("rejected%d@%d ", e.ID, e.To)
 		case Released:
 			said += fmt.Sprintf("released%d@%d ", e.ID, e.To)
-		case Test:
+		case Probe:
 			said += fmt.Sprintf("test%d@%d ", e.ID, e.To)
 		case Withdraw:
 			said += fmt.Sprintf("withdraw@%d ", e.To)
-		case Move:
+		case StopReading:
 			said += fmt.Sprintf("move@%d ", e.To)
-		case Pass:
-			said += fmt.Sprintf("pass@%d%v%v ", e.To, e.Open, e.Stand)
+		case Transfer:
+			said += fmt.Sprintf("pass@%d%v%v ", e.To, e.Open, e.Established)
 		case ToPredecessor:
 			said += "to the older "
 		case ToSuccessor:
 			said += "to the newer "
 		case GracefulClose:
 			said += fmt.Sprintf("close@%d ", e.To)
-		case Hangup:
+		case CloseConn:
 			said += fmt.Sprintf("hangup@%d ", e.To)
-		case Dropped:
+		case ForgetCall:
 			said += fmt.Sprintf("dropped%d ", e.ID)
 		case Stopped:
 			said += "stopped "
@@ -113,7 +113,7 @@
 			if r.dials {
 				said += "dial-" + e.Server + " "
 			}
-		case Broken:
+		case Violation:
 			r.t.Errorf("a guard had to hold: call %d: %s", e.ID, e.Rule)
 		}
 	}
@@ -136,7 +136,7 @@
 		t := r.due[next]
 		r.due = append(r.due[:next], r.due[next+1:]...)
 		r.now = max(r.now, t.At)
-		said += r.step(Due{Token: t.Token})
+		said += r.step(TimerFired{Token: t.Token})
 	}
 }
 
@@ -150,7 +150,7 @@
 }
 
 func (r *rig) setUp(id ID, left time.Duration) string {
-	return r.step(SetUp{ID: id, From: 1, Cell: 0, Left: left, At: r.now})
+	return r.step(SetUp{ID: id, From: 1, Cell: 0, TimeLeft: left, At: r.now})
 }
 
 // A reset server connection ends the attempt, and the call goes elsewhere only after the release gap;
@@ -158,10 +158,10 @@
 func TestResetThenGapThenElsewhere(t *testing.T) {
 	r := newRig(t)
 	r.want(r.setUp(7, 5*time.Second), "offer7@10 ")
-	r.want(r.step(ServerDown{Server: "a", Link: 10}), "")
+	r.want(r.step(ServerDown{Server: "a", Conn: 10}), "")
 	r.want(r.pass(199*ms), "")
 	r.want(r.pass(2*ms), "offer7@11 ")
-	r.step(ServerUp{Server: "a", Address: "a:1", Link: 12})
+	r.step(ServerUp{Server: "a", Address: "a:1", Conn: 12})
 	r.want(r.step(ServerAnswer{Server: "a", ID: 7}), "end7@12 ")
 	r.want(r.step(ServerAnswer{Server: "b", ID: 7}), "answered7@1 ")
 	r.want(r.step(ServerAnswer{Server: "b", ID: 7}), "")
@@ -181,7 +181,7 @@
 		t.Fatal("the attempt is over before its end was written")
 	}
 	r.want(r.step(ServerAnswer{Server: "a", ID: 7}), "")
-	r.want(r.step(Written{Server: "a", ID: 7}), "")
+	r.want(r.step(EndWritten{Server: "a", ID: 7}), "")
 	r.want(r.pass(201*ms), "offer7@11 ")
 }
 
@@ -200,10 +200,10 @@
 // are queued on it are withdrawn.
 func TestDrainStopsWhatWaits(t *testing.T) {
 	r := newRig(t)
-	r.step(ServerDown{Server: "a", Link: 10})
+	r.step(ServerDown{Server: "a", Conn: 10})
 	r.want(r.setUp(7, 5*time.Second), "") // dialling
 	r.want(r.list(elmseam.Draining, elmseam.Ready), "offer7@11 ")
-	r.want(r.step(ServerUp{Server: "a", Address: "a:1", Link: 12}), "hangup@12 ") // too late to be of use
+	r.want(r.step(ServerUp{Server: "a", Address: "a:1", Conn: 12}), "hangup@12 ") // too late to be of use
 	r.want(r.list(elmseam.Ready, elmseam.Draining), "withdraw@11 ")
 	r.want(r.step(NotSent{Server: "b", ID: 7}), "rejected7@1 ")
 }
@@ -216,16 +216,16 @@
 		r.setUp(id, 5*time.Second)
 		r.step(ServerAnswer{Server: "a", ID: id})
 	}
-	r.want(r.step(ServerDown{Server: "a", Link: 10}), "")
-	r.want(r.step(CallerDown{Link: 1}), "")
-	r.step(ServerUp{Server: "a", Address: "a:1", Link: 12})
+	r.want(r.step(ServerDown{Server: "a", Conn: 10}), "")
+	r.want(r.step(CallerDown{Conn: 1}), "")
+	r.step(ServerUp{Server: "a", Address: "a:1", Conn: 12})
 	r.want(r.step(ServerEnd{Server: "a", ID: 1, Reason: Normal}), "")
-	r.want(r.step(CallerUp{Link: 2, Front: "f"}), "released1@2 ")
+	r.want(r.step(CallerUp{Conn: 2, Protocol: "f"}), "released1@2 ")
 	r.want(r.step(CallerEnd{ID: 2, From: 2}), "end2@12 ")
 	r.want(r.list(elmseam.Gone, elmseam.Ready), "withdraw@12 released3@2 hangup@12 ")
-	r.step(SetUp{ID: 4, From: 2, Left: 5 * time.Second, At: r.now})
+	r.step(SetUp{ID: 4, From: 2, TimeLeft: 5 * time.Second, At: r.now})
 	r.step(ServerAnswer{Server: "b", ID: 4})
-	r.step(ServerDown{Server: "b", Link: 11})
+	r.step(ServerDown{Server: "b", Conn: 11})
 	r.want(r.pass(5900*ms), "")
 	r.want(r.pass(200*ms), "released4@2 ")
 }
@@ -235,11 +235,11 @@
 func TestSetUpComesAgain(t *testing.T) {
 	r := newRig(t)
 	r.want(r.setUp(7, 5*time.Second)+r.setUp(8, 5*time.Second), "offer7@10 offer8@10 ")
-	r.step(CallerDown{Link: 1})
-	r.step(CallerUp{Link: 2, Front: "f"})
-	r.want(r.step(SetUp{ID: 7, From: 2, Left: 5 * time.Second, At: r.now}), "")
+	r.step(CallerDown{Conn: 1})
+	r.step(CallerUp{Conn: 2, Protocol: "f"})
+	r.want(r.step(SetUp{ID: 7, From: 2, TimeLeft: 5 * time.Second, At: r.now}), "")
 	r.want(r.pass(101*ms), "dropped8 end8@10 ")
-	r.want(r.step(Written{Server: "a", ID: 8}), "")
+	r.want(r.step(EndWritten{Server: "a", ID: 8}), "")
 	r.want(r.step(ServerAnswer{Server: "a", ID: 7}), "answered7@2 ")
 }
 
@@ -273,14 +273,14 @@
 	r.want(r.step(ServerEnd{Server: "a", ID: 99, Reason: Normal}), "")
 	r.setUp(7, 5*time.Second)
 	r.step(CallerEnd{ID: 7, From: 1})
-	r.step(Written{Server: "a", ID: 7})
+	r.step(EndWritten{Server: "a", ID: 7})
 	r.want(r.step(ServerEnd{Server: "a", ID: 7, Reason: Reset}), "")
 }
 
 // Large descriptions of many open calls cost no more memory than there is: the next call is refused.
 func TestOpenCallsKeepWithinMemory(t *testing.T) {
 	r := newRig(t)
-	big := SetUp{ID: 1, From: 1, Left: 5 * time.Second, At: r.now, Desc: make([]byte, 80)}
+	big := SetUp{ID: 1, From: 1, TimeLeft: 5 * time.Second, At: r.now, Desc: make([]byte, 80)}
 	r.want(r.step(big), "offer1@10 ")
 	big.ID = 2
 	r.want(r.step(big), "rejected2@1 ")
@@ -309,7 +309,7 @@
 			switch e := e.(type) {
 			case Offer:
 				said += "offer "
-			case Broken:
+			case Violation:
 				said += "held "
 			case Timer:
 				r.due = append(r.due, e)
@@ -320,11 +320,11 @@
 	k := newCall(1)
 	r.want(send(k, "a"), "offer ")
 	r.want(send(k, "b"), "held ") // one is out
-	r.step(ServerDown{Server: "a", Link: 10})
+	r.step(ServerDown{Server: "a", Conn: 10})
 	r.want(send(k, "b"), "") // within the gap: it waits
 	r.want(r.pass(199*ms), "")
 	r.want(r.pass(2*ms), "offer1@11 ")
-	r.step(ServerUp{Server: "a", Address: "a:1", Link: 12})
+	r.step(ServerUp{Server: "a", Address: "a:1", Conn: 12})
 	r.c.servers["a"].told = elmseam.Draining
 	k = newCall(2)
 	if r.want(send(k, "a"), ""); k.out != nil {
@@ -348,22 +348,22 @@
 // and was given its answer. Two under one id on one connection are both refused, and an id that is over stays over.
 func TestRepeatedIDs(t *testing.T) {
 	r := newRig(t)
-	r.step(CallerUp{Link: 2, Front: "f"})
+	r.step(CallerUp{Conn: 2, Protocol: "f"})
 	r.want(r.setUp(7, 5*time.Second), "offer7@10 ")
-	r.want(r.step(SetUp{ID: 7, From: 2, Cell: 0, Left: 5 * time.Second, At: r.now, Desc: []byte("another")}), "rejected7@2 ")
+	r.want(r.step(SetUp{ID: 7, From: 2, Cell: 0, TimeLeft: 5 * time.Second, At: r.now, Desc: []byte("another")}), "rejected7@2 ")
 	r.want(r.step(CallerEnd{ID: 7, From: 2}), "")
 	r.want(r.step(ServerAnswer{Server: "a", ID: 7}), "answered7@1 ")
-	r.want(r.step(SetUp{ID: 7, From: 2, Cell: 0, Left: 5 * time.Second, At: r.now, Desc: []byte("another")}), "rejected7@2 ")
-	r.want(r.step(CallerDown{Link: 1}), "")
+	r.want(r.step(SetUp{ID: 7, From: 2, Cell: 0, TimeLeft: 5 * time.Second, At: r.now, Desc: []byte("another")}), "rejected7@2 ")
+	r.want(r.step(CallerDown{Conn: 1}), "")
 	r.want(r.setUp(7, 5*time.Second), "") // what a connection sent before it was closed: it can't be told anything
-	r.want(r.step(SetUp{ID: 7, From: 2, Cell: 0, Left: 5 * time.Second, At: r.now}), "answered7@2 ")
+	r.want(r.step(SetUp{ID: 7, From: 2, Cell: 0, TimeLeft: 5 * time.Second, At: r.now}), "answered7@2 ")
 	r.want(r.step(ServerEnd{Server: "a", ID: 7}), "released7@2 ")
 
-	r.want(r.step(SetUp{ID: 8, From: 2, Cell: 0, Left: 5 * time.Second, At: r.now}), "offer8@10 ")
-	r.want(r.step(SetUp{ID: 8, From: 2, Cell: 0, Left: 5 * time.Second, At: r.now}), "rejected8@2 end8@10 rejected8@2 ")
-	r.want(r.step(SetUp{ID: 8, From: 2, Cell: 0, Left: 5 * time.Second, At: r.now}), "rejected8@2 ")
-	r.step(Written{Server: "a", ID: 8})
-	r.want(r.step(SetUp{ID: 8, From: 2, Cell: 0, Left: 5 * time.Second, At: r.now}), "rejected8@2 ")
+	r.want(r.step(SetUp{ID: 8, From: 2, Cell: 0, TimeLeft: 5 * time.Second, At: r.now}), "offer8@10 ")
+	r.want(r.step(SetUp{ID: 8, From: 2, Cell: 0, TimeLeft: 5 * time.Second, At: r.now}), "rejected8@2 end8@10 rejected8@2 ")
+	r.want(r.step(SetUp{ID: 8, From: 2, Cell: 0, TimeLeft: 5 * time.Second, At: r.now}), "rejected8@2 ")
+	r.step(EndWritten{Server: "a", ID: 8})
+	r.want(r.step(SetUp{ID: 8, From: 2, Cell: 0, TimeLeft: 5 * time.Second, At: r.now}), "rejected8@2 ")
 }
 
 // Connections that ask for nothing fill up what callers may hold: they go first, then the ones idle longest. One
@@ -371,31 +371,31 @@
 // answered makes room. It was hung up on, with its set-up, and those that went lost the answer just written.
 func TestCallersMakeRoom(t *testing.T) {
 	r := newRig(t)
-	r.c.limits.Callers = 4
-	for l := Link(2); l <= 4; l++ {
+	r.c.limits.MaxCallerConns = 4
+	for l := ConnID(2); l <= 4; l++ {
 		r.now += ms
-		r.want(r.step(CallerUp{Link: l, Front: "f"}), "")
+		r.want(r.step(CallerUp{Conn: l, Protocol: "f"}), "")
 	}
-	ask := func(l Link) {
+	ask := func(l ConnID) {
 		r.now += ms
-		r.step(SetUp{ID: ID(l), From: l, Cell: 0, Left: time.Minute, At: r.now})
+		r.step(SetUp{ID: ID(l), From: l, Cell: 0, TimeLeft: time.Minute, At: r.now})
 	}
 	ask(1)
 	ask(2)
 	ask(3)
 	r.step(ServerAnswer{Server: "a", ID: 1})
 	r.step(ServerAnswer{Server: "a", ID: 2})
-	r.want(r.step(CallerUp{Link: 5, Front: "f"}), "close@4 ") // never asked
+	r.want(r.step(CallerUp{Conn: 5, Protocol: "f"}), "close@4 ") // never asked
 	ask(5)
-	r.want(r.step(CallerUp{Link: 6, Front: "f"}), "close@1 ") // idle longest, as both calls stand
+	r.want(r.step(CallerUp{Conn: 6, Protocol: "f"}), "close@1 ") // idle longest, as both calls stand
 	ask(6)
-	r.want(r.step(CallerUp{Link: 7, Front: "f"}), "close@2 ")
+	r.want(r.step(CallerUp{Conn: 7, Protocol: "f"}), "close@2 ")
 	ask(7)
-	r.want(r.step(CallerUp{Link: 8, Front: "f"}), "")
-	r.want(r.step(SetUp{ID: 8, From: 8, Cell: 0, Left: time.Minute, At: r.now}), "offer8@10 ")
+	r.want(r.step(CallerUp{Conn: 8, Protocol: "f"}), "")
+	r.want(r.step(SetUp{ID: 8, From: 8, Cell: 0, TimeLeft: time.Minute, At: r.now}), "offer8@10 ")
 	r.want(r.step(ServerAnswer{Server: "a", ID: 3}), "answered3@3 close@3 ")
 	// A front that keeps something for a call, a circuit say, is told that it never was.
-	r.want(r.step(SetUp{ID: 9, From: 3, Cell: 0, Left: time.Minute, At: r.now}), "dropped9 ")
+	r.want(r.step(SetUp{ID: 9, From: 3, Cell: 0, TimeLeft: time.Minute, At: r.now}), "dropped9 ")
 }
 
 // New settings and limits hold from now on, and drop no call in hand: that one keeps the attempts it came with.
@@ -417,7 +417,7 @@
 // What comes at full speed to be turned away, or is told of addresses that no server has, fills no memory.
 func TestMemoriesAreBounded(t *testing.T) {
 	r := newRig(t)
-	r.c.limits.Ended, r.c.limits.Routes = 3, 2
+	r.c.limits.MaxEndedCalls, r.c.limits.MaxRoutes = 3, 2
 	for id := ID(1); id <= 10; id++ {
 		r.setUp(id, 5*time.Second)
 		r.step(ServerEnd{Server: "a", ID: id, Reason: Full})
@@ -439,7 +439,7 @@
 // A server that went and comes back is the same one to the module; what is kept of those that don't is bounded.
 func TestServerComesBack(t *testing.T) {
 	r := newRig(t)
-	r.c.limits.Left = 2
+	r.c.limits.MaxRemovedServers = 2
 	id := r.c.servers["a"].id
 	r.list(elmseam.Gone, elmseam.Ready)
 	r.list(elmseam.Ready, elmseam.Ready)
--- a/internal/core/crossings_test.go
+++ b/internal/core/crossings_test.go
@@ -26,28 +26,28 @@
 // reader closed it by its own clock, and the answer had no way.
 func TestIdleCloseCrossesASetUp(t *testing.T) {
 	r := newRig(t)
-	r.want(r.setUp(7, 5*time.Second)+r.step(CallerIdle{Link: 1}), "offer7@10 ")
-	r.want(r.step(ServerAnswer{Server: "a", ID: 7})+r.step(CallerIdle{Link: 1}), "answered7@1 close@1 ")
-	r.want(r.step(CallerIdle{Link: 1}), "")
-	r.step(CallerUp{Link: 2, Front: "f", Open: []ID{5}, Asked: true})
-	r.want(r.step(CallerIdle{Link: 2}), "")
-	r.step(Relayed{Front: "f", Link: 2, Effect: Rejected{ID: 5}})
-	r.want(r.step(CallerIdle{Link: 2}), "close@2 ")
+	r.want(r.setUp(7, 5*time.Second)+r.step(CallerIdle{Conn: 1}), "offer7@10 ")
+	r.want(r.step(ServerAnswer{Server: "a", ID: 7})+r.step(CallerIdle{Conn: 1}), "answered7@1 close@1 ")
+	r.want(r.step(CallerIdle{Conn: 1}), "")
+	r.step(CallerUp{Conn: 2, Protocol: "f", Open: []ID{5}, HadSetUp: true})
+	r.want(r.step(CallerIdle{Conn: 2}), "")
+	r.step(Relayed{Protocol: "f", Conn: 2, Effect: Rejected{ID: 5}})
+	r.want(r.step(CallerIdle{Conn: 2}), "close@2 ")
 }
 
 // Nonsense behind set-ups that are open costs these nothing: each gets its answer, then the connection ends. It was
 // closed at once, and they were given up without a word.
 func TestMalformedCallerGetsWhatItIsOwed(t *testing.T) {
 	r := newRig(t)
-	r.want(r.setUp(7, 5*time.Second)+r.setUp(8, time.Second)+r.step(CallerMalformed{Link: 1}), "offer7@10 offer8@10 ")
+	r.want(r.setUp(7, 5*time.Second)+r.setUp(8, time.Second)+r.step(CallerMalformed{Conn: 1}), "offer7@10 offer8@10 ")
 	r.want(r.step(ServerAnswer{Server: "a", ID: 7}), "answered7@1 ")
 	r.want(r.pass(time.Second), "end8@10 rejected8@1 close@1 ")
-	r.step(CallerUp{Link: 2, Front: "f"})
-	r.want(r.step(CallerMalformed{Link: 2}), "close@2 ")
-	r.step(CallerUp{Link: 3, Front: "f"}) // one that leaves is not kept for its set-up
-	r.step(SetUp{ID: 9, From: 3, Left: 5 * time.Second, At: r.now})
-	r.step(CallerMalformed{Link: 3})
-	r.step(CallerDown{Link: 3})
+	r.step(CallerUp{Conn: 2, Protocol: "f"})
+	r.want(r.step(CallerMalformed{Conn: 2}), "close@2 ")
+	r.step(CallerUp{Conn: 3, Protocol: "f"}) // one that leaves is not kept for its set-up
+	r.step(SetUp{ID: 9, From: 3, TimeLeft: 5 * time.Second, At: r.now})
+	r.step(CallerMalformed{Conn: 3})
+	r.step(CallerDown{Conn: 3})
 	r.want(r.pass(101*ms), "dropped9 end9@10 ")
 }
 
@@ -56,13 +56,13 @@
 // the longest time that is waited for, open set-ups were left without an answer.
 func TestStopAnswersEverySetUp(t *testing.T) {
 	r := newRig(t)
-	r.c.limits.StopLinger, r.c.limits.Transient = 60*ms, map[Front]bool{"f": true}
+	r.c.limits.StopLinger, r.c.limits.Transient = 60*ms, map[Protocol]bool{"f": true}
 	r.want(r.setUp(1, 30*time.Second)+r.step(ServerAnswer{Server: "a", ID: 1}), "offer1@10 answered1@1 ")
-	r.want(r.setUp(2, 30*time.Second)+r.step(ServerDown{Server: "a", Link: 10}), "offer2@10 ") // within the gap
+	r.want(r.setUp(2, 30*time.Second)+r.step(ServerDown{Server: "a", Conn: 10}), "offer2@10 ") // within the gap
 	r.want(r.setUp(3, 30*time.Second), "")                                                     // waits for a connection
 	r.step(Stop{})
 	r.step(Stop{}) // a second one changes nothing
-	r.want(r.step(ServerUp{Server: "a", Address: "a:1", Link: 12}), "offer3@12 ")
+	r.want(r.step(ServerUp{Server: "a", Address: "a:1", Conn: 12}), "offer3@12 ")
 	r.want(r.setUp(4, 30*time.Second), "offer4@12 ") // in the grace
 	r.want(r.pass(201*ms), "offer2@11 ")
 	r.want(r.step(ServerEnd{Server: "b", ID: 2, Reason: Busy})+r.step(ServerAnswer{Server: "a", ID: 4}), "rejected2@1 answered4@1 ")
@@ -75,12 +75,12 @@
 	}
 
 	r = newRig(t) // what crosses the end itself
-	r.c.limits.StopLinger, r.c.limits.Transient = 60*ms, map[Front]bool{"f": true}
+	r.c.limits.StopLinger, r.c.limits.Transient = 60*ms, map[Protocol]bool{"f": true}
 	r.step(Stop{})
 	r.want(r.pass(701*ms), "closes its listener ")
 	r.want(r.setUp(6, 5*time.Second), "rejected6@1 ")
-	r.step(CallerUp{Link: 2, Front: "f"}) // the machine had accepted it
-	r.want(r.step(SetUp{ID: 7, From: 2, Left: 5 * time.Second, At: r.now}), "rejected7@2 ")
+	r.step(CallerUp{Conn: 2, Protocol: "f"}) // the machine had accepted it
+	r.want(r.step(SetUp{ID: 7, From: 2, TimeLeft: 5 * time.Second, At: r.now}), "rejected7@2 ")
 	r.want(r.step(HandOver{}), "") // a successor that comes now finds them on their own connections
 	r.want(r.pass(61*ms), "close@1 close@2 stopped ")
 }
@@ -89,25 +89,25 @@
 // the same server over another connection, and a refusal ends no call that stands.
 func TestSecondAnswerComesLate(t *testing.T) {
 	r := newRig(t)
-	r.c.limits.Lines = map[Front]int{"": 2}
-	r.step(ServerUp{Server: "a", Address: "a:1", Link: 12})
+	r.c.limits.ConnsPerServer = map[Protocol]int{"": 2}
+	r.step(ServerUp{Server: "a", Address: "a:1", Conn: 12})
 	r.list(elmseam.Ready, elmseam.Gone)
 	r.want(r.setUp(7, 5*time.Second), "offer7@10 ")
 	r.c.servers["a"].lines[0].used, r.c.servers["a"].lines[1].used = r.now+2, r.now+1
 	r.again("a")
-	r.want(r.step(ServerEnd{Server: "a", Link: 10, ID: 7, Reason: Full}), "offer7@12 ")
+	r.want(r.step(ServerEnd{Server: "a", Conn: 10, ID: 7, Reason: Full}), "offer7@12 ")
 	for _, late := range []Event{
-		ServerEnd{Server: "a", Link: 10, ID: 7, Reason: Reset}, ServerEnd{Server: "a", Link: 10, ID: 7, Reason: Full},
-		ServerAnswer{Server: "a", Link: 10, ID: 7}, NotSent{Server: "a", Link: 10, ID: 7}, ServerMalformed{Server: "a", Link: 10, ID: 7},
+		ServerEnd{Server: "a", Conn: 10, ID: 7, Reason: Reset}, ServerEnd{Server: "a", Conn: 10, ID: 7, Reason: Full},
+		ServerAnswer{Server: "a", Conn: 10, ID: 7}, NotSent{Server: "a", Conn: 10, ID: 7}, ServerMalformed{Server: "a", Conn: 10, ID: 7},
 	} {
 		if said := r.step(late); countOf(said, "offer")+countOf(said, "answered")+countOf(said, "end7") > 0 || r.c.calls[7].out == nil {
 			t.Errorf("%T: %q, and the attempt is %v", late, said, r.c.calls[7].out)
 		}
 	}
-	r.want(r.step(ServerAnswer{Server: "a", Link: 12, ID: 7}), "answered7@1 ")
-	r.want(r.step(ServerAnswer{Server: "a", Link: 12, ID: 7}), "")
-	r.want(r.step(ServerEnd{Server: "a", Link: 12, ID: 7, Reason: Full, Refuses: true}), "")
-	r.want(r.step(ServerEnd{Server: "a", Link: 12, ID: 7, Reason: Normal}), "released7@1 ")
+	r.want(r.step(ServerAnswer{Server: "a", Conn: 12, ID: 7}), "answered7@1 ")
+	r.want(r.step(ServerAnswer{Server: "a", Conn: 12, ID: 7}), "")
+	r.want(r.step(ServerEnd{Server: "a", Conn: 12, ID: 7, Reason: Full, RefusalOnly: true}), "")
+	r.want(r.step(ServerEnd{Server: "a", Conn: 12, ID: 7, Reason: Normal}), "released7@1 ")
 }
 
 // The answer, the refusal or the reset of an attempt comes in the same instant as its time-out, on either side of it. It
@@ -117,24 +117,24 @@
 		ev           Event
 		first, after string // with the event before its time-out, and what follows the gap
 	}{
-		{ServerAnswer{Server: "a", Link: 10, ID: 7}, "answered7@1 ", ""},
-		{ServerEnd{Server: "a", Link: 10, ID: 7, Reason: Full}, "offer7@11 ", ""},
-		{ServerEnd{Server: "a", Link: 10, ID: 7, Reason: Reset}, "", "offer7@11 "},
-		{ServerDown{Server: "a", Link: 10}, "", "offer7@11 "},
-		{ServerMalformed{Server: "a", Link: 10, ID: 7}, "end7@10 ", "offer7@11 "},
+		{ServerAnswer{Server: "a", Conn: 10, ID: 7}, "answered7@1 ", ""},
+		{ServerEnd{Server: "a", Conn: 10, ID: 7, Reason: Full}, "offer7@11 ", ""},
+		{ServerEnd{Server: "a", Conn: 10, ID: 7, Reason: Reset}, "", "offer7@11 "},
+		{ServerDown{Server: "a", Conn: 10}, "", "offer7@11 "},
+		{ServerMalformed{Server: "a", Conn: 10, ID: 7}, "end7@10 ", "offer7@11 "},
 	} {
 		for _, first := range []bool{true, false} {
 			r := newRig(t)
 			r.again("b")
 			r.setUp(7, 5*time.Second)
 			k := r.c.calls[7]
-			due := Due{Token: Token{kind: tokenTimeout, call: 7, cid: k.cid, number: uint32(k.out.number)}}
+			due := TimerFired{Token: Token{kind: tokenTimeout, call: 7, cid: k.cid, number: uint32(k.out.number)}}
 			if first {
-				r.want(strings.TrimSuffix(r.step(tt.ev)+r.step(due)+r.step(Written{Server: "a", Link: 10, ID: 7}), "close@10 "), tt.first)
+				r.want(strings.TrimSuffix(r.step(tt.ev)+r.step(due)+r.step(EndWritten{Server: "a", Conn: 10, ID: 7}), "close@10 "), tt.first)
 				r.want(r.pass(199*ms), "")
 				r.want(r.pass(2*ms), tt.after)
 			} else {
-				r.want(strings.TrimSuffix(r.step(due)+r.step(tt.ev)+r.step(Written{Server: "a", Link: 10, ID: 7}), "close@10 "), "end7@10 ")
+				r.want(strings.TrimSuffix(r.step(due)+r.step(tt.ev)+r.step(EndWritten{Server: "a", Conn: 10, ID: 7}), "close@10 "), "end7@10 ")
 				r.want(r.pass(199*ms), "")
 				r.want(r.pass(2*ms), "offer7@11 ")
 			}
@@ -150,16 +150,16 @@
 	r := newRig(t)
 	r.dials = true
 	r.want(r.setUp(7, 5*time.Second)+r.setUp(8, 5*time.Second), "offer7@10 offer8@10 ")
-	r.want(r.step(ServerMalformed{Server: "a", Link: 10, ID: 7}), "end7@10 dial-a ")
-	r.want(r.step(ServerMalformed{Server: "a", Link: 10}), "")
-	r.want(r.step(Written{Server: "a", Link: 10, ID: 7}), "")
-	r.want(r.step(ServerUp{Server: "a", Address: "a:1", Link: 12}), "")
+	r.want(r.step(ServerMalformed{Server: "a", Conn: 10, ID: 7}), "end7@10 dial-a ")
+	r.want(r.step(ServerMalformed{Server: "a", Conn: 10}), "")
+	r.want(r.step(EndWritten{Server: "a", Conn: 10, ID: 7}), "")
+	r.want(r.step(ServerUp{Server: "a", Address: "a:1", Conn: 12}), "")
 	r.want(r.setUp(9, 5*time.Second), "offer9@12 ")
 	r.want(r.pass(199*ms), "")
 	r.want(r.pass(2*ms), "offer7@11 ")
-	r.want(r.step(ServerAnswer{Server: "a", Link: 10, ID: 8}), "answered8@1 close@10 ")
-	r.want(r.step(ServerDown{Server: "a", Link: 10}), "")
-	r.want(r.step(ServerEnd{Server: "a", Link: 12, ID: 8, Reason: Normal}), "released8@1 ")
+	r.want(r.step(ServerAnswer{Server: "a", Conn: 10, ID: 8}), "answered8@1 close@10 ")
+	r.want(r.step(ServerDown{Server: "a", Conn: 10}), "")
+	r.want(r.step(ServerEnd{Server: "a", Conn: 12, ID: 8, Reason: Normal}), "released8@1 ")
 }
 
 // A connection comes up late: its server drains, is gone, has another address, or has enough. It is closed, nothing is
@@ -168,32 +168,32 @@
 func TestConnectionComesUpLate(t *testing.T) {
 	r := newRig(t)
 	r.dials = true
-	r.c.limits.Lines = map[Front]int{"": 2}
+	r.c.limits.ConnsPerServer = map[Protocol]int{"": 2}
 	r.setUp(1, 5*time.Second)
 	r.step(ServerAnswer{Server: "a", ID: 1})
 	r.want(r.list(elmseam.Ready, elmseam.Ready), "dial-a dial-b ") // a second one to each
 	r.want(r.list(elmseam.Draining, elmseam.Ready), "withdraw@10 ")
-	r.want(r.step(ServerUp{Server: "a", Address: "a:1", Link: 12}), "hangup@12 ") // one is enough for what stands
-	r.want(r.step(ServerDown{Server: "a", Link: 12}), "")
+	r.want(r.step(ServerUp{Server: "a", Address: "a:1", Conn: 12}), "hangup@12 ") // one is enough for what stands
+	r.want(r.step(ServerDown{Server: "a", Conn: 12}), "")
 	r.want(r.list(elmseam.Ready, elmseam.Ready), "dial-a ")
 	r.want(r.list(elmseam.Gone, elmseam.Ready), "withdraw@10 released1@1 hangup@10 ")
-	r.want(r.step(ServerUp{Server: "a", Address: "a:1", Link: 13}), "hangup@13 ")
-	r.step(ServerDown{Server: "b", Link: 11})
+	r.want(r.step(ServerUp{Server: "a", Address: "a:1", Conn: 13}), "hangup@13 ")
+	r.step(ServerDown{Server: "b", Conn: 11})
 	r.want(r.setUp(2, 50*time.Millisecond), "") // given up before a connection is there
 	r.want(r.pass(time.Second), "rejected2@1 ")
-	r.want(r.step(ServerUp{Server: "b", Address: "b:1", Link: 14}), "dial-b ")
+	r.want(r.step(ServerUp{Server: "b", Address: "b:1", Conn: 14}), "dial-b ")
 
 	// The dial to where a server was fails late: the set-up that waits for the way to where it is now doesn't pay for it.
 	r = newRig(t)
 	r.dials = true
-	r.step(ServerDown{Server: "a", Link: 10})
-	r.step(ServerDown{Server: "b", Link: 11})
+	r.step(ServerDown{Server: "a", Conn: 10})
+	r.step(ServerDown{Server: "b", Conn: 11})
 	r.pass(ms)
 	r.setUp(3, 5*time.Second)
 	to := r.c.calls[3].out.server.Name
 	r.step(List{Servers: []Server{{Name: to, Address: "elsewhere:1", Phase: elmseam.Ready}}})
 	r.want(r.step(ServerDown{Server: to, Address: to + ":1"}), "dial-"+to+" ")
-	r.want(r.step(ServerUp{Server: to, Address: "elsewhere:1", Link: 12}), "offer3@12 ")
+	r.want(r.step(ServerUp{Server: to, Address: "elsewhere:1", Conn: 12}), "offer3@12 ")
 }
 
 // One event says that a server is gone and that another is at its address: what was out at the first ends as reset and is
@@ -205,14 +205,14 @@
 	r.setUp(1, 5*time.Second)
 	r.step(ServerAnswer{Server: "a", ID: 1})
 	r.setUp(2, 5*time.Second) // at a
-	r.step(ServerDown{Server: "b", Link: 11})
+	r.step(ServerDown{Server: "b", Conn: 11})
 	r.want(r.step(List{Servers: []Server{
 		{Name: "a", Address: "a:1", Phase: elmseam.Gone}, {Name: "b", Address: "b:1", Cell: 1, Phase: elmseam.Gone},
 		{Name: "c", Address: "a:1", Phase: elmseam.Ready, Started: r.now},
 	}}), "withdraw@10 released1@1 hangup@10 dial-c ")
-	r.want(r.step(ServerUp{Server: "a", Address: "a:1", Link: 12}), "hangup@12 ")
-	r.want(r.step(ServerAnswer{Server: "a", Link: 10, ID: 2}), "") // it crossed
-	r.want(r.step(ServerUp{Server: "c", Address: "a:1", Link: 13}), "")
+	r.want(r.step(ServerUp{Server: "a", Address: "a:1", Conn: 12}), "hangup@12 ")
+	r.want(r.step(ServerAnswer{Server: "a", Conn: 10, ID: 2}), "") // it crossed
+	r.want(r.step(ServerUp{Server: "c", Address: "a:1", Conn: 13}), "")
 	r.want(r.pass(199*ms), "")
 	if said := r.pass(2 * time.Second); countOf(said, "offer2") > countOf(said, "offer2@13") || countOf(said, "offer2") > 1 {
 		t.Errorf("after the gap: %q", said)
@@ -224,20 +224,20 @@
 func TestCallerLeavesWhileItsSetUpWaits(t *testing.T) {
 	for name, wait := range map[string]func(r *rig){
 		"for a connection": func(r *rig) {
-			r.step(ServerDown{Server: "a", Link: 10})
-			r.step(ServerDown{Server: "b", Link: 11})
+			r.step(ServerDown{Server: "a", Conn: 10})
+			r.step(ServerDown{Server: "b", Conn: 11})
 			r.setUp(7, 5*time.Second)
 		},
-		"within the gap":        func(r *rig) { r.setUp(7, 5*time.Second); r.step(ServerDown{Server: "a", Link: 10}) },
+		"within the gap":        func(r *rig) { r.setUp(7, 5*time.Second); r.step(ServerDown{Server: "a", Conn: 10}) },
 		"while it is written":   func(r *rig) { r.setUp(7, 5*time.Second) },
-		"for its end's writing": func(r *rig) { r.setUp(7, 5*time.Second); r.step(ServerMalformed{Server: "a", Link: 10, ID: 7}) },
+		"for its end's writing": func(r *rig) { r.setUp(7, 5*time.Second); r.step(ServerMalformed{Server: "a", Conn: 10, ID: 7}) },
 	} {
-		for _, leaves := range []Event{CallerEnd{ID: 7, From: 1}, CallerDown{Link: 1}} {
+		for _, leaves := range []Event{CallerEnd{ID: 7, From: 1}, CallerDown{Conn: 1}} {
 			r := newRig(t)
 			wait(r)
 			said := r.step(leaves) + r.pass(101*ms)
-			said += r.step(ServerUp{Server: "a", Address: "a:1", Link: 12}) + r.step(Written{Server: "a", Link: 10, ID: 7}) + r.pass(10*time.Second)
-			if h := r.c.Held(); countOf(said, "offer") > 0 || countOf(said, "rejected") > 0 || countOf(said, "answered") > 0 || h != (Held{}) {
+			said += r.step(ServerUp{Server: "a", Address: "a:1", Conn: 12}) + r.step(EndWritten{Server: "a", Conn: 10, ID: 7}) + r.pass(10*time.Second)
+			if h := r.c.Retained(); countOf(said, "offer") > 0 || countOf(said, "rejected") > 0 || countOf(said, "answered") > 0 || h != (Retained{}) {
 				t.Errorf("%s, %T: %q, and %+v is kept", name, leaves, said, h)
 			}
 		}
@@ -248,13 +248,13 @@
 // the new call.
 func TestTimersOfAnEarlierCallOfTheSameID(t *testing.T) {
 	r := newRig(t)
-	r.c.limits.Ended = 1
+	r.c.limits.MaxEndedCalls = 1
 	r.setUp(7, 2*time.Second)
 	r.step(CallerEnd{ID: 7, From: 1})
-	r.step(Written{Server: "a", ID: 7})
+	r.step(EndWritten{Server: "a", ID: 7})
 	r.setUp(8, time.Second)
 	r.step(CallerEnd{ID: 8, From: 1})
-	r.step(Written{Server: "a", ID: 8})
+	r.step(EndWritten{Server: "a", ID: 8})
 	r.want(r.setUp(7, 9*time.Second), "offer7@10 ")
 	r.want(r.pass(4*time.Second), "")
 	r.want(r.step(ServerAnswer{Server: "a", ID: 7}), "answered7@1 ")
@@ -265,21 +265,21 @@
 // was read as a number of lines, and the other way round.
 func TestSettingsChangeBetweenARequestsEvents(t *testing.T) {
 	r := newRig(t)
-	set := func(gap time.Duration, attempts int, columns ...elmseam.Figure) {
+	set := func(gap time.Duration, attempts int, columns ...elmseam.LoadMetric) {
 		r.step(Configured{Limits: r.c.limits, Settings: elmseam.Settings{
 			Classes:     []elmseam.Class{{Deadline: 9 * time.Second, Worth: 1}, {Deadline: 9 * time.Second, Worth: 1}},
-			MaxAttempts: attempts, MaxRetryAfter: 2 * time.Second, OwnCell: -1, ReleaseGuard: gap, Report: columns,
+			MaxAttempts: attempts, MaxRetryAfter: 2 * time.Second, OwnCell: -1, ReleaseGuard: gap, ReportMetrics: columns,
 		}})
 	}
-	set(200*ms, 4, elmseam.FigureFreeLines, elmseam.FigureLines, elmseam.FigureShare)
+	set(200*ms, 4, elmseam.LoadMetricFreeLines, elmseam.LoadMetricTotalLines, elmseam.LoadMetricHoldBackShare)
 	var seen elmseam.Report
-	r.c.hook.Deaf = func(ev elmseam.Event) bool {
+	r.c.hook.SuppressEvent = func(ev elmseam.Event) bool {
 		if h, report := ev.(elmseam.Health); report {
 			seen = h.Report
 		}
 		return false
 	}
-	report := ServerReport{Server: "a", Link: 10, Report: Report{{elmseam.FigureFreeLines, 8}, {elmseam.FigureLines, 9}, {elmseam.FigureShare, 0.5}}}
+	report := ServerReport{Server: "a", Conn: 10, Report: Report{{elmseam.LoadMetricFreeLines, 8}, {elmseam.LoadMetricTotalLines, 9}, {elmseam.LoadMetricHoldBackShare, 0.5}}}
 	offered := ""
 	class := func(ev Event) {
 		for _, e := range r.c.Step(r.now, ev) {
@@ -290,11 +290,11 @@
 			}
 		}
 	}
-	class(SetUp{ID: 7, From: 1, Class: 1, Name: "gold", Cell: 0, Left: 5 * time.Second, At: r.now})
+	class(SetUp{ID: 7, From: 1, Class: 1, Name: "gold", Cell: 0, TimeLeft: 5 * time.Second, At: r.now})
 	if r.step(report); offered != "gold" || !slices.Equal(seen, elmseam.Report{8, 9, 0.5}) {
 		t.Errorf("class %q, report %v", offered, seen)
 	}
-	set(0, 1, elmseam.FigureShare, elmseam.FigureLines)
+	set(0, 1, elmseam.LoadMetricHoldBackShare, elmseam.LoadMetricTotalLines)
 	if r.step(report); !slices.Equal(seen, elmseam.Report{0.5, 9}) {
 		t.Errorf("report %v with the columns changed", seen)
 	}
@@ -303,12 +303,12 @@
 	if r.step(report); seen != nil {
 		t.Errorf("report %v where the settings name no columns", seen)
 	}
-	r.step(ServerDown{Server: "a", Link: 10})
+	r.step(ServerDown{Server: "a", Conn: 10})
 	r.want(r.pass(199*ms), "") // the gap it came under
 	for _, d := range slices.Clone(r.due) {
 		if offered = ""; d.Token.kind == tokenGap {
 			r.now += 2 * ms
-			class(Due{Token: d.Token})
+			class(TimerFired{Token: d.Token})
 			break
 		}
 	}
@@ -323,7 +323,7 @@
 func TestConnectionsToServersKeepWithinDescriptors(t *testing.T) {
 	r := newRig(t)
 	r.dials = true
-	r.c.limits.ServerLines, r.c.limits.Lines = 2, map[Front]int{"": 2}
+	r.c.limits.MaxServerConns, r.c.limits.ConnsPerServer = 2, map[Protocol]int{"": 2}
 	more := Server{Name: "c", Address: "c:1", Cell: 2, Phase: elmseam.Ready}
 	r.want(r.step(List{Servers: []Server{more}}), "") // not before it is needed
 	r.want(r.setUp(1, 5*time.Second), "offer1@10 ")
@@ -338,13 +338,13 @@
 		return actions
 	}
 	r.want(r.setUp(2, 5*time.Second), "close@11 dial-c ") // something is out at a
-	r.want(r.step(ServerUp{Server: "c", Address: "c:1", Link: 12}), "offer2@12 ")
+	r.want(r.step(ServerUp{Server: "c", Address: "c:1", Conn: 12}), "offer2@12 ")
 	to = "b"
 	r.want(r.setUp(3, 5*time.Second), "rejected3@1 ") // none can be missed
 	r.step(ServerAnswer{Server: "a", ID: 1})
 	r.want(r.step(ServerEnd{Server: "c", ID: 2, Reason: Busy}), "rejected2@1 ")
 	r.want(r.setUp(4, 5*time.Second), "close@12 dial-b ") // the last at a has to tell of what stands there
-	r.want(r.step(ServerDown{Server: "b"})+r.step(ServerDown{Server: "c", Link: 12}), "rejected4@1 ")
+	r.want(r.step(ServerDown{Server: "b"})+r.step(ServerDown{Server: "c", Conn: 12}), "rejected4@1 ")
 	if n := r.c.lines(); n > 2 {
 		t.Errorf("%d connections to servers", n)
 	}
