--- a/internal/core/drain.go
+++ b/internal/core/drain.go
@@ -38,8 +38,8 @@
 	for _, l := range idle {
 		c.closeGracefully(l)
 	}
-	c.timer(c.now+c.limits.DrainSweep, Token{kind: tokenDrain, number: drain})
+	c.timer(c.now+c.limits.DrainCheckInterval, Token{kind: tokenDrain, number: drain})
 }
 
 // away says whether callers have had time enough to go elsewhere.
-func (c *Core) away() bool { return c.draining && c.now >= c.drained+c.limits.DrainTake }
+func (c *Core) away() bool { return c.draining && c.now >= c.drained+c.limits.DrainRefuseAfter }
--- a/internal/core/figures.go
+++ b/internal/core/figures.go
@@ -6,47 +6,47 @@
 	"elmseam/internal/probe"
 )
 
-// ClassFigures count the requests of a class by their final answers.
-type ClassFigures struct {
+// ClassStats count the requests of a class by their final answers.
+type ClassStats struct {
 	Answered uint64 // it stands
 	Deferred uint64 // refused: trying again is harmless
 	Errored  uint64 // failed
 }
 
-// Figures are what operators are shown. The counts start with the process.
-type Figures struct {
-	Classes          []ClassFigures // by place; a class that a new configuration drops keeps its own
-	Sends            uint64         // attempts written whole to servers
-	Current          int            // requests taken and not yet ended
-	ClusterSize      int            // servers in the list
-	ClusterUnhealthy int            // those of them that get nothing new now
-	Loaded, Invalid  uint64         // configurations taken over and turned down
-	Ready            bool           // this process can serve
-	Draining         bool
-	Stopping         bool
-	Probes           *probe.Figures // of connections in doubt; nil: none is permitted
-	Members          *MemberFigures // of the tier; nil: there is no membership
-	Work             *WorkFigures   // of its maintenance; nil: there is none
-	Knows            *KnowFigures   // of what the tier knows of the servers; nil: it is off
-	Parts            *PartFigures   // of its parts of cold servers' budgets; nil: they don't move
+// Stats are what operators are shown. The counts start with the process.
+type Stats struct {
+	Classes                       []ClassStats // by place; a class that a new configuration drops keeps its own
+	Sends                         uint64       // attempts written whole to servers
+	Current                       int          // requests taken and not yet ended
+	ClusterSize                   int          // servers in the list
+	ClusterUnhealthy              int          // those of them that get nothing new now
+	ConfigsLoaded, ConfigsInvalid uint64       // configurations taken over and turned down
+	Ready                         bool         // this process can serve
+	Draining                      bool
+	Stopping                      bool
+	Probes                        *probe.Counters   // of connections in doubt; nil: none is permitted
+	Members                       *MemberStats      // of the tier; nil: there is no membership
+	Maintenance                   *MaintenanceStats // of its maintenance; nil: there is none
+	Knowledge                     *KnowledgeStats   // of what the tier knows of the servers; nil: it is off
+	Quotas                        *QuotaStats       // of its parts of cold servers' budgets; nil: they don't move
 }
 
-// Figures are the figures of now. What they hold is the caller's.
-func (c *Core) Figures(now Time) Figures {
+// Stats are the figures of now. What they hold is the caller's.
+func (c *Core) Stats(now Time) Stats {
 	f := c.figures
 	f.Classes = slices.Clone(f.Classes)
 	f.Current, f.Draining, f.Stopping = len(c.calls), c.draining, c.stopping
 	if c.limits.Probe.Permitted {
-		probes := c.prober.Figures()
+		probes := c.prober.Counters()
 		f.Probes = &probes
 	}
-	f.Members, f.Work, f.Parts, f.Knows = c.members(), c.maintained(), c.shared(), c.known()
+	f.Members, f.Maintenance, f.Quotas, f.Knowledge = c.members(), c.maintained(), c.shared(), c.known()
 	for _, s := range c.order {
 		if s.Phase == 0 { // gone, and kept for what is left of it
 			continue
 		}
 		f.ClusterSize++
-		if s.sound() == 0 || c.ctl.Avoids(s.id, max(now, c.now)) {
+		if s.sound() == 0 || c.ctl.Blocked(s.id, max(now, c.now)) {
 			f.ClusterUnhealthy++
 		} else {
 			f.Ready = c.serving
@@ -71,8 +71,8 @@
 }
 
 // room makes room for the figures of so many classes.
-func (f *Figures) room(classes int) {
+func (f *Stats) room(classes int) {
 	for len(f.Classes) < classes {
-		f.Classes = append(f.Classes, ClassFigures{})
+		f.Classes = append(f.Classes, ClassStats{})
 	}
 }
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -18,19 +18,19 @@
 	for _, l := range c.links {
 		c.move(l)
 	}
-	c.timer(c.now+c.limits.HandGrace, Token{kind: tokenStop})
-	c.timer(c.now+c.limits.StopMost, Token{kind: tokenFinal})
+	c.timer(c.now+c.limits.HandOverGrace, Token{kind: tokenStop})
+	c.timer(c.now+c.limits.MaxStopWait, Token{kind: tokenFinal})
 }
 
 // move has a connection read no further.
 func (c *Core) move(l *caller) {
 	if c.limits.Transient[l.front] && !l.malformed {
-		c.do(Move{To: l.link})
+		c.do(StopReading{To: l.link})
 	}
 }
 
 // moved passes on a connection that is read no further, with the set-ups that are open on it.
-func (c *Core) moved(link Link) {
+func (c *Core) moved(link ConnID) {
 	l := c.callers[link]
 	if l == nil {
 		return
@@ -47,8 +47,8 @@
 		}
 	}
 	// They have to fit into one message. An answer that is owed goes before a release that finds another way.
-	stand = stand[:min(len(stand), max(c.limits.HandStand-len(open), 0))]
-	c.do(Pass{To: link, Open: open, Stand: stand, Asked: l.asked})
+	stand = stand[:min(len(stand), max(c.limits.MaxTransferredCalls-len(open), 0))]
+	c.do(Transfer{To: link, Open: open, Established: stand, HadSetUp: l.asked})
 }
 
 // keeps says whether callers' connections are still here that have to be handed on, or are on their way.
@@ -60,21 +60,21 @@
 
 // adopt takes in what a predecessor says of a connection that it has handed on.
 func (c *Core) adopt(l *caller, ev CallerUp) {
-	if l.asked = ev.Asked; l.asked {
+	if l.asked = ev.HadSetUp; l.asked {
 		c.flush()
 	}
 	for _, id := range ev.Open {
-		c.foreign[id] = ev.Link
+		c.foreign[id] = ev.Conn
 	}
-	for _, id := range ev.Stand {
-		c.stood[id] = ev.Link
+	for _, id := range ev.Established {
+		c.stood[id] = ev.Conn
 	}
 }
 
 // predecessor takes in that another process owns calls of callers who are here, or that it has gone. What it owed an
 // answer may have run.
 func (c *Core) predecessor(ev Predecessor) {
-	c.preceded, c.halved = ev.Present, ev.Present && !ev.Moving
+	c.preceded, c.halved = ev.Present, ev.Present && !ev.Transferring
 	if ev.Present {
 		return
 	}
@@ -106,20 +106,20 @@
 		if _, known := c.ended[e.ID]; !known {
 			c.remember(e.ID)
 			delete(c.stood, e.ID)
-			c.release(ev.Front, ev.Link, e.ID, e.Reason)
+			c.release(ev.Protocol, ev.Conn, e.ID, e.Reason)
 		}
 	}
 }
 
 // forgetForeign takes in that nobody waits any more for the set-ups that a predecessor has open for a caller.
-func (c *Core) forgetForeign(link Link) {
-	theirs := func(_ ID, of Link) bool { return of == link }
+func (c *Core) forgetForeign(link ConnID) {
+	theirs := func(_ ID, of ConnID) bool { return of == link }
 	maps.DeleteFunc(c.foreign, theirs)
 	maps.DeleteFunc(c.stood, theirs)
 }
 
-// Over are the ids of the last calls that ended here, at most so many, for a successor.
-func (c *Core) Over(most int) []ID {
+// RecentlyEnded are the ids of the last calls that ended here, at most so many, for a successor.
+func (c *Core) RecentlyEnded(most int) []ID {
 	last := c.endedAt[max(len(c.endedAt)-most, 0):]
 	ids := make([]ID, 0, len(last))
 	for _, o := range last {
--- a/internal/core/know.go
+++ b/internal/core/know.go
@@ -12,10 +12,10 @@
 // membership's datagrams, and what others have seen is weighed there and handed to the module by one event, Learn. It
 // names no servers. Only that a server drains reaches past the module, and only for the less.
 
-// Know begins this softswitch's part in sharing what the tier knows of the servers. It needs a Join before.
-type Know struct{ Config knowledge.Config }
+// StartKnowledge begins this softswitch's part in sharing what the tier knows of the servers. It needs a Join before.
+type StartKnowledge struct{ Config knowledge.Config }
 
-func (Know) event() {}
+func (StartKnowledge) event() {}
 
 // hearsay is what peers' lists say of a server beyond the own list.
 type hearsay struct {
@@ -24,19 +24,19 @@
 }
 
 // know begins. A second Know changes nothing.
-func (c *Core) know(ev Know) {
+func (c *Core) know(ev StartKnowledge) {
 	if c.knows != nil || c.fleet == nil {
 		return
 	}
 	knows, out, err := knowledge.New(ev.Config, c.now)
 	if err != nil {
-		c.do(Broken{Rule: err.Error()})
+		c.do(Violation{Rule: err.Error()})
 		return
 	}
 	c.knows, c.carried = knows, make(map[int]float64)
 	c.learnt(out)
 	for m, e := range c.fleet.Members() {
-		c.toKnow(knowledge.There{Member: m, Yes: e.State.There()})
+		c.toKnow(knowledge.MemberAvailability{Member: m, Available: e.State.Available()})
 	}
 }
 
@@ -52,10 +52,10 @@
 	for _, e := range out {
 		switch e := e.(type) {
 		case knowledge.Send:
-			c.do(ToPeer{To: e.To, Data: e.Data})
+			c.do(SendToMember{To: e.To, Data: e.Data})
 		case knowledge.Timer:
 			c.timer(e.At, Token{kind: tokenKnow, know: e.Token})
-		case knowledge.Learned:
+		case knowledge.ServersUpdated:
 			for _, key := range e.Servers {
 				c.learn(key)
 			}
@@ -70,9 +70,9 @@
 		return
 	}
 	v := c.knows.View(c.now, key)
-	c.ctl.Learn(c.now, s.id, elmseam.Learned{Share: v.Share, ShareAt: v.ShareAt, Rate: v.Fair, Failing: v.Others > 1 && v.Bad > 0.5, Floor: v.Floor})
-	if h := &s.hears; v.Drains > h.told && h.until == 0 && s.Phase == elmseam.Ready {
-		h.until = c.now + c.limits.Hearsay
+	c.ctl.ApplyTierReport(c.now, s.id, elmseam.TierReport{Share: v.HoldBackShare, ShareAt: v.HoldBackShareAt, Rate: v.FairRate, Failing: v.Observers > 1 && v.FailingShare > 0.5, RoundTrip: v.MinSetUpTime})
+	if h := &s.hears; v.DrainingSince > h.told && h.until == 0 && s.Phase == elmseam.Ready {
+		h.until = c.now + c.limits.ReportedDrainTTL
 		c.timer(h.until, Token{kind: tokenHearsay, server: s.Name})
 		c.phases([]*server{s}, false, false)
 	}
@@ -105,19 +105,19 @@
 
 // seen tells knowledge what this softswitch has seen itself.
 func (c *Core) seen() {
-	own := make(map[uint32]knowledge.Seen)
+	own := make(map[uint32]knowledge.Observation)
 	for key, s := range c.named() {
 		if s == nil {
 			continue
 		}
-		k, _ := c.ctl.Known(s.id, c.now)
-		e := knowledge.Seen{Share: k.Share, ShareAt: k.ShareAt, Rate: k.Rate, Lines: k.Lines, Bad: k.Bad, Floor: k.Floor}
+		k, _ := c.ctl.Observed(s.id, c.now)
+		e := knowledge.Observation{HoldBackShare: k.Share, HoldBackShareAt: k.ShareAt, Rate: k.Rate, Lines: k.TotalLines, FailureWeight: k.FailureWeight, MinSetUpTime: k.MinSetUpTime}
 		if s.Phase == elmseam.Draining {
-			e.Drains = s.hears.told
+			e.DrainingSince = s.hears.told
 		}
 		own[key] = e
 	}
-	c.toKnow(knowledge.Own{Servers: own})
+	c.toKnow(knowledge.LocalObservations{Servers: own})
 }
 
 // ride has what this softswitch has seen ride on a datagram of membership.
@@ -126,60 +126,60 @@
 		return data
 	}
 	c.seen()
-	return c.knows.Ride(c.now, data)
+	return c.knows.AppendPiggyback(c.now, data)
 }
 
 // knowThere tells knowledge who is there. Who dies leaves its callers to the others, who serve them at rates that would
 // follow slowly; who comes back takes them back. A suspicion is enough: the callers of one that answers nobody leave it long
 // before it is held dead, and a rate that is held too high for a while costs little.
 func (c *Core) knowThere(m int, was, is membership.State) {
-	c.toKnow(knowledge.There{Member: m, Yes: is.There()})
+	c.toKnow(knowledge.MemberAvailability{Member: m, Available: is.Available()})
 	if c.knows == nil {
 		return
 	}
 	switch times := c.carried[m]; {
-	case was.There() && !is.There():
-		times = c.knows.Carried([]int{m}, c.fleet.View().There)
+	case was.Available() && !is.Available():
+		times = c.knows.TakeoverFactor([]int{m}, c.fleet.View().Available)
 		c.carried[m] = times
-		c.ctl.Carry(c.now, times)
-	case times > 0 && is.There():
+		c.ctl.ScaleRates(c.now, times)
+	case times > 0 && is.Available():
 		delete(c.carried, m)
-		c.ctl.Carry(c.now, 1/times)
+		c.ctl.ScaleRates(c.now, 1/times)
 	}
 }
 
-// ServerKnown is what is known of a server, for operators.
-type ServerKnown struct {
-	Name  string
-	Phase elmseam.Phase
-	Heard bool // it is held for draining by a peer's word alone
-	View  knowledge.View
-	Told  []knowledge.Told
-	Rate  float64 // that may be used of its budget, while it is cold; negative: the own part counts
+// ServerKnowledge is what is known of a server, for operators.
+type ServerKnowledge struct {
+	Name          string
+	Phase         elmseam.Phase
+	DrainReported bool // it is held for draining by a peer's word alone
+	View          knowledge.View
+	Reports       []knowledge.ObserverEntry
+	ColdRate      float64 // that may be used of its budget, while it is cold; negative: the own part counts
 }
 
-// KnowFigures are what operators are shown of what the tier knows.
-type KnowFigures struct {
-	knowledge.Figures
-	Servers []ServerKnown
+// KnowledgeStats are what operators are shown of what the tier knows.
+type KnowledgeStats struct {
+	knowledge.Counters
+	Servers []ServerKnowledge
 }
 
 // known are the figures of knowledge; nil where it is off.
-func (c *Core) known() *KnowFigures {
+func (c *Core) known() *KnowledgeStats {
 	if c.knows == nil {
 		return nil
 	}
-	f := &KnowFigures{Figures: c.knows.Figures()}
+	f := &KnowledgeStats{Counters: c.knows.Counters()}
 	named := c.named()
 	for _, s := range c.order {
 		key := uint32(xxh3.HashString(s.Name))
 		if named[key] != s {
 			continue
 		}
-		e := ServerKnown{Name: s.Name, Phase: s.told, Heard: s.hears.until > 0, View: c.knows.View(c.now, key), Told: c.knows.Of(key), Rate: -1}
-		if c.parts != nil && c.parts.Active() {
+		e := ServerKnowledge{Name: s.Name, Phase: s.told, DrainReported: s.hears.until > 0, View: c.knows.View(c.now, key), Reports: c.knows.Entries(key), ColdRate: -1}
+		if c.parts != nil && c.parts.AnyCold() {
 			if rate, known := c.parts.Rate(c.now, startOf(s)); known {
-				e.Rate = rate
+				e.ColdRate = rate
 			}
 		}
 		f.Servers = append(f.Servers, e)
--- a/internal/core/members.go
+++ b/internal/core/members.go
@@ -13,34 +13,34 @@
 // decision, the part of a cold server's budget, and only for the less (membership.View.ColdShare).
 
 type (
-	// Join begins this softswitch's part in its tier. Without one there is no membership.
-	Join struct{ Config membership.Config }
-	// Peer is a datagram of another softswitch of the tier, by its number.
-	Peer struct {
+	// StartMembership begins this softswitch's part in its tier. Without one there is no membership.
+	StartMembership struct{ Config membership.Config }
+	// MemberDatagram is a datagram of another softswitch of the tier, by its number.
+	MemberDatagram struct {
 		From int
 		Data []byte
 	}
 )
 
-func (Join) event() {}
-func (Peer) event() {}
+func (StartMembership) event() {}
+func (MemberDatagram) event()  {}
 
 type (
-	// ToPeer is a datagram to another softswitch of the tier, by its number.
-	ToPeer struct {
+	// SendToMember is a datagram to another softswitch of the tier, by its number.
+	SendToMember struct {
 		To   int
 		Data []byte
 	}
-	// PeerChanged says that another softswitch of the tier is held to be in another state now.
-	PeerChanged struct{ membership.Changed }
+	// MemberChanged says that another softswitch of the tier is held to be in another state now.
+	MemberChanged struct{ membership.StateChanged }
 )
 
-func (ToPeer) effect()      {}
-func (PeerChanged) effect() {}
+func (SendToMember) effect()  {}
+func (MemberChanged) effect() {}
 
-// MemberFigures are what operators are shown of the tier.
-type MemberFigures struct {
-	membership.Figures
+// MemberStats are what operators are shown of the tier.
+type MemberStats struct {
+	membership.Counters
 	membership.View
 	Self      int
 	Members   []membership.Member
@@ -49,25 +49,25 @@
 }
 
 // join begins membership. A second Join changes nothing.
-func (c *Core) join(ev Join) {
+func (c *Core) join(ev StartMembership) {
 	if c.fleet != nil {
 		return
 	}
 	fleet, out, err := membership.New(ev.Config, c.now)
 	if err != nil {
-		c.do(Broken{Rule: err.Error()})
+		c.do(Violation{Rule: err.Error()})
 		return
 	}
 	c.fleet, c.self = fleet, ev.Config.Self
 	c.peers(out)
-	c.ctl.Caution(c.fleet.View().ColdShare())
+	c.ctl.SetColdQuotaFraction(c.fleet.View().ColdQuotaFactor())
 	if c.draining || c.stopping {
 		c.toPeers(membership.Drain{On: true})
 	}
 }
 
 // peer hands a datagram to the protocol that its first byte names; what none knows, membership counts.
-func (c *Core) peer(ev Peer) {
+func (c *Core) peer(ev MemberDatagram) {
 	version := byte(membership.Version)
 	if len(ev.Data) > 0 {
 		version = ev.Data[0]
@@ -82,13 +82,13 @@
 		c.seen()
 		c.toKnow(knowledge.Datagram{From: ev.From, Data: ev.Data})
 	default:
-		bare, rider, err := datagram.Split(ev.Data)
+		bare, rider, err := datagram.SplitPiggyback(ev.Data)
 		if err != nil { // membership counts it
 			bare = ev.Data
 		}
 		c.toPeers(membership.Datagram{From: ev.From, Data: bare})
 		if len(rider) > 0 && c.knows != nil {
-			c.toKnow(knowledge.Rider{From: ev.From, Data: rider})
+			c.toKnow(knowledge.Piggyback{From: ev.From, Data: rider})
 		}
 	}
 }
@@ -106,32 +106,32 @@
 	for _, e := range out {
 		switch e := e.(type) {
 		case membership.Send:
-			c.do(ToPeer{To: e.To, Data: c.ride(e.Data)})
+			c.do(SendToMember{To: e.To, Data: c.ride(e.Data)})
 		case membership.Timer:
 			c.timer(e.At, Token{kind: tokenMember, member: e.Token})
-		case membership.Changed:
+		case membership.StateChanged:
 			changed = true
 			if e.Member != c.self {
-				c.do(PeerChanged{e})
-				c.peerThere(e.Member, e.Is)
-				c.partThere(e.Member, e.Is)
-				c.knowThere(e.Member, e.Was, e.Is)
+				c.do(MemberChanged{e})
+				c.peerThere(e.Member, e.New)
+				c.partThere(e.Member, e.New)
+				c.knowThere(e.Member, e.Old, e.New)
 			}
 		}
 	}
 	if changed {
-		c.ctl.Caution(c.fleet.View().ColdShare())
+		c.ctl.SetColdQuotaFraction(c.fleet.View().ColdQuotaFactor())
 	}
 }
 
 // members are the figures of the tier; nil where there is no membership.
-func (c *Core) members() *MemberFigures {
+func (c *Core) members() *MemberStats {
 	if c.fleet == nil {
 		return nil
 	}
 	v := c.fleet.View()
-	return &MemberFigures{
-		Figures: c.fleet.Figures(), View: v, Self: c.self, Members: c.fleet.Members(),
-		Health: c.fleet.Health(), ColdShare: v.ColdShare(),
+	return &MemberStats{
+		Counters: c.fleet.Counters(), View: v, Self: c.self, Members: c.fleet.Members(),
+		Health: c.fleet.Health(), ColdShare: v.ColdQuotaFactor(),
 	}
 }
--- a/internal/core/ops_test.go
+++ b/internal/core/ops_test.go
@@ -9,8 +9,8 @@
 
 func (r *rig) drainable() {
 	l := &r.c.limits
-	l.DrainGrace, l.DrainTake, l.DrainSweep, l.DrainIdle = 500*ms, 1500*ms, 20*ms, 20*ms
-	l.Transient = map[Front]bool{"f": true}
+	l.DrainGrace, l.DrainRefuseAfter, l.DrainCheckInterval, l.DrainIdle = 500*ms, 1500*ms, 20*ms, 20*ms
+	l.Transient = map[Protocol]bool{"f": true}
 }
 
 // A drain closes the connections that carry no call once the front has learned of it; one whose call stands is left
@@ -19,8 +19,8 @@
 func TestDrain(t *testing.T) {
 	r := newRig(t)
 	r.drainable()
-	r.step(CallerUp{Link: 2, Front: "f"})
-	r.step(CallerUp{Link: 3, Front: "m"}) // associations of the other front stay
+	r.step(CallerUp{Conn: 2, Protocol: "f"})
+	r.step(CallerUp{Conn: 3, Protocol: "m"}) // associations of the other front stay
 	r.want(r.setUp(7, 5*time.Second), "offer7@10 ")
 	r.want(r.step(ServerAnswer{Server: "a", ID: 7}), "answered7@1 ")
 	r.want(r.step(Drain{On: true}), "")
@@ -36,9 +36,9 @@
 	r.want(r.step(ServerEnd{Server: "a", ID: 7, Reason: Normal}), "released7@1 ")
 	r.want(r.pass(50*ms), "close@1 ")
 	r.step(Drain{})
-	r.step(CallerUp{Link: 4, Front: "f"})
+	r.step(CallerUp{Conn: 4, Protocol: "f"})
 	r.want(r.pass(time.Minute), "")
-	if f := r.c.Figures(r.now); !f.Ready || f.Draining {
+	if f := r.c.Stats(r.now); !f.Ready || f.Draining {
 		t.Errorf("figures after the drain: %+v", f)
 	}
 }
@@ -50,11 +50,11 @@
 	r.drainable()
 	r.setUp(7, 5*time.Second)
 	r.step(ServerAnswer{Server: "a", ID: 7})
-	r.step(CallerDown{Link: 1})
-	r.want(r.step(CallerUp{Link: 2, Front: "f"}), "")
+	r.step(CallerDown{Conn: 1})
+	r.want(r.step(CallerUp{Conn: 2, Protocol: "f"}), "")
 	r.want(r.step(ServerEnd{Server: "a", ID: 7, Reason: Normal}), "")
-	r.want(r.step(CallerUp{Link: 3, Front: "f"}), "")
-	r.want(r.step(SetUp{ID: 8, From: 3, Cell: 0, Left: 5 * time.Second, At: r.now}), "released7@3 offer8@10 ")
+	r.want(r.step(CallerUp{Conn: 3, Protocol: "f"}), "")
+	r.want(r.step(SetUp{ID: 8, From: 3, Cell: 0, TimeLeft: 5 * time.Second, At: r.now}), "released7@3 offer8@10 ")
 }
 
 // The figures count each request once, by its final answer, in its class; a class that a new configuration drops
@@ -62,15 +62,15 @@
 func TestFigures(t *testing.T) {
 	r := newRig(t)
 	r.setUp(1, 5*time.Second)
-	r.step(Sent{Server: "a", ID: 1})
+	r.step(OfferWritten{Server: "a", ID: 1})
 	r.step(ServerAnswer{Server: "a", ID: 1})
-	r.step(SetUp{ID: 2, From: 1, Cell: 0, Left: ms, At: r.now}) // too late to be sent
+	r.step(SetUp{ID: 2, From: 1, Cell: 0, TimeLeft: ms, At: r.now}) // too late to be sent
 	r.setUp(3, 400*ms)
 	r.pass(time.Second) // its time is up
 	r.setUp(4, 5*time.Second)
 	r.step(ServerEnd{Server: "a", ID: 4, Reason: Full, Refusal: elmseam.RefusalProcessor})
-	f := r.c.Figures(r.now)
-	if want := (ClassFigures{Answered: 1, Deferred: 1, Errored: 1}); f.Classes[0] != want {
+	f := r.c.Stats(r.now)
+	if want := (ClassStats{Answered: 1, Deferred: 1, Errored: 1}); f.Classes[0] != want {
 		t.Errorf("figures of the class %+v, want %+v", f.Classes[0], want)
 	}
 	if f.Sends != 1 || f.Current != 2 || f.ClusterSize != 2 || f.ClusterUnhealthy != 1 || !f.Ready {
@@ -79,8 +79,8 @@
 	r.step(Misconfigured{})
 	r.step(Configured{Settings: elmseam.Settings{Classes: make([]elmseam.Class, 2), MaxAttempts: 1, OwnCell: -1}, Limits: r.c.limits})
 	r.list(elmseam.Draining, elmseam.Gone)
-	f = r.c.Figures(r.now)
-	if len(f.Classes) != 2 || f.Classes[0].Answered != 1 || f.Loaded != 1 || f.Invalid != 1 {
+	f = r.c.Stats(r.now)
+	if len(f.Classes) != 2 || f.Classes[0].Answered != 1 || f.ConfigsLoaded != 1 || f.ConfigsInvalid != 1 {
 		t.Errorf("figures after a reload %+v", f)
 	}
 	if f.ClusterSize != 1 || f.ClusterUnhealthy != 1 || f.Ready {
@@ -95,21 +95,21 @@
 	r := newRig(t)
 	r.drainable()
 	r.step(Predecessor{Present: true})
-	r.want(r.step(CallerUp{Link: 5, Front: "f", Asked: true, Open: []ID{1, 2, 3}, Stand: []ID{4, 5}}), "")
-	relayed := func(e Effect) string { return r.step(Relayed{Front: "f", Link: 5, Effect: e}) }
+	r.want(r.step(CallerUp{Conn: 5, Protocol: "f", HadSetUp: true, Open: []ID{1, 2, 3}, Established: []ID{4, 5}}), "")
+	relayed := func(e Effect) string { return r.step(Relayed{Protocol: "f", Conn: 5, Effect: e}) }
 	r.want(relayed(Answered{ID: 1}), "answered1@5 ")
 	r.want(relayed(Answered{ID: 1}), "")
 	r.want(relayed(Rejected{ID: 1}), "")
 	r.want(relayed(Released{ID: 1}), "released1@5 ")
 	r.want(relayed(Released{ID: 1}), "")
-	r.want(r.step(SetUp{ID: 2, From: 5, Left: time.Second, At: r.now}), "rejected2@5 ") // its id is in use
+	r.want(r.step(SetUp{ID: 2, From: 5, TimeLeft: time.Second, At: r.now}), "rejected2@5 ") // its id is in use
 	r.want(r.step(CallerEnd{ID: 3, From: 5}), "to the older ")
 	r.want(relayed(Rejected{ID: 3}), "")
 	r.want(relayed(Released{ID: 3}), "") // it crossed: the caller has left
 	r.want(r.step(ServerEnd{Server: "a", ID: 4, Reason: Normal}), "to the older ")
 	r.want(r.step(Predecessor{}), "rejected2@5 ")
 	r.want(r.step(ServerEnd{Server: "a", ID: 5, Reason: Normal}), "released5@5 ")
-	r.step(Over{IDs: []ID{9}})
+	r.step(EndedCalls{IDs: []ID{9}})
 	r.want(r.step(ServerEnd{Server: "a", ID: 9, Reason: Normal}), "")
 }
 
@@ -118,40 +118,40 @@
 func TestHandOver(t *testing.T) {
 	r := newRig(t)
 	r.drainable()
-	r.c.limits.HandGrace, r.c.limits.HandStand = 100*ms, 10
+	r.c.limits.HandOverGrace, r.c.limits.MaxTransferredCalls = 100*ms, 10
 	r.setUp(1, 5*time.Second)
 	r.step(ServerAnswer{Server: "a", ID: 1})
 	r.setUp(2, 5*time.Second)
-	r.step(CallerUp{Link: 2, Front: "f"})
+	r.step(CallerUp{Conn: 2, Protocol: "f"})
 	r.want(r.step(HandOver{}), "move@1 move@2 ")
 	r.want(r.step(HandOver{}), "")
-	r.want(r.step(CallerUp{Link: 3, Front: "f"}), "move@3 ") // it was on its way in
-	r.want(r.step(Parked{Link: 1}), "pass@1[2][1] ")
-	r.want(r.step(Parked{Link: 2})+r.step(Passed{Link: 2}), "pass@2[][] ")
+	r.want(r.step(CallerUp{Conn: 3, Protocol: "f"}), "move@3 ") // it was on its way in
+	r.want(r.step(ReadingStopped{Conn: 1}), "pass@1[2][1] ")
+	r.want(r.step(ReadingStopped{Conn: 2})+r.step(Transferred{Conn: 2}), "pass@2[][] ")
 	r.want(r.step(ServerAnswer{Server: "a", ID: 2}), "answered2@1 ")
 	r.want(r.pass(time.Second), "")
 	r.want(r.step(ServerEnd{Server: "a", ID: 2, Reason: Normal}), "released2@1 ")
-	r.step(CallerDown{Link: 1})
+	r.step(CallerDown{Conn: 1})
 	r.want(r.step(ServerEnd{Server: "a", ID: 1, Reason: Normal}), "to the newer ")
-	r.want(r.step(Parked{Link: 3}), "pass@3[][] ")
+	r.want(r.step(ReadingStopped{Conn: 3}), "pass@3[][] ")
 	r.want(r.pass(100*ms), "") // the successor hasn't got it yet
-	r.want(r.step(Passed{Link: 3}), "stopped ")
+	r.want(r.step(Transferred{Conn: 3}), "stopped ")
 }
 
 // A caller hangs up while its call's server has no connection: the server is told on the next one, also where it drains
 // and nothing else would make one. It went on holding a line for nobody. One that is gone, or another process, isn't told.
 func TestHangUpWithoutConnection(t *testing.T) {
 	r := newRig(t)
-	r.c.limits.Owed = 8
+	r.c.limits.MaxPendingReleases = 8
 	r.setUp(7, 5*time.Second)
 	r.step(ServerAnswer{Server: "a", ID: 7})
 	r.list(elmseam.Draining, elmseam.Ready)
-	r.step(ServerDown{Server: "a", Link: 10})
+	r.step(ServerDown{Server: "a", Conn: 10})
 	r.want(r.step(CallerEnd{ID: 7, From: 1}), "")
 	r.pass(time.Second)
-	r.want(r.step(ServerUp{Server: "a", Address: "a:1", Link: 12}), "end7@12 ")
+	r.want(r.step(ServerUp{Server: "a", Address: "a:1", Conn: 12}), "end7@12 ")
 	r.want(r.step(ServerEnd{Server: "a", ID: 7, Reason: Normal}), "") // crossed: nobody is told
-	if h := r.c.Held(); h != (Held{}) {
+	if h := r.c.Retained(); h != (Retained{}) {
 		t.Errorf("%+v is kept", h)
 	}
 }
--- a/internal/core/parts.go
+++ b/internal/core/parts.go
@@ -13,25 +13,25 @@
 // Parts of a cold server's budget move between the softswitches of the tier (internal/budget); membership tells it who is
 // there. What may be used here is set anew before each event, as a lease may have run out while this process stood still.
 
-// Share begins this softswitch's part in moving the tier's parts of cold servers' budgets. It needs a Join before.
-type Share struct{ Config budget.Config }
+// StartBudget begins this softswitch's part in moving the tier's parts of cold servers' budgets. It needs a Join before.
+type StartBudget struct{ Config budget.Config }
 
-func (Share) event() {}
+func (StartBudget) event() {}
 
 // share begins. A second Share changes nothing.
-func (c *Core) share(ev Share) {
+func (c *Core) share(ev StartBudget) {
 	if c.parts != nil || c.fleet == nil {
 		return
 	}
 	parts, out, err := budget.New(ev.Config, c.now)
 	if err != nil {
-		c.do(Broken{Rule: err.Error()})
+		c.do(Violation{Rule: err.Error()})
 		return
 	}
 	c.parts = parts
 	c.partEffects(out)
 	for m, e := range c.fleet.Members() {
-		c.toParts(budget.There{Member: m, Yes: e.State.There()})
+		c.toParts(budget.MemberAvailability{Member: m, Available: e.State.Available()})
 	}
 	c.colds()
 }
@@ -48,7 +48,7 @@
 	for _, e := range out {
 		switch e := e.(type) {
 		case budget.Send:
-			c.do(ToPeer{To: e.To, Data: e.Data})
+			c.do(SendToMember{To: e.To, Data: e.Data})
 		case budget.Timer:
 			c.timer(e.At, Token{kind: tokenParts, parts: e.Token})
 		}
@@ -70,14 +70,14 @@
 		return
 	}
 	for _, s := range c.order {
-		cold, yes := c.ctl.Cold(s.id, c.now)
+		cold, yes := c.ctl.ColdBudget(s.id, c.now)
 		if yes && s.coldAt != s.Started {
 			s.coldAt, s.coldFrom, s.coldSent = s.Started, c.now, 0
 		} else if c.now > c.since+settling {
 			yes = false
 		}
 		if yes {
-			c.toParts(budget.Cold{Server: startOf(s), Rate: cold.Part, Until: cold.Until})
+			c.toParts(budget.ColdServer{Server: startOf(s), Rate: cold.Quota, Until: cold.Until})
 		}
 	}
 	c.allot()
@@ -85,7 +85,7 @@
 
 // allot tells the module what may be used of cold servers' budgets now.
 func (c *Core) allot() {
-	if c.parts == nil || !c.parts.Active() {
+	if c.parts == nil || !c.parts.AnyCold() {
 		return
 	}
 	for _, s := range c.order {
@@ -96,7 +96,7 @@
 		if !known {
 			rate = -1
 		}
-		c.ctl.Allot(s.id, rate)
+		c.ctl.SetColdRate(s.id, rate)
 	}
 }
 
@@ -104,9 +104,9 @@
 // one of which it used most; 1 is all.
 func (c *Core) coldUse() (most float64) {
 	for _, s := range c.order {
-		cold, yes := c.ctl.Cold(s.id, c.now)
+		cold, yes := c.ctl.ColdBudget(s.id, c.now)
 		if dt := (c.now - s.coldFrom).Seconds(); yes && s.coldAt == s.Started && dt > 0 {
-			if own := cold.Times * cold.Part * dt; own > 0 {
+			if own := cold.RateMultiple * cold.Quota * dt; own > 0 {
 				most = max(most, float64(s.coldSent)/own)
 			}
 		}
@@ -118,21 +118,21 @@
 // partThere tells budget who is there. One that is merely suspected is not: what it left can be had only when its lease
 // has run out.
 func (c *Core) partThere(m int, s membership.State) {
-	c.toParts(budget.There{Member: m, Yes: s.There()})
+	c.toParts(budget.MemberAvailability{Member: m, Available: s.Available()})
 }
 
-// PartFigures are what operators are shown of parts of budgets.
-type PartFigures struct {
-	budget.Figures
-	Moves  bool // false: the tier is too great for it
-	Active bool // a server is cold
-	Parts  []budget.Part
+// QuotaStats are what operators are shown of parts of budgets.
+type QuotaStats struct {
+	budget.Counters
+	Enabled bool // false: the tier is too great for it
+	Active  bool // a server is cold
+	Quotas  []budget.Quota
 }
 
 // shared are the figures of parts; nil where they don't move.
-func (c *Core) shared() *PartFigures {
+func (c *Core) shared() *QuotaStats {
 	if c.parts == nil {
 		return nil
 	}
-	return &PartFigures{Figures: c.parts.Figures(), Moves: c.parts.Moves(), Active: c.parts.Active(), Parts: c.parts.Parts()}
+	return &QuotaStats{Counters: c.parts.Counters(), Enabled: c.parts.Transferable(), Active: c.parts.AnyCold(), Quotas: c.parts.Quotas()}
 }
--- a/internal/core/random_test.go
+++ b/internal/core/random_test.go
@@ -20,7 +20,7 @@
 func rulesUnderRandomEvents(t *testing.T, set elmseam.Settings) {
 	rnd := rand.New(rand.NewPCG(7, 7))
 	r := rigOf(t, set)
-	r.c.limits.OpenBytes = 1 << 20
+	r.c.limits.MaxCallBytes = 1 << 20
 	type model struct {
 		out      string // server that has an attempt
 		ending   bool   // its end is not written
@@ -33,8 +33,8 @@
 	}
 	calls := make(map[ID]*model)
 	live := []ID{}
-	links := map[Link]string{10: "a", 11: "b"}
-	up := map[string]Link{"a": 10, "b": 11}
+	links := map[ConnID]string{10: "a", 11: "b"}
+	up := map[string]ConnID{"a": 10, "b": 11}
 	ready := map[string]elmseam.Phase{"a": elmseam.Ready, "b": elmseam.Ready}
 	var dialed []string
 	type key struct {
@@ -42,9 +42,9 @@
 		id     ID
 	}
 	var unwritten []key
-	var tested []ServerTested
-	next, nextLink := ID(0), Link(100)
-	var caller Link = 1
+	var tested []ServerProbeAnswer
+	next, nextLink := ID(0), ConnID(100)
+	var caller ConnID = 1
 	fail := func(id ID, what string) { t.Fatalf("call %d: %s: %+v", id, what, calls[id]) }
 	lose := func(name string) { // a connection is no more: what is out on it is over
 		delete(links, up[name])
@@ -62,7 +62,7 @@
 				r.due = append(r.due, e)
 			case Dial:
 				dialed = append(dialed, e.Server)
-			case Hangup:
+			case CloseConn:
 				if name, there := links[e.To]; there {
 					lose(name)
 				}
@@ -84,13 +84,13 @@
 					fail(e.ID, "an attempt too many")
 				}
 				m.attempts++
-			case Test:
+			case Probe:
 				name := links[e.To]
 				if !r.c.limits.Probe.Permitted || name == "" || ready[name] != elmseam.Ready {
 					t.Fatalf("a probe on link %d, which goes to %q", e.To, name)
 				}
 				if rnd.IntN(2) == 0 {
-					tested = append(tested, ServerTested{Server: name, Link: e.To, ID: e.ID, Report: Report{{elmseam.FigureWait, rnd.Float64() * 900}}})
+					tested = append(tested, ServerProbeAnswer{Server: name, Conn: e.To, ID: e.ID, Report: Report{{elmseam.LoadMetricWait, rnd.Float64() * 900}}})
 				}
 			case GracefulClose:
 				if name, there := links[e.To]; there { // replaced, where nothing is out
@@ -103,7 +103,7 @@
 				}
 			case End:
 				if m, name := calls[e.ID], links[e.To]; m != nil && name != "" && m.out == name {
-					if m.ending = true; e.Tell {
+					if m.ending = true; e.Notify {
 						unwritten = append(unwritten, key{name, e.ID})
 					} else {
 						m.out, m.ending = "", false
@@ -119,7 +119,7 @@
 				if m.finals++; m.finals > 1 || m.gone {
 					fail(e.ID, "refused after its end")
 				}
-			case Dropped:
+			case ForgetCall:
 				calls[e.ID].gone = true
 			case Released:
 				if m := calls[e.ID]; m != nil && (m.stands == "" || m.over) {
@@ -127,7 +127,7 @@
 				} else if m != nil {
 					m.over = true
 				}
-			case Broken:
+			case Violation:
 				fail(e.ID, e.Rule)
 			}
 		}
@@ -138,7 +138,7 @@
 		for i := 0; i < len(r.due); {
 			if d := r.due[i]; d.At <= r.now {
 				r.due = append(r.due[:i], r.due[i+1:]...)
-				step(Due{Token: d.Token})
+				step(TimerFired{Token: d.Token})
 				i = 0
 			} else {
 				i++
@@ -152,7 +152,7 @@
 		m := calls[id]
 		switch rnd.IntN(26) {
 		case 24:
-			step(ServerSilent{Server: name, Link: up[name], For: time.Duration(rnd.IntN(2000)) * ms})
+			step(ServerSilent{Server: name, Conn: up[name], For: time.Duration(rnd.IntN(2000)) * ms})
 		case 25: // the answer to a probe, the last one twice
 			if n := len(tested); n > 0 {
 				step(tested[0])
@@ -162,7 +162,7 @@
 			next++
 			calls[next] = &model{}
 			live = append(live, next)
-			step(SetUp{ID: next, From: caller, Class: rnd.IntN(len(set.Classes)), Tenant: []string{"", "x", "y", "z"}[rnd.IntN(4)], Cell: rnd.IntN(2), Left: time.Duration(50+rnd.IntN(4000)) * ms, At: r.now})
+			step(SetUp{ID: next, From: caller, Class: rnd.IntN(len(set.Classes)), Tenant: []string{"", "x", "y", "z"}[rnd.IntN(4)], Cell: rnd.IntN(2), TimeLeft: time.Duration(50+rnd.IntN(4000)) * ms, At: r.now})
 		case 5, 6, 7, 8, 9, 10, 11, 12: // the server answers what is out
 			if m != nil && m.out != "" {
 				server := m.out
@@ -170,17 +170,17 @@
 					m.out, m.stands = "", server
 					stood++
 				}
-				step(ServerAnswer{Server: server, Link: up[server], ID: id})
+				step(ServerAnswer{Server: server, Conn: up[server], ID: id})
 			}
 		case 13:
 			if m != nil && m.out != "" && !m.ending {
 				server := m.out
 				m.out = ""
-				step(ServerEnd{Server: server, Link: up[server], ID: id, Reason: []Reason{Full, Busy, Unsent}[rnd.IntN(3)]})
+				step(ServerEnd{Server: server, Conn: up[server], ID: id, Reason: []Reason{Full, Busy, Unsent}[rnd.IntN(3)]})
 			}
 		case 14, 15:
 			if m != nil && m.stands != "" && !m.over && up[m.stands] != 0 {
-				step(ServerEnd{Server: m.stands, Link: up[m.stands], ID: id, Reason: Normal})
+				step(ServerEnd{Server: m.stands, Conn: up[m.stands], ID: id, Reason: Normal})
 			}
 		case 16:
 			if m != nil && !m.gone && !m.over {
@@ -190,7 +190,7 @@
 		case 17:
 			if l := up[name]; l != 0 && rnd.IntN(20) == 0 {
 				lose(name)
-				step(ServerDown{Server: name, Link: l})
+				step(ServerDown{Server: name, Conn: l})
 			}
 		case 18, 19: // a dial ends
 			if len(dialed) > 0 {
@@ -201,7 +201,7 @@
 				} else {
 					nextLink++
 					links[nextLink], up[server] = server, nextLink
-					step(ServerUp{Server: server, Address: server + ":1", Link: nextLink})
+					step(ServerUp{Server: server, Address: server + ":1", Conn: nextLink})
 				}
 			}
 		case 20:
@@ -216,22 +216,22 @@
 				if m := calls[k.id]; m.out == k.server && m.ending {
 					m.out, m.ending, m.badEnd = "", false, r.now
 				}
-				step(Written{Server: k.server, ID: k.id})
+				step(EndWritten{Server: k.server, ID: k.id})
 			}
 		case 23:
 			if rnd.IntN(20) == 0 {
 				old := caller
 				nextLink++
 				caller = nextLink
-				step(CallerDown{Link: old})
-				step(CallerUp{Link: caller, Front: "f"})
+				step(CallerDown{Conn: old})
+				step(CallerUp{Conn: caller, Protocol: "f"})
 			}
 		}
 	}
 	for range 100 { // all that is owed comes out in the end
 		r.now += time.Second
 		for _, d := range r.due {
-			step(Due{Token: d.Token})
+			step(TimerFired{Token: d.Token})
 		}
 		r.due = nil
 	}
--- a/internal/core/servers.go
+++ b/internal/core/servers.go
@@ -91,7 +91,7 @@
 	delete(c.servers, s.Name)
 	delete(c.byID, s.id)
 	c.left = append(c.left, left{s.Name, s.id})
-	c.left = c.left[max(len(c.left)-c.limits.Left, 0):]
+	c.left = c.left[max(len(c.left)-c.limits.MaxRemovedServers, 0):]
 	for i, have := range c.order {
 		if have == s {
 			c.order = append(c.order[:i], c.order[i+1:]...)
@@ -123,7 +123,7 @@
 	switch {
 	case ev.Up:
 		delete(c.routes, ev.Name)
-	case len(changed) > 0 || len(c.routes) < c.limits.Routes:
+	case len(changed) > 0 || len(c.routes) < c.limits.MaxRoutes:
 		c.routes[ev.Name] = ev
 	}
 	if len(changed) > 0 {
@@ -146,9 +146,9 @@
 func (c *Core) wanted(s *server) int {
 	switch {
 	case s.Phase == elmseam.Ready && !c.cutOff(s):
-		most := max(c.limits.Lines[s.Front], 1)
-		if c.limits.ServerLines > 0 { // descriptors are scarce: each server its part, and one at least
-			most = min(most, max(c.limits.ServerLines/len(c.order), 1))
+		most := max(c.limits.ConnsPerServer[s.Protocol], 1)
+		if c.limits.MaxServerConns > 0 { // descriptors are scarce: each server its part, and one at least
+			most = min(most, max(c.limits.MaxServerConns/len(c.order), 1))
 		}
 		return most
 	case len(s.standing) > 0, len(s.owed) > 0 && s.Phase != elmseam.Gone:
@@ -190,17 +190,17 @@
 	if s.dialing || s.sound() >= max(c.wanted(s), 1) {
 		return s.dialing
 	}
-	if c.limits.ServerLines > 0 && c.lines() >= c.limits.ServerLines && !c.spareLine(s) {
+	if c.limits.MaxServerConns > 0 && c.lines() >= c.limits.MaxServerConns && !c.spareLine(s) {
 		return false
 	}
 	s.dialing = true
-	c.do(Dial{Server: s.Name, Address: s.Address, Front: s.Front})
+	c.do(Dial{Server: s.Name, Address: s.Address, Protocol: s.Protocol})
 	return true
 }
 
 // ahead asks for a connection before anything needs it, where that takes none from another server.
 func (c *Core) ahead(s *server) {
-	if c.limits.ServerLines == 0 || c.lines() < c.limits.ServerLines || len(s.standing) > 0 && s.sound() == 0 {
+	if c.limits.MaxServerConns == 0 || c.lines() < c.limits.MaxServerConns || len(s.standing) > 0 && s.sound() == 0 {
 		c.dial(s)
 	}
 }
@@ -245,7 +245,7 @@
 // lineTo is the connection for the next set-up: the one used least of late among those that don't leave set-ups
 // without a word. None goes over a malformed one.
 func (c *Core) lineTo(s *server) (best *line) {
-	doubt := func(l *line) bool { return l.mute != 0 && c.now-l.mute > c.limits.Mute }
+	doubt := func(l *line) bool { return l.mute != 0 && c.now-l.mute > c.limits.UnresponsiveAfter }
 	for _, l := range s.lines {
 		if l.malformed {
 			continue
@@ -258,7 +258,7 @@
 }
 
 // heard takes in that a connection brings something.
-func (s *server) heard(link Link) {
+func (s *server) heard(link ConnID) {
 	if l := s.lineOf(link); l != nil {
 		l.mute = 0
 	}
@@ -282,7 +282,7 @@
 		return
 	}
 	s.owed = append(s.owed, id)
-	s.owed = s.owed[max(len(s.owed)-c.limits.Owed, 0):]
+	s.owed = s.owed[max(len(s.owed)-c.limits.MaxPendingReleases, 0):]
 	if !s.redialing {
 		c.dial(s)
 	}
@@ -293,7 +293,7 @@
 	lines := s.lines
 	s.lines = nil
 	for _, l := range lines {
-		c.do(Hangup{To: l.link})
+		c.do(CloseConn{To: l.link})
 		c.cutOut(s, l, elmseam.CauseReset)
 	}
 }
@@ -302,22 +302,22 @@
 func (c *Core) serverUp(ev ServerUp) {
 	s := c.servers[ev.Server]
 	if s == nil {
-		c.do(Hangup{To: ev.Link})
+		c.do(CloseConn{To: ev.Conn})
 		return
 	}
 	s.dialing = false
 	switch {
 	case s.Address != ev.Address: // it has moved meanwhile
-		c.do(Hangup{To: ev.Link})
+		c.do(CloseConn{To: ev.Conn})
 		if c.wanted(s) > 0 {
 			c.ahead(s)
 		}
 		return
 	case s.sound() >= c.wanted(s): // late: it is of no use any more
-		c.do(Hangup{To: ev.Link})
+		c.do(CloseConn{To: ev.Conn})
 		return
 	}
-	s.lines = append(s.lines, &line{link: ev.Link})
+	s.lines = append(s.lines, &line{link: ev.Conn})
 	s.backoff, s.lost = 0, 0
 	for _, id := range s.owed {
 		c.endAt(s, id)
@@ -340,13 +340,13 @@
 	}
 	cause := elmseam.CauseUnreachable
 	var gone *line
-	if ev.Link != 0 {
-		i := slices.IndexFunc(s.lines, func(l *line) bool { return l.link == ev.Link })
+	if ev.Conn != 0 {
+		i := slices.IndexFunc(s.lines, func(l *line) bool { return l.link == ev.Conn })
 		if i < 0 {
 			return
 		}
 		cause, gone = elmseam.CauseReset, s.lines[i]
-		c.prober.Ended(uint64(ev.Link))
+		c.prober.ConnClosed(uint64(ev.Conn))
 		s.lines = slices.Delete(s.lines, i, i+1)
 	} else {
 		s.dialing = false
@@ -359,13 +359,13 @@
 	}
 	if s.lost == 0 && len(s.lines) == 0 {
 		s.lost = c.now
-		c.timer(c.now+c.limits.ServerLost, Token{kind: tokenLost, server: s.Name})
+		c.timer(c.now+c.limits.ServerLostAfter, Token{kind: tokenLost, server: s.Name})
 	}
 	c.cutOut(s, gone, cause)
 	if !s.dialing && !s.redialing && s.sound() < c.wanted(s) {
 		at := c.now
 		if cause == elmseam.CauseUnreachable {
-			s.backoff = min(max(2*s.backoff, c.limits.RedialLeast), c.limits.RedialMost)
+			s.backoff = min(max(2*s.backoff, c.limits.MinRedial), c.limits.MaxRedial)
 			at += s.backoff
 		}
 		s.redialing = true
--- a/internal/core/tier_test.go
+++ b/internal/core/tier_test.go
@@ -17,7 +17,7 @@
 )
 
 func (r *rig) join(tier int) {
-	r.step(Join{Config: membership.Config{Tier: tier, Limits: membership.Defaults(), Seed: 1}})
+	r.step(StartMembership{Config: membership.Config{TierSize: tier, Limits: membership.Defaults(), Seed: 1}})
 }
 
 // A softswitch that hears of nobody in its tier sends a just-started server the share of its own part that it sees of
@@ -47,7 +47,7 @@
 		}
 		serve(10 * time.Second) // at a rate that both know
 		r.step(List{Servers: []Server{{Name: "a", Address: "a:1", Phase: 1, Started: r.now}}})
-		r.step(ServerUp{Server: "a", Address: "a:1", Link: 10})
+		r.step(ServerUp{Server: "a", Address: "a:1", Conn: 10})
 		return serve(2 * time.Second)
 	}
 	none, alone, cut := sent(0), sent(1), sent(5)
@@ -63,16 +63,16 @@
 	r.drainable()
 	r.join(1)
 	limits := maintenance.Defaults()
-	r.step(Plan{Config: maintenance.Config{Tier: 1, Zone: -1, Limits: limits, Seed: 1}})
-	stage := func() maintenance.Stage { return r.c.Figures(r.now).Work.Records[0].Stage }
+	r.step(StartMaintenance{Config: maintenance.Config{TierSize: 1, Zone: -1, Limits: limits, Seed: 1}})
+	stage := func() maintenance.Stage { return r.c.Stats(r.now).Maintenance.Records[0].Stage }
 	r.setUp(7, 5*time.Second)
 	r.step(ServerAnswer{Server: "a", ID: 7})
-	r.step(Order{Event: maintenance.Request{Members: []int{0}}})
-	if f := r.c.Figures(r.now); f.Ready || !f.Draining || stage() != maintenance.Out {
+	r.step(MaintenanceRequest{Event: maintenance.Request{Members: []int{0}}})
+	if f := r.c.Stats(r.now); f.Ready || !f.Draining || stage() != maintenance.Draining {
 		t.Errorf("its turn has come: %+v, %v", f, stage())
 	}
 	r.pass(3 * time.Second)
-	if stage() != maintenance.Out { // a call stands
+	if stage() != maintenance.Draining { // a call stands
 		t.Errorf("with a call that stands it is %v", stage())
 	}
 	r.want(r.step(ServerEnd{Server: "a", ID: 7, Reason: Normal}), "released7@1 ")
@@ -80,23 +80,23 @@
 		t.Errorf("with nothing left it is %v", stage())
 	}
 	r.step(Drain{})
-	if f := r.c.Figures(r.now); !f.Ready || f.Draining || stage() != maintenance.Done {
+	if f := r.c.Stats(r.now); !f.Ready || f.Draining || stage() != maintenance.Done {
 		t.Errorf("taken back: %+v, %v", f, stage())
 	}
 	r.step(Drain{On: true})
-	r.step(Order{Event: maintenance.Request{Members: []int{0}}})
+	r.step(MaintenanceRequest{Event: maintenance.Request{Members: []int{0}}})
 	r.pass(3 * time.Second)
-	r.step(Order{Event: maintenance.Cancel{Members: []int{0}}})
-	if f := r.c.Figures(r.now); !f.Draining || stage() != maintenance.Done {
+	r.step(MaintenanceRequest{Event: maintenance.Cancel{Members: []int{0}}})
+	if f := r.c.Stats(r.now); !f.Draining || stage() != maintenance.Done {
 		t.Errorf("drained by hand all along: %+v, %v", f, stage())
 	}
 }
 
 // hears hands the core a peer's word on server a.
-func (r *rig) hears(peer *knowledge.Reducer, s knowledge.Seen) string {
-	peer.Step(r.now, knowledge.Own{Servers: map[uint32]knowledge.Seen{uint32(xxh3.HashString("a")): s}})
+func (r *rig) hears(peer *knowledge.Reducer, s knowledge.Observation) string {
+	peer.Step(r.now, knowledge.LocalObservations{Servers: map[uint32]knowledge.Observation{uint32(xxh3.HashString("a")): s}})
 	bare := datagram.Encode(membership.Version, []int{}) // nonsense to membership; its rider counts all the same
-	return r.step(Peer{From: 1, Data: peer.Ride(r.now, bare)})
+	return r.step(MemberDatagram{From: 1, Data: peer.AppendPiggyback(r.now, bare)})
 }
 
 // A peer's word that a server drains holds back where it is newer than the own list, and only for a while: the own list
@@ -104,8 +104,8 @@
 func TestAPeersWordThatAServerDrains(t *testing.T) {
 	r := newRig(t)
 	r.join(2)
-	r.step(Know{Config: knowledge.Config{Tier: 2, Limits: knowledge.Defaults(), Seed: 1}})
-	peer, _, _ := knowledge.New(knowledge.Config{Self: 1, Tier: 2, Limits: knowledge.Defaults(), Seed: 1}, r.now)
+	r.step(StartKnowledge{Config: knowledge.Config{TierSize: 2, Limits: knowledge.Defaults(), Seed: 1}})
+	peer, _, _ := knowledge.New(knowledge.Config{Self: 1, TierSize: 2, Limits: knowledge.Defaults(), Seed: 1}, r.now)
 	id := ID(0)
 	want := func(what string, there bool) {
 		t.Helper()
@@ -118,22 +118,22 @@
 		}
 	}
 	r.pass(time.Second)
-	r.hears(peer, knowledge.Seen{Drains: r.now - 3*time.Second}) // older than the own list
+	r.hears(peer, knowledge.Observation{DrainingSince: r.now - 3*time.Second}) // older than the own list
 	want("an older word", true)
 	r.pass(time.Second)
-	r.hears(peer, knowledge.Seen{Drains: r.now})
+	r.hears(peer, knowledge.Observation{DrainingSince: r.now})
 	r.pass(time.Second)
 	want("a newer word", false)
-	r.pass(r.c.limits.Hearsay + time.Second) // not confirmed
+	r.pass(r.c.limits.ReportedDrainTTL + time.Second) // not confirmed
 	want("one that the own list does not confirm", true)
 	r.pass(time.Second)
-	r.hears(peer, knowledge.Seen{Drains: r.now})
+	r.hears(peer, knowledge.Observation{DrainingSince: r.now})
 	r.pass(10 * ms)
 	r.list(elmseam.Ready, elmseam.Ready)
 	want("the own list has spoken since", true)
 	r.list(elmseam.Draining, elmseam.Ready)
 	r.pass(time.Second)
-	r.hears(peer, knowledge.Seen{Rate: 100, Share: 0, ShareAt: r.now})
+	r.hears(peer, knowledge.Observation{Rate: 100, HoldBackShare: 0, HoldBackShareAt: r.now})
 	want("a word of ease, and the own list says that it drains", false)
 }
 
@@ -142,7 +142,7 @@
 func TestWakesWithTheSurePart(t *testing.T) {
 	r := newRig(t)
 	r.join(1)
-	r.step(Share{Config: budget.Config{Tier: 1, Limits: budget.Defaults(), Seed: 1}})
+	r.step(StartBudget{Config: budget.Config{TierSize: 1, Limits: budget.Defaults(), Seed: 1}})
 	for id := ID(1); id < 400; id++ {
 		r.pass(10 * ms)
 		if strings.Contains(r.setUp(id, 5*time.Second), "@10") {
@@ -164,7 +164,7 @@
 		}
 		return n
 	}
-	r.step(ServerUp{Server: "a", Address: "a:1", Link: 10})
+	r.step(ServerUp{Server: "a", Address: "a:1", Conn: 10})
 	r.pass(time.Second)
 	whole := sent()
 	r.now += 3 * time.Second
@@ -183,9 +183,9 @@
 func TestAPartThatBeganAsNothingGrows(t *testing.T) {
 	r := newRig(t)
 	r.join(1)
-	r.step(Share{Config: budget.Config{Tier: 1, Limits: budget.Defaults(), Seed: 1}})
+	r.step(StartBudget{Config: budget.Config{TierSize: 1, Limits: budget.Defaults(), Seed: 1}})
 	r.step(List{Servers: []Server{{Name: "a", Address: "a:1", Phase: elmseam.Ready, Started: r.now}}})
-	r.step(ServerUp{Server: "a", Address: "a:1", Link: 10})
+	r.step(ServerUp{Server: "a", Address: "a:1", Conn: 10})
 	cold := 0
 	for id := ID(1); id < 500; id++ {
 		r.pass(10 * ms)
--- a/internal/core/work.go
+++ b/internal/core/work.go
@@ -11,44 +11,44 @@
 // has come it drains as an operator would have it drain; when nothing is left on it, it says that it is ready for work.
 
 type (
-	// Plan begins this softswitch's part in its tier's ordered maintenance. It needs a Join before.
-	Plan struct{ Config maintenance.Config }
-	// Order is what an operator asks of the tier's maintenance: a Request or a Cancel, of members by their numbers.
-	Order struct{ Event maintenance.Event }
+	// StartMaintenance begins this softswitch's part in its tier's ordered maintenance. It needs a Join before.
+	StartMaintenance struct{ Config maintenance.Config }
+	// MaintenanceRequest is what an operator asks of the tier's maintenance: a Request or a Cancel, of members by their numbers.
+	MaintenanceRequest struct{ Event maintenance.Event }
 )
 
-func (Plan) event()  {}
-func (Order) event() {}
+func (StartMaintenance) event()   {}
+func (MaintenanceRequest) event() {}
 
 type (
-	// Draining says whether this softswitch drains, when its turn for work has come or is over.
-	Draining struct{ On bool }
-	// WorkTold says how far a softswitch's maintenance is now.
-	WorkTold struct{ maintenance.Told }
+	// DrainChanged says whether this softswitch drains, when its turn for work has come or is over.
+	DrainChanged struct{ On bool }
+	// MaintenanceProgress says how far a softswitch's maintenance is now.
+	MaintenanceProgress struct{ maintenance.RequestChanged }
 )
 
-func (Draining) effect() {}
-func (WorkTold) effect() {}
+func (DrainChanged) effect()        {}
+func (MaintenanceProgress) effect() {}
 
 // drainers are those who may want a softswitch drained: it is as long as one does.
 type drainers struct{ hand, work bool }
 
 // plan begins maintenance. A second Plan changes nothing.
-func (c *Core) plan(ev Plan) {
+func (c *Core) plan(ev StartMaintenance) {
 	if c.work != nil || c.fleet == nil {
 		return
 	}
 	work, out, err := maintenance.New(ev.Config, c.now)
 	if err != nil {
-		c.do(Broken{Rule: err.Error()})
+		c.do(Violation{Rule: err.Error()})
 		return
 	}
 	c.work = work
 	c.works(out)
 	for m, e := range c.fleet.Members() {
-		c.toWork(maintenance.There{Member: m, Yes: e.State.There()})
+		c.toWork(maintenance.MemberAvailability{Member: m, Available: e.State.Available()})
 	}
-	c.toWork(maintenance.Serving{Yes: c.serving})
+	c.toWork(maintenance.Serving{Serving: c.serving})
 }
 
 // toWork hands maintenance an event.
@@ -63,15 +63,15 @@
 	for _, e := range out {
 		switch e := e.(type) {
 		case maintenance.Send:
-			c.do(ToPeer{To: e.To, Data: e.Data})
+			c.do(SendToMember{To: e.To, Data: e.Data})
 		case maintenance.Timer:
 			c.timer(e.At, Token{kind: tokenWork, work: e.Token})
-		case maintenance.Told:
-			c.do(WorkTold{e})
+		case maintenance.RequestChanged:
+			c.do(MaintenanceProgress{e})
 		case maintenance.Drain:
 			c.by.work = e.On
 			c.drain(c.by.hand || c.by.work)
-			c.do(Draining{On: c.draining})
+			c.do(DrainChanged{On: c.draining})
 		}
 	}
 }
@@ -87,27 +87,27 @@
 
 // empty tells maintenance, once, that nothing is left here.
 func (c *Core) empty() {
-	if c.work != nil && c.work.Waits() && c.away() && len(c.calls) == 0 {
+	if c.work != nil && c.work.AwaitsDrained() && c.away() && len(c.calls) == 0 {
 		c.toWork(maintenance.Drained{})
 	}
 }
 
 // peerThere tells maintenance who is there: one that is merely suspected keeps its place.
 func (c *Core) peerThere(m int, s membership.State) {
-	c.toWork(maintenance.There{Member: m, Yes: s.There() || s == membership.Suspect})
+	c.toWork(maintenance.MemberAvailability{Member: m, Available: s.Available() || s == membership.Suspect})
 }
 
-// WorkFigures are what operators are shown of the tier's maintenance.
-type WorkFigures struct {
-	maintenance.State
+// MaintenanceStats are what operators are shown of the tier's maintenance.
+type MaintenanceStats struct {
+	maintenance.Status
 	Self  int
 	Names []string // of the tier's softswitches, by number, where they have told them
 }
 
 // maintained are the figures of maintenance; nil where there is none.
-func (c *Core) maintained() *WorkFigures {
+func (c *Core) maintained() *MaintenanceStats {
 	if c.work == nil {
 		return nil
 	}
-	return &WorkFigures{State: c.work.State(), Self: c.self, Names: slices.Clone(c.work.Names())}
+	return &MaintenanceStats{Status: c.work.Status(), Self: c.self, Names: slices.Clone(c.work.Names())}
 }
--- a/internal/datagram/datagram.go
+++ b/internal/datagram/datagram.go
@@ -11,8 +11,8 @@
 	"github.com/zeebo/xxh3"
 )
 
-// Max is the most that a datagram between softswitches may hold, in bytes (PROTOCOL, "Between softswitches").
-const Max = 256
+// MaxSize is the most that a datagram between softswitches may hold, in bytes (PROTOCOL, "Between softswitches").
+const MaxSize = 256
 
 // Overhead is what the form takes beside the array, in bytes.
 const Overhead = 1 + sumSize
@@ -21,8 +21,8 @@
 
 // Errors of a datagram that is passed over.
 var (
-	ErrGarbled = errors.New("garbled")
-	ErrVersion = errors.New("of another version")
+	ErrMalformed = errors.New("garbled")
+	ErrVersion   = errors.New("of another version")
 )
 
 var (
@@ -34,7 +34,7 @@
 		return m
 	}()
 	decoding = func() cbor.DecMode {
-		m, err := cbor.DecOptions{MaxArrayElements: Max, MaxMapPairs: 16, MaxNestedLevels: 4,
+		m, err := cbor.DecOptions{MaxArrayElements: MaxSize, MaxMapPairs: 16, MaxNestedLevels: 4,
 			IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden}.DecMode()
 		if err != nil {
 			panic(err)
@@ -76,42 +76,42 @@
 // Decode reads a datagram of this version, of most bytes at most, into v. The error is ErrGarbled or ErrVersion.
 func Decode(data []byte, version byte, most int, v any) error {
 	if len(data) < Overhead || len(data) > most {
-		return ErrGarbled
+		return ErrMalformed
 	}
 	body, tail := data[:len(data)-sumSize], data[len(data)-sumSize:]
 	if sum(body) != binary.BigEndian.Uint32(tail) {
-		return ErrGarbled
+		return ErrMalformed
 	}
 	if body[0] != version {
 		return ErrVersion
 	}
 	if decoding.Unmarshal(body[1:], v) != nil {
-		return ErrGarbled
+		return ErrMalformed
 	}
 	return nil
 }
 
-// Ride has something else ride on a datagram, behind its array and within the checksum, so that no more datagrams are sent
+// AppendPiggyback has something else ride on a datagram, behind its array and within the checksum, so that no more datagrams are sent
 // for it. Who does not look for a rider takes the datagram for garbled; so all of a tier must.
-func Ride(data, rider []byte) []byte {
+func AppendPiggyback(data, rider []byte) []byte {
 	body := data[:len(data)-sumSize]
 	all := append(append(make([]byte, 0, len(data)+len(rider)), body...), rider...)
 	return binary.BigEndian.AppendUint32(all, sum(all))
 }
 
-// Split takes a datagram and what rides on it apart: what it was without a rider, and the rider, empty if there is none.
-func Split(data []byte) (bare, rider []byte, err error) {
-	if len(data) < Overhead || len(data) > Max {
-		return nil, nil, ErrGarbled
+// SplitPiggyback takes a datagram and what rides on it apart: what it was without a rider, and the rider, empty if there is none.
+func SplitPiggyback(data []byte) (bare, rider []byte, err error) {
+	if len(data) < Overhead || len(data) > MaxSize {
+		return nil, nil, ErrMalformed
 	}
 	body, tail := data[:len(data)-sumSize], data[len(data)-sumSize:]
 	if sum(body) != binary.BigEndian.Uint32(tail) {
-		return nil, nil, ErrGarbled
+		return nil, nil, ErrMalformed
 	}
 	var first cbor.RawMessage
 	rider, err = decoding.UnmarshalFirst(body[1:], &first)
 	if err != nil {
-		return nil, nil, ErrGarbled
+		return nil, nil, ErrMalformed
 	}
 	if len(rider) == 0 {
 		return data, nil, nil
@@ -123,7 +123,7 @@
 // DecodeItem reads one array by itself, such as a rider, into v. The error is ErrGarbled.
 func DecodeItem(data []byte, v any) error {
 	if decoding.Unmarshal(data, v) != nil {
-		return ErrGarbled
+		return ErrMalformed
 	}
 	return nil
 }
@@ -137,8 +137,8 @@
 	return body
 }
 
-// Seal gives a datagram, whose last four bytes don't matter, the checksum that it should have.
-func Seal(data []byte) []byte {
+// FixChecksum gives a datagram, whose last four bytes don't matter, the checksum that it should have.
+func FixChecksum(data []byte) []byte {
 	if len(data) < sumSize {
 		return data
 	}
--- a/internal/explore/actions.go
+++ b/internal/explore/actions.go
@@ -7,12 +7,12 @@
 	"elmseam/internal/core"
 )
 
-// Kind is something that can happen.
-type Kind uint8
+// ActionKind is something that can happen.
+type ActionKind uint8
 
 // The kinds. Those from firstFault on are disturbances, of which only so many happen.
 const (
-	setUp Kind = iota // N: the first choice
+	setUp ActionKind = iota // N: the first choice
 	written
 	answer
 	full
@@ -76,29 +76,29 @@
 
 // Action is one thing that happens: to a call or a server, with a number that some kinds have.
 type Action struct {
-	Kind Kind
-	Of   uint8
-	N    uint8
+	Kind   ActionKind
+	Target uint8
+	Arg    uint8
 }
 
-func (a Action) String() string { return fmt.Sprintf("%s %d %d", kindNames[a.Kind], a.Of, a.N) }
+func (a Action) String() string { return fmt.Sprintf("%s %d %d", kindNames[a.Kind], a.Target, a.Arg) }
 
 // ParseAction reads what String has written.
 func ParseAction(text string) (a Action, err error) {
 	var kind string
-	if n, err := fmt.Sscanf(text, "%s %d %d", &kind, &a.Of, &a.N); err != nil || n != 3 {
+	if n, err := fmt.Sscanf(text, "%s %d %d", &kind, &a.Target, &a.Arg); err != nil || n != 3 {
 		return a, fmt.Errorf("action %q: %w", text, err)
 	}
 	at := slices.Index(kindNames[:], kind)
 	if at < 0 {
 		return a, fmt.Errorf("action %q: unknown", text)
 	}
-	a.Kind = Kind(at)
+	a.Kind = ActionKind(at)
 	return a, nil
 }
 
 // due are the timers that are due first, by their places.
-func (w *World) dueFirst() (first []int) {
+func (w *CallModel) dueFirst() (first []int) {
 	for i, t := range w.Timers {
 		switch {
 		case len(first) == 0 || t.At < w.Timers[first[0]].At:
@@ -110,11 +110,11 @@
 	return first
 }
 
-// Actions are all things that can happen next, always in the same order. Like calls come in the order of their
+// EnabledActions are all things that can happen next, always in the same order. Like calls come in the order of their
 // numbers, and the first one's first choice is the first server: the others are the same with other names.
-func (w *World) Actions() (all []Action) {
-	add := func(k Kind, of, n int) {
-		if k < firstFault || w.Left > 0 {
+func (w *CallModel) EnabledActions() (all []Action) {
+	add := func(k ActionKind, of, n int) {
+		if k < firstFault || w.FaultsLeft > 0 {
 			all = append(all, Action{k, uint8(of), uint8(n)})
 		}
 	}
@@ -165,7 +165,7 @@
 	if !w.Reloaded && w.Config.Attempts > 1 {
 		add(reload, 0, 0)
 	}
-	if w.Drained {
+	if w.Draining {
 		add(undrain, 0, 0)
 	} else {
 		add(drain, 0, 0)
@@ -174,18 +174,18 @@
 	for n := range first {
 		add(due, 0, n)
 	}
-	if w.Pauses > 0 && (len(first) == 0 || w.Timers[first[0]].At > w.Now+pause) {
+	if w.PausesLeft > 0 && (len(first) == 0 || w.Timers[first[0]].At > w.Now+pause) {
 		add(pass, 0, 0)
 	}
 	return all
 }
 
 // actionsOf are those of one call.
-func (w *World) actionsOf(i int, c *Call, add func(k Kind, of, n int)) {
+func (w *CallModel) actionsOf(i int, c *Call, add func(k ActionKind, of, n int)) {
 	if !c.Started {
 		return
 	}
-	switch c.At {
+	switch c.State {
 	case queued:
 		add(written, i, 0)
 	case out:
@@ -197,54 +197,54 @@
 		add(ended, i, 0)
 		add(cross, i, 0)
 	}
-	if c.Stands && w.to(c.Server) != 0 {
+	if c.Established && w.to(c.Server) != 0 {
 		add(release, i, 0)
 		add(cut, i, 0)
 	}
 	w.echoes(i, c, add)
 	switch a := &c.Account; {
-	case a.Gone:
-	case a.Finals == 0:
+	case a.CallerGone:
+	case a.FinalAnswers == 0:
 		if w.callerUp(c.From) {
 			add(giveUp, i, 0)
 		}
 		if !c.Repeated {
 			add(repeat, i, 0)
 		}
-	case a.Stood && a.Released == 0 && len(w.Callers) > 0:
+	case a.WasEstablished && a.Released == 0 && len(w.Callers) > 0:
 		add(hangup, i, 0)
 	}
 }
 
 // echoes are what a server may say of a call that is over for it.
-func (w *World) echoes(i int, c *Call, add func(k Kind, of, n int)) {
-	if c.Late != 0 && w.to(c.Late-1) != 0 {
+func (w *CallModel) echoes(i int, c *Call, add func(k ActionKind, of, n int)) {
+	if c.LateAnswerFrom != 0 && w.to(c.LateAnswerFrom-1) != 0 {
 		add(late, i, 0)
 	}
-	if c.Again != 0 && w.to(c.Again-1) != 0 {
+	if c.RepeatedReleaseFrom != 0 && w.to(c.RepeatedReleaseFrom-1) != 0 {
 		add(again, i, 0)
 	}
 }
 
-// Apply has something happen. It says no to what can't happen now.
-func (w *World) Apply(a Action) bool {
-	if !slices.Contains(w.Actions(), a) {
+// TryApply has something happen. It says no to what can't happen now.
+func (w *CallModel) TryApply(a Action) bool {
+	if !slices.Contains(w.EnabledActions(), a) {
 		return false
 	}
 	w.apply(a)
 	return true
 }
 
-func (w *World) apply(a Action) {
+func (w *CallModel) apply(a Action) {
 	if a.Kind >= firstFault {
-		w.Left--
+		w.FaultsLeft--
 	}
-	n := int(a.Of)
+	n := int(a.Target)
 	switch a.Kind {
 	case due:
-		w.fire(w.dueFirst()[a.N])
+		w.fire(w.dueFirst()[a.Arg])
 	case pass:
-		w.Pauses--
+		w.PausesLeft--
 		w.Now += pause
 		w.inTime(w.Now)
 	case dialled:
@@ -255,7 +255,7 @@
 	case connLost:
 		l := w.to(n)
 		w.lose(l)
-		w.step(core.ServerDown{Server: name(n), Link: l})
+		w.step(core.ServerDown{Server: name(n), Conn: l})
 	case drains, goes, restarts, returns:
 		w.list(a.Kind, n)
 	case callerBack:
@@ -263,29 +263,29 @@
 	case callerLost:
 		l := w.Callers[0]
 		w.lose(l)
-		w.step(core.CallerDown{Link: l})
+		w.step(core.CallerDown{Conn: l})
 	case reload:
 		w.Reloaded = true
 		w.step(core.Configured{Settings: w.Config.settings(w.Config.Attempts - 1), Limits: w.Config.limits()})
 	case drain, undrain:
-		w.Drained = a.Kind == drain
-		w.step(core.Drain{On: w.Drained})
+		w.Draining = a.Kind == drain
+		w.step(core.Drain{On: w.Draining})
 	default:
-		w.call(a.Kind, n, int(a.N))
+		w.call(a.Kind, n, int(a.Arg))
 	}
 }
 
 // fire has a timer come due.
-func (w *World) fire(i int) {
+func (w *CallModel) fire(i int) {
 	t := w.Timers[i]
 	w.Timers = slices.Delete(w.Timers, i, i+1)
 	w.Now = max(w.Now, t.At)
 	w.inTime(w.Now)
-	w.step(core.Due{Token: t.Token})
+	w.step(core.TimerFired{Token: t.Token})
 }
 
 // list changes the list of servers.
-func (w *World) list(k Kind, s int) {
+func (w *CallModel) list(k ActionKind, s int) {
 	v := &w.Servers[s]
 	switch k {
 	case drains:
@@ -294,8 +294,8 @@
 		v.Phase = gone
 		w.die(s)
 	case restarts:
-		v.Birth++
-		v.Began = w.Now
+		v.Incarnation++
+		v.StartedAt = w.Now
 		v.Dials = 0 // they lead to where nobody is
 		w.die(s)
 	case returns:
@@ -309,55 +309,55 @@
 }
 
 // call has something happen to a call.
-func (w *World) call(k Kind, i, n int) {
+func (w *CallModel) call(k ActionKind, i, n int) {
 	c := &w.Calls[i]
 	from, server := w.Callers, name(c.Server)
 	switch k {
 	case setUp:
-		c.Started, c.From, c.Cell, c.Deadline = true, from[len(from)-1], n, w.Now+w.Config.Wait
-		c.Account.Most = w.Config.Attempts
+		c.Started, c.From, c.Cell, c.Deadline = true, from[len(from)-1], n, w.Now+w.Config.GiveUp
+		c.Account.MaxAttempts = w.Config.Attempts
 		if w.Reloaded {
-			c.Account.Most--
+			c.Account.MaxAttempts--
 		}
 		w.step(w.setUp(i))
 	case repeat:
 		c.Repeated, c.From = true, w.newCaller()
 		w.step(w.setUp(i))
 	case written:
-		c.At = out
-		w.step(core.Sent{Server: server, ID: id(i)})
+		c.State = out
+		w.step(core.OfferWritten{Server: server, ID: id(i)})
 	case answer:
-		c.At, c.Stands = nowhere, true
+		c.State, c.Established = nowhere, true
 		w.attemptOver(i, false)
-		w.step(core.ServerAnswer{Server: server, Link: c.Link, ID: id(i)})
+		w.step(core.ServerAnswer{Server: server, Conn: c.Link, ID: id(i)})
 	case full, busy, reset:
-		c.At = nowhere
+		c.State = nowhere
 		w.attemptOver(i, k == reset)
-		why := map[Kind]core.Reason{full: core.Full, busy: core.Busy, reset: core.Reset}[k]
-		w.step(core.ServerEnd{Server: server, Link: c.Link, ID: id(i), Reason: why})
+		why := map[ActionKind]core.Reason{full: core.Full, busy: core.Busy, reset: core.Reset}[k]
+		w.step(core.ServerEnd{Server: server, Conn: c.Link, ID: id(i), Reason: why})
 	case ended:
-		c.At, c.Late = nowhere, c.Server+1
+		c.State, c.LateAnswerFrom = nowhere, c.Server+1
 		w.attemptOver(i, true)
-		w.step(core.Written{Server: server, ID: id(i)})
+		w.step(core.EndWritten{Server: server, ID: id(i)})
 	case cross:
-		w.step(core.ServerAnswer{Server: server, Link: c.Link, ID: id(i)})
+		w.step(core.ServerAnswer{Server: server, Conn: c.Link, ID: id(i)})
 	case late:
-		s := c.Late - 1
-		c.Late = 0
-		w.step(core.ServerAnswer{Server: name(s), Link: w.to(s), ID: id(i)})
+		s := c.LateAnswerFrom - 1
+		c.LateAnswerFrom = 0
+		w.step(core.ServerAnswer{Server: name(s), Conn: w.to(s), ID: id(i)})
 	case release, cut:
-		c.Stands, c.Again = false, c.Server+1
+		c.Established, c.RepeatedReleaseFrom = false, c.Server+1
 		why := core.Normal
 		if k == cut {
 			why = core.Reset
 		}
-		w.step(core.ServerEnd{Server: server, Link: w.to(c.Server), ID: id(i), Reason: why})
+		w.step(core.ServerEnd{Server: server, Conn: w.to(c.Server), ID: id(i), Reason: why})
 	case again:
-		s := c.Again - 1
-		c.Again = 0
-		w.step(core.ServerEnd{Server: name(s), Link: w.to(s), ID: id(i), Reason: core.Normal})
+		s := c.RepeatedReleaseFrom - 1
+		c.RepeatedReleaseFrom = 0
+		w.step(core.ServerEnd{Server: name(s), Conn: w.to(s), ID: id(i), Reason: core.Normal})
 	case hangup, giveUp:
-		c.Account.Gone = true
+		c.Account.CallerGone = true
 		at := c.From
 		if k == hangup && !w.callerUp(at) {
 			at = from[0]
@@ -366,7 +366,7 @@
 	}
 }
 
-func (w *World) setUp(i int) core.SetUp {
+func (w *CallModel) setUp(i int) core.SetUp {
 	c := &w.Calls[i]
-	return core.SetUp{ID: id(i), From: c.From, Cell: c.Cell, Key: "k", Left: c.Deadline - w.Now, At: w.Now}
+	return core.SetUp{ID: id(i), From: c.From, Cell: c.Cell, NumberText: "k", TimeLeft: c.Deadline - w.Now, At: w.Now}
 }
--- a/internal/explore/explore_test.go
+++ b/internal/explore/explore_test.go
@@ -19,7 +19,7 @@
 
 func explore(t *testing.T, cfg Config, b Bounds) *Report {
 	t.Helper()
-	cfg.Wait = time.Second
+	cfg.GiveUp = time.Second
 	r, err := Run(context.Background(), cfg, b)
 	if err != nil {
 		t.Fatal(err)
@@ -40,14 +40,14 @@
 		{Config{Servers: 1, Calls: 2, Attempts: 2, Faults: 0, Pauses: 1}, 1000},
 	} {
 		r := explore(t, c.cfg, Bounds{Workers: 4})
-		if r.Trace != nil {
-			t.Fatalf("%+v: %v after %v", c.cfg, &r.Trace.Broken, r.Trace.Actions)
+		if r.Counterexample != nil {
+			t.Fatalf("%+v: %v after %v", c.cfg, &r.Counterexample.Violation, r.Counterexample.Actions)
 		}
-		if !r.Complete || r.States < c.states || r.Ends == 0 {
+		if !r.Complete || r.States < c.states || r.TerminalStates == 0 {
 			t.Errorf("%+v: %+v, want a complete exploration", c.cfg, r)
 		}
 		again := explore(t, c.cfg, Bounds{Workers: 1})
-		if again.States != r.States || again.Steps != r.Steps || again.Ends != r.Ends {
+		if again.States != r.States || again.Steps != r.Steps || again.TerminalStates != r.TerminalStates {
 			t.Errorf("%+v: %+v and then %+v", c.cfg, r, again)
 		}
 	}
@@ -59,7 +59,7 @@
 }
 
 func without(g core.Guard, h core.Hook) core.Hook {
-	h.Without = g
+	h.DisabledGuards = g
 	return h
 }
 
@@ -88,55 +88,55 @@
 		return acts
 	})
 	hasty := decide(func(ev elmseam.Event, acts []elmseam.Action) []elmseam.Action { // refuses what is out
-		if wake, ok := ev.(elmseam.Wake); ok {
+		if wake, ok := ev.(elmseam.TimerFired); ok {
 			acts = append(acts, elmseam.Refuse{Call: elmseam.CallID(wake.Token)})
 		}
 		return acts
 	})
-	deaf := core.Hook{Deaf: func(ev elmseam.Event) bool {
+	deaf := core.Hook{SuppressEvent: func(ev elmseam.Event) bool {
 		l, delta := ev.(elmseam.ListDelta)
 		return delta && l.Entries[0].Phase == elmseam.Draining
 	}}
 	one := Config{Servers: 1, Calls: 1, Attempts: 2, Faults: 2}
 	for _, c := range []struct {
-		rule  Rule
+		rule  Invariant
 		guard core.Guard
 		hook  core.Hook
 		cfg   Config
 	}{
-		{OneFinal, core.GuardFinal, hasty, one},
-		{OneOut, core.GuardOut, twice, one},
-		{FewSends, core.GuardMost, stubborn, one},
-		{ReleaseGap, core.GuardGap, gap, one},
-		{NoDrained, core.GuardPhase, deaf, one},
-		{NoWait, core.GuardDeadline, none, one},
-		{OneRelease, core.GuardRelease, none, one},
-		{NoLeak, core.GuardMemory, none, one},
+		{OneFinalAnswer, core.GuardSingleAnswer, hasty, one},
+		{OneOutstandingAttempt, core.GuardSingleAttempt, twice, one},
+		{AttemptLimit, core.GuardMaxAttempts, stubborn, one},
+		{ReleaseGuard, core.GuardResendWait, gap, one},
+		{NoSetUpToDrained, core.GuardPhase, deaf, one},
+		{AnswerBeforeGiveUp, core.GuardDeadline, none, one},
+		{OneRelease, core.GuardSingleRelease, none, one},
+		{NoLeak, core.GuardForgetEnded, none, one},
 	} {
-		c.cfg.Hook = c.hook
-		if r := explore(t, c.cfg, Bounds{}); r.Trace != nil {
-			t.Errorf("%s: broken with all guards in their places: %v after %v", c.rule, &r.Trace.Broken, r.Trace.Actions)
+		c.cfg.CoreHook = c.hook
+		if r := explore(t, c.cfg, Bounds{}); r.Counterexample != nil {
+			t.Errorf("%s: broken with all guards in their places: %v after %v", c.rule, &r.Counterexample.Violation, r.Counterexample.Actions)
 		}
-		c.cfg.Hook = without(c.guard, c.hook)
+		c.cfg.CoreHook = without(c.guard, c.hook)
 		r := explore(t, c.cfg, Bounds{})
-		if r.Trace == nil || r.Trace.Broken.Rule != c.rule {
+		if r.Counterexample == nil || r.Counterexample.Violation.Invariant != c.rule {
 			t.Errorf("%s: not seen broken without its guard: %+v", c.rule, r)
 			continue
 		}
-		c.cfg.Wait = time.Second
+		c.cfg.GiveUp = time.Second
 		for range 2 { // and again by its trace, written and read
 			var text strings.Builder
-			if err := r.Trace.Write(&text); err != nil {
+			if err := r.Counterexample.Write(&text); err != nil {
 				t.Fatal(err)
 			}
 			read, err := ReadTrace(strings.NewReader(text.String()))
 			if err != nil {
 				t.Fatal(err)
 			}
-			if v, err := read.Play(c.cfg, nil); err != nil || v == nil || *v != r.Trace.Broken {
+			if v, err := read.Replay(c.cfg, nil); err != nil || v == nil || *v != r.Counterexample.Violation {
 				t.Errorf("%s: the trace comes to %v, %v", c.rule, v, err)
 			}
-			if v, err := read.Play(read.Config, nil); err == nil && v != nil {
+			if v, err := read.Replay(read.Config, nil); err == nil && v != nil {
 				t.Errorf("%s: the trace breaks a rule in the served core too: %v", c.rule, v)
 			}
 		}
@@ -147,19 +147,19 @@
 // break lead to; and each rule is seen to break without its guard.
 func TestCircuitsKeepCallsApart(t *testing.T) {
 	for _, cfg := range []Config{{Servers: 1, Calls: 3, Faults: 3, Pauses: 1}, {Servers: 2, Calls: 3, Faults: 1}} {
-		cfg.Model, cfg.Attempts = Circuits, 1
-		if r := explore(t, cfg, Bounds{}); !r.Complete || r.Trace != nil || r.States < 1000 {
+		cfg.Model, cfg.Attempts = ModelCircuits, 1
+		if r := explore(t, cfg, Bounds{}); !r.Complete || r.Counterexample != nil || r.States < 1000 {
 			t.Errorf("%+v: %+v", cfg, r)
 		}
 	}
 	for _, c := range []struct {
-		rule   Rule
+		rule   Invariant
 		guard  circuits.Guard
 		faults int
-	}{{OneCall, circuits.GuardConfirm, 1}, {NoMixUp, circuits.GuardCount, 0}, {ComeBack, circuits.GuardOverdue, 1}} {
-		cfg := Config{Model: Circuits, Servers: 1, Calls: 3, Attempts: 1, Faults: c.faults, Pauses: 1, Without: c.guard}
-		if r := explore(t, cfg, Bounds{}); r.Trace == nil || r.Trace.Broken.Rule != c.rule {
-			t.Errorf("%s: not seen broken without its guard: %+v", c.rule, r.Trace)
+	}{{OneCallPerCircuit, circuits.GuardConfirm, 1}, {SignalMatchesCall, circuits.GuardReleaseCount, 0}, {NoLostCircuit, circuits.GuardOverdue, 1}} {
+		cfg := Config{Model: ModelCircuits, Servers: 1, Calls: 3, Attempts: 1, Faults: c.faults, Pauses: 1, DisabledCircuitGuards: c.guard}
+		if r := explore(t, cfg, Bounds{}); r.Counterexample == nil || r.Counterexample.Violation.Invariant != c.rule {
+			t.Errorf("%s: not seen broken without its guard: %+v", c.rule, r.Counterexample)
 		}
 	}
 }
@@ -169,7 +169,7 @@
 	big := Config{Servers: 2, Calls: 3, Attempts: 4, Faults: 3}
 	for why, b := range map[string]Bounds{"depth": {Depth: 3}, "memory": {Memory: 1 << 12}, "time": {Time: time.Millisecond}} {
 		b.Walks = 20
-		if r := explore(t, big, b); r.Complete || r.Why != why || r.Walks != 20 || r.Trace != nil {
+		if r := explore(t, big, b); r.Complete || r.StopReason != why || r.Walks != 20 || r.Counterexample != nil {
 			t.Errorf("%s: %+v", why, r)
 		}
 	}
@@ -178,7 +178,7 @@
 // A trace that was damaged, cut short or written by a newer version is refused.
 func TestBadTraces(t *testing.T) {
 	var text strings.Builder
-	good := Trace{Config: Config{Servers: 1, Calls: 1, Attempts: 2, Wait: time.Second}, Actions: []Action{{Kind: setUp}, {Kind: written}}}
+	good := Trace{Config: Config{Servers: 1, Calls: 1, Attempts: 2, GiveUp: time.Second}, Actions: []Action{{Kind: setUp}, {Kind: written}}}
 	if err := good.Write(&text); err != nil {
 		t.Fatal(err)
 	}
@@ -187,9 +187,9 @@
 		text string
 		want error
 	}{
-		"empty":     {"", ErrNoTrace},
-		"other":     {"{}\n", ErrNoTrace},
-		"newer":     {strings.Replace(whole, `"version":1`, `"version":2`, 1), ErrNewer},
+		"empty":     {"", ErrNotTrace},
+		"other":     {"{}\n", ErrNotTrace},
+		"newer":     {strings.Replace(whole, `"version":1`, `"version":2`, 1), ErrNewerVersion},
 		"cut short": {whole[:len(whole)-40], ErrDamaged},
 		"a line":    {strings.Replace(whole, "written 0 0\n", "", 1), ErrDamaged},
 		"changed":   {strings.Replace(whole, "written", "answer", 1), ErrDamaged},
@@ -222,7 +222,7 @@
 		if err != nil {
 			t.Fatalf("%s: %v", path, err)
 		}
-		v, err := tr.Play(tr.Config, nil)
+		v, err := tr.Replay(tr.Config, nil)
 		if v != nil {
 			t.Errorf("%s: %v", path, v)
 		}
@@ -240,9 +240,9 @@
 func BenchmarkDigest(b *testing.B) { benchmark(b, func(w Model, _ Config, _ []Action) { w.Digest() }) }
 
 func benchmark(b *testing.B, do func(Model, Config, []Action)) {
-	cfg := Config{Servers: 2, Calls: 3, Attempts: 4, Faults: 2, Wait: time.Second}
-	way := []Action{{Kind: setUp}, {Kind: setUp, Of: 1, N: 1}, {Kind: written}, {Kind: written, Of: 1}, {Kind: answer},
-		{Kind: busy, Of: 1}, {Kind: setUp, Of: 2}, {Kind: connLost}, {Kind: dialled}, {Kind: release}}
+	cfg := Config{Servers: 2, Calls: 3, Attempts: 4, Faults: 2, GiveUp: time.Second}
+	way := []Action{{Kind: setUp}, {Kind: setUp, Target: 1, Arg: 1}, {Kind: written}, {Kind: written, Target: 1}, {Kind: answer},
+		{Kind: busy, Target: 1}, {Kind: setUp, Target: 2}, {Kind: connLost}, {Kind: dialled}, {Kind: release}}
 	w, n := Replay(cfg, way)
 	if n != len(way) {
 		b.Fatal("the way ends early")
@@ -255,24 +255,24 @@
 // Membership keeps its rules whatever is lost, late, killed, started anew or stopped among three members; without its
 // refutations a living member stays dead for good, and without its own suspicions a dead one is not seen in time.
 func TestMembers(t *testing.T) {
-	cfg := Config{Model: Members, Servers: 3, Calls: 2, Attempts: 1, Faults: 1, Pauses: 0, Wait: time.Second}
-	if r, err := Run(context.Background(), cfg, Bounds{}); err != nil || !r.Complete || r.Trace != nil || r.Ends < 100 {
+	cfg := Config{Model: ModelMembership, Servers: 3, Calls: 2, Attempts: 1, Faults: 1, Pauses: 0, GiveUp: time.Second}
+	if r, err := Run(context.Background(), cfg, Bounds{}); err != nil || !r.Complete || r.Counterexample != nil || r.TerminalStates < 100 {
 		t.Fatalf("%+v, %v", r, err)
 	}
 	for _, c := range []struct {
 		lacks          membership.Guard
 		faults, pauses int
-		want           Rule
-	}{{membership.GuardRefute, 0, 1, NotForGood}, {membership.GuardSuspect, 1, 0, InTime}} {
-		cfg := Config{Model: Members, Servers: 3, Calls: 4, Attempts: 1, Faults: c.faults, Pauses: c.pauses, Wait: time.Second, Lacks: c.lacks}
+		want           Invariant
+	}{{membership.GuardRefute, 0, 1, NoPermanentFalseDeath}, {membership.GuardSuspect, 1, 0, TimelySuspicion}} {
+		cfg := Config{Model: ModelMembership, Servers: 3, Calls: 4, Attempts: 1, Faults: c.faults, Pauses: c.pauses, GiveUp: time.Second, DisabledMembershipGuards: c.lacks}
 		r, err := Run(context.Background(), cfg, Bounds{})
-		if err != nil || r.Trace == nil || r.Trace.Broken.Rule != c.want {
+		if err != nil || r.Counterexample == nil || r.Counterexample.Violation.Invariant != c.want {
 			t.Errorf("without %d: %+v, %v, want %s broken", c.lacks, r, err, c.want)
 			continue
 		}
 		whole := cfg
-		whole.Lacks = 0
-		if v, err := r.Trace.Play(whole, nil); err == nil && v != nil {
+		whole.DisabledMembershipGuards = 0
+		if v, err := r.Counterexample.Replay(whole, nil); err == nil && v != nil {
 			t.Errorf("without %d: the whole member breaks it too: %v", c.lacks, v)
 		}
 	}
@@ -282,20 +282,20 @@
 // which two are asked for; a holder that stood still past its lease is seen out beside the next without its fence, or
 // without taking its callers back.
 func TestWorks(t *testing.T) {
-	cfg := Config{Model: Works, Servers: 3, Calls: 2, Attempts: 1, Faults: 1, Wait: time.Second}
-	if r, err := Run(context.Background(), cfg, Bounds{}); err != nil || !r.Complete || r.Trace != nil || r.Ends < 100 {
+	cfg := Config{Model: ModelMaintenance, Servers: 3, Calls: 2, Attempts: 1, Faults: 1, GiveUp: time.Second}
+	if r, err := Run(context.Background(), cfg, Bounds{}); err != nil || !r.Complete || r.Counterexample != nil || r.TerminalStates < 100 {
 		t.Fatalf("%+v, %v", r, err)
 	}
-	for _, lacks := range []maintenance.Guard{maintenance.GuardEnd, maintenance.GuardBack} {
-		cfg := Config{Model: Works, Servers: 3, Calls: 8, Attempts: 1, Pauses: 1, Wait: time.Second, Idle: lacks}
+	for _, lacks := range []maintenance.Guard{maintenance.GuardExpiry, maintenance.GuardStopDrain} {
+		cfg := Config{Model: ModelMaintenance, Servers: 3, Calls: 8, Attempts: 1, Pauses: 1, GiveUp: time.Second, DisabledMaintenanceGuards: lacks}
 		r, err := Run(context.Background(), cfg, Bounds{})
-		if err != nil || r.Trace == nil || r.Trace.Broken.Rule != InBudget {
-			t.Errorf("without %d: %+v, %v, want %s broken", lacks, r, err, InBudget)
+		if err != nil || r.Counterexample == nil || r.Counterexample.Violation.Invariant != WithinMaintenanceBudget {
+			t.Errorf("without %d: %+v, %v, want %s broken", lacks, r, err, WithinMaintenanceBudget)
 			continue
 		}
 		whole := cfg
-		whole.Idle = 0
-		if v, err := r.Trace.Play(whole, nil); err == nil && v != nil {
+		whole.DisabledMaintenanceGuards = 0
+		if v, err := r.Counterexample.Replay(whole, nil); err == nil && v != nil {
 			t.Errorf("without %d: the whole member breaks it too: %v", lacks, v)
 		}
 	}
@@ -305,23 +305,23 @@
 // members of which one lends and borrows: no unit is used by two, and in the end none is left unused. Each guard taken
 // out is seen to let two use one.
 func TestParts(t *testing.T) {
-	cfg := Config{Model: Parts, Servers: 3, Calls: 1, Attempts: 1, Faults: 1, Wait: time.Second}
-	if r, err := Run(context.Background(), cfg, Bounds{}); err != nil || !r.Complete || r.Trace != nil || r.Ends < 20 {
+	cfg := Config{Model: ModelBudget, Servers: 3, Calls: 1, Attempts: 1, Faults: 1, GiveUp: time.Second}
+	if r, err := Run(context.Background(), cfg, Bounds{}); err != nil || !r.Complete || r.Counterexample != nil || r.TerminalStates < 20 {
 		t.Fatalf("%+v, %v", r, err)
 	}
 	for _, c := range []struct {
 		lacks          budget.Guard
 		faults, pauses int
-	}{{budget.GuardEnd, 1, 0}, {budget.GuardOther, 1, 0}, {budget.GuardLife, 1, 0}, {budget.GuardForget, 2, 0}} {
-		cfg := Config{Model: Parts, Servers: 3, Calls: 2, Attempts: 1, Faults: c.faults, Pauses: c.pauses, Wait: time.Second, Loose: c.lacks}
+	}{{budget.GuardExpiry, 1, 0}, {budget.GuardExclusive, 1, 0}, {budget.GuardIncarnation, 1, 0}, {budget.GuardRecover, 2, 0}} {
+		cfg := Config{Model: ModelBudget, Servers: 3, Calls: 2, Attempts: 1, Faults: c.faults, Pauses: c.pauses, GiveUp: time.Second, DisabledBudgetGuards: c.lacks}
 		r, err := Run(context.Background(), cfg, Bounds{Time: time.Minute})
-		if err != nil || r.Trace == nil || r.Trace.Broken.Rule != Whole {
-			t.Errorf("without %d: %+v, %v, want %s broken", c.lacks, r, err, Whole)
+		if err != nil || r.Counterexample == nil || r.Counterexample.Violation.Invariant != ExclusiveUnits {
+			t.Errorf("without %d: %+v, %v, want %s broken", c.lacks, r, err, ExclusiveUnits)
 			continue
 		}
 		whole := cfg
-		whole.Loose = 0
-		if v, err := r.Trace.Play(whole, nil); err == nil && v != nil {
+		whole.DisabledBudgetGuards = 0
+		if v, err := r.Counterexample.Replay(whole, nil); err == nil && v != nil {
 			t.Errorf("without %d: the whole member breaks it too: %v", c.lacks, v)
 		}
 	}
--- a/internal/explore/line.go
+++ b/internal/explore/line.go
@@ -13,9 +13,9 @@
 
 // The rules on circuits.
 const (
-	OneCall  Rule = "one-call"  // a circuit is used again only after the server's RLC: no IAM meets one in use
-	NoMixUp  Rule = "no-mix-up" // what the server says of a call is never taken for news of another
-	ComeBack Rule = "come-back" // no circuit is lost for good
+	OneCallPerCircuit Invariant = "one-call"  // a circuit is used again only after the server's RLC: no IAM meets one in use
+	SignalMatchesCall Invariant = "no-mix-up" // what the server says of a call is never taken for news of another
+	NoLostCircuit     Invariant = "come-back" // no circuit is lost for good
 )
 
 // confirm is when a release that the server has not confirmed goes out again.
@@ -49,61 +49,61 @@
 
 // line is the circuits to a server, that server, and what is on its way between the two.
 type line struct {
-	Config   Config
-	Ours     *circuits.Circuits
-	Now      time.Time
-	Up       bool
-	ToServer []message
-	ToUs     []message
-	Far      []farCircuit
-	Started  int
-	Left     int // faults to come
-	Pauses   int // and stalls
-	Waits    int // for releases that are overdue
-	Seen     *Violation
+	Config         Config
+	Circuits       *circuits.Circuits
+	Now            time.Time
+	Connected      bool
+	ToServer       []message
+	FromServer     []message
+	ServerCircuits []farCircuit
+	Started        int
+	FaultsLeft     int // faults to come
+	PausesLeft     int // and stalls
+	OverdueLeft    int // for releases that are overdue
+	Violation      *Violation
 }
 
 // newLine is where the exploration of circuits begins: a connection is up, and all are free. Servers are circuits here.
 func newLine(cfg Config) *line {
 	ours := circuits.New(cfg.Servers)
-	ours.Break(cfg.Without)
+	ours.DisableGuards(cfg.DisabledCircuitGuards)
 	return &line{
-		Config: cfg, Ours: ours, Now: time.Unix(1_000_000, 0), Up: true,
-		Far: make([]farCircuit, cfg.Servers), Left: cfg.Faults, Pauses: cfg.Pauses,
-		Waits: 2 * (cfg.Calls + cfg.Faults + cfg.Pauses), // each can make a release or two overdue
+		Config: cfg, Circuits: ours, Now: time.Unix(1_000_000, 0), Connected: true,
+		ServerCircuits: make([]farCircuit, cfg.Servers), FaultsLeft: cfg.Faults, PausesLeft: cfg.Pauses,
+		OverdueLeft: 2 * (cfg.Calls + cfg.Faults + cfg.Pauses), // each can make a release or two overdue
 	}
 }
 
 func (l *line) Digest() xxh3.Uint128  { return digestOf(l) }
-func (l *line) violation() *Violation { return l.Seen }
+func (l *line) violation() *Violation { return l.Violation }
 func (l *line) clock() time.Duration  { return time.Duration(l.Now.UnixNano()) }
 func (l *line) send(to *[]message, m message) {
-	if l.Up {
+	if l.Connected {
 		*to = append(*to, m)
 	}
 }
 
-func (l *line) broken(r Rule, format string, args ...any) {
-	if l.Seen == nil {
-		l.Seen = &Violation{r, fmt.Sprintf(format, args...)}
+func (l *line) broken(r Invariant, format string, args ...any) {
+	if l.Violation == nil {
+		l.Violation = &Violation{r, fmt.Sprintf(format, args...)}
 	}
 }
 
-// Actions are all things that can happen next.
-func (l *line) Actions() (all []Action) {
-	add := func(k Kind, of int, fault bool) {
-		if !fault || l.Left > 0 {
-			all = append(all, Action{Kind: k, Of: uint8(of)})
+// EnabledActions are all things that can happen next.
+func (l *line) EnabledActions() (all []Action) {
+	add := func(k ActionKind, of int, fault bool) {
+		if !fault || l.FaultsLeft > 0 {
+			all = append(all, Action{Kind: k, Target: uint8(of)})
 		}
 	}
-	if l.Over() {
+	if l.Terminal() {
 		return nil
 	}
-	if l.Up && l.Started < l.Config.Calls && l.Ours.Free() > 0 {
+	if l.Connected && l.Started < l.Config.Calls && l.Circuits.Free() > 0 {
 		add(seize, 0, false)
 	}
-	if l.Up { // without a connection the core ends nothing here
-		for _, id := range l.Ours.Calls() {
+	if l.Connected { // without a connection the core ends nothing here
+		for _, id := range l.Circuits.Calls() {
 			add(clear, int(id), false)
 		}
 	}
@@ -114,32 +114,32 @@
 			add(mute, 0, true)
 		}
 	}
-	if len(l.ToUs) > 0 {
+	if len(l.FromServer) > 0 {
 		add(toUs, 0, false)
 	}
-	for i, f := range l.Far {
-		if l.Up && f.Call != 0 && !f.Released {
+	for i, f := range l.ServerCircuits {
+		if l.Connected && f.Call != 0 && !f.Released {
 			if !f.Answered {
 				add(farAnswer, i, false)
 			}
 			add(farRelease, i, false)
 		}
 	}
-	if l.Up {
+	if l.Connected {
 		add(down, 0, true)
 	} else {
 		add(up, 0, false)
 	}
-	quiet := len(l.ToServer)+len(l.ToUs) == 0
-	if l.Up && l.Ours.Free()+len(l.Ours.Calls()) < len(l.Far) && (quiet || l.Pauses > 0) && l.Waits > 0 {
+	quiet := len(l.ToServer)+len(l.FromServer) == 0
+	if l.Connected && l.Circuits.Free()+len(l.Circuits.Calls()) < len(l.ServerCircuits) && (quiet || l.PausesLeft > 0) && l.OverdueLeft > 0 {
 		add(overdue, 0, false) // with something under way, the server has stalled for as long
 	}
 	return all
 }
 
-// Apply has something happen. It says no to what can't happen now.
-func (l *line) Apply(a Action) bool {
-	if !slices.Contains(l.Actions(), a) {
+// TryApply has something happen. It says no to what can't happen now.
+func (l *line) TryApply(a Action) bool {
+	if !slices.Contains(l.EnabledActions(), a) {
 		return false
 	}
 	l.apply(a)
@@ -147,59 +147,59 @@
 }
 
 func (l *line) apply(a Action) {
-	n := int(a.Of)
+	n := int(a.Target)
 	switch a.Kind {
 	case seize:
 		l.Started++
 		id := core.ID(l.Started)
-		if cic, ok := l.Ours.Take(id); ok {
+		if cic, ok := l.Circuits.Allocate(id); ok {
 			l.send(&l.ToServer, message{iam, cic, id})
 		}
 	case clear:
 		id := core.ID(n)
-		if cic, ok := l.Ours.End(id, l.Now); ok {
+		if cic, ok := l.Circuits.Release(id, l.Now); ok {
 			l.send(&l.ToServer, message{rel, cic, id})
 		}
 	case toServer, deaf, mute:
 		m := l.ToServer[0]
 		l.ToServer = l.ToServer[1:]
 		if a.Kind != toServer {
-			l.Left--
+			l.FaultsLeft--
 		}
 		if a.Kind != deaf {
 			l.atServer(m, a.Kind == mute)
 		}
 	case toUs:
-		m := l.ToUs[0]
-		l.ToUs = l.ToUs[1:]
+		m := l.FromServer[0]
+		l.FromServer = l.FromServer[1:]
 		l.atOurs(m)
 	case farAnswer:
-		l.Far[n].Answered = true
-		l.send(&l.ToUs, message{anm, uint16(n), l.Far[n].Call})
+		l.ServerCircuits[n].Answered = true
+		l.send(&l.FromServer, message{anm, uint16(n), l.ServerCircuits[n].Call})
 	case farRelease:
-		l.Far[n].Released = true
-		l.send(&l.ToUs, message{rel, uint16(n), l.Far[n].Call})
+		l.ServerCircuits[n].Released = true
+		l.send(&l.FromServer, message{rel, uint16(n), l.ServerCircuits[n].Call})
 	case down:
-		l.Left--
-		l.Up, l.ToServer, l.ToUs = false, nil, nil
-		l.Ours.Lost(l.Now)
+		l.FaultsLeft--
+		l.Connected, l.ToServer, l.FromServer = false, nil, nil
+		l.Circuits.ConnLost(l.Now)
 	case up:
-		l.Up = true
-		for i := range l.Far { // a server's REL that was lost goes out again
-			if l.Far[i].Released {
-				l.send(&l.ToUs, message{rel, uint16(i), l.Far[i].Call})
+		l.Connected = true
+		for i := range l.ServerCircuits { // a server's REL that was lost goes out again
+			if l.ServerCircuits[i].Released {
+				l.send(&l.FromServer, message{rel, uint16(i), l.ServerCircuits[i].Call})
 			}
 		}
-		for _, cic := range l.Ours.Unconfirmed(l.Now) {
+		for _, cic := range l.Circuits.Unconfirmed(l.Now) {
 			l.send(&l.ToServer, message{rel, cic, 0})
 		}
 	case overdue:
-		if len(l.ToServer)+len(l.ToUs) > 0 {
-			l.Pauses--
+		if len(l.ToServer)+len(l.FromServer) > 0 {
+			l.PausesLeft--
 		}
-		l.Waits--
+		l.OverdueLeft--
 		l.Now = l.Now.Add(confirm)
-		for _, cic := range l.Ours.Overdue(l.Now, confirm) {
+		for _, cic := range l.Circuits.Overdue(l.Now, confirm) {
 			l.send(&l.ToServer, message{rel, cic, 0})
 		}
 	}
@@ -207,20 +207,20 @@
 
 // atServer has the server hear a message.
 func (l *line) atServer(m message, mute bool) {
-	f := &l.Far[m.Circuit]
+	f := &l.ServerCircuits[m.Circuit]
 	switch m.Signal {
 	case iam:
 		if f.Call != 0 {
-			l.broken(OneCall, "the IAM of call %d meets circuit %d in use for call %d", m.Call, m.Circuit, f.Call)
+			l.broken(OneCallPerCircuit, "the IAM of call %d meets circuit %d in use for call %d", m.Call, m.Circuit, f.Call)
 		}
 		*f = farCircuit{Call: m.Call}
 	case rel:
 		if m.Call != 0 && f.Call != 0 && f.Call != m.Call {
-			l.broken(NoMixUp, "the REL of call %d ends call %d", m.Call, f.Call)
+			l.broken(SignalMatchesCall, "the REL of call %d ends call %d", m.Call, f.Call)
 		}
 		*f = farCircuit{}
 		if !mute {
-			l.send(&l.ToUs, message{rlc, m.Circuit, m.Call})
+			l.send(&l.FromServer, message{rlc, m.Circuit, m.Call})
 		}
 	case rlc:
 		if f.Released {
@@ -235,29 +235,29 @@
 	there := false
 	switch m.Signal {
 	case anm:
-		id, there = l.Ours.Answered(m.Circuit)
+		id, there = l.Circuits.Answered(m.Circuit)
 	case rel:
-		id, there = l.Ours.Released(m.Circuit)
+		id, there = l.Circuits.Released(m.Circuit)
 		l.send(&l.ToServer, message{rlc, m.Circuit, m.Call})
 	case rlc:
-		l.Ours.Confirmed(m.Circuit, l.Now)
+		l.Circuits.Confirmed(m.Circuit, l.Now)
 	}
 	if there && id != m.Call {
-		l.broken(NoMixUp, "the %s of call %d on circuit %d is taken for one of call %d", signalNames[m.Signal], m.Call, m.Circuit, id)
+		l.broken(SignalMatchesCall, "the %s of call %d on circuit %d is taken for one of call %d", signalNames[m.Signal], m.Call, m.Circuit, id)
 	}
 }
 
-// Over says whether every call is over and every circuit is free on both sides.
-func (l *line) Over() bool {
-	if l.Started < l.Config.Calls || l.Ours.Free() < len(l.Far) || len(l.ToServer)+len(l.ToUs) > 0 {
+// Terminal says whether every call is over and every circuit is free on both sides.
+func (l *line) Terminal() bool {
+	if l.Started < l.Config.Calls || l.Circuits.Free() < len(l.ServerCircuits) || len(l.ToServer)+len(l.FromServer) > 0 {
 		return false
 	}
-	return !slices.ContainsFunc(l.Far, func(f farCircuit) bool { return f.Call != 0 })
+	return !slices.ContainsFunc(l.ServerCircuits, func(f farCircuit) bool { return f.Call != 0 })
 }
 
 // stuck judges a state in which nothing can happen any more.
 func (l *line) stuck() {
-	if !l.Over() {
-		l.broken(ComeBack, "%d of %d circuits are free, and nothing can happen any more", l.Ours.Free(), len(l.Far))
+	if !l.Terminal() {
+		l.broken(NoLostCircuit, "%d of %d circuits are free, and nothing can happen any more", l.Circuits.Free(), len(l.ServerCircuits))
 	}
 }
--- a/internal/explore/model.go
+++ b/internal/explore/model.go
@@ -9,23 +9,23 @@
 
 // Model is something whose states are explored.
 type Model interface {
-	Actions() []Action     // all things that can happen next, always in the same order
-	Apply(Action) bool     // has one happen, and says no to what can't
-	Over() bool            // nothing is left to happen that matters
-	Digest() xxh3.Uint128  // two with one digest go on alike
-	apply(Action)          // has one of Actions happen
-	stuck()                // judges a state in which nothing can happen
-	violation() *Violation // the first rule that was broken
+	EnabledActions() []Action // all things that can happen next, always in the same order
+	TryApply(Action) bool     // has one happen, and says no to what can't
+	Terminal() bool           // nothing is left to happen that matters
+	Digest() xxh3.Uint128     // two with one digest go on alike
+	apply(Action)             // has one of Actions happen
+	stuck()                   // judges a state in which nothing can happen
+	violation() *Violation    // the first rule that was broken
 	clock() time.Duration
 }
 
 // The models.
 const (
-	Calls    = "calls"    // the core and the decision module
-	Circuits = "circuits" // the second front's circuits to a server
-	Members  = "members"  // the tier's membership
-	Works    = "works"    // its ordered maintenance
-	Parts    = "parts"    // its parts of a cold server's budget
+	ModelCalls       = "calls"    // the core and the decision module
+	ModelCircuits    = "circuits" // the second front's circuits to a server
+	ModelMembership  = "members"  // the tier's membership
+	ModelMaintenance = "works"    // its ordered maintenance
+	ModelBudget      = "parts"    // its parts of a cold server's budget
 )
 
 // New is where the exploration of a model begins.
@@ -34,22 +34,22 @@
 		return nil, err
 	}
 	switch cfg.Model {
-	case Circuits:
+	case ModelCircuits:
 		return newLine(cfg), nil
-	case Members:
+	case ModelMembership:
 		return newMembers(cfg), nil
-	case Works:
+	case ModelMaintenance:
 		return newWorks(cfg), nil
-	case Parts:
+	case ModelBudget:
 		return newParts(cfg), nil
 	}
-	return NewWorld(cfg)
+	return NewCallModel(cfg)
 }
 
 // Digest is that of the core, the module and all around them.
-func (w *World) Digest() xxh3.Uint128  { return digestOf(w) }
-func (w *World) violation() *Violation { return w.Seen }
-func (w *World) clock() time.Duration  { return w.Now }
+func (w *CallModel) Digest() xxh3.Uint128  { return digestOf(w) }
+func (w *CallModel) violation() *Violation { return w.Violation }
+func (w *CallModel) clock() time.Duration  { return w.Now }
 
 // digestOf is a canonical digest of a model: every field that there is, so that one that is added later counts by
 // itself. It follows pointers once and takes maps in the order of their keys. Only what the last step of the core has
--- a/internal/explore/parts.go
+++ b/internal/explore/parts.go
@@ -8,8 +8,8 @@
 
 // The rules on parts of a cold server's budget.
 const (
-	Whole   Rule = "whole"   // no unit of a part is used by two, so all together use no more than the whole
-	Carried Rule = "carried" // in the end each one that is there has its own part, and those of the dead are used
+	ExclusiveUnits Invariant = "whole"   // no unit of a part is used by two, so all together use no more than the whole
+	AllUnitsUsed   Invariant = "carried" // in the end each one that is there has its own part, and those of the dead are used
 )
 
 // parts is the protocol of budgets, while a server is cold: the first member needs thrice its part, the others none.
@@ -22,10 +22,10 @@
 }
 
 // partNode is a member's reducer.
-type partNode struct{ R *budget.Reducer }
+type partNode struct{ Reducer *budget.Reducer }
 
 func (n *partNode) step(now time.Duration, ev budget.Event) (o outcome) {
-	for _, e := range n.R.Step(now, ev) {
+	for _, e := range n.Reducer.Step(now, ev) {
 		switch e := e.(type) {
 		case budget.Send:
 			o.Sends = append(o.Sends, flight{To: e.To, Data: e.Data})
@@ -41,12 +41,12 @@
 }
 
 func (n *partNode) due(now time.Duration, token any) outcome {
-	return n.step(now, budget.Due{Token: token.(budget.Token)})
+	return n.step(now, budget.TimerFired{Token: token.(budget.Token)})
 }
 
 func (p *parts) start(t *tier, m int, life uint8) (peerNode, outcome) {
-	r, _, err := budget.New(budget.Config{Self: m, Tier: len(t.Members), Limits: p.Limits,
-		Seed: t.Config.Seed + uint64(m) + 100*uint64(life), Without: t.Config.Loose}, t.Now)
+	r, _, err := budget.New(budget.Config{Self: m, TierSize: len(t.Members), Limits: p.Limits,
+		Seed: t.Config.Seed + uint64(m) + 100*uint64(life), DisabledGuards: t.Config.DisabledBudgetGuards}, t.Now)
 	if err != nil {
 		panic(err)
 	}
@@ -57,17 +57,17 @@
 		o.Sends, o.Timers = append(o.Sends, out.Sends...), append(o.Timers, out.Timers...)
 	}
 	for other, e := range t.Members {
-		add(budget.There{Member: other, Yes: e.N != nil || life == 0})
-		if e.N != nil && !e.Paused && other != m {
-			t.carry(other, e.N.(*partNode).step(t.Now, budget.There{Member: m, Yes: true}))
+		add(budget.MemberAvailability{Member: other, Available: e.Node != nil || life == 0})
+		if e.Node != nil && !e.Paused && other != m {
+			t.carry(other, e.Node.(*partNode).step(t.Now, budget.MemberAvailability{Member: m, Available: true}))
 		}
 	}
 	use := 0.0
 	if m == 0 {
 		use = 3
 	}
-	add(budget.Use{Parts: use})
-	add(budget.Cold{Server: 1, Rate: 1, Until: t.Now + time.Hour})
+	add(budget.Demand{Quotas: use})
+	add(budget.ColdServer{Server: 1, Rate: 1, Until: t.Now + time.Hour})
 	return n, o
 }
 
@@ -75,8 +75,8 @@
 
 func (p *parts) killed(t *tier, m int) {
 	for o, e := range t.Members {
-		if e.N != nil && !e.Paused {
-			t.carry(o, e.N.(*partNode).step(t.Now, budget.There{Member: m}))
+		if e.Node != nil && !e.Paused {
+			t.carry(o, e.Node.(*partNode).step(t.Now, budget.MemberAvailability{Member: m}))
 		}
 	}
 }
@@ -86,12 +86,12 @@
 // used are the units of a part that those use who run.
 func (p *parts) used(t *tier, part int) (units budget.Mask, by int) {
 	for m, e := range t.Members {
-		if e.N == nil || e.Paused {
+		if e.Node == nil || e.Paused {
 			continue
 		}
-		use := e.N.(*partNode).R.Use(t.Now, part)
+		use := e.Node.(*partNode).Reducer.Usable(t.Now, part)
 		if units&use != 0 {
-			t.broken(Whole, "units %08b of member %d's part are used by member %d and another", units&use, part, m)
+			t.broken(ExclusiveUnits, "units %08b of member %d's part are used by member %d and another", units&use, part, m)
 		}
 		units |= use
 		if use != 0 {
@@ -110,7 +110,7 @@
 func (p *parts) settled(t *tier) {
 	there := 0
 	for _, e := range t.Members {
-		if e.N != nil {
+		if e.Node != nil {
 			there++
 		}
 	}
@@ -120,11 +120,11 @@
 	all := budget.Mask(1<<budget.Units - 1)
 	for part, e := range t.Members {
 		want := all
-		if e.N == nil {
+		if e.Node == nil {
 			want &^= 1
 		}
 		if units, _ := p.used(t, part); units != want {
-			t.broken(Carried, "%v after the last disturbance units %08b of member %d's part are used", tierSettle, units, part)
+			t.broken(AllUnitsUsed, "%v after the last disturbance units %08b of member %d's part are used", tierSettle, units, part)
 		}
 	}
 }
--- a/internal/explore/search.go
+++ b/internal/explore/search.go
@@ -22,16 +22,16 @@
 
 // Report says what was explored.
 type Report struct {
-	Complete bool   // every state that can be reached was
-	Depth    int    // every state that so many things lead to was
-	Why      string // it is not complete
-	States   int    // different ones
-	Steps    int    // things that happened
-	Ends     int    // states in which every call is over
-	Walks    int    // sampled beyond that
-	Elapsed  time.Duration
-	Memory   int64
-	Trace    *Trace // to a rule that is broken; nil: none is
+	Complete       bool   // every state that can be reached was
+	Depth          int    // every state that so many things lead to was
+	StopReason     string // it is not complete
+	States         int    // different ones
+	Steps          int    // things that happened
+	TerminalStates int    // states in which every call is over
+	Walks          int    // sampled beyond that
+	Elapsed        time.Duration
+	Memory         int64
+	Counterexample *Trace // to a rule that is broken; nil: none is
 }
 
 // nodeSize is about what a state costs: its node, and its digest among those seen.
@@ -81,11 +81,11 @@
 	s := &search{cfg: cfg, nodes: []node{{from: -1}}, seen: map[xxh3.Uint128]struct{}{w.Digest(): {}}}
 	s.rep.States = 1
 	s.levels(ctx, b)
-	if !s.rep.Complete && s.rep.Trace == nil && b.Walks > 0 {
+	if !s.rep.Complete && s.rep.Counterexample == nil && b.Walks > 0 {
 		s.walks(b)
 	}
-	if s.rep.Trace != nil {
-		s.rep.Trace = s.rep.Trace.Minimise(cfg)
+	if s.rep.Counterexample != nil {
+		s.rep.Counterexample = s.rep.Counterexample.Shrink(cfg)
 	}
 	s.rep.Elapsed = time.Since(began)
 	s.rep.Memory = int64(len(s.nodes)) * nodeSize
@@ -103,16 +103,16 @@
 			return
 		}
 		if b.Depth > 0 && s.rep.Depth >= b.Depth {
-			s.rep.Why = "depth"
+			s.rep.StopReason = "depth"
 			return
 		}
 		for at := lo; at < hi; at += batch {
 			switch {
 			case ctx.Err() != nil:
-				s.rep.Why = "time"
+				s.rep.StopReason = "time"
 				return
 			case int64(len(s.nodes))*nodeSize > b.Memory:
-				s.rep.Why = "memory"
+				s.rep.StopReason = "memory"
 				return
 			}
 			if s.merge(at, s.expand(at, min(at+batch, hi), b.Workers)) {
@@ -147,9 +147,9 @@
 func (s *search) successors(i int) []found {
 	way := s.way(i)
 	w, _ := Replay(s.cfg, way)
-	acts := w.Actions()
+	acts := w.EnabledActions()
 	all := make([]found, 0, len(acts)+1)
-	switch over := w.Over(); {
+	switch over := w.Terminal(); {
 	case over:
 		all = append(all, found{over: true, broken: w.violation()})
 	case len(acts) == 0:
@@ -183,11 +183,11 @@
 				if f.acted {
 					way = append(way, f.act)
 				}
-				s.rep.Trace = &Trace{Config: s.cfg, Broken: *f.broken, Actions: way}
+				s.rep.Counterexample = &Trace{Config: s.cfg, Violation: *f.broken, Actions: way}
 				return true
 			}
 			if f.over {
-				s.rep.Ends++
+				s.rep.TerminalStates++
 			}
 			if !f.acted {
 				continue
@@ -225,8 +225,8 @@
 		w, _ := New(s.cfg)
 		var way []Action
 		for w.violation() == nil {
-			acts := w.Actions()
-			if over := w.Over(); len(acts) == 0 || w.violation() != nil {
+			acts := w.EnabledActions()
+			if over := w.Terminal(); len(acts) == 0 || w.violation() != nil {
 				if !over {
 					w.stuck()
 				}
@@ -239,7 +239,7 @@
 		}
 		s.rep.Walks++
 		if v := w.violation(); v != nil {
-			s.rep.Trace = &Trace{Config: s.cfg, Broken: *v, Actions: way}
+			s.rep.Counterexample = &Trace{Config: s.cfg, Violation: *v, Actions: way}
 			return
 		}
 	}
--- a/internal/explore/tier.go
+++ b/internal/explore/tier.go
@@ -17,8 +17,8 @@
 	tierEpoch  = 1_000_000 * time.Second
 )
 
-// Small is a rule on all that members of a tier say: no datagram of more than 256 bytes, and no burst of them.
-const Small Rule = "small"
+// DatagramLimits is a rule on all that members of a tier say: no datagram of more than 256 bytes, and no burst of them.
+const DatagramLimits Invariant = "small"
 
 // peerNode is a member's reducer, of whatever protocol.
 type peerNode interface {
@@ -50,13 +50,13 @@
 
 // tierMember is a member with what waits for it.
 type tierMember struct {
-	N      peerNode // nil: killed
-	Paused bool
-	Timers []tierTimer // as they came
-	Held   []flight    // datagrams that came while it was paused
-	Died   time.Duration
-	Clear  time.Duration // since when it has run undisturbed
-	Lives  uint8
+	Node             peerNode // nil: killed
+	Paused           bool
+	Timers           []tierTimer // as they came
+	Held             []flight    // datagrams that came while it was paused
+	DiedAt           time.Duration
+	UndisturbedSince time.Duration // since when it has run undisturbed
+	Incarnations     uint8
 }
 
 // flight is a datagram on its way.
@@ -68,61 +68,61 @@
 
 // tier is all members of a tier, and the network between them. Datagrams take no time but those that are slow.
 type tier struct {
-	Config   Config
-	Protocol protocol
-	Members  []tierMember
-	Flights  []flight // in order
-	Slow     []flight
-	Now      time.Duration
-	Turmoil  time.Duration // until then there are disturbances
-	Left     int           // of them
-	Pauses   int           // and members that may stand still
-	Shaken   time.Duration // the last disturbance
-	Settled  bool
-	Seen     *Violation
+	Config      Config
+	Protocol    protocol
+	Members     []tierMember
+	InFlight    []flight // in order
+	Delayed     []flight
+	Now         time.Duration
+	FaultsUntil time.Duration // until then there are disturbances
+	FaultsLeft  int           // of them
+	PausesLeft  int           // and members that may stand still
+	LastFault   time.Duration // the last disturbance
+	Settled     bool
+	Violation   *Violation
 }
 
 // newTier begins with all members started at once, and come together. Servers are members here, and calls the half
 // seconds of turmoil.
 func newTier(cfg Config, p protocol, together time.Duration) *tier {
-	t := &tier{Config: cfg, Protocol: p, Members: make([]tierMember, cfg.Servers), Now: tierEpoch, Left: cfg.Faults, Pauses: cfg.Pauses}
+	t := &tier{Config: cfg, Protocol: p, Members: make([]tierMember, cfg.Servers), Now: tierEpoch, FaultsLeft: cfg.Faults, PausesLeft: cfg.Pauses}
 	for m := range t.Members {
 		t.start(m)
 	}
 	t.quietly(tierEpoch + together)
 	p.begin(t)
-	t.Turmoil = t.Now + time.Duration(cfg.Calls)*500*time.Millisecond
+	t.FaultsUntil = t.Now + time.Duration(cfg.Calls)*500*time.Millisecond
 	return t
 }
 
 func (t *tier) Digest() xxh3.Uint128  { return digestOf(t) }
-func (t *tier) violation() *Violation { return t.Seen }
+func (t *tier) violation() *Violation { return t.Violation }
 func (t *tier) clock() time.Duration  { return t.Now }
-func (t *tier) Over() bool            { return t.Settled }
+func (t *tier) Terminal() bool        { return t.Settled }
 func (t *tier) stuck()                {}
 
-func (t *tier) broken(r Rule, format string, args ...any) {
-	if t.Seen == nil {
-		t.Seen = &Violation{r, fmt.Sprintf(format, args...)}
+func (t *tier) broken(r Invariant, format string, args ...any) {
+	if t.Violation == nil {
+		t.Violation = &Violation{r, fmt.Sprintf(format, args...)}
 	}
 }
 
 func (t *tier) start(m int) {
 	e := &t.Members[m]
-	life := e.Lives
+	life := e.Incarnations
 	n, out := t.Protocol.start(t, m, life)
-	*e = tierMember{N: n, Clear: t.Now, Lives: life + 1}
+	*e = tierMember{Node: n, UndisturbedSince: t.Now, Incarnations: life + 1}
 	t.carry(m, out)
 }
 
 // carry takes what a member asks for in, and judges the member.
 func (t *tier) carry(m int, out outcome) {
 	for i, f := range out.Sends {
-		if len(f.Data) > datagram.Max || i >= tierBurst {
-			t.broken(Small, "member %d sends %d bytes, as its datagram %d of one event", m, len(f.Data), i+1)
+		if len(f.Data) > datagram.MaxSize || i >= tierBurst {
+			t.broken(DatagramLimits, "member %d sends %d bytes, as its datagram %d of one event", m, len(f.Data), i+1)
 		}
 		f.From = m
-		t.Flights = append(t.Flights, f)
+		t.InFlight = append(t.InFlight, f)
 	}
 	t.Members[m].Timers = append(t.Members[m].Timers, out.Timers...)
 	t.Protocol.stepped(t, m)
@@ -131,11 +131,11 @@
 // arrive has a datagram reach its member.
 func (t *tier) arrive(f flight) {
 	switch e := &t.Members[f.To]; {
-	case e.N == nil:
+	case e.Node == nil:
 	case e.Paused:
 		e.Held = append(e.Held, f)
 	default:
-		t.carry(f.To, e.N.datagram(t.Now, f.From, f.Data))
+		t.carry(f.To, e.Node.datagram(t.Now, f.From, f.Data))
 	}
 }
 
@@ -143,7 +143,7 @@
 func (t *tier) first() (member, place int, at time.Duration) {
 	member, place = -2, -1
 	for m, e := range t.Members {
-		if e.N == nil || e.Paused {
+		if e.Node == nil || e.Paused {
 			continue
 		}
 		for i, timer := range e.Timers {
@@ -152,7 +152,7 @@
 			}
 		}
 	}
-	for i, f := range t.Slow {
+	for i, f := range t.Delayed {
 		if member == -2 || f.At < at {
 			member, place, at = -1, i, f.At
 		}
@@ -166,24 +166,24 @@
 	t.Now = max(t.Now, at)
 	switch {
 	case m == -1:
-		f := t.Slow[i]
-		t.Slow = slices.Delete(t.Slow, i, i+1)
+		f := t.Delayed[i]
+		t.Delayed = slices.Delete(t.Delayed, i, i+1)
 		t.arrive(f)
 	case m >= 0:
 		e := &t.Members[m]
 		due := e.Timers[i]
 		e.Timers = slices.Delete(e.Timers, i, i+1)
-		t.carry(m, e.N.due(t.Now, due.Token))
+		t.carry(m, e.Node.due(t.Now, due.Token))
 	}
 	t.Protocol.passed(t)
 }
 
 // quietly lets time pass with no disturbance.
 func (t *tier) quietly(until time.Duration) {
-	for t.Seen == nil {
-		if len(t.Flights) > 0 {
-			f := t.Flights[0]
-			t.Flights = t.Flights[1:]
+	for t.Violation == nil {
+		if len(t.InFlight) > 0 {
+			f := t.InFlight[0]
+			t.InFlight = t.InFlight[1:]
 			t.arrive(f)
 			continue
 		}
@@ -195,20 +195,20 @@
 	}
 }
 
-// Actions are all things that can happen next.
-func (t *tier) Actions() (all []Action) {
-	add := func(k Kind, of int, fault bool) {
-		if !fault || t.Left > 0 {
-			all = append(all, Action{Kind: k, Of: uint8(of)})
+// EnabledActions are all things that can happen next.
+func (t *tier) EnabledActions() (all []Action) {
+	add := func(k ActionKind, of int, fault bool) {
+		if !fault || t.FaultsLeft > 0 {
+			all = append(all, Action{Kind: k, Target: uint8(of)})
 		}
 	}
 	switch {
 	case t.Settled:
 		return nil
-	case t.Now >= t.Turmoil && len(t.Flights) == 0:
+	case t.Now >= t.FaultsUntil && len(t.InFlight) == 0:
 		add(settle, 0, false)
 		return all
-	case len(t.Flights) > 0:
+	case len(t.InFlight) > 0:
 		add(arrive, 0, false)
 		add(lose, 0, true)
 		add(delay, 0, true)
@@ -217,13 +217,13 @@
 	add(tick, 0, false)
 	for m, e := range t.Members {
 		switch {
-		case e.N == nil:
+		case e.Node == nil:
 			add(start, m, false)
 		case e.Paused:
 			add(goOn, m, false)
 		default:
 			add(kill, m, true)
-			if t.Pauses > 0 {
+			if t.PausesLeft > 0 {
 				add(halt, m, false)
 			}
 		}
@@ -231,9 +231,9 @@
 	return all
 }
 
-// Apply has something happen. It says no to what can't happen now.
-func (t *tier) Apply(a Action) bool {
-	if !slices.Contains(t.Actions(), a) {
+// TryApply has something happen. It says no to what can't happen now.
+func (t *tier) TryApply(a Action) bool {
+	if !slices.Contains(t.EnabledActions(), a) {
 		return false
 	}
 	t.apply(a)
@@ -241,30 +241,30 @@
 }
 
 func (t *tier) apply(a Action) {
-	m := int(a.Of)
+	m := int(a.Target)
 	if a.Kind != arrive && a.Kind != tick && a.Kind != settle {
-		t.Shaken = t.Now
+		t.LastFault = t.Now
 	}
 	switch a.Kind {
 	case arrive, lose, delay:
-		f := t.Flights[0]
-		t.Flights = t.Flights[1:]
+		f := t.InFlight[0]
+		t.InFlight = t.InFlight[1:]
 		switch a.Kind {
 		case arrive:
 			t.arrive(f)
 		case delay:
 			f.At = t.Now + tierSlow
-			t.Slow = append(t.Slow, f)
+			t.Delayed = append(t.Delayed, f)
 		}
 	case tick:
 		t.tick()
 	case kill:
-		t.Members[m] = tierMember{Died: t.Now, Lives: t.Members[m].Lives}
+		t.Members[m] = tierMember{DiedAt: t.Now, Incarnations: t.Members[m].Incarnations}
 		t.Protocol.killed(t, m)
 	case start:
 		t.start(m)
 	case halt:
-		t.Pauses--
+		t.PausesLeft--
 		t.Members[m].Paused = true
 	case goOn:
 		t.goOn(m)
@@ -272,7 +272,7 @@
 		t.settle()
 	}
 	if a.Kind == lose || a.Kind == delay || a.Kind == kill {
-		t.Left--
+		t.FaultsLeft--
 	}
 }
 
@@ -280,14 +280,14 @@
 func (t *tier) goOn(m int) {
 	e := &t.Members[m]
 	held := e.Held
-	e.Paused, e.Held, e.Clear = false, nil, t.Now
+	e.Paused, e.Held, e.UndisturbedSince = false, nil, t.Now
 	for {
 		if of, _, at := t.first(); of != m || at >= t.Now {
 			break
 		}
 		t.tick()
 	}
-	t.Flights = append(t.Flights, held...)
+	t.InFlight = append(t.InFlight, held...)
 }
 
 // settle lets all that stands still go on and time pass with no disturbance, and judges what is held then.
--- a/internal/explore/world.go
+++ b/internal/explore/world.go
@@ -24,15 +24,15 @@
 	Attempts int           `json:"attempts"` // that a call may have
 	Faults   int           `json:"faults"`   // disturbances in all; see Kind
 	Pauses   int           `json:"pauses"`   // in which time passes without a timer being due, or the server stalls
-	Wait     time.Duration `json:"wait"`     // that callers wait
+	GiveUp   time.Duration `json:"wait"`     // that callers wait
 	Seed     uint64        `json:"seed"`     // of the module
 
-	Hook    core.Hook      `json:"-"` // breaks the core on purpose
-	Without circuits.Guard `json:"-"` // and the circuits
+	CoreHook              core.Hook      `json:"-"` // breaks the core on purpose
+	DisabledCircuitGuards circuits.Guard `json:"-"` // and the circuits
 
-	Lacks membership.Guard  `json:"-"` // and the members
-	Idle  maintenance.Guard `json:"-"` // and their maintenance
-	Loose budget.Guard      `json:"-"` // and their parts of budgets
+	DisabledMembershipGuards  membership.Guard  `json:"-"` // and the members
+	DisabledMaintenanceGuards maintenance.Guard `json:"-"` // and their maintenance
+	DisabledBudgetGuards      budget.Guard      `json:"-"` // and their parts of budgets
 }
 
 // Check names the first figure that is out of range.
@@ -45,18 +45,18 @@
 			return fmt.Errorf("%s: %d, between %d and %d is possible", f.name, f.value, f.least, f.top)
 		}
 	}
-	if models := []string{"", Calls, Circuits, Members, Works, Parts}; !slices.Contains(models, c.Model) {
+	if models := []string{"", ModelCalls, ModelCircuits, ModelMembership, ModelMaintenance, ModelBudget}; !slices.Contains(models, c.Model) {
 		return fmt.Errorf("model: %q, there are %s", c.Model, strings.Join(models[1:], ", "))
 	}
-	if c.Wait < 100*time.Millisecond || c.Wait > time.Minute {
-		return fmt.Errorf("wait: %v", c.Wait)
+	if c.GiveUp < 100*time.Millisecond || c.GiveUp > time.Minute {
+		return fmt.Errorf("wait: %v", c.GiveUp)
 	}
 	return nil
 }
 
 const (
 	releaseGap = 200 * time.Millisecond
-	front      = core.Front("f")
+	front      = core.Protocol("f")
 	pause      = 120 * time.Millisecond // over half of the gap, and over the time in which a caller may come again
 	horizon    = 2 * time.Second        // past the last caller's time: timers that are due later are left alone
 )
@@ -79,30 +79,30 @@
 
 // Call is a call as the world around the core sees it.
 type Call struct {
-	Started  bool
-	From     core.Link
-	Cell     int
-	Deadline core.Time
-	At       where
-	Link     core.Link // that its attempt went out on
-	Server   int       // of its attempt, or where it stands
-	Stands   bool
-	Late     int // a server, from 1, that may still answer an attempt that is over
-	Again    int // a server, from 1, that may say its release again, or has said it when it hears of ours
-	Repeated bool
-	Account  account
+	Started             bool
+	From                core.ConnID
+	Cell                int
+	Deadline            core.Time
+	State               where
+	Link                core.ConnID // that its attempt went out on
+	Server              int         // of its attempt, or where it stands
+	Established         bool
+	LateAnswerFrom      int // a server, from 1, that may still answer an attempt that is over
+	RepeatedReleaseFrom int // a server, from 1, that may say its release again, or has said it when it hears of ours
+	Repeated            bool
+	Account             account
 }
 
 // Server is a server as the world sees it.
 type Server struct {
-	Phase elmseam.Phase
-	Birth int // how often it has started anew
-	Began core.Time
-	Dials int // connections on their way
+	Phase       elmseam.Phase
+	Incarnation int // how often it has started anew
+	StartedAt   core.Time
+	Dials       int // connections on their way
 }
 
 type conn struct {
-	Link   core.Link
+	Link   core.ConnID
 	Server int
 }
 
@@ -111,45 +111,45 @@
 	Token core.Token
 }
 
-// World is the core, and all around it that matters.
-type World struct {
-	Config   Config
-	Core     *core.Core
-	Now, End core.Time
-	Calls    []Call
-	Servers  []Server
-	Conns    []conn
-	Callers  []core.Link // callers' connections
-	Next     core.Link
-	Timers   []timer // as they came
-	Left     int     // faults to come
-	Pauses   int     // and pauses
-	Reloaded bool
-	Drained  bool
-	Seen     *Violation
+// CallModel is the core, and all around it that matters.
+type CallModel struct {
+	Config     Config
+	Core       *core.Core
+	Now, End   core.Time
+	Calls      []Call
+	Servers    []Server
+	Conns      []conn
+	Callers    []core.ConnID // callers' connections
+	NextLink   core.ConnID
+	Timers     []timer // as they came
+	FaultsLeft int     // faults to come
+	PausesLeft int     // and pauses
+	Reloaded   bool
+	Draining   bool
+	Violation  *Violation
 }
 
 func (c Config) settings(attempts int) elmseam.Settings {
 	return elmseam.Settings{
-		Classes:     []elmseam.Class{{Aim: c.Wait / 2, Deadline: c.Wait, Worth: 1}},
+		Classes:     []elmseam.Class{{Aim: c.GiveUp / 2, Deadline: c.GiveUp, Worth: 1}},
 		MaxAttempts: attempts, MaxRetryAfter: 2 * time.Second, CanCancel: true, OwnCell: -1,
-		ResendGap: 500 * time.Millisecond, ReleaseGuard: releaseGap,
-		ColdFrom: 0.3, ColdRamp: 14 * time.Second, TipMultiple: 2.5, TipAfter: time.Second,
+		RetransmitInterval: 500 * time.Millisecond, ReleaseGuard: releaseGap,
+		ColdInitialShare: 0.3, ColdRamp: 14 * time.Second, OverloadMultiple: 2.5, OverloadAfter: time.Second,
 	}
 }
 
 func (c Config) limits() core.Limits {
 	const ms = time.Millisecond
 	return core.Limits{
-		AnswerMargin: 15 * ms, Rebind: 100 * ms, RedialLeast: 100 * ms, RedialMost: 500 * ms, Mute: 100 * ms, Left: 4, Owed: 8,
-		ServerLost: 5 * time.Second, DrainGrace: 500 * ms, DrainTake: 1500 * ms, DrainSweep: time.Minute, DrainIdle: 20 * ms,
-		Transient: map[core.Front]bool{}, StopGrace: 700 * ms, StopMost: time.Minute,
-		Callers: 8, MaxOpen: 100, OpenBytes: 1 << 20, RetryHint: 100 * ms, Remember: time.Minute, Ended: 100, Routes: 4,
+		AnswerMargin: 15 * ms, Rebind: 100 * ms, MinRedial: 100 * ms, MaxRedial: 500 * ms, UnresponsiveAfter: 100 * ms, MaxRemovedServers: 4, MaxPendingReleases: 8,
+		ServerLostAfter: 5 * time.Second, DrainGrace: 500 * ms, DrainRefuseAfter: 1500 * ms, DrainCheckInterval: time.Minute, DrainIdle: 20 * ms,
+		Transient: map[core.Protocol]bool{}, StopGrace: 700 * ms, MaxStopWait: time.Minute,
+		MaxCallerConns: 8, MaxOpen: 100, MaxCallBytes: 1 << 20, RetryHint: 100 * ms, EndedCallTTL: time.Minute, MaxEndedCalls: 100, MaxRoutes: 4,
 	}
 }
 
-// NewWorld is where every exploration begins: servers that are ready and reached, a caller, and no call.
-func NewWorld(cfg Config) (*World, error) {
+// NewCallModel is where every exploration begins: servers that are ready and reached, a caller, and no call.
+func NewCallModel(cfg Config) (*CallModel, error) {
 	if err := cfg.Check(); err != nil {
 		return nil, err
 	}
@@ -157,9 +157,9 @@
 	if err != nil {
 		return nil, err
 	}
-	c.SetHook(cfg.Hook)
-	w := &World{Config: cfg, Core: c, Now: time.Hour, Next: 1, Left: cfg.Faults, Pauses: cfg.Pauses}
-	w.End = w.Now + cfg.Wait + horizon
+	c.SetHook(cfg.CoreHook)
+	w := &CallModel{Config: cfg, Core: c, Now: time.Hour, NextLink: 1, FaultsLeft: cfg.Faults, PausesLeft: cfg.Pauses}
+	w.End = w.Now + cfg.GiveUp + horizon
 	w.Calls, w.Servers = make([]Call, cfg.Calls), make([]Server, cfg.Servers)
 	w.newCaller()
 	list := core.List{Full: true}
@@ -174,47 +174,49 @@
 	return w, w.err()
 }
 
-func (w *World) err() error {
-	if w.Seen != nil {
-		return w.Seen
+func (w *CallModel) err() error {
+	if w.Violation != nil {
+		return w.Violation
 	}
 	return nil
 }
 
 func name(s int) string { return string(rune('a' + s)) }
 
-func (w *World) address(s int) string { return fmt.Sprintf("%s%d:1", name(s), w.Servers[s].Birth) }
+func (w *CallModel) address(s int) string {
+	return fmt.Sprintf("%s%d:1", name(s), w.Servers[s].Incarnation)
+}
 
-func (w *World) entry(s int) core.Server {
+func (w *CallModel) entry(s int) core.Server {
 	v := &w.Servers[s]
-	return core.Server{Name: name(s), Address: w.address(s), Front: front, Cell: s, Phase: v.Phase, Started: v.Began}
+	return core.Server{Name: name(s), Address: w.address(s), Protocol: front, Cell: s, Phase: v.Phase, Started: v.StartedAt}
 }
 
-func (w *World) newLink() core.Link {
-	w.Next++
-	return w.Next - 1
+func (w *CallModel) newLink() core.ConnID {
+	w.NextLink++
+	return w.NextLink - 1
 }
 
-func (w *World) newCaller() core.Link {
+func (w *CallModel) newCaller() core.ConnID {
 	l := w.newLink()
 	w.Callers = append(w.Callers, l)
-	w.step(core.CallerUp{Link: l, Front: front})
+	w.step(core.CallerUp{Conn: l, Protocol: front})
 	return l
 }
 
 // connect completes a connection to a server.
-func (w *World) connect(s int) {
+func (w *CallModel) connect(s int) {
 	if w.Servers[s].Dials > 0 {
 		w.Servers[s].Dials--
 	}
 	l := w.newLink()
 	w.Conns = append(w.Conns, conn{l, s})
-	w.step(core.ServerUp{Server: name(s), Address: w.address(s), Link: l})
+	w.step(core.ServerUp{Server: name(s), Address: w.address(s), Conn: l})
 }
 
-func (w *World) callerUp(l core.Link) bool { return slices.Contains(w.Callers, l) }
+func (w *CallModel) callerUp(l core.ConnID) bool { return slices.Contains(w.Callers, l) }
 
-func (w *World) connOf(l core.Link) *conn {
+func (w *CallModel) connOf(l core.ConnID) *conn {
 	for i := range w.Conns {
 		if w.Conns[i].Link == l {
 			return &w.Conns[i]
@@ -224,7 +226,7 @@
 }
 
 // to is a connection to a server on which it can say something, 0: none.
-func (w *World) to(s int) core.Link {
+func (w *CallModel) to(s int) core.ConnID {
 	for _, c := range w.Conns {
 		if c.Server == s {
 			return c.Link
@@ -236,7 +238,7 @@
 // id is a call's id, and callOf the call of one.
 func id(i int) core.ID { return core.ID(i + 1) }
 
-func (w *World) callOf(id core.ID) int {
+func (w *CallModel) callOf(id core.ID) int {
 	if i := int(id) - 1; i >= 0 && i < len(w.Calls) {
 		return i
 	}
@@ -244,7 +246,7 @@
 }
 
 // step tells the core of an event and carries out what it asks for.
-func (w *World) step(ev core.Event) {
+func (w *CallModel) step(ev core.Event) {
 	events := []core.Event{ev}
 	for len(events) > 0 {
 		ev := events[0]
@@ -253,11 +255,11 @@
 			events = append(events, w.carry(e)...)
 		}
 	}
-	w.Timers = slices.DeleteFunc(w.Timers, func(t timer) bool { return w.Core.Spent(t.Token) })
+	w.Timers = slices.DeleteFunc(w.Timers, func(t timer) bool { return w.Core.TimerObsolete(t.Token) })
 }
 
 // carry is the world's side of an effect. What it knows at once it returns, as carriers do.
-func (w *World) carry(e core.Effect) (events []core.Event) {
+func (w *CallModel) carry(e core.Effect) (events []core.Event) {
 	switch e := e.(type) {
 	case core.Timer:
 		if e.At <= w.End {
@@ -265,7 +267,7 @@
 		}
 	case core.Dial:
 		w.Servers[e.Server[0]-'a'].Dials++
-	case core.Hangup:
+	case core.CloseConn:
 		w.lose(e.To)
 	case core.GracefulClose:
 		w.lose(e.To)
@@ -273,13 +275,13 @@
 		i, to := w.callOf(e.ID), w.connOf(e.To)
 		w.offered(i, to)
 		if c := &w.Calls[i]; to != nil {
-			c.At, c.Link, c.Server = queued, e.To, to.Server
+			c.State, c.Link, c.Server = queued, e.To, to.Server
 		}
 	case core.End:
 		events = w.end(e)
 	case core.Withdraw:
 		for i := range w.Calls {
-			if c := &w.Calls[i]; c.At == queued && c.Link == e.To {
+			if c := &w.Calls[i]; c.State == queued && c.Link == e.To {
 				events = append(events, w.takeBack(i))
 			}
 		}
@@ -289,76 +291,76 @@
 		w.finalAnswer(w.callOf(e.ID), e.To, false)
 	case core.Released:
 		w.released(w.callOf(e.ID), e.To)
-	case core.Dropped:
-		w.Calls[w.callOf(e.ID)].Account.Gone = true
-	case core.Broken:
-		if w.Config.Hook.Decide == nil && w.Config.Hook.Deaf == nil {
-			w.broken(Quiet, "call %d: %s", w.callOf(e.ID), e.Rule)
+	case core.ForgetCall:
+		w.Calls[w.callOf(e.ID)].Account.CallerGone = true
+	case core.Violation:
+		if w.Config.CoreHook.Decide == nil && w.Config.CoreHook.SuppressEvent == nil {
+			w.broken(NoGuardTripped, "call %d: %s", w.callOf(e.ID), e.Rule)
 		}
 	}
 	return events
 }
 
 // takeBack takes an offer out of the outbox.
-func (w *World) takeBack(i int) core.Event {
+func (w *CallModel) takeBack(i int) core.Event {
 	c := &w.Calls[i]
-	c.At = nowhere
+	c.State = nowhere
 	w.attemptOver(i, false)
 	return core.NotSent{Server: name(c.Server), ID: id(i)}
 }
 
 // end is an attempt's end, or a release towards a server.
-func (w *World) end(e core.End) []core.Event {
+func (w *CallModel) end(e core.End) []core.Event {
 	i, to := w.callOf(e.ID), w.connOf(e.To)
 	if to == nil {
-		w.broken(Reachable, "call %d is ended on no connection", i)
+		w.broken(SendOnOpenConn, "call %d is ended on no connection", i)
 		return nil
 	}
 	c := &w.Calls[i]
 	switch {
-	case c.At == queued && c.Server == to.Server:
+	case c.State == queued && c.Server == to.Server:
 		return []core.Event{w.takeBack(i)}
-	case c.At == out && c.Server == to.Server && e.Tell:
-		c.At = ending
-	case c.At == out && c.Server == to.Server:
-		c.At, c.Late = nowhere, c.Server+1
+	case c.State == out && c.Server == to.Server && e.Notify:
+		c.State = ending
+	case c.State == out && c.Server == to.Server:
+		c.State, c.LateAnswerFrom = nowhere, c.Server+1
 		w.attemptOver(i, true)
-	case c.Stands && c.Server == to.Server:
-		c.Stands, c.Again = false, c.Server+1 // its own release may cross this one
-		if e.Tell {                           // an answer that comes too late for its caller: the end is written all the same
-			c.At, c.Link = ending, e.To
+	case c.Established && c.Server == to.Server:
+		c.Established, c.RepeatedReleaseFrom = false, c.Server+1 // its own release may cross this one
+		if e.Notify {                                            // an answer that comes too late for its caller: the end is written all the same
+			c.State, c.Link = ending, e.To
 		}
 	}
 	return nil
 }
 
 // lose ends a connection: what is out on it is over.
-func (w *World) lose(l core.Link) {
-	w.Callers = slices.DeleteFunc(w.Callers, func(have core.Link) bool { return have == l })
+func (w *CallModel) lose(l core.ConnID) {
+	w.Callers = slices.DeleteFunc(w.Callers, func(have core.ConnID) bool { return have == l })
 	if w.connOf(l) == nil {
 		return
 	}
 	w.Conns = slices.DeleteFunc(w.Conns, func(c conn) bool { return c.Link == l })
 	for i := range w.Calls {
-		if c := &w.Calls[i]; c.At != nowhere && c.Link == l {
-			c.At = nowhere
+		if c := &w.Calls[i]; c.State != nowhere && c.Link == l {
+			c.State = nowhere
 			w.attemptOver(i, true)
 		}
 	}
 }
 
 // die ends a server's process: its connections and what stands there.
-func (w *World) die(s int) {
+func (w *CallModel) die(s int) {
 	for i := range w.Calls {
 		c := &w.Calls[i]
-		if c.Stands && c.Server == s {
-			c.Stands = false
+		if c.Established && c.Server == s {
+			c.Established = false
 		}
-		if c.Again == s+1 {
-			c.Again = 0
+		if c.RepeatedReleaseFrom == s+1 {
+			c.RepeatedReleaseFrom = 0
 		}
-		if c.Late == s+1 {
-			c.Late = 0
+		if c.LateAnswerFrom == s+1 {
+			c.LateAnswerFrom = 0
 		}
 	}
 }
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -22,12 +22,12 @@
 
 // Limits are the channel's sizes and times.
 type Limits struct {
-	Connect time.Duration // to make a connection
-	Silence time.Duration // to the end of the answer's header, and between whole lines: past it the connection is dead
-	Renew   time.Duration // a watch that has brought no event for so long is overtaken by a fresh one
-	Retry   time.Duration // after a connection that brought nothing
-	Event   int           // the longest line
-	First   int           // the read buffer's first size
+	ConnectTimeout    time.Duration // to make a connection
+	ReadTimeout       time.Duration // to the end of the answer's header, and between whole lines: past it the connection is dead
+	RenewAfter        time.Duration // a watch that has brought no event for so long is overtaken by a fresh one
+	RetryDelay        time.Duration // after a connection that brought nothing
+	MaxEventSize      int           // the longest line
+	InitialBufferSize int           // the read buffer's first size
 }
 
 // Source names this list to the core.
@@ -42,8 +42,8 @@
 
 // Command is one event of the channel.
 type Command struct {
-	Cursor int64 `json:"cursor"`
-	Nodes  struct {
+	Cursor  int64 `json:"cursor"`
+	Servers struct {
 		Snapshot  bool       `json:"snapshot"`
 		Endpoints []Endpoint `json:"endpoints"`
 	} `json:"nodes"`
@@ -55,22 +55,22 @@
 	Address string `json:"address"`
 	Status  string `json:"status"`
 	Group   int    `json:"group"`
-	Since   int64  `json:"since_ms"`
+	SinceMS int64  `json:"since_ms"`
 }
 
 // List translates a command. Cached says that it was held from before the start; front tells which front
 // reaches a server. An entry that makes no sense is left out, and an error names it.
-func (c Command) List(front func(name string) core.Front, cached bool) (l core.List, err error) {
-	l = core.List{Source: Source, Full: c.Nodes.Snapshot, Cached: cached}
-	for _, e := range c.Nodes.Endpoints {
+func (c Command) List(front func(name string) core.Protocol, cached bool) (l core.List, err error) {
+	l = core.List{Source: Source, Full: c.Servers.Snapshot, Cached: cached}
+	for _, e := range c.Servers.Endpoints {
 		phase, known := states[e.Status]
 		if !known || e.Name == "" {
 			err = fmt.Errorf("endpoint %q: unknown status %q", e.Name, e.Status)
 			continue
 		}
 		l.Servers = append(l.Servers, core.Server{
-			Name: e.Name, Address: e.Address, Front: front(e.Name), Cell: e.Group, Phase: phase,
-			Started: time.Duration(e.Since) * time.Millisecond,
+			Name: e.Name, Address: e.Address, Protocol: front(e.Name), Cell: e.Group, Phase: phase,
+			Started: time.Duration(e.SinceMS) * time.Millisecond,
 		})
 	}
 	return l, err
@@ -78,11 +78,11 @@
 
 // Feed follows one channel at a time.
 type Feed struct {
-	Cursor int64                        // the last event known
-	Front  func(name string) core.Front // that reaches a server
-	Limits Limits
-	Post   func(core.Event)
-	Log    zerolog.Logger
+	Cursor      int64                           // the last event known
+	ProtocolFor func(name string) core.Protocol // that reaches a server
+	Limits      Limits
+	Post        func(core.Event)
+	Log         zerolog.Logger
 
 	at   sync.Mutex     // guards Cursor
 	loud zerolog.Logger // of what the channel can cause as often as it likes
@@ -119,7 +119,7 @@
 // Run follows the channel until the context ends. A connection that ends is made again at once, from the
 // event after the last one.
 func (f *Feed) Run(ctx context.Context) {
-	f.loud = link.Sparse(f.Log)
+	f.loud = link.SampledLogger(f.Log)
 	for ctx.Err() == nil {
 		before := time.Now()
 		here, leave, address := f.next(ctx)
@@ -127,7 +127,7 @@
 		if ctx.Err() == nil {
 			f.Log.Info().Err(err).Str("channel", address).Int64("cursor", f.cursor()).Msg("command channel ended")
 		}
-		if wait := f.Limits.Retry - time.Since(before); wait > 0 { // it brought nothing: don't spin
+		if wait := f.Limits.RetryDelay - time.Since(before); wait > 0 { // it brought nothing: don't spin
 			select {
 			case <-here.Done():
 			case <-time.After(wait):
@@ -148,14 +148,14 @@
 
 // open makes a connection and asks for what comes after the last event known.
 func (f *Feed) open(ctx context.Context, address string) (*reader, error) {
-	d := net.Dialer{Timeout: f.Limits.Connect}
+	d := net.Dialer{Timeout: f.Limits.ConnectTimeout}
 	conn, err := d.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	r := &reader{conn: conn, in: link.NewBuffer(f.Limits.First, f.Limits.Event)}
+	r := &reader{conn: conn, in: link.NewBuffer(f.Limits.InitialBufferSize, f.Limits.MaxEventSize)}
 	r.detach = context.AfterFunc(ctx, func() { conn.Close() })
-	conn.SetDeadline(time.Now().Add(f.Limits.Silence)) // of the header as a whole
+	conn.SetDeadline(time.Now().Add(f.Limits.ReadTimeout)) // of the header as a whole
 	_, err = fmt.Fprintf(conn, "GET /cmd/next HTTP/1.1\r\nHost: %s\r\nAccept: text/event-stream\r\nLast-Event-ID: %d\r\n\r\n", address, f.cursor())
 	if err == nil {
 		err = r.head()
@@ -176,13 +176,13 @@
 	ended := false
 	var timer *time.Timer
 	mu.Lock()
-	timer = time.AfterFunc(f.Limits.Renew, func() {
+	timer = time.AfterFunc(f.Limits.RenewAfter, func() {
 		next, err := f.open(ctx, address)
 		mu.Lock()
 		defer mu.Unlock()
 		switch {
 		case err != nil && !ended:
-			timer.Reset(f.Limits.Renew)
+			timer.Reset(f.Limits.RenewAfter)
 		case err == nil && (ended || fresh != nil):
 			next.close()
 		case err == nil:
@@ -191,7 +191,7 @@
 		}
 	})
 	mu.Unlock()
-	err := f.events(r, func() { timer.Reset(f.Limits.Renew) })
+	err := f.events(r, func() { timer.Reset(f.Limits.RenewAfter) })
 	r.close()
 	mu.Lock()
 	defer mu.Unlock()
@@ -210,7 +210,7 @@
 	var id int64
 	malformed := error(nil)
 	for {
-		r.conn.SetReadDeadline(time.Now().Add(f.Limits.Silence)) // of the line, however it trickles
+		r.conn.SetReadDeadline(time.Now().Add(f.Limits.ReadTimeout)) // of the line, however it trickles
 		line, err := r.line()
 		switch {
 		case err == errLong:
@@ -238,7 +238,7 @@
 		case string(name) == "id":
 			id, _ = strconv.ParseInt(string(value), 10, 64)
 		case string(name) == "data" && malformed == nil:
-			if len(data)+len(value) > f.Limits.Event {
+			if len(data)+len(value) > f.Limits.MaxEventSize {
 				data, malformed = nil, errLong
 				continue
 			}
@@ -273,7 +273,7 @@
 	if !f.pass(c.Cursor) {
 		return
 	}
-	list, err := c.List(f.Front, false)
+	list, err := c.List(f.ProtocolFor, false)
 	if err != nil {
 		f.loud.Warn().Err(err).Int64("cursor", c.Cursor).Msg("entry passed over")
 	}
@@ -357,7 +357,7 @@
 		if end < 0 {
 			n = len(part)
 		}
-		if long = long || len(r.body)+n > r.in.Most(); !long {
+		if long = long || len(r.body)+n > r.in.MaxSize(); !long {
 			r.body = append(r.body, part[:n]...)
 		}
 		r.in.Skip(n)
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -23,9 +23,9 @@
 
 const patience = 10 * time.Second // for what must come; tests don't wait it out
 
-var testLimits = Limits{Connect: time.Second, Silence: time.Second, Renew: time.Minute, Retry: time.Millisecond, Event: 4096, First: 16}
+var testLimits = Limits{ConnectTimeout: time.Second, ReadTimeout: time.Second, RenewAfter: time.Minute, RetryDelay: time.Millisecond, MaxEventSize: 4096, InitialBufferSize: 16}
 
-func front(string) core.Front { return "f" }
+func front(string) core.Protocol { return "f" }
 
 // script serves one connection of the channel and returns the Last-Event-ID that was asked for.
 func script(t *testing.T, l net.Listener, answer string) (last string, end func()) {
@@ -74,7 +74,7 @@
 func run(t *testing.T, f *Feed, address string) chan core.List {
 	t.Helper()
 	lists := make(chan core.List, 16)
-	f.Cursor, f.Front, f.Log, f.Post = 4, front, zerolog.Nop(), func(ev core.Event) { lists <- ev.(core.List) }
+	f.Cursor, f.ProtocolFor, f.Log, f.Post = 4, front, zerolog.Nop(), func(ev core.Event) { lists <- ev.(core.List) }
 	f.Follow(address, nil)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -138,7 +138,7 @@
 	for _, want := range []core.Server{
 		{Name: "a", Phase: elmseam.Ready}, {Name: "a", Phase: elmseam.Draining}, {Name: "b", Phase: elmseam.Draining}, {Name: "c", Phase: elmseam.Gone},
 	} {
-		want.Address, want.Front, want.Cell, want.Started = "x:1", "f", 2, 5*time.Millisecond
+		want.Address, want.Protocol, want.Cell, want.Started = "x:1", "f", 2, 5*time.Millisecond
 		if got := <-lists; len(got.Servers) != 1 || got.Servers[0] != want {
 			t.Errorf("%+v, want %+v", got, want)
 		}
@@ -150,14 +150,14 @@
 func TestFollowElsewhere(t *testing.T) {
 	ls := []net.Listener{listen(t), listen(t)}
 	f := &Feed{Limits: testLimits}
-	f.Limits.Silence = time.Minute
+	f.Limits.ReadTimeout = time.Minute
 	lists := run(t, f, ls[0].Addr().String())
 	const ok = "HTTP/1.1 200 OK\r\n\r\n"
 	_, end := script(t, ls[0], ok+event(5, "a", "in_service"))
 	defer end()
 	<-lists
 	known := []Command{{Cursor: 5}, {Cursor: 6}}
-	known[1].Nodes.Endpoints = []Endpoint{{Name: "b", Address: "x:1", Status: "in_service"}}
+	known[1].Servers.Endpoints = []Endpoint{{Name: "b", Address: "x:1", Status: "in_service"}}
 	f.Follow(ls[1].Addr().String(), known)
 	last, end := script(t, ls[1], ok+event(6, "twice", "in_service")+event(7, "c", "terminating"))
 	defer end()
@@ -196,7 +196,7 @@
 	for _, begin := range []string{"", "HTTP/1.1 200 OK\r\n", "HTTP/1.1 200 OK\r\n\r\n"} {
 		l := listen(t)
 		f := &Feed{Limits: testLimits}
-		f.Limits.Silence = 100 * time.Millisecond
+		f.Limits.ReadTimeout = 100 * time.Millisecond
 		run(t, f, l.Addr().String())
 		_, c := asked(t, l)
 		io.WriteString(c, begin)
@@ -217,7 +217,7 @@
 func TestCommentsButNoEvents(t *testing.T) {
 	l := listen(t)
 	f := &Feed{Limits: testLimits}
-	f.Limits.Renew = 20 * time.Millisecond
+	f.Limits.RenewAfter = 20 * time.Millisecond
 	lists := run(t, f, l.Addr().String())
 	_, stuck := asked(t, l)
 	io.WriteString(stuck, "HTTP/1.1 200 OK\r\n\r\n: comment\r\n\r\n")
@@ -242,7 +242,7 @@
 	hung := hang(t)
 	ls := []net.Listener{listen(t), listen(t), listen(t)}
 	f := &Feed{Limits: testLimits}
-	f.Limits.Silence, f.Limits.Connect = time.Minute, time.Minute
+	f.Limits.ReadTimeout, f.Limits.ConnectTimeout = time.Minute, time.Minute
 	lists := run(t, f, ls[0].Addr().String())
 	_, c := asked(t, ls[0]) // no header
 	defer c.Close()
--- a/internal/handover/effect.go
+++ b/internal/handover/effect.go
@@ -3,13 +3,13 @@
 import "elmseam/internal/core"
 
 // FromEffect is the message for what a caller is told. A Link of 0: on any connection.
-func FromEffect(front core.Front, link core.Link, e core.Effect) (m Message, ok bool) {
-	m = Message{Kind: Effect, Front: front, Link: link}
+func FromEffect(front core.Protocol, link core.ConnID, e core.Effect) (m Message, ok bool) {
+	m = Message{Kind: Effect, Protocol: front, Conn: link}
 	switch e := e.(type) {
 	case core.Answered:
 		m.Effect, m.ID, m.Desc = "answered", e.ID, e.Desc
 	case core.Rejected:
-		m.Effect, m.ID, m.Reason, m.Retry = "rejected", e.ID, e.Reason, e.RetryAfter
+		m.Effect, m.ID, m.Reason, m.RetryAfter = "rejected", e.ID, e.Reason, e.RetryAfter
 	case core.Released:
 		m.Effect, m.ID, m.Reason = "released", e.ID, e.Reason
 	default:
@@ -24,7 +24,7 @@
 	case "answered":
 		return core.Answered{ID: m.ID, Desc: m.Desc}
 	case "rejected":
-		return core.Rejected{ID: m.ID, Reason: m.Reason, RetryAfter: m.Retry}
+		return core.Rejected{ID: m.ID, Reason: m.Reason, RetryAfter: m.RetryAfter}
 	case "released":
 		return core.Released{ID: m.ID, Reason: m.Reason}
 	}
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -22,59 +22,59 @@
 
 // Limits are the sizes and times of a hand-over.
 type Limits struct {
-	Hello  time.Duration // to be answered, or to say who one is
-	Ending time.Duration // that a process which is ending is waited for
-	Write  time.Duration // a message may take; a peer that takes none for so long is given up
-	Packet int           // the longest message
-	Queue  int           // bytes that may wait for the peer
-	Over   int           // ended calls that are named
+	HelloTimeout   time.Duration // to be answered, or to say who one is
+	ExitTimeout    time.Duration // that a process which is ending is waited for
+	WriteTimeout   time.Duration // a message may take; a peer that takes none for so long is given up
+	MaxMessageSize int           // the longest message
+	MaxQueuedBytes int           // bytes that may wait for the peer
+	MaxEndedCalls  int           // ended calls that are named
 }
 
-// Ending is why a process that closes its listener gives it to nobody. Who is told so waits until that process has gone, and
+// ReasonExiting is why a process that closes its listener gives it to nobody. Who is told so waits until that process has gone, and
 // can then listen itself.
-const Ending = "this process is ending"
+const ReasonExiting = "this process is ending"
 
 // Kind says what a message is.
 type Kind string
 
 // The kinds, and who sends them.
 const (
-	Hello      Kind = "hello"       // new: who it is
-	Listener   Kind = "listener"    // old, with the callers' listener
-	Refused    Kind = "refused"     // old: why not
-	Serving    Kind = "serving"     // new: it serves
-	Moving     Kind = "moving"      // old: it hands its callers on from now on
-	Caller     Kind = "caller"      // old, with a caller's connection
-	Effect     Kind = "effect"      // old, for a caller
-	Over       Kind = "over"        // old: calls that have ended
-	CallerDown Kind = "caller_down" // new: a caller's connection has ended
-	CallerEnd  Kind = "caller_end"  // new, of a call that it does not know
-	ServerEnd  Kind = "server_end"  // new, the same
+	Hello        Kind = "hello"       // new: who it is
+	Listener     Kind = "listener"    // old, with the callers' listener
+	Refused      Kind = "refused"     // old: why not
+	Serving      Kind = "serving"     // new: it serves
+	Transferring Kind = "moving"      // old: it hands its callers on from now on
+	CallerConn   Kind = "caller"      // old, with a caller's connection
+	Effect       Kind = "effect"      // old, for a caller
+	CallsEnded   Kind = "over"        // old: calls that have ended
+	CallerDown   Kind = "caller_down" // new: a caller's connection has ended
+	CallerEnd    Kind = "caller_end"  // new, of a call that it does not know
+	ServerEnd    Kind = "server_end"  // new, the same
 )
 
 // Message is what one process tells the other. A field that its kind has no use for is empty.
 type Message struct {
-	Kind    Kind          `json:"kind"`
-	Version int           `json:"version,omitempty"`
-	Listen  string        `json:"listen,omitempty"`
-	Why     string        `json:"why,omitempty"`
-	Link    core.Link     `json:"link,omitempty"` // by the old one's count
-	Front   core.Front    `json:"front,omitempty"`
-	Rest    []byte        `json:"rest,omitempty"` // read from the connection and not yet taken
-	Open    []core.ID     `json:"open,omitempty"`
-	Stand   []core.ID     `json:"stand,omitempty"`
-	Asked   bool          `json:"asked,omitempty"`
-	Effect  string        `json:"effect,omitempty"`
-	ID      core.ID       `json:"id,omitempty"`
-	Desc    []byte        `json:"desc,omitempty"`
-	Reason  core.Reason   `json:"reason,omitempty"`
-	Retry   time.Duration `json:"retry,omitempty"`
-	Server  string        `json:"server,omitempty"`
-	IDs     []core.ID     `json:"ids,omitempty"`
+	Kind          Kind          `json:"kind"`
+	Version       int           `json:"version,omitempty"`
+	Listen        string        `json:"listen,omitempty"`
+	RefusalReason string        `json:"why,omitempty"`
+	Conn          core.ConnID   `json:"link,omitempty"` // by the old one's count
+	Protocol      core.Protocol `json:"front,omitempty"`
+	Unprocessed   []byte        `json:"rest,omitempty"` // read from the connection and not yet taken
+	Pending       []core.ID     `json:"open,omitempty"`
+	Established   []core.ID     `json:"stand,omitempty"`
+	Asked         bool          `json:"asked,omitempty"`
+	Effect        string        `json:"effect,omitempty"`
+	ID            core.ID       `json:"id,omitempty"`
+	Desc          []byte        `json:"desc,omitempty"`
+	Reason        core.Reason   `json:"reason,omitempty"`
+	RetryAfter    time.Duration `json:"retry,omitempty"`
+	Server        string        `json:"server,omitempty"`
+	IDs           []core.ID     `json:"ids,omitempty"`
 }
 
-// Path is where the process of a name is found; "" where there is no folder for it.
-func Path(dir, name string) string {
+// SocketPath is where the process of a name is found; "" where there is no folder for it.
+func SocketPath(dir, name string) string {
 	if dir == "" {
 		return ""
 	}
@@ -96,7 +96,7 @@
 }
 
 func newPeer(conn *net.UnixConn, limits Limits) *Peer {
-	return &Peer{conn: conn, limits: limits, buf: make([]byte, limits.Packet)}
+	return &Peer{conn: conn, limits: limits, buf: make([]byte, limits.MaxMessageSize)}
 }
 
 // Close ends the connection.
@@ -115,7 +115,7 @@
 	if p.closed {
 		return
 	}
-	if p.bytes += len(text); err != nil || len(text) > p.limits.Packet || p.bytes > p.limits.Queue {
+	if p.bytes += len(text); err != nil || len(text) > p.limits.MaxMessageSize || p.bytes > p.limits.MaxQueuedBytes {
 		p.closed, p.queue = true, nil
 		p.conn.Close()
 		return
@@ -150,7 +150,7 @@
 func (p *Peer) packet(text, rights []byte) error {
 	p.write.Lock()
 	defer p.write.Unlock()
-	p.conn.SetWriteDeadline(time.Now().Add(p.limits.Write))
+	p.conn.SetWriteDeadline(time.Now().Add(p.limits.WriteTimeout))
 	_, _, err := p.conn.WriteMsgUnix(text, rights, nil)
 	return err
 }
@@ -161,7 +161,7 @@
 	if err != nil {
 		return err
 	}
-	if len(text) > p.limits.Packet {
+	if len(text) > p.limits.MaxMessageSize {
 		return fmt.Errorf("a message of %d bytes", len(text))
 	}
 	raw, err := of.SyscallConn()
@@ -178,7 +178,7 @@
 
 // Flush waits until what is queued is written, not for long.
 func (p *Peer) Flush() {
-	for until := time.Now().Add(p.limits.Write); time.Now().Before(until); time.Sleep(time.Millisecond) {
+	for until := time.Now().Add(p.limits.WriteTimeout); time.Now().Before(until); time.Sleep(time.Millisecond) {
 		p.mu.Lock()
 		idle := !p.writing
 		p.mu.Unlock()
@@ -232,25 +232,25 @@
 	return os.NewFile(uintptr(fds[0]), "handed over"), nil
 }
 
-// Take asks the process that serves an address for its listener. An error says why there is none to be had.
-func Take(path, listen string, limits Limits) (*Peer, net.Listener, error) {
+// RequestListener asks the process that serves an address for its listener. An error says why there is none to be had.
+func RequestListener(path, listen string, limits Limits) (*Peer, net.Listener, error) {
 	if path == "" {
 		return nil, nil, errors.New("no folder for a socket")
 	}
-	conn, err := net.DialTimeout("unixpacket", path, limits.Hello)
+	conn, err := net.DialTimeout("unixpacket", path, limits.HelloTimeout)
 	if err != nil {
 		return nil, nil, err
 	}
 	p := newPeer(conn.(*net.UnixConn), limits)
-	conn.SetReadDeadline(time.Now().Add(limits.Hello))
+	conn.SetReadDeadline(time.Now().Add(limits.HelloTimeout))
 	p.Send(Message{Kind: Hello, Version: Version, Listen: listen})
 	m, file, err := p.Receive()
-	if err == nil && m.Kind == Refused && m.Why == Ending {
-		conn.SetReadDeadline(time.Now().Add(limits.Ending))
+	if err == nil && m.Kind == Refused && m.RefusalReason == ReasonExiting {
+		conn.SetReadDeadline(time.Now().Add(limits.ExitTimeout))
 		p.Receive()
 	}
 	if err == nil && (m.Kind != Listener || file == nil) {
-		err = fmt.Errorf("%s: %s", m.Kind, m.Why)
+		err = fmt.Errorf("%s: %s", m.Kind, m.RefusalReason)
 	}
 	var l net.Listener
 	if file != nil {
@@ -267,8 +267,8 @@
 	return p, l, nil
 }
 
-// Host waits at the path for successors. Whatever has been left there is replaced at once.
-func Host(path string) (*net.UnixListener, error) {
+// Listen waits at the path for successors. Whatever has been left there is replaced at once.
+func Listen(path string) (*net.UnixListener, error) {
 	fresh := fmt.Sprintf("%s.%d", path, os.Getpid())
 	os.Remove(fresh)
 	l, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: fresh, Net: "unixpacket"})
@@ -287,10 +287,10 @@
 	return l, nil
 }
 
-// Greet hears who has come, and gives the listener where that is what it wants. Why says that it can't be had.
-func Greet(conn *net.UnixConn, listen, why string, listener syscall.Conn, limits Limits) (*Peer, error) {
+// AcceptSuccessor hears who has come, and gives the listener where that is what it wants. Why says that it can't be had.
+func AcceptSuccessor(conn *net.UnixConn, listen, why string, listener syscall.Conn, limits Limits) (*Peer, error) {
 	p := newPeer(conn, limits)
-	conn.SetReadDeadline(time.Now().Add(limits.Hello))
+	conn.SetReadDeadline(time.Now().Add(limits.HelloTimeout))
 	m, file, err := p.Receive()
 	if file != nil {
 		file.Close()
@@ -303,7 +303,7 @@
 			why = fmt.Sprintf("%s is served here", listen)
 		}
 		if why != "" {
-			p.Send(Message{Kind: Refused, Version: Version, Why: why})
+			p.Send(Message{Kind: Refused, Version: Version, RefusalReason: why})
 			p.Flush()
 			err = errors.New(why)
 		} else {
@@ -314,7 +314,7 @@
 	switch {
 	case err == nil:
 		return p, nil
-	case why == Ending: // the connection's end, with the process, tells that it has gone
+	case why == ReasonExiting: // the connection's end, with the process, tells that it has gone
 		go func() { p.Receive(); p.Close() }()
 	default:
 		p.Close()
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -18,9 +18,9 @@
 // A newer process comes while the older one is closing its listener: it waits until that one has gone, and listens itself. It
 // found the address taken, and didn't start.
 func TestOneThatComesAtTheEndWaits(t *testing.T) {
-	limits := Limits{Hello: 10 * time.Second, Ending: 10 * time.Second, Write: time.Second, Packet: 1 << 10, Queue: 1 << 10}
+	limits := Limits{HelloTimeout: 10 * time.Second, ExitTimeout: 10 * time.Second, WriteTimeout: time.Second, MaxMessageSize: 1 << 10, MaxQueuedBytes: 1 << 10}
 	path := filepath.Join(t.TempDir(), "x.sock")
-	host, err := Host(path)
+	host, err := Listen(path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -33,7 +33,7 @@
 	var gone atomic.Bool
 	took := make(chan error)
 	go func() {
-		_, _, err := Take(path, l.Addr().String(), limits)
+		_, _, err := RequestListener(path, l.Addr().String(), limits)
 		if !gone.Load() {
 			t.Error("it doesn't wait")
 		}
@@ -43,7 +43,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Greet(conn, l.Addr().String(), Ending, l.(syscall.Conn), limits); err == nil || !strings.Contains(err.Error(), Ending) {
+	if _, err := AcceptSuccessor(conn, l.Addr().String(), ReasonExiting, l.(syscall.Conn), limits); err == nil || !strings.Contains(err.Error(), ReasonExiting) {
 		t.Errorf("the older one: %v", err)
 	}
 	select {
@@ -53,7 +53,7 @@
 	}
 	gone.Store(true)
 	conn.CloseRead() // as the process ends: its side hears no more, and closes
-	if err := <-took; err == nil || !strings.Contains(err.Error(), Ending) {
+	if err := <-took; err == nil || !strings.Contains(err.Error(), ReasonExiting) {
 		t.Errorf("the newer one: %v", err)
 	}
 }
--- a/internal/knowledge/reducer.go
+++ b/internal/knowledge/reducer.go
@@ -16,18 +16,18 @@
 
 // entry is what an observer has told of a server, in this member's time.
 type entry struct {
-	Seen
+	Observation
 	Stamp uint32
 	At    Time // it was so then
 }
 
 // observer is another member, as far as it tells of servers.
 type observer struct {
-	Came    bool
-	Life    uint32
-	Least   int64 // least that its stamps have lagged behind this member's clock, in milliseconds
-	LeastAt Time
-	Entries map[uint32]entry
+	Came        bool
+	Incarnation uint32
+	MinLag      int64 // least that its stamps have lagged behind this member's clock, in milliseconds
+	MinLagAt    Time
+	Entries     map[uint32]entry
 }
 
 // Reducer is one member's part. It is not safe for concurrent use.
@@ -37,7 +37,7 @@
 	began     Time
 	rng       *rand.Rand
 	out       []Effect
-	own       map[uint32]Seen
+	own       map[uint32]Observation
 	order     []uint32 // the own servers, that told last the longest ago first
 	observers []observer
 	there     []bool
@@ -46,23 +46,23 @@
 	answered  bool
 	empty     int // answers of members that had nothing to tell
 	seq       uint32
-	figures   Figures
+	figures   Counters
 }
 
 // New begins a member's part.
 func New(cfg Config, now Time) (*Reducer, []Effect, error) {
 	switch {
-	case cfg.Tier < 1 || cfg.Tier > math.MaxUint16:
-		return nil, nil, fmt.Errorf("tier: %d members, not in [1, %d]", cfg.Tier, math.MaxUint16)
-	case cfg.Self < 0 || cfg.Self >= cfg.Tier:
-		return nil, nil, fmt.Errorf("self: %d is none of %d members", cfg.Self, cfg.Tier)
+	case cfg.TierSize < 1 || cfg.TierSize > math.MaxUint16:
+		return nil, nil, fmt.Errorf("tier: %d members, not in [1, %d]", cfg.TierSize, math.MaxUint16)
+	case cfg.Self < 0 || cfg.Self >= cfg.TierSize:
+		return nil, nil, fmt.Errorf("self: %d is none of %d members", cfg.Self, cfg.TierSize)
 	}
 	if err := cfg.Limits.Check(); err != nil {
 		return nil, nil, err
 	}
-	r := &Reducer{cfg: cfg, now: now, began: now, rng: rand.New(rand.NewPCG(cfg.Seed, 0x6b6e6f77)), own: make(map[uint32]Seen),
-		observers: make([]observer, cfg.Tier), there: make([]bool, cfg.Tier), asked: make(map[int]bool)}
-	r.later(cfg.Limits.Again / 8) // when the list is known
+	r := &Reducer{cfg: cfg, now: now, began: now, rng: rand.New(rand.NewPCG(cfg.Seed, 0x6b6e6f77)), own: make(map[uint32]Observation),
+		observers: make([]observer, cfg.TierSize), there: make([]bool, cfg.TierSize), asked: make(map[int]bool)}
+	r.later(cfg.Limits.RetryInterval / 8) // when the list is known
 	return r, r.take(), nil
 }
 
@@ -71,29 +71,29 @@
 func (r *Reducer) Step(now Time, ev Event) []Effect {
 	r.now = max(now, r.now)
 	switch ev := ev.(type) {
-	case Own:
+	case LocalObservations:
 		r.list(ev.Servers)
 	case Datagram:
 		var m message
-		if err := datagram.Decode(ev.Data, Version, datagram.Max, &m); err != nil {
-			r.figures.Garbled++
+		if err := datagram.Decode(ev.Data, Version, datagram.MaxSize, &m); err != nil {
+			r.figures.Malformed++
 			break
 		}
 		r.message(ev.From, m)
-	case Rider:
+	case Piggyback:
 		var m message
 		if datagram.DecodeItem(ev.Data, &m) != nil || m.Kind != tell {
-			r.figures.Garbled++
+			r.figures.Malformed++
 			break
 		}
 		r.message(ev.From, m)
-	case Due:
+	case TimerFired:
 		if ev.Token.seq == r.seq {
 			r.ask()
 		}
-	case There:
-		if ev.Member >= 0 && ev.Member < r.cfg.Tier && ev.Member != r.cfg.Self {
-			r.there[ev.Member] = ev.Yes
+	case MemberAvailability:
+		if ev.Member >= 0 && ev.Member < r.cfg.TierSize && ev.Member != r.cfg.Self {
+			r.there[ev.Member] = ev.Available
 		}
 	}
 	return r.take()
@@ -113,7 +113,7 @@
 }
 
 // list takes over what this member has seen. What others told of servers that are not listed any more is forgotten.
-func (r *Reducer) list(servers map[uint32]Seen) {
+func (r *Reducer) list(servers map[uint32]Observation) {
 	r.own = maps.Clone(servers)
 	r.order = slices.DeleteFunc(r.order, func(s uint32) bool { _, listed := r.own[s]; return !listed })
 	for _, s := range slices.Sorted(maps.Keys(r.own)) {
@@ -124,7 +124,7 @@
 	for i := range r.observers {
 		maps.DeleteFunc(r.observers[i].Entries, func(s uint32, e entry) bool {
 			_, listed := r.own[s]
-			return !listed || r.now > e.At+r.cfg.Limits.Forget
+			return !listed || r.now > e.At+r.cfg.Limits.MaxAge
 		})
 	}
 }
@@ -132,12 +132,12 @@
 // ask asks a few members what they know, after the start, until one has answered: others each time, as long as there are
 // some, the ones that are there first.
 func (r *Reducer) ask() {
-	if r.answered || r.tries >= r.cfg.Limits.Tries || r.cfg.Tier == 1 {
+	if r.answered || r.tries >= r.cfg.Limits.MaxTries || r.cfg.TierSize == 1 {
 		return
 	}
 	if len(r.own) > 0 {
 		r.tries++
-		order := r.rng.Perm(r.cfg.Tier)
+		order := r.rng.Perm(r.cfg.TierSize)
 		rank := func(m int) (n int) {
 			if r.asked[m] {
 				n = 2
@@ -150,29 +150,29 @@
 		slices.SortStableFunc(order, func(a, b int) int { return rank(a) - rank(b) })
 		n := 0
 		for _, m := range order {
-			if m != r.cfg.Self && n < r.cfg.Limits.Ask {
+			if m != r.cfg.Self && n < r.cfg.Limits.Fanout {
 				n++
 				r.asked[m] = true
-				r.figures.Asked++
+				r.figures.QueriesSent++
 				r.send(m, message{Kind: ask, Items: []int64{}})
 			}
 		}
 	}
-	r.later(r.cfg.Limits.Again)
+	r.later(r.cfg.Limits.RetryInterval)
 }
 
 // message takes in one that has been read.
 func (r *Reducer) message(from int, m message) {
-	if from < 0 || from >= r.cfg.Tier || from == r.cfg.Self {
-		r.figures.Strange++
+	if from < 0 || from >= r.cfg.TierSize || from == r.cfg.Self {
+		r.figures.UnknownSenders++
 		return
 	}
-	switch err := m.check(r.cfg.Tier); {
+	switch err := m.check(r.cfg.TierSize); {
 	case errors.Is(err, errTier):
-		r.figures.Strange++
+		r.figures.UnknownSenders++
 		return
 	case err != nil:
-		r.figures.Garbled++
+		r.figures.Malformed++
 		return
 	}
 	late := r.late(&r.observers[from], m)
@@ -187,7 +187,7 @@
 	if len(m.Items) == 0 {
 		r.empty++
 	}
-	r.answered = r.answered || len(m.Items) > 0 || r.empty >= r.cfg.Limits.Ask
+	r.answered = r.answered || len(m.Items) > 0 || r.empty >= r.cfg.Limits.Fanout
 	r.learn(&r.observers[from], m, late)
 }
 
@@ -196,19 +196,19 @@
 func (r *Reducer) late(o *observer, m message) time.Duration {
 	const drift = 0.02
 	lag := int64(r.now/time.Millisecond) - int64(m.Stamp)
-	if o.Came && int32(m.Life-o.Life) < 0 {
+	if o.Came && int32(m.Incarnation-o.Incarnation) < 0 {
 		return -1
 	}
-	if !o.Came || m.Life != o.Life {
-		o.Came, o.Life, o.Least, o.LeastAt = true, m.Life, lag, r.now
+	if !o.Came || m.Incarnation != o.Incarnation {
+		o.Came, o.Incarnation, o.MinLag, o.MinLagAt = true, m.Incarnation, lag, r.now
 		for s, e := range o.Entries { // the new life's first word of each is newer
 			e.Stamp = 0
 			o.Entries[s] = e
 		}
 		return 0
 	}
-	if least := o.Least + int64(drift*float64(r.now-o.LeastAt)/float64(time.Millisecond)); lag < least {
-		o.Least, o.LeastAt = lag, r.now
+	if least := o.MinLag + int64(drift*float64(r.now-o.MinLagAt)/float64(time.Millisecond)); lag < least {
+		o.MinLag, o.MinLagAt = lag, r.now
 		return 0
 	} else {
 		return time.Duration(lag-least) * time.Millisecond
@@ -230,24 +230,24 @@
 			r.figures.Stale++
 			continue
 		}
-		if !known && len(o.Entries) >= r.cfg.Limits.Servers {
+		if !known && len(o.Entries) >= r.cfg.Limits.MaxServers {
 			continue
 		}
 		if o.Entries == nil {
 			o.Entries = make(map[uint32]entry)
 		}
 		o.Entries[server] = entry{s, max(m.Stamp, 1), r.now - late}
-		r.figures.Heard++
+		r.figures.EntriesReceived++
 		news = append(news, server)
 	}
 	if len(news) > 0 {
-		r.do(Learned{news})
+		r.do(ServersUpdated{news})
 	}
 }
 
 // answer tells one that asks all that this member has seen.
 func (r *Reducer) answer(to int) {
-	r.figures.Answered++
+	r.figures.QueriesAnswered++
 	left := 0
 	for _, s := range r.own {
 		if s.any() {
@@ -255,7 +255,7 @@
 		}
 	}
 	for first := true; first || left > 0; first = false { // one in any case: nothing has been seen
-		m, n := r.tell(datagram.Max-datagram.Overhead, len(r.order))
+		m, n := r.tell(datagram.MaxSize-datagram.Overhead, len(r.order))
 		r.send(to, m)
 		left -= max(n, 1)
 	}
@@ -273,7 +273,7 @@
 			left = append(left, server)
 			continue
 		}
-		fresh := s.ShareAt > 0 && r.now-s.ShareAt < freshLives*r.cfg.Limits.HalfLife || s.Drains > 0
+		fresh := s.HoldBackShareAt > 0 && r.now-s.HoldBackShareAt < freshLives*r.cfg.Limits.HalfLife || s.DrainingSince > 0
 		words, size := s.words(server, r.now), 0
 		for _, w := range words {
 			size += datagram.IntSize(w)
@@ -290,7 +290,7 @@
 		told = append(told, server)
 	}
 	r.order = append(left, told...)
-	r.figures.Told += uint64(len(told))
+	r.figures.EntriesSent += uint64(len(told))
 	return m, len(told)
 }
 
@@ -302,25 +302,25 @@
 )
 
 func (r *Reducer) stamped(m message) message {
-	m.Tier, m.Life, m.Stamp = uint16(r.cfg.Tier), uint32(r.began/time.Millisecond), uint32((r.now-r.began)/time.Millisecond)
+	m.Tier, m.Incarnation, m.Stamp = uint16(r.cfg.TierSize), uint32(r.began/time.Millisecond), uint32((r.now-r.began)/time.Millisecond)
 	return m
 }
 
 func (r *Reducer) send(to int, m message) {
 	data := datagram.Encode(Version, r.stamped(m))
 	r.figures.Sent++
-	r.figures.Bytes += uint64(len(data))
+	r.figures.SentBytes += uint64(len(data))
 	r.do(Send{To: to, Data: data})
 }
 
-// Ride has what this member has seen ride on a datagram, as far as there is room.
-func (r *Reducer) Ride(now Time, data []byte) []byte {
+// AppendPiggyback has what this member has seen ride on a datagram, as far as there is room.
+func (r *Reducer) AppendPiggyback(now Time, data []byte) []byte {
 	r.now = max(now, r.now)
-	m, n := r.tell(datagram.Max-len(data), othersRide)
+	m, n := r.tell(datagram.MaxSize-len(data), othersRide)
 	if n == 0 {
 		return data
 	}
 	rider := datagram.EncodeItem(m)
-	r.figures.Bytes += uint64(len(rider))
-	return datagram.Ride(data, rider)
+	r.figures.SentBytes += uint64(len(rider))
+	return datagram.AppendPiggyback(data, rider)
 }
--- a/internal/knowledge/types.go
+++ b/internal/knowledge/types.go
@@ -28,19 +28,19 @@
 
 // Limits are the times and counts. Check says which make no sense.
 type Limits struct {
-	HalfLife time.Duration // of a load report: it weighs half as much when so much older
-	Lasting  time.Duration // the same for what changes slowly: rates, bad endings
-	Forget   time.Duration // an entry that is older counts for nothing
-	Ask      int           // members that who has just started asks
-	Again    time.Duration // and asks others, where none has answered
-	Tries    int           // so often in all
-	Servers  int           // entries kept of an observer
+	HalfLife      time.Duration // of a load report: it weighs half as much when so much older
+	SlowHalfLife  time.Duration // the same for what changes slowly: rates, bad endings
+	MaxAge        time.Duration // an entry that is older counts for nothing
+	Fanout        int           // members that who has just started asks
+	RetryInterval time.Duration // and asks others, where none has answered
+	MaxTries      int           // so often in all
+	MaxServers    int           // entries kept of an observer
 }
 
 // Defaults are limits for the platform.
 func Defaults() Limits {
-	return Limits{HalfLife: 500 * time.Millisecond, Lasting: 10 * time.Second, Forget: 30 * time.Second, Ask: 3,
-		Again: 250 * time.Millisecond, Tries: 4, Servers: 64}
+	return Limits{HalfLife: 500 * time.Millisecond, SlowHalfLife: 10 * time.Second, MaxAge: 30 * time.Second, Fanout: 3,
+		RetryInterval: 250 * time.Millisecond, MaxTries: 4, MaxServers: 64}
 }
 
 // Check names the first limit that makes no sense.
@@ -48,72 +48,74 @@
 	switch {
 	case l.HalfLife < 10*time.Millisecond || l.HalfLife > time.Minute:
 		return fmt.Errorf("half_life: %v, not in [10ms, 1m]", l.HalfLife)
-	case l.Lasting < l.HalfLife || l.Lasting > 10*time.Minute:
-		return fmt.Errorf("lasting: %v, not in [half_life, 10m]", l.Lasting)
-	case l.Forget < l.Lasting || l.Forget > time.Hour:
-		return fmt.Errorf("forget: %v, not in [lasting, 1h]", l.Forget)
-	case l.Ask < 1 || l.Ask > 8:
-		return fmt.Errorf("ask: %d, not in [1, 8]", l.Ask)
-	case l.Again < 50*time.Millisecond || l.Again > 10*time.Second:
-		return fmt.Errorf("again: %v, not in [50ms, 10s]", l.Again)
-	case l.Tries < 1 || l.Tries > 16:
-		return fmt.Errorf("tries: %d, not in [1, 16]", l.Tries)
-	case l.Servers < 1 || l.Servers > 1024:
-		return fmt.Errorf("servers: %d, not in [1, 1024]", l.Servers)
+	case l.SlowHalfLife < l.HalfLife || l.SlowHalfLife > 10*time.Minute:
+		return fmt.Errorf("lasting: %v, not in [half_life, 10m]", l.SlowHalfLife)
+	case l.MaxAge < l.SlowHalfLife || l.MaxAge > time.Hour:
+		return fmt.Errorf("forget: %v, not in [lasting, 1h]", l.MaxAge)
+	case l.Fanout < 1 || l.Fanout > 8:
+		return fmt.Errorf("ask: %d, not in [1, 8]", l.Fanout)
+	case l.RetryInterval < 50*time.Millisecond || l.RetryInterval > 10*time.Second:
+		return fmt.Errorf("again: %v, not in [50ms, 10s]", l.RetryInterval)
+	case l.MaxTries < 1 || l.MaxTries > 16:
+		return fmt.Errorf("tries: %d, not in [1, 16]", l.MaxTries)
+	case l.MaxServers < 1 || l.MaxServers > 1024:
+		return fmt.Errorf("servers: %d, not in [1, 1024]", l.MaxServers)
 	}
 	return nil
 }
 
 // Config is what a member is told.
 type Config struct {
-	Self, Tier int // the own number, and how many members there are
-	Limits     Limits
-	Seed       uint64
+	Self, TierSize int // the own number, and how many members there are
+	Limits         Limits
+	Seed           uint64
 }
 
-// Seen is what a member has seen of a server itself.
-type Seen struct {
-	Share   float64       // of new set-ups that it last asked to hold back, 0 to 1
-	ShareAt Time          // when that came; 0: it has told none
-	Rate    float64       // set-ups a second that it takes from there when warm; 0: not known
-	Lines   float64       // 0: not told
-	Bad     int           // weight of the bad endings in a row, at most 15
-	Floor   time.Duration // shortest set-up time; 0: none stood yet
-	Drains  Time          // since when the list says that it drains; 0: it doesn't
+// Observation is what a member has seen of a server itself.
+type Observation struct {
+	HoldBackShare   float64       // of new set-ups that it last asked to hold back, 0 to 1
+	HoldBackShareAt Time          // when that came; 0: it has told none
+	Rate            float64       // set-ups a second that it takes from there when warm; 0: not known
+	Lines           float64       // 0: not told
+	FailureWeight   int           // weight of the bad endings in a row, at most 15
+	MinSetUpTime    time.Duration // shortest set-up time; 0: none stood yet
+	DrainingSince   Time          // since when the list says that it drains; 0: it doesn't
 }
 
 // any says whether there is anything in it that is worth telling.
-func (s Seen) any() bool { return s.ShareAt > 0 || s.Rate > 0 || s.Bad > 0 || s.Drains > 0 }
+func (s Observation) any() bool {
+	return s.HoldBackShareAt > 0 || s.Rate > 0 || s.FailureWeight > 0 || s.DrainingSince > 0
+}
 
 // Event is something that has happened; see the types below.
 type Event interface{ event() }
 
 type (
-	// Own is all that this member has seen, by the hash of the servers' names: its whole list.
-	Own struct{ Servers map[uint32]Seen }
+	// LocalObservations is all that this member has seen, by the hash of the servers' names: its whole list.
+	LocalObservations struct{ Servers map[uint32]Observation }
 	// Datagram came from a member, by its number in the tier. Rider is what rode on one of membership's.
 	Datagram struct {
 		From int
 		Data []byte
 	}
-	Rider struct {
+	Piggyback struct {
 		From int
 		Data []byte
 	}
-	// Due is a timer that has come due.
-	Due struct{ Token Token }
-	// There says whether a member is held to be there (membership).
-	There struct {
-		Member int
-		Yes    bool
+	// TimerFired is a timer that has come due.
+	TimerFired struct{ Token Token }
+	// MemberAvailability says whether a member is held to be there (membership).
+	MemberAvailability struct {
+		Member    int
+		Available bool
 	}
 )
 
-func (Own) event()      {}
-func (Datagram) event() {}
-func (Rider) event()    {}
-func (Due) event()      {}
-func (There) event()    {}
+func (LocalObservations) event()  {}
+func (Datagram) event()           {}
+func (Piggyback) event()          {}
+func (TimerFired) event()         {}
+func (MemberAvailability) event() {}
 
 // Effect is something to be carried out; see the types below.
 type Effect interface{ effect() }
@@ -129,39 +131,39 @@
 		At    Time
 		Token Token
 	}
-	// Learned says of which servers there is news.
-	Learned struct{ Servers []uint32 }
+	// ServersUpdated says of which servers there is news.
+	ServersUpdated struct{ Servers []uint32 }
 )
 
-func (Send) effect()    {}
-func (Timer) effect()   {}
-func (Learned) effect() {}
+func (Send) effect()           {}
+func (Timer) effect()          {}
+func (ServersUpdated) effect() {}
 
 // Token says what a timer is for.
 type Token struct{ seq uint32 }
 
-// Figures count what has been done since the start.
-type Figures struct {
-	Told     uint64 // entries sent
-	Heard    uint64 // entries taken in
-	Stale    uint64 // passed over: not newer than what is known
-	Unlisted uint64 // passed over: of a server that the own list has not named
-	Asked    uint64 // members asked after the start
-	Answered uint64 // answers to that
-	Sent     uint64 // datagrams of its own
-	Bytes    uint64 // of these, and of riders
-	Garbled  uint64 // dropped
-	Strange  uint64 // dropped: from nobody of the tier, or of a tier of another size
+// Counters count what has been done since the start.
+type Counters struct {
+	EntriesSent     uint64 // entries sent
+	EntriesReceived uint64 // entries taken in
+	Stale           uint64 // passed over: not newer than what is known
+	Unlisted        uint64 // passed over: of a server that the own list has not named
+	QueriesSent     uint64 // members asked after the start
+	QueriesAnswered uint64 // answers to that
+	Sent            uint64 // datagrams of its own
+	SentBytes       uint64 // of these, and of riders
+	Malformed       uint64 // dropped
+	UnknownSenders  uint64 // dropped: from nobody of the tier, or of a tier of another size
 }
 
 // message is what a datagram, or a rider (a tell), holds.
 type message struct {
-	_     struct{} `cbor:",toarray"`
-	Kind  kind
-	Tier  uint16
-	Life  uint32 // of the sender: the start, the low bits of its milliseconds
-	Stamp uint32 // milliseconds since that
-	Items []int64
+	_           struct{} `cbor:",toarray"`
+	Kind        kind
+	Tier        uint16
+	Incarnation uint32 // of the sender: the start, the low bits of its milliseconds
+	Stamp       uint32 // milliseconds since that
+	Items       []int64
 }
 
 type kind uint8
@@ -190,46 +192,46 @@
 )
 
 // words are an entry at a time.
-func (s Seen) words(server uint32, now Time) []int64 {
+func (s Observation) words(server uint32, now Time) []int64 {
 	age, share := int64(0), int64(noShare)
-	if s.ShareAt > 0 {
-		age, share = min(int64((now-s.ShareAt)/agePer), ageMost), int64(math.Round(min(max(s.Share, 0), 1)*shareMost))
+	if s.HoldBackShareAt > 0 {
+		age, share = min(int64((now-s.HoldBackShareAt)/agePer), ageMost), int64(math.Round(min(max(s.HoldBackShare, 0), 1)*shareMost))
 	}
 	flags := int64(0)
 	if s.Lines > 0 {
 		flags |= hasLines
 	}
-	if s.Drains > 0 {
+	if s.DrainingSince > 0 {
 		flags |= hasDrain
 	}
-	if s.Floor > 0 {
+	if s.MinSetUpTime > 0 {
 		flags |= hasFloor
 	}
 	rate := int64(min(max(s.Rate, 0)*10, rateMost))
-	w := []int64{int64(server), age<<shareBits | share, rate<<(badBits+flagBits) | int64(min(s.Bad, 1<<badBits-1))<<flagBits | flags}
+	w := []int64{int64(server), age<<shareBits | share, rate<<(badBits+flagBits) | int64(min(s.FailureWeight, 1<<badBits-1))<<flagBits | flags}
 	if s.Lines > 0 {
 		w = append(w, int64(min(s.Lines, 1<<31)))
 	}
-	if s.Drains > 0 {
-		w = append(w, int64((now-s.Drains)/agePer))
+	if s.DrainingSince > 0 {
+		w = append(w, int64((now-s.DrainingSince)/agePer))
 	}
-	if s.Floor > 0 {
-		w = append(w, int64((s.Floor+floorPer-1)/floorPer))
+	if s.MinSetUpTime > 0 {
+		w = append(w, int64((s.MinSetUpTime+floorPer-1)/floorPer))
 	}
 	return w
 }
 
 // readSeen reads one entry, that was so old by then, and says how many integers it took; 0: it makes no sense.
-func readSeen(w []int64, now Time) (server uint32, s Seen, n int) {
+func readSeen(w []int64, now Time) (server uint32, s Observation, n int) {
 	const most = int64(1) << 40
 	if len(w) < 3 || w[0] < 0 || w[0] > math.MaxUint32 || w[1] < 0 || w[1]>>shareBits > ageMost || w[2] < 0 || w[2] > most {
 		return 0, s, 0
 	}
 	server, n = uint32(w[0]), 3
 	if share := w[1] & noShare; share != noShare {
-		s.Share, s.ShareAt = float64(share)/shareMost, now-time.Duration(w[1]>>shareBits)*agePer
+		s.HoldBackShare, s.HoldBackShareAt = float64(share)/shareMost, now-time.Duration(w[1]>>shareBits)*agePer
 	}
-	s.Rate, s.Bad = float64(w[2]>>(badBits+flagBits))/10, int(w[2]>>flagBits&(1<<badBits-1))
+	s.Rate, s.FailureWeight = float64(w[2]>>(badBits+flagBits))/10, int(w[2]>>flagBits&(1<<badBits-1))
 	next := func() (v int64, ok bool) {
 		if n >= len(w) || w[n] < 0 || w[n] > most {
 			return 0, false
@@ -245,13 +247,13 @@
 	}
 	if w[2]&hasDrain != 0 {
 		v, ok := next()
-		if s.Drains = max(now-time.Duration(v)*agePer, 1); !ok {
+		if s.DrainingSince = max(now-time.Duration(v)*agePer, 1); !ok {
 			return 0, s, 0
 		}
 	}
 	if w[2]&hasFloor != 0 {
 		v, ok := next()
-		if s.Floor = time.Duration(min(v, int64(time.Minute/floorPer))) * floorPer; !ok {
+		if s.MinSetUpTime = time.Duration(min(v, int64(time.Minute/floorPer))) * floorPer; !ok {
 			return 0, s, 0
 		}
 	}
@@ -266,7 +268,7 @@
 	for w := m.Items; len(w) > 0; {
 		_, _, took := readSeen(w, time.Hour)
 		if took == 0 {
-			return datagram.ErrGarbled
+			return datagram.ErrMalformed
 		}
 		w = w[took:]
 	}
--- a/internal/knowledge/weigh.go
+++ b/internal/knowledge/weigh.go
@@ -8,14 +8,14 @@
 
 // View is what the tier knows of a server at a time.
 type View struct {
-	Share   float64       // to be held back, of all that is known: the newest reports weigh most
-	ShareAt Time          // of the newest that another has heard; 0: none
-	Rate    float64       // set-ups a second that a server takes from another member when warm, on the mean; 0: not known
-	Fair    float64       // the same, when this member has its part of the callers again
-	Bad     float64       // share of the others' weight that holds it for failing
-	Drains  Time          // since when another's list says that it drains; 0: none does
-	Others  int           // observers that have told of it
-	Floor   time.Duration // the longest of the others' shortest set-up times: ways differ; 0: not known
+	HoldBackShare   float64       // to be held back, of all that is known: the newest reports weigh most
+	HoldBackShareAt Time          // of the newest that another has heard; 0: none
+	Rate            float64       // set-ups a second that a server takes from another member when warm, on the mean; 0: not known
+	FairRate        float64       // the same, when this member has its part of the callers again
+	FailingShare    float64       // share of the others' weight that holds it for failing
+	DrainingSince   Time          // since when another's list says that it drains; 0: none does
+	Observers       int           // observers that have told of it
+	MinSetUpTime    time.Duration // the longest of the others' shortest set-up times: ways differ; 0: not known
 }
 
 // badAt is the weight of bad endings in a row from which on a member holds a server for failing.
@@ -37,45 +37,45 @@
 		}
 	}
 	l := r.cfg.Limits
-	report := func(s Seen) {
-		if s.ShareAt > 0 && now-s.ShareAt < l.Forget {
-			w := weight(now-s.ShareAt, l.HalfLife)
-			share, shares = share+w*s.Share, shares+w
+	report := func(s Observation) {
+		if s.HoldBackShareAt > 0 && now-s.HoldBackShareAt < l.MaxAge {
+			w := weight(now-s.HoldBackShareAt, l.HalfLife)
+			share, shares = share+w*s.HoldBackShare, shares+w
 		}
 	}
 	for _, o := range r.observers {
 		e, known := o.Entries[server]
-		if !known || now-e.At >= l.Forget {
+		if !known || now-e.At >= l.MaxAge {
 			continue
 		}
-		v.Others++
-		v.Floor = max(v.Floor, e.Floor)
-		report(e.Seen)
-		v.ShareAt, v.Drains = max(v.ShareAt, e.ShareAt), max(v.Drains, e.Drains)
-		w := weight(now-e.At, l.Lasting)
+		v.Observers++
+		v.MinSetUpTime = max(v.MinSetUpTime, e.MinSetUpTime)
+		report(e.Observation)
+		v.HoldBackShareAt, v.DrainingSince = max(v.HoldBackShareAt, e.HoldBackShareAt), max(v.DrainingSince, e.DrainingSince)
+		w := weight(now-e.At, l.SlowHalfLife)
 		if e.Rate > 0 {
 			rate, rates = rate+w*e.Rate, rates+w
 		}
-		if all += w; e.Bad >= badAt {
+		if all += w; e.FailureWeight >= badAt {
 			bad += w
 		}
 	}
 	if report(r.own[server]); shares > 0 {
-		v.Share = share / shares
+		v.HoldBackShare = share / shares
 	}
 	if rates > 0 {
 		v.Rate = rate / rates
-		v.Fair = v.Rate * max(there-1, 1) / there
+		v.FairRate = v.Rate * max(there-1, 1) / there
 	}
 	if all > 0 {
-		v.Bad = bad / all
+		v.FailingShare = bad / all
 	}
 	return v
 }
 
-// Carried is by how much the rates of this member grow when some others have died: those leave their callers to all that
+// TakeoverFactor is by how much the rates of this member grow when some others have died: those leave their callers to all that
 // are there, each as many, as far as anybody knows. Where too little is known each is held to have had as many.
-func (r *Reducer) Carried(died []int, there int) float64 {
+func (r *Reducer) TakeoverFactor(died []int, there int) float64 {
 	own, left, known := 0.0, 0.0, true
 	for _, s := range r.own {
 		own += s.Rate
@@ -83,7 +83,7 @@
 	for _, m := range died {
 		rate, any := 0.0, false
 		for _, e := range r.observers[m].Entries {
-			if r.now-e.At < r.cfg.Limits.Forget {
+			if r.now-e.At < r.cfg.Limits.MaxAge {
 				rate, any = rate+e.Rate, any || e.Rate > 0
 			}
 		}
@@ -96,26 +96,26 @@
 	return 1 + min(left/float64(there)/own, float64(len(died)))
 }
 
-// Told is an observer's entry, for operators.
-type Told struct {
+// ObserverEntry is an observer's entry, for operators.
+type ObserverEntry struct {
 	Observer int
-	Seen
+	Observation
 	At Time
 }
 
-// Of is all that is known of a server, by observer, the own entry included.
-func (r *Reducer) Of(server uint32) (all []Told) {
+// Entries is all that is known of a server, by observer, the own entry included.
+func (r *Reducer) Entries(server uint32) (all []ObserverEntry) {
 	for m, o := range r.observers {
 		if e, known := o.Entries[server]; known {
-			all = append(all, Told{m, e.Seen, e.At})
+			all = append(all, ObserverEntry{m, e.Observation, e.At})
 		}
 	}
 	if s, listed := r.own[server]; listed {
-		all = append(all, Told{r.cfg.Self, s, r.now})
+		all = append(all, ObserverEntry{r.cfg.Self, s, r.now})
 	}
-	slices.SortFunc(all, func(a, b Told) int { return a.Observer - b.Observer })
+	slices.SortFunc(all, func(a, b ObserverEntry) int { return a.Observer - b.Observer })
 	return all
 }
 
-// Figures are the figures of now.
-func (r *Reducer) Figures() Figures { return r.figures }
+// Counters are the figures of now.
+func (r *Reducer) Counters() Counters { return r.figures }
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -232,7 +232,7 @@
 // view reads what the member's door says of its tier.
 func (m *member) view() (v View, ok bool) {
 	status, text := m.call(http.MethodGet, "/ops/members")
-	var t mgmt.Tier
+	var t mgmt.TierStatus
 	if status != http.StatusOK || json.Unmarshal(text, &t) != nil {
 		return v, false
 	}
