--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -14,14 +14,14 @@
 	"time"
 )
 
-var testRules = Rules{MaxAttempts: 4, ReleaseGap: 200 * time.Millisecond, DrainGrace: 250 * time.Millisecond,
+var testRules = Rules{MaxAttempts: 4, ReleaseGuard: 200 * time.Millisecond, DrainGrace: 250 * time.Millisecond,
 	TipMultiple: 2.5, TipWindow: time.Second, ColdFrom: 0.3, Ramp: 14 * time.Second, Slack: 50 * time.Millisecond, ColdSlack: 3}
 
 const ms = time.Millisecond
 
-func rules(j *Judge) []string {
+func rules(j *Checker) []string {
 	var out []string
-	for _, b := range j.Breaches() {
+	for _, b := range j.Violations() {
 		out = append(out, b.Rule)
 	}
 	return out
@@ -31,55 +31,55 @@
 func TestJudgeCatchesEachRule(t *testing.T) {
 	for _, c := range []struct {
 		name, want string
-		story      func(j *Judge)
+		story      func(j *Checker)
 	}{
-		{"two answers", "two final answers", func(j *Judge) {
-			j.SetUp(0, 1, 0, 1500*ms)
-			j.Final(10*ms, 1, true)
-			j.Final(20*ms, 1, false)
+		{"two answers", "two final answers", func(j *Checker) {
+			j.RecordSetUp(0, 1, 0, 1500*ms)
+			j.RecordFinalAnswer(10*ms, 1, true)
+			j.RecordFinalAnswer(20*ms, 1, false)
 		}},
-		{"none before give-up", "no final answer before give-up", func(j *Judge) {
-			j.SetUp(0, 1, 0, 1500*ms)
-			j.Unanswered(1500*ms, 1, false)
+		{"none before give-up", "no final answer before give-up", func(j *Checker) {
+			j.RecordSetUp(0, 1, 0, 1500*ms)
+			j.RecordUnanswered(1500*ms, 1, false)
 		}},
-		{"none at the end", "no final answer before give-up", func(j *Judge) {
-			j.SetUp(0, 1, 0, 1500*ms)
-			j.Close(2 * time.Second)
+		{"none at the end", "no final answer before give-up", func(j *Checker) {
+			j.RecordSetUp(0, 1, 0, 1500*ms)
+			j.CheckOpen(2 * time.Second)
 		}},
-		{"lost with its connection", "set-up lost", func(j *Judge) {
-			j.SetUp(0, 1, 0, 1500*ms)
-			j.Unanswered(100*ms, 1, false)
+		{"lost with its connection", "set-up lost", func(j *Checker) {
+			j.RecordSetUp(0, 1, 0, 1500*ms)
+			j.RecordUnanswered(100*ms, 1, false)
 		}},
-		{"two out", "two attempts out", func(j *Judge) {
-			j.Attempt(0, "a", 1)
-			j.Attempt(5*ms, "b", 1)
+		{"two out", "two attempts out", func(j *Checker) {
+			j.RecordAttempt(0, "a", 1)
+			j.RecordAttempt(5*ms, "b", 1)
 		}},
-		{"five attempts", "too many attempts", func(j *Judge) {
+		{"five attempts", "too many attempts", func(j *Checker) {
 			for i := range 5 {
 				at := time.Duration(i) * 10 * ms
-				j.Attempt(at, "a", 1)
-				j.Ended(at+ms, "a", 1, Refused)
+				j.RecordAttempt(at, "a", 1)
+				j.RecordAttemptEnd(at+ms, "a", 1, Refused)
 			}
 		}},
-		{"again too soon", "release gap", func(j *Judge) {
-			j.Attempt(0, "a", 1)
-			j.Ended(10*ms, "a", 1, Reset)
-			j.Attempt(100*ms, "b", 1)
+		{"again too soon", "release gap", func(j *Checker) {
+			j.RecordAttempt(0, "a", 1)
+			j.RecordAttemptEnd(10*ms, "a", 1, ConnectionReset)
+			j.RecordAttempt(100*ms, "b", 1)
 		}},
-		{"to a drained server", "new attempt at a retired server", func(j *Judge) {
+		{"to a drained server", "new attempt at a retired server", func(j *Checker) {
 			j.Retire("a", 0)
-			j.Attempt(400*ms, "a", 1)
+			j.RecordAttempt(400*ms, "a", 1)
 		}},
-		{"a cold server flooded", "cold server pushed over", func(j *Judge) {
-			j.Server("c", 100, 0) // 30 a second at first: a budget of 75 in a second
+		{"a cold server flooded", "cold server pushed over", func(j *Checker) {
+			j.AddServer("c", 100, 0) // 30 a second at first: a budget of 75 in a second
 			for i := range 90 {
-				j.Attempt(time.Duration(i)*10*ms, "c", uint64(i+10))
+				j.RecordAttempt(time.Duration(i)*10*ms, "c", uint64(i+10))
 			}
 		}},
 	} {
-		j := NewJudge(testRules)
-		j.Server("a", 100, -1)
-		j.Server("b", 100, -1)
+		j := NewChecker(testRules)
+		j.AddServer("a", 100, -1)
+		j.AddServer("b", 100, -1)
 		c.story(j)
 		if got := rules(j); len(got) != 1 || got[0] != c.want {
 			t.Errorf("%s: broken %v, want %q", c.name, got, c.want)
@@ -88,37 +88,37 @@
 }
 
 func TestJudgeHoldsTheLawful(t *testing.T) {
-	j := NewJudge(testRules)
-	j.Server("a", 100, -1)
-	j.Server("c", 100, 0)
-	j.SetUp(0, 1, 0, 1500*ms)
-	j.Attempt(0, "a", 1)
-	j.Ended(10*ms, "a", 1, Reset)
-	j.Attempt(260*ms, "a", 1) // after the gap
-	j.Ended(270*ms, "a", 1, Answered)
-	j.Final(271*ms, 1, true)
-	j.SetUp(0, 2, 0, 1500*ms)
-	j.Unanswered(300*ms, 2, true) // excused: a fault of the lab's stood in its way
+	j := NewChecker(testRules)
+	j.AddServer("a", 100, -1)
+	j.AddServer("c", 100, 0)
+	j.RecordSetUp(0, 1, 0, 1500*ms)
+	j.RecordAttempt(0, "a", 1)
+	j.RecordAttemptEnd(10*ms, "a", 1, ConnectionReset)
+	j.RecordAttempt(260*ms, "a", 1) // after the gap
+	j.RecordAttemptEnd(270*ms, "a", 1, Answered)
+	j.RecordFinalAnswer(271*ms, 1, true)
+	j.RecordSetUp(0, 2, 0, 1500*ms)
+	j.RecordUnanswered(300*ms, 2, true) // excused: a fault of the lab's stood in its way
 	j.Retire("a", 300*ms)
-	j.Attempt(590*ms, "a", 3) // within the grace and its slack
-	for i := range 70 {       // within the cold budget, with the slack for chance
-		j.Attempt(time.Duration(i)*10*ms, "c", uint64(i+10))
+	j.RecordAttempt(590*ms, "a", 3) // within the grace and its slack
+	for i := range 70 {             // within the cold budget, with the slack for chance
+		j.RecordAttempt(time.Duration(i)*10*ms, "c", uint64(i+10))
 	}
-	j.Close(3 * time.Second)
+	j.CheckOpen(3 * time.Second)
 	if got := rules(j); len(got) > 0 {
 		t.Fatalf("broken %v", got)
 	}
-	if s := j.Seconds()[0]; s.Offered != 2 || s.Served != 1 || s.Excused != 1 || s.Arrivals["c"] != 70 {
+	if s := j.PerSecond()[0]; s.Offered != 2 || s.Served != 1 || s.Excused != 1 || s.Arrivals["c"] != 70 {
 		t.Fatalf("second 0: %+v", s)
 	}
 }
 
 // Where the lab lagged, a lateness is its own, not the fleet's.
 func TestJudgeBlindWhereTheLabLagged(t *testing.T) {
-	j := NewJudge(testRules)
-	j.SetUp(0, 1, 0, 1500*ms)
-	j.Blind(1400*ms, 1600*ms)
-	j.Unanswered(1500*ms, 1, false)
+	j := NewChecker(testRules)
+	j.RecordSetUp(0, 1, 0, 1500*ms)
+	j.RecordLag(1400*ms, 1600*ms)
+	j.RecordUnanswered(1500*ms, 1, false)
 	if got := rules(j); len(got) > 0 {
 		t.Fatalf("broken %v", got)
 	}
@@ -126,18 +126,18 @@
 
 func TestWeather(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
-	w := Weather{Groups: map[int]int{0: 0, 1: 0, 2: 1}, OneWay: true}
-	if !w.Decide(0, 2, r).Drop || w.Decide(2, 0, r).Drop || w.Decide(0, 1, r).Drop {
+	w := NetworkConditions{Groups: map[int]int{0: 0, 1: 0, 2: 1}, OneWay: true}
+	if !w.Deliver(0, 2, r).Drop || w.Deliver(2, 0, r).Drop || w.Deliver(0, 1, r).Drop {
 		t.Fatal("a one-way cut drops only from the first group to the others")
 	}
 	w.OneWay = false
-	if !w.Decide(2, 0, r).Drop {
+	if !w.Deliver(2, 0, r).Drop {
 		t.Fatal("a cut both ways drops back too")
 	}
-	w = Weather{Loss: 0.3, Duplicate: 0.5, Reorder: 10 * ms}
+	w = NetworkConditions{Loss: 0.3, Duplicate: 0.5, Reorder: 10 * ms}
 	lost, doubled := 0, 0
 	for range 10000 {
-		f := w.Decide(0, 1, r)
+		f := w.Deliver(0, 1, r)
 		if f.Drop {
 			lost++
 		} else if len(f.Delays) == 2 {
@@ -187,12 +187,12 @@
 // One that came back is compared with its peers by the second in which each set-up was sent, from its first call after it
 // was started again; what came to it before is not its return.
 func TestReturn(t *testing.T) {
-	j := NewJudge(Rules{Slack: 50 * ms})
+	j := NewChecker(Rules{Slack: 50 * ms})
 	id := uint64(0)
 	call := func(at time.Duration, to int, served bool) {
 		id++
-		j.SetUp(at, id, to, at+1500*ms)
-		j.Final(at+1100*ms, id, served)
+		j.RecordSetUp(at, id, to, at+1500*ms)
+		j.RecordFinalAnswer(at+1100*ms, id, served)
 	}
 	call(1000*ms, 1, false)
 	for i, served := range []bool{true, true, false, true} {
@@ -200,11 +200,11 @@
 		call(5050*ms+time.Duration(i)*100*ms, 2, i < 1)
 	}
 	call(6500*ms, 2, true)
-	r := j.Return(1, 4000*ms, 3)
+	r := j.Recovery(1, 4000*ms, 3)
 	if r == nil || r.First != 5000*ms || r.Share[0] != 0.75 || r.Peers[0] != 0.25 || r.Share[1] != -1 || r.Peers[1] != 1 || r.Peers[2] != -1 {
 		t.Errorf("%+v", r)
 	}
-	if j.Return(1, 6000*ms, 3) != nil {
+	if j.Recovery(1, 6000*ms, 3) != nil {
 		t.Error("a return without a call")
 	}
 }
@@ -215,8 +215,8 @@
 		s := short("random")
 		s.Seed = seed
 		for _, kind := range drawn {
-			s.Random = append(s.Random, RandomFault{Kind: kind, Count: 5, To: Duration{3 * time.Second}, For: Duration{time.Second},
-				Share: 0.2, By: Duration{10 * ms}, Factor: 3})
+			s.RandomFaults = append(s.RandomFaults, RandomFault{Kind: kind, Count: 5, To: Duration{3 * time.Second}, Duration: Duration{time.Second},
+				Probability: 0.2, Delay: Duration{10 * ms}, Factor: 3})
 		}
 		if err := s.Check(); err != nil {
 			t.Fatal(err)
@@ -248,10 +248,10 @@
 }
 
 func short(name string, faults ...Fault) *Scenario {
-	return &Scenario{Name: name, Duration: Duration{4 * time.Second}, Seed: 1, Softswitches: 3, Peers: true,
+	return &Scenario{Name: name, Duration: Duration{4 * time.Second}, Seed: 1, Softswitches: 3, PeersEnabled: true,
 		GiveUp:  Duration{time.Second},
 		Servers: []Server{{Name: "s1", Capacity: 400}, {Name: "s2", Capacity: 400}},
-		Load:    []Step{{Rate: 120}}, Faults: faults}
+		Load:    []LoadStep{{Rate: 120}}, Faults: faults}
 }
 
 // A fleet that the lab kills, pauses and cuts apart keeps every rule; the lab accounts for what the faults cost,
@@ -259,19 +259,19 @@
 func TestFleetUnderFaults(t *testing.T) {
 	bin := program(t)
 	s := short("faults",
-		Fault{At: Duration{time.Second}, Kind: "kill", Target: []string{"n2"}, For: Duration{time.Second}},
-		Fault{At: Duration{time.Second}, Kind: "partition", Groups: [][]string{{"n1"}, {"n2", "n3"}}, For: Duration{2 * time.Second}},
-		Fault{At: Duration{1500 * ms}, Kind: "pause", Target: []string{"n3"}, For: Duration{1500 * ms}},
+		Fault{At: Duration{time.Second}, Kind: "kill", Target: []string{"n2"}, Duration: Duration{time.Second}},
+		Fault{At: Duration{time.Second}, Kind: "partition", Groups: [][]string{{"n1"}, {"n2", "n3"}}, Duration: Duration{2 * time.Second}},
+		Fault{At: Duration{1500 * ms}, Kind: "pause", Target: []string{"n3"}, Duration: Duration{1500 * ms}},
 		Fault{At: Duration{2 * time.Second}, Kind: "reset", Target: []string{"n1"}, Server: "s1"})
 	if err := s.Check(); err != nil {
 		t.Fatal(err)
 	}
 	out := t.TempDir()
-	rules, err := rulesOf([]byte(Settings))
+	rules, err := rulesOf([]byte(DefaultSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := newRunner(s, Options{Binary: bin, Out: out}, rules, Settings)
+	r := newRunner(s, Options{Binary: bin, OutDir: out}, rules, DefaultSettings)
 	// The first port handed to n1 is taken by another program before n1 listens there: it gets new ones.
 	taken, err := net.Listen("tcp", "127.0.1.1:0")
 	if err != nil {
@@ -290,8 +290,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !res.Held || res.Served < res.Offered/2 || res.Starts["n2"] != 2 || res.Starts["n1"] != 2 {
-		t.Fatalf("held %v, breaches %+v; served %d of %d; starts %v", res.Held, res.Breaches, res.Served, res.Offered, res.Starts)
+	if !res.Passed || res.Served < res.Offered/2 || res.Starts["n2"] != 2 || res.Starts["n1"] != 2 {
+		t.Fatalf("held %v, breaches %+v; served %d of %d; starts %v", res.Passed, res.Violations, res.Served, res.Offered, res.Starts)
 	}
 	if err := res.WriteTable(filepath.Join(out, "seconds.csv")); err != nil {
 		t.Fatal(err)
@@ -324,24 +324,24 @@
 			short("unheard", Fault{At: Duration{time.Second}, Kind: "drain", Server: "s1"}, Fault{At: Duration{time.Second}, Kind: "drain", Server: "s2"})},
 		{"weak cold servers", "cold server pushed over", func() *Scenario {
 			s := short("untold")
-			s.Servers = []Server{{Name: "s1", Capacity: 100, Start: Duration{time.Second}}}
-			s.Load = []Step{{Rate: 300}}
+			s.Servers = []Server{{Name: "s1", Capacity: 100, StartAt: Duration{time.Second}}}
+			s.Load = []LoadStep{{Rate: 300}}
 			return s
 		}()},
 	} {
 		if err := c.s.Check(); err != nil {
 			t.Fatal(err)
 		}
-		res, err := Run(c.s, Options{Binary: bin, Out: t.TempDir(), Break: c.how})
+		res, err := Run(c.s, Options{Binary: bin, OutDir: t.TempDir(), SelfTestFault: c.how})
 		if err != nil {
 			t.Fatal(err)
 		}
 		found := false
-		for _, b := range res.Breaches {
+		for _, b := range res.Violations {
 			found = found || b.Rule == c.want
 		}
-		if res.Held || !found {
-			t.Errorf("%s: breaches %+v, want %q; seconds %+v", c.how, res.Breaches, c.want, res.seconds)
+		if res.Passed || !found {
+			t.Errorf("%s: breaches %+v, want %q; seconds %+v", c.how, res.Violations, c.want, res.seconds)
 		}
 	}
 }
@@ -349,24 +349,24 @@
 // The plan overlaps the network's faults: the weather at each moment is all of them that stand then.
 func TestPlanOverlapsTheWeather(t *testing.T) {
 	s := short("plan",
-		Fault{At: Duration{time.Second}, Kind: "loss", Share: 0.5, For: Duration{2 * time.Second}},
-		Fault{At: Duration{2 * time.Second}, Kind: "loss", Share: 0.5, For: Duration{2 * time.Second}},
+		Fault{At: Duration{time.Second}, Kind: "loss", Probability: 0.5, Duration: Duration{2 * time.Second}},
+		Fault{At: Duration{2 * time.Second}, Kind: "loss", Probability: 0.5, Duration: Duration{2 * time.Second}},
 		Fault{At: Duration{2 * time.Second}, Kind: "partition", Groups: [][]string{{"n1"}, {"n2", "n3"}}, OneWay: true},
-		Fault{At: Duration{time.Second}, Kind: "kill", Target: []string{"n2"}, For: Duration{500 * ms}},
+		Fault{At: Duration{time.Second}, Kind: "kill", Target: []string{"n2"}, Duration: Duration{500 * ms}},
 		Fault{At: Duration{time.Second}, Kind: "restart"})
-	s.Servers = append(s.Servers, Server{Name: "late", Capacity: 10, Start: Duration{3 * time.Second}})
+	s.Servers = append(s.Servers, Server{Name: "late", Capacity: 10, StartAt: Duration{3 * time.Second}})
 	if err := s.Check(); err != nil {
 		t.Fatal(err)
 	}
 	var weather []string
-	var acts []Act
+	var acts []ActionKind
 	for _, a := range Plan(s, true) {
-		acts = append(acts, a.Act)
-		if a.Act == ActWeather {
-			weather = append(weather, fmt.Sprintf("%v loss %.2f cut %v", a.At, a.Weather.Loss, a.Weather.Groups))
+		acts = append(acts, a.Kind)
+		if a.Kind == ActNetworkConditions {
+			weather = append(weather, fmt.Sprintf("%v loss %.2f cut %v", a.At, a.Conditions.Loss, a.Conditions.Groups))
 		}
-		if a.Act == ActKill && a.Fault == 4 && len(a.Places) != 3 {
-			t.Errorf("a restart kills %v, want every softswitch", a.Places)
+		if a.Kind == ActKill && a.Fault == 4 && len(a.Members) != 3 {
+			t.Errorf("a restart kills %v, want every softswitch", a.Members)
 		}
 	}
 	want := []string{"1s loss 0.50 cut map[]", "2s loss 0.75 cut map[0:0 1:1 2:1]", "3s loss 0.50 cut map[0:0 1:1 2:1]",
@@ -374,12 +374,12 @@
 	if fmt.Sprint(weather) != fmt.Sprint(want) {
 		t.Errorf("weather %q, want %q", weather, want)
 	}
-	wantActs := []Act{ActWeather, ActKill, ActKill, ActLaunch, ActWeather, ActTell, ActWeather, ActWeather}
+	wantActs := []ActionKind{ActNetworkConditions, ActKill, ActKill, ActLaunch, ActNetworkConditions, ActServerStatus, ActNetworkConditions, ActNetworkConditions}
 	if fmt.Sprint(acts) != fmt.Sprint(wantActs) {
 		t.Errorf("acts %v, want %v", acts, wantActs)
 	}
 	for _, a := range Plan(s, false) {
-		if a.Act == ActTell {
+		if a.Kind == ActServerStatus {
 			t.Error("a late start told where the lab keeps it back")
 		}
 	}
@@ -393,45 +393,45 @@
 	for _, c := range []struct {
 		name, want string
 		deaths     int
-		story      func(w *Watcher)
+		story      func(w *TierChecker)
 	}{
-		{"agreement", "", 0, func(w *Watcher) {
+		{"agreement", "", 0, func(w *TierChecker) {
 			for o := range 3 {
-				w.Seen(0, o, view(1, "alive", "draining", "alive"))
+				w.RecordView(0, o, view(1, "alive", "draining", "alive"))
 			}
-			w.Agree(ms, all)
+			w.CheckConvergence(ms, all)
 		}},
-		{"one believed dead", "views disagree", 1, func(w *Watcher) {
+		{"one believed dead", "views disagree", 1, func(w *TierChecker) {
 			for o := range 3 {
-				w.Seen(0, o, view(1, "alive", "alive", []string{"dead", "alive", "alive"}[o]))
+				w.RecordView(0, o, view(1, "alive", "alive", []string{"dead", "alive", "alive"}[o]))
 			}
-			w.Agree(ms, all)
+			w.CheckConvergence(ms, all)
 		}},
-		{"a dead one believed there", "views disagree", 0, func(w *Watcher) {
-			w.Trouble(0, 2, "kill", true)
-			w.Seen(ms, 0, view(1, "alive", "alive", "dead"))
-			w.Seen(ms, 1, view(1, "alive", "alive", "alive"))
-			w.Agree(2*ms, func(p int) bool { return p != 2 })
+		{"a dead one believed there", "views disagree", 0, func(w *TierChecker) {
+			w.RecordFault(0, 2, "kill", true)
+			w.RecordView(ms, 0, view(1, "alive", "alive", "dead"))
+			w.RecordView(ms, 1, view(1, "alive", "alive", "alive"))
+			w.CheckConvergence(2*ms, func(p int) bool { return p != 2 })
 		}},
-		{"bold without a majority", "too bold without a majority", 0, func(w *Watcher) {
-			w.Weather(0, Weather{Groups: map[int]int{0: 0, 1: 1, 2: 1}})
-			w.Seen(ms, 0, view(1, "alive", "dead", "dead"))
+		{"bold without a majority", "too bold without a majority", 0, func(w *TierChecker) {
+			w.SetConditions(0, NetworkConditions{Groups: map[int]int{0: 0, 1: 1, 2: 1}})
+			w.RecordView(ms, 0, view(1, "alive", "dead", "dead"))
 		}},
-		{"careful without a majority", "", 0, func(w *Watcher) {
-			w.Weather(0, Weather{Groups: map[int]int{0: 0, 1: 1, 2: 1}})
-			w.Seen(ms, 0, view(1.0/3, "alive", "dead", "dead"))
+		{"careful without a majority", "", 0, func(w *TierChecker) {
+			w.SetConditions(0, NetworkConditions{Groups: map[int]int{0: 0, 1: 1, 2: 1}})
+			w.RecordView(ms, 0, view(1.0/3, "alive", "dead", "dead"))
 		}},
-		{"a death after a cut", "", 1, func(w *Watcher) {
-			w.Weather(0, Weather{Groups: map[int]int{0: 0, 1: 1, 2: 1}})
-			w.Weather(ms, Weather{})
-			w.Seen(2*ms, 0, view(1, "alive", "alive", "dead")) // the cut's
-			w.Seen(time.Minute, 1, view(1, "alive", "alive", "dead"))
+		{"a death after a cut", "", 1, func(w *TierChecker) {
+			w.SetConditions(0, NetworkConditions{Groups: map[int]int{0: 0, 1: 1, 2: 1}})
+			w.SetConditions(ms, NetworkConditions{})
+			w.RecordView(2*ms, 0, view(1, "alive", "alive", "dead")) // the cut's
+			w.RecordView(time.Minute, 1, view(1, "alive", "alive", "dead"))
 		}},
 	} {
-		w := NewWatcher(3)
+		w := NewTierChecker(3)
 		c.story(w)
 		got := ""
-		for _, b := range w.Breaches() {
+		for _, b := range w.Violations() {
 			got += b.Rule
 		}
 		if got != c.want || len(w.deaths) != c.deaths {
@@ -442,20 +442,20 @@
 
 // A trouble is followed from the first who suspects it to the last who holds the softswitch there again.
 func TestWatcherFollowsADeath(t *testing.T) {
-	w := NewWatcher(3)
-	w.Trouble(10*ms, 2, "kill", true)
+	w := NewTierChecker(3)
+	w.RecordFault(10*ms, 2, "kill", true)
 	for i, states := range [][2]string{{"alive", "alive"}, {"suspect", "alive"}, {"suspect", "suspect"}, {"dead", "suspect"}, {"dead", "dead"}} {
 		for o, s := range states {
-			w.Seen(time.Duration(20+10*i)*ms, o, View{States: []string{"alive", "alive", s}, ColdShare: 1})
+			w.RecordView(time.Duration(20+10*i)*ms, o, View{States: []string{"alive", "alive", s}, ColdShare: 1})
 		}
 	}
-	w.Trouble(100*ms, 2, "", false)
+	w.RecordFault(100*ms, 2, "", false)
 	for o := range 2 {
-		w.Seen(time.Duration(110+10*o)*ms, o, View{States: []string{"alive", "alive", "alive"}, ColdShare: 1})
+		w.RecordView(time.Duration(110+10*o)*ms, o, View{States: []string{"alive", "alive", "alive"}, ColdShare: 1})
 	}
 	d := *w.detections[0]
-	if want := (Detection{Softswitch: "n3", Kind: "kill", At: 10 * ms, Suspected: 20 * ms, Known: 30 * ms, Dead: 40 * ms, AllDead: 50 * ms,
-		Ended: 100 * ms, Back: 20 * ms, place: 2}); d != want {
+	if want := (Detection{Softswitch: "n3", Kind: "kill", At: 10 * ms, Suspected: 20 * ms, AllSuspected: 30 * ms, Dead: 40 * ms, AllDead: 50 * ms,
+		Ended: 100 * ms, AllAvailable: 20 * ms, place: 2}); d != want {
 		t.Errorf("%+v, want %+v", d, want)
 	}
 }
@@ -466,30 +466,30 @@
 func TestFleetThatKnowsItself(t *testing.T) {
 	bin := program(t)
 	s := short("members",
-		Fault{At: Duration{time.Second}, Kind: "loss", Share: 0.3, For: Duration{6 * time.Second}},
-		Fault{At: Duration{time.Second}, Kind: "duplicate", Share: 0.2, For: Duration{6 * time.Second}},
-		Fault{At: Duration{time.Second}, Kind: "reorder", By: Duration{30 * ms}, For: Duration{6 * time.Second}},
-		Fault{At: Duration{1500 * ms}, Kind: "kill", Target: []string{"n2"}, For: Duration{6 * time.Second}},
+		Fault{At: Duration{time.Second}, Kind: "loss", Probability: 0.3, Duration: Duration{6 * time.Second}},
+		Fault{At: Duration{time.Second}, Kind: "duplicate", Probability: 0.2, Duration: Duration{6 * time.Second}},
+		Fault{At: Duration{time.Second}, Kind: "reorder", Delay: Duration{30 * ms}, Duration: Duration{6 * time.Second}},
+		Fault{At: Duration{1500 * ms}, Kind: "kill", Target: []string{"n2"}, Duration: Duration{6 * time.Second}},
 		Fault{At: Duration{8500 * ms}, Kind: "maintain", Target: []string{"n1", "n2", "n3"}, Via: "n2"},
-		Fault{At: Duration{8900 * ms}, Kind: "kill", Target: []string{"n2"}, For: Duration{time.Second}},
-		Fault{At: Duration{10500 * ms}, Kind: "partition", Groups: [][]string{{"n1"}, {"n2", "n3"}}, For: Duration{1500 * ms}})
-	s.Duration, s.Agree, s.Sample = Duration{12500 * ms}, Duration{12 * time.Second}, Duration{100 * ms}
-	s.Budget, s.WorkTakes, s.WorkBy, s.Maintained = 1, Duration{100 * ms}, "release", []string{"n1", "n2", "n3"}
+		Fault{At: Duration{8900 * ms}, Kind: "kill", Target: []string{"n2"}, Duration: Duration{time.Second}},
+		Fault{At: Duration{10500 * ms}, Kind: "partition", Groups: [][]string{{"n1"}, {"n2", "n3"}}, Duration: Duration{1500 * ms}})
+	s.Duration, s.ConvergenceTime, s.SampleInterval = Duration{12500 * ms}, Duration{12 * time.Second}, Duration{100 * ms}
+	s.MaintenanceBudget, s.WorkDuration, s.WorkMethod, s.ExpectMaintained = 1, Duration{100 * ms}, "release", []string{"n1", "n2", "n3"}
 	s.Membership = map[string]any{"period": "200ms", "timeout": "80ms", "stall": "300ms",
 		"maintenance": map[string]any{"enabled": true, "lease": "4s", "work": "6s", "round": "250ms"}}
 	if err := s.Check(); err != nil {
 		t.Fatal(err)
 	}
 	out := t.TempDir()
-	res, err := Run(s, Options{Binary: bin, Out: out})
+	res, err := Run(s, Options{Binary: bin, OutDir: out})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !res.Held || len(res.Detections) != 2 || res.Detections[0].AllDead < 0 || res.Detections[0].Back < 0 {
-		t.Errorf("held %v, breaches %+v, detections %+v", res.Held, res.Breaches, *res.Detections[0])
+	if !res.Passed || len(res.Detections) != 2 || res.Detections[0].AllDead < 0 || res.Detections[0].AllAvailable < 0 {
+		t.Errorf("held %v, breaches %+v, detections %+v", res.Passed, res.Violations, *res.Detections[0])
 	}
-	if res.Datagrams["dropped"] == 0 || res.Datagrams["passed"] == 0 || res.Members["heard"] == 0 || res.Members["dropped_stranger"] != 0 {
-		t.Errorf("datagrams %v, doors %v", res.Datagrams, res.Members)
+	if res.Datagrams["dropped"] == 0 || res.Datagrams["passed"] == 0 || res.MembershipCounters["heard"] == 0 || res.MembershipCounters["dropped_stranger"] != 0 {
+		t.Errorf("datagrams %v, doors %v", res.Datagrams, res.MembershipCounters)
 	}
 	path := filepath.Join(out, "seconds.csv")
 	if err := res.WriteTable(path); err != nil {
--- a/internal/lab/plan.go
+++ b/internal/lab/plan.go
@@ -6,25 +6,25 @@
 	"time"
 )
 
-// Act is what the lab does at one moment of a run.
-type Act int
+// ActionKind is what the lab does at one moment of a run.
+type ActionKind int
 
 const (
-	ActKill    Act = iota // SIGKILL (or SIGTERM where Term) to Places; they are in trouble from now on
-	ActLaunch             // Places started again under their names and addresses; out of trouble once ready
-	ActPause              // SIGSTOP to Places
-	ActResume             // SIGCONT to Places; out of trouble once ready
-	ActWeather            // the relay's weather becomes Weather
-	ActReset              // the connections between Places and Server reset
-	ActStall              // those connections silent (Stall) or speaking again
-	ActSlow               // Server works Factor times slower (1: as it should)
-	ActOrder              // Places asked for, or withdrawn (Retire), at the door of Via
-	ActTell               // Server told Status on the command channel; Retire where it drains or goes
+	ActKill              ActionKind = iota // SIGKILL (or SIGTERM where Term) to Places; they are in trouble from now on
+	ActLaunch                              // Places started again under their names and addresses; out of trouble once ready
+	ActPause                               // SIGSTOP to Places
+	ActResume                              // SIGCONT to Places; out of trouble once ready
+	ActNetworkConditions                   // the relay's weather becomes Weather
+	ActReset                               // the connections between Places and Server reset
+	ActStall                               // those connections silent (Stall) or speaking again
+	ActSlow                                // Server works Factor times slower (1: as it should)
+	ActMaintenance                         // Places asked for, or withdrawn (Retire), at the door of Via
+	ActServerStatus                        // Server told Status on the command channel; Retire where it drains or goes
 )
 
 var actNames = [...]string{"kill", "launch", "pause", "resume", "weather", "reset", "stall", "slow", "order", "tell"}
 
-func (a Act) String() string {
+func (a ActionKind) String() string {
 	if a >= 0 && int(a) < len(actNames) {
 		return actNames[a]
 	}
@@ -33,18 +33,18 @@
 
 // Action is one step of a run's plan.
 type Action struct {
-	At      time.Duration
-	Act     Act
-	Fault   int // the fault it comes from, by place in the scenario; -1 for a server's late start
-	Places  []int
-	Server  string
-	Term    bool
-	Stall   bool
-	Factor  float64
-	Status  string
-	Retire  bool
-	Via     int
-	Weather Weather
+	At         time.Duration
+	Kind       ActionKind
+	Fault      int // the fault it comes from, by place in the scenario; -1 for a server's late start
+	Members    []int
+	Server     string
+	Term       bool
+	Stall      bool
+	Factor     float64
+	Status     string
+	Retire     bool
+	Via        int
+	Conditions NetworkConditions
 }
 
 // network are the kinds of fault that change the relay's weather.
@@ -64,47 +64,47 @@
 	var weatherAt []time.Duration
 	for i, f := range s.Faults {
 		places := s.places(f.Target)
-		end := f.At.Duration + f.For.Duration
+		end := f.At.Duration + f.Duration.Duration
 		switch f.Kind {
 		case "kill", "term", "restart":
 			if f.Kind == "restart" {
 				places = all
 			}
-			add(Action{At: f.At.Duration, Act: ActKill, Fault: i, Places: places, Term: f.Kind == "term"})
-			if f.For.Duration > 0 {
-				add(Action{At: end, Act: ActLaunch, Fault: i, Places: places})
+			add(Action{At: f.At.Duration, Kind: ActKill, Fault: i, Members: places, Term: f.Kind == "term"})
+			if f.Duration.Duration > 0 {
+				add(Action{At: end, Kind: ActLaunch, Fault: i, Members: places})
 			}
 		case "pause":
-			add(Action{At: f.At.Duration, Act: ActPause, Fault: i, Places: places})
-			add(Action{At: end, Act: ActResume, Fault: i, Places: places})
+			add(Action{At: f.At.Duration, Kind: ActPause, Fault: i, Members: places})
+			add(Action{At: end, Kind: ActResume, Fault: i, Members: places})
 		case "reset":
-			add(Action{At: f.At.Duration, Act: ActReset, Fault: i, Places: places, Server: f.Server})
+			add(Action{At: f.At.Duration, Kind: ActReset, Fault: i, Members: places, Server: f.Server})
 		case "stall":
-			add(Action{At: f.At.Duration, Act: ActStall, Fault: i, Places: places, Server: f.Server, Stall: true})
-			add(Action{At: end, Act: ActStall, Fault: i, Places: places, Server: f.Server})
+			add(Action{At: f.At.Duration, Kind: ActStall, Fault: i, Members: places, Server: f.Server, Stall: true})
+			add(Action{At: end, Kind: ActStall, Fault: i, Members: places, Server: f.Server})
 		case "slow":
-			add(Action{At: f.At.Duration, Act: ActSlow, Fault: i, Server: f.Server, Factor: f.Factor})
-			add(Action{At: end, Act: ActSlow, Fault: i, Server: f.Server, Factor: 1})
+			add(Action{At: f.At.Duration, Kind: ActSlow, Fault: i, Server: f.Server, Factor: f.Factor})
+			add(Action{At: end, Kind: ActSlow, Fault: i, Server: f.Server, Factor: 1})
 		case "drain", "gone":
 			status := map[string]string{"drain": "terminating", "gone": "terminated"}[f.Kind]
-			add(Action{At: f.At.Duration, Act: ActTell, Fault: i, Server: f.Server, Status: status, Retire: true})
+			add(Action{At: f.At.Duration, Kind: ActServerStatus, Fault: i, Server: f.Server, Status: status, Retire: true})
 		case "maintain", "withdraw":
-			add(Action{At: f.At.Duration, Act: ActOrder, Fault: i, Places: places, Via: s.names[f.Via], Retire: f.Kind == "withdraw"})
+			add(Action{At: f.At.Duration, Kind: ActMaintenance, Fault: i, Members: places, Via: s.names[f.Via], Retire: f.Kind == "withdraw"})
 		default: // of the network
 			weatherAt = append(weatherAt, f.At.Duration)
-			if f.For.Duration > 0 {
+			if f.Duration.Duration > 0 {
 				weatherAt = append(weatherAt, end)
 			}
 		}
 	}
 	slices.Sort(weatherAt)
 	for _, at := range slices.Compact(weatherAt) {
-		add(Action{At: at, Act: ActWeather, Fault: s.faultAt(at), Weather: s.weather(at)})
+		add(Action{At: at, Kind: ActNetworkConditions, Fault: s.faultAt(at), Conditions: s.weather(at)})
 	}
 	if tellStarts {
 		for _, v := range s.Servers {
-			if v.Start.Duration > 0 {
-				add(Action{At: v.Start.Duration, Act: ActTell, Fault: -1, Server: v.Name, Status: "in_service"})
+			if v.StartAt.Duration > 0 {
+				add(Action{At: v.StartAt.Duration, Kind: ActServerStatus, Fault: -1, Server: v.Name, Status: "in_service"})
 			}
 		}
 	}
@@ -119,10 +119,10 @@
 
 // weather is the weather at a moment: every network fault that stands then, together. A fault with no For stands to
 // the end of the run.
-func (s *Scenario) weather(at time.Duration) Weather {
-	var w Weather
+func (s *Scenario) weather(at time.Duration) NetworkConditions {
+	var w NetworkConditions
 	for _, f := range s.Faults {
-		if !slices.Contains(network, f.Kind) || at < f.At.Duration || (f.For.Duration > 0 && at >= f.At.Duration+f.For.Duration) {
+		if !slices.Contains(network, f.Kind) || at < f.At.Duration || (f.Duration.Duration > 0 && at >= f.At.Duration+f.Duration.Duration) {
 			continue
 		}
 		switch f.Kind {
@@ -134,13 +134,13 @@
 				}
 			}
 		case "loss":
-			w.Loss = 1 - (1-w.Loss)*(1-f.Share)
+			w.Loss = 1 - (1-w.Loss)*(1-f.Probability)
 		case "duplicate":
-			w.Duplicate = max(w.Duplicate, f.Share)
+			w.Duplicate = max(w.Duplicate, f.Probability)
 		case "delay":
-			w.Delay += f.By.Duration
+			w.Delay += f.Delay.Duration
 		case "reorder":
-			w.Reorder = max(w.Reorder, f.By.Duration)
+			w.Reorder = max(w.Reorder, f.Delay.Duration)
 		}
 	}
 	return w
@@ -149,7 +149,7 @@
 // faultAt is the first network fault that begins or ends at a moment.
 func (s *Scenario) faultAt(at time.Duration) int {
 	for i, f := range s.Faults {
-		if slices.Contains(network, f.Kind) && (f.At.Duration == at || f.At.Duration+f.For.Duration == at) {
+		if slices.Contains(network, f.Kind) && (f.At.Duration == at || f.At.Duration+f.Duration.Duration == at) {
 			return i
 		}
 	}
--- a/internal/lab/plot.go
+++ b/internal/lab/plot.go
@@ -10,34 +10,34 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Mark is a fault as it was made, for the table and the plots.
-type Mark struct {
-	At   float64 `json:"at_s"`
-	Kind string  `json:"kind"`
-	What string  `json:"what"`
+// InjectedFault is a fault as it was made, for the table and the plots.
+type InjectedFault struct {
+	At     float64 `json:"at_s"`
+	Kind   string  `json:"kind"`
+	Detail string  `json:"what"`
 }
 
 // WritePlots draws two PNG pictures: attempts that reached each server a second, and the answers a second
 // (served, refused, lost, excused), both with the faults marked as grey lines.
 func (res *Result) WritePlots(loadPath, answersPath string) error {
-	load := map[string]func(Second) float64{}
+	load := map[string]func(SecondStats) float64{}
 	for _, s := range res.servers {
-		load[s] = func(sec Second) float64 { return float64(sec.Arrivals[s]) }
+		load[s] = func(sec SecondStats) float64 { return float64(sec.Arrivals[s]) }
 	}
 	if err := res.plot(loadPath, "attempts reaching each server", "attempts a second", res.servers, load); err != nil {
 		return err
 	}
 	kinds := []string{"served", "refused", "lost", "excused"}
-	answers := map[string]func(Second) float64{
-		"served":  func(s Second) float64 { return float64(s.Served) },
-		"refused": func(s Second) float64 { return float64(s.Refused) },
-		"lost":    func(s Second) float64 { return float64(s.Lost) },
-		"excused": func(s Second) float64 { return float64(s.Excused) },
+	answers := map[string]func(SecondStats) float64{
+		"served":  func(s SecondStats) float64 { return float64(s.Served) },
+		"refused": func(s SecondStats) float64 { return float64(s.Refused) },
+		"lost":    func(s SecondStats) float64 { return float64(s.Lost) },
+		"excused": func(s SecondStats) float64 { return float64(s.Excused) },
 	}
 	return res.plot(answersPath, "answers", "set-ups a second", kinds, answers)
 }
 
-func (res *Result) plot(path, title, unit string, names []string, of map[string]func(Second) float64) error {
+func (res *Result) plot(path, title, unit string, names []string, of map[string]func(SecondStats) float64) error {
 	p := plot.New()
 	p.Title.Text = fmt.Sprintf("%s: %s", res.Scenario, title)
 	p.X.Label.Text = "second of the run"
@@ -58,7 +58,7 @@
 		p.Add(l)
 		p.Legend.Add(name, l)
 	}
-	for _, m := range res.Marks {
+	for _, m := range res.InjectedFaults {
 		l, err := plotter.NewLine(plotter.XYs{{X: m.At, Y: 0}, {X: m.At, Y: top}})
 		if err != nil {
 			return err
--- a/internal/lab/relay.go
+++ b/internal/lab/relay.go
@@ -12,8 +12,8 @@
 // MaxDatagram is the largest datagram between softswitches (PROTOCOL, "Between softswitches").
 const MaxDatagram = 256
 
-// Weather is what happens to datagrams between softswitches now. It does no I/O; the relay asks it of each datagram.
-type Weather struct {
+// NetworkConditions is what happens to datagrams between softswitches now. It does no I/O; the relay asks it of each datagram.
+type NetworkConditions struct {
 	Groups    map[int]int // softswitch → group; those in different groups don't hear each other
 	OneWay    bool        // only datagrams from group 0 to the others are dropped
 	Loss      float64
@@ -22,22 +22,22 @@
 	Reorder   time.Duration // each datagram held a random share of this
 }
 
-// Fate is what becomes of one datagram: dropped, or sent once or twice after these delays.
-type Fate struct {
+// Delivery is what becomes of one datagram: dropped, or sent once or twice after these delays.
+type Delivery struct {
 	Drop   bool
 	Delays []time.Duration
 }
 
-// Decide says what becomes of a datagram from one softswitch to another.
-func (w *Weather) Decide(from, to int, r *rand.Rand) Fate {
+// Deliver says what becomes of a datagram from one softswitch to another.
+func (w *NetworkConditions) Deliver(from, to int, r *rand.Rand) Delivery {
 	if w.Groups != nil {
 		gf, gt := w.Groups[from], w.Groups[to]
 		if gf != gt && (!w.OneWay || gf == 0) {
-			return Fate{Drop: true}
+			return Delivery{Drop: true}
 		}
 	}
 	if w.Loss > 0 && r.Float64() < w.Loss {
-		return Fate{Drop: true}
+		return Delivery{Drop: true}
 	}
 	delay := func() time.Duration {
 		d := w.Delay
@@ -46,7 +46,7 @@
 		}
 		return d
 	}
-	f := Fate{Delays: []time.Duration{delay()}}
+	f := Delivery{Delays: []time.Duration{delay()}}
 	if w.Duplicate > 0 && r.Float64() < w.Duplicate {
 		f.Delays = append(f.Delays, delay())
 	}
@@ -57,21 +57,21 @@
 // for peers_all; the relay knows a sender by its source address and passes a datagram on from the address that the
 // receiver knows for the sender, so that no kernel or root feature is needed for a partition.
 type Relay struct {
-	faces []*net.UDPConn // the address that stands for each softswitch
-	all   *net.UDPConn   // peers_all
-	real  []*net.UDPAddr // each softswitch's peer_listen
-	by    map[string]int // source address → softswitch
-	mu    sync.Mutex
-	w     Weather
-	rand  *rand.Rand
-	stop  chan struct{}
-	wg    sync.WaitGroup
-	Count RelayCount
+	faces    []*net.UDPConn // the address that stands for each softswitch
+	all      *net.UDPConn   // peers_all
+	real     []*net.UDPAddr // each softswitch's peer_listen
+	by       map[string]int // source address → softswitch
+	mu       sync.Mutex
+	w        NetworkConditions
+	rand     *rand.Rand
+	stop     chan struct{}
+	wg       sync.WaitGroup
+	Counters RelayCounters
 }
 
-// RelayCount are the relay's figures.
-type RelayCount struct {
-	Passed, Dropped, Doubled, Strangers, Oversized, Bytes atomic.Int64
+// RelayCounters are the relay's figures.
+type RelayCounters struct {
+	Forwarded, Dropped, Duplicated, UnknownSender, Oversized, Bytes atomic.Int64
 }
 
 // NewRelay opens a face for each of the softswitches whose peer_listen addresses are given, on hosts of its own.
@@ -109,8 +109,8 @@
 	return r, nil
 }
 
-// Faces are the addresses each softswitch is told for its peers, by place; All is the one for peers_all.
-func (r *Relay) Faces() []string {
+// PeerAddresses are the addresses each softswitch is told for its peers, by place; All is the one for peers_all.
+func (r *Relay) PeerAddresses() []string {
 	var out []string
 	for _, c := range r.faces {
 		out = append(out, c.LocalAddr().String())
@@ -118,11 +118,11 @@
 	return out
 }
 
-// All is the address told for peers_all.
-func (r *Relay) All() string { return r.all.LocalAddr().String() }
+// AllPeersAddress is the address told for peers_all.
+func (r *Relay) AllPeersAddress() string { return r.all.LocalAddr().String() }
 
-// Set changes the weather.
-func (r *Relay) Set(w Weather) {
+// SetConditions changes the weather.
+func (r *Relay) SetConditions(w NetworkConditions) {
 	r.mu.Lock()
 	r.w = w
 	r.mu.Unlock()
@@ -142,10 +142,10 @@
 		src, ok := r.by[from.String()]
 		switch {
 		case !ok:
-			r.Count.Strangers.Add(1)
+			r.Counters.UnknownSender.Add(1)
 			continue
 		case n > MaxDatagram:
-			r.Count.Oversized.Add(1)
+			r.Counters.Oversized.Add(1)
 			continue
 		}
 		data := append([]byte(nil), b[:n]...)
@@ -159,20 +159,20 @@
 
 func (r *Relay) pass(src, dst int, data []byte) {
 	r.mu.Lock()
-	fate := r.w.Decide(src, dst, r.rand)
+	fate := r.w.Deliver(src, dst, r.rand)
 	r.mu.Unlock()
 	if fate.Drop {
-		r.Count.Dropped.Add(1)
+		r.Counters.Dropped.Add(1)
 		return
 	}
 	if len(fate.Delays) > 1 {
-		r.Count.Doubled.Add(1)
+		r.Counters.Duplicated.Add(1)
 	}
 	for _, d := range fate.Delays {
 		send := func() {
 			r.faces[src].WriteToUDP(data, r.real[dst])
-			r.Count.Passed.Add(1)
-			r.Count.Bytes.Add(int64(len(data)))
+			r.Counters.Forwarded.Add(1)
+			r.Counters.Bytes.Add(int64(len(data)))
 		}
 		if d <= 0 {
 			send()
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -22,9 +22,9 @@
 	"elmseam/internal/mgmt"
 )
 
-// Settings are the lab's own settings for the softswitches, where a scenario names none: one class, four attempts,
+// DefaultSettings are the lab's own settings for the softswitches, where a scenario names none: one class, four attempts,
 // the release gap, the drain grace and the cold-server budget of the deployment.
-const Settings = `{"request-classes":[{"name":"voice","effect":"free","gain":1,"objective-us":1000000,"hard-limit-us":3000000}],
+const DefaultSettings = `{"request-classes":[{"name":"voice","effect":"free","gain":1,"objective-us":1000000,"hard-limit-us":3000000}],
  "family-info":{"own-number":-1,"release-guard-us":200000,"retransmit-us":500000},
  "limits":{"max-attempts":4,"max-open":100,"connect-timeout-us":500000,"retry-after":true,"max-retry-after-us":2000000,"cancel":true},
  "load-report":{"columns":["spare","total","cut_by"],"via":"inline"},
@@ -33,13 +33,13 @@
 // Options are how a run is made, apart from the scenario.
 type Options struct {
 	Binary string // the softswitch program
-	Out    string // folder for the table, the verdict and each softswitch's configuration and log
+	OutDir string // folder for the table, the verdict and each softswitch's configuration and log
 	Log    zerolog.Logger
 
-	// Break makes the lab's own world lie, so that tests see the judge catch a fleet that was misled: "unheard
+	// SelfTestFault makes the lab's own world lie, so that tests see the judge catch a fleet that was misled: "unheard
 	// drains" tells the judge of a drain that the channel keeps back; "weak cold servers" holds a server to a tenth of
 	// its capacity, cold from the beginning, at the judge, while the channel lists it warm and it serves at all of it.
-	Break string
+	SelfTestFault string
 
 	// Stop, where it is closed, ends the run early: every process and socket of the lab is closed all the same,
 	// and Run returns ErrLab.
@@ -48,35 +48,35 @@
 
 // Result is what a run saw.
 type Result struct {
-	Scenario   string         `json:"scenario"`
-	Held       bool           `json:"held"`
-	Breaches   []Breach       `json:"breaches"`
-	Offered    int            `json:"offered"`
-	Served     int            `json:"served"`
-	Refused    int            `json:"refused"`
-	Lost       int            `json:"lost"`
-	Excused    int            `json:"excused"`
-	Unsent     int            `json:"unsent"` // set-ups no softswitch could be reached for
-	LagMax     time.Duration  `json:"lag_max_ns"`
-	BlindSpans int            `json:"blind_spans"`
-	DoorServed int64          `json:"door_served"` // the softswitches' own count, all lives
-	Datagrams  map[string]int `json:"datagrams"`
-	Starts     map[string]int `json:"starts"`
-	Marks      []Mark         `json:"faults"`
+	Scenario       string          `json:"scenario"`
+	Passed         bool            `json:"held"`
+	Violations     []Violation     `json:"breaches"`
+	Offered        int             `json:"offered"`
+	Served         int             `json:"served"`
+	Refused        int             `json:"refused"`
+	Lost           int             `json:"lost"`
+	Excused        int             `json:"excused"`
+	Unsent         int             `json:"unsent"` // set-ups no softswitch could be reached for
+	MaxLag         time.Duration   `json:"lag_max_ns"`
+	LagSpans       int             `json:"blind_spans"`
+	AdminServed    int64           `json:"door_served"` // the softswitches' own count, all lives
+	Datagrams      map[string]int  `json:"datagrams"`
+	Starts         map[string]int  `json:"starts"`
+	InjectedFaults []InjectedFault `json:"faults"`
 
 	// Of membership, where it is on.
-	Detections  []*Detection     `json:"detections,omitempty"`
-	FalseDeaths []FalseDeath     `json:"false_deaths,omitempty"`
-	Members     map[string]int64 `json:"members,omitempty"`     // the doors' figures, all softswitches and lives together
-	Maintenance map[string]int64 `json:"maintenance,omitempty"` // and these
-	Knowledge   map[string]int64 `json:"knowledge,omitempty"`   // and these
-	Parts       map[string]int64 `json:"parts,omitempty"`
-	Works       []*Work          `json:"works,omitempty"`
-	Returns     []*Return        `json:"returns,omitempty"` // of softswitches that were killed and started again
-	MostOut     int              `json:"most_out"`          // softswitches out for work at one sample
-	Span        time.Duration    `json:"span_ns"`           // from the load's start to the end
-
-	seconds  []Second
+	Detections          []*Detection      `json:"detections,omitempty"`
+	FalseDeaths         []FalseDeath      `json:"false_deaths,omitempty"`
+	MembershipCounters  map[string]int64  `json:"members,omitempty"`     // the doors' figures, all softswitches and lives together
+	MaintenanceCounters map[string]int64  `json:"maintenance,omitempty"` // and these
+	KnowledgeCounters   map[string]int64  `json:"knowledge,omitempty"`   // and these
+	BudgetCounters      map[string]int64  `json:"parts,omitempty"`
+	MaintenanceRuns     []*MaintenanceRun `json:"works,omitempty"`
+	Recoveries          []*RecoveryStats  `json:"returns,omitempty"` // of softswitches that were killed and started again
+	MaxOut              int               `json:"most_out"`          // softswitches out for work at one sample
+	Elapsed             time.Duration     `json:"span_ns"`           // from the load's start to the end
+
+	seconds  []SecondStats
 	servers  []string
 	views    [][]string
 	ready    [][]bool    // by second, by softswitch: ready at the second's last sample
@@ -104,7 +104,7 @@
 		return Rules{}, fmt.Errorf("settings: %w", err)
 	}
 	us := func(v float64) time.Duration { return time.Duration(v * float64(time.Microsecond)) }
-	r := Rules{MaxAttempts: s.Limits.Attempts, ReleaseGap: us(s.Family.Release), DrainGrace: us(s.Duties.Grace),
+	r := Rules{MaxAttempts: s.Limits.Attempts, ReleaseGuard: us(s.Family.Release), DrainGrace: us(s.Duties.Grace),
 		TipMultiple: s.Duties.Multiple, TipWindow: us(s.Duties.After), ColdFrom: s.Duties.ColdFrom, Ramp: us(s.Duties.Ramp),
 		Slack: 50 * time.Millisecond, ColdSlack: 3}
 	if r.DrainGrace == 0 {
@@ -124,8 +124,8 @@
 	s        *Scenario
 	o        Options
 	mu       sync.Mutex // over the judge and the counts
-	judge    *Judge
-	watch    *Watcher
+	judge    *Checker
+	watch    *TierChecker
 	over     chan struct{} // the run's faults and samples are over
 	begin    time.Time
 	members  []*member
@@ -136,7 +136,7 @@
 	relay    *Relay
 	setting  json.RawMessage
 	unsent   int
-	marks    []Mark
+	marks    []InjectedFault
 	ready    [][]bool
 	views    [][]string // by second, by softswitch: its view's letters at the second's last sample
 	lagMax   time.Duration
@@ -151,13 +151,13 @@
 
 func (r *runner) attempt(server string, id uint64) {
 	r.mu.Lock()
-	r.judge.Attempt(r.now(), server, id)
+	r.judge.RecordAttempt(r.now(), server, id)
 	r.mu.Unlock()
 }
 
-func (r *runner) ended(server string, id uint64, how Ending) {
+func (r *runner) ended(server string, id uint64, how AttemptOutcome) {
 	r.mu.Lock()
-	r.judge.Ended(r.now(), server, id, how)
+	r.judge.RecordAttemptEnd(r.now(), server, id, how)
 	r.mu.Unlock()
 }
 
@@ -165,15 +165,15 @@
 func (r *runner) capacity(server string, at time.Duration) float64 {
 	v := r.servers[server]
 	started := time.Duration(-1)
-	if v.Start.Duration > 0 && r.o.Break != "weak cold servers" {
-		started = v.Start.Duration
+	if v.StartAt.Duration > 0 && r.o.SelfTestFault != "weak cold servers" {
+		started = v.StartAt.Duration
 	}
-	return r.judge.rules.Warmth(v.Capacity, started, at)
+	return r.judge.rules.RampedCapacity(v.Capacity, started, at)
 }
 
 func (r *runner) sent(id uint64, to int, giveUp time.Duration) {
 	r.mu.Lock()
-	r.judge.SetUp(r.now(), id, to, giveUp)
+	r.judge.RecordSetUp(r.now(), id, to, giveUp)
 	r.mu.Unlock()
 }
 
@@ -183,7 +183,7 @@
 	if served && !madeBy(desc, id) {
 		r.judge.broke("answer made by no server", r.now(), "call %016x: %q", id, desc)
 	}
-	r.judge.Final(r.now(), id, served)
+	r.judge.RecordFinalAnswer(r.now(), id, served)
 }
 
 func (r *runner) withdrawn(id uint64) {
@@ -197,7 +197,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	sent := now - r.s.GiveUp.Duration
-	r.judge.Unanswered(now, id, r.members[to].hindered(sent-time.Second, now))
+	r.judge.RecordUnanswered(now, id, r.members[to].hindered(sent-time.Second, now))
 }
 
 // Run plays a scenario against real processes of the program. The error is ErrLab's where the lab itself failed;
@@ -205,7 +205,7 @@
 func Run(s *Scenario, o Options) (*Result, error) {
 	settings := s.Settings
 	if settings == "" {
-		settings = Settings
+		settings = DefaultSettings
 	}
 	rules, err := rulesOf([]byte(settings))
 	if err != nil {
@@ -215,12 +215,12 @@
 }
 
 func newRunner(s *Scenario, o Options, rules Rules, settings string) *runner {
-	return &runner{s: s, o: o, judge: NewJudge(rules), servers: make(map[string]*standIn), setting: json.RawMessage(settings),
-		watch: NewWatcher(s.Softswitches), over: make(chan struct{}), pick: freePort, rand: rand.New(rand.NewPCG(s.Seed, 0x63616c6c))}
+	return &runner{s: s, o: o, judge: NewChecker(rules), servers: make(map[string]*standIn), setting: json.RawMessage(settings),
+		watch: NewTierChecker(s.Softswitches), over: make(chan struct{}), pick: freePort, rand: rand.New(rand.NewPCG(s.Seed, 0x63616c6c))}
 }
 
 func (r *runner) run() (*Result, error) {
-	if err := os.MkdirAll(r.o.Out, 0o755); err != nil {
+	if err := os.MkdirAll(r.o.OutDir, 0o755); err != nil {
 		return nil, fmt.Errorf("%w: %v", ErrLab, err)
 	}
 	r.begin = time.Now()
@@ -247,14 +247,14 @@
 	}
 	for _, v := range r.s.Servers {
 		start := time.Duration(-1)
-		if v.Start.Duration > 0 {
-			start = v.Start.Duration
+		if v.StartAt.Duration > 0 {
+			start = v.StartAt.Duration
 		}
 		judged := v.Capacity
-		if r.o.Break == "weak cold servers" {
+		if r.o.SelfTestFault == "weak cold servers" {
 			start, judged = 0, v.Capacity/10
 		}
-		r.judge.Server(v.Name, judged, start)
+		r.judge.AddServer(v.Name, judged, start)
 		si, err := newStandIn(v, r, hosts[1])
 		if err != nil {
 			return err
@@ -268,7 +268,7 @@
 	}
 	var first []listChange
 	for _, v := range r.s.Servers {
-		if v.Start.Duration == 0 || r.o.Break == "weak cold servers" {
+		if v.StartAt.Duration == 0 || r.o.SelfTestFault == "weak cold servers" {
 			first = append(first, listChange{name: v.Name, status: "in_service"})
 		}
 	}
@@ -277,12 +277,12 @@
 	if err != nil {
 		return err
 	}
-	r.tierFile = filepath.Join(r.o.Out, "members.toml")
+	r.tierFile = filepath.Join(r.o.OutDir, "members.toml")
 	if err := os.WriteFile(r.tierFile, []byte(text), 0o600); err != nil {
 		return err
 	}
 	for i := range n {
-		m := &member{place: i, name: Name(i), dir: filepath.Join(r.o.Out, Name(i))}
+		m := &member{place: i, name: MemberName(i), dir: filepath.Join(r.o.OutDir, MemberName(i))}
 		if err := os.MkdirAll(m.dir, 0o755); err != nil {
 			return err
 		}
@@ -345,8 +345,8 @@
 func (r *runner) launch(m *member) error {
 	var peers []string
 	all := ""
-	if r.s.Peers {
-		peers, all = r.relay.Faces(), r.relay.All()
+	if r.s.PeersEnabled {
+		peers, all = r.relay.PeerAddresses(), r.relay.AllPeersAddress()
 	}
 	seed := r.rand.Uint64()
 	settings, err := r.settingsOf(m.place)
@@ -364,20 +364,20 @@
 	}
 	s["me"], s["peers-total"] = place, r.s.Softswitches
 	if limits, ok := s["limits"].(map[string]any); ok {
-		limits["peer-messages"] = r.s.Peers
+		limits["peer-messages"] = r.s.PeersEnabled
 	}
 	return json.Marshal(s)
 }
 
 func (r *runner) waitReady(ms []*member) error {
-	deadline := time.Now().Add(r.s.Start.Duration)
+	deadline := time.Now().Add(r.s.StartTimeout.Duration)
 	for _, m := range ms {
 		for m.sample(); !m.isReady(); m.sample() {
 			if !m.running() {
 				return &endedAtStart{m}
 			}
 			if time.Now().After(deadline) {
-				return fmt.Errorf("%s not ready within %v", m.name, r.s.Start)
+				return fmt.Errorf("%s not ready within %v", m.name, r.s.StartTimeout)
 			}
 			time.Sleep(20 * time.Millisecond)
 		}
@@ -398,7 +398,7 @@
 	go func() { defer wg.Done(); r.faults(stop) }()
 	r.load()
 	select {
-	case <-time.After(max(r.s.Quiet.Duration+r.s.GiveUp.Duration, r.s.lastFault()+r.s.Agree.Duration-r.now())):
+	case <-time.After(max(r.s.QuietPeriod.Duration+r.s.GiveUp.Duration, r.s.lastFault()+r.s.ConvergenceTime.Duration-r.now())):
 	case <-r.o.Stop:
 	}
 	close(stop)
@@ -413,13 +413,13 @@
 		m.sample()
 	}
 	r.mu.Lock()
-	r.judge.Close(r.now())
+	r.judge.CheckOpen(r.now())
 	r.mu.Unlock()
-	if r.s.Agree.Duration > 0 {
+	if r.s.ConvergenceTime.Duration > 0 {
 		r.look()
 		r.mu.Lock()
-		r.watch.Agree(r.now(), func(place int) bool { return r.members[place].running() })
-		r.watch.Maintained(r.now(), r.s.places(r.s.Maintained))
+		r.watch.CheckConvergence(r.now(), func(place int) bool { return r.members[place].running() })
+		r.watch.CheckMaintained(r.now(), r.s.places(r.s.ExpectMaintained))
 		r.mu.Unlock()
 	}
 	return nil
@@ -439,9 +439,9 @@
 		default:
 		}
 		now := r.now()
-		if lag := now - next; lag > r.s.Lag.Duration {
+		if lag := now - next; lag > r.s.MaxLag.Duration {
 			r.mu.Lock()
-			r.judge.Blind(next, now)
+			r.judge.RecordLag(next, now)
 			r.blinds++
 			r.mu.Unlock()
 		}
@@ -489,7 +489,7 @@
 		if !m.isReady() {
 			continue
 		}
-		c := r.conn(i, *turn%r.s.Callers)
+		c := r.conn(i, *turn%r.s.CallerConns)
 		if c == nil {
 			continue
 		}
@@ -504,7 +504,7 @@
 func (r *runner) conn(i, k int) *callerConn {
 	r.connMu.Lock()
 	defer r.connMu.Unlock()
-	for len(r.conns[i]) < r.s.Callers {
+	for len(r.conns[i]) < r.s.CallerConns {
 		r.conns[i] = append(r.conns[i], nil)
 	}
 	c := r.conns[i][k]
@@ -526,7 +526,7 @@
 
 // sampler reads every door at the scenario's pace and keeps, for each second, who was ready.
 func (r *runner) sampler(stop chan struct{}) {
-	t := time.NewTicker(r.s.Sample.Duration)
+	t := time.NewTicker(r.s.SampleInterval.Duration)
 	defer t.Stop()
 	for {
 		select {
@@ -551,13 +551,13 @@
 		r.mu.Unlock()
 		r.look()
 		r.mu.Lock()
-		if r.s.Budget > 0 {
-			r.watch.Out(r.now(), r.s.Budget, func(place int) bool { return !r.members[place].isReady() })
+		if r.s.MaintenanceBudget > 0 {
+			r.watch.CheckMaintenanceBudget(r.now(), r.s.MaintenanceBudget, func(place int) bool { return !r.members[place].isReady() })
 		}
 		for len(r.views) <= second {
 			r.views = append(r.views, nil)
 		}
-		r.views[second] = r.watch.Letters()
+		r.views[second] = r.watch.StateInitials()
 		r.mu.Unlock()
 	}
 }
@@ -573,10 +573,10 @@
 			v, ok := m.view()
 			r.mu.Lock()
 			if ok {
-				r.watch.Seen(r.now(), i, v)
+				r.watch.RecordView(r.now(), i, v)
 			}
 			r.mu.Unlock()
-			if r.s.Budget > 0 {
+			if r.s.MaintenanceBudget > 0 {
 				r.work(m)
 			}
 		})
@@ -591,7 +591,7 @@
 		method = http.MethodDelete
 	}
 	names := url.Values{}
-	for _, m := range r.at(a.Places) {
+	for _, m := range r.at(a.Members) {
 		names.Add("member", m.name)
 	}
 	for until := r.now() + 10*time.Second; r.now() < until; time.Sleep(100 * time.Millisecond) {
@@ -606,16 +606,16 @@
 // work is the lab's operator: a softswitch that is ready for work is worked on, and then released, or started anew.
 func (r *runner) work(m *member) {
 	status, text := m.call(http.MethodGet, "/ops/maintenance")
-	var t mgmt.Maintenance
+	var t mgmt.MaintenanceStatus
 	if status != http.StatusOK || json.Unmarshal(text, &t) != nil {
 		return
 	}
-	at := slices.IndexFunc(t.Out, func(q mgmt.Request) bool { return q.Number == m.place })
-	out := at >= 0 && t.Holds
-	ready := out && t.Out[at].Stage == maintenance.Ready.String()
+	at := slices.IndexFunc(t.Granted, func(q mgmt.MaintenanceRequest) bool { return q.Index == m.place })
+	out := at >= 0 && t.HoldsGrant
+	ready := out && t.Granted[at].Stage == maintenance.Ready.String()
 	r.mu.Lock()
-	r.watch.Work(r.now(), m.place, out, ready)
-	begin := ready && !m.worked && r.s.WorkTakes.Duration > 0
+	r.watch.RecordMaintenance(r.now(), m.place, out, ready)
+	begin := ready && !m.worked && r.s.WorkDuration.Duration > 0
 	m.worked = ready && (m.worked || begin)
 	r.mu.Unlock()
 	if !begin {
@@ -623,11 +623,11 @@
 	}
 	go func() {
 		select {
-		case <-time.After(r.s.WorkTakes.Duration):
+		case <-time.After(r.s.WorkDuration.Duration):
 		case <-r.over:
 			return
 		}
-		if r.s.WorkBy == "restart" {
+		if r.s.WorkMethod == "restart" {
 			r.hinder(m, "work", true)
 			m.stop(syscall.SIGTERM, 5*time.Second)
 			if err := r.launch(m); err != nil {
@@ -646,7 +646,7 @@
 	now := r.now()
 	m.trouble(now, begins)
 	r.mu.Lock()
-	r.watch.Trouble(now, m.place, kind, begins)
+	r.watch.RecordFault(now, m.place, kind, begins)
 	r.mu.Unlock()
 }
 
@@ -654,7 +654,7 @@
 func (r *runner) faults(stop chan struct{}) {
 	var later sync.WaitGroup
 	defer later.Wait()
-	for _, a := range Plan(r.s, r.o.Break != "weak cold servers") {
+	for _, a := range Plan(r.s, r.o.SelfTestFault != "weak cold servers") {
 		select {
 		case <-stop:
 			return
@@ -678,16 +678,16 @@
 	if a.Fault >= 0 {
 		f := r.s.Faults[a.Fault]
 		r.mu.Lock()
-		r.marks = append(r.marks, Mark{At: now.Seconds(), Kind: f.Kind, What: fmt.Sprint(f.Target, f.Groups, f.Server)})
+		r.marks = append(r.marks, InjectedFault{At: now.Seconds(), Kind: f.Kind, Detail: fmt.Sprint(f.Target, f.Groups, f.Server)})
 		r.mu.Unlock()
 	}
-	r.o.Log.Info().Stringer("act", a.Act).Ints("places", a.Places).Str("server", a.Server).Dur("at", now).Msg("step")
-	ms := r.at(a.Places)
+	r.o.Log.Info().Stringer("act", a.Kind).Ints("places", a.Members).Str("server", a.Server).Dur("at", now).Msg("step")
+	ms := r.at(a.Members)
 	beside := func(do func()) {
 		later.Add(1)
 		go func() { defer later.Done(); do() }()
 	}
-	switch a.Act {
+	switch a.Kind {
 	case ActKill:
 		sig := syscall.SIGKILL
 		if a.Term {
@@ -725,30 +725,30 @@
 				r.hinder(m, "", false)
 			}
 		})
-	case ActWeather:
-		r.relay.Set(a.Weather)
+	case ActNetworkConditions:
+		r.relay.SetConditions(a.Conditions)
 		r.mu.Lock()
-		r.watch.Weather(now, a.Weather)
+		r.watch.SetConditions(now, a.Conditions)
 		r.mu.Unlock()
 	case ActReset:
 		places := map[int]bool{}
-		for _, p := range a.Places {
+		for _, p := range a.Members {
 			places[p] = true
 		}
 		r.servers[a.Server].cut(places, false)
 	case ActStall:
-		r.servers[a.Server].stall(a.Places, a.Stall)
+		r.servers[a.Server].stall(a.Members, a.Stall)
 	case ActSlow:
 		r.servers[a.Server].slowBy(a.Factor)
-	case ActOrder:
+	case ActMaintenance:
 		beside(func() { r.maintain(a) })
-	case ActTell:
+	case ActServerStatus:
 		if a.Retire {
 			r.mu.Lock()
 			r.judge.Retire(a.Server, now)
 			r.mu.Unlock()
 		}
-		if !a.Retire || r.o.Break != "unheard drains" {
+		if !a.Retire || r.o.SelfTestFault != "unheard drains" {
 			var since int64
 			if a.Status == "in_service" {
 				since = time.Now().UnixMilli()
@@ -791,14 +791,14 @@
 func (r *runner) result() *Result {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	res := &Result{Scenario: r.s.Name, Breaches: r.judge.Breaches(), Unsent: r.unsent, LagMax: r.lagMax, BlindSpans: r.blinds,
-		seconds: r.judge.Seconds(), servers: r.order, Starts: map[string]int{}, Marks: r.marks,
-		Members: map[string]int64{}, Maintenance: map[string]int64{}, Knowledge: map[string]int64{}, Parts: map[string]int64{}, ready: r.ready, views: r.views, Detections: r.watch.detections, FalseDeaths: r.watch.deaths, Works: r.watch.works, MostOut: r.watch.mostOut, Span: r.now()}
-	res.Breaches = append(res.Breaches, r.watch.Breaches()...)
+	res := &Result{Scenario: r.s.Name, Violations: r.judge.Violations(), Unsent: r.unsent, MaxLag: r.lagMax, LagSpans: r.blinds,
+		seconds: r.judge.PerSecond(), servers: r.order, Starts: map[string]int{}, InjectedFaults: r.marks,
+		MembershipCounters: map[string]int64{}, MaintenanceCounters: map[string]int64{}, KnowledgeCounters: map[string]int64{}, BudgetCounters: map[string]int64{}, ready: r.ready, views: r.views, Detections: r.watch.detections, FalseDeaths: r.watch.deaths, MaintenanceRuns: r.watch.works, MaxOut: r.watch.mostOut, Elapsed: r.now()}
+	res.Violations = append(res.Violations, r.watch.Violations()...)
 	for _, f := range r.s.Faults {
 		for _, place := range r.s.places(f.Target) {
-			if back := r.judge.Return(place, f.At.Duration+f.For.Duration, returnSeconds); f.Kind == "kill" && f.For.Duration > 0 && back != nil {
-				res.Returns = append(res.Returns, back)
+			if back := r.judge.Recovery(place, f.At.Duration+f.Duration.Duration, returnSeconds); f.Kind == "kill" && f.Duration.Duration > 0 && back != nil {
+				res.Recoveries = append(res.Recoveries, back)
 			}
 		}
 	}
@@ -817,9 +817,9 @@
 		res.Excused += s.Excused
 	}
 	restarted := false
-	sums := map[string]map[string]int64{"members": res.Members, "maintenance": res.Maintenance, "knowledge": res.Knowledge, "parts": res.Parts}
+	sums := map[string]map[string]int64{"members": res.MembershipCounters, "maintenance": res.MaintenanceCounters, "knowledge": res.KnowledgeCounters, "parts": res.BudgetCounters}
 	for _, m := range r.members {
-		res.DoorServed += m.figures["answered"]
+		res.AdminServed += m.figures["answered"]
 		for k, v := range m.figures {
 			protocol, name, _ := strings.Cut(k, ".")
 			if of := sums[protocol]; of != nil && summed[name] {
@@ -829,20 +829,20 @@
 		res.Starts[m.name] = m.starts
 		restarted = restarted || m.starts > 1
 	}
-	c := &r.relay.Count
-	res.Datagrams = map[string]int{"passed": int(c.Passed.Load()), "dropped": int(c.Dropped.Load()),
-		"doubled": int(c.Doubled.Load()), "strangers": int(c.Strangers.Load()), "oversized": int(c.Oversized.Load()),
+	c := &r.relay.Counters
+	res.Datagrams = map[string]int{"passed": int(c.Forwarded.Load()), "dropped": int(c.Dropped.Load()),
+		"doubled": int(c.Duplicated.Load()), "strangers": int(c.UnknownSender.Load()), "oversized": int(c.Oversized.Load()),
 		"bytes": int(c.Bytes.Load())}
 	if c.Oversized.Load() > 0 {
-		res.Breaches = append(res.Breaches, Breach{Rule: "datagram over 256 bytes", Count: int(c.Oversized.Load())})
+		res.Violations = append(res.Violations, Violation{Rule: "datagram over 256 bytes", Count: int(c.Oversized.Load())})
 	}
 	// The doors count what they answered; with no restart the lab must agree with them within the tolerance.
-	if diff := float64(res.DoorServed - int64(res.Served)); !restarted &&
+	if diff := float64(res.AdminServed - int64(res.Served)); !restarted &&
 		abs(diff) > r.s.Tolerance*float64(max(res.Served, 1))+2 {
-		res.Breaches = append(res.Breaches, Breach{Rule: "counts disagree with the doors", Count: 1,
-			Detail: fmt.Sprintf("lab %d served, doors %d", res.Served, res.DoorServed)})
+		res.Violations = append(res.Violations, Violation{Rule: "counts disagree with the doors", Count: 1,
+			Detail: fmt.Sprintf("lab %d served, doors %d", res.Served, res.AdminServed)})
 	}
-	res.Held = len(res.Breaches) == 0
+	res.Passed = len(res.Violations) == 0
 	return res
 }
 
@@ -879,17 +879,17 @@
 		n = len(res.ready[0])
 	}
 	for i := range n {
-		fmt.Fprintf(&b, ",ready:%s", Name(i))
+		fmt.Fprintf(&b, ",ready:%s", MemberName(i))
 	}
 	seen := slices.ContainsFunc(res.views, func(v []string) bool { return len(v) > 0 })
 	for i := range n {
 		if seen {
-			fmt.Fprintf(&b, ",view:%s", Name(i))
+			fmt.Fprintf(&b, ",view:%s", MemberName(i))
 		}
 	}
 	b.WriteString("\n")
 	for i, s := range res.seconds {
-		fmt.Fprintf(&b, "%d,%d,%d,%d,%d,%d,%t", i, s.Offered, s.Served, s.Refused, s.Lost, s.Excused, s.Blind)
+		fmt.Fprintf(&b, "%d,%d,%d,%d,%d,%d,%t", i, s.Offered, s.Served, s.Refused, s.Lost, s.Excused, s.Lagged)
 		for k, name := range res.servers {
 			fmt.Fprintf(&b, ",%d,%.0f", s.Arrivals[name], res.capacity[i][k])
 		}
--- a/internal/lab/scenario.go
+++ b/internal/lab/scenario.go
@@ -20,49 +20,49 @@
 
 // Scenario is one experiment, read from a TOML file. Times are Go durations ("1500ms"); rates are set-ups a second.
 type Scenario struct {
-	Name         string        `toml:"name"`
-	Duration     Duration      `toml:"duration"`     // of the load; the run ends when the last give-up has passed
-	Seed         uint64        `toml:"seed"`         // of every random choice the lab makes
-	Softswitches int           `toml:"softswitches"` // named n1..nN
-	GiveUp       Duration      `toml:"give_up"`      // how long a caller waits for its answer
-	Classes      []string      `toml:"classes"`      // the set-ups' classes, in turn; by default "voice"
-	Settings     string        `toml:"settings"`     // the settings object as JSON; the lab's own by default
-	Servers      []Server      `toml:"server"`       // the stand-in activation servers
-	Load         []Step        `toml:"load"`         // the callers' rate, a step function of time
-	Faults       []Fault       `toml:"fault"`        // the schedule
-	Sample       Duration      `toml:"sample"`       // between samples of the softswitches' doors; 250ms by default
-	Lag          Duration      `toml:"lag"`          // the lab's own lag past which a step is not judged; 20ms
-	Callers      int           `toml:"callers"`      // connections of callers to each softswitch; 2 by default
-	Start        Duration      `toml:"start"`        // how long a softswitch may take to become ready; 10s
-	Quiet        Duration      `toml:"quiet"`        // after the load, before the run ends; the give-up by default
-	Peers        bool          `toml:"peers"`        // whether the softswitches are told their peers
-	Random       []RandomFault `toml:"random_fault"` // faults drawn from the seed
-	Tolerance    float64       `toml:"tolerance"`    // share by which the lab's counts may differ from the doors'
-	Agree        Duration      `toml:"agree"`        // the softswitches' views must agree so long after the last fault; 0: not judged
+	Name            string        `toml:"name"`
+	Duration        Duration      `toml:"duration"`     // of the load; the run ends when the last give-up has passed
+	Seed            uint64        `toml:"seed"`         // of every random choice the lab makes
+	Softswitches    int           `toml:"softswitches"` // named n1..nN
+	GiveUp          Duration      `toml:"give_up"`      // how long a caller waits for its answer
+	Classes         []string      `toml:"classes"`      // the set-ups' classes, in turn; by default "voice"
+	Settings        string        `toml:"settings"`     // the settings object as JSON; the lab's own by default
+	Servers         []Server      `toml:"server"`       // the stand-in activation servers
+	Load            []LoadStep    `toml:"load"`         // the callers' rate, a step function of time
+	Faults          []Fault       `toml:"fault"`        // the schedule
+	SampleInterval  Duration      `toml:"sample"`       // between samples of the softswitches' doors; 250ms by default
+	MaxLag          Duration      `toml:"lag"`          // the lab's own lag past which a step is not judged; 20ms
+	CallerConns     int           `toml:"callers"`      // connections of callers to each softswitch; 2 by default
+	StartTimeout    Duration      `toml:"start"`        // how long a softswitch may take to become ready; 10s
+	QuietPeriod     Duration      `toml:"quiet"`        // after the load, before the run ends; the give-up by default
+	PeersEnabled    bool          `toml:"peers"`        // whether the softswitches are told their peers
+	RandomFaults    []RandomFault `toml:"random_fault"` // faults drawn from the seed
+	Tolerance       float64       `toml:"tolerance"`    // share by which the lab's counts may differ from the doors'
+	ConvergenceTime Duration      `toml:"agree"`        // the softswitches' views must agree so long after the last fault; 0: not judged
 
-	Budget     int      `toml:"budget"`     // softswitches that may be out for work at once, by the judge; 0: not judged
-	WorkTakes  Duration `toml:"work_takes"` // the lab's operator works on one that is ready for so long; 0: it never does
-	WorkBy     string   `toml:"work_by"`    // and then: "release" (at its door) or "restart" (SIGTERM, and a new process)
-	Maintained []string `toml:"maintained"` // must each have been maintained, once, at the end
+	MaintenanceBudget int      `toml:"budget"`     // softswitches that may be out for work at once, by the judge; 0: not judged
+	WorkDuration      Duration `toml:"work_takes"` // the lab's operator works on one that is ready for so long; 0: it never does
+	WorkMethod        string   `toml:"work_by"`    // and then: "release" (at its door) or "restart" (SIGTERM, and a new process)
+	ExpectMaintained  []string `toml:"maintained"` // must each have been maintained, once, at the end
 
 	Membership map[string]any `toml:"membership"` // the softswitches' members file but for enabled; none: membership is off
 
-	Capacity float64 `toml:"-"` // filled: all servers' capacity
-	names    map[string]int
+	TotalCapacity float64 `toml:"-"` // filled: all servers' capacity
+	names         map[string]int
 }
 
 // Server is a stand-in activation server.
 type Server struct {
-	Name     string   `toml:"name"`
-	Capacity float64  `toml:"capacity"` // set-ups a second when warm
-	Lines    int      `toml:"lines"`    // calls that may stand at once
-	Hold     Duration `toml:"hold"`     // how long an answered call stands
-	Queue    Duration `toml:"queue"`    // the longest wait for its processor before it refuses as swamped
-	Start    Duration `toml:"start"`    // a late, cold start; 0 is there and warm from the beginning
+	Name          string   `toml:"name"`
+	Capacity      float64  `toml:"capacity"` // set-ups a second when warm
+	Lines         int      `toml:"lines"`    // calls that may stand at once
+	HoldTime      Duration `toml:"hold"`     // how long an answered call stands
+	MaxQueueDelay Duration `toml:"queue"`    // the longest wait for its processor before it refuses as swamped
+	StartAt       Duration `toml:"start"`    // a late, cold start; 0 is there and warm from the beginning
 }
 
-// Step is the callers' rate from a moment on.
-type Step struct {
+// LoadStep is the callers' rate from a moment on.
+type LoadStep struct {
 	At     Duration  `toml:"at"`
 	Rate   float64   `toml:"rate"`
 	Shares []float64 `toml:"shares"` // of each softswitch, in any unit; none: all alike
@@ -81,30 +81,30 @@
 //	drain, gone        Server told draining or gone on the command channel
 //	maintain, withdraw target softswitches asked for, or withdrawn, at the door of Via
 type Fault struct {
-	At     Duration   `toml:"at"`
-	Kind   string     `toml:"kind"`
-	Target []string   `toml:"target"`
-	Server string     `toml:"server"`
-	For    Duration   `toml:"for"`
-	Groups [][]string `toml:"groups"`
-	OneWay bool       `toml:"one_way"`
-	Share  float64    `toml:"share"`
-	By     Duration   `toml:"by"`
-	Factor float64    `toml:"factor"`
-	Via    string     `toml:"via"`
+	At          Duration   `toml:"at"`
+	Kind        string     `toml:"kind"`
+	Target      []string   `toml:"target"`
+	Server      string     `toml:"server"`
+	Duration    Duration   `toml:"for"`
+	Groups      [][]string `toml:"groups"`
+	OneWay      bool       `toml:"one_way"`
+	Probability float64    `toml:"share"`
+	Delay       Duration   `toml:"by"`
+	Factor      float64    `toml:"factor"`
+	Via         string     `toml:"via"`
 }
 
 // RandomFault draws Count faults of a kind at moments in [From, To): softswitches, servers and the sides of a partition
 // are chosen from the seed, and whether it is one-way; For, Share, By and Factor are every one's.
 type RandomFault struct {
-	Kind   string   `toml:"kind"`
-	Count  int      `toml:"count"`
-	From   Duration `toml:"from"`
-	To     Duration `toml:"to"`
-	For    Duration `toml:"for"`
-	Share  float64  `toml:"share"`
-	By     Duration `toml:"by"`
-	Factor float64  `toml:"factor"`
+	Kind        string   `toml:"kind"`
+	Count       int      `toml:"count"`
+	From        Duration `toml:"from"`
+	To          Duration `toml:"to"`
+	Duration    Duration `toml:"for"`
+	Probability float64  `toml:"share"`
+	Delay       Duration `toml:"by"`
+	Factor      float64  `toml:"factor"`
 }
 
 // drawn are the kinds that can be drawn. What the channel tells, and what operators ask for, is the scenario's to say.
@@ -152,12 +152,12 @@
 		}
 	}
 	def(&s.GiveUp, 1500*time.Millisecond)
-	def(&s.Sample, 250*time.Millisecond)
-	def(&s.Lag, 20*time.Millisecond)
-	def(&s.Start, 10*time.Second)
-	def(&s.Quiet, s.GiveUp.Duration)
-	if s.Callers == 0 {
-		s.Callers = 2
+	def(&s.SampleInterval, 250*time.Millisecond)
+	def(&s.MaxLag, 20*time.Millisecond)
+	def(&s.StartTimeout, 10*time.Second)
+	def(&s.QuietPeriod, s.GiveUp.Duration)
+	if s.CallerConns == 0 {
+		s.CallerConns = 2
 	}
 	if len(s.Classes) == 0 {
 		s.Classes = []string{"voice"}
@@ -176,23 +176,23 @@
 		return fmt.Errorf("give_up: %v, not in [100ms, 1m]", s.GiveUp)
 	case len(s.Servers) == 0 || len(s.Servers) > Limits.Servers:
 		return fmt.Errorf("server: %d of them, not in [1, %d]", len(s.Servers), Limits.Servers)
-	case s.Callers < 1 || s.Callers > 64:
-		return fmt.Errorf("callers: %d, not in [1, 64]", s.Callers)
-	case s.Sample.Duration < 10*time.Millisecond:
-		return fmt.Errorf("sample: %v, under 10ms", s.Sample)
+	case s.CallerConns < 1 || s.CallerConns > 64:
+		return fmt.Errorf("callers: %d, not in [1, 64]", s.CallerConns)
+	case s.SampleInterval.Duration < 10*time.Millisecond:
+		return fmt.Errorf("sample: %v, under 10ms", s.SampleInterval)
 	case s.Tolerance < 0 || s.Tolerance > 1:
 		return fmt.Errorf("tolerance: %v, not in [0, 1]", s.Tolerance)
 	}
 	s.names = make(map[string]int)
 	for i := range s.Softswitches {
-		s.names[Name(i)] = i
+		s.names[MemberName(i)] = i
 	}
 	seen := map[string]bool{}
-	s.Capacity = 0
+	s.TotalCapacity = 0
 	for i := range s.Servers {
 		v := &s.Servers[i]
-		def(&v.Hold, time.Second)
-		def(&v.Queue, 300*time.Millisecond)
+		def(&v.HoldTime, time.Second)
+		def(&v.MaxQueueDelay, 300*time.Millisecond)
 		if v.Lines == 0 {
 			v.Lines = 256
 		}
@@ -204,11 +204,11 @@
 			return fmt.Errorf("%s.capacity: %v, not in (0, %v]", field, v.Capacity, Limits.Rate)
 		case v.Lines < 1 || v.Lines > 100000:
 			return fmt.Errorf("%s.lines: %d", field, v.Lines)
-		case v.Start.Duration < 0:
-			return fmt.Errorf("%s.start: %v", field, v.Start)
+		case v.StartAt.Duration < 0:
+			return fmt.Errorf("%s.start: %v", field, v.StartAt)
 		}
 		seen[v.Name] = true
-		s.Capacity += v.Capacity
+		s.TotalCapacity += v.Capacity
 	}
 	if s.Membership != nil {
 		text, err := s.membersText()
@@ -218,20 +218,20 @@
 		if err != nil {
 			return fmt.Errorf("membership: %w", err)
 		}
-		if !s.Peers {
+		if !s.PeersEnabled {
 			return fmt.Errorf("membership: needs peers = true")
 		}
 	}
-	if s.WorkBy != "" && s.WorkBy != "release" && s.WorkBy != "restart" {
-		return fmt.Errorf("work_by: %q, neither release nor restart", s.WorkBy)
+	if s.WorkMethod != "" && s.WorkMethod != "release" && s.WorkMethod != "restart" {
+		return fmt.Errorf("work_by: %q, neither release nor restart", s.WorkMethod)
 	}
-	for _, m := range s.Maintained {
+	for _, m := range s.ExpectMaintained {
 		if _, ok := s.names[m]; !ok {
 			return fmt.Errorf("maintained: no softswitch %q", m)
 		}
 	}
-	if s.Agree.Duration < 0 || s.Agree.Duration > time.Minute || s.Agree.Duration > 0 && s.Membership == nil {
-		return fmt.Errorf("agree: %v, not in [0, 1m] or no [membership]", s.Agree)
+	if s.ConvergenceTime.Duration < 0 || s.ConvergenceTime.Duration > time.Minute || s.ConvergenceTime.Duration > 0 && s.Membership == nil {
+		return fmt.Errorf("agree: %v, not in [0, 1m] or no [membership]", s.ConvergenceTime)
 	}
 	if len(s.Load) == 0 {
 		return fmt.Errorf("load: missing")
@@ -290,7 +290,7 @@
 		if len(f.Target) == 0 {
 			return fmt.Errorf("target: missing")
 		}
-		if s.Membership == nil || s.Budget < 1 {
+		if s.Membership == nil || s.MaintenanceBudget < 1 {
 			return fmt.Errorf("kind: %q needs [membership] with maintenance, and budget", f.Kind)
 		}
 	case "partition":
@@ -298,12 +298,12 @@
 			return fmt.Errorf("groups: %d, at least two", len(f.Groups))
 		}
 	case "loss", "duplicate":
-		if f.Share <= 0 || f.Share > 1 {
-			return fmt.Errorf("share: %v, not in (0, 1]", f.Share)
+		if f.Probability <= 0 || f.Probability > 1 {
+			return fmt.Errorf("share: %v, not in (0, 1]", f.Probability)
 		}
 	case "delay", "reorder":
-		if f.By.Duration <= 0 || f.By.Duration > time.Minute {
-			return fmt.Errorf("by: %v, not in (0, 1m]", f.By)
+		if f.Delay.Duration <= 0 || f.Delay.Duration > time.Minute {
+			return fmt.Errorf("by: %v, not in (0, 1m]", f.Delay)
 		}
 	case "reset", "stall", "slow", "drain", "gone":
 		if !servers[f.Server] {
@@ -313,8 +313,8 @@
 			return fmt.Errorf("factor: %v, not in [1, 1000]", f.Factor)
 		}
 	}
-	if f.For.Duration < 0 {
-		return fmt.Errorf("for: %v", f.For)
+	if f.Duration.Duration < 0 {
+		return fmt.Errorf("for: %v", f.Duration)
 	}
 	return nil
 }
@@ -322,7 +322,7 @@
 // draw turns the random faults into timed ones, the same for the same seed.
 func (s *Scenario) draw() error {
 	r := rand.New(rand.NewPCG(s.Seed, 0x6c6162))
-	for i, d := range s.Random {
+	for i, d := range s.RandomFaults {
 		switch {
 		case !slices.Contains(drawn, d.Kind):
 			return fmt.Errorf("random_fault[%d].kind: %q is none of %v", i, d.Kind, drawn)
@@ -335,8 +335,8 @@
 		}
 		for range d.Count {
 			at := d.From.Duration + time.Duration(r.Int64N(int64(d.To.Duration-d.From.Duration)))
-			f := Fault{At: Duration{at}, Kind: d.Kind, For: d.For, Share: d.Share, By: d.By, Factor: d.Factor,
-				Target: []string{Name(r.IntN(s.Softswitches))}, Server: s.Servers[r.IntN(len(s.Servers))].Name}
+			f := Fault{At: Duration{at}, Kind: d.Kind, Duration: d.Duration, Probability: d.Probability, Delay: d.Delay, Factor: d.Factor,
+				Target: []string{MemberName(r.IntN(s.Softswitches))}, Server: s.Servers[r.IntN(len(s.Servers))].Name}
 			if d.Kind == "partition" {
 				f.Groups, f.OneWay = s.sides(r), r.IntN(2) == 0
 			}
@@ -355,7 +355,7 @@
 		if i >= first {
 			side = 1
 		}
-		sides[side] = append(sides[side], Name(place))
+		sides[side] = append(sides[side], MemberName(place))
 	}
 	return sides
 }
@@ -372,13 +372,13 @@
 // lastFault is when the last fault has ended.
 func (s *Scenario) lastFault() (at time.Duration) {
 	for _, f := range s.Faults {
-		at = max(at, f.At.Duration+f.For.Duration)
+		at = max(at, f.At.Duration+f.Duration.Duration)
 	}
 	return at
 }
 
-// Name is the name of the softswitch at a place, from 0.
-func Name(i int) string { return fmt.Sprintf("n%d", i+1) }
+// MemberName is the name of the softswitch at a place, from 0.
+func MemberName(i int) string { return fmt.Sprintf("n%d", i+1) }
 
 // Shares are those of the softswitches at a moment; nil: all alike.
 func (s *Scenario) Shares(at time.Duration) (shares []float64) {
--- a/internal/lab/server.go
+++ b/internal/lab/server.go
@@ -14,7 +14,7 @@
 type observer interface {
 	now() time.Duration
 	attempt(server string, id uint64)
-	ended(server string, id uint64, how Ending)
+	ended(server string, id uint64, how AttemptOutcome)
 	capacity(server string, at time.Duration) float64
 }
 
@@ -94,9 +94,9 @@
 }
 
 type serverLine struct {
-	Op   string `json:"op"`
-	Call string `json:"call"`
-	Why  int    `json:"why"`
+	Op    string `json:"op"`
+	Call  string `json:"call"`
+	Cause int    `json:"why"`
 }
 
 func (v *standIn) serve(c *serverConn) {
@@ -138,7 +138,7 @@
 	c.pending = map[uint64]bool{}
 	v.mu.Unlock()
 	for id := range open {
-		v.obs.ended(v.Name, id, Reset)
+		v.obs.ended(v.Name, id, ConnectionReset)
 	}
 }
 
@@ -154,7 +154,7 @@
 	work := time.Duration(float64(time.Second) * v.slow / max(v.obs.capacity(v.Name, now), 1e-3))
 	start := max(now, v.busyUntil)
 	full := v.standing >= v.Lines
-	swamped := start-now > v.Queue.Duration
+	swamped := start-now > v.MaxQueueDelay.Duration
 	if !full && !swamped {
 		v.busyUntil = start + work
 	}
@@ -176,7 +176,7 @@
 			v.hangUp()
 			return
 		}
-		time.AfterFunc(v.Hold.Duration, func() {
+		time.AfterFunc(v.HoldTime.Duration, func() {
 			v.hangUp()
 			c.send(`{"op":"end","call":"%016x","with":{"load":%q},"why":16}`, id, v.report())
 		})
@@ -202,7 +202,7 @@
 }
 
 // finish ends a pending set-up with an answer, if it is still pending.
-func (v *standIn) finish(c *serverConn, id uint64, how Ending, text string) bool {
+func (v *standIn) finish(c *serverConn, id uint64, how AttemptOutcome, text string) bool {
 	v.mu.Lock()
 	was := c.pending[id]
 	delete(c.pending, id)
--- a/internal/lab/works.go
+++ b/internal/lab/works.go
@@ -2,42 +2,42 @@
 
 import "time"
 
-// Work is one time that a softswitch was out for work. Times are since the start of the run; negative: it did not come to
+// MaintenanceRun is one time that a softswitch was out for work. Times are since the start of the run; negative: it did not come to
 // that.
-type Work struct {
+type MaintenanceRun struct {
 	Softswitch string        `json:"softswitch"`
-	Out        time.Duration `json:"out_ns"`   // it sends its callers away
-	Ready      time.Duration `json:"ready_ns"` // nothing is left on it
-	Back       time.Duration `json:"back_ns"`  // it holds its slot no more
+	OutAt      time.Duration `json:"out_ns"`   // it sends its callers away
+	ReadyAt    time.Duration `json:"ready_ns"` // nothing is left on it
+	BackAt     time.Duration `json:"back_ns"`  // it holds its slot no more
 	place      int
 }
 
-// Work takes in what a softswitch says of itself: that it is out, and ready for work.
-func (w *Watcher) Work(at time.Duration, place int, out, ready bool) {
-	var last *Work
+// RecordMaintenance takes in what a softswitch says of itself: that it is out, and ready for work.
+func (w *TierChecker) RecordMaintenance(at time.Duration, place int, out, ready bool) {
+	var last *MaintenanceRun
 	for _, v := range w.works {
-		if v.place == place && v.Back < 0 {
+		if v.place == place && v.BackAt < 0 {
 			last = v
 		}
 	}
 	if out && last == nil {
-		last = &Work{Softswitch: Name(place), Out: at, Ready: -1, Back: -1, place: place}
+		last = &MaintenanceRun{Softswitch: MemberName(place), OutAt: at, ReadyAt: -1, BackAt: -1, place: place}
 		w.works = append(w.works, last)
 	}
 	if last == nil {
 		return
 	}
-	if ready && last.Ready < 0 {
-		last.Ready = at
+	if ready && last.ReadyAt < 0 {
+		last.ReadyAt = at
 	}
 	if !out {
-		last.Back = at
+		last.BackAt = at
 	}
 }
 
-// Out judges how many softswitches are out for work, by their readiness as it is seen from outside. Those that the lab itself
+// CheckMaintenanceBudget judges how many softswitches are out for work, by their readiness as it is seen from outside. Those that the lab itself
 // hinders, or has just ceased to, are not counted; one that the lab's operator works on is.
-func (w *Watcher) Out(at time.Duration, budget int, unready func(place int) bool) {
+func (w *TierChecker) CheckMaintenanceBudget(at time.Duration, budget int, unready func(place int) bool) {
 	out := 0
 	for place := range w.views {
 		switch {
@@ -54,7 +54,7 @@
 }
 
 // atWork says whether the last trouble of a softswitch is its operator's, and not over.
-func (w *Watcher) atWork(place int) bool {
+func (w *TierChecker) atWork(place int) bool {
 	for i := len(w.detections) - 1; i >= 0; i-- {
 		if d := w.detections[i]; d.place == place {
 			return d.Kind == "work" && d.Ended < 0
@@ -63,18 +63,18 @@
 	return false
 }
 
-// Maintained judges that each of some softswitches has been ready for work exactly once, and is back.
-func (w *Watcher) Maintained(at time.Duration, places []int) {
+// CheckMaintained judges that each of some softswitches has been ready for work exactly once, and is back.
+func (w *TierChecker) CheckMaintained(at time.Duration, places []int) {
 	for _, place := range places {
 		ready, back := 0, true
 		for _, v := range w.works {
-			if v.place == place && v.Ready >= 0 {
+			if v.place == place && v.ReadyAt >= 0 {
 				ready++
-				back = v.Back >= 0
+				back = v.BackAt >= 0
 			}
 		}
 		if ready != 1 || !back {
-			w.broke("not maintained once", at, "%s was ready for work %d times, and is back: %t", Name(place), ready, back)
+			w.broke("not maintained once", at, "%s was ready for work %d times, and is back: %t", MemberName(place), ready, back)
 		}
 	}
 }
--- a/internal/leak/leak.go
+++ b/internal/leak/leak.go
@@ -12,21 +12,21 @@
 
 // Main runs the tests, and ends the process.
 func Main(m *testing.M) {
-	before := Descriptors()
+	before := OpenDescriptors()
 	code := m.Run()
 	if err := goleak.Find(); err != nil && code == 0 {
 		fmt.Println(err)
 		code = 1
 	}
-	if left := Descriptors(); left > before && code == 0 {
+	if left := OpenDescriptors(); left > before && code == 0 {
 		fmt.Printf("%d descriptors before the tests, %d after\n", before, left)
 		code = 1
 	}
 	os.Exit(code)
 }
 
-// Descriptors is how many are open, but for the poller's own.
-func Descriptors() (n int) {
+// OpenDescriptors is how many are open, but for the poller's own.
+func OpenDescriptors() (n int) {
 	open, _ := os.ReadDir("/proc/self/fd")
 	for _, f := range open {
 		if to, err := os.Readlink("/proc/self/fd/" + f.Name()); err == nil && !strings.HasPrefix(to, "anon_") {
--- a/internal/link/buffer.go
+++ b/internal/link/buffer.go
@@ -53,5 +53,5 @@
 	return err
 }
 
-// Most is the size up to which the buffer grows.
-func (b *Buffer) Most() int { return b.most }
+// MaxSize is the size up to which the buffer grows.
+func (b *Buffer) MaxSize() int { return b.most }
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -38,7 +38,7 @@
 // that the peer doesn't get them late.
 func TestStalledPeer(t *testing.T) {
 	conn, _ := pair(t)
-	o := NewOutbox(conn, Limits{ReadFirst: 1 << 10, Outbox: 64 << 20, WriteStall: time.Minute, Stuck: time.Millisecond})
+	o := NewOutbox(conn, Limits{InitialBufferSize: 1 << 10, MaxQueuedBytes: 64 << 20, WriteTimeout: time.Minute, FlushTimeout: time.Millisecond})
 	stalled := func() bool {
 		o.mu.Lock()
 		defer o.mu.Unlock()
@@ -51,12 +51,12 @@
 		time.Sleep(time.Millisecond)
 	}
 	for id := uint64(1); id <= 3; id++ {
-		o.Post(Item{Data: []byte("offer"), ID: id, Offer: true, Until: time.Now().Add(time.Minute)})
+		o.Post(Item{Data: []byte("offer"), ID: id, Retractable: true, Deadline: time.Now().Add(time.Minute)})
 	}
-	if !o.TakeBack(2) || o.TakeBack(2) {
+	if !o.Retract(2) || o.Retract(2) {
 		t.Error("an offer that has not begun is taken back once")
 	}
-	if ids := o.Withdraw(); len(ids) != 2 || ids[0] != 1 || ids[1] != 3 {
+	if ids := o.RetractAll(); len(ids) != 2 || ids[0] != 1 || ids[1] != 3 {
 		t.Errorf("withdrawn %v, want 1 and 3", ids)
 	}
 	if err := conn.SetDeadline(time.Time{}); !errors.Is(err, net.ErrClosed) {
@@ -68,9 +68,9 @@
 func TestLapsedOffer(t *testing.T) {
 	a, b := net.Pipe()
 	defer b.Close()
-	o := NewOutbox(a, Limits{ReadFirst: 1 << 10, Outbox: 1 << 10, WriteStall: time.Minute})
+	o := NewOutbox(a, Limits{InitialBufferSize: 1 << 10, MaxQueuedBytes: 1 << 10, WriteTimeout: time.Minute})
 	lapsed := make(chan bool, 1)
-	o.Post(Item{Data: []byte("late"), Offer: true, Until: time.Now().Add(-time.Second), Lapse: func() { lapsed <- true }})
+	o.Post(Item{Data: []byte("late"), Retractable: true, Deadline: time.Now().Add(-time.Second), OnExpired: func() { lapsed <- true }})
 	o.Post(Item{Data: []byte("next")})
 	in := NewBuffer(1, 8) // grows from one byte, is compacted in place
 	for !bytes.Equal(in.Bytes(), []byte("next")) {
@@ -102,7 +102,7 @@
 // cut off.
 func TestFinishWritesAllFirst(t *testing.T) {
 	conn, peer := pair(t)
-	o := NewOutbox(conn, Limits{ReadFirst: 1 << 10, Outbox: 64 << 20, WriteStall: time.Minute, Stuck: time.Millisecond})
+	o := NewOutbox(conn, Limits{InitialBufferSize: 1 << 10, MaxQueuedBytes: 64 << 20, WriteTimeout: time.Minute, FlushTimeout: time.Millisecond})
 	total := 0
 	for n := 64 << 10; total < 16<<20; total += n { // more than the machine buffers
 		o.Post(Item{Data: make([]byte, n)})
--- a/internal/link/listen.go
+++ b/internal/link/listen.go
@@ -165,8 +165,8 @@
 	return net.FileConn(f)
 }
 
-// Left says whether the peer has closed its side of a connection, though something it sent before may be unread.
-func Left(conn net.Conn) bool {
+// PeerClosed says whether the peer has closed its side of a connection, though something it sent before may be unread.
+func PeerClosed(conn net.Conn) bool {
 	c, ok := conn.(syscall.Conn)
 	if !ok {
 		return false
@@ -190,13 +190,13 @@
 func (o *Outbox) Linger(conn net.Conn) {
 	o.Flush()
 	if c, ok := conn.(interface{ CloseWrite() error }); ok && c.CloseWrite() == nil {
-		conn.SetReadDeadline(time.Now().Add(o.limits.Linger))
-		io.CopyN(io.Discard, conn, int64(o.limits.Drain))
+		conn.SetReadDeadline(time.Now().Add(o.limits.LingerTimeout))
+		io.CopyN(io.Discard, conn, int64(o.limits.MaxLingerBytes))
 	}
 }
 
-// Sparse is a log that drops lines where they come in masses.
-func Sparse(log zerolog.Logger) zerolog.Logger {
+// SampledLogger is a log that drops lines where they come in masses.
+func SampledLogger(log zerolog.Logger) zerolog.Logger {
 	return log.Sample(&zerolog.BurstSampler{Burst: sparseLines, Period: time.Second})
 }
 
--- a/internal/link/outbox.go
+++ b/internal/link/outbox.go
@@ -9,27 +9,27 @@
 
 // Limits are the sizes and times of a connection.
 type Limits struct {
-	ReadFirst  int           // the read buffer's first size
-	Message    int           // the longest message
-	Outbox     int           // bytes that may wait to be written before the peer counts as stalled
-	WriteStall time.Duration // and the longest that one write may take
-	First      time.Duration // to the end of the first message, or of one that has begun
-	Idle       time.Duration // without a message
-	Line       time.Duration // from a line's first byte to its last
-	Silence    time.Duration // the longest that a peer may be silent that speaks at intervals
-	Linger     time.Duration // that a connection's end may take, for the peer to read what it was told
-	Drain      int           // bytes that the peer may send in that time
-	Stuck      time.Duration // a write that takes so long is broken off where new work has to stop
+	InitialBufferSize int           // the read buffer's first size
+	MaxMessageSize    int           // the longest message
+	MaxQueuedBytes    int           // bytes that may wait to be written before the peer counts as stalled
+	WriteTimeout      time.Duration // and the longest that one write may take
+	MessageTimeout    time.Duration // to the end of the first message, or of one that has begun
+	IdleTimeout       time.Duration // without a message
+	LineTimeout       time.Duration // from a line's first byte to its last
+	MaxSilence        time.Duration // the longest that a peer may be silent that speaks at intervals
+	LingerTimeout     time.Duration // that a connection's end may take, for the peer to read what it was told
+	MaxLingerBytes    int           // bytes that the peer may send in that time
+	FlushTimeout      time.Duration // a write that takes so long is broken off where new work has to stop
 }
 
 // Item is a message to be written.
 type Item struct {
-	Data  []byte
-	ID    uint64
-	Offer bool      // it starts a set-up: it can be taken back, and is not begun
-	Until time.Time // after this time
-	Done  func()    // called when it is written
-	Lapse func()    // called when it was not, as its time was over
+	Data        []byte
+	ID          uint64
+	Retractable bool      // it starts a set-up: it can be taken back, and is not begun
+	Deadline    time.Time // after this time
+	OnWritten   func()    // called when it is written
+	OnExpired   func()    // called when it was not, as its time was over
 }
 
 // Outbox writes messages to a connection in order. Its user never waits for the peer: a goroutine
@@ -50,7 +50,7 @@
 
 // NewOutbox makes the outbox of a connection.
 func NewOutbox(conn net.Conn, limits Limits) *Outbox {
-	return &Outbox{conn: conn, limits: limits, w: bufio.NewWriterSize(conn, limits.ReadFirst)}
+	return &Outbox{conn: conn, limits: limits, w: bufio.NewWriterSize(conn, limits.InitialBufferSize)}
 }
 
 // Post queues a message.
@@ -60,7 +60,7 @@
 	if o.closed || o.finish != nil {
 		return
 	}
-	if o.bytes += len(it.Data); o.bytes > o.limits.Outbox {
+	if o.bytes += len(it.Data); o.bytes > o.limits.MaxQueuedBytes {
 		o.shut()
 		return
 	}
@@ -71,12 +71,12 @@
 	}
 }
 
-// TakeBack removes an offer that has not been begun, and says whether it did.
-func (o *Outbox) TakeBack(id uint64) bool {
+// Retract removes an offer that has not been begun, and says whether it did.
+func (o *Outbox) Retract(id uint64) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for i, it := range o.queue {
-		if it.Offer && it.ID == id {
+		if it.Retractable && it.ID == id {
 			o.bytes -= len(it.Data)
 			o.queue = append(o.queue[:i], o.queue[i+1:]...)
 			return true
@@ -85,14 +85,14 @@
 	return false
 }
 
-// Withdraw removes all offers that have not been begun and returns their ids. A write that is stuck may
+// RetractAll removes all offers that have not been begun and returns their ids. A write that is stuck may
 // hold some that the peer would get too late: the connection is closed.
-func (o *Outbox) Withdraw() (ids []uint64) {
+func (o *Outbox) RetractAll() (ids []uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	kept := o.queue[:0]
 	for _, it := range o.queue {
-		if it.Offer {
+		if it.Retractable {
 			ids = append(ids, it.ID)
 			o.bytes -= len(it.Data)
 		} else {
@@ -100,7 +100,7 @@
 		}
 	}
 	o.queue = kept
-	if !o.began.IsZero() && time.Since(o.began) > o.limits.Stuck {
+	if !o.began.IsZero() && time.Since(o.began) > o.limits.FlushTimeout {
 		o.shut()
 	}
 	return ids
@@ -148,12 +148,12 @@
 			return
 		}
 		now := time.Now()
-		o.conn.SetWriteDeadline(now.Add(o.limits.WriteStall))
+		o.conn.SetWriteDeadline(now.Add(o.limits.WriteTimeout))
 		var err error
 		kept := batch[:0]
 		for _, it := range batch {
-			if it.Offer && now.After(it.Until) {
-				it.Lapse()
+			if it.Retractable && now.After(it.Deadline) {
+				it.OnExpired()
 				continue
 			}
 			if _, err = o.w.Write(it.Data); err != nil {
@@ -169,8 +169,8 @@
 			return
 		}
 		for _, it := range kept {
-			if it.Done != nil {
-				it.Done()
+			if it.OnWritten != nil {
+				it.OnWritten()
 			}
 		}
 	}
@@ -188,7 +188,7 @@
 		return nil, o.finish
 	}
 	n, size := 0, 0
-	for n < len(o.queue) && (n == 0 || size+len(o.queue[n].Data) <= o.limits.ReadFirst) {
+	for n < len(o.queue) && (n == 0 || size+len(o.queue[n].Data) <= o.limits.InitialBufferSize) {
 		size += len(o.queue[n].Data)
 		n++
 	}
@@ -201,7 +201,7 @@
 
 // Flush waits, not for long, until what is queued has been written, and says whether it was.
 func (o *Outbox) Flush() bool {
-	for until := time.Now().Add(o.limits.Stuck); time.Now().Before(until); time.Sleep(time.Millisecond) {
+	for until := time.Now().Add(o.limits.FlushTimeout); time.Now().Before(until); time.Sleep(time.Millisecond) {
 		o.mu.Lock()
 		idle, closed := !o.writing, o.closed
 		o.mu.Unlock()
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -14,9 +14,9 @@
 	"elmseam/internal/core"
 )
 
-// Carrier carries effects out on one connection. It must not block; what it knows at once it returns.
-type Carrier interface {
-	Carry(core.Effect) []core.Event
+// EffectHandler carries effects out on one connection. It must not block; what it knows at once it returns.
+type EffectHandler interface {
+	HandleEffect(core.Effect) []core.Event
 	Close()
 	Flush() // waits, not for long, until what was carried is written
 }
@@ -33,8 +33,8 @@
 	links    atomic.Uint64
 	start    time.Time
 	epoch    time.Duration // of start, since the Unix epoch
-	carriers map[core.Link]Carrier
-	dialers  map[core.Front]Dialer
+	carriers map[core.ConnID]EffectHandler
+	dialers  map[core.Protocol]Dialer
 	timers   timers
 	notify   func(core.Effect)
 	log      zerolog.Logger
@@ -44,7 +44,7 @@
 
 // Snapshot are the figures as they were at a time.
 type Snapshot struct {
-	core.Figures
+	core.Stats
 	At time.Time
 }
 
@@ -52,8 +52,8 @@
 type item struct {
 	at      core.Time
 	ev      core.Event
-	link    core.Link
-	carrier Carrier
+	link    core.ConnID
+	carrier EffectHandler
 }
 
 // New makes a loop whose inbox holds so many events. notify is handed the effects that concern no
@@ -63,7 +63,7 @@
 	return &Loop{
 		core: c, in: make(chan item, inbox), done: make(chan struct{}),
 		start: start, epoch: time.Duration(start.UnixNano()),
-		carriers: make(map[core.Link]Carrier), dialers: make(map[core.Front]Dialer),
+		carriers: make(map[core.ConnID]EffectHandler), dialers: make(map[core.Protocol]Dialer),
 		notify: notify, log: log,
 	}
 }
@@ -71,23 +71,23 @@
 // Now is the time since the Unix epoch. It never runs backwards.
 func (l *Loop) Now() core.Time { return l.epoch + time.Since(l.start) }
 
-// When turns a time of the core into one of the clock.
-func (l *Loop) When(t core.Time) time.Time { return l.start.Add(t - l.epoch) }
+// WallTime turns a time of the core into one of the clock.
+func (l *Loop) WallTime(t core.Time) time.Time { return l.start.Add(t - l.epoch) }
 
 // Done is closed when the loop has ended.
 func (l *Loop) Done() <-chan struct{} { return l.done }
 
-// NewLink names a connection.
-func (l *Loop) NewLink() core.Link { return core.Link(l.links.Add(1)) }
+// NewConnID names a connection.
+func (l *Loop) NewConnID() core.ConnID { return core.ConnID(l.links.Add(1)) }
 
-// Dialer sets how servers of a front are reached. It must be called before Run.
-func (l *Loop) Dialer(f core.Front, d Dialer) { l.dialers[f] = d }
+// SetDialer sets how servers of a front are reached. It must be called before Run.
+func (l *Loop) SetDialer(f core.Protocol, d Dialer) { l.dialers[f] = d }
 
-// Publish has the figures published at this interval. It must be called before Run.
-func (l *Loop) Publish(every time.Duration) { l.publish = every }
+// PublishEvery has the figures published at this interval. It must be called before Run.
+func (l *Loop) PublishEvery(every time.Duration) { l.publish = every }
 
-// Figures are those last published. It never waits for the loop.
-func (l *Loop) Figures() Snapshot {
+// Snapshot are those last published. It never waits for the loop.
+func (l *Loop) Snapshot() Snapshot {
 	if s := l.figures.Load(); s != nil {
 		return *s
 	}
@@ -98,7 +98,7 @@
 func (l *Loop) Post(ev core.Event) { l.post(item{at: l.Now(), ev: ev}) }
 
 // Attach hands in the event that begins a connection, with what carries its effects out.
-func (l *Loop) Attach(link core.Link, c Carrier, ev core.Event) {
+func (l *Loop) Attach(link core.ConnID, c EffectHandler, ev core.Event) {
 	l.post(item{at: l.Now(), ev: ev, link: link, carrier: c})
 }
 
@@ -119,7 +119,7 @@
 // late ends a connection that has come too late: the peer is told that there is no more.
 func (it item) late() {
 	if it.carrier != nil {
-		it.carrier.Carry(core.GracefulClose{To: it.link})
+		it.carrier.HandleEffect(core.GracefulClose{To: it.link})
 	}
 }
 
@@ -158,7 +158,7 @@
 		case <-ctx.Done():
 			return
 		case <-publish:
-			l.figures.Store(&Snapshot{l.core.Figures(l.Now()), time.Now()})
+			l.figures.Store(&Snapshot{l.core.Stats(l.Now()), time.Now()})
 			continue
 		case it = <-l.in:
 		case <-timer.C:
@@ -166,7 +166,7 @@
 				continue
 			}
 			due := heap.Pop(&l.timers).(core.Timer)
-			it = item{at: l.Now(), ev: core.Due{Token: due.Token}}
+			it = item{at: l.Now(), ev: core.TimerFired{Token: due.Token}}
 		}
 		if l.take(it) {
 			var flushed sync.WaitGroup // one that is stalled doesn't hold up the others
@@ -190,22 +190,22 @@
 		events = events[1:]
 		switch ev := ev.(type) {
 		case core.CallerDown:
-			delete(l.carriers, ev.Link)
+			delete(l.carriers, ev.Conn)
 		case core.ServerDown:
-			delete(l.carriers, ev.Link)
+			delete(l.carriers, ev.Conn)
 		}
 		for _, e := range l.core.Step(it.at, ev) {
 			switch e := e.(type) {
 			case core.Timer:
 				heap.Push(&l.timers, e)
 			case core.Dial:
-				if dial := l.dialers[e.Front]; dial != nil {
+				if dial := l.dialers[e.Protocol]; dial != nil {
 					go dial(e)
 				} else {
-					l.log.Error().Str("server", e.Server).Str("front", string(e.Front)).Msg("no front reaches this server")
+					l.log.Error().Str("server", e.Server).Str("front", string(e.Protocol)).Msg("no front reaches this server")
 					events = append(events, core.ServerDown{Server: e.Server, Address: e.Address})
 				}
-			case core.Hangup:
+			case core.CloseConn:
 				if c := l.carriers[e.To]; c != nil {
 					delete(l.carriers, e.To)
 					c.Close()
@@ -213,21 +213,21 @@
 			case core.GracefulClose:
 				if c := l.carriers[e.To]; c != nil {
 					delete(l.carriers, e.To)
-					c.Carry(e)
+					c.HandleEffect(e)
 				}
 			case core.Serving:
-				l.log.Info().Bool("serving", e.Yes).Msg("service")
+				l.log.Info().Bool("serving", e.On).Msg("service")
 				l.notify(e)
-			case core.Dropped, core.Able, core.ToPredecessor, core.ToSuccessor, core.ToPeer, core.PeerChanged,
-				core.Draining, core.WorkTold, core.CloseListener:
+			case core.ForgetCall, core.ReadyToServe, core.ToPredecessor, core.ToSuccessor, core.SendToMember, core.MemberChanged,
+				core.DrainChanged, core.MaintenanceProgress, core.CloseListener:
 				l.notify(e)
 			case core.Stopped:
 				stopped = true
-			case core.Broken:
+			case core.Violation:
 				l.log.Error().Uint64("call", uint64(e.ID)).Str("rule", e.Rule).Msg("a guard held")
 			default:
 				if c := l.carriers[target(e)]; c != nil {
-					events = append(events, c.Carry(e)...)
+					events = append(events, c.HandleEffect(e)...)
 				}
 			}
 		}
@@ -236,7 +236,7 @@
 }
 
 // target is the connection that an effect is for.
-func target(e core.Effect) core.Link {
+func target(e core.Effect) core.ConnID {
 	switch e := e.(type) {
 	case core.Answered:
 		return e.To
@@ -250,11 +250,11 @@
 		return e.To
 	case core.Withdraw:
 		return e.To
-	case core.Test:
+	case core.Probe:
 		return e.To
-	case core.Move:
+	case core.StopReading:
 		return e.To
-	case core.Pass:
+	case core.Transfer:
 		return e.To
 	}
 	return 0
--- a/internal/loop/loop_test.go
+++ b/internal/loop/loop_test.go
@@ -18,7 +18,7 @@
 // carrier writes down what it is to carry.
 type carrier struct{ told []core.Effect }
 
-func (c *carrier) Carry(e core.Effect) []core.Event {
+func (c *carrier) HandleEffect(e core.Effect) []core.Event {
 	c.told = append(c.told, e)
 	return nil
 }
@@ -32,16 +32,16 @@
 	for range 50 { // what the loop takes at its end is chance
 		c, err := core.New(elmseam.Settings{
 			Classes: []elmseam.Class{{Deadline: time.Second, Worth: 1}}, MaxAttempts: 1, OwnCell: -1,
-		}, 1, core.Limits{Callers: 100, MaxOpen: 1})
+		}, 1, core.Limits{MaxCallerConns: 100, MaxOpen: 1})
 		if err != nil {
 			t.Fatal(err)
 		}
 		l := New(c, 8, func(core.Effect) {}, zerolog.Nop())
-		come := make(map[core.Link]*carrier)
+		come := make(map[core.ConnID]*carrier)
 		attach := func() {
-			link := l.NewLink()
+			link := l.NewConnID()
 			come[link] = &carrier{}
-			l.Attach(link, come[link], core.CallerUp{Link: link})
+			l.Attach(link, come[link], core.CallerUp{Conn: link})
 		}
 		for range 8 {
 			attach()
--- a/internal/m3ua/caller.go
+++ b/internal/m3ua/caller.go
@@ -14,17 +14,17 @@
 type caller struct {
 	session
 	late   *time.Timer // ends one that doesn't come up
-	link   core.Link   // while active
+	link   core.ConnID // while active
 	up     bool
 	active bool
 }
 
 // Serve serves callers until the listener is closed.
 func (m *M3UA) Serve(l net.Listener) {
-	link.NewAcceptor(func() int { return m.told.Load().Callers }, func(conn net.Conn) {
-		c := &caller{session: m.session(conn, m.told.Load().Link)}
+	link.NewAcceptor(func() int { return m.told.Load().MaxCallers }, func(conn net.Conn) {
+		c := &caller{session: m.session(conn, m.told.Load().CallerConn)}
 		c.handle = c.take
-		c.late = time.AfterFunc(c.limits.First, func() { conn.Close() })
+		c.late = time.AfterFunc(c.limits.MessageTimeout, func() { conn.Close() })
 		defer c.late.Stop()
 		err := c.read()
 		m.loud.Info().Err(err).Stringer("caller", conn.RemoteAddr()).Msg("association ended")
@@ -35,8 +35,8 @@
 	}).Serve(l)
 }
 
-// Dropped frees the circuit of a call whose caller will not be told of its end.
-func (m *M3UA) Dropped(id core.ID) {
+// FreeCircuit frees the circuit of a call whose caller will not be told of its end.
+func (m *M3UA) FreeCircuit(id core.ID) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if ci, there := m.circuits[id]; there {
@@ -44,8 +44,8 @@
 	}
 }
 
-// Serving tells callers whether this point takes new calls: DAVA or DUNA.
-func (m *M3UA) Serving(yes bool) {
+// SetServing tells callers whether this point takes new calls: DAVA or DUNA.
+func (m *M3UA) SetServing(yes bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.serving = yes
@@ -116,14 +116,14 @@
 	if c.active {
 		return
 	}
-	c.active, c.link = true, c.m.loop.NewLink()
+	c.active, c.link = true, c.m.loop.NewConnID()
 	c.m.mu.Lock()
 	c.m.active[c] = true
 	if !c.m.serving {
 		c.available(false)
 	}
 	c.m.mu.Unlock()
-	c.m.loop.Attach(c.link, &callerSide{c}, core.CallerUp{Link: c.link, Front: Front})
+	c.m.loop.Attach(c.link, &callerSide{c}, core.CallerUp{Conn: c.link, Protocol: Protocol})
 }
 
 // deactivate stops new calls at once. Set-ups open here may come again on another association; what stands
@@ -136,7 +136,7 @@
 	c.m.mu.Lock()
 	delete(c.m.active, c)
 	c.m.mu.Unlock()
-	c.m.loop.Post(core.CallerDown{Link: c.link})
+	c.m.loop.Post(core.CallerDown{Conn: c.link})
 }
 
 // data handles an ISUP message.
@@ -171,15 +171,15 @@
 // association broke.
 func (c *caller) setUp(ci circuit, k call, at core.Time) {
 	ev := core.SetUp{
-		From: c.link, Class: c.m.classOf(k.category), Number: number(k.digits), Key: k.digits, Desc: k.desc,
+		From: c.link, Class: c.m.classOf(k.category), Number: number(k.digits), NumberText: k.digits, Desc: k.desc,
 		Cell: -1, At: at,
 	}
 	if cell, there := c.m.Cells[strconv.Itoa(int(ci.dpc))]; there {
 		ev.Cell = cell
 	}
 	if ev.Class >= 0 { // places are kept for good
-		class := c.m.told.Load().Node.Classes[ev.Class]
-		ev.Name, ev.Left = class.Name, class.Wait
+		class := c.m.told.Load().Deployment.Classes[ev.Class]
+		ev.Name, ev.TimeLeft = class.Name, class.MaxWait
 	}
 	c.m.mu.Lock()
 	id, there := c.m.inbound[ci]
@@ -211,7 +211,7 @@
 		c.m.log.Error().Err(err).Msg("message not sent")
 		return
 	}
-	c.out.Post(link.Item{Data: dataMessage(ci, c.m.Network, c.m.RoutingContext, isup)})
+	c.out.Post(link.Item{Data: dataMessage(ci, c.m.NetworkIndicator, c.m.RoutingContext, isup)})
 }
 
 // callerSide carries effects out towards a caller.
@@ -221,8 +221,8 @@
 
 func (s *callerSide) Flush() { s.c.out.Flush() }
 
-// Carry writes an effect for a caller. A call's circuit is free from its final answer or release on.
-func (s *callerSide) Carry(e core.Effect) []core.Event {
+// HandleEffect writes an effect for a caller. A call's circuit is free from its final answer or release on.
+func (s *callerSide) HandleEffect(e core.Effect) []core.Event {
 	m := s.c.m
 	switch e := e.(type) {
 	case core.Answered:
@@ -232,9 +232,9 @@
 			s.c.reply(ci.back(), call{kind: isupANM, desc: e.Desc})
 		}
 	case core.Rejected:
-		s.release(e.ID, call{kind: isupREL, cause: int(q850.ToCaller(e.Reason)), retry: e.RetryAfter})
+		s.release(e.ID, call{kind: isupREL, cause: int(q850.CauseFromReason(e.Reason)), retry: e.RetryAfter})
 	case core.Released:
-		s.release(e.ID, call{kind: isupREL, cause: int(q850.ToCaller(e.Reason))})
+		s.release(e.ID, call{kind: isupREL, cause: int(q850.CauseFromReason(e.Reason))})
 	case core.GracefulClose:
 		s.c.out.Finish(s.c.out.Close)
 	}
--- a/internal/m3ua/front.go
+++ b/internal/m3ua/front.go
@@ -22,23 +22,23 @@
 	"elmseam/internal/settings"
 )
 
-// Front is the name of this front.
-const Front core.Front = "m3ua"
+// Protocol is the name of this front.
+const Protocol core.Protocol = "m3ua"
 
 // Source names the list of servers in the front's file to the core.
 const Source = "m3ua"
 
-// File is the front's part of the signalling file.
-type File struct {
-	Listen         string         `toml:"listen"`
-	PointCode      uint32         `toml:"point_code"` // this program's
-	Network        byte           `toml:"network_indicator"`
-	RoutingContext uint32         `toml:"routing_context"`
-	HeartbeatMS    int            `toml:"heartbeat_ms"`
-	Circuits       int            `toml:"circuits"`   // to each server
-	Categories     map[string]int `toml:"categories"` // class name to calling party's category
-	Cells          map[string]int `toml:"cells"`      // destination point code to first choice
-	Servers        []struct {
+// FileConfig is the front's part of the signalling file.
+type FileConfig struct {
+	Listen           string         `toml:"listen"`
+	PointCode        uint32         `toml:"point_code"` // this program's
+	NetworkIndicator byte           `toml:"network_indicator"`
+	RoutingContext   uint32         `toml:"routing_context"`
+	HeartbeatMS      int            `toml:"heartbeat_ms"`
+	Circuits         int            `toml:"circuits"`   // to each server
+	Categories       map[string]int `toml:"categories"` // class name to calling party's category
+	Cells            map[string]int `toml:"cells"`      // destination point code to first choice
+	Servers          []struct {
 		Name      string `toml:"name"`
 		Address   string `toml:"address"`
 		PointCode uint32 `toml:"point_code"`
@@ -47,7 +47,7 @@
 }
 
 // Check names the first field that makes no sense.
-func (f *File) Check() error {
+func (f *FileConfig) Check() error {
 	if _, _, err := net.SplitHostPort(f.Listen); err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
@@ -82,19 +82,19 @@
 
 // Config is what the front is told. All but the file may be told anew at any time.
 type Config struct {
-	File
-	Node settings.Node
-	Link link.Limits   // of a caller's connection
-	Dial time.Duration // to connect to a server and be active there
+	FileConfig
+	Deployment  settings.Deployment
+	CallerConn  link.Limits   // of a caller's connection
+	DialTimeout time.Duration // to connect to a server and be active there
 
-	ServerLink link.Limits
-	Callers    int           // connections of callers at once
-	Confirm    time.Duration // a release that a server has not confirmed by then is sent again
+	ServerConn     link.Limits
+	MaxCallers     int           // connections of callers at once
+	ConfirmTimeout time.Duration // a release that a server has not confirmed by then is sent again
 }
 
 // M3UA is the front.
 type M3UA struct {
-	File
+	FileConfig
 	told   atomic.Pointer[Config]
 	loop   *loop.Loop
 	log    zerolog.Logger
@@ -113,7 +113,7 @@
 // New makes the front.
 func New(cfg Config, l *loop.Loop, log zerolog.Logger) (*M3UA, error) {
 	m := &M3UA{
-		File: cfg.File, loop: l, log: log, loud: link.Sparse(log), trunks: make(map[string]*trunk),
+		FileConfig: cfg.FileConfig, loop: l, log: log, loud: link.SampledLogger(log), trunks: make(map[string]*trunk),
 		inbound: make(map[circuit]core.ID), circuits: make(map[core.ID]circuit), active: make(map[*caller]bool),
 	}
 	m.Configure(cfg)
@@ -137,21 +137,21 @@
 // Servers is the front's list of servers.
 func (m *M3UA) Servers() core.List {
 	l := core.List{Source: Source}
-	for _, s := range m.File.Servers {
+	for _, s := range m.FileConfig.Servers {
 		l.Servers = append(l.Servers, core.Server{
-			Name: s.Name, Address: s.Address, Front: Front, Cell: s.Cell, Phase: elmseam.Ready,
+			Name: s.Name, Address: s.Address, Protocol: Protocol, Cell: s.Cell, Phase: elmseam.Ready,
 		})
 	}
 	return l
 }
 
-// Reaches says whether a server is reached by this front.
-func (m *M3UA) Reaches(name string) bool { return m.trunks[name] != nil }
+// HasServer says whether a server is reached by this front.
+func (m *M3UA) HasServer(name string) bool { return m.trunks[name] != nil }
 
 // class is the class of a name, -1: none.
 func (m *M3UA) class(name string) int {
-	for i, have := range m.told.Load().Node.Classes {
-		if have.Name == name && !have.Gone {
+	for i, have := range m.told.Load().Deployment.Classes {
+		if have.Name == name && !have.Removed {
 			return i
 		}
 	}
@@ -210,7 +210,7 @@
 // behind it can be read, or the peer goes on and on, the connection ends. A silent peer is sent heartbeats,
 // and given up when it answers none; one that stops within a message, or trickles it, is not waited for.
 func (s *session) read() error {
-	in := link.NewBuffer(s.limits.ReadFirst, s.limits.Message)
+	in := link.NewBuffer(s.limits.InitialBufferSize, s.limits.MaxMessageSize)
 	beat := time.Duration(s.m.HeartbeatMS) * time.Millisecond
 	errs, silent := 0, 0
 	var whole time.Time // when the message under way must be; zero: there is none
@@ -235,7 +235,7 @@
 		silent = 0
 		at := s.m.loop.Now()
 		for {
-			msg, n, err := parse(in.Bytes(), s.limits.Message)
+			msg, n, err := parse(in.Bytes(), s.limits.MaxMessageSize)
 			if err == errShort {
 				break
 			}
@@ -257,7 +257,7 @@
 			in.Skip(n)
 		}
 		if len(in.Bytes()) > 0 && whole.IsZero() {
-			whole = time.Now().Add(s.limits.First)
+			whole = time.Now().Add(s.limits.MessageTimeout)
 		}
 	}
 }
--- a/internal/m3ua/m3ua_test.go
+++ b/internal/m3ua/m3ua_test.go
@@ -33,10 +33,10 @@
 	clientPC = 300
 )
 
-var testNode = settings.Node{Classes: []settings.Class{{Name: "voice", Wait: 5 * time.Second}}}
+var testNode = settings.Deployment{Classes: []settings.Class{{Name: "voice", MaxWait: 5 * time.Second}}}
 
-var testLink = link.Limits{ReadFirst: 256, Message: 16 << 10, Outbox: 1 << 20, WriteStall: time.Second, Stuck: 50 * time.Millisecond,
-	First: patience, Idle: patience, Linger: 100 * time.Millisecond, Drain: 1 << 16}
+var testLink = link.Limits{InitialBufferSize: 256, MaxMessageSize: 16 << 10, MaxQueuedBytes: 1 << 20, WriteTimeout: time.Second, FlushTimeout: 50 * time.Millisecond,
+	MessageTimeout: patience, IdleTimeout: patience, LingerTimeout: 100 * time.Millisecond, MaxLingerBytes: 1 << 16}
 
 // peer is a stand-in's end of an association: it writes messages and reads them one by one.
 type peer struct {
@@ -122,15 +122,15 @@
 
 // softswitch starts the program's parts with this front and returns where it listens. The platform's
 // front reaches the servers of which no trunk is known.
-func softswitch(t *testing.T, guard time.Duration, file File, more ...core.Server) (*M3UA, string) {
+func softswitch(t *testing.T, guard time.Duration, file FileConfig, more ...core.Server) (*M3UA, string) {
 	t.Helper()
 	set := elmseam.Settings{
 		Classes:     []elmseam.Class{{Aim: time.Second, Deadline: 9 * time.Second, Worth: 1}},
-		MaxAttempts: 4, OwnCell: -1, ReleaseGuard: guard, MaxRetryAfter: 2 * time.Second, ResendGap: 10 * time.Second,
-		Report: []elmseam.Figure{elmseam.FigureShare},
+		MaxAttempts: 4, OwnCell: -1, ReleaseGuard: guard, MaxRetryAfter: 2 * time.Second, RetransmitInterval: 10 * time.Second,
+		ReportMetrics: []elmseam.LoadMetric{elmseam.LoadMetricHoldBackShare},
 	}
 	c, err := core.New(set, 1, core.Limits{AnswerMargin: 15 * time.Millisecond, Rebind: 100 * time.Millisecond,
-		RedialLeast: time.Millisecond, RedialMost: time.Millisecond, ServerLost: time.Minute, Callers: 100, MaxOpen: 10000, OpenBytes: 1 << 20, Remember: time.Minute})
+		MinRedial: time.Millisecond, MaxRedial: time.Millisecond, ServerLostAfter: time.Minute, MaxCallerConns: 100, MaxOpen: 10000, MaxCallBytes: 1 << 20, EndedCallTTL: time.Minute})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -138,21 +138,21 @@
 	l := loop.New(c, 1024, func(e core.Effect) {
 		switch e := e.(type) {
 		case core.Serving:
-			m.Serving(e.Yes)
-		case core.Dropped:
-			m.Dropped(e.ID)
+			m.SetServing(e.On)
+		case core.ForgetCall:
+			m.FreeCircuit(e.ID)
 		}
 	}, zerolog.Nop())
-	file.PointCode, file.Network, file.RoutingContext, file.HeartbeatMS = ownPC, 2, 1, 1000
+	file.PointCode, file.NetworkIndicator, file.RoutingContext, file.HeartbeatMS = ownPC, 2, 1, 1000
 	file.Circuits, file.Categories, file.Cells = 512, map[string]int{"voice": 10}, map[string]int{"100": 0}
-	m, err = New(Config{File: file, Node: testNode,
-		Link: testLink, ServerLink: testLink, Dial: time.Second, Callers: 8, Confirm: 50 * time.Millisecond}, l, zerolog.Nop())
+	m, err = New(Config{FileConfig: file, Deployment: testNode,
+		CallerConn: testLink, ServerConn: testLink, DialTimeout: time.Second, MaxCallers: 8, ConfirmTimeout: 50 * time.Millisecond}, l, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.Dialer(Front, m.Dial)
-	p := platform.New(platform.Config{Node: testNode, Link: testLink, ServerLink: testLink, Dial: time.Second, Callers: 8}, l, zerolog.Nop())
-	l.Dialer(platform.Front, p.Dial)
+	l.SetDialer(Protocol, m.Dial)
+	p := platform.New(platform.Config{Deployment: testNode, CallerConn: testLink, ServerConn: testLink, DialTimeout: time.Second, MaxCallers: 8}, l, zerolog.Nop())
+	l.SetDialer(platform.Protocol, p.Dial)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go l.Run(ctx)
@@ -207,8 +207,8 @@
 	return p
 }
 
-func fileOf(name string, pc uint32, l net.Listener) File {
-	var f File
+func fileOf(name string, pc uint32, l net.Listener) FileConfig {
+	var f FileConfig
 	f.Servers = append(f.Servers, struct {
 		Name      string `toml:"name"`
 		Address   string `toml:"address"`
@@ -284,8 +284,8 @@
 	}
 
 	pl := listen(t)
-	_, address = softswitch(t, guard, File{}, core.Server{
-		Name: "new", Address: pl.Addr().String(), Front: platform.Front, Phase: elmseam.Ready})
+	_, address = softswitch(t, guard, FileConfig{}, core.Server{
+		Name: "new", Address: pl.Addr().String(), Protocol: platform.Protocol, Phase: elmseam.Ready})
 	conn, err := pl.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -402,9 +402,9 @@
 // they liked. They are closed in time, and an association that is up and idle is not. Where the framing is lost the
 // ERR can be read, whatever the peer sent behind it.
 func TestIdleAndGarbledAssociations(t *testing.T) {
-	m, address := softswitch(t, guard, File{})
+	m, address := softswitch(t, guard, FileConfig{})
 	told := *m.told.Load()
-	told.Link.First = 50 * time.Millisecond
+	told.CallerConn.MessageTimeout = 50 * time.Millisecond
 	m.Configure(told)
 	c := client(t, address)
 	dial := func() net.Conn {
@@ -464,7 +464,7 @@
 	s := mustAccept(t, sl)
 	m.trunks["hlr"].mu.Lock()
 	for id := core.ID(1); m.trunks["hlr"].Free() > 1; id++ { // the others are in use
-		m.trunks["hlr"].Take(id)
+		m.trunks["hlr"].Allocate(id)
 	}
 	m.trunks["hlr"].mu.Unlock()
 	c := client(t, address)
@@ -475,7 +475,7 @@
 	s.untilISUP(t, isupREL) // not confirmed
 	c.isup(circuit{clientPC, ownPC, 2}, iam)
 	c.untilISUP(t, isupREL)
-	time.Sleep(2 * m.told.Load().Confirm)
+	time.Sleep(2 * m.told.Load().ConfirmTimeout)
 	c.isup(circuit{clientPC, ownPC, 3}, iam)
 	ci, _ := s.untilISUP(t, isupREL)
 	s.isup(ci.back(), call{kind: isupRLC})
@@ -603,7 +603,7 @@
 func TestResetsWhileDraining(t *testing.T) {
 	const circuits, each = 50, 160
 	book := &ledger{out: make(map[string]string), attempts: make(map[string]int), cutAt: make(map[string]time.Time)}
-	var file File
+	var file FileConfig
 	for i, name := range []string{"hlr-1", "hlr-2", "hlr-3"} {
 		l := listen(t)
 		file.Servers = append(file.Servers, fileOf(name, uint32(201+i), l).Servers...)
--- a/internal/m3ua/server.go
+++ b/internal/m3ua/server.go
@@ -34,7 +34,7 @@
 	session
 	name   string
 	trunk  *trunk
-	link   core.Link
+	link   core.ConnID
 	up     chan struct{} // closed once active
 	active bool
 }
@@ -49,16 +49,16 @@
 		return
 	}
 	told := m.told.Load()
-	conn, err := net.DialTimeout("tcp", e.Address, told.Dial)
+	conn, err := net.DialTimeout("tcp", e.Address, told.DialTimeout)
 	if err != nil {
 		m.loop.Post(core.ServerDown{Server: e.Server, Address: e.Address})
 		return
 	}
 	defer conn.Close()
-	s := &server{session: m.session(conn, told.ServerLink), name: e.Server, trunk: t, up: make(chan struct{})}
+	s := &server{session: m.session(conn, told.ServerConn), name: e.Server, trunk: t, up: make(chan struct{})}
 	s.handle = func(msg message, at core.Time) error { return s.take(msg, e.Address) }
 	s.send(msgASPUP)
-	late := time.AfterFunc(told.Dial, func() {
+	late := time.AfterFunc(told.DialTimeout, func() {
 		select {
 		case <-s.up:
 		default:
@@ -71,8 +71,8 @@
 		err = errLate
 	}
 	m.log.Info().Err(err).Str("server", e.Server).Msg("association with server ended")
-	t.do(t.Lost)
-	m.loop.Post(core.ServerDown{Server: e.Server, Link: s.link})
+	t.do(t.ConnLost)
+	m.loop.Post(core.ServerDown{Server: e.Server, Conn: s.link})
 	s.out.Flush() // what is wrong with its messages
 }
 
@@ -124,14 +124,14 @@
 	if s.active {
 		return
 	}
-	s.active, s.link = true, s.m.loop.NewLink()
+	s.active, s.link = true, s.m.loop.NewConnID()
 	close(s.up)
 	s.trunk.do(func(now time.Time) {
 		for _, cic := range s.trunk.Unconfirmed(now) {
 			s.write(cic, call{kind: isupREL, cause: q850.NormalClearing}, nil)
 		}
 	})
-	s.m.loop.Attach(s.link, s, core.ServerUp{Server: s.name, Address: address, Link: s.link})
+	s.m.loop.Attach(s.link, s, core.ServerUp{Server: s.name, Address: address, Conn: s.link})
 	s.m.loop.Post(core.ServerPaused{Server: s.name})
 }
 
@@ -155,8 +155,8 @@
 			level = maxCongestion
 		}
 		share := float64(min(level&0xff, maxCongestion)) / maxCongestion
-		report := core.Report{{Figure: elmseam.FigureShare, Value: share}}
-		s.m.loop.Post(core.ServerReport{Server: s.name, Link: s.link, Report: report})
+		report := core.Report{{Metric: elmseam.LoadMetricHoldBackShare, Value: share}}
+		s.m.loop.Post(core.ServerReport{Server: s.name, Conn: s.link, Report: report})
 	}
 }
 
@@ -182,7 +182,7 @@
 		var there bool
 		s.trunk.do(func(time.Time) { id, there = s.trunk.Answered(ci.cic) })
 		if there {
-			s.m.loop.Post(core.ServerAnswer{Server: s.name, Link: s.link, ID: id, Desc: k.desc})
+			s.m.loop.Post(core.ServerAnswer{Server: s.name, Conn: s.link, ID: id, Desc: k.desc})
 		}
 	case isupREL, isupRSC: // a circuit reset has no cause: the call on it is cut
 		var id core.ID
@@ -193,7 +193,7 @@
 		})
 		if there {
 			s.m.loop.Post(core.ServerEnd{
-				Server: s.name, Link: s.link, ID: id, Reason: q850.FromServer(k.cause), Refusal: q850.RefusalOf(k.cause),
+				Server: s.name, Conn: s.link, ID: id, Reason: q850.ReasonFromCause(k.cause), Refusal: q850.RefusalFromCause(k.cause),
 			})
 		}
 	case isupRLC:
@@ -213,42 +213,42 @@
 	}
 	ci := s.trunk.base
 	ci.cic = cic
-	s.out.Post(link.Item{Data: dataMessage(ci, s.m.Network, s.m.RoutingContext, isup), Done: done})
+	s.out.Post(link.Item{Data: dataMessage(ci, s.m.NetworkIndicator, s.m.RoutingContext, isup), OnWritten: done})
 }
 
 func (s *server) Close() { s.out.Close() }
 
 func (s *server) Flush() { s.out.Flush() }
 
-// Carry writes an effect for a server.
-func (s *server) Carry(e core.Effect) []core.Event {
+// HandleEffect writes an effect for a server.
+func (s *server) HandleEffect(e core.Effect) []core.Event {
 	switch e := e.(type) {
 	case core.Offer:
 		return s.offer(e)
 	case core.End:
-		if s.out.TakeBack(uint64(e.ID)) {
+		if s.out.Retract(uint64(e.ID)) {
 			return s.notSent(e.ID)
 		}
-		written := core.Written{Server: s.name, Link: s.link, ID: e.ID}
+		written := core.EndWritten{Server: s.name, Conn: s.link, ID: e.ID}
 		var done func()
-		if e.Tell {
+		if e.Notify {
 			done = func() { s.m.loop.Post(written) }
 		}
 		there := false
 		s.trunk.do(func(now time.Time) {
 			var cic uint16
-			if cic, there = s.trunk.End(e.ID, now); there {
+			if cic, there = s.trunk.Release(e.ID, now); there {
 				s.write(cic, call{kind: isupREL, cause: q850.NormalClearing}, done)
 			}
 		})
-		if !there && e.Tell { // released by the server meanwhile
+		if !there && e.Notify { // released by the server meanwhile
 			return []core.Event{written}
 		}
 	case core.GracefulClose:
 		s.out.Finish(s.out.Close)
 	case core.Withdraw:
 		var back []core.Event
-		for _, id := range s.out.Withdraw() {
+		for _, id := range s.out.RetractAll() {
 			back = append(back, s.notSent(core.ID(id))...)
 		}
 		return back
@@ -262,30 +262,30 @@
 	category, known := s.m.category(e.Class)
 	cic, ok := uint16(0), false
 	s.trunk.do(func(now time.Time) {
-		for _, cic := range s.trunk.Overdue(now, s.m.told.Load().Confirm) {
+		for _, cic := range s.trunk.Overdue(now, s.m.told.Load().ConfirmTimeout) {
 			s.write(cic, call{kind: isupREL, cause: q850.NormalClearing}, nil)
 		}
 		if known {
-			cic, ok = s.trunk.Take(e.ID)
+			cic, ok = s.trunk.Allocate(e.ID)
 		}
 	})
 	if !ok {
-		return []core.Event{core.NotSent{Server: s.name, Link: s.link, ID: e.ID}}
+		return []core.Event{core.NotSent{Server: s.name, Conn: s.link, ID: e.ID}}
 	}
-	isup, err := appendISUP(cic, call{kind: isupIAM, category: category, digits: e.Key, desc: e.Desc})
+	isup, err := appendISUP(cic, call{kind: isupIAM, category: category, digits: e.NumberText, desc: e.Desc})
 	ci := s.trunk.base
 	ci.cic = cic
 	var data []byte
 	if err == nil {
-		data = dataMessage(ci, s.m.Network, s.m.RoutingContext, isup)
+		data = dataMessage(ci, s.m.NetworkIndicator, s.m.RoutingContext, isup)
 	}
-	if err != nil || len(data) > s.limits.Message {
+	if err != nil || len(data) > s.limits.MaxMessageSize {
 		return s.notSent(e.ID)
 	}
 	s.out.Post(link.Item{
-		Data: data, ID: uint64(e.ID), Offer: true, Until: s.m.loop.When(e.Until),
-		Done: func() { s.m.loop.Post(core.Sent{Server: s.name, ID: e.ID}) },
-		Lapse: func() {
+		Data: data, ID: uint64(e.ID), Retractable: true, Deadline: s.m.loop.WallTime(e.Until),
+		OnWritten: func() { s.m.loop.Post(core.OfferWritten{Server: s.name, ID: e.ID}) },
+		OnExpired: func() {
 			for _, ev := range s.notSent(e.ID) {
 				s.m.loop.Post(ev)
 			}
@@ -297,5 +297,5 @@
 // notSent frees the circuit of a set-up that never left.
 func (s *server) notSent(id core.ID) []core.Event {
 	s.trunk.do(func(time.Time) { s.trunk.NotSent(id) })
-	return []core.Event{core.NotSent{Server: s.name, Link: s.link, ID: id}}
+	return []core.Event{core.NotSent{Server: s.name, Conn: s.link, ID: id}}
 }
--- a/internal/maintenance/maintenance_test.go
+++ b/internal/maintenance/maintenance_test.go
@@ -52,28 +52,28 @@
 
 func short() Limits {
 	l := Defaults()
-	l.Lease, l.Work, l.Round = 2*second, 4*second, 200*time.Millisecond
+	l.Lease, l.WorkLease, l.Round = 2*second, 4*second, 200*time.Millisecond
 	return l
 }
 
 func (w *world) start(m int) {
-	r, out, err := New(Config{Self: m, Tier: len(w.rs), Zone: w.zones[m], Name: fmt.Sprint("n", m), Limits: w.limits, Seed: uint64(w.seq), Without: w.without}, w.now)
+	r, out, err := New(Config{Self: m, TierSize: len(w.rs), Zone: w.zones[m], Name: fmt.Sprint("n", m), Limits: w.limits, Seed: uint64(w.seq), DisabledGuards: w.without}, w.now)
 	if err != nil {
 		w.Fatal(err)
 	}
 	w.rs[m], w.drains[m] = r, false
 	w.carry(m, out)
 	for o := range w.rs {
-		w.step(m, There{Member: o, Yes: true})
-		w.step(o, There{Member: m, Yes: true})
+		w.step(m, MemberAvailability{Member: o, Available: true})
+		w.step(o, MemberAvailability{Member: m, Available: true})
 	}
-	w.step(m, Serving{Yes: true})
+	w.step(m, Serving{Serving: true})
 }
 
 func (w *world) kill(m int) {
 	w.rs[m], w.drains[m] = nil, false
 	for o := range w.rs {
-		w.step(o, There{Member: m})
+		w.step(o, MemberAvailability{Member: m})
 	}
 }
 
@@ -92,7 +92,7 @@
 	for _, e := range out {
 		switch e := e.(type) {
 		case Send:
-			if len(e.Data) > datagram.Max {
+			if len(e.Data) > datagram.MaxSize {
 				w.Errorf("a datagram of %d bytes", len(e.Data))
 			}
 			if w.cut != nil && w.cut(m, e.To) || w.rng.Float64() < w.loss {
@@ -100,13 +100,13 @@
 			}
 			w.push(time.Millisecond, e.To, Datagram{From: m, Data: e.Data})
 		case Timer:
-			w.push(max(e.At-w.now, 0), m, Due{Token: e.Token})
+			w.push(max(e.At-w.now, 0), m, TimerFired{Token: e.Token})
 		case Drain:
 			if w.drains[m] = e.On; e.On {
 				w.at[m] = w.now
 				w.push(300*time.Millisecond, m, Drained{})
 			}
-		case Told:
+		case RequestChanged:
 			if e.Member == m {
 				w.stages[m] = append(w.stages[m], e.Record.Stage)
 			}
@@ -157,7 +157,7 @@
 	for end := w.now + d; w.now < end; {
 		w.pass(100 * time.Millisecond)
 		for _, m := range w.outNow() {
-			if w.rs[m].State().Records[m].Stage == Ready {
+			if w.rs[m].Status().Records[m].Stage == Ready {
 				w.step(m, Cancel{Members: []int{m}})
 			}
 		}
@@ -207,8 +207,8 @@
 			t.Errorf("%d were out at once", w.most)
 		}
 		for _, r := range w.rs {
-			for m, e := range r.State().Records {
-				if !e.Stage.Over() {
+			for m, e := range r.Status().Records {
+				if !e.Stage.Ended() {
 					t.Errorf("member %d is %v in the end", m, e.Stage)
 				}
 			}
@@ -315,7 +315,7 @@
 		t.Fatalf("out: %v", got)
 	}
 	for m := range w.rs {
-		w.step(m, Budget{B: 1})
+		w.step(m, SetBudget{Budget: 1})
 	}
 	out := w.outNow()
 	for range 2 {
@@ -338,7 +338,7 @@
 	w.step(1, Request{Members: []int{0, 1}})
 	w.pass(800 * time.Millisecond)
 	first := w.outNow()[0]
-	if s := w.rs[first].State().Records[first].Stage; s != Ready {
+	if s := w.rs[first].Status().Records[first].Stage; s != Ready {
 		t.Fatalf("member %d is %v", first, s)
 	}
 	w.kill(first)
@@ -355,12 +355,12 @@
 // machine may be away would else hold it that long.
 func TestLostRelease(t *testing.T) {
 	l := short()
-	l.Work = time.Hour
+	l.WorkLease = time.Hour
 	w := begin(t, 3, l)
 	w.pass(2 * second)
 	w.step(0, Request{Members: []int{0, 1}})
 	w.pass(800 * time.Millisecond)
-	if got := w.outNow(); !slices.Equal(got, []int{0}) || w.rs[0].State().Records[0].Stage != Ready {
+	if got := w.outNow(); !slices.Equal(got, []int{0}) || w.rs[0].Status().Records[0].Stage != Ready {
 		t.Fatalf("out: %v", got)
 	}
 	w.cut = func(from, to int) bool { return from == 0 }
@@ -394,10 +394,10 @@
 	w.pass(20 * second)
 	most := uint64(0)
 	for m, r := range w.rs {
-		if s := r.State(); !s.Settled {
+		if s := r.Status(); !s.Recovered {
 			t.Errorf("member %d is not settled", m)
 		} else {
-			most = max(most, s.Figures.Sent)
+			most = max(most, s.Counters.Sent)
 		}
 	}
 	if most > 250 { // 59 queries, some again, and as many answers to others'
@@ -409,7 +409,7 @@
 func TestMerge(t *testing.T) {
 	r := rand.New(rand.NewPCG(3, 4))
 	draw := func() Record {
-		return Record{Gen: 1 + r.Uint32N(3), Asked: 1 + r.Uint64N(3), Try: r.Uint32N(3), Stage: Stage(1 + r.IntN(int(stages)-1)), Slot: uint8(r.IntN(2)), Epoch: r.Uint64N(3)}
+		return Record{Generation: 1 + r.Uint32N(3), RequestedAt: 1 + r.Uint64N(3), Restarts: r.Uint32N(3), Stage: Stage(1 + r.IntN(int(stages)-1)), Slot: uint8(r.IntN(2)), Epoch: r.Uint64N(3)}
 	}
 	for range 20000 {
 		a, b, c := draw(), draw(), draw()
@@ -417,7 +417,7 @@
 			t.Fatalf("%+v, %+v, %+v", a, b, c)
 		}
 	}
-	if got := Merge(Record{Gen: 1, Asked: 5, Stage: Out, Epoch: 9}, Record{Gen: 1, Asked: 4, Stage: Waiting}); got != (Record{Gen: 1, Asked: 4, Stage: Out, Epoch: 9}) {
+	if got := Merge(Record{Generation: 1, RequestedAt: 5, Stage: Draining, Epoch: 9}, Record{Generation: 1, RequestedAt: 4, Stage: Waiting}); got != (Record{Generation: 1, RequestedAt: 4, Stage: Draining, Epoch: 9}) {
 		t.Errorf("%+v", got)
 	}
 }
@@ -429,7 +429,7 @@
 	good := w.rs[1].encode(message{Kind: ask, Slot: 0, Epoch: 1 << 62, Lease: 1000})
 	other := begin(t, 4, short()).rs[1].encode(message{Kind: ask, Epoch: 1 << 62, Lease: 1000})
 	r := w.rs[0]
-	before := r.State().Grants
+	before := r.Status().Grants
 	for i := range good {
 		bad := slices.Clone(good)
 		bad[i] ^= 8
@@ -438,16 +438,16 @@
 	}
 	version := slices.Clone(good)
 	version[0]++
-	r.Step(w.now, Datagram{From: 1, Data: datagram.Seal(version)})
+	r.Step(w.now, Datagram{From: 1, Data: datagram.FixChecksum(version)})
 	r.Step(w.now, Datagram{From: 1, Data: other})
 	r.Step(w.now, Datagram{From: 3, Data: good})
 	r.Step(w.now, Datagram{From: 1, Data: r.encode(message{Kind: news, Items: []int64{0, 1, 1, 0, 99, 0, 0}})})
-	f := r.State().Figures
-	if f.Garbled != uint64(2*len(good)+1) || f.Versions != 1 || f.Strange != 2 || !slices.Equal(r.State().Grants, before) {
-		t.Errorf("%+v, grants %v", f, r.State().Grants)
+	f := r.Status().Counters
+	if f.Malformed != uint64(2*len(good)+1) || f.VersionMismatches != 1 || f.UnknownSenders != 2 || !slices.Equal(r.Status().Grants, before) {
+		t.Errorf("%+v, grants %v", f, r.Status().Grants)
 	}
 	r.Step(w.now, Datagram{From: 1, Data: good})
-	if r.State().Grants[0].Holder != 1 {
+	if r.Status().Grants[0].Holder != 1 {
 		t.Error("a good one is not taken")
 	}
 }
@@ -456,13 +456,13 @@
 func FuzzDatagram(f *testing.F) {
 	f.Add([]byte{Version, 0x8a, 0, 5, 0, 1, 0, 1, 0x19, 3, 0xe8, 0xf5, 0, 0x60, 0x80})
 	f.Fuzz(func(t *testing.T, data []byte) {
-		r, _, err := New(Config{Tier: 5, Limits: Defaults()}, second)
+		r, _, err := New(Config{TierSize: 5, Limits: Defaults()}, second)
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, d := range [][]byte{data, datagram.Seal(append(slices.Clone(data), 0, 0, 0, 0))} {
+		for _, d := range [][]byte{data, datagram.FixChecksum(append(slices.Clone(data), 0, 0, 0, 0))} {
 			for _, e := range r.Step(2*second, Datagram{From: 1, Data: d}) {
-				if s, ok := e.(Send); ok && len(s.Data) > datagram.Max {
+				if s, ok := e.(Send); ok && len(s.Data) > datagram.MaxSize {
 					t.Errorf("a datagram of %d bytes", len(s.Data))
 				}
 			}
--- a/internal/maintenance/recover.go
+++ b/internal/maintenance/recover.go
@@ -27,12 +27,12 @@
 	}
 	r.queries++
 	ask := askedAtOnce
-	if int(r.queries)*askedAtOnce > 2*r.cfg.Tier {
+	if int(r.queries)*askedAtOnce > 2*r.cfg.TierSize {
 		ask = 1
 	}
-	for range r.cfg.Tier {
+	for range r.cfg.TierSize {
 		m := r.asking
-		r.asking = (r.asking + 1) % r.cfg.Tier
+		r.asking = (r.asking + 1) % r.cfg.TierSize
 		if a := r.answers[m]; m == r.cfg.Self || a.Came && a.Settled {
 			continue
 		}
@@ -50,7 +50,7 @@
 func (r *Reducer) settle() {
 	r.settled = true
 	for slot, g := range r.grants {
-		if g.Holder == r.cfg.Self && r.live(slot) && r.records[r.cfg.Self].Stage.Over() {
+		if g.Holder == r.cfg.Self && r.live(slot) && r.records[r.cfg.Self].Stage.Ended() {
 			r.release(slot, g.Epoch)
 		}
 	}
@@ -74,7 +74,7 @@
 	for s, g := range r.grants {
 		holder, left := -1, time.Duration(0)
 		if r.live(s) {
-			holder, left = g.Holder, g.Until-r.now
+			holder, left = g.Holder, g.Expiry-r.now
 		}
 		if r.lease != nil && r.lease.Slot == s {
 			holder, left = r.cfg.Self, max(r.lease.Until-r.now, left)
@@ -97,18 +97,18 @@
 		if left <= 0 {
 			continue
 		}
-		until := r.now + time.Duration(float64(left)*(1+2*r.cfg.Limits.Drift)) + r.cfg.Limits.Round
+		until := r.now + time.Duration(float64(left)*(1+2*r.cfg.Limits.MaxDrift)) + r.cfg.Limits.Round
 		g := &r.grants[slot]
 		switch {
 		case !r.live(int(slot)):
-			*g = Grant{Holder: int(w[1]), Epoch: uint64(w[3]), Until: until}
+			*g = Grant{Holder: int(w[1]), Epoch: uint64(w[3]), Expiry: until}
 			if w[1] < 0 {
 				g.Holder = somebody
 			}
 		case g.Holder == int(w[1]):
-			g.Epoch, g.Until = max(g.Epoch, uint64(w[3])), max(g.Until, until)
+			g.Epoch, g.Expiry = max(g.Epoch, uint64(w[3])), max(g.Expiry, until)
 		default:
-			g.Holder, g.Until = somebody, max(g.Until, until)
+			g.Holder, g.Expiry = somebody, max(g.Expiry, until)
 		}
 	}
 	if m.Sum == r.sum() {
@@ -123,17 +123,17 @@
 			settled++
 		}
 	}
-	if settled >= r.quorum() || all == r.cfg.Tier-1 {
+	if settled >= r.quorum() || all == r.cfg.TierSize-1 {
 		r.settle()
 	}
 }
 
-// State is what operators are shown. What it holds is the caller's.
-func (r *Reducer) State() State {
-	s := State{Settled: r.settled, Budget: r.cfg.Limits.Budget, Slot: -1, Queue: r.Queue(), Figures: r.figures}
+// Status is what operators are shown. What it holds is the caller's.
+func (r *Reducer) Status() Status {
+	s := Status{Recovered: r.settled, Budget: r.cfg.Limits.Budget, Slot: -1, Queue: r.Queue(), Counters: r.figures}
 	s.Records = append(s.Records, r.records...)
 	if r.lease != nil {
-		s.Slot, s.Epoch, s.Until = r.lease.Slot, r.lease.Epoch, r.lease.Until
+		s.Slot, s.Epoch, s.Expiry = r.lease.Slot, r.lease.Epoch, r.lease.Until
 	}
 	for slot := range r.grants {
 		g := r.grants[slot]
@@ -148,8 +148,8 @@
 // Names are those of the tier's members, by number, where they have told them.
 func (r *Reducer) Names() []string { return r.names }
 
-// Holds says whether this member believes that it holds a slot.
-func (r *Reducer) Holds() bool { return r.lease != nil }
+// HoldsSlot says whether this member believes that it holds a slot.
+func (r *Reducer) HoldsSlot() bool { return r.lease != nil }
 
-// Waits says whether a Drained is of use.
-func (r *Reducer) Waits() bool { return r.lease != nil && !r.drained }
+// AwaitsDrained says whether a Drained is of use.
+func (r *Reducer) AwaitsDrained() bool { return r.lease != nil && !r.drained }
--- a/internal/maintenance/reducer.go
+++ b/internal/maintenance/reducer.go
@@ -16,12 +16,12 @@
 
 // Config is what a member is told.
 type Config struct {
-	Self, Tier int    // the own number, and how many members there are
-	Zone       int    // the own zone; -1: none is told
-	Name       string // the own name, as operators know it
-	Limits     Limits
-	Seed       uint64
-	Without    Guard // taken out, for checks that have to see a rule broken; no program sets it
+	Self, TierSize int    // the own number, and how many members there are
+	Zone           int    // the own zone; -1: none is told
+	Name           string // the own name, as operators know it
+	Limits         Limits
+	Seed           uint64
+	DisabledGuards Guard // taken out, for checks that have to see a rule broken; no program sets it
 }
 
 // Guard names a part of the protocol that a check can take out.
@@ -29,9 +29,9 @@
 
 // The guards.
 const (
-	GuardRecover Guard = 1 << iota // who starts anew grants nothing until it knows what it may have granted
-	GuardEnd                       // a holder stops believing in a lease that has run out
-	GuardBack                      // who loses its slot takes its callers back
+	GuardRecover   Guard = 1 << iota // who starts anew grants nothing until it knows what it may have granted
+	GuardExpiry                      // a holder stops believing in a lease that has run out
+	GuardStopDrain                   // who loses its slot takes its callers back
 )
 
 // round is one of asking the tier for a slot, or to go on granting it.
@@ -95,7 +95,7 @@
 	seq     uint32
 	ticks   uint32
 	cursor  int // whose record goes next
-	figures Figures
+	figures Counters
 }
 
 // somebody holds a slot of which answers to a query differ: nobody gets it until it has run out.
@@ -104,18 +104,18 @@
 // New begins a member's part.
 func New(cfg Config, now Time) (*Reducer, []Effect, error) {
 	switch {
-	case cfg.Tier < 1 || cfg.Tier > math.MaxUint16:
-		return nil, nil, fmt.Errorf("tier: %d members, not in [1, %d]", cfg.Tier, math.MaxUint16)
-	case cfg.Self < 0 || cfg.Self >= cfg.Tier:
-		return nil, nil, fmt.Errorf("self: %d is none of %d members", cfg.Self, cfg.Tier)
+	case cfg.TierSize < 1 || cfg.TierSize > math.MaxUint16:
+		return nil, nil, fmt.Errorf("tier: %d members, not in [1, %d]", cfg.TierSize, math.MaxUint16)
+	case cfg.Self < 0 || cfg.Self >= cfg.TierSize:
+		return nil, nil, fmt.Errorf("self: %d is none of %d members", cfg.Self, cfg.TierSize)
 	}
 	if err := cfg.Limits.Check(); err != nil {
 		return nil, nil, err
 	}
 	r := &Reducer{
 		cfg: cfg, now: now, began: now, rng: rand.New(rand.NewPCG(cfg.Seed, 0x6d61696e)),
-		records: make([]Record, cfg.Tier), fresh: make([]int, cfg.Tier), zones: make([]int8, cfg.Tier), names: make([]string, cfg.Tier),
-		there: make([]bool, cfg.Tier), answers: make([]answer, cfg.Tier), settled: cfg.Tier == 1,
+		records: make([]Record, cfg.TierSize), fresh: make([]int, cfg.TierSize), zones: make([]int8, cfg.TierSize), names: make([]string, cfg.TierSize),
+		there: make([]bool, cfg.TierSize), answers: make([]answer, cfg.TierSize), settled: cfg.TierSize == 1,
 	}
 	r.cfg.Name = cfg.Name[:min(len(cfg.Name), nameMost)]
 	r.names[cfg.Self] = r.cfg.Name
@@ -140,15 +140,15 @@
 	switch ev := ev.(type) {
 	case Datagram:
 		r.datagram(ev)
-	case Due:
+	case TimerFired:
 		r.timer(ev.Token)
 	case Request:
 		r.request(ev.Members)
 	case Cancel:
 		r.cancel(ev.Members)
-	case There:
-		if ev.Member >= 0 && ev.Member < r.cfg.Tier && ev.Member != r.cfg.Self {
-			r.there[ev.Member] = ev.Yes
+	case MemberAvailability:
+		if ev.Member >= 0 && ev.Member < r.cfg.TierSize && ev.Member != r.cfg.Self {
+			r.there[ev.Member] = ev.Available
 		}
 	case Drained:
 		if r.lease != nil && !r.drained {
@@ -156,11 +156,11 @@
 			r.renew()
 		}
 	case Serving:
-		r.serving = ev.Yes
+		r.serving = ev.Serving
 		r.consider()
-	case Budget:
-		if ev.B >= 1 && ev.B <= Slots {
-			r.cfg.Limits.Budget = ev.B
+	case SetBudget:
+		if ev.Budget >= 1 && ev.Budget <= Slots {
+			r.cfg.Limits.Budget = ev.Budget
 		}
 	}
 	return r.take()
@@ -173,9 +173,9 @@
 }
 
 func (r *Reducer) do(e Effect)      { r.out = append(r.out, e) }
-func (r *Reducer) has(g Guard) bool { return r.cfg.Without&g == 0 }
+func (r *Reducer) has(g Guard) bool { return r.cfg.DisabledGuards&g == 0 }
 func (r *Reducer) number() uint32   { r.seq++; return r.seq }
-func (r *Reducer) quorum() int      { return r.cfg.Tier/2 + 1 }
+func (r *Reducer) quorum() int      { return r.cfg.TierSize/2 + 1 }
 
 // next asks for the next look.
 func (r *Reducer) next(in time.Duration) {
@@ -214,10 +214,10 @@
 // fence ends a lease that has run out, before anything else: a holder that stood still past it does not believe that it
 // holds it when it wakes.
 func (r *Reducer) fence() {
-	if r.lease == nil || r.now < r.lease.Until || !r.has(GuardEnd) {
+	if r.lease == nil || r.now < r.lease.Until || !r.has(GuardExpiry) {
 		return
 	}
-	r.figures.Lost++
+	r.figures.Expired++
 	r.giveUp()
 	r.again()
 }
@@ -225,7 +225,7 @@
 // giveUp is left without a slot, and takes its callers back.
 func (r *Reducer) giveUp() {
 	r.lease, r.round, r.drained = nil, nil, false
-	if r.has(GuardBack) {
+	if r.has(GuardStopDrain) {
 		r.do(Drain{})
 	}
 }
@@ -233,10 +233,10 @@
 // again has the own request begin again.
 func (r *Reducer) again() {
 	e := r.records[r.cfg.Self]
-	if e.Stage.Over() {
+	if e.Stage.Ended() {
 		return
 	}
-	e.Try++
+	e.Restarts++
 	e.Stage = Waiting
 	r.set(r.cfg.Self, e)
 }
@@ -247,10 +247,10 @@
 		return
 	}
 	for _, m := range members {
-		if m < 0 || m >= r.cfg.Tier || !r.records[m].Stage.Over() {
+		if m < 0 || m >= r.cfg.TierSize || !r.records[m].Stage.Ended() {
 			continue
 		}
-		r.set(m, Record{Gen: r.records[m].Gen + 1, Asked: uint64(r.now / time.Millisecond), Stage: Waiting})
+		r.set(m, Record{Generation: r.records[m].Generation + 1, RequestedAt: uint64(r.now / time.Millisecond), Stage: Waiting})
 	}
 	r.consider()
 }
@@ -258,7 +258,7 @@
 // cancel withdraws requests; of a member that is ready for work it says that the work is done.
 func (r *Reducer) cancel(members []int) {
 	for _, m := range members {
-		if m < 0 || m >= r.cfg.Tier || r.records[m].Stage.Over() {
+		if m < 0 || m >= r.cfg.TierSize || r.records[m].Stage.Ended() {
 			continue
 		}
 		e := r.records[m]
@@ -277,12 +277,12 @@
 		return
 	}
 	r.records[m] = e
-	r.fresh[m] = r.cfg.Limits.Passes
-	r.do(Told{m, e})
+	r.fresh[m] = r.cfg.Limits.Transmissions
+	r.do(RequestChanged{m, e})
 	for _, to := range r.some(3) {
 		r.sendRecords(to, []int{m})
 	}
-	if m == r.cfg.Self && e.Stage.Over() {
+	if m == r.cfg.Self && e.Stage.Ended() {
 		if r.lease != nil {
 			r.release(r.lease.Slot, r.lease.Epoch)
 			r.giveUp()
@@ -301,18 +301,18 @@
 		switch e.Stage {
 		case Waiting:
 			waiting = append(waiting, m)
-		case Out, Ready:
+		case Draining, Ready:
 			busy[r.zones[m]]++
 		}
 	}
 	slices.SortStableFunc(waiting, func(a, b int) int {
-		return int(int64(r.records[a].Asked) - int64(r.records[b].Asked))
+		return int(int64(r.records[a].RequestedAt) - int64(r.records[b].RequestedAt))
 	})
 	var queue []int
 	for len(waiting) > 0 {
 		best := 0
 		for i, m := range waiting {
-			if r.records[m].Asked != r.records[waiting[0]].Asked {
+			if r.records[m].RequestedAt != r.records[waiting[0]].RequestedAt {
 				break
 			}
 			if busy[r.zones[m]] < busy[r.zones[waiting[best]]] {
@@ -330,7 +330,7 @@
 // consider looks whether the own turn has come, or the own work is over.
 func (r *Reducer) consider() {
 	e := r.records[r.cfg.Self]
-	if !r.settled || r.lease != nil || r.round != nil || r.now < r.retry || e.Stage.Over() {
+	if !r.settled || r.lease != nil || r.round != nil || r.now < r.retry || e.Stage.Ended() {
 		return
 	}
 	if e.Stage != Waiting { // of an earlier life
@@ -370,7 +370,7 @@
 // live says whether a slot is granted to somebody now, for all that this member knows.
 func (r *Reducer) live(slot int) bool {
 	g := r.grants[slot]
-	return g.Holder != -1 && r.now < g.Until
+	return g.Holder != -1 && r.now < g.Expiry
 }
 
 // usable are the slots, from the first, that may be granted anew: B of them, less those that a greater B let out.
@@ -387,8 +387,8 @@
 // ask begins a round: with these members, or with all.
 func (r *Reducer) ask(slot int, epoch uint64, lease time.Duration, with []int) {
 	r.round = &round{Seq: r.number(), Slot: slot, Epoch: epoch, Began: r.now, Lease: lease}
-	r.figures.Asked++
-	for m := range r.cfg.Tier {
+	r.figures.Rounds++
+	for m := range r.cfg.TierSize {
 		if m != r.cfg.Self && (with == nil || slices.Contains(with, m)) {
 			r.round.With = append(r.round.With, m)
 		}
@@ -423,7 +423,7 @@
 	}
 	for_ := r.cfg.Limits.Lease
 	if r.drained {
-		for_ = r.cfg.Limits.Work
+		for_ = r.cfg.Limits.WorkLease
 	}
 	r.ask(l.Slot, l.Epoch, for_, with)
 }
@@ -433,7 +433,7 @@
 	g := &r.grants[slot]
 	mine := g.Holder == from && epoch == g.Epoch
 	switch {
-	case !r.settled, lease <= 0 || lease > r.cfg.Limits.Work:
+	case !r.settled, lease <= 0 || lease > r.cfg.Limits.WorkLease:
 	case r.live(slot) && mine:
 		yes = true
 	case r.live(slot) && g.Holder != from: // its earlier life, or lease, is over by its own word
@@ -445,15 +445,15 @@
 	if yes {
 		until := r.now + lease
 		if mine {
-			until = max(until, g.Until)
+			until = max(until, g.Expiry)
 		}
-		*g = Grant{Holder: from, Epoch: epoch, Until: until}
+		*g = Grant{Holder: from, Epoch: epoch, Expiry: until}
 		r.tops[slot] = max(r.tops[slot], epoch)
-		r.figures.Yes++
+		r.figures.VotesGranted++
 		return true, nil
 	}
-	r.figures.No++
-	return false, []int64{int64(max(g.Holder, -1)), int64(max(g.Until-r.now, 0) / time.Millisecond), int64(r.tops[slot])}
+	r.figures.VotesRefused++
+	return false, []int64{int64(max(g.Holder, -1)), int64(max(g.Expiry-r.now, 0) / time.Millisecond), int64(r.tops[slot])}
 }
 
 // granted counts a yes; at a majority the slot is held, from when it was first asked for.
@@ -475,11 +475,11 @@
 	if r.lease == nil {
 		r.figures.Granted++
 		r.lease = &lease{Slot: w.Slot, Epoch: w.Epoch}
-		e.Stage, e.Slot, e.Epoch = Out, uint8(w.Slot), w.Epoch
+		e.Stage, e.Slot, e.Epoch = Draining, uint8(w.Slot), w.Epoch
 		r.do(Drain{On: true})
 	} else {
 		r.figures.Renewed++
-		if r.drained && w.Lease == r.cfg.Limits.Work {
+		if r.drained && w.Lease == r.cfg.Limits.WorkLease {
 			e.Stage = Ready
 		}
 	}
@@ -492,7 +492,7 @@
 // refused counts a no.
 func (r *Reducer) refused(seq uint32) {
 	if w := r.round; w != nil && w.Seq == seq {
-		if w.No++; w.No > r.cfg.Tier-r.quorum() {
+		if w.No++; w.No > r.cfg.TierSize-r.quorum() {
 			r.lose()
 		}
 	}
@@ -515,13 +515,13 @@
 
 // release tells all that this member holds a slot no more by this epoch, now and a few times more.
 func (r *Reducer) release(slot int, epoch uint64) {
-	r.back = append(r.back, giving{slot, epoch, r.cfg.Limits.Passes})
+	r.back = append(r.back, giving{slot, epoch, r.cfg.Limits.Transmissions})
 	r.tellRelease(slot, epoch)
 	r.released(r.cfg.Self, slot, epoch)
 }
 
 func (r *Reducer) tellRelease(slot int, epoch uint64) {
-	for m := range r.cfg.Tier {
+	for m := range r.cfg.TierSize {
 		if m != r.cfg.Self {
 			r.send(m, message{Kind: release, Slot: uint8(slot), Epoch: epoch})
 		}
@@ -571,7 +571,7 @@
 	var due []int
 	for i := range r.records {
 		m := (r.cursor + i) % len(r.records)
-		if r.fresh[m] > 0 || !r.records[m].Stage.Over() {
+		if r.fresh[m] > 0 || !r.records[m].Stage.Ended() {
 			due = append(due, m)
 		}
 	}
@@ -589,8 +589,8 @@
 // sendRecords sends as many of these members' records as fit, and says how many did.
 func (r *Reducer) sendRecords(to int, members []int) (n int) {
 	m := message{Kind: news, Seq: math.MaxUint32, Sum: math.MaxUint32, Lease: math.MaxUint32, Epoch: 0}
-	m.Tier, m.Zone, m.Name = uint16(r.cfg.Tier), int8(r.cfg.Zone), r.cfg.Name
-	room := datagram.Max - datagram.Overhead - datagram.Size(m) - 2
+	m.Tier, m.Zone, m.Name = uint16(r.cfg.TierSize), int8(r.cfg.Zone), r.cfg.Name
+	room := datagram.MaxSize - datagram.Overhead - datagram.Size(m) - 2
 	for _, of := range members {
 		w := items(of, r.records[of])
 		for _, v := range w {
@@ -614,7 +614,7 @@
 	m.Settled, m.Sum = r.settled, r.sum()
 	data := r.encode(m)
 	r.figures.Sent++
-	r.figures.Bytes += uint64(len(data))
+	r.figures.SentBytes += uint64(len(data))
 	r.do(Send{To: to, Data: data})
 }
 
@@ -633,8 +633,8 @@
 
 // datagram takes one in.
 func (r *Reducer) datagram(d Datagram) {
-	if d.From < 0 || d.From >= r.cfg.Tier {
-		r.figures.Strange++
+	if d.From < 0 || d.From >= r.cfg.TierSize {
+		r.figures.UnknownSenders++
 		return
 	}
 	if d.From == r.cfg.Self {
@@ -643,13 +643,13 @@
 	m, records, err := r.decode(d.Data)
 	switch {
 	case errors.Is(err, datagram.ErrVersion):
-		r.figures.Versions++
+		r.figures.VersionMismatches++
 		return
 	case err != nil:
-		r.figures.Garbled++
+		r.figures.Malformed++
 		return
-	case int(m.Tier) != r.cfg.Tier:
-		r.figures.Strange++
+	case int(m.Tier) != r.cfg.TierSize:
+		r.figures.UnknownSenders++
 		return
 	}
 	r.zones[d.From], r.names[d.From] = m.Zone, m.Name
--- a/internal/maintenance/types.go
+++ b/internal/maintenance/types.go
@@ -30,10 +30,10 @@
 
 // The stages. The last two end a request.
 const (
-	None    Stage = iota
-	Waiting       // for its turn
-	Out           // it sends its callers away
-	Ready         // for work: nothing is left on it
+	None     Stage = iota
+	Waiting        // for its turn
+	Draining       // it sends its callers away
+	Ready          // for work: nothing is left on it
 	Withdrawn
 	Done
 	stages
@@ -48,17 +48,17 @@
 	return fmt.Sprintf("Stage(%d)", uint8(s))
 }
 
-// Over says whether a request in this stage has ended, or was never made.
-func (s Stage) Over() bool { return s == None || s >= Withdrawn }
+// Ended says whether a request in this stage has ended, or was never made.
+func (s Stage) Ended() bool { return s == None || s >= Withdrawn }
 
 // Record is the last request for a member.
 type Record struct {
-	Gen   uint32 // how many there have been
-	Asked uint64 // when, by the clock of who was asked, in milliseconds since the Unix epoch
-	Try   uint32 // times that it had to begin again
-	Stage Stage
-	Slot  uint8  // that it is out by
-	Epoch uint64 // of that grant: a later grant of any slot has a higher one
+	Generation  uint32 // how many there have been
+	RequestedAt uint64 // when, by the clock of who was asked, in milliseconds since the Unix epoch
+	Restarts    uint32 // times that it had to begin again
+	Stage       Stage
+	Slot        uint8  // that it is out by
+	Epoch       uint64 // of that grant: a later grant of any slot has a higher one
 }
 
 // Merge is what is known after both have been heard. It is commutative, associative and idempotent: whatever order news
@@ -68,8 +68,8 @@
 	if less(a, b) {
 		a, b = b, a
 	}
-	if a.Gen == b.Gen && b.Asked > 0 {
-		a.Asked = min(a.Asked, b.Asked)
+	if a.Generation == b.Generation && b.RequestedAt > 0 {
+		a.RequestedAt = min(a.RequestedAt, b.RequestedAt)
 	}
 	return a
 }
@@ -77,14 +77,14 @@
 // less orders records: an end stands over all else of its generation, then a later try, then a later stage.
 func less(a, b Record) bool {
 	switch {
-	case a.Gen != b.Gen:
-		return a.Gen < b.Gen
-	case a.Stage.Over() != b.Stage.Over():
-		return b.Stage.Over()
-	case a.Stage.Over() && a.Stage != b.Stage:
+	case a.Generation != b.Generation:
+		return a.Generation < b.Generation
+	case a.Stage.Ended() != b.Stage.Ended():
+		return b.Stage.Ended()
+	case a.Stage.Ended() && a.Stage != b.Stage:
 		return a.Stage < b.Stage
-	case a.Try != b.Try:
-		return a.Try < b.Try
+	case a.Restarts != b.Restarts:
+		return a.Restarts < b.Restarts
 	case a.Stage != b.Stage:
 		return a.Stage < b.Stage
 	case a.Epoch != b.Epoch:
@@ -95,17 +95,17 @@
 
 // Limits are the times and counts. Check says which make no sense.
 type Limits struct {
-	Budget int           // B: members that may be out at once
-	Lease  time.Duration // of a member that sends its callers away
-	Work   time.Duration // of one that is ready for work: the longest that a machine may stay away and keep its slot
-	Round  time.Duration // in which a majority has to answer, and between looks at the queue
-	Drift  float64       // share by which clocks may differ in their pace
-	Passes int           // times that news is passed on
+	Budget        int           // B: members that may be out at once
+	Lease         time.Duration // of a member that sends its callers away
+	WorkLease     time.Duration // of one that is ready for work: the longest that a machine may stay away and keep its slot
+	Round         time.Duration // in which a majority has to answer, and between looks at the queue
+	MaxDrift      float64       // share by which clocks may differ in their pace
+	Transmissions int           // times that news is passed on
 }
 
 // Defaults are limits for the platform.
 func Defaults() Limits {
-	return Limits{Budget: 1, Lease: 6 * time.Second, Work: 5 * time.Minute, Round: 500 * time.Millisecond, Drift: 0.01, Passes: 6}
+	return Limits{Budget: 1, Lease: 6 * time.Second, WorkLease: 5 * time.Minute, Round: 500 * time.Millisecond, MaxDrift: 0.01, Transmissions: 6}
 }
 
 // Check names the first limit that makes no sense.
@@ -117,24 +117,24 @@
 		return fmt.Errorf("round: %v, not in [10ms, 10s]", l.Round)
 	case l.Lease < 4*l.Round || l.Lease > time.Hour:
 		return fmt.Errorf("lease: %v, not in [4 rounds, 1h]", l.Lease)
-	case l.Work < l.Lease || l.Work > 24*time.Hour:
-		return fmt.Errorf("work: %v, not in [lease, 24h]", l.Work)
-	case !(l.Drift >= 0 && l.Drift <= 0.2):
-		return fmt.Errorf("drift: %v, not in [0, 0.2]", l.Drift)
-	case l.Passes < 1 || l.Passes > 64:
-		return fmt.Errorf("passes: %d, not in [1, 64]", l.Passes)
+	case l.WorkLease < l.Lease || l.WorkLease > 24*time.Hour:
+		return fmt.Errorf("work: %v, not in [lease, 24h]", l.WorkLease)
+	case !(l.MaxDrift >= 0 && l.MaxDrift <= 0.2):
+		return fmt.Errorf("drift: %v, not in [0, 0.2]", l.MaxDrift)
+	case l.Transmissions < 1 || l.Transmissions > 64:
+		return fmt.Errorf("passes: %d, not in [1, 64]", l.Transmissions)
 	}
 	return nil
 }
 
 // longest is the longest that a grant may still count anywhere, by any clock.
 func (l Limits) longest() time.Duration {
-	return time.Duration(float64(l.Work)*(1+2*l.Drift)) + 2*l.Round
+	return time.Duration(float64(l.WorkLease)*(1+2*l.MaxDrift)) + 2*l.Round
 }
 
 // sure is for how long a holder believes in a lease, from the moment at which it first asked for it.
 func (l Limits) sure(lease time.Duration) time.Duration {
-	return time.Duration(float64(lease) * (1 - 2*l.Drift))
+	return time.Duration(float64(lease) * (1 - 2*l.MaxDrift))
 }
 
 // Event is something that has happened; see the types below.
@@ -146,32 +146,32 @@
 		From int
 		Data []byte
 	}
-	// Due is a timer that has come due.
-	Due struct{ Token Token }
+	// TimerFired is a timer that has come due.
+	TimerFired struct{ Token Token }
 	// Request asks for maintenance of members, by their numbers; Cancel withdraws it, or, of one that is out, ends it.
 	Request struct{ Members []int }
 	Cancel  struct{ Members []int }
-	// There says whether a member is held to be there (membership).
-	There struct {
-		Member int
-		Yes    bool
+	// MemberAvailability says whether a member is held to be there (membership).
+	MemberAvailability struct {
+		Member    int
+		Available bool
 	}
 	// Drained says that this member, which sends its callers away, has nothing left.
 	Drained struct{}
 	// Serving says whether this member takes calls: one that is back from work gives its slot back then.
-	Serving struct{ Yes bool }
-	// Budget is another B from now on: where it is lower, no more go out than that, and none is thrown back.
-	Budget struct{ B int }
+	Serving struct{ Serving bool }
+	// SetBudget is another B from now on: where it is lower, no more go out than that, and none is thrown back.
+	SetBudget struct{ Budget int }
 )
 
-func (Datagram) event() {}
-func (Due) event()      {}
-func (Request) event()  {}
-func (Cancel) event()   {}
-func (There) event()    {}
-func (Drained) event()  {}
-func (Serving) event()  {}
-func (Budget) event()   {}
+func (Datagram) event()           {}
+func (TimerFired) event()         {}
+func (Request) event()            {}
+func (Cancel) event()             {}
+func (MemberAvailability) event() {}
+func (Drained) event()            {}
+func (Serving) event()            {}
+func (SetBudget) event()          {}
 
 // Effect is something to be carried out; see the types below.
 type Effect interface{ effect() }
@@ -189,17 +189,17 @@
 	}
 	// Drain has this member send its callers away, or take them back.
 	Drain struct{ On bool }
-	// Told says that a member's request is in another stage now.
-	Told struct {
+	// RequestChanged says that a member's request is in another stage now.
+	RequestChanged struct {
 		Member int
 		Record Record
 	}
 )
 
-func (Send) effect()  {}
-func (Timer) effect() {}
-func (Drain) effect() {}
-func (Told) effect()  {}
+func (Send) effect()           {}
+func (Timer) effect()          {}
+func (Drain) effect()          {}
+func (RequestChanged) effect() {}
 
 // Token says what a timer is for.
 type Token struct {
@@ -217,36 +217,36 @@
 	tokenEnd                    // it is over by this member's clock
 )
 
-// Figures count what has been done since the start.
-type Figures struct {
-	Asked    uint64 // rounds begun for a slot
-	Granted  uint64 // and won
-	Renewed  uint64
-	Lost     uint64 // leases that ran out here
-	Yes, No  uint64 // answers given as one of the tier
-	Sent     uint64 // datagrams
-	Bytes    uint64
-	Garbled  uint64 // dropped
-	Versions uint64
-	Strange  uint64
+// Counters count what has been done since the start.
+type Counters struct {
+	Rounds                     uint64 // rounds begun for a slot
+	Granted                    uint64 // and won
+	Renewed                    uint64
+	Expired                    uint64 // leases that ran out here
+	VotesGranted, VotesRefused uint64 // answers given as one of the tier
+	Sent                       uint64 // datagrams
+	SentBytes                  uint64
+	Malformed                  uint64 // dropped
+	VersionMismatches          uint64
+	UnknownSenders             uint64
 }
 
 // Grant is what this member, as one of the tier, has granted of a slot.
 type Grant struct {
 	Holder int // -1: nobody
 	Epoch  uint64
-	Until  Time
+	Expiry Time
 }
 
-// State is what operators are shown.
-type State struct {
-	Settled bool // this member knows what it may have granted; until then it grants nothing and takes no request
-	Budget  int
-	Slot    int // held by this member; -1: none
-	Epoch   uint64
-	Until   Time // by its own clock
-	Queue   []int
-	Records []Record
-	Grants  []Grant // by slot
-	Figures Figures
+// Status is what operators are shown.
+type Status struct {
+	Recovered bool // this member knows what it may have granted; until then it grants nothing and takes no request
+	Budget    int
+	Slot      int // held by this member; -1: none
+	Epoch     uint64
+	Expiry    Time // by its own clock
+	Queue     []int
+	Records   []Record
+	Grants    []Grant // by slot
+	Counters  Counters
 }
--- a/internal/membership/belief.go
+++ b/internal/membership/belief.go
@@ -70,7 +70,7 @@
 		if u.state == Dead {
 			r.figures.Deaths++
 		}
-		r.do(Changed{Member: u.member, Was: was, Is: u.state, Incarnation: u.incarnation})
+		r.do(StateChanged{Member: u.member, Old: was, New: u.state, Incarnation: u.incarnation})
 	}
 	if spread {
 		r.spread(u)
@@ -123,7 +123,7 @@
 func (r *Reducer) patience(s *suspicion) time.Duration {
 	l := r.cfg.Limits
 	v := r.View()
-	n := float64(v.Tier - v.Down)
+	n := float64(v.TierSize - v.Down)
 	least := l.SuspicionMin * max(1, math.Log10(n)) * float64(l.Period)
 	most := l.SuspicionMax * least
 	needed := min(l.Confirm, int(n)-2)
@@ -178,7 +178,7 @@
 		first = append(first, r.held(to))
 	}
 	all := first
-	for _, p := range r.queue[:min(len(r.queue), r.cfg.Limits.Datagram/2)] { // no more fit
+	for _, p := range r.queue[:min(len(r.queue), r.cfg.Limits.MaxDatagram/2)] { // no more fit
 		all = append(all, p.update)
 	}
 	if taken := r.post(to, m, all) - len(first); taken > 0 {
@@ -189,8 +189,8 @@
 // post sends a datagram with as many updates as fit, and says how many did.
 func (r *Reducer) post(to int, m message, updates []update) int {
 	s := r.self()
-	m.Tier, m.State, m.Incarnation = uint16(r.cfg.Tier), s.State, s.Incarnation
-	data, n := m.encode(updates, r.cfg.Limits.Datagram)
+	m.Tier, m.State, m.Incarnation = uint16(r.cfg.TierSize), s.State, s.Incarnation
+	data, n := m.encode(updates, r.cfg.Limits.MaxDatagram)
 	r.figures.Sent++
 	r.figures.SentBytes += uint64(len(data))
 	r.do(Send{To: to, Data: data})
--- a/internal/membership/codec.go
+++ b/internal/membership/codec.go
@@ -82,23 +82,23 @@
 	switch {
 	case int(m.Tier) != n:
 		return m, nil, errTier
-	case m.Kind >= kinds, int(m.Target) >= n, m.Incarnation == 0, !m.State.There() && m.State != Left:
-		return m, nil, datagram.ErrGarbled
+	case m.Kind >= kinds, int(m.Target) >= n, m.Incarnation == 0, !m.State.Available() && m.State != Left:
+		return m, nil, datagram.ErrMalformed
 	}
 	for w := m.Updates; len(w) > 0; {
 		if len(w) < 2 {
-			return m, nil, datagram.ErrGarbled
+			return m, nil, datagram.ErrMalformed
 		}
 		u := update{member: int(w[0] >> stateBits), state: State(w[0] & (1<<stateBits - 1)), incarnation: m.Incarnation + uint64(w[1]), by: -1}
 		w = w[2:]
 		if u.state == Suspect {
 			if len(w) == 0 || w[0] < 0 || w[0] >= int64(n) {
-				return m, nil, datagram.ErrGarbled
+				return m, nil, datagram.ErrMalformed
 			}
 			u.by, w = int(w[0]), w[1:]
 		}
 		if u.member < 0 || u.member >= n || u.state == Unknown || u.state >= states {
-			return m, nil, datagram.ErrGarbled
+			return m, nil, datagram.ErrMalformed
 		}
 		updates = append(updates, u)
 	}
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -30,7 +30,7 @@
 }
 
 type tier struct {
-	*swarm.Swarm
+	*swarm.Simulation
 	weather
 	t *testing.T
 	n int
@@ -40,7 +40,7 @@
 	t.Helper()
 	x := &tier{t: t, weather: weather{loss: loss}, n: n}
 	var err error
-	if x.Swarm, err = swarm.New(swarm.Config{Members: n, Limits: membership.Defaults(), Seed: 7, Net: x.net}); err != nil {
+	if x.Simulation, err = swarm.New(swarm.Config{Members: n, Limits: membership.Defaults(), Seed: 7, Delays: x.net}); err != nil {
 		t.Fatal(err)
 	}
 	return x
@@ -56,8 +56,8 @@
 			continue
 		}
 		for j := range x.n {
-			got := x.Held(i, j).State
-			if x.Running(j) && !got.There() || !x.Running(j) && got != others {
+			got := x.StateOf(i, j).State
+			if x.Running(j) && !got.Available() || !x.Running(j) && got != others {
 				x.t.Errorf("%s: member %d holds member %d %v; it runs: %t", when, i, j, got, x.Running(j))
 			}
 		}
@@ -70,11 +70,11 @@
 	for _, away := range []time.Duration{20 * second, 100 * time.Millisecond} {
 		x := begin(t, 8, 0.3)
 		x.pass(10 * second)
-		old := x.Held(0, 3).Incarnation
+		old := x.StateOf(0, 3).Incarnation
 		x.Kill(3)
 		x.pass(away)
-		if away > second && x.Held(0, 3).State != membership.Dead {
-			t.Errorf("after %v it is held %v", away, x.Held(0, 3).State)
+		if away > second && x.StateOf(0, 3).State != membership.Dead {
+			t.Errorf("after %v it is held %v", away, x.StateOf(0, 3).State)
 		}
 		if err := x.Start(3); err != nil {
 			t.Fatal(err)
@@ -82,7 +82,7 @@
 		x.loss = 0
 		x.pass(8 * second)
 		x.agree("back", membership.Dead)
-		if now := x.Held(0, 3).Incarnation; now <= old {
+		if now := x.StateOf(0, 3).Incarnation; now <= old {
 			t.Errorf("incarnation %d after %d", now, old)
 		}
 	}
@@ -93,7 +93,7 @@
 func TestClockSetBack(t *testing.T) {
 	x := begin(t, 4, 0)
 	x.pass(5 * second)
-	old := x.Held(0, 3).Incarnation
+	old := x.StateOf(0, 3).Incarnation
 	x.Kill(3)
 	x.pass(10 * second)
 	x.Skew(3, -time.Hour)
@@ -102,7 +102,7 @@
 	}
 	x.pass(5 * second)
 	x.agree("clock set back", membership.Dead)
-	if now := x.Held(0, 3).Incarnation; now <= old {
+	if now := x.StateOf(0, 3).Incarnation; now <= old {
 		t.Errorf("incarnation %d after %d", now, old)
 	}
 }
@@ -116,9 +116,9 @@
 	x.pass(15 * second)
 	for m := range 5 {
 		v := x.Member(m).View()
-		want := map[bool]membership.View{true: {Tier: 5, There: 3, Down: 2}, false: {Tier: 5, There: 2, Down: 3}}[m < 3]
-		if v != want || v.Majority() != (m < 3) || v.ColdShare() != map[bool]float64{true: 1, false: 0.4}[m < 3] {
-			t.Errorf("member %d: %+v, majority %t, cold share %v", m, v, v.Majority(), v.ColdShare())
+		want := map[bool]membership.View{true: {TierSize: 5, Available: 3, Down: 2}, false: {TierSize: 5, Available: 2, Down: 3}}[m < 3]
+		if v != want || v.Majority() != (m < 3) || v.ColdQuotaFactor() != map[bool]float64{true: 1, false: 0.4}[m < 3] {
+			t.Errorf("member %d: %+v, majority %t, cold share %v", m, v, v.Majority(), v.ColdQuotaFactor())
 		}
 	}
 	x.cut = nil
@@ -129,11 +129,11 @@
 // A member that hears of nobody since its start is careful: it may be on the small side of a cut.
 func TestAloneIsCareful(t *testing.T) {
 	x := begin(t, 4, 1)
-	if got := x.Member(0).View().ColdShare(); got != 0.25 {
+	if got := x.Member(0).View().ColdQuotaFactor(); got != 0.25 {
 		t.Errorf("at the start %v", got)
 	}
 	x.pass(20 * second)
-	if got := x.Member(0).View().ColdShare(); got != 0.25 {
+	if got := x.Member(0).View().ColdQuotaFactor(); got != 0.25 {
 		t.Errorf("after 20 s alone %v", got)
 	}
 }
@@ -147,7 +147,7 @@
 	x.pass(20 * second)
 	for i := 1; i < 6; i++ {
 		for j := range 6 {
-			if got := x.Held(i, j).State; (got == membership.Dead) != (j == 0) {
+			if got := x.StateOf(i, j).State; (got == membership.Dead) != (j == 0) {
 				t.Errorf("member %d holds member %d %v", i, j, got)
 			}
 		}
@@ -161,8 +161,8 @@
 func TestFlapping(t *testing.T) {
 	x := begin(t, 6, 0.1)
 	x.pass(5 * second)
-	x.Watch = func(_ swarm.Time, observer int, c membership.Changed) {
-		if c.Is == membership.Dead && observer != 0 && c.Member != 0 {
+	x.OnChange = func(_ swarm.Time, observer int, c membership.StateChanged) {
+		if c.New == membership.Dead && observer != 0 && c.Member != 0 {
 			t.Errorf("member %d holds member %d dead", observer, c.Member)
 		}
 	}
@@ -187,17 +187,17 @@
 	x.Pause(5)
 	x.cut = nil
 	x.pass(20 * second)
-	if got := x.Held(0, 5).State; got != membership.Dead {
+	if got := x.StateOf(0, 5).State; got != membership.Dead {
 		t.Errorf("while it stands still it is held %v", got)
 	}
-	x.Watch = func(_ swarm.Time, observer int, c membership.Changed) {
-		if c.Is == membership.Dead && c.Member != 5 {
+	x.OnChange = func(_ swarm.Time, observer int, c membership.StateChanged) {
+		if c.New == membership.Dead && c.Member != 5 {
 			t.Errorf("member %d holds member %d dead", observer, c.Member)
 		}
 	}
 	x.Resume(5)
 	x.pass(8 * second)
-	if x.Member(5).Figures().Stalls == 0 {
+	if x.Member(5).Counters().Stalls == 0 {
 		t.Error("it noticed nothing")
 	}
 	x.agree("back", membership.Dead)
@@ -207,16 +207,16 @@
 func TestDrainAndLeave(t *testing.T) {
 	x := begin(t, 8, 0)
 	x.pass(8 * second)
-	x.Do(2, membership.Drain{On: true})
+	x.Inject(2, membership.Drain{On: true})
 	x.pass(4 * second)
-	if got := x.Held(5, 2).State; got != membership.Draining {
+	if got := x.StateOf(5, 2).State; got != membership.Draining {
 		t.Errorf("held %v while it drains", got)
 	}
-	x.Do(2, membership.Leave{})
+	x.Inject(2, membership.Leave{})
 	x.Kill(2)
 	x.pass(4 * second)
 	x.agree("left", membership.Left)
-	if n := x.Figures().Deaths; n != 0 {
+	if n := x.Counters().Deaths; n != 0 {
 		t.Errorf("%d held dead", n)
 	}
 }
@@ -228,18 +228,18 @@
 	for m := range 270 {
 		x.Kill(m)
 	}
-	before := x.Figures()
+	before := x.Counters()
 	x.pass(second)
 	for m := range 270 {
 		x.Start(m)
 	}
 	x.pass(10 * second)
-	f := x.Figures()
+	f := x.Counters()
 	n := f.Sent - before.Sent
 	if each := float64(n) / 270 / 10; each > 12 {
 		t.Errorf("%.1f datagrams a member and second", each)
 	}
-	if size := (f.SentBytes - before.SentBytes) / n; size > datagram.Max {
+	if size := (f.SentBytes - before.SentBytes) / n; size > datagram.MaxSize {
 		t.Errorf("%d bytes a datagram", size)
 	}
 	x.pass(60 * second)
@@ -251,11 +251,11 @@
 func TestDropped(t *testing.T) {
 	limits := membership.Defaults()
 	fresh := func(self, tier int) (*membership.Reducer, []byte) {
-		r, out, err := membership.New(membership.Config{Self: self, Tier: tier, Limits: limits}, swarm.Epoch)
+		r, out, err := membership.New(membership.Config{Self: self, TierSize: tier, Limits: limits}, swarm.Epoch)
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, e := range r.Step(swarm.Epoch+second/2, membership.Due{Token: out[0].(membership.Timer).Token}) {
+		for _, e := range r.Step(swarm.Epoch+second/2, membership.TimerFired{Token: out[0].(membership.Timer).Token}) {
 			if s, ok := e.(membership.Send); ok {
 				return r, s.Data
 			}
@@ -266,7 +266,7 @@
 	r, _ := fresh(0, 2)
 	_, good := fresh(1, 2)
 	_, other := fresh(1, 3)
-	late, _, _ := membership.New(membership.Config{Self: 1, Tier: 2, Limits: limits}, swarm.Epoch+1000*time.Hour)
+	late, _, _ := membership.New(membership.Config{Self: 1, TierSize: 2, Limits: limits}, swarm.Epoch+1000*time.Hour)
 	late.Step(swarm.Epoch+1000*time.Hour, membership.Datagram{From: 0, Data: good})
 	var future []byte
 	for _, e := range late.Step(swarm.Epoch+1000*time.Hour, membership.Datagram{From: 0, Data: good}) {
@@ -278,14 +278,14 @@
 		name string
 		from int
 		data []byte
-		what func(membership.Figures) uint64
+		what func(membership.Counters) uint64
 	}{
-		{"nothing", 1, nil, func(f membership.Figures) uint64 { return f.Garbled }},
-		{"too long", 1, append(append([]byte(nil), good...), make([]byte, 256)...), func(f membership.Figures) uint64 { return f.Garbled }},
-		{"the future", 1, future, func(f membership.Figures) uint64 { return f.Garbled }},
-		{"a version", 1, datagram.Seal(version), func(f membership.Figures) uint64 { return f.Versions }},
-		{"another tier", 1, other, func(f membership.Figures) uint64 { return f.Strangers }},
-		{"nobody", 2, good, func(f membership.Figures) uint64 { return f.Strangers }},
+		{"nothing", 1, nil, func(f membership.Counters) uint64 { return f.Malformed }},
+		{"too long", 1, append(append([]byte(nil), good...), make([]byte, 256)...), func(f membership.Counters) uint64 { return f.Malformed }},
+		{"the future", 1, future, func(f membership.Counters) uint64 { return f.Malformed }},
+		{"a version", 1, datagram.FixChecksum(version), func(f membership.Counters) uint64 { return f.VersionMismatches }},
+		{"another tier", 1, other, func(f membership.Counters) uint64 { return f.UnknownSenders }},
+		{"nobody", 2, good, func(f membership.Counters) uint64 { return f.UnknownSenders }},
 	}
 	for i := range good {
 		flipped := append([]byte(nil), good...)
@@ -294,19 +294,19 @@
 			name string
 			from int
 			data []byte
-			what func(membership.Figures) uint64
-		}{"damaged", 1, flipped, func(f membership.Figures) uint64 { return f.Garbled }}, struct {
+			what func(membership.Counters) uint64
+		}{"damaged", 1, flipped, func(f membership.Counters) uint64 { return f.Malformed }}, struct {
 			name string
 			from int
 			data []byte
-			what func(membership.Figures) uint64
-		}{"cut short", 1, good[:i], func(f membership.Figures) uint64 { return f.Garbled }})
+			what func(membership.Counters) uint64
+		}{"cut short", 1, good[:i], func(f membership.Counters) uint64 { return f.Malformed }})
 	}
 	for _, c := range cases {
-		before := c.what(r.Figures())
+		before := c.what(r.Counters())
 		out := r.Step(swarm.Epoch+second/2, membership.Datagram{From: c.from, Data: c.data})
-		if c.what(r.Figures()) != before+1 || len(out) > 0 || r.Members()[1].State != membership.Unknown {
-			t.Errorf("%s: figures %+v, effects %v", c.name, r.Figures(), out)
+		if c.what(r.Counters()) != before+1 || len(out) > 0 || r.Members()[1].State != membership.Unknown {
+			t.Errorf("%s: figures %+v, effects %v", c.name, r.Counters(), out)
 		}
 	}
 	if out := r.Step(swarm.Epoch+second/2, membership.Datagram{From: 1, Data: good}); len(out) == 0 || r.Members()[1].State != membership.Alive {
@@ -318,13 +318,13 @@
 func FuzzDatagram(f *testing.F) {
 	f.Add([]byte{1, 0x87, 0, 2, 0, 0, 1, 1, 0x80})
 	f.Fuzz(func(t *testing.T, data []byte) {
-		r, _, err := membership.New(membership.Config{Self: 0, Tier: 5, Limits: membership.Defaults()}, swarm.Epoch)
+		r, _, err := membership.New(membership.Config{Self: 0, TierSize: 5, Limits: membership.Defaults()}, swarm.Epoch)
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, d := range [][]byte{data, datagram.Seal(append(append([]byte(nil), data...), 0, 0, 0, 0))} {
+		for _, d := range [][]byte{data, datagram.FixChecksum(append(append([]byte(nil), data...), 0, 0, 0, 0))} {
 			for _, e := range r.Step(swarm.Epoch+second, membership.Datagram{From: 1, Data: d}) {
-				if s, ok := e.(membership.Send); ok && len(s.Data) > datagram.Max {
+				if s, ok := e.(membership.Send); ok && len(s.Data) > datagram.MaxSize {
 					t.Errorf("a datagram of %d bytes", len(s.Data))
 				}
 			}
@@ -338,7 +338,7 @@
 		"period":        func(l *membership.Limits) { l.Period = 0 },
 		"timeout":       func(l *membership.Limits) { l.Timeout = l.Period },
 		"suspicion_min": func(l *membership.Limits) { l.SuspicionMin = 0 },
-		"datagram":      func(l *membership.Limits) { l.Datagram = 257 },
+		"datagram":      func(l *membership.Limits) { l.MaxDatagram = 257 },
 	} {
 		l := membership.Defaults()
 		spoil(&l)
@@ -354,8 +354,8 @@
 	suspicions := uint64(0)
 	for _, n := range []int{5, 8, 12} {
 		for seed := range uint64(8) {
-			o, err := swarm.Trial{Members: n, Limits: membership.Defaults(), Seed: seed, Loss: 0.3, Delay: 5 * time.Millisecond,
-				Warm: 10 * second, Span: 60 * second}.Run()
+			o, err := swarm.Experiment{Members: n, Limits: membership.Defaults(), Seed: seed, Loss: 0.3, MaxDelay: 5 * time.Millisecond,
+				WarmUp: 10 * second, Measured: 60 * second}.Run()
 			if err != nil || o.FalseDeaths > 0 {
 				t.Errorf("%d members, seed %d: %d held dead, %v", n, seed, o.FalseDeaths, err)
 			}
@@ -378,8 +378,8 @@
 		c.change(&l)
 		deaths := 0
 		for seed := range uint64(2) {
-			o, err := swarm.Trial{Members: 32, Limits: l, Seed: seed + 1, Delay: 5 * time.Millisecond, Warm: 10 * second, Span: 60 * second,
-				Troubled: 8, Pause: 4 * second, Every: 5 * second}.Run()
+			o, err := swarm.Experiment{Members: 32, Limits: l, Seed: seed + 1, MaxDelay: 5 * time.Millisecond, WarmUp: 10 * second, Measured: 60 * second,
+				Impaired: 8, PauseDuration: 4 * second, PauseInterval: 5 * second}.Run()
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/membership/reducer.go
+++ b/internal/membership/reducer.go
@@ -13,10 +13,10 @@
 
 // Config is what a member is told.
 type Config struct {
-	Self, Tier int // the own number, and how many members there are
-	Limits     Limits
-	Seed       uint64
-	Without    Guard // taken out, for checks that have to see a rule broken; no program sets it
+	Self, TierSize int // the own number, and how many members there are
+	Limits         Limits
+	Seed           uint64
+	DisabledGuards Guard // taken out, for checks that have to see a rule broken; no program sets it
 }
 
 // Guard names a part of the protocol that a check can take out.
@@ -28,7 +28,7 @@
 	GuardSuspect                   // a probe that failed makes a suspect
 )
 
-func (r *Reducer) has(g Guard) bool { return r.cfg.Without&g == 0 }
+func (r *Reducer) has(g Guard) bool { return r.cfg.DisabledGuards&g == 0 }
 
 // probe is the one under way.
 type probe struct {
@@ -80,7 +80,7 @@
 	asked       uint32
 	cursor      int // where the next list told begins
 	left        bool
-	figures     Figures
+	figures     Counters
 	transmitMax int
 }
 
@@ -89,18 +89,18 @@
 // that a tier that starts at once does not probe at once.
 func New(cfg Config, now Time) (*Reducer, []Effect, error) {
 	switch {
-	case cfg.Tier < 1 || cfg.Tier > math.MaxUint16:
-		return nil, nil, fmt.Errorf("tier: %d members, not in [1, %d]", cfg.Tier, math.MaxUint16)
-	case cfg.Self < 0 || cfg.Self >= cfg.Tier:
-		return nil, nil, fmt.Errorf("self: %d is none of %d members", cfg.Self, cfg.Tier)
+	case cfg.TierSize < 1 || cfg.TierSize > math.MaxUint16:
+		return nil, nil, fmt.Errorf("tier: %d members, not in [1, %d]", cfg.TierSize, math.MaxUint16)
+	case cfg.Self < 0 || cfg.Self >= cfg.TierSize:
+		return nil, nil, fmt.Errorf("self: %d is none of %d members", cfg.Self, cfg.TierSize)
 	}
 	if err := cfg.Limits.Check(); err != nil {
 		return nil, nil, err
 	}
 	r := &Reducer{
 		cfg: cfg, now: now, rng: rand.New(rand.NewPCG(cfg.Seed, 0x6d656d62)),
-		members: make([]Member, cfg.Tier), suspicions: make([]*suspicion, cfg.Tier),
-		transmitMax: cfg.Limits.Retransmit * int(math.Ceil(math.Log10(float64(cfg.Tier+1)))),
+		members: make([]Member, cfg.TierSize), suspicions: make([]*suspicion, cfg.TierSize),
+		transmitMax: cfg.Limits.Retransmit * int(math.Ceil(math.Log10(float64(cfg.TierSize+1)))),
 	}
 	r.members[cfg.Self] = Member{State: Alive, Incarnation: max(uint64(now/time.Millisecond), 1), Since: now}
 	r.begin(time.Duration(r.rng.Int64N(int64(cfg.Limits.Period))))
@@ -111,13 +111,13 @@
 // as the last one's.
 func (r *Reducer) Step(now Time, ev Event) []Effect {
 	r.now = max(now, r.now)
-	if stall := r.cfg.Limits.Stall; stall > 0 && r.now > r.due+stall && !r.left {
+	if stall := r.cfg.Limits.StallThreshold; stall > 0 && r.now > r.due+stall && !r.left {
 		r.woke()
 	}
 	switch ev := ev.(type) {
 	case Datagram:
 		r.datagram(ev)
-	case Due:
+	case TimerFired:
 		r.timer(ev.Token)
 	case Drain:
 		r.drain(ev.On)
@@ -142,7 +142,7 @@
 func (r *Reducer) scaled(d time.Duration) time.Duration { return d * time.Duration(r.health+1) }
 
 // feel moves the local health multiplier: up for the worse.
-func (r *Reducer) feel(by int) { r.health = min(max(r.health+by, 0), r.cfg.Limits.Health) }
+func (r *Reducer) feel(by int) { r.health = min(max(r.health+by, 0), r.cfg.Limits.MaxHealth) }
 
 // begin asks for the next period.
 func (r *Reducer) begin(in time.Duration) {
@@ -186,7 +186,7 @@
 		r.do(Timer{At: r.now + r.scaled(r.cfg.Limits.Timeout), Token: Token{kind: tokenDirect, seq: r.probe.Seq}})
 	}
 	r.insist()
-	if r.periods%uint32(r.cfg.Limits.Reclaim) == 0 {
+	if r.periods%uint32(r.cfg.Limits.ReclaimPeriods) == 0 {
 		r.reclaim()
 	}
 	r.begin(r.scaled(r.cfg.Limits.Period))
@@ -229,7 +229,7 @@
 func (r *Reducer) some(n, without int) []int {
 	var there []int
 	for m := range r.members {
-		if m != r.cfg.Self && m != without && r.members[m].State.There() {
+		if m != r.cfg.Self && m != without && r.members[m].State.Available() {
 			there = append(there, m)
 		}
 	}
@@ -315,7 +315,7 @@
 	}
 	s.State, s.Since = want, r.now
 	s.Incarnation++
-	r.do(Changed{Member: r.cfg.Self, Was: Alive + Draining - want, Is: want, Incarnation: s.Incarnation})
+	r.do(StateChanged{Member: r.cfg.Self, Old: Alive + Draining - want, New: want, Incarnation: s.Incarnation})
 }
 
 // leave tells some members that this one ends in order.
@@ -337,34 +337,34 @@
 
 // datagram takes one in.
 func (r *Reducer) datagram(d Datagram) {
-	if d.From < 0 || d.From >= r.cfg.Tier {
-		r.figures.Strangers++
+	if d.From < 0 || d.From >= r.cfg.TierSize {
+		r.figures.UnknownSenders++
 		return
 	}
 	if d.From == r.cfg.Self { // by peers_all
 		return
 	}
-	m, updates, err := decode(d.Data, r.cfg.Tier, r.cfg.Limits.Datagram)
+	m, updates, err := decode(d.Data, r.cfg.TierSize, r.cfg.Limits.MaxDatagram)
 	if err == nil && r.beyond(m.Incarnation) {
-		err = datagram.ErrGarbled
+		err = datagram.ErrMalformed
 	}
 	switch {
 	case errors.Is(err, datagram.ErrVersion):
-		r.figures.Versions++
+		r.figures.VersionMismatches++
 		return
 	case errors.Is(err, errTier):
-		r.figures.Strangers++
+		r.figures.UnknownSenders++
 		return
 	case err != nil:
-		r.figures.Garbled++
+		r.figures.Malformed++
 		return
 	}
-	r.figures.Heard++
-	r.members[d.From].Heard = r.now
+	r.figures.Received++
+	r.members[d.From].LastReceived = r.now
 	r.apply(update{member: d.From, state: m.State, incarnation: m.Incarnation, by: -1}, true)
 	for _, u := range updates {
 		if r.beyond(u.incarnation) {
-			r.figures.Garbled++
+			r.figures.Malformed++
 			continue
 		}
 		r.apply(u, m.Kind != part)
@@ -374,7 +374,7 @@
 
 // beyond says whether an incarnation is further in the future than clocks differ: taken in, it could never be refuted.
 func (r *Reducer) beyond(incarnation uint64) bool {
-	return incarnation > uint64((r.now+r.cfg.Limits.Skew)/time.Millisecond)
+	return incarnation > uint64((r.now+r.cfg.Limits.MaxSkew)/time.Millisecond)
 }
 
 // answer does what a datagram asks for.
@@ -389,7 +389,7 @@
 		}
 		a := relay{Seq: r.number(), Theirs: m.Seq, For: from, Target: target}
 		r.relays = append(r.relays, a)
-		r.relays = r.relays[max(len(r.relays)-r.cfg.Limits.Relays, 0):]
+		r.relays = r.relays[max(len(r.relays)-r.cfg.Limits.MaxRelays, 0):]
 		r.send(target, message{Kind: ping, Seq: a.Seq})
 		r.do(Timer{At: r.now + r.cfg.Limits.Timeout, Token: Token{kind: tokenRelay, seq: a.Seq}})
 	case ack:
@@ -429,7 +429,7 @@
 
 // learn asks a member that is known to answer for its list, after a start or a doubt, and not again at once.
 func (r *Reducer) learn(from int) {
-	if wait := uint32(2 * r.cfg.Limits.Reclaim); r.synced || r.asked > 0 && r.periods < r.asked+wait {
+	if wait := uint32(2 * r.cfg.Limits.ReclaimPeriods); r.synced || r.asked > 0 && r.periods < r.asked+wait {
 		return
 	}
 	r.asked = r.periods
@@ -460,15 +460,15 @@
 // Members are what is held of all, by number. What is returned is the caller's.
 func (r *Reducer) Members() []Member { return slices.Clone(r.members) }
 
-// Figures are the figures of now.
-func (r *Reducer) Figures() Figures { return r.figures }
+// Counters are the figures of now.
+func (r *Reducer) Counters() Counters { return r.figures }
 
 // Health is the local health multiplier: 0 is the best.
 func (r *Reducer) Health() int { return r.health }
 
 // View sums up what is held.
 func (r *Reducer) View() View {
-	v := View{Tier: r.cfg.Tier}
+	v := View{TierSize: r.cfg.TierSize}
 	for _, m := range r.members {
 		switch m.State {
 		case Unknown:
@@ -479,9 +479,9 @@
 			v.Down++
 		case Draining:
 			v.Draining++
-			v.There++
+			v.Available++
 		default:
-			v.There++
+			v.Available++
 		}
 	}
 	return v
--- a/internal/membership/types.go
+++ b/internal/membership/types.go
@@ -41,35 +41,35 @@
 	return fmt.Sprintf("State(%d)", uint8(s))
 }
 
-// There says whether a member in this state takes part.
-func (s State) There() bool { return s == Alive || s == Draining }
+// Available says whether a member in this state takes part.
+func (s State) Available() bool { return s == Alive || s == Draining }
 
 // Down says whether a member in this state is taken for out of work: it is not probed in turn.
 func (s State) Down() bool { return s == Dead || s == Left }
 
 // Limits are the protocol's times and counts. Check says which make no sense.
 type Limits struct {
-	Period       time.Duration // the protocol period T' (SWIM 3.1), one probe each
-	Timeout      time.Duration // of a direct probe, under Period
-	Indirect     int           // members k that are asked to probe for us
-	SuspicionMin float64       // α: the least suspicion lasts α·max(1, log10 n) periods
-	SuspicionMax float64       // β: and one that nobody confirms β times that; 1: no dynamic time-out
-	Confirm      int           // K: independent confirmations that bring it to the least
-	Retransmit   int           // λ: an update goes out λ·⌈log10(n+1)⌉ times
-	Health       int           // S: most of the local health multiplier; 0: no local health awareness
-	Stall        time.Duration // an own timer that is later than this tells of an own pause; 0: never
-	Reclaim      int           // periods between probes of a member that is held dead
-	Datagram     int           // bytes, at most
-	Relays       int           // probes made for others at once
-	Skew         time.Duration // an incarnation further ahead of the own clock than this is nonsense
+	Period         time.Duration // the protocol period T' (SWIM 3.1), one probe each
+	Timeout        time.Duration // of a direct probe, under Period
+	Indirect       int           // members k that are asked to probe for us
+	SuspicionMin   float64       // α: the least suspicion lasts α·max(1, log10 n) periods
+	SuspicionMax   float64       // β: and one that nobody confirms β times that; 1: no dynamic time-out
+	Confirm        int           // K: independent confirmations that bring it to the least
+	Retransmit     int           // λ: an update goes out λ·⌈log10(n+1)⌉ times
+	MaxHealth      int           // S: most of the local health multiplier; 0: no local health awareness
+	StallThreshold time.Duration // an own timer that is later than this tells of an own pause; 0: never
+	ReclaimPeriods int           // periods between probes of a member that is held dead
+	MaxDatagram    int           // bytes, at most
+	MaxRelays      int           // probes made for others at once
+	MaxSkew        time.Duration // an incarnation further ahead of the own clock than this is nonsense
 }
 
 // Defaults are limits for a tier of n members on the platform.
 func Defaults() Limits {
 	return Limits{
 		Period: 500 * time.Millisecond, Timeout: 150 * time.Millisecond, Indirect: 3,
-		SuspicionMin: 4, SuspicionMax: 4, Confirm: 3, Retransmit: 4, Health: 8,
-		Stall: 400 * time.Millisecond, Reclaim: 4, Datagram: datagram.Max, Relays: 64, Skew: time.Hour,
+		SuspicionMin: 4, SuspicionMax: 4, Confirm: 3, Retransmit: 4, MaxHealth: 8,
+		StallThreshold: 400 * time.Millisecond, ReclaimPeriods: 4, MaxDatagram: datagram.MaxSize, MaxRelays: 64, MaxSkew: time.Hour,
 	}
 }
 
@@ -90,18 +90,18 @@
 		return fmt.Errorf("confirm: %d, not in [0, 16]", l.Confirm)
 	case l.Retransmit < 1 || l.Retransmit > 16:
 		return fmt.Errorf("retransmit: %d, not in [1, 16]", l.Retransmit)
-	case l.Health < 0 || l.Health > 64:
-		return fmt.Errorf("health: %d, not in [0, 64]", l.Health)
-	case l.Stall < 0:
-		return fmt.Errorf("stall: %v is negative", l.Stall)
-	case l.Reclaim < 1 || l.Reclaim > 1000:
-		return fmt.Errorf("reclaim: %d, not in [1, 1000]", l.Reclaim)
-	case l.Datagram < 64 || l.Datagram > datagram.Max:
-		return fmt.Errorf("datagram: %d, not in [64, %d]", l.Datagram, datagram.Max)
-	case l.Relays < 1:
-		return fmt.Errorf("relays: %d, not over 0", l.Relays)
-	case l.Skew < time.Second:
-		return fmt.Errorf("skew: %v, under 1s", l.Skew)
+	case l.MaxHealth < 0 || l.MaxHealth > 64:
+		return fmt.Errorf("health: %d, not in [0, 64]", l.MaxHealth)
+	case l.StallThreshold < 0:
+		return fmt.Errorf("stall: %v is negative", l.StallThreshold)
+	case l.ReclaimPeriods < 1 || l.ReclaimPeriods > 1000:
+		return fmt.Errorf("reclaim: %d, not in [1, 1000]", l.ReclaimPeriods)
+	case l.MaxDatagram < 64 || l.MaxDatagram > datagram.MaxSize:
+		return fmt.Errorf("datagram: %d, not in [64, %d]", l.MaxDatagram, datagram.MaxSize)
+	case l.MaxRelays < 1:
+		return fmt.Errorf("relays: %d, not over 0", l.MaxRelays)
+	case l.MaxSkew < time.Second:
+		return fmt.Errorf("skew: %v, under 1s", l.MaxSkew)
 	}
 	return nil
 }
@@ -115,18 +115,18 @@
 		From int
 		Data []byte
 	}
-	// Due is a timer that has come due.
-	Due struct{ Token Token }
+	// TimerFired is a timer that has come due.
+	TimerFired struct{ Token Token }
 	// Drain says that this member begins or ends a drain.
 	Drain struct{ On bool }
 	// Leave says that this member ends in order. Nothing but refusals of its own death follows.
 	Leave struct{}
 )
 
-func (Datagram) event() {}
-func (Due) event()      {}
-func (Drain) event()    {}
-func (Leave) event()    {}
+func (Datagram) event()   {}
+func (TimerFired) event() {}
+func (Drain) event()      {}
+func (Leave) event()      {}
 
 // Effect is something to be carried out; see the types below.
 type Effect interface{ effect() }
@@ -142,17 +142,17 @@
 		At    Time
 		Token Token
 	}
-	// Changed says that a member's state is another one now.
-	Changed struct {
+	// StateChanged says that a member's state is another one now.
+	StateChanged struct {
 		Member      int
-		Was, Is     State
+		Old, New    State
 		Incarnation uint64
 	}
 )
 
-func (Send) effect()    {}
-func (Timer) effect()   {}
-func (Changed) effect() {}
+func (Send) effect()         {}
+func (Timer) effect()        {}
+func (StateChanged) effect() {}
 
 // Token says what a timer is for.
 type Token struct {
@@ -172,37 +172,37 @@
 
 // Member is what is held of a member.
 type Member struct {
-	State       State
-	Incarnation uint64
-	Heard       Time // of its last datagram; 0: none came
-	Since       Time // of its state
+	State        State
+	Incarnation  uint64
+	LastReceived Time // of its last datagram; 0: none came
+	Since        Time // of its state
 }
 
-// Figures count what the protocol has done since the start.
-type Figures struct {
-	Probes      uint64 // direct
-	Indirect    uint64 // members asked to probe for us
-	Acks        uint64 // answers to probes of ours
-	Nacks       uint64 // and words that a member asked has had none
-	Failed      uint64 // probes that nobody answered
-	Suspicions  uint64 // begun here or heard of
-	Deaths      uint64 // members that came to be held dead
-	Refutations uint64 // of what was said of this member
-	Stalls      uint64 // own pauses that were noticed
-	Sent        uint64 // datagrams
-	SentBytes   uint64
-	Heard       uint64 // datagrams taken in
-	Garbled     uint64 // dropped: damaged, cut short, too long, or nonsense
-	Versions    uint64 // dropped: of another version
-	Strangers   uint64 // dropped: from nobody of the tier, or of another tier
+// Counters count what the protocol has done since the start.
+type Counters struct {
+	Probes            uint64 // direct
+	Indirect          uint64 // members asked to probe for us
+	Acks              uint64 // answers to probes of ours
+	Nacks             uint64 // and words that a member asked has had none
+	Failed            uint64 // probes that nobody answered
+	Suspicions        uint64 // begun here or heard of
+	Deaths            uint64 // members that came to be held dead
+	Refutations       uint64 // of what was said of this member
+	Stalls            uint64 // own pauses that were noticed
+	Sent              uint64 // datagrams
+	SentBytes         uint64
+	Received          uint64 // datagrams taken in
+	Malformed         uint64 // dropped: damaged, cut short, too long, or nonsense
+	VersionMismatches uint64 // dropped: of another version
+	UnknownSenders    uint64 // dropped: from nobody of the tier, or of another tier
 }
 
 // View sums up what a member holds of its tier, itself included.
 type View struct {
-	Tier     int // members in all
-	There    int // alive or draining
-	Draining int // of those
-	Suspects int
-	Down     int // dead or left
-	Unknown  int
+	TierSize  int // members in all
+	Available int // alive or draining
+	Draining  int // of those
+	Suspects  int
+	Down      int // dead or left
+	Unknown   int
 }
--- a/internal/mgmt/maintenance.go
+++ b/internal/mgmt/maintenance.go
@@ -13,35 +13,35 @@
 	"elmseam/internal/maintenance"
 )
 
-// Maintenance is the answer of /ops/maintenance: the tier's requests as this softswitch knows them.
-type Maintenance struct {
-	Self    int       `json:"self"`    // own number
-	Settled bool      `json:"settled"` // it takes requests and grants; else it has just started and is still asking
-	Budget  int       `json:"budget"`  // softswitches that may be out at once
-	Holds   bool      `json:"holds"`   // it is out itself
-	Queue   []Request `json:"queue"`   // that wait, in their order
-	Out     []Request `json:"out"`     // that are out
-	Over    []Request `json:"over"`    // each one's last that is over
+// MaintenanceStatus is the answer of /ops/maintenance: the tier's requests as this softswitch knows them.
+type MaintenanceStatus struct {
+	Self       int                  `json:"self"`    // own number
+	Recovered  bool                 `json:"settled"` // it takes requests and grants; else it has just started and is still asking
+	Budget     int                  `json:"budget"`  // softswitches that may be out at once
+	HoldsGrant bool                 `json:"holds"`   // it is out itself
+	Queue      []MaintenanceRequest `json:"queue"`   // that wait, in their order
+	Granted    []MaintenanceRequest `json:"out"`     // that are out
+	Ended      []MaintenanceRequest `json:"over"`    // each one's last that is over
 }
 
-// Request is one for a softswitch of the tier.
-type Request struct {
-	Number int       `json:"number"`
-	Name   string    `json:"name"` // empty: not told yet
-	Stage  string    `json:"stage"`
-	Asked  time.Time `json:"asked"`
-	Tries  uint32    `json:"tries"`           // times that it had to begin again
-	Slot   int       `json:"slot,omitempty"`  // that it is out by
-	Epoch  uint64    `json:"epoch,omitempty"` // of that grant: a later one has a higher
+// MaintenanceRequest is one for a softswitch of the tier.
+type MaintenanceRequest struct {
+	Index       int       `json:"number"`
+	Name        string    `json:"name"` // empty: not told yet
+	Stage       string    `json:"stage"`
+	RequestedAt time.Time `json:"asked"`
+	Restarts    uint32    `json:"tries"`           // times that it had to begin again
+	Slot        int       `json:"slot,omitempty"`  // that it is out by
+	Epoch       uint64    `json:"epoch,omitempty"` // of that grant: a later one has a higher
 }
 
 // maintenance does what is asked of the tier's maintenance.
-func (d *Door) maintenance(method string, names []string) (status int, text string, allow []string) {
-	f := d.Figures()
-	if time.Since(f.At) > d.Limits.Fresh {
+func (d *AdminServer) maintenance(method string, names []string) (status int, text string, allow []string) {
+	f := d.Snapshot()
+	if time.Since(f.At) > d.Limits.MaxStatsAge {
 		return http.StatusServiceUnavailable, "no figures of late\n", nil
 	}
-	w := f.Work
+	w := f.Maintenance
 	if w == nil {
 		return http.StatusNotFound, "ordered maintenance is off\n", nil
 	}
@@ -65,10 +65,10 @@
 		return http.StatusBadRequest, "member: missing; ?member=NAME, as often as needed\n", nil
 	case method == http.MethodDelete:
 		ev = maintenance.Cancel{Members: members}
-	case !w.Settled:
+	case !w.Recovered:
 		return http.StatusServiceUnavailable, "just started, and still asking what the tier has granted\n", nil
 	}
-	if !d.order(core.Order{Event: ev}) {
+	if !d.order(core.MaintenanceRequest{Event: ev}) {
 		return http.StatusServiceUnavailable, "too many orders wait\n", nil
 	}
 	d.Log.Info().Str("method", method).Ints("members", members).Msg("order of an operator: maintenance")
@@ -76,7 +76,7 @@
 }
 
 // memberOf finds a softswitch by its name, its address among the peers or its number; -1: there is none.
-func (d *Door) memberOf(w core.WorkFigures, name string) int {
+func (d *AdminServer) memberOf(w core.MaintenanceStats, name string) int {
 	if name == "" {
 		return -1
 	}
@@ -92,12 +92,12 @@
 	return -1
 }
 
-func maintenanceJSON(w core.WorkFigures) string {
-	m := Maintenance{Self: w.Self, Settled: w.Settled, Budget: w.Budget, Holds: w.Slot >= 0, Queue: []Request{}, Out: []Request{}, Over: []Request{}}
-	one := func(n int) Request {
+func maintenanceJSON(w core.MaintenanceStats) string {
+	m := MaintenanceStatus{Self: w.Self, Recovered: w.Recovered, Budget: w.Budget, HoldsGrant: w.Slot >= 0, Queue: []MaintenanceRequest{}, Granted: []MaintenanceRequest{}, Ended: []MaintenanceRequest{}}
+	one := func(n int) MaintenanceRequest {
 		e := w.Records[n]
-		r := Request{Number: n, Name: w.Names[n], Stage: e.Stage.String(), Asked: time.UnixMilli(int64(e.Asked)).UTC(), Tries: e.Try}
-		if e.Stage == maintenance.Out || e.Stage == maintenance.Ready {
+		r := MaintenanceRequest{Index: n, Name: w.Names[n], Stage: e.Stage.String(), RequestedAt: time.UnixMilli(int64(e.RequestedAt)).UTC(), Restarts: e.Restarts}
+		if e.Stage == maintenance.Draining || e.Stage == maintenance.Ready {
 			r.Slot, r.Epoch = int(e.Slot), e.Epoch
 		}
 		return r
@@ -107,10 +107,10 @@
 	}
 	for n, e := range w.Records {
 		switch {
-		case e.Stage == maintenance.Out, e.Stage == maintenance.Ready:
-			m.Out = append(m.Out, one(n))
-		case e.Stage != maintenance.None && e.Stage.Over():
-			m.Over = append(m.Over, one(n))
+		case e.Stage == maintenance.Draining, e.Stage == maintenance.Ready:
+			m.Granted = append(m.Granted, one(n))
+		case e.Stage != maintenance.None && e.Stage.Ended():
+			m.Ended = append(m.Ended, one(n))
 		}
 	}
 	b, _ := json.Marshal(m)
@@ -118,12 +118,12 @@
 }
 
 // workText shows the figures of maintenance, one a line.
-func workText(w core.WorkFigures) string {
+func workText(w core.MaintenanceStats) string {
 	var b strings.Builder
-	f := w.Figures
+	f := w.Counters
 	out := 0
 	for _, e := range w.Records {
-		if e.Stage == maintenance.Out || e.Stage == maintenance.Ready {
+		if e.Stage == maintenance.Draining || e.Stage == maintenance.Ready {
 			out++
 		}
 	}
@@ -132,9 +132,9 @@
 		value uint64
 	}{
 		{"waiting", uint64(len(w.Queue))}, {"out", uint64(out)}, {"budget", uint64(w.Budget)},
-		{"asked", f.Asked}, {"granted", f.Granted}, {"renewed", f.Renewed}, {"lost", f.Lost}, {"yes", f.Yes}, {"no", f.No},
-		{"sent", f.Sent}, {"sent_bytes", f.Bytes}, {"dropped_garbled", f.Garbled}, {"dropped_version", f.Versions},
-		{"dropped_stranger", f.Strange},
+		{"asked", f.Rounds}, {"granted", f.Granted}, {"renewed", f.Renewed}, {"lost", f.Expired}, {"yes", f.VotesGranted}, {"no", f.VotesRefused},
+		{"sent", f.Sent}, {"sent_bytes", f.SentBytes}, {"dropped_garbled", f.Malformed}, {"dropped_version", f.VersionMismatches},
+		{"dropped_stranger", f.UnknownSenders},
 	} {
 		fmt.Fprintf(&b, "app.maintenance.%s=%d\n", l.name, l.value)
 	}
