--- a/internal/mgmt/mgmt.go
+++ b/internal/mgmt/mgmt.go
@@ -21,23 +21,23 @@
 
 // Limits are the door's sizes and times.
 type Limits struct {
-	Callers int           // at once; one more takes the place of the one that has been silent longest
-	Head    int           // bytes of a call
-	Read    time.Duration // to the end of a call
-	Write   time.Duration // and of its answer
-	Fresh   time.Duration // figures that are older are not shown
-	Drains  int           // orders to drain or go on that may wait for the loop
+	MaxConns       int           // at once; one more takes the place of the one that has been silent longest
+	MaxRequestSize int           // bytes of a call
+	ReadTimeout    time.Duration // to the end of a call
+	WriteTimeout   time.Duration // and of its answer
+	MaxStatsAge    time.Duration // figures that are older are not shown
+	MaxOrders      int           // orders to drain or go on that may wait for the loop
 }
 
-// Door serves operators.
-type Door struct {
-	Limits  Limits
-	Figures func() loop.Snapshot
-	Names   func() []string     // of the classes, by place
-	Drain   func(on bool)       // takes effect at once
-	Post    func(ev core.Event) // may wait
-	Peers   *peers.Peers        // nil: there is no membership
-	Log     zerolog.Logger
+// AdminServer serves operators.
+type AdminServer struct {
+	Limits      Limits
+	Snapshot    func() loop.Snapshot
+	ClassNames  func() []string     // of the classes, by place
+	SetDraining func(on bool)       // takes effect at once
+	Post        func(ev core.Event) // may wait
+	Peers       *peers.Socket       // nil: there is no membership
+	Log         zerolog.Logger
 
 	orders chan core.Event
 	mu     sync.Mutex
@@ -45,8 +45,8 @@
 }
 
 // Serve serves until the listener is closed.
-func (d *Door) Serve(l net.Listener) {
-	d.orders = make(chan core.Event, d.Limits.Drains)
+func (d *AdminServer) Serve(l net.Listener) {
+	d.orders = make(chan core.Event, d.Limits.MaxOrders)
 	defer close(d.orders)
 	go func() { // in the order they came
 		for order := range d.orders {
@@ -73,17 +73,17 @@
 }
 
 // enter takes a caller in. Silent ones hold up nobody: where there are too many, the oldest has to go.
-func (d *Door) enter(conn net.Conn) {
+func (d *AdminServer) enter(conn net.Conn) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if len(d.open) >= d.Limits.Callers {
+	if len(d.open) >= d.Limits.MaxConns {
 		d.open[0].Close()
 		d.open = d.open[1:]
 	}
 	d.open = append(d.open, conn)
 }
 
-func (d *Door) leave(conn net.Conn) {
+func (d *AdminServer) leave(conn net.Conn) {
 	conn.Close()
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -96,9 +96,9 @@
 }
 
 // serve answers one call.
-func (d *Door) serve(conn net.Conn) {
-	conn.SetReadDeadline(time.Now().Add(d.Limits.Read))
-	limited := &io.LimitedReader{R: conn, N: int64(d.Limits.Head)}
+func (d *AdminServer) serve(conn net.Conn) {
+	conn.SetReadDeadline(time.Now().Add(d.Limits.ReadTimeout))
+	limited := &io.LimitedReader{R: conn, N: int64(d.Limits.MaxRequestSize)}
 	req, err := http.ReadRequest(bufio.NewReaderSize(limited, 1<<10))
 	var timeout net.Error
 	switch {
@@ -117,7 +117,7 @@
 }
 
 // call does what is asked for. Allow is set where the method is not the path's.
-func (d *Door) call(method, path string, members []string) (status int, text string, allow []string) {
+func (d *AdminServer) call(method, path string, members []string) (status int, text string, allow []string) {
 	want := http.MethodGet
 	if path == pathDrain || path == pathResume {
 		want = http.MethodPost
@@ -132,32 +132,32 @@
 	if method != want {
 		return http.StatusMethodNotAllowed, want + " only\n", []string{want}
 	}
-	f := d.Figures()
+	f := d.Snapshot()
 	if want == http.MethodGet {
-		if time.Since(f.At) > d.Limits.Fresh {
+		if time.Since(f.At) > d.Limits.MaxStatsAge {
 			return http.StatusServiceUnavailable, "no figures of late\n", nil
 		}
 		switch path {
 		case pathStats:
-			text := Text(f.Figures, d.Names())
+			text := StatsText(f.Stats, d.ClassNames())
 			if f.Probes != nil {
 				text += probeText(*f.Probes)
 			}
 			if f.Members != nil {
-				text += memberText(*f.Members, d.Peers.Count())
+				text += memberText(*f.Members, d.Peers.Counters())
 			}
-			if f.Work != nil {
-				text += workText(*f.Work)
+			if f.Maintenance != nil {
+				text += workText(*f.Maintenance)
 			}
-			if f.Knows != nil {
-				text += knowText(*f.Knows)
+			if f.Knowledge != nil {
+				text += knowText(*f.Knowledge)
 			}
-			if f.Parts != nil {
-				text += partText(*f.Parts)
+			if f.Quotas != nil {
+				text += partText(*f.Quotas)
 			}
 			return http.StatusOK, text, nil
 		case pathServers:
-			if f.Knows == nil && f.Parts == nil {
+			if f.Knowledge == nil && f.Quotas == nil {
 				return http.StatusNotFound, "knowledge and parts are off\n", nil
 			}
 			return http.StatusOK, serversJSON(f), nil
@@ -167,7 +167,7 @@
 			}
 			return http.StatusOK, membersJSON(f, d.Peers.Addresses()), nil
 		}
-		return readiness(f.Figures)
+		return readiness(f.Stats)
 	}
 	on := path == pathDrain
 	if f.Stopping {
@@ -176,13 +176,13 @@
 	if !d.order(core.Drain{On: on}) {
 		return http.StatusServiceUnavailable, "too many orders wait\n", nil
 	}
-	d.Drain(on)
+	d.SetDraining(on)
 	d.Log.Info().Bool("drain", on).Msg("order of an operator")
 	return http.StatusOK, "", nil
 }
 
 // order has the loop take an order in, behind those before. It says no where too many wait.
-func (d *Door) order(ev core.Event) bool {
+func (d *AdminServer) order(ev core.Event) bool {
 	select {
 	case d.orders <- ev:
 		return true
@@ -192,14 +192,14 @@
 }
 
 // readiness says whether this process can serve, and what is in the way.
-func readiness(f core.Figures) (int, string, []string) {
+func readiness(f core.Stats) (int, string, []string) {
 	why := "no server can be reached\n"
 	switch {
 	case f.Ready:
 		return http.StatusOK, "ready\n", nil
 	case f.Stopping:
 		why = "stopping\n"
-	case f.Work != nil && f.Work.Slot >= 0:
+	case f.Maintenance != nil && f.Maintenance.Slot >= 0:
 		why = "out for maintenance\n"
 	case f.Draining:
 		why = "drained by an operator\n"
@@ -208,8 +208,8 @@
 }
 
 // answer writes an answer and ends the connection so that it can be read.
-func (d *Door) answer(conn net.Conn, status int, text string, allow ...string) {
-	conn.SetDeadline(time.Now().Add(d.Limits.Write))
+func (d *AdminServer) answer(conn net.Conn, status int, text string, allow ...string) {
+	conn.SetDeadline(time.Now().Add(d.Limits.WriteTimeout))
 	head := http.Header{"Content-Type": {"text/plain; charset=utf-8"}}
 	if len(allow) > 0 {
 		head["Allow"] = allow
@@ -223,6 +223,6 @@
 		return
 	}
 	if c, ok := conn.(interface{ CloseWrite() error }); ok && c.CloseWrite() == nil {
-		io.CopyN(io.Discard, conn, int64(d.Limits.Head))
+		io.CopyN(io.Discard, conn, int64(d.Limits.MaxRequestSize))
 	}
 }
--- a/internal/mgmt/servers_test.go
+++ b/internal/mgmt/servers_test.go
@@ -13,23 +13,23 @@
 // In a great tier each server is told of by hundreds: the newest are shown, in order, and how many there are beside. All of
 // them made an answer of megabytes.
 func TestServersShowTheNewest(t *testing.T) {
-	var told []knowledge.Told
+	var told []knowledge.ObserverEntry
 	for m := range 300 {
-		told = append(told, knowledge.Told{Observer: m, At: knowledge.Time(1000+m%150) * knowledge.Time(time.Millisecond)})
+		told = append(told, knowledge.ObserverEntry{Observer: m, At: knowledge.Time(1000+m%150) * knowledge.Time(time.Millisecond)})
 	}
 	f := loop.Snapshot{At: time.Unix(2, 0)}
-	f.Knows = &core.KnowFigures{Servers: []core.ServerKnown{{Name: "s", Told: told}, {Name: "t", Told: told[:2]}}}
-	var s Servers
+	f.Knowledge = &core.KnowledgeStats{Servers: []core.ServerKnowledge{{Name: "s", Reports: told}, {Name: "t", Reports: told[:2]}}}
+	var s ServersStatus
 	if err := json.Unmarshal([]byte(serversJSON(f)), &s); err != nil {
 		t.Fatal(err)
 	}
 	one, two := s.Servers[0], s.Servers[1]
-	if len(one.Told) != toldShown || one.More != 300-toldShown || len(two.Told) != 2 || two.More != 0 {
-		t.Fatalf("%d shown and %d beside, %d and %d", len(one.Told), one.More, len(two.Told), two.More)
+	if len(one.Reports) != toldShown || one.Omitted != 300-toldShown || len(two.Reports) != 2 || two.Omitted != 0 {
+		t.Fatalf("%d shown and %d beside, %d and %d", len(one.Reports), one.Omitted, len(two.Reports), two.Omitted)
 	}
-	for i, e := range one.Told {
-		if e.AgeMS > 1000-150+toldShown/2 || i > 0 && e.Number <= one.Told[i-1].Number {
-			t.Errorf("entry %d: of %d, %d ms old", i, e.Number, e.AgeMS)
+	for i, e := range one.Reports {
+		if e.AgeMS > 1000-150+toldShown/2 || i > 0 && e.Index <= one.Reports[i-1].Index {
+			t.Errorf("entry %d: of %d, %d ms old", i, e.Index, e.AgeMS)
 		}
 	}
 }
--- a/internal/mgmt/stats.go
+++ b/internal/mgmt/stats.go
@@ -19,11 +19,11 @@
 	pathResume  = "/ops/drain/stop"
 )
 
-// Text shows figures, one a line. Classes go by their names.
-func Text(f core.Figures, names []string) string {
+// StatsText shows figures, one a line. Classes go by their names.
+func StatsText(f core.Stats, names []string) string {
 	var b strings.Builder
 	for i, name := range names {
-		var class core.ClassFigures
+		var class core.ClassStats
 		if i < len(f.Classes) {
 			class = f.Classes[i]
 		}
@@ -35,12 +35,12 @@
 	fmt.Fprintf(&b, "app.current=%d\n", f.Current)
 	fmt.Fprintf(&b, "app.cluster_size=%d\n", f.ClusterSize)
 	fmt.Fprintf(&b, "app.cluster_unhealthy=%d\n", f.ClusterUnhealthy)
-	fmt.Fprintf(&b, "app.conf_loaded=%d\n", f.Loaded)
-	fmt.Fprintf(&b, "app.conf_invalid=%d\n", f.Invalid)
+	fmt.Fprintf(&b, "app.conf_loaded=%d\n", f.ConfigsLoaded)
+	fmt.Fprintf(&b, "app.conf_invalid=%d\n", f.ConfigsInvalid)
 	return b.String()
 }
 
 // probeText shows the figures of probes, one a line.
-func probeText(f probe.Figures) string {
-	return lines("probes", []figure{{"sent", f.Sent}, {"answered", f.Answered}, {"failed", f.Failed}, {"held", f.Held}, {"late", f.Late}})
+func probeText(f probe.Counters) string {
+	return lines("probes", []figure{{"sent", f.Sent}, {"answered", f.Answered}, {"failed", f.Failed}, {"held", f.RateLimited}, {"late", f.Late}})
 }
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -35,16 +35,16 @@
 	Limits Limits
 }
 
-// Count are the datagrams that never reached the core, or were not written.
-type Count struct{ Strangers, Flooded, Unwritten uint64 }
+// Counters are the datagrams that never reached the core, or were not written.
+type Counters struct{ UnknownSenders, RateLimited, SendDrops uint64 }
 
-// Peers is the socket.
-type Peers struct {
+// Socket is the socket.
+type Socket struct {
 	cfg    Config
 	listen netip.AddrPort
 	to     []netip.AddrPort
 	by     map[netip.AddrPort]int
-	queue  chan core.ToPeer
+	queue  chan core.SendToMember
 	post   func(core.Event)
 	log    zerolog.Logger
 	wg     sync.WaitGroup
@@ -53,8 +53,8 @@
 }
 
 // New checks the addresses. An error is one line that names the field.
-func New(cfg Config, post func(core.Event), log zerolog.Logger) (*Peers, error) {
-	p := &Peers{cfg: cfg, by: make(map[netip.AddrPort]int), queue: make(chan core.ToPeer, cfg.Limits.Queue), post: post, log: log}
+func New(cfg Config, post func(core.Event), log zerolog.Logger) (*Socket, error) {
+	p := &Socket{cfg: cfg, by: make(map[netip.AddrPort]int), queue: make(chan core.SendToMember, cfg.Limits.Queue), post: post, log: log}
 	var err error
 	if p.listen, err = netip.ParseAddrPort(cfg.Listen); err != nil {
 		return nil, fmt.Errorf("peer_listen: %w", err)
@@ -80,7 +80,7 @@
 
 // Run opens the socket, as soon as the address is free, has the core join, and serves until the context ends and what
 // was still to be sent is written.
-func (p *Peers) Run(ctx context.Context, join ...core.Event) {
+func (p *Socket) Run(ctx context.Context, join ...core.Event) {
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(p.listen))
 	for first := true; err != nil; first = false {
 		if first {
@@ -114,14 +114,14 @@
 	p.wg.Wait()
 }
 
-func (p *Peers) write(conn *net.UDPConn, e core.ToPeer) {
+func (p *Socket) write(conn *net.UDPConn, e core.SendToMember) {
 	if _, err := conn.WriteToUDPAddrPort(e.Data, p.to[e.To]); err != nil {
 		p.unwritten.Add(1)
 	}
 }
 
 // Send queues a datagram. It never waits: one that finds no room is lost, as any may be.
-func (p *Peers) Send(e core.ToPeer) {
+func (p *Socket) Send(e core.SendToMember) {
 	select {
 	case p.queue <- e:
 	default:
@@ -131,8 +131,8 @@
 
 // read takes datagrams in. One from nobody of the tier is counted and leaves nothing; one too long is handed on one byte
 // too long, which membership counts.
-func (p *Peers) read(conn *net.UDPConn) {
-	var b [datagram.Max + 1]byte
+func (p *Socket) read(conn *net.UDPConn) {
+	var b [datagram.MaxSize + 1]byte
 	pace := rate.NewLimiter(rate.Limit(p.cfg.Limits.Rate), max(int(p.cfg.Limits.Rate), 1))
 	for {
 		n, src, err := conn.ReadFromUDPAddrPort(b[:])
@@ -149,15 +149,15 @@
 		case !pace.Allow():
 			p.flooded.Add(1)
 		default:
-			p.post(core.Peer{From: from, Data: append([]byte(nil), b[:n]...)})
+			p.post(core.MemberDatagram{From: from, Data: append([]byte(nil), b[:n]...)})
 		}
 	}
 }
 
 // Addresses are those of the tier, by number.
-func (p *Peers) Addresses() []string { return p.cfg.Peers }
+func (p *Socket) Addresses() []string { return p.cfg.Peers }
 
-// Count are the figures of now.
-func (p *Peers) Count() Count {
-	return Count{p.strangers.Load(), p.flooded.Load(), p.unwritten.Load()}
+// Counters are the figures of now.
+func (p *Socket) Counters() Counters {
+	return Counters{p.strangers.Load(), p.flooded.Load(), p.unwritten.Load()}
 }
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -38,7 +38,7 @@
 	ctx, end := context.WithCancel(context.Background())
 	defer end()
 	done := make(chan struct{})
-	go func() { p.Run(ctx, core.Join{}); close(done) }()
+	go func() { p.Run(ctx, core.StartMembership{}); close(done) }()
 	next := func() core.Event {
 		t.Helper()
 		select {
@@ -54,25 +54,25 @@
 		t.Error("it joins without its address")
 	}
 	taken.Close()
-	if _, ok := next().(core.Join); !ok {
+	if _, ok := next().(core.StartMembership); !ok {
 		t.Fatal("it does not join first")
 	}
 	to := net.UDPAddrFromAddrPort(p.to[0])
 	stranger.WriteToUDP([]byte("who?"), to)
 	member.WriteToUDP(make([]byte, 1000), to)
-	if ev, ok := next().(core.Peer); !ok || ev.From != 1 || len(ev.Data) != datagram.Max+1 {
+	if ev, ok := next().(core.MemberDatagram); !ok || ev.From != 1 || len(ev.Data) != datagram.MaxSize+1 {
 		t.Errorf("%+v, want the one too long from member 1, a byte too long", ev)
 	}
 	for range 50 {
 		member.WriteToUDP([]byte("x"), to)
 	}
-	for until := time.Now().Add(5 * time.Second); p.Count().Flooded == 0 || p.Count().Strangers == 0; time.Sleep(time.Millisecond) {
+	for until := time.Now().Add(5 * time.Second); p.Counters().RateLimited == 0 || p.Counters().UnknownSenders == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
-			t.Fatalf("%+v", p.Count())
+			t.Fatalf("%+v", p.Counters())
 		}
 	}
 	for range 3 { // the last may find no room; what is in the queue goes out at the end
-		p.Send(core.ToPeer{To: 1, Data: []byte("leaving")})
+		p.Send(core.SendToMember{To: 1, Data: []byte("leaving")})
 	}
 	end()
 	<-done
--- a/internal/platform/caller.go
+++ b/internal/platform/caller.go
@@ -28,8 +28,8 @@
 	"elmseam/internal/settings"
 )
 
-// Front is the name of this front.
-const Front core.Front = "platform"
+// Protocol is the name of this front.
+const Protocol core.Protocol = "platform"
 
 // Message types and parameter codes of the callers' protocol.
 const (
@@ -132,12 +132,12 @@
 
 // Config is what the front is told. A new one may come at any time.
 type Config struct {
-	Node settings.Node
-	Link link.Limits   // of a caller's connection
-	Dial time.Duration // longest time to make a connection to a server
+	Deployment  settings.Deployment
+	CallerConn  link.Limits   // of a caller's connection
+	DialTimeout time.Duration // longest time to make a connection to a server
 
-	ServerLink link.Limits
-	Callers    int // connections of callers at once
+	ServerConn link.Limits
+	MaxCallers int // connections of callers at once
 }
 
 // told is a configuration with what is looked up in it.
@@ -162,37 +162,37 @@
 
 // New makes the front.
 func New(cfg Config, l *loop.Loop, log zerolog.Logger) *Platform {
-	p := &Platform{loop: l, log: log, loud: link.Sparse(log)}
+	p := &Platform{loop: l, log: log, loud: link.SampledLogger(log)}
 	p.Configure(cfg)
-	p.acceptor = link.NewAcceptor(func() int { return p.told.Load().Callers }, p.caller)
+	p.acceptor = link.NewAcceptor(func() int { return p.told.Load().MaxCallers }, p.caller)
 	return p
 }
 
 // Configure replaces what the front was told. Connections that are open keep their limits.
-func (p *Platform) Configure(cfg Config) { p.told.Store(&told{cfg, cfg.Node.Names()}) }
+func (p *Platform) Configure(cfg Config) { p.told.Store(&told{cfg, cfg.Deployment.ClassIndexes()}) }
 
 // Classes are the names of the classes, by place.
 func (p *Platform) Classes() []string {
 	var names []string
-	for _, c := range p.told.Load().Node.Classes {
+	for _, c := range p.told.Load().Deployment.Classes {
 		names = append(names, c.Name)
 	}
 	return names
 }
 
-// Stop makes the front fail tests, so that nobody new is sent here.
-func (p *Platform) Stop() { p.stopping.Store(true) }
+// MarkStopping makes the front fail tests, so that nobody new is sent here.
+func (p *Platform) MarkStopping() { p.stopping.Store(true) }
 
-// Drain makes the front fail tests while it lasts.
-func (p *Platform) Drain(on bool) { p.draining.Store(on) }
+// SetDraining makes the front fail tests while it lasts.
+func (p *Platform) SetDraining(on bool) { p.draining.Store(on) }
 
-// Successor names the process that callers are handed to.
-func (p *Platform) Successor(s Successor) { p.successor.Store(&s) }
+// SetSuccessor names the process that callers are handed to.
+func (p *Platform) SetSuccessor(s Successor) { p.successor.Store(&s) }
 
 // Wait waits until the connections that are being closed have ended, not for long.
 func (p *Platform) Wait() {
 	ended := make(chan struct{})
-	late := time.After(2 * p.told.Load().Link.Linger)
+	late := time.After(2 * p.told.Load().CallerConn.LingerTimeout)
 	go func() { p.acceptor.Wait(); close(ended) }()
 	select {
 	case <-ended:
@@ -216,24 +216,24 @@
 
 // Successor is the process that callers are handed to.
 type Successor interface {
-	// Take is handed a connection, with what was read of it and not yet taken. It may wait. An error says that the
+	// Transfer is handed a connection, with what was read of it and not yet taken. It may wait. An error says that the
 	// successor never got it.
-	Take(pass core.Pass, rest []byte, conn syscall.Conn) error
-	// Tell passes on what is for a caller whose connection it has. It must not wait.
-	Tell(link core.Link, e core.Effect)
+	Transfer(pass core.Transfer, rest []byte, conn syscall.Conn) error
+	// ForwardEffect passes on what is for a caller whose connection it has. It must not wait.
+	ForwardEffect(link core.ConnID, e core.Effect)
 }
 
 // caller is the sending side of a caller's connection.
 type caller struct {
 	p       *Platform
-	link    core.Link
+	link    core.ConnID
 	conn    net.Conn
 	out     *link.Outbox
 	linger  time.Duration
 	stall   time.Duration // that a write may take
 	closing atomic.Bool
 	moving  atomic.Bool
-	pass    chan core.Pass
+	pass    chan core.Transfer
 	ended   chan struct{} // closed when it is being closed
 
 	mu      sync.Mutex
@@ -244,10 +244,10 @@
 	closed  bool
 }
 
-func (p *Platform) newCaller(id core.Link, conn net.Conn, limits link.Limits) *caller {
+func (p *Platform) newCaller(id core.ConnID, conn net.Conn, limits link.Limits) *caller {
 	return &caller{
-		p: p, link: id, conn: conn, out: link.NewOutbox(conn, limits), linger: limits.Linger, stall: limits.WriteStall,
-		pass: make(chan core.Pass, 1), ended: make(chan struct{}),
+		p: p, link: id, conn: conn, out: link.NewOutbox(conn, limits), linger: limits.LingerTimeout, stall: limits.WriteTimeout,
+		pass: make(chan core.Transfer, 1), ended: make(chan struct{}),
 	}
 }
 
@@ -327,8 +327,8 @@
 // hand passes the connection, of which nothing is read here any more, to the successor. It says whether it did, and if
 // not, whether it goes on here: a successor that dies half way costs no caller its connection.
 func (c *caller) hand(rest []byte) (handed, kept bool) {
-	c.p.loop.Post(core.Parked{Link: c.link})
-	var pass core.Pass
+	c.p.loop.Post(core.ReadingStopped{Conn: c.link})
+	var pass core.Transfer
 	select {
 	case pass = <-c.pass:
 	case <-c.ended:
@@ -343,7 +343,7 @@
 	}
 	err := errStalled
 	if c.out.Flush() {
-		err = (*successor).Take(pass, rest, conn)
+		err = (*successor).Transfer(pass, rest, conn)
 	}
 	if err != nil {
 		c.p.loud.Warn().Err(err).Msg("a caller's connection can't be handed over")
@@ -360,7 +360,7 @@
 		c.mu.Unlock()
 		for _, e := range held {
 			if err == nil {
-				(*successor).Tell(c.link, e)
+				(*successor).ForwardEffect(c.link, e)
 			} else {
 				c.write(e)
 			}
@@ -373,15 +373,15 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if successor := c.p.successor.Load(); c.taken && successor != nil {
-		(*successor).Tell(c.link, e)
+		(*successor).ForwardEffect(c.link, e)
 	} else if c.passed {
 		c.held = append(c.held, e)
 	}
 	return c.passed
 }
 
-// Carry writes an effect for a caller.
-func (c *caller) Carry(e core.Effect) []core.Event {
+// HandleEffect writes an effect for a caller.
+func (c *caller) HandleEffect(e core.Effect) []core.Event {
 	if !c.toSuccessor(e) {
 		c.write(e)
 	}
@@ -394,15 +394,15 @@
 	case core.Answered:
 		c.out.Post(link.Item{Data: appendFrame(nil, typeAnswer, e.ID, appendParam(nil, paramDesc, e.Desc...))})
 	case core.Rejected:
-		c.out.Post(link.Item{Data: rejection(e.ID, q850.ToCaller(e.Reason), e.RetryAfter)})
+		c.out.Post(link.Item{Data: rejection(e.ID, q850.CauseFromReason(e.Reason), e.RetryAfter)})
 	case core.Released:
-		c.out.Post(link.Item{Data: appendFrame(nil, typeRelease, e.ID, appendParam(nil, paramCause, q850.ToCaller(e.Reason)))})
+		c.out.Post(link.Item{Data: appendFrame(nil, typeRelease, e.ID, appendParam(nil, paramCause, q850.CauseFromReason(e.Reason)))})
 	case core.GracefulClose:
 		c.closeGracefully()
-	case core.Move:
+	case core.StopReading:
 		c.moving.Store(true)
 		c.until(time.Now())
-	case core.Pass:
+	case core.Transfer:
 		c.mu.Lock()
 		c.passed = true
 		c.mu.Unlock()
@@ -421,24 +421,24 @@
 
 // caller serves a new connection of a caller.
 func (p *Platform) caller(conn net.Conn) {
-	limits := p.told.Load().Link
-	c := p.newCaller(p.loop.NewLink(), conn, limits)
-	p.loop.Attach(c.link, c, core.CallerUp{Link: c.link, Front: Front})
+	limits := p.told.Load().CallerConn
+	c := p.newCaller(p.loop.NewConnID(), conn, limits)
+	p.loop.Attach(c.link, c, core.CallerUp{Conn: c.link, Protocol: Protocol})
 	p.read(c, limits, nil, false)
 }
 
 // Adopt serves a connection that a predecessor has handed on, with what that has read and not taken. It posts its
 // CallerUp before it returns, and calls gone when the connection has ended.
 func (p *Platform) Adopt(conn net.Conn, rest []byte, up core.CallerUp, gone func()) {
-	limits := p.told.Load().Link
-	c := p.newCaller(up.Link, conn, limits)
+	limits := p.told.Load().CallerConn
+	c := p.newCaller(up.Conn, conn, limits)
 	p.loop.Attach(c.link, c, up)
 	p.open.Add(1)
 	go func() {
 		defer p.open.Add(-1)
 		defer gone()
 		defer conn.Close()
-		p.read(c, limits, rest, up.Asked)
+		p.read(c, limits, rest, up.HadSetUp)
 	}()
 }
 
@@ -449,10 +449,10 @@
 	handed := false
 	defer func() {
 		if !handed {
-			p.loop.Post(core.CallerDown{Link: c.link})
+			p.loop.Post(core.CallerDown{Conn: c.link})
 		}
 	}()
-	in := link.NewBuffer(limits.ReadFirst, limits.Message)
+	in := link.NewBuffer(limits.InitialBufferSize, limits.MaxMessageSize)
 	for before := bytes.NewReader(rest); before.Len() > 0; {
 		if in.Fill(before) != nil {
 			return
@@ -460,17 +460,17 @@
 	}
 	var whole time.Time // when the message under way must be, however it trickles in; zero: there is none
 	if !asked || len(rest) > 0 {
-		whole = time.Now().Add(limits.First)
+		whole = time.Now().Add(limits.MessageTimeout)
 	}
 	var moot map[core.ID]bool // set-ups that were given up before they were taken
 	waited, gone := true, false
 	malformed := func() {
-		p.loop.Post(core.CallerMalformed{Link: c.link})
+		p.loop.Post(core.CallerMalformed{Conn: c.link})
 		c.discard(in)
 	}
 	for {
 		if whole.IsZero() {
-			c.until(time.Now().Add(limits.Idle))
+			c.until(time.Now().Add(limits.IdleTimeout))
 		} else {
 			c.until(whole)
 		}
@@ -486,9 +486,9 @@
 			handed, kept = c.hand(in.Bytes())
 			switch {
 			case handed:
-				p.loop.Post(core.Passed{Link: c.link})
+				p.loop.Post(core.Transferred{Conn: c.link})
 			case kept:
-				p.loop.Post(core.Kept{Link: c.link})
+				p.loop.Post(core.TransferFailed{Conn: c.link})
 				continue
 			case c.closing.Load():
 				c.discard(in)
@@ -498,17 +498,17 @@
 			malformed()
 			return
 		case late:
-			p.loop.Post(core.CallerIdle{Link: c.link})
+			p.loop.Post(core.CallerIdle{Conn: c.link})
 			continue
 		case err != nil:
 			return
 		}
 		if waited { // for its turn to be accepted, or for the process that has it now
-			waited, gone = false, link.Left(c.conn)
+			waited, gone = false, link.PeerClosed(c.conn)
 		}
 		at := p.loop.Now()
 		for {
-			f, n, err := parseFrame(in.Bytes(), limits.Message)
+			f, n, err := parseFrame(in.Bytes(), limits.MaxMessageSize)
 			if err == errShort {
 				break
 			}
@@ -535,7 +535,7 @@
 			whole = time.Time{}
 		}
 		if len(in.Bytes()) > 0 && whole.IsZero() {
-			whole = time.Now().Add(limits.First)
+			whole = time.Now().Add(limits.MessageTimeout)
 		}
 	}
 }
@@ -552,12 +552,12 @@
 }
 
 // take passes a caller's message on. Moot: the set-up that it ends has not been.
-func (p *Platform) take(from core.Link, out *link.Outbox, f frame, at core.Time, moot bool) error {
+func (p *Platform) take(from core.ConnID, out *link.Outbox, f frame, at core.Time, moot bool) error {
 	switch f.kind {
 	case typeSetUp:
 		p.loop.Post(p.setUp(from, f, at))
 	case typeRelease:
-		p.loop.Post(core.CallerEnd{ID: f.id, From: from, Moot: moot})
+		p.loop.Post(core.CallerEnd{ID: f.id, From: from, SetUpDiscarded: moot})
 		out.Post(link.Item{Data: appendFrame(nil, typeHeard, f.id, nil)})
 	case typeTest:
 		passed := byte(1)
@@ -574,14 +574,14 @@
 
 // setUp translates a set-up. One that makes no sense gets a Class of -1, and the core refuses it: servers close
 // on a call without an id, whatever else is open there, and an error of theirs costs them work.
-func (p *Platform) setUp(from core.Link, f frame, at core.Time) core.SetUp {
-	ev := core.SetUp{ID: f.id, From: from, Name: f.class, Tenant: f.tenant, Key: f.key, Number: number(f.key), Desc: f.desc, Cell: -1, At: at}
+func (p *Platform) setUp(from core.ConnID, f frame, at core.Time) core.SetUp {
+	ev := core.SetUp{ID: f.id, From: from, Name: f.class, Tenant: f.tenant, NumberText: f.key, Number: number(f.key), Desc: f.desc, Cell: -1, At: at}
 	left, err := strconv.ParseFloat(f.left, 64)
 	told := p.told.Load()
 	place, known := told.names[f.class]
 	var class settings.Class
 	if known {
-		class = told.Node.Classes[place]
+		class = told.Deployment.Classes[place]
 	}
 	sound := f.id != 0 && known && err == nil && left >= 0 && left < mostLeft
 	for pair := range strings.SplitSeq(f.extra, ";") {
@@ -597,9 +597,9 @@
 			ev.Cell = int(value)
 			sound = sound && (len(class.Cells) == 0 || slices.Contains(class.Cells, ev.Cell))
 		case "width":
-			sound = sound && value > 0 && (class.Width == 0 || value == class.Width)
+			sound = sound && value > 0 && (class.Lines == 0 || value == class.Lines)
 		case "again":
-			ev.Cut = value == 1
+			ev.Interrupted = value == 1
 		}
 	}
 	if ev.Class = place; !sound {
@@ -607,9 +607,9 @@
 		ev.Class = -1
 		return ev
 	}
-	ev.Left = time.Duration(left * float64(time.Millisecond))
-	if class.Wait > 0 { // nobody waits for longer; a timer of days would be kept for days
-		ev.Left = min(ev.Left, class.Wait)
+	ev.TimeLeft = time.Duration(left * float64(time.Millisecond))
+	if class.MaxWait > 0 { // nobody waits for longer; a timer of days would be kept for days
+		ev.TimeLeft = min(ev.TimeLeft, class.MaxWait)
 	}
 	return ev
 }
--- a/internal/platform/crossings_test.go
+++ b/internal/platform/crossings_test.go
@@ -67,7 +67,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newStory(t)
-			s.limit(func(c *Config) { c.Link.First, c.Link.Idle = 20*time.Millisecond, 20*time.Millisecond })
+			s.limit(func(c *Config) {
+				c.CallerConn.MessageTimeout, c.CallerConn.IdleTimeout = 20*time.Millisecond, 20*time.Millisecond
+			})
 			a := s.another()
 			a.conn.Write(append(setUp(1, "voice", "9000", ""), behind...))
 			s.wantLine(`"offer"`)
@@ -91,7 +93,7 @@
 // room; those beyond what callers are to hold make room where one can be missed, and are served where none can. They were
 // closed with their set-ups unread.
 func TestFloodOfConnections(t *testing.T) {
-	s := newStory(t, func(s *story) { s.limits.Callers, s.limits.Fresh = 2, time.Minute }) // one of them is the story's own caller
+	s := newStory(t, func(s *story) { s.limits.MaxCallerConns, s.limits.NewConnGrace = 2, time.Minute }) // one of them is the story's own caller
 	s.caller.Write(setUp(1, "voice", "9000", ""))
 	s.wantLine(`"offer"`, `0001"`)
 	var more []*peer
@@ -183,7 +185,7 @@
 // second brings a second server.
 func (s *story) second() net.Listener {
 	t := listen(s.T)
-	s.loop.Post(core.List{Servers: []core.Server{{Name: "t", Address: t.Addr().String(), Front: Front, Cell: 1, Phase: elmseam.Ready}}})
+	s.loop.Post(core.List{Servers: []core.Server{{Name: "t", Address: t.Addr().String(), Protocol: Protocol, Cell: 1, Phase: elmseam.Ready}}})
 	return t
 }
 
@@ -215,7 +217,7 @@
 			default:
 				p.conn.Close()
 				for e := range p.told { // when it has been noticed
-					if e == core.Effect(core.Dropped{Front: Front, ID: id}) {
+					if e == core.Effect(core.ForgetCall{Protocol: Protocol, ID: id}) {
 						return
 					}
 				}
@@ -260,7 +262,7 @@
 func TestCallerLeavesWhileItWaitsInTheBacklog(t *testing.T) {
 	s := newStory(t)
 	s.listener = listen(t)
-	s.limit(func(c *Config) { c.Link.ReadFirst = 16 << 10 }) // so much is read at once
+	s.limit(func(c *Config) { c.CallerConn.InitialBufferSize = 16 << 10 }) // so much is read at once
 	room := make(chan struct{})
 	go link.NewAcceptor(func() int { <-room; return 100 }, s.front.caller).Serve(s.listener)
 	givesUp, closes, stays := s.another(), s.another(), s.another()
@@ -312,8 +314,8 @@
 	s.caller.Write(setUp(1, "voice", "9000", ""))
 	s.wantLine(`"offer"`, `"class":"voice"`)
 	s.limit(func(c *Config) {
-		c.Node.Classes = append(c.Node.Classes[:0:0], c.Node.Classes...)
-		c.Node.Classes[0].Name = "video"
+		c.Deployment.Classes = append(c.Deployment.Classes[:0:0], c.Deployment.Classes...)
+		c.Deployment.Classes[0].Name = "video"
 	})
 	s.say(`{"op":"end","call":"0000000000000001","with":{"note":"swamped"},"why":34}`)
 	other.wantLine(`"offer"`, `"class":"voice"`)
@@ -321,26 +323,26 @@
 
 // successor is the process that callers are handed to, as a test wants it.
 type successor struct {
-	takes chan core.Pass
+	takes chan core.Transfer
 	fails chan error
 	told  chan core.Effect
 }
 
-func (s *successor) Take(pass core.Pass, _ []byte, _ syscall.Conn) error {
+func (s *successor) Transfer(pass core.Transfer, _ []byte, _ syscall.Conn) error {
 	s.takes <- pass
 	return <-s.fails
 }
 
-func (s *successor) Tell(_ core.Link, e core.Effect) { s.told <- e }
+func (s *successor) ForwardEffect(_ core.ConnID, e core.Effect) { s.told <- e }
 
 // A connection is handed to a newer process: what comes for its caller meanwhile is held. If the newer one dies before it
 // has the connection, the older one goes on with it: what was held is said, and what the caller asks is served. The caller
 // lost its connection and its answers.
 func TestSuccessorDiesHalfWay(t *testing.T) {
 	for _, dies := range []bool{true, false} {
-		s := newStory(t, func(s *story) { s.limits.StopMost = time.Minute })
-		next := &successor{make(chan core.Pass, 1), make(chan error), make(chan core.Effect, 9)}
-		s.front.Successor(next)
+		s := newStory(t, func(s *story) { s.limits.MaxStopWait = time.Minute })
+		next := &successor{make(chan core.Transfer, 1), make(chan error), make(chan core.Effect, 9)}
+		s.front.SetSuccessor(next)
 		s.caller.Write(append(setUp(1, "voice", "9000", ""), setUp(2, "voice", "9000", "")...))
 		s.wantLine(`"offer"`, `0001"`)
 		s.wantLine(`"offer"`, `0002"`)
@@ -382,16 +384,16 @@
 		"stop":  func(s *story) { s.loop.Post(core.Stop{}); s.loop.Post(core.HandOver{}); s.say(accept, 1) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newStory(t, func(s *story) { s.limits.StopMost, s.limits.DrainSweep = time.Minute, time.Millisecond })
-			next := &successor{make(chan core.Pass, 1), make(chan error), make(chan core.Effect, 9)}
-			s.front.Successor(next)
+			s := newStory(t, func(s *story) { s.limits.MaxStopWait, s.limits.DrainCheckInterval = time.Minute, time.Millisecond })
+			next := &successor{make(chan core.Transfer, 1), make(chan error), make(chan core.Effect, 9)}
+			s.front.SetSuccessor(next)
 			s.caller.Write(setUp(1, "voice", "9000", ""))
 			s.wantLine(`"offer"`, `0001"`)
 			s.loop.Post(core.HandOver{})
 			<-next.takes
 			crosses(s)
 			if name == "reset" { // it is tried again there, or refused: the module's choice
-				s.loop.Post(core.List{Servers: []core.Server{{Name: "s", Address: s.server.Addr().String(), Front: Front, Phase: elmseam.Gone}}})
+				s.loop.Post(core.List{Servers: []core.Server{{Name: "s", Address: s.server.Addr().String(), Protocol: Protocol, Phase: elmseam.Gone}}})
 				other := s.on(s.second())
 				other.wantLine(`"offer"`, `0001"`)
 				other.say(accept, 1)
@@ -417,9 +419,9 @@
 // A connection is on its way to a newer process while nothing else is owed: the older one lives until it is there. It ended,
 // and the connection with it, if it was quicker.
 func TestHandingOverOutlivesWhatIsOwed(t *testing.T) {
-	s := newStory(t, func(s *story) { s.limits.StopMost = time.Minute })
-	next := &successor{make(chan core.Pass, 1), make(chan error), make(chan core.Effect, 9)}
-	s.front.Successor(next)
+	s := newStory(t, func(s *story) { s.limits.MaxStopWait = time.Minute })
+	next := &successor{make(chan core.Transfer, 1), make(chan error), make(chan core.Effect, 9)}
+	s.front.SetSuccessor(next)
 	s.caller.Write(appendFrame(nil, typeTest, 5, appendParam(nil, paramCause, 0)))
 	s.wantFrame(typeTested, 5, 1) // it has come
 	s.loop.Post(core.HandOver{})  // the grace is over at once
@@ -434,9 +436,9 @@
 // A caller reads nothing while its connection is to be handed on: it stays with the older process, and is told there, when
 // it reads, what it is owed. It lost its connection if it was 50 ms late.
 func TestStalledCallerIsNotHandedOn(t *testing.T) {
-	s := newStory(t, func(s *story) { s.limits.StopMost = time.Minute })
-	next := &successor{make(chan core.Pass, 1), make(chan error), make(chan core.Effect, 9)}
-	s.front.Successor(next)
+	s := newStory(t, func(s *story) { s.limits.MaxStopWait = time.Minute })
+	next := &successor{make(chan core.Transfer, 1), make(chan error), make(chan core.Effect, 9)}
+	s.front.SetSuccessor(next)
 	p, c, unread := s.stall(1)
 	s.loop.Post(core.HandOver{})
 	<-next.takes // the story's own caller; the other is to move, too
@@ -454,8 +456,8 @@
 
 // stall takes in a caller that has a set-up open and reads nothing of what it is told; the bytes are those it has to read first.
 func (s *story) stall(id core.ID) (p *story, c *caller, bytes int64) {
-	limits := s.front.told.Load().Link
-	limits.Outbox, limits.Stuck, limits.WriteStall = 64<<20, time.Millisecond, patience
+	limits := s.front.told.Load().CallerConn
+	limits.MaxQueuedBytes, limits.FlushTimeout, limits.WriteTimeout = 64<<20, time.Millisecond, patience
 	own := listen(s.T)
 	p = s.copy()
 	p.caller = s.dial(own)
@@ -463,8 +465,8 @@
 	if err != nil {
 		s.Fatal(err)
 	}
-	c = s.front.newCaller(s.loop.NewLink(), conn, limits)
-	s.loop.Attach(c.link, c, core.CallerUp{Link: c.link, Front: Front})
+	c = s.front.newCaller(s.loop.NewConnID(), conn, limits)
+	s.loop.Attach(c.link, c, core.CallerUp{Conn: c.link, Protocol: Protocol})
 	go func() {
 		defer conn.Close()
 		s.front.read(c, limits, nil, false)
@@ -483,7 +485,7 @@
 // no connection is reset.
 func TestStopFindsSetUps(t *testing.T) {
 	s := newStory(t, func(s *story) {
-		s.limits.StopGrace, s.limits.StopLinger, s.limits.StopMost = 20*time.Millisecond, 20*time.Millisecond, 300*time.Millisecond
+		s.limits.StopGrace, s.limits.StopLinger, s.limits.MaxStopWait = 20*time.Millisecond, 20*time.Millisecond, 300*time.Millisecond
 	})
 	late, _, unread := s.stall(1)
 	s.say(accept, 1)
@@ -494,8 +496,8 @@
 	held := make(chan struct{})
 	s.hold.Store(&held)
 	s.loop.Post(core.List{Full: true, Servers: []core.Server{
-		{Name: "s", Address: s.server.Addr().String(), Front: Front, Phase: elmseam.Draining},
-		{Name: "t", Address: s.server.Addr().String(), Front: Front, Cell: 1, Phase: elmseam.Ready},
+		{Name: "s", Address: s.server.Addr().String(), Protocol: Protocol, Phase: elmseam.Draining},
+		{Name: "t", Address: s.server.Addr().String(), Protocol: Protocol, Cell: 1, Phase: elmseam.Ready},
 	}})
 	s.caller.Write(setUp(4, "voice", "9000", "")) // waits for a connection
 	s.loop.Post(core.Stop{})
@@ -522,7 +524,7 @@
 // over of the attempts.
 func TestConnectsThatNeverComeUp(t *testing.T) {
 	s := newStory(t)
-	s.limit(func(c *Config) { c.Dial = time.Millisecond })
+	s.limit(func(c *Config) { c.DialTimeout = time.Millisecond })
 	deaf := listen(t) // its backlog is full: nobody answers a connect
 	raw, err := deaf.(*net.TCPListener).SyscallConn()
 	if err != nil {
@@ -536,15 +538,15 @@
 	for tcp(t, deaf).Unacked == 0 { // the handshake may lag behind the connect
 		time.Sleep(time.Millisecond)
 	}
-	before := leak.Descriptors()
-	s.loop.Post(core.List{Servers: []core.Server{{Name: "t", Address: deaf.Addr().String(), Front: Front, Cell: 1, Phase: elmseam.Ready}}})
+	before := leak.OpenDescriptors()
+	s.loop.Post(core.List{Servers: []core.Server{{Name: "t", Address: deaf.Addr().String(), Protocol: Protocol, Cell: 1, Phase: elmseam.Ready}}})
 	for id := core.ID(1); s.dials.Load() < 50; id++ {
 		s.caller.Write(setUp(id, "voice", "9000", ""))
 		s.wantLine(`"offer"`, fmt.Sprintf(`%x"`, uint64(id)))
 		s.say(accept, id)
 		s.wantFrame(typeAnswer, id, -1)
 	}
-	if n := leak.Descriptors(); n > before+1 {
+	if n := leak.OpenDescriptors(); n > before+1 {
 		t.Errorf("%d descriptors, %d before", n, before)
 	}
 }
@@ -553,9 +555,9 @@
 // close of its connection, which is no reset.
 func TestCallersGoOnAskingWhileItStops(t *testing.T) {
 	s := newStory(t, func(s *story) {
-		s.limits.StopGrace, s.limits.StopLinger, s.limits.StopMost = time.Millisecond, 60*time.Millisecond, time.Minute
+		s.limits.StopGrace, s.limits.StopLinger, s.limits.MaxStopWait = time.Millisecond, 60*time.Millisecond, time.Minute
 	})
-	s.limit(func(c *Config) { c.Callers = 1000 })
+	s.limit(func(c *Config) { c.MaxCallers = 1000 })
 	type end struct {
 		owed int
 		err  error
@@ -634,7 +636,7 @@
 	s.caller.Write(release(1, 16))
 	s.wantFrame(typeHeard, 1, -1)
 	at := func(phase elmseam.Phase) {
-		s.loop.Post(core.List{Servers: []core.Server{{Name: "s", Address: s.server.Addr().String(), Front: Front, Phase: phase}}})
+		s.loop.Post(core.List{Servers: []core.Server{{Name: "s", Address: s.server.Addr().String(), Protocol: Protocol, Phase: phase}}})
 	}
 	at(elmseam.Draining)
 	close(held)
@@ -658,7 +660,7 @@
 	s.wantFrame(typeAnswer, 1, -1)
 	address := s.server.Addr().String()
 	s.loop.Post(core.List{Servers: []core.Server{
-		{Name: "s", Address: address, Front: Front, Phase: elmseam.Gone}, {Name: "t", Address: address, Front: Front, Phase: elmseam.Ready},
+		{Name: "s", Address: address, Protocol: Protocol, Phase: elmseam.Gone}, {Name: "t", Address: address, Protocol: Protocol, Phase: elmseam.Ready},
 	}})
 	s.wantFrame(typeRelease, 1, 41)
 	if s.lines.Scan() || s.lines.Err() != nil {
@@ -671,7 +673,7 @@
 
 // An id comes again when the call that had it is over and forgotten: the deadline of the first means nothing to the second.
 func TestIDComesAgain(t *testing.T) {
-	s := newStory(t, func(s *story) { s.limits.Ended = 1 })
+	s := newStory(t, func(s *story) { s.limits.MaxEndedCalls = 1 })
 	for _, id := range []core.ID{1, 2} { // the second is remembered, the first is not
 		s.caller.Write(setUp(id, "voice", "2000", ""))
 		s.wantLine(`"offer"`)
@@ -689,7 +691,7 @@
 
 // Descriptors for one connection to servers, and two servers: the one that is needed takes the place of the other's.
 func TestConnectionToAServerMakesRoom(t *testing.T) {
-	s := newStory(t, func(s *story) { s.limits.ServerLines = 1 })
+	s := newStory(t, func(s *story) { s.limits.MaxServerConns = 1 })
 	s.caller.Write(setUp(9, "voice", "9000", ""))
 	s.wantLine(`"offer"`) // the connection to the first is up
 	s.say(accept, 9)
@@ -697,7 +699,7 @@
 	s.say(`{"op":"end","call":"%016x","with":{},"why":16}`, 9)
 	s.wantFrame(typeRelease, 9, 16)
 	l := s.second()
-	s.loop.Post(core.List{Servers: []core.Server{{Name: "s", Address: s.server.Addr().String(), Front: Front, Phase: elmseam.Draining}}})
+	s.loop.Post(core.List{Servers: []core.Server{{Name: "s", Address: s.server.Addr().String(), Protocol: Protocol, Phase: elmseam.Draining}}})
 	s.caller.Write(setUp(1, "voice", "9000", ""))
 	other := s.on(l)
 	other.wantLine(`"offer"`, `0001"`)
@@ -710,28 +712,28 @@
 func TestColumnsChange(t *testing.T) {
 	seen := make(chan elmseam.Report, 9)
 	s := newStory(t, func(s *story) {
-		s.hook.Deaf = func(ev elmseam.Event) bool {
+		s.hook.SuppressEvent = func(ev elmseam.Event) bool {
 			if h, report := ev.(elmseam.Health); report {
 				seen <- h.Report
 			}
 			return false
 		}
 	})
-	for _, tt := range []struct{ columns []elmseam.Figure }{
-		{columns: []elmseam.Figure{elmseam.FigureFreeLines, elmseam.FigureShare}},
-		{columns: []elmseam.Figure{elmseam.FigureShare, elmseam.FigureFreeLines}},
-		{columns: []elmseam.Figure{elmseam.FigureShare}},
+	for _, tt := range []struct{ columns []elmseam.LoadMetric }{
+		{columns: []elmseam.LoadMetric{elmseam.LoadMetricFreeLines, elmseam.LoadMetricHoldBackShare}},
+		{columns: []elmseam.LoadMetric{elmseam.LoadMetricHoldBackShare, elmseam.LoadMetricFreeLines}},
+		{columns: []elmseam.LoadMetric{elmseam.LoadMetricHoldBackShare}},
 	} {
 		s.loop.Post(core.Configured{Limits: s.limits, Settings: elmseam.Settings{
 			Classes: []elmseam.Class{{Deadline: 9 * time.Second, Worth: 1}}, MaxAttempts: 4, OwnCell: -1,
-			ReleaseGuard: 50 * time.Millisecond, MaxRetryAfter: 2 * time.Second, Report: tt.columns,
+			ReleaseGuard: 50 * time.Millisecond, MaxRetryAfter: 2 * time.Second, ReportMetrics: tt.columns,
 		}})
 		s.caller.Write(appendFrame(nil, typeTest, 5, appendParam(nil, paramCause, 0)))
 		s.wantFrame(typeTested, 5, 1)
 		s.say(`{"op":"group","call":"","with":{"load":"spare:8;cut_by:0.5"},"why":0}`)
 		got := <-seen
 		for i, f := range tt.columns {
-			if want := map[elmseam.Figure]float64{elmseam.FigureFreeLines: 8, elmseam.FigureShare: 0.5}[f]; got[i] != want {
+			if want := map[elmseam.LoadMetric]float64{elmseam.LoadMetricFreeLines: 8, elmseam.LoadMetricHoldBackShare: 0.5}[f]; got[i] != want {
 				t.Errorf("columns %v: %v", tt.columns, got)
 			}
 		}
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -48,16 +48,16 @@
 
 func newStory(t *testing.T, with ...func(*story)) *story {
 	t.Helper()
-	s := &story{T: t, told: make(chan core.Effect, 100), limits: core.Limits{Rebind: 100 * time.Millisecond, RedialLeast: time.Millisecond,
-		RedialMost: time.Millisecond, ServerLost: time.Minute, Callers: 100, MaxOpen: 100, OpenBytes: 1 << 20, Remember: time.Minute,
-		Transient: map[core.Front]bool{Front: true}}}
+	s := &story{T: t, told: make(chan core.Effect, 100), limits: core.Limits{Rebind: 100 * time.Millisecond, MinRedial: time.Millisecond,
+		MaxRedial: time.Millisecond, ServerLostAfter: time.Minute, MaxCallerConns: 100, MaxOpen: 100, MaxCallBytes: 1 << 20, EndedCallTTL: time.Minute,
+		Transient: map[core.Protocol]bool{Protocol: true}}}
 	for _, f := range with {
 		f(s)
 	}
 	c, err := core.New(elmseam.Settings{
 		Classes: []elmseam.Class{{Deadline: 9 * time.Second, Worth: 1}}, MaxAttempts: 4, OwnCell: -1,
 		ReleaseGuard: 50 * time.Millisecond, MaxRetryAfter: 2 * time.Second, Tenants: s.tenants, OverShareWorth: 0.1,
-		Report: []elmseam.Figure{elmseam.FigureWait},
+		ReportMetrics: []elmseam.LoadMetric{elmseam.LoadMetricWait},
 	}, 1, s.limits)
 	if err != nil {
 		t.Fatal(err)
@@ -69,14 +69,14 @@
 		default:
 		}
 	}, zerolog.Nop())
-	limits := link.Limits{ReadFirst: 64, Message: 16 << 10, Outbox: 1 << 20, WriteStall: time.Second, Stuck: 50 * time.Millisecond,
-		Line: 50 * time.Millisecond, Silence: 100 * time.Millisecond,
-		First: patience, Idle: patience, Linger: 100 * time.Millisecond, Drain: 1 << 16}
+	limits := link.Limits{InitialBufferSize: 64, MaxMessageSize: 16 << 10, MaxQueuedBytes: 1 << 20, WriteTimeout: time.Second, FlushTimeout: 50 * time.Millisecond,
+		LineTimeout: 50 * time.Millisecond, MaxSilence: 100 * time.Millisecond,
+		MessageTimeout: patience, IdleTimeout: patience, LingerTimeout: 100 * time.Millisecond, MaxLingerBytes: 1 << 16}
 	p := New(Config{
-		Node: settings.Node{Classes: []settings.Class{{Name: "voice", Cells: []int{0, 1}, Width: 1}}, Columns: []string{"spare", "cut_by"}}, Dial: time.Second, Callers: 8,
-		Link: limits, ServerLink: limits,
+		Deployment: settings.Deployment{Classes: []settings.Class{{Name: "voice", Cells: []int{0, 1}, Lines: 1}}, ReportMetrics: []string{"spare", "cut_by"}}, DialTimeout: time.Second, MaxCallers: 8,
+		CallerConn: limits, ServerConn: limits,
 	}, l, zerolog.Nop())
-	l.Dialer(Front, func(d core.Dial) {
+	l.SetDialer(Protocol, func(d core.Dial) {
 		s.dials.Add(1)
 		if hold := s.hold.Load(); hold != nil {
 			<-*hold
@@ -90,7 +90,7 @@
 	go l.Run(ctx)
 	go p.Serve(front)
 	l.Post(core.List{Full: true, Servers: []core.Server{
-		{Name: "s", Address: s.server.Addr().String(), Front: Front, Phase: elmseam.Ready},
+		{Name: "s", Address: s.server.Addr().String(), Protocol: Protocol, Phase: elmseam.Ready},
 	}})
 	s.accept()
 	s.caller = s.dial(front)
@@ -261,7 +261,7 @@
 		reports := make(chan float64, 100)
 		s := newStory(t, func(s *story) {
 			s.limits.Probe = probe.Limits{Permitted: permitted, Rate: 1000, Burst: 1, Timeout: 50 * time.Millisecond}
-			s.hook.Deaf = func(ev elmseam.Event) bool {
+			s.hook.SuppressEvent = func(ev elmseam.Event) bool {
 				if h, ok := ev.(elmseam.Health); ok && len(h.Report) > 0 {
 					reports <- h.Report[0]
 				}
@@ -364,7 +364,7 @@
 	s.wantFrame(typeRelease, 0, 100)
 	// Nobody waits for longer than the class allows: a timer of days would be kept for days.
 	told := *s.front.told.Load()
-	told.Node.Classes = []settings.Class{{Name: "voice", Cells: []int{0, 1}, Width: 1, Wait: 200 * time.Millisecond}}
+	told.Deployment.Classes = []settings.Class{{Name: "voice", Cells: []int{0, 1}, Lines: 1, MaxWait: 200 * time.Millisecond}}
 	s.front.Configure(told.Config)
 	s.caller.Write(with(14, "voice", "99999999", "dest:1;width:1;via:-1"))
 	s.wantLine(`"offer"`, `00000e"`) // the first that the server sees
@@ -376,7 +376,7 @@
 func TestSilentCallers(t *testing.T) {
 	s := newStory(t)
 	told := *s.front.told.Load()
-	told.Link.First, told.Link.Idle = 50*time.Millisecond, time.Hour
+	told.CallerConn.MessageTimeout, told.CallerConn.IdleTimeout = 50*time.Millisecond, time.Hour
 	s.front.Configure(told.Config)
 	test := appendFrame(nil, typeTest, 5, appendParam(nil, paramCause, 0))
 	for name, sent := range map[string][]byte{"nothing": nil, "a half": test[:5], "one and a half": append(test, test[:5]...)} {
@@ -414,7 +414,7 @@
 	tenants := make(chan int, 10)
 	s := newStory(t, func(s *story) {
 		s.tenants = []elmseam.Tenant{{Name: "x", Allowance: 1}, {Name: "acme", Allowance: 1}}
-		s.hook.Deaf = func(ev elmseam.Event) bool {
+		s.hook.SuppressEvent = func(ev elmseam.Event) bool {
 			if a, ok := ev.(elmseam.Arrival); ok {
 				tenants <- a.Tenant
 			}
@@ -445,7 +445,7 @@
 	}
 	raw.Control(func(fd uintptr) { err = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_SNDBUF, 8<<10) })
 	told := *s.front.told.Load()
-	told.Link.Outbox = 64 << 10
+	told.CallerConn.MaxQueuedBytes = 64 << 10
 	s.front.Configure(told.Config)
 	small := net.Dialer{Control: func(_, _ string, c syscall.RawConn) error {
 		return c.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 8<<10) })
--- a/internal/platform/server.go
+++ b/internal/platform/server.go
@@ -23,7 +23,7 @@
 type server struct {
 	p    *Platform
 	name string
-	link core.Link
+	link core.ConnID
 	out  *link.Outbox
 
 	linger time.Duration
@@ -33,32 +33,32 @@
 
 func (s *server) Flush() { s.out.Flush() }
 
-// Carry writes an effect for a server.
-func (s *server) Carry(e core.Effect) []core.Event {
+// HandleEffect writes an effect for a server.
+func (s *server) HandleEffect(e core.Effect) []core.Event {
 	switch e := e.(type) {
 	case core.Offer:
 		s.out.Post(link.Item{
-			Data: appendOffer(nil, e, s.p.loop.Now()), ID: uint64(e.ID), Offer: true, Until: s.p.loop.When(e.Until),
-			Done:  func() { s.p.loop.Post(core.Sent{Server: s.name, ID: e.ID}) },
-			Lapse: func() { s.p.loop.Post(core.NotSent{Server: s.name, Link: s.link, ID: e.ID}) },
+			Data: appendOffer(nil, e, s.p.loop.Now()), ID: uint64(e.ID), Retractable: true, Deadline: s.p.loop.WallTime(e.Until),
+			OnWritten: func() { s.p.loop.Post(core.OfferWritten{Server: s.name, ID: e.ID}) },
+			OnExpired: func() { s.p.loop.Post(core.NotSent{Server: s.name, Conn: s.link, ID: e.ID}) },
 		})
 	case core.End:
-		if s.out.TakeBack(uint64(e.ID)) {
-			return []core.Event{core.NotSent{Server: s.name, Link: s.link, ID: e.ID}}
+		if s.out.Retract(uint64(e.ID)) {
+			return []core.Event{core.NotSent{Server: s.name, Conn: s.link, ID: e.ID}}
 		}
 		it := link.Item{Data: appendEnd(nil, e.ID, q850.NormalClearing)}
-		if e.Tell {
-			it.Done = func() { s.p.loop.Post(core.Written{Server: s.name, Link: s.link, ID: e.ID}) }
+		if e.Notify {
+			it.OnWritten = func() { s.p.loop.Post(core.EndWritten{Server: s.name, Conn: s.link, ID: e.ID}) }
 		}
 		s.out.Post(it)
-	case core.Test:
+	case core.Probe:
 		s.out.Post(link.Item{Data: fmt.Appendf(nil, `{"op":"test","call":"%016x","with":{},"why":%d}`+"\n", uint64(e.ID), askReport)})
 	case core.GracefulClose: // what was written last can still be read
 		s.out.Finish(func() { time.AfterFunc(s.linger, s.out.Close) })
 	case core.Withdraw:
 		var back []core.Event
-		for _, id := range s.out.Withdraw() {
-			back = append(back, core.NotSent{Server: s.name, Link: s.link, ID: core.ID(id)})
+		for _, id := range s.out.RetractAll() {
+			back = append(back, core.NotSent{Server: s.name, Conn: s.link, ID: core.ID(id)})
 		}
 		return back
 	}
@@ -72,8 +72,8 @@
 func appendOffer(b []byte, e core.Offer, now core.Time) []byte {
 	b = fmt.Appendf(b, `{"op":"offer","call":"%016x","with":{"class":`, uint64(e.ID))
 	b = appendText(b, e.Class)
-	if e.Key != "" {
-		b = appendText(append(b, `,"key":`...), e.Key)
+	if e.NumberText != "" {
+		b = appendText(append(b, `,"key":`...), e.NumberText)
 	}
 	left := max(e.Until-now, time.Millisecond)
 	b = fmt.Appendf(b, `,"left":"%d"},"desc":`, left.Milliseconds())
@@ -88,7 +88,7 @@
 // Dial makes a connection to a server and reads it to its end. It is a loop.Dialer.
 func (p *Platform) Dial(e core.Dial) {
 	told := p.told.Load()
-	conn, err := net.DialTimeout("tcp", e.Address, told.Dial)
+	conn, err := net.DialTimeout("tcp", e.Address, told.DialTimeout)
 	if err != nil {
 		p.log.Debug().Err(err).Str("server", e.Server).Msg("server out of reach")
 		p.loop.Post(core.ServerDown{Server: e.Server, Address: e.Address})
@@ -97,25 +97,25 @@
 	p.open.Add(1)
 	defer p.open.Add(-1)
 	defer conn.Close()
-	s := &server{p: p, name: e.Server, link: p.loop.NewLink(), out: link.NewOutbox(conn, told.ServerLink), linger: told.ServerLink.Linger}
-	p.loop.Attach(s.link, s, core.ServerUp{Server: e.Server, Address: e.Address, Link: s.link})
-	err = s.read(conn, told.ServerLink)
+	s := &server{p: p, name: e.Server, link: p.loop.NewConnID(), out: link.NewOutbox(conn, told.ServerConn), linger: told.ServerConn.LingerTimeout}
+	p.loop.Attach(s.link, s, core.ServerUp{Server: e.Server, Address: e.Address, Conn: s.link})
+	err = s.read(conn, told.ServerConn)
 	p.log.Info().Err(err).Str("server", e.Server).Msg("connection to server ended")
-	p.loop.Post(core.ServerDown{Server: e.Server, Link: s.link})
+	p.loop.Post(core.ServerDown{Server: e.Server, Conn: s.link})
 }
 
 // read takes in a server's lines.
 func (s *server) read(conn net.Conn, limits link.Limits) error {
-	in := link.NewBuffer(limits.ReadFirst, limits.Message)
+	in := link.NewBuffer(limits.InitialBufferSize, limits.MaxMessageSize)
 	var told time.Time // its state, last
 	partial := false
 	silent := false
 	for {
-		wait := s.p.pulse.silence(limits.Silence)
+		wait := s.p.pulse.silence(limits.MaxSilence)
 		switch now := time.Now(); {
 		case len(in.Bytes()) > 0 && !partial: // the line must be whole by then
 			partial = true
-			conn.SetReadDeadline(now.Add(limits.Line))
+			conn.SetReadDeadline(now.Add(limits.LineTimeout))
 		case partial:
 		case told.IsZero() || wait == 0:
 			conn.SetReadDeadline(time.Time{})
@@ -130,7 +130,7 @@
 			silent = false
 		case errors.Is(err, os.ErrDeadlineExceeded) && !partial && wait > 0:
 			silent = true
-			s.p.loop.Post(core.ServerSilent{Server: s.name, Link: s.link, For: wait})
+			s.p.loop.Post(core.ServerSilent{Server: s.name, Conn: s.link, For: wait})
 			continue
 		default:
 			return err
@@ -147,7 +147,7 @@
 			}
 			if err != nil { // the end of the attempt it was for, and of no other
 				s.p.loud.Warn().Err(err).Str("server", s.name).Int("bytes", end).Msg("a server's message can't be read")
-				s.p.loop.Post(core.ServerMalformed{Server: s.name, Link: s.link, ID: callIn(b[:end])})
+				s.p.loop.Post(core.ServerMalformed{Server: s.name, Conn: s.link, ID: callIn(b[:end])})
 			} else if now := time.Now(); l.op == "group" {
 				if !told.IsZero() {
 					s.p.pulse.told(now.Sub(told))
@@ -220,20 +220,20 @@
 	report := report(l.load)
 	switch l.op {
 	case "accept":
-		s.p.loop.Post(core.ServerAnswer{Server: s.name, Link: s.link, ID: id, Desc: []byte(l.desc), Report: report})
+		s.p.loop.Post(core.ServerAnswer{Server: s.name, Conn: s.link, ID: id, Desc: []byte(l.desc), Report: report})
 	case "end":
 		s.p.loop.Post(core.ServerEnd{
-			Server: s.name, Link: s.link, ID: id, Reason: q850.FromServer(l.why), Refusal: q850.Refusal(l.note), Report: report,
-			Refuses: refuses(l.why),
+			Server: s.name, Conn: s.link, ID: id, Reason: q850.ReasonFromCause(l.why), Refusal: q850.RefusalFromNote(l.note), Report: report,
+			RefusalOnly: refuses(l.why),
 		})
 	case "group":
 		if report != nil {
-			s.p.loop.Post(core.ServerReport{Server: s.name, Link: s.link, Report: report})
+			s.p.loop.Post(core.ServerReport{Server: s.name, Conn: s.link, Report: report})
 		}
 	case "test":
 		s.out.Post(link.Item{Data: fmt.Appendf(nil, `{"op":"tested","call":"%016x","with":{},"why":1}`+"\n", uint64(id))})
 	case "tested":
-		s.p.loop.Post(core.ServerTested{Server: s.name, Link: s.link, ID: probe.ID(id), Report: report})
+		s.p.loop.Post(core.ServerProbeAnswer{Server: s.name, Conn: s.link, ID: probe.ID(id), Report: report})
 	case "ringing", "ended":
 	default:
 		return fmt.Errorf("a message of the unknown type %q", l.op)
@@ -243,7 +243,7 @@
 
 // refuses says whether a cause is the answer to a set-up, and never the end of a call that stands.
 func refuses(cause int) bool {
-	switch q850.FromServer(cause) {
+	switch q850.ReasonFromCause(cause) {
 	case core.Normal, core.Reset:
 		return false
 	}
@@ -258,8 +258,8 @@
 	for pair := range strings.SplitSeq(text, ";") {
 		name, value, _ := strings.Cut(pair, ":")
 		n, err := strconv.ParseFloat(value, 64)
-		if f := settings.Figure(name); err == nil && f != 0 && len(r) < mostTold {
-			r = append(r, core.Told{Figure: f, Value: n})
+		if f := settings.LoadMetric(name); err == nil && f != 0 && len(r) < mostTold {
+			r = append(r, core.LoadValue{Metric: f, Value: n})
 		}
 	}
 	return r
--- a/internal/probe/probe.go
+++ b/internal/probe/probe.go
@@ -13,13 +13,13 @@
 	Timeout   time.Duration // without an answer by then a probe has failed
 }
 
-// Figures count probes from the start of the process.
-type Figures struct {
-	Sent     uint64
-	Answered uint64
-	Failed   uint64 // no answer came in time, or the connection ended first
-	Held     uint64 // not sent, as the rate is bounded
-	Late     uint64 // answers to none that is out: a second one, or one that comes too late
+// Counters count probes from the start of the process.
+type Counters struct {
+	Sent        uint64
+	Answered    uint64
+	Failed      uint64 // no answer came in time, or the connection ended first
+	RateLimited uint64 // not sent, as the rate is bounded
+	Late        uint64 // answers to none that is out: a second one, or one that comes too late
 }
 
 // ID names a probe.
@@ -28,7 +28,7 @@
 // Prober keeps the probes that are out, at most one to a connection.
 type Prober struct {
 	limits  Limits
-	figures Figures
+	figures Counters
 	tokens  float64
 	at      time.Duration // when they were last counted
 	last    ID
@@ -41,8 +41,8 @@
 // Configure replaces the limits. A probe that is out stays out.
 func (p *Prober) Configure(l Limits) { p.limits = l }
 
-// Figures are the figures of now.
-func (p *Prober) Figures() Figures { return p.figures }
+// Counters are the figures of now.
+func (p *Prober) Counters() Counters { return p.figures }
 
 // Verdict is what may be done about a connection in doubt.
 type Verdict uint8
@@ -54,8 +54,8 @@
 	Send
 )
 
-// Ask says whether a connection may be probed, and if so, under which name and until when an answer is waited for.
-func (p *Prober) Ask(now time.Duration, link uint64) (v Verdict, id ID, until time.Duration) {
+// Request says whether a connection may be probed, and if so, under which name and until when an answer is waited for.
+func (p *Prober) Request(now time.Duration, link uint64) (v Verdict, id ID, until time.Duration) {
 	if !p.limits.Permitted {
 		return Forbidden, 0, 0
 	}
@@ -66,7 +66,7 @@
 	}
 	p.tokens = min(p.tokens+p.limits.Rate*max(now-p.at, 0).Seconds(), p.limits.Burst)
 	if p.at = now; p.tokens < 1 {
-		p.figures.Held++
+		p.figures.RateLimited++
 		return Wait, 0, 0
 	}
 	p.tokens--
@@ -87,8 +87,8 @@
 	return true
 }
 
-// Overdue ends a probe whose time is up, and says whether it was still out.
-func (p *Prober) Overdue(id ID) bool {
+// Expire ends a probe whose time is up, and says whether it was still out.
+func (p *Prober) Expire(id ID) bool {
 	if _, out := p.out[id]; !out {
 		return false
 	}
@@ -97,11 +97,11 @@
 	return true
 }
 
-// Ended takes in that a connection is no more: nobody waits for what was asked there.
-func (p *Prober) Ended(link uint64) {
+// ConnClosed takes in that a connection is no more: nobody waits for what was asked there.
+func (p *Prober) ConnClosed(link uint64) {
 	for id, l := range p.out {
 		if l == link {
-			p.Overdue(id)
+			p.Expire(id)
 		}
 	}
 }
--- a/internal/q850/q850.go
+++ b/internal/q850/q850.go
@@ -9,18 +9,18 @@
 
 // The cause values in use.
 const (
-	UserBusy        = 17
-	NormalClearing  = 16
-	NoCircuit       = 34
-	TemporaryFault  = 41
-	Congestion      = 42
-	NoResource      = 47
-	InvalidContents = 100
-	TimerExpiry     = 102
+	UserBusy            = 17
+	NormalClearing      = 16
+	NoCircuit           = 34
+	TemporaryFailure    = 41
+	Congestion          = 42
+	ResourceUnavailable = 47
+	InvalidContents     = 100
+	TimerExpiry         = 102
 )
 
-// ToCaller is the cause that a caller is told.
-func ToCaller(r core.Reason) byte {
+// CauseFromReason is the cause that a caller is told.
+func CauseFromReason(r core.Reason) byte {
 	switch r {
 	case core.Normal:
 		return NormalClearing
@@ -31,17 +31,17 @@
 	case core.Unsupported:
 		return InvalidContents
 	}
-	return TemporaryFault
+	return TemporaryFailure
 }
 
-// FromServer is what a server's cause says.
-func FromServer(cause int) core.Reason {
+// ReasonFromCause is what a server's cause says.
+func ReasonFromCause(cause int) core.Reason {
 	switch cause {
 	case NormalClearing:
 		return core.Normal
 	case NoCircuit, Congestion:
 		return core.Full
-	case UserBusy, NoResource:
+	case UserBusy, ResourceUnavailable:
 		return core.Busy
 	case TimerExpiry:
 		return core.Unsent
@@ -49,8 +49,8 @@
 	return core.Reset
 }
 
-// Refusal is what a cause says beside that on the platform, where a note goes with it.
-func Refusal(note string) elmseam.Refusal {
+// RefusalFromNote is what a cause says beside that on the platform, where a note goes with it.
+func RefusalFromNote(note string) elmseam.Refusal {
 	switch note {
 	case "swamped":
 		return elmseam.RefusalProcessor
@@ -60,8 +60,8 @@
 	return elmseam.RefusalOther
 }
 
-// RefusalOf is the same in signalling that has causes only.
-func RefusalOf(cause int) elmseam.Refusal {
+// RefusalFromCause is the same in signalling that has causes only.
+func RefusalFromCause(cause int) elmseam.Refusal {
 	switch cause {
 	case Congestion:
 		return elmseam.RefusalProcessor
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -58,24 +58,24 @@
 	} `json:"tenants"`
 }
 
-var figures = map[string]elmseam.Figure{
-	"spare":       elmseam.FigureFreeLines,
-	"total":       elmseam.FigureLines,
-	"outstanding": elmseam.FigureOutstanding,
-	"backlog":     elmseam.FigureQueue,
-	"utilization": elmseam.FigureUtilisation,
-	"recent_ms":   elmseam.FigureWait,
-	"allowed":     elmseam.FigureRate,
-	"cut_by":      elmseam.FigureShare,
+var figures = map[string]elmseam.LoadMetric{
+	"spare":       elmseam.LoadMetricFreeLines,
+	"total":       elmseam.LoadMetricTotalLines,
+	"outstanding": elmseam.LoadMetricOutstanding,
+	"backlog":     elmseam.LoadMetricQueue,
+	"utilization": elmseam.LoadMetricUtilisation,
+	"recent_ms":   elmseam.LoadMetricWait,
+	"allowed":     elmseam.LoadMetricRate,
+	"cut_by":      elmseam.LoadMetricHoldBackShare,
 }
 
-// Figure is what a value of a load report means, by its name.
-func Figure(name string) elmseam.Figure { return figures[name] }
+// LoadMetric is what a value of a load report means, by its name.
+func LoadMetric(name string) elmseam.LoadMetric { return figures[name] }
 
-var repeats = map[string]elmseam.Repeat{
-	"free":        elmseam.RepeatFree,
-	"guarded":     elmseam.RepeatGuard,
-	"single_shot": elmseam.RepeatNever,
+var repeats = map[string]elmseam.RetryPolicy{
+	"free":        elmseam.RetryAlways,
+	"guarded":     elmseam.RetryGuarded,
+	"single_shot": elmseam.RetryNever,
 }
 
 // Decode reads the settings that the decision module starts with.
@@ -86,24 +86,24 @@
 		return elmseam.Settings{}, fmt.Errorf("settings: %w", err)
 	}
 	s := elmseam.Settings{
-		OverShareWorth: info.OverShareWorth,
-		MaxAttempts:    info.Limits.MaxAttempts,
-		CanCancel:      info.Limits.Cancel,
-		OwnCell:        info.FamilyInfo.OwnNumber,
-		ResendGap:      info.FamilyInfo.Retransmit.duration(),
-		ReleaseGuard:   info.FamilyInfo.ReleaseGuard.duration(),
-		ColdFrom:       info.Obligations.ColdFrom,
-		ColdRamp:       info.Obligations.RampTime.duration(),
-		TipMultiple:    info.Obligations.TipMultiple,
-		TipAfter:       info.Obligations.TipAfter.duration(),
-		AskForList:     info.Discovery == "ask",
+		OverShareWorth:     info.OverShareWorth,
+		MaxAttempts:        info.Limits.MaxAttempts,
+		CanCancel:          info.Limits.Cancel,
+		OwnCell:            info.FamilyInfo.OwnNumber,
+		RetransmitInterval: info.FamilyInfo.Retransmit.duration(),
+		ReleaseGuard:       info.FamilyInfo.ReleaseGuard.duration(),
+		ColdInitialShare:   info.Obligations.ColdFrom,
+		ColdRamp:           info.Obligations.RampTime.duration(),
+		OverloadMultiple:   info.Obligations.TipMultiple,
+		OverloadAfter:      info.Obligations.TipAfter.duration(),
+		ListOnRequest:      info.Discovery == "ask",
 	}
 	if info.Limits.RetryAfter {
 		s.MaxRetryAfter = info.Limits.MaxRetryAfter.duration()
 	}
 	if info.LoadReport.Via != "off" {
 		for _, name := range info.LoadReport.Columns {
-			s.Report = append(s.Report, figures[name])
+			s.ReportMetrics = append(s.ReportMetrics, figures[name])
 		}
 	}
 	for i, c := range info.Classes {
@@ -111,7 +111,7 @@
 		if !known && c.Effect != "" {
 			return s, fmt.Errorf("settings: class %d: unknown effect %q", i, c.Effect)
 		}
-		class := elmseam.Class{Aim: c.Objective.duration(), Deadline: c.HardLimit.duration(), Worth: c.Gain, Repeat: repeat}
+		class := elmseam.Class{Aim: c.Objective.duration(), Deadline: c.HardLimit.duration(), Worth: c.Gain, Retry: repeat}
 		if i < len(info.FamilyInfo.ClassCells) {
 			class.Cells = info.FamilyInfo.ClassCells[i]
 		}
@@ -123,53 +123,53 @@
 	return s, nil
 }
 
-// Node is what a softswitch on sockets needs beside the decisions.
-type Node struct {
-	Classes        []Class       // in order
-	Columns        []string      // names of the values of a load report, in order
-	ConnectTimeout time.Duration // a connection not made by then counts as unreachable
-	KeepAlive      time.Duration // idle connections are closed by the far side after this
-	LongestWait    time.Duration // of a caller of any class
-	LeastAim       time.Duration // the shortest time that a class is wanted to stand within
-	LongestHold    time.Duration // the longest that calls of a class last on average
-	MaxOpen        int           // calls that may be open at once
-	Me             int           // the own number in the tier; -1: not told
-	Zone           int           // the own zone; -1: not told
-	Tier           int           // softswitches in the tier; 0: not told
-	PeerMessages   bool          // datagrams between them are permitted
-	Probes         bool          // tests of servers are
+// Deployment is what a softswitch on sockets needs beside the decisions.
+type Deployment struct {
+	Classes             []Class       // in order
+	ReportMetrics       []string      // names of the values of a load report, in order
+	ConnectTimeout      time.Duration // a connection not made by then counts as unreachable
+	KeepAlive           time.Duration // idle connections are closed by the far side after this
+	MaxWait             time.Duration // of a caller of any class
+	MinAim              time.Duration // the shortest time that a class is wanted to stand within
+	MaxMeanHold         time.Duration // the longest that calls of a class last on average
+	MaxOpenCalls        int           // calls that may be open at once
+	Self                int           // the own number in the tier; -1: not told
+	Zone                int           // the own zone; -1: not told
+	TierSize            int           // softswitches in the tier; 0: not told
+	PeerMessagesEnabled bool          // datagrams between them are permitted
+	ProbesEnabled       bool          // tests of servers are
 }
 
 // Class is a class of call as callers name it.
 type Class struct {
-	Name  string
-	Wait  time.Duration // how long a caller waits at most
-	Cells []int         // that may be its first choice; none listed: any
-	Width float64       // lines a call takes; 0: not told
-	Gone  bool          // taken out by a new configuration: calls in hand still have it
+	Name    string
+	MaxWait time.Duration // how long a caller waits at most
+	Cells   []int         // that may be its first choice; none listed: any
+	Lines   float64       // lines a call takes; 0: not told
+	Removed bool          // taken out by a new configuration: calls in hand still have it
 }
 
-// Names are the classes that calls may be of, with their places.
-func (n Node) Names() map[string]int {
+// ClassIndexes are the classes that calls may be of, with their places.
+func (n Deployment) ClassIndexes() map[string]int {
 	names := make(map[string]int)
 	for i, c := range n.Classes {
-		if !c.Gone {
+		if !c.Removed {
 			names[c.Name] = i
 		}
 	}
 	return names
 }
 
-// Follow gives the classes the places they had in an earlier configuration, as calls in hand know them by
+// KeepClassIndexes gives the classes the places they had in an earlier configuration, as calls in hand know them by
 // their place. Those that are no more keep theirs.
-func Follow(old Node, n *Node, s *elmseam.Settings, was elmseam.Settings) {
-	place := n.Names()
+func KeepClassIndexes(old Deployment, n *Deployment, s *elmseam.Settings, was elmseam.Settings) {
+	place := n.ClassIndexes()
 	var classes []Class
 	var rules []elmseam.Class
 	for i, c := range old.Classes {
 		at, there := place[c.Name]
 		if !there {
-			c.Gone = true
+			c.Removed = true
 			classes, rules = append(classes, c), append(rules, was.Classes[i])
 			continue
 		}
@@ -195,9 +195,9 @@
 	"request-classes": {"name", "effect", "gain", "hard-limit-us", "objective-us"},
 }
 
-// Whole says whether settings hold every key that is needed, and figures that calls can live by. An error is one
+// Validate says whether settings hold every key that is needed, and figures that calls can live by. An error is one
 // line that names the field.
-func Whole(text []byte) error {
+func Validate(text []byte) error {
 	var top map[string]json.RawMessage
 	if err := json.Unmarshal(text, &top); err != nil {
 		return fmt.Errorf("settings: %w", err)
@@ -300,8 +300,8 @@
 	return nil
 }
 
-// DecodeNode reads the part of the settings that concerns sockets. Keys it doesn't name are ignored.
-func DecodeNode(text []byte) (Node, error) {
+// DecodeDeployment reads the part of the settings that concerns sockets. Keys it doesn't name are ignored.
+func DecodeDeployment(text []byte) (Deployment, error) {
 	var info struct {
 		FamilyInfo struct {
 			ClassCells [][]int   `json:"class-cells"`
@@ -328,46 +328,46 @@
 		} `json:"request-classes"`
 	}
 	if err := json.Unmarshal(text, &info); err != nil {
-		return Node{}, fmt.Errorf("settings: %w", err)
+		return Deployment{}, fmt.Errorf("settings: %w", err)
 	}
-	n := Node{
-		Columns:        info.LoadReport.Columns,
-		ConnectTimeout: info.Limits.Connect.duration(),
-		KeepAlive:      info.Limits.KeepAlive.duration(),
-		MaxOpen:        info.Limits.MaxOpen,
-		Me:             -1,
-		Zone:           -1,
-		Tier:           int(info.Tier),
-		PeerMessages:   info.Limits.Peers,
-		Probes:         info.Limits.Probes,
+	n := Deployment{
+		ReportMetrics:       info.LoadReport.Columns,
+		ConnectTimeout:      info.Limits.Connect.duration(),
+		KeepAlive:           info.Limits.KeepAlive.duration(),
+		MaxOpenCalls:        info.Limits.MaxOpen,
+		Self:                -1,
+		Zone:                -1,
+		TierSize:            int(info.Tier),
+		PeerMessagesEnabled: info.Limits.Peers,
+		ProbesEnabled:       info.Limits.Probes,
 	}
 	if info.Zone != nil {
 		n.Zone = int(min(max(*info.Zone, -1), 127))
 	}
 	if info.Me != nil {
-		n.Me = int(*info.Me)
+		n.Self = int(*info.Me)
 	}
 	for i, c := range info.Classes {
 		if c.Name == "" {
 			return n, fmt.Errorf("settings: request-classes[%d].name: missing", i)
 		}
-		class := Class{Name: c.Name, Wait: c.HardLimit.duration()}
+		class := Class{Name: c.Name, MaxWait: c.HardLimit.duration()}
 		if i < len(info.FamilyInfo.ClassCells) {
 			class.Cells = info.FamilyInfo.ClassCells[i]
 		}
 		if i < len(info.FamilyInfo.Widths) {
-			class.Width = info.FamilyInfo.Widths[i]
+			class.Lines = info.FamilyInfo.Widths[i]
 		}
 		if i < len(info.FamilyInfo.ClassHold) {
-			n.LongestHold = max(n.LongestHold, info.FamilyInfo.ClassHold[i].duration())
+			n.MaxMeanHold = max(n.MaxMeanHold, info.FamilyInfo.ClassHold[i].duration())
 		}
 		n.Classes = append(n.Classes, class)
-		n.LongestWait = max(n.LongestWait, class.Wait)
-		if aim := c.Objective.duration(); aim > 0 && (n.LeastAim == 0 || aim < n.LeastAim) {
-			n.LeastAim = aim
+		n.MaxWait = max(n.MaxWait, class.MaxWait)
+		if aim := c.Objective.duration(); aim > 0 && (n.MinAim == 0 || aim < n.MinAim) {
+			n.MinAim = aim
 		}
 	}
-	if names := n.Names(); len(names) < len(n.Classes) {
+	if names := n.ClassIndexes(); len(names) < len(n.Classes) {
 		return n, fmt.Errorf("settings: request-classes: %d names for %d classes", len(names), len(n.Classes))
 	}
 	return n, nil
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -19,7 +19,7 @@
  "tenants":[{"name":"a","share":0.54,"allowance-per-s":40},{"name":"b","share":0.46,"allowance-per-s":20}]}`
 
 func TestWholeNamesWhatContradicts(t *testing.T) {
-	if err := Whole([]byte(text)); err != nil {
+	if err := Validate([]byte(text)); err != nil {
 		t.Fatal(err)
 	}
 	for field, change := range map[string][2]string{
@@ -38,7 +38,7 @@
 		"family-info.retransmit-us:":  {`800000`, "null"},
 	} {
 		bad := strings.Replace(text, change[0], change[1], 1)
-		err := Whole([]byte(bad))
+		err := Validate([]byte(bad))
 		if bad == text || err == nil || !strings.HasPrefix(err.Error(), "settings."+field) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v", field, err)
 		}
@@ -51,8 +51,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if want := []elmseam.Figure{elmseam.FigureFreeLines, elmseam.FigureLines, elmseam.FigureWait}; !slices.Equal(set.Report, want) {
-		t.Errorf("report %v, want %v", set.Report, want)
+	if want := []elmseam.LoadMetric{elmseam.LoadMetricFreeLines, elmseam.LoadMetricTotalLines, elmseam.LoadMetricWait}; !slices.Equal(set.ReportMetrics, want) {
+		t.Errorf("report %v, want %v", set.ReportMetrics, want)
 	}
 	if got, want := fmt.Sprint(set.Tenants, set.OverShareWorth), "[{a 40} {b 20}] 0.1"; got != want {
 		t.Errorf("tenants %s, want %s", got, want)
--- a/internal/shares/shares.go
+++ b/internal/shares/shares.go
@@ -12,9 +12,9 @@
 	Allowance float64
 }
 
-// Mix is what each tenant's calls make of one sender's. How many come to the other senders isn't known here, so it is the
+// Tracker is what each tenant's calls make of one sender's. How many come to the other senders isn't known here, so it is the
 // mix that is held against the allowances, not a rate.
-type Mix struct {
+type Tracker struct {
 	tenants []tenant
 	memory  time.Duration
 	at      time.Duration // of the last call
@@ -27,10 +27,10 @@
 }
 
 // New makes a mix that forgets what is longer ago than its memory.
-func New(memory time.Duration) *Mix { return &Mix{memory: memory} }
+func New(memory time.Duration) *Tracker { return &Tracker{memory: memory} }
 
 // Configure replaces the tenants. What those that stay have asked for, known by their names, is kept.
-func (m *Mix) Configure(set []Tenant) {
+func (m *Tracker) Configure(set []Tenant) {
 	old := m.tenants
 	m.tenants = make([]tenant, len(set))
 	for i, t := range set {
@@ -43,10 +43,10 @@
 	}
 }
 
-// Beyond takes in a call of a tenant, by its place, and says whether it is one of those beyond its share: of a tenant that
+// ExceedsShare takes in a call of a tenant, by its place, and says whether it is one of those beyond its share: of a tenant that
 // makes a fifth more of the mix than its share, a sixth of the calls are. A call of no tenant that is known is in nobody's
 // share, or one could have more than its own by leaving its name out. Where there are no tenants there are no shares.
-func (m *Mix) Beyond(now time.Duration, place int) bool {
+func (m *Tracker) ExceedsShare(now time.Duration, place int) bool {
 	if len(m.tenants) == 0 {
 		return false
 	}
--- a/internal/shares/shares_test.go
+++ b/internal/shares/shares_test.go
@@ -13,13 +13,13 @@
 	beyond := func(n int, places ...int) (marked int) {
 		for i := range n {
 			now += 10 * time.Millisecond
-			if place := places[i%len(places)]; m.Beyond(now, place) && place == places[0] {
+			if place := places[i%len(places)]; m.ExceedsShare(now, place) && place == places[0] {
 				marked++
 			}
 		}
 		return marked
 	}
-	if m.Beyond(now, 0) || m.Beyond(now, -1) {
+	if m.ExceedsShare(now, 0) || m.ExceedsShare(now, -1) {
 		t.Error("there are shares where there is no tenant")
 	}
 	m.Configure([]Tenant{{"a", 30}, {"b", 10}})
@@ -28,10 +28,10 @@
 	if got := beyond(40, 0, 2); got < 8 || got > 12 {
 		t.Errorf("%d of 20 calls beyond the share at once after new settings, want 10 or so", got)
 	}
-	if m.Beyond(now, 1) {
+	if m.ExceedsShare(now, 1) {
 		t.Error("the first call of a new tenant is beyond its share")
 	}
-	if !m.Beyond(now, 3) || !m.Beyond(now, -1) {
+	if !m.ExceedsShare(now, 3) || !m.ExceedsShare(now, -1) {
 		t.Error("a call of no known tenant is within somebody's share")
 	}
 }
--- a/internal/swarm/swarm.go
+++ b/internal/swarm/swarm.go
@@ -23,12 +23,12 @@
 	Members int
 	Limits  membership.Limits
 	Seed    uint64
-	// Net says after which delays a datagram arrives: none, it is lost; two, it is doubled. Nil: after 1 ms.
-	Net func(at Time, from, to int, r *rand.Rand) []time.Duration
+	// Delays says after which delays a datagram arrives: none, it is lost; two, it is doubled. Nil: after 1 ms.
+	Delays func(at Time, from, to int, r *rand.Rand) []time.Duration
 	// Servers are those of which each member tells the others (internal/knowledge); 0: nothing is told. Hear is how long
 	// passes, on the mean, between two reports that a member has of one.
-	Servers int
-	Hear    time.Duration
+	Servers        int
+	ReportInterval time.Duration
 }
 
 // what happens next.
@@ -62,15 +62,15 @@
 	paused bool
 	held   []event // what came while it was paused
 	slow   time.Duration
-	skew   time.Duration      // of its clock
-	before membership.Figures // of earlier lives
-	knows  *knowledge.Reducer // nil: nothing is told of servers
-	seen   map[uint32]knowledge.Seen
+	skew   time.Duration       // of its clock
+	before membership.Counters // of earlier lives
+	knows  *knowledge.Reducer  // nil: nothing is told of servers
+	seen   map[uint32]knowledge.Observation
 	seenAt Time
 }
 
-// Swarm is a run.
-type Swarm struct {
+// Simulation is a run.
+type Simulation struct {
 	cfg     Config
 	now     Time
 	seq     uint64
@@ -78,16 +78,16 @@
 	members []member
 	rng     *rand.Rand
 
-	// Watch, unless nil, hears of every change of a state that a member holds of another.
-	Watch func(at Time, observer int, c membership.Changed)
+	// OnChange, unless nil, hears of every change of a state that a member holds of another.
+	OnChange func(at Time, observer int, c membership.StateChanged)
 }
 
 // New begins a run: all members start at the same instant.
-func New(cfg Config) (*Swarm, error) {
-	if cfg.Net == nil {
-		cfg.Net = func(Time, int, int, *rand.Rand) []time.Duration { return []time.Duration{time.Millisecond} }
+func New(cfg Config) (*Simulation, error) {
+	if cfg.Delays == nil {
+		cfg.Delays = func(Time, int, int, *rand.Rand) []time.Duration { return []time.Duration{time.Millisecond} }
 	}
-	s := &Swarm{cfg: cfg, now: Epoch, members: make([]member, cfg.Members), rng: rand.New(rand.NewPCG(cfg.Seed, 0x737761))}
+	s := &Simulation{cfg: cfg, now: Epoch, members: make([]member, cfg.Members), rng: rand.New(rand.NewPCG(cfg.Seed, 0x737761))}
 	for m := range s.members {
 		if err := s.Start(m); err != nil {
 			return nil, err
@@ -97,11 +97,11 @@
 }
 
 // Now is the run's time.
-func (s *Swarm) Now() Time { return s.now }
+func (s *Simulation) Now() Time { return s.now }
 
 // Start starts a member that was killed, as nothing but its number and the clock.
-func (s *Swarm) Start(m int) error {
-	r, out, err := membership.New(membership.Config{Self: m, Tier: s.cfg.Members, Limits: s.cfg.Limits, Seed: s.rng.Uint64()}, s.now+s.members[m].skew)
+func (s *Simulation) Start(m int) error {
+	r, out, err := membership.New(membership.Config{Self: m, TierSize: s.cfg.Members, Limits: s.cfg.Limits, Seed: s.rng.Uint64()}, s.now+s.members[m].skew)
 	if err != nil {
 		return err
 	}
@@ -115,29 +115,29 @@
 }
 
 // Kill ends a member without a word.
-func (s *Swarm) Kill(m int) {
+func (s *Simulation) Kill(m int) {
 	e := &s.members[m]
 	if e.r == nil {
 		return
 	}
-	e.before = add(e.before, e.r.Figures())
+	e.before = add(e.before, e.r.Counters())
 	e.r, e.paused, e.held = nil, false, nil
 }
 
 // Pause stops a member: what is for it waits, but for the datagrams, of which a socket holds only so many.
-func (s *Swarm) Pause(m int) { s.members[m].paused = true }
+func (s *Simulation) Pause(m int) { s.members[m].paused = true }
 
 // socketHolds is how many datagrams wait for a member that is stopped.
 const socketHolds = 128
 
 // Resume lets a stopped member go on: its timers that are overdue come first, then the datagrams.
-func (s *Swarm) Resume(m int) {
+func (s *Simulation) Resume(m int) {
 	e := &s.members[m]
 	held := e.held
 	e.paused, e.held = false, nil
 	for _, timers := range []bool{true, false} {
 		for _, h := range held {
-			if _, due := h.ev.(membership.Due); due == timers {
+			if _, due := h.ev.(membership.TimerFired); due == timers {
 				h.at = s.now
 				s.push(h)
 			}
@@ -146,40 +146,42 @@
 }
 
 // Slow has a member take in each event so much later.
-func (s *Swarm) Slow(m int, by time.Duration) { s.members[m].slow = by }
+func (s *Simulation) Slow(m int, by time.Duration) { s.members[m].slow = by }
 
 // Skew has a member's clock be off by so much from its next start on.
-func (s *Swarm) Skew(m int, by time.Duration) { s.members[m].skew = by }
+func (s *Simulation) Skew(m int, by time.Duration) { s.members[m].skew = by }
 
-// Do hands a member an event of its own.
-func (s *Swarm) Do(m int, ev membership.Event) {
+// Inject hands a member an event of its own.
+func (s *Simulation) Inject(m int, ev membership.Event) {
 	if r := s.members[m].r; r != nil {
 		s.carry(m, r.Step(s.now+s.members[m].skew, ev))
 	}
 }
 
 // Running says whether a member is there: neither killed nor stopped.
-func (s *Swarm) Running(m int) bool { return s.members[m].r != nil && !s.members[m].paused }
+func (s *Simulation) Running(m int) bool { return s.members[m].r != nil && !s.members[m].paused }
 
 // Member is a member's reducer; nil if it is killed.
-func (s *Swarm) Member(m int) *membership.Reducer { return s.members[m].r }
+func (s *Simulation) Member(m int) *membership.Reducer { return s.members[m].r }
 
-// Held is what one member holds of another.
-func (s *Swarm) Held(observer, of int) membership.Member { return s.members[observer].r.Members()[of] }
+// StateOf is what one member holds of another.
+func (s *Simulation) StateOf(observer, of int) membership.Member {
+	return s.members[observer].r.Members()[of]
+}
 
-// Figures are the sums over all members and lives.
-func (s *Swarm) Figures() (f membership.Figures) {
+// Counters are the sums over all members and lives.
+func (s *Simulation) Counters() (f membership.Counters) {
 	for _, e := range s.members {
 		f = add(f, e.before)
 		if e.r != nil {
-			f = add(f, e.r.Figures())
+			f = add(f, e.r.Counters())
 		}
 	}
 	return f
 }
 
 // Run lets time pass up to an instant.
-func (s *Swarm) Run(until Time) {
+func (s *Simulation) Run(until Time) {
 	for len(s.queue) > 0 && s.queue[0].at <= until {
 		e := heap.Pop(&s.queue).(event)
 		s.now = max(s.now, e.at)
@@ -198,32 +200,32 @@
 	s.now = max(s.now, until)
 }
 
-func (s *Swarm) push(e event) {
+func (s *Simulation) push(e event) {
 	s.seq++
 	e.seq = s.seq
 	heap.Push(&s.queue, e)
 }
 
 // carry carries a member's effects out.
-func (s *Swarm) carry(m int, out []membership.Effect) {
+func (s *Simulation) carry(m int, out []membership.Effect) {
 	for _, e := range out {
 		switch e := e.(type) {
 		case membership.Send:
 			data := s.ride(m, e.Data)
-			for _, d := range s.cfg.Net(s.now, m, e.To, s.rng) {
+			for _, d := range s.cfg.Delays(s.now, m, e.To, s.rng) {
 				s.push(event{at: s.now + d + s.members[e.To].slow, to: e.To, ev: membership.Datagram{From: m, Data: data}})
 			}
 		case membership.Timer:
-			s.push(event{at: e.At - s.members[m].skew + s.members[m].slow, to: m, life: s.members[m].life, ev: membership.Due{Token: e.Token}})
-		case membership.Changed:
-			if s.Watch != nil && e.Member != m {
-				s.Watch(s.now, m, e)
+			s.push(event{at: e.At - s.members[m].skew + s.members[m].slow, to: m, life: s.members[m].life, ev: membership.TimerFired{Token: e.Token}})
+		case membership.StateChanged:
+			if s.OnChange != nil && e.Member != m {
+				s.OnChange(s.now, m, e)
 			}
 		}
 	}
 }
 
-func add(a, b membership.Figures) membership.Figures {
+func add(a, b membership.Counters) membership.Counters {
 	a.Probes += b.Probes
 	a.Indirect += b.Indirect
 	a.Acks += b.Acks
@@ -235,9 +237,9 @@
 	a.Stalls += b.Stalls
 	a.Sent += b.Sent
 	a.SentBytes += b.SentBytes
-	a.Heard += b.Heard
-	a.Garbled += b.Garbled
-	a.Versions += b.Versions
-	a.Strangers += b.Strangers
+	a.Received += b.Received
+	a.Malformed += b.Malformed
+	a.VersionMismatches += b.VersionMismatches
+	a.UnknownSenders += b.UnknownSenders
 	return a
 }
--- a/internal/swarm/trial.go
+++ b/internal/swarm/trial.go
@@ -8,86 +8,86 @@
 	"elmseam/internal/membership"
 )
 
-// Trial is an experiment: a tier that has come together, then a trouble, and what it took to see it.
-type Trial struct {
-	Members  int
-	Limits   membership.Limits
-	Seed     uint64
-	Loss     float64       // share of the datagrams
-	Delay    time.Duration // of each, at most; a datagram takes any part of it
-	Warm     time.Duration // before it is measured
-	Span     time.Duration // that is measured
-	Kill     bool          // a member, when the load has been measured for Span; then it goes on until all hold it dead
-	Troubled int           // members that do badly:
-	Pause    time.Duration // they stand still together for so long,
-	Every    time.Duration // so often;
-	Slow     time.Duration // they take in all so much later
-	Servers  int           // of which members tell each other
-	Hear     time.Duration // between two reports of one that a member has itself
+// Experiment is an experiment: a tier that has come together, then a trouble, and what it took to see it.
+type Experiment struct {
+	Members        int
+	Limits         membership.Limits
+	Seed           uint64
+	Loss           float64       // share of the datagrams
+	MaxDelay       time.Duration // of each, at most; a datagram takes any part of it
+	WarmUp         time.Duration // before it is measured
+	Measured       time.Duration // that is measured
+	Kill           bool          // a member, when the load has been measured for Span; then it goes on until all hold it dead
+	Impaired       int           // members that do badly:
+	PauseDuration  time.Duration // they stand still together for so long,
+	PauseInterval  time.Duration // so often;
+	SlowDelay      time.Duration // they take in all so much later
+	Servers        int           // of which members tell each other
+	ReportInterval time.Duration // between two reports of one that a member has itself
 }
 
 // Outcome is what a trial saw. Times are since the kill; negative: it did not come to that.
 type Outcome struct {
-	Datagrams, Bytes float64       // a member and second, sent, before the kill
-	Suspected, Dead  time.Duration // by the first other member
-	AllDead          time.Duration // by every one
-	FalseDeaths      int           // a member held dead that is not troubled, by any
-	Suspicions       uint64        // in the measured span, all members together
-	OwnAge, AnyAge   time.Duration // of the newest report of a server that a member has itself, or knows of, on the mean
+	DatagramRate, ByteRate    float64       // a member and second, sent, before the kill
+	FirstSuspected, FirstDead time.Duration // by the first other member
+	AllDead                   time.Duration // by every one
+	FalseDeaths               int           // a member held dead that is not troubled, by any
+	Suspicions                uint64        // in the measured span, all members together
+	OwnAge, AnyAge            time.Duration // of the newest report of a server that a member has itself, or knows of, on the mean
 }
 
 // Run runs a trial: the same one has the same outcome on any machine.
-func (t Trial) Run() (Outcome, error) {
-	o := Outcome{Suspected: -1, Dead: -1, AllDead: -1}
-	s, err := New(Config{Servers: t.Servers, Hear: t.Hear, Members: t.Members, Limits: t.Limits, Seed: t.Seed, Net: func(_ Time, _, _ int, r *rand.Rand) []time.Duration {
+func (t Experiment) Run() (Outcome, error) {
+	o := Outcome{FirstSuspected: -1, FirstDead: -1, AllDead: -1}
+	s, err := New(Config{Servers: t.Servers, ReportInterval: t.ReportInterval, Members: t.Members, Limits: t.Limits, Seed: t.Seed, Delays: func(_ Time, _, _ int, r *rand.Rand) []time.Duration {
 		if r.Float64() < t.Loss {
 			return nil
 		}
-		return []time.Duration{time.Millisecond/2 + time.Duration(r.Int64N(int64(max(t.Delay, 1))))}
+		return []time.Duration{time.Millisecond/2 + time.Duration(r.Int64N(int64(max(t.MaxDelay, 1))))}
 	}})
 	if err != nil {
 		return o, err
 	}
 	const victim = 0 // and the troubled ones are the last
-	s.Run(Epoch + t.Warm)
-	began, killed, dead := s.Figures(), Time(0), make([]bool, t.Members)
-	rode := s.Rode()
-	s.Watch = func(at Time, observer int, c membership.Changed) {
+	s.Run(Epoch + t.WarmUp)
+	began, killed, dead := s.Counters(), Time(0), make([]bool, t.Members)
+	rode := s.PiggybackBytes()
+	s.OnChange = func(at Time, observer int, c membership.StateChanged) {
 		switch {
 		case killed > 0 && c.Member == victim:
-			if o.Suspected < 0 && (c.Is == membership.Suspect || c.Is == membership.Dead) {
-				o.Suspected = at - killed
+			if o.FirstSuspected < 0 && (c.New == membership.Suspect || c.New == membership.Dead) {
+				o.FirstSuspected = at - killed
 			}
-			dead[observer] = c.Is == membership.Dead
-			if o.Dead < 0 && dead[observer] {
-				o.Dead = at - killed
+			dead[observer] = c.New == membership.Dead
+			if o.FirstDead < 0 && dead[observer] {
+				o.FirstDead = at - killed
 			}
-		case c.Is == membership.Dead && c.Member < t.Members-t.Troubled:
+		case c.New == membership.Dead && c.Member < t.Members-t.Impaired:
 			o.FalseDeaths++
 		}
 	}
 	troubled := func(do func(m int)) {
-		for m := t.Members - t.Troubled; m < t.Members; m++ {
+		for m := t.Members - t.Impaired; m < t.Members; m++ {
 			do(m)
 		}
 	}
-	troubled(func(m int) { s.Slow(m, t.Slow) })
-	for end := s.Now() + t.Span; s.Now() < end; {
-		if t.Every <= 0 {
+	troubled(func(m int) { s.Slow(m, t.SlowDelay) })
+	for end := s.Now() + t.Measured; s.Now() < end; {
+		if t.PauseInterval <= 0 {
 			s.Run(end)
 			break
 		}
-		s.Run(min(s.Now()+t.Every-t.Pause, end))
+		s.Run(min(s.Now()+t.PauseInterval-t.PauseDuration, end))
 		troubled(s.Pause)
-		s.Run(min(s.Now()+t.Pause, end))
+		s.Run(min(s.Now()+t.PauseDuration, end))
 		troubled(s.Resume)
 	}
-	f := s.Figures()
-	per := float64(t.Members) * t.Span.Seconds()
-	o.Datagrams, o.Bytes = float64(f.Sent-began.Sent)/per, float64(f.SentBytes-began.SentBytes)/per
+	f := s.Counters()
+	per := float64(t.Members) * t.Measured.Seconds()
+	o.DatagramRate, o.ByteRate = float64(f.Sent-began.Sent)/per, float64(f.SentBytes-began.SentBytes)/per
 	o.Suspicions = f.Suspicions - began.Suspicions
-	o.Bytes += float64(s.Rode()-rode) / per
-	o.OwnAge, o.AnyAge = s.Fresh()
+	o.ByteRate += float64(s.PiggybackBytes()-rode) / per
+	o.OwnAge, o.AnyAge = s.ReportAges()
 	if !t.Kill {
 		return o, nil
 	}
@@ -112,7 +112,7 @@
 
 // Variants are the steps from plain SWIM to what is shipped.
 var Variants = []Variant{
-	{"SWIM alone", func(l *membership.Limits) { l.Health, l.SuspicionMax, l.Stall = 0, 1, 0 }},
-	{"with Lifeguard", func(l *membership.Limits) { l.Stall = 0 }},
+	{"SWIM alone", func(l *membership.Limits) { l.MaxHealth, l.SuspicionMax, l.StallThreshold = 0, 1, 0 }},
+	{"with Lifeguard", func(l *membership.Limits) { l.StallThreshold = 0 }},
 	{"and own pauses noticed", func(*membership.Limits) {}},
 }
--- a/internal/wire/host.go
+++ b/internal/wire/host.go
@@ -223,15 +223,15 @@
 	case evArrival:
 		return decodeArrival(rec), nil
 	case evAckFirst:
-		return elmseam.Standing{
-			Call: elmseam.CallID(le.Uint32(rec[1:])), Server: serverID(rec[5:]), Took: duration(rec[12:]),
+		return elmseam.Established{
+			Call: elmseam.CallID(le.Uint32(rec[1:])), Server: serverID(rec[5:]), SetUpTime: duration(rec[12:]),
 		}, nil
 	case evDone:
 		return decodeOutcome(rec)
 	case evVanished:
 		return elmseam.CallerGone{Call: elmseam.CallID(le.Uint32(rec[1:]))}, nil
 	case evDue:
-		return elmseam.Wake{Token: le.Uint32(rec[1:])}, nil
+		return elmseam.TimerFired{Token: le.Uint32(rec[1:])}, nil
 	case evHealth:
 		report, err := decodeReport(rec[12:])
 		return elmseam.Health{Server: serverID(rec[1:]), OK: rec[7] == 10, Report: report}, err
@@ -263,14 +263,14 @@
 func decodeArrival(rec []byte) elmseam.Arrival {
 	flags := le.Uint16(rec[23:])
 	return elmseam.Arrival{
-		Call:    elmseam.CallID(le.Uint32(rec[1:])),
-		Class:   int(le.Uint16(rec[5:])),
-		Number:  le.Uint64(rec[11:]),
-		Tenant:  int(le.Uint32(rec[19:])),
-		Transit: flags&flagTransit != 0,
-		Cut:     flags&flagCut != 0,
-		Within:  duration(rec[25:]),
-		Cell:    int(float(rec[37:])),
+		Call:        elmseam.CallID(le.Uint32(rec[1:])),
+		Class:       int(le.Uint16(rec[5:])),
+		Number:      le.Uint64(rec[11:]),
+		Tenant:      int(le.Uint32(rec[19:])),
+		Transit:     flags&flagTransit != 0,
+		Interrupted: flags&flagCut != 0,
+		TimeLeft:    duration(rec[25:]),
+		Cell:        int(float(rec[37:])),
 	}
 }
 
--- a/internal/wire/members.go
+++ b/internal/wire/members.go
@@ -13,9 +13,9 @@
 	last   uint32
 }
 
-// Join has every instance that starts from now on take part in its tier's membership, where the settings permit peer
+// EnableMembership has every instance that starts from now on take part in its tier's membership, where the settings permit peer
 // messages. The simulator prices them; the adapter has them off unless it is told otherwise.
-func (h *Host) Join(l membership.Limits) { h.limits = &l }
+func (h *Host) EnableMembership(l membership.Limits) { h.limits = &l }
 
 // join begins the part of the current instance.
 func (h *Host) join(text []byte, seed uint64, now elmseam.Time) {
@@ -23,11 +23,11 @@
 	if h.limits == nil {
 		return
 	}
-	n, err := settings.DecodeNode(text)
-	if err != nil || !n.PeerMessages || n.Me < 0 {
+	n, err := settings.DecodeDeployment(text)
+	if err != nil || !n.PeerMessagesEnabled || n.Self < 0 {
 		return
 	}
-	r, out, err := membership.New(membership.Config{Self: n.Me, Tier: n.Tier, Limits: *h.limits, Seed: seed}, now)
+	r, out, err := membership.New(membership.Config{Self: n.Self, TierSize: n.TierSize, Limits: *h.limits, Seed: seed}, now)
 	if err != nil {
 		h.broken(err.Error())
 		return
@@ -50,7 +50,7 @@
 	if m := h.members[h.current]; m != nil {
 		if t, ours := m.timers[token]; ours {
 			delete(m.timers, token)
-			h.carry(m, m.r.Step(now, membership.Due{Token: t}))
+			h.carry(m, m.r.Step(now, membership.TimerFired{Token: t}))
 		}
 	}
 }
@@ -70,9 +70,9 @@
 			m.last--
 			m.timers[m.last] = e.Token
 			h.encode(elmseam.SetTimer{Token: m.last, At: e.At})
-		case membership.Changed:
+		case membership.StateChanged:
 			if c := h.instances[h.current]; c != nil {
-				c.Caution(m.r.View().ColdShare())
+				c.SetColdQuotaFraction(m.r.View().ColdQuotaFactor())
 			}
 		}
 	}
--- a/internal/wire/members_test.go
+++ b/internal/wire/members_test.go
@@ -32,7 +32,7 @@
 	for _, c := range []struct{ told, permitted, want bool }{{true, true, true}, {false, true, false}, {true, false, false}} {
 		h := NewHost()
 		if c.told {
-			h.Join(membership.Defaults())
+			h.EnableMembership(membership.Defaults())
 		}
 		type due struct {
 			at       uint64
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -56,7 +56,7 @@
 	}
 	got := decodeArrival(b.record(1))
 	want := elmseam.Arrival{
-		Call: 0x5d3a91c4, Number: 0x91f03b7c55d20a64, Within: 240 * time.Millisecond, Cell: 57,
+		Call: 0x5d3a91c4, Number: 0x91f03b7c55d20a64, TimeLeft: 240 * time.Millisecond, Cell: 57,
 	}
 	if got != want {
 		t.Errorf("arrival %+v, want %+v", got, want)
@@ -74,7 +74,7 @@
 		want func(elmseam.Event) bool
 	}{
 		{"standing", "17 c4913a5d 0a124a07 2b23 00 22240000 +32", func(ev elmseam.Event) bool {
-			return ev == elmseam.Standing{Call: 0x5d3a91c4, Server: server, Took: 9250 * time.Microsecond}
+			return ev == elmseam.Established{Call: 0x5d3a91c4, Server: server, SetUpTime: 9250 * time.Microsecond}
 		}},
 		{"outcome", "14 c4913a5d 01 00 44480000 00000000 0a 0a124a07 2b23 03 cdcccc3e 0000a03f 00000c43 00000000 +9",
 			func(ev elmseam.Event) bool {
@@ -94,7 +94,7 @@
 				l.Entries[1].Started == 6100000*time.Microsecond
 		}},
 		{"gone", "18 192b6f0e +43", func(ev elmseam.Event) bool { return ev == elmseam.CallerGone{Call: 0x0e6f2b19} }},
-		{"due", "15 4d000000 +43", func(ev elmseam.Event) bool { return ev == elmseam.Wake{Token: 77} }},
+		{"due", "15 4d000000 +43", func(ev elmseam.Event) bool { return ev == elmseam.TimerFired{Token: 77} }},
 	}
 	for _, tt := range tests {
 		ev, err := h.decode(unhex(t, tt.rec))
--- a/tier.go
+++ b/tier.go
@@ -4,34 +4,34 @@
 
 import "time"
 
-// Caution sets the part, up to 1, of its own part of a cold server's budget that this sender takes.
-func (c *Controller) Caution(part float64) { c.careful = min(max(part, 0), 1) }
+// SetColdQuotaFraction sets the part, up to 1, of its own part of a cold server's budget that this sender takes.
+func (c *Controller) SetColdQuotaFraction(part float64) { c.careful = min(max(part, 0), 1) }
 
-// Allot sets what the tier lets this sender use of a cold server's budget, in set-ups a second of a warm one, in the place
+// SetColdRate sets what the tier lets this sender use of a cold server's budget, in set-ups a second of a warm one, in the place
 // of its own part. Negative: the own part counts.
-func (c *Controller) Allot(id ServerID, rate float64) {
+func (c *Controller) SetColdRate(id ServerID, rate float64) {
 	if s := c.byID[id]; s != nil {
 		s.allot = rate
 	}
 }
 
-// Known is what this sender has seen of a server itself.
-type Known struct {
-	Share   float64       // hold-back share last told to it
-	ShareAt Time          // when; 0: never
-	Rate    float64       // set-ups a second that the server takes from here when warm; 0: not known
-	Lines   float64       // 0: not told
-	Bad     int           // weight of the bad endings in a row
-	Floor   time.Duration // shortest set-up time: the way there and back; 0: none stood yet
+// Observation is what this sender has seen of a server itself.
+type Observation struct {
+	Share         float64       // hold-back share last told to it
+	ShareAt       Time          // when; 0: never
+	Rate          float64       // set-ups a second that the server takes from here when warm; 0: not known
+	TotalLines    float64       // 0: not told
+	FailureWeight int           // weight of the bad endings in a row
+	MinSetUpTime  time.Duration // shortest set-up time: the way there and back; 0: none stood yet
 }
 
-// Known is what this sender has seen of a server itself, at a time.
-func (c *Controller) Known(id ServerID, now Time) (k Known, listed bool) {
+// Observation is what this sender has seen of a server itself, at a time.
+func (c *Controller) Observed(id ServerID, now Time) (k Observation, listed bool) {
 	s := c.byID[id]
 	if s == nil {
 		return k, false
 	}
-	k = Known{Share: s.own, ShareAt: s.ownAt, Lines: s.most, Bad: s.faults, Floor: s.floor}
+	k = Observation{Share: s.own, ShareAt: s.ownAt, TotalLines: s.most, FailureWeight: s.faults, MinSetUpTime: s.floor}
 	switch {
 	case s.started > 0 && now < s.started+c.set.ColdRamp:
 		k.Rate = s.took
@@ -41,18 +41,18 @@
 	return k, true
 }
 
-// Learned is what others of the tier have seen of a server.
-type Learned struct {
-	Share   float64       // to hold back, by their reports
-	ShareAt Time          // of the newest of these; 0: there is none
-	Rate    float64       // set-ups a second that it takes from one of them when warm, on the mean; 0: not known
-	Failing bool          // most of them hold it for failing
-	Floor   time.Duration // the longest of their ways there and back; 0: not known
+// TierReport is what others of the tier have seen of a server.
+type TierReport struct {
+	Share     float64       // to hold back, by their reports
+	ShareAt   Time          // of the newest of these; 0: there is none
+	Rate      float64       // set-ups a second that it takes from one of them when warm, on the mean; 0: not known
+	Failing   bool          // most of them hold it for failing
+	RoundTrip time.Duration // the longest of their ways there and back; 0: not known
 }
 
-// Carry scales the rates that this sender holds for its own: others of the tier have left it their callers, or taken them
+// ScaleRates scales the rates that this sender holds for its own: others of the tier have left it their callers, or taken them
 // back. Counting would show it within the memory of rates; budgets while cold go by counting alone (see coldPart).
-func (c *Controller) Carry(now Time, times float64) {
+func (c *Controller) ScaleRates(now Time, times float64) {
 	if !(times > 0) || c.born == 0 {
 		return
 	}
@@ -69,29 +69,29 @@
 	return c.foreign * decay((now - c.foreignAt).Seconds())
 }
 
-// Cold is what this sender holds of a server that is cold.
-type Cold struct {
-	Until Time    // it is warm then
-	Part  float64 // this sender's own part of it, in set-ups a second of a warm one
-	Times float64 // set-ups a second that may be sent to it now for each that a warm one takes
+// ColdBudget is what this sender holds of a server that is cold.
+type ColdBudget struct {
+	Until        Time    // it is warm then
+	Quota        float64 // this sender's own part of it, in set-ups a second of a warm one
+	RateMultiple float64 // set-ups a second that may be sent to it now for each that a warm one takes
 }
 
-// Cold says whether a server is cold at a time, and what is held of it.
-func (c *Controller) Cold(id ServerID, now Time) (Cold, bool) {
+// ColdBudget says whether a server is cold at a time, and what is held of it.
+func (c *Controller) ColdBudget(id ServerID, now Time) (ColdBudget, bool) {
 	s := c.byID[id]
 	if s == nil || s.phase != Ready || s.started <= 0 || now >= s.started+c.set.ColdRamp {
-		return Cold{}, false
+		return ColdBudget{}, false
 	}
-	return Cold{s.started + c.set.ColdRamp, c.coldPart(s), c.coldTimes(s, now)}, true
+	return ColdBudget{s.started + c.set.ColdRamp, c.coldPart(s), c.coldTimes(s, now)}, true
 }
 
-// Avoids says whether a server gets nothing new for now: it is not ready, or its cut is a full one.
-func (c *Controller) Avoids(id ServerID, now Time) bool {
+// Blocked says whether a server gets nothing new for now: it is not ready, or its cut is a full one.
+func (c *Controller) Blocked(id ServerID, now Time) bool {
 	s := c.byID[id]
 	return s == nil || s.phase != Ready || s.full || s.told >= 1 && now < s.lapse || s.lines >= 1
 }
 
-// Knows says whether a call is in hand, and Calls how many are.
-func (c *Controller) Knows(id CallID) bool { return c.calls[id] != nil }
+// HasCall says whether a call is in hand, and Calls how many are.
+func (c *Controller) HasCall(id CallID) bool { return c.calls[id] != nil }
 
 func (c *Controller) Calls() int { return len(c.calls) }
