--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -14,17 +14,17 @@
 
 // rig drives a core by hand: two servers, both with connections, and a caller on link 1.
 type rig struct {
-	t   *testing.T
-	c   *Core
-	now Time
-	due []Timer
+	t      *testing.T
+	core   *Core
+	now    Time
+	timers []Timer
 
-	dials bool // are written down
+	recordDials bool // are written down
 }
 
 func newRig(t *testing.T) *rig {
 	t.Helper()
-	return rigOf(t, deployments["share told"])
+	return newRigWith(t, deployments["share told"])
 }
 
 // deployments are settings of two kinds: servers that tell a share to hold back, and none that may be probed; servers that
@@ -46,7 +46,7 @@
 	},
 }
 
-func rigOf(t *testing.T, set elmseam.Settings) *rig {
+func newRigWith(t *testing.T, set elmseam.Settings) *rig {
 	t.Helper()
 	c, err := New(set, 1, Limits{
 		AnswerMargin: 15 * ms, Rebind: 100 * ms, MinRedial: 100 * ms, MaxRedial: 500 * ms,
@@ -56,7 +56,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t: t, c: c, now: time.Hour}
+	r := &rig{t: t, core: c, now: time.Hour}
 	r.step(CallerUp{Conn: 1, Protocol: "f"})
 	r.list(elmseam.Ready, elmseam.Ready)
 	r.step(ServerUp{Server: "a", Address: "a:1", Conn: 10})
@@ -73,10 +73,10 @@
 // step gives an event and writes down the effects that go out on links.
 func (r *rig) step(ev Event) string {
 	said := ""
-	for _, e := range r.c.Step(r.now, ev) {
+	for _, e := range r.core.Step(r.now, ev) {
 		switch e := e.(type) {
 		case Timer:
-			r.due = append(r.due, e)
+			r.timers = append(r.timers, e)
 		case Offer:
 			said += fmt.Sprintf("offer%d@%d ", e.ID, e.To)
 		case End:
@@ -110,7 +110,7 @@
 		case CloseListener:
 			said += "closes its listener "
 		case Dial:
-			if r.dials {
+			if r.recordDials {
 				said += "dial-" + e.Server + " "
 			}
 		case Violation:
@@ -121,11 +121,11 @@
 }
 
 // pass lets time go by, timers included.
-func (r *rig) pass(d time.Duration) (said string) {
+func (r *rig) advance(d time.Duration) (said string) {
 	for until := r.now + d; ; {
 		next := -1
-		for i, t := range r.due {
-			if t.At <= until && (next < 0 || t.At < r.due[next].At) {
+		for i, t := range r.timers {
+			if t.At <= until && (next < 0 || t.At < r.timers[next].At) {
 				next = i
 			}
 		}
@@ -133,8 +133,8 @@
 			r.now = until
 			return said
 		}
-		t := r.due[next]
-		r.due = append(r.due[:next], r.due[next+1:]...)
+		t := r.timers[next]
+		r.timers = append(r.timers[:next], r.timers[next+1:]...)
 		r.now = max(r.now, t.At)
 		said += r.step(TimerFired{Token: t.Token})
 	}
@@ -159,8 +159,8 @@
 	r := newRig(t)
 	r.want(r.setUp(7, 5*time.Second), "offer7@10 ")
 	r.want(r.step(ServerDown{Server: "a", Conn: 10}), "")
-	r.want(r.pass(199*ms), "")
-	r.want(r.pass(2*ms), "offer7@11 ")
+	r.want(r.advance(199*ms), "")
+	r.want(r.advance(2*ms), "offer7@11 ")
 	r.step(ServerUp{Server: "a", Address: "a:1", Conn: 12})
 	r.want(r.step(ServerAnswer{Server: "a", ID: 7}), "end7@12 ")
 	r.want(r.step(ServerAnswer{Server: "b", ID: 7}), "answered7@1 ")
@@ -173,16 +173,16 @@
 func TestGivenUpAttemptIsOutUntilItsEndIsWritten(t *testing.T) {
 	r := newRig(t)
 	r.setUp(7, 5*time.Second)
-	k := r.c.calls[7]
-	r.c.out = nil
-	r.c.giveUp(k, elmseam.CauseCancelled) // as the module does with an overtaken set-up
-	r.want(r.pass(time.Second), "")
-	if k.out == nil {
+	k := r.core.calls[7]
+	r.core.out = nil
+	r.core.giveUpAttempt(k, elmseam.CauseCancelled) // as the module does with an overtaken set-up
+	r.want(r.advance(time.Second), "")
+	if k.attempt == nil {
 		t.Fatal("the attempt is over before its end was written")
 	}
 	r.want(r.step(ServerAnswer{Server: "a", ID: 7}), "")
 	r.want(r.step(EndWritten{Server: "a", ID: 7}), "")
-	r.want(r.pass(201*ms), "offer7@11 ")
+	r.want(r.advance(201*ms), "offer7@11 ")
 }
 
 // The final answer is out before the caller's time is up, and only one: the answer that comes after it is
@@ -190,10 +190,10 @@
 func TestDeadline(t *testing.T) {
 	r := newRig(t)
 	r.setUp(7, 400*ms)
-	r.want(r.pass(384*ms), "")
-	r.want(r.pass(2*ms), "end7@10 rejected7@1 ")
+	r.want(r.advance(384*ms), "")
+	r.want(r.advance(2*ms), "end7@10 rejected7@1 ")
 	r.want(r.step(ServerAnswer{Server: "a", ID: 7}), "end7@10 ")
-	r.want(r.pass(10*time.Second), "")
+	r.want(r.advance(10*time.Second), "")
 }
 
 // A server that drains gets nothing new: what waits for its connection is not sent there, and offers that
@@ -226,8 +226,8 @@
 	r.step(SetUp{ID: 4, From: 2, TimeLeft: 5 * time.Second, At: r.now})
 	r.step(ServerAnswer{Server: "b", ID: 4})
 	r.step(ServerDown{Server: "b", Conn: 11})
-	r.want(r.pass(5900*ms), "")
-	r.want(r.pass(200*ms), "released4@2 ")
+	r.want(r.advance(5900*ms), "")
+	r.want(r.advance(200*ms), "released4@2 ")
 }
 
 // A set-up comes again after a crossing close: one call goes on, with one answer. One that does not come
@@ -238,7 +238,7 @@
 	r.step(CallerDown{Conn: 1})
 	r.step(CallerUp{Conn: 2, Protocol: "f"})
 	r.want(r.step(SetUp{ID: 7, From: 2, TimeLeft: 5 * time.Second, At: r.now}), "")
-	r.want(r.pass(101*ms), "dropped8 end8@10 ")
+	r.want(r.advance(101*ms), "dropped8 end8@10 ")
 	r.want(r.step(EndWritten{Server: "a", ID: 8}), "")
 	r.want(r.step(ServerAnswer{Server: "a", ID: 7}), "answered7@2 ")
 }
@@ -258,9 +258,9 @@
 func TestStop(t *testing.T) {
 	r := newRig(t)
 	r.step(Stop{})
-	r.pass(600 * ms)
+	r.advance(600 * ms)
 	r.want(r.setUp(7, 5*time.Second), "offer7@10 ")
-	r.want(r.pass(200*ms), "")
+	r.want(r.advance(200*ms), "")
 	r.step(ServerAnswer{Server: "a", ID: 7})
 	r.want(r.step(ServerEnd{Server: "a", ID: 7, Reason: Normal}), "released7@1 stopped ")
 }
@@ -289,8 +289,8 @@
 	r.want(r.step(big), "offer3@10 ")
 	r.step(ServerEnd{Server: "a", ID: 1})
 	r.step(ServerEnd{Server: "a", ID: 3, Reason: Reset})
-	if r.pass(10 * time.Second); r.c.bytes != 0 {
-		t.Errorf("%d bytes kept for no call", r.c.bytes)
+	if r.advance(10 * time.Second); r.core.callBytes != 0 {
+		t.Errorf("%d bytes kept for no call", r.core.callBytes)
 	}
 }
 
@@ -298,21 +298,21 @@
 func TestGuardsHoldAgainstTheModule(t *testing.T) {
 	r := newRig(t)
 	newCall := func(id ID) *call {
-		k := &call{SetUp: SetUp{ID: id, From: 1}, cid: elmseam.CallID(1000 + id), deadline: r.now + 5*time.Second, guard: r.c.guard}
-		r.c.calls[id], r.c.byCID[k.cid] = k, k
+		k := &call{SetUp: SetUp{ID: id, From: 1}, controllerID: elmseam.CallID(1000 + id), deadline: r.now + 5*time.Second, releaseGuard: r.core.releaseGuard}
+		r.core.calls[id], r.core.callsByControllerID[k.controllerID] = k, k
 		return k
 	}
 	send := func(k *call, server string) (said string) {
-		r.c.out = nil
-		r.c.send(k, elmseam.Send{Server: r.c.servers[server].id})
-		for _, e := range r.c.out {
+		r.core.out = nil
+		r.core.startAttempt(k, elmseam.Send{Server: r.core.servers[server].id})
+		for _, e := range r.core.out {
 			switch e := e.(type) {
 			case Offer:
 				said += "offer "
 			case Violation:
 				said += "held "
 			case Timer:
-				r.due = append(r.due, e)
+				r.timers = append(r.timers, e)
 			}
 		}
 		return said
@@ -322,25 +322,25 @@
 	r.want(send(k, "b"), "held ") // one is out
 	r.step(ServerDown{Server: "a", Conn: 10})
 	r.want(send(k, "b"), "") // within the gap: it waits
-	r.want(r.pass(199*ms), "")
-	r.want(r.pass(2*ms), "offer1@11 ")
+	r.want(r.advance(199*ms), "")
+	r.want(r.advance(2*ms), "offer1@11 ")
 	r.step(ServerUp{Server: "a", Address: "a:1", Conn: 12})
-	r.c.servers["a"].told = elmseam.Draining
+	r.core.servers["a"].effectivePhase = elmseam.Draining
 	k = newCall(2)
-	if r.want(send(k, "a"), ""); k.out != nil {
+	if r.want(send(k, "a"), ""); k.attempt != nil {
 		t.Error("a send to a server that drains waits for something")
 	}
 	k = newCall(3)
-	k.most = 4
-	k.sends = k.most
-	if r.want(send(k, "b"), ""); k.out != nil {
+	k.maxAttempts = 4
+	k.attempts = k.maxAttempts
+	if r.want(send(k, "b"), ""); k.attempt != nil {
 		t.Error("an attempt too many waits for something")
 	}
 	k = newCall(4)
 	k.answered = true
 	r.want(send(k, "b"), "held ")
 	k = newCall(5)
-	r.c.now = k.deadline
+	r.core.now = k.deadline
 	r.want(send(k, "b"), "")
 }
 
@@ -371,7 +371,7 @@
 // answered makes room. It was hung up on, with its set-up, and those that went lost the answer just written.
 func TestCallersMakeRoom(t *testing.T) {
 	r := newRig(t)
-	r.c.limits.MaxCallerConns = 4
+	r.core.limits.MaxCallerConns = 4
 	for l := ConnID(2); l <= 4; l++ {
 		r.now += ms
 		r.want(r.step(CallerUp{Conn: l, Protocol: "f"}), "")
@@ -403,13 +403,13 @@
 	r := newRig(t)
 	r.want(r.setUp(7, 5*time.Second), "offer7@10 ")
 	set := elmseam.Settings{Classes: []elmseam.Class{{Deadline: 9 * time.Second, Worth: 1}}, MaxAttempts: 1, OwnCell: -1}
-	limits := r.c.limits
+	limits := r.core.limits
 	limits.MaxOpen = 1
 	r.want(r.step(Configured{Settings: set, Limits: limits}), "")
 	r.want(r.setUp(8, 5*time.Second), "rejected8@1 ")
 	r.want(r.step(ServerEnd{Server: "a", ID: 7, Reason: Full}), "offer7@11 ")
 	r.step(ServerEnd{Server: "b", ID: 7, Reason: Full})
-	r.pass(5 * time.Second) // the full cuts are over
+	r.advance(5 * time.Second) // the full cuts are over
 	r.want(r.setUp(9, 5*time.Second), "offer9@10 ")
 	r.want(r.step(ServerEnd{Server: "a", ID: 9, Reason: Full}), "rejected9@1 ") // by the new settings
 }
@@ -417,33 +417,33 @@
 // What comes at full speed to be turned away, or is told of addresses that no server has, fills no memory.
 func TestMemoriesAreBounded(t *testing.T) {
 	r := newRig(t)
-	r.c.limits.MaxEndedCalls, r.c.limits.MaxRoutes = 3, 2
+	r.core.limits.MaxEndedCalls, r.core.limits.MaxRoutes = 3, 2
 	for id := ID(1); id <= 10; id++ {
 		r.setUp(id, 5*time.Second)
 		r.step(ServerEnd{Server: "a", ID: id, Reason: Full})
 		r.step(ServerEnd{Server: "b", ID: id, Reason: Full})
 	}
-	if len(r.c.ended) != 3 || len(r.c.endedAt) != 3 || len(r.c.calls) != 0 {
-		t.Errorf("%d, %d ids kept, %d calls", len(r.c.ended), len(r.c.endedAt), len(r.c.calls))
+	if len(r.core.ended) != 3 || len(r.core.endedOrder) != 3 || len(r.core.calls) != 0 {
+		t.Errorf("%d, %d ids kept, %d calls", len(r.core.ended), len(r.core.endedOrder), len(r.core.calls))
 	}
 	r.want(r.setUp(10, 5*time.Second), "rejected10@1 ") // the last ones are
 	for i := range 10 {
 		r.step(Route{Name: fmt.Sprint(i), Covers: func(string) bool { return false }})
 	}
 	r.want(r.step(Route{Name: "a/32", Covers: func(address string) bool { return address == "a:1" }}), "withdraw@10 ")
-	if len(r.c.routes) != 3 || r.c.servers["a"].told != elmseam.Gone {
-		t.Errorf("%d routes kept, a server whose own is withdrawn is in phase %v", len(r.c.routes), r.c.servers["a"].told)
+	if len(r.core.withdrawnRoutes) != 3 || r.core.servers["a"].effectivePhase != elmseam.Gone {
+		t.Errorf("%d routes kept, a server whose own is withdrawn is in phase %v", len(r.core.withdrawnRoutes), r.core.servers["a"].effectivePhase)
 	}
 }
 
 // A server that went and comes back is the same one to the module; what is kept of those that don't is bounded.
 func TestServerComesBack(t *testing.T) {
 	r := newRig(t)
-	r.c.limits.MaxRemovedServers = 2
-	id := r.c.servers["a"].id
+	r.core.limits.MaxRemovedServers = 2
+	id := r.core.servers["a"].id
 	r.list(elmseam.Gone, elmseam.Ready)
 	r.list(elmseam.Ready, elmseam.Ready)
-	if got := r.c.servers["a"].id; got != id {
+	if got := r.core.servers["a"].id; got != id {
 		t.Errorf("it is %d now, was %d", got, id)
 	}
 	for i := range 10 {
@@ -451,7 +451,7 @@
 		r.step(List{Servers: []Server{{Name: name, Address: "x:1", Phase: elmseam.Ready}}})
 		r.step(List{Servers: []Server{{Name: name, Address: "x:1", Phase: elmseam.Gone}}})
 	}
-	if len(r.c.left) != 2 || len(r.c.servers) != 2 || len(r.c.byID) != 2 || len(r.c.order) != 2 {
-		t.Errorf("%d left, %d servers, %d ids, %d in order", len(r.c.left), len(r.c.servers), len(r.c.byID), len(r.c.order))
+	if len(r.core.removed) != 2 || len(r.core.servers) != 2 || len(r.core.serversByID) != 2 || len(r.core.serverOrder) != 2 {
+		t.Errorf("%d left, %d servers, %d ids, %d in order", len(r.core.removed), len(r.core.servers), len(r.core.serversByID), len(r.core.serverOrder))
 	}
 }
--- a/internal/core/crossings_test.go
+++ b/internal/core/crossings_test.go
@@ -13,10 +13,10 @@
 // over sockets are in the fronts' tests.
 
 // again has each attempt that ends followed by one to a server, whatever the module would do.
-func (r *rig) again(server string) {
-	r.c.hook.Decide = func(ev elmseam.Event, actions []elmseam.Action) []elmseam.Action {
+func (r *rig) resendTo(server string) {
+	r.core.hook.Decide = func(ev elmseam.Event, actions []elmseam.Action) []elmseam.Action {
 		if o, ended := ev.(elmseam.Outcome); ended && !o.Final {
-			return []elmseam.Action{elmseam.Send{Call: o.Call, Server: r.c.servers[server].id}}
+			return []elmseam.Action{elmseam.Send{Call: o.Call, Server: r.core.servers[server].id}}
 		}
 		return actions
 	}
@@ -41,14 +41,14 @@
 	r := newRig(t)
 	r.want(r.setUp(7, 5*time.Second)+r.setUp(8, time.Second)+r.step(CallerMalformed{Conn: 1}), "offer7@10 offer8@10 ")
 	r.want(r.step(ServerAnswer{Server: "a", ID: 7}), "answered7@1 ")
-	r.want(r.pass(time.Second), "end8@10 rejected8@1 close@1 ")
+	r.want(r.advance(time.Second), "end8@10 rejected8@1 close@1 ")
 	r.step(CallerUp{Conn: 2, Protocol: "f"})
 	r.want(r.step(CallerMalformed{Conn: 2}), "close@2 ")
 	r.step(CallerUp{Conn: 3, Protocol: "f"}) // one that leaves is not kept for its set-up
 	r.step(SetUp{ID: 9, From: 3, TimeLeft: 5 * time.Second, At: r.now})
 	r.step(CallerMalformed{Conn: 3})
 	r.step(CallerDown{Conn: 3})
-	r.want(r.pass(101*ms), "dropped9 end9@10 ")
+	r.want(r.advance(101*ms), "dropped9 end9@10 ")
 }
 
 // A stop finds calls that wait for a connection, are out, are within the release gap, and stand. Each gets one answer;
@@ -56,7 +56,7 @@
 // the longest time that is waited for, open set-ups were left without an answer.
 func TestStopAnswersEverySetUp(t *testing.T) {
 	r := newRig(t)
-	r.c.limits.StopLinger, r.c.limits.Transient = 60*ms, map[Protocol]bool{"f": true}
+	r.core.limits.StopLinger, r.core.limits.Transient = 60*ms, map[Protocol]bool{"f": true}
 	r.want(r.setUp(1, 30*time.Second)+r.step(ServerAnswer{Server: "a", ID: 1}), "offer1@10 answered1@1 ")
 	r.want(r.setUp(2, 30*time.Second)+r.step(ServerDown{Server: "a", Conn: 10}), "offer2@10 ") // within the gap
 	r.want(r.setUp(3, 30*time.Second), "")                                                     // waits for a connection
@@ -64,44 +64,44 @@
 	r.step(Stop{}) // a second one changes nothing
 	r.want(r.step(ServerUp{Server: "a", Address: "a:1", Conn: 12}), "offer3@12 ")
 	r.want(r.setUp(4, 30*time.Second), "offer4@12 ") // in the grace
-	r.want(r.pass(201*ms), "offer2@11 ")
+	r.want(r.advance(201*ms), "offer2@11 ")
 	r.want(r.step(ServerEnd{Server: "b", ID: 2, Reason: Busy})+r.step(ServerAnswer{Server: "a", ID: 4}), "rejected2@1 answered4@1 ")
 	r.want(r.step(ServerEnd{Server: "a", ID: 1, Reason: Normal})+r.step(ServerEnd{Server: "a", ID: 4, Reason: Normal}), "released1@1 released4@1 ")
-	r.pass(600 * ms)
+	r.advance(600 * ms)
 	r.want(r.setUp(5, 30*time.Second), "rejected5@1 ")
-	said := r.pass(9 * time.Second)
+	said := r.advance(9 * time.Second)
 	if finals := countOf(said, "rejected3@1"); finals != 1 || !strings.HasSuffix(said, "close@1 stopped ") {
 		t.Errorf("at the end of the longest wait: %q", said)
 	}
 
 	r = newRig(t) // what crosses the end itself
-	r.c.limits.StopLinger, r.c.limits.Transient = 60*ms, map[Protocol]bool{"f": true}
+	r.core.limits.StopLinger, r.core.limits.Transient = 60*ms, map[Protocol]bool{"f": true}
 	r.step(Stop{})
-	r.want(r.pass(701*ms), "closes its listener ")
+	r.want(r.advance(701*ms), "closes its listener ")
 	r.want(r.setUp(6, 5*time.Second), "rejected6@1 ")
 	r.step(CallerUp{Conn: 2, Protocol: "f"}) // the machine had accepted it
 	r.want(r.step(SetUp{ID: 7, From: 2, TimeLeft: 5 * time.Second, At: r.now}), "rejected7@2 ")
 	r.want(r.step(HandOver{}), "") // a successor that comes now finds them on their own connections
-	r.want(r.pass(61*ms), "close@1 close@2 stopped ")
+	r.want(r.advance(61*ms), "close@1 close@2 stopped ")
 }
 
 // A second answer comes some milliseconds late: to an attempt that is over it changes nothing for the one that is out at
 // the same server over another connection, and a refusal ends no call that stands.
 func TestSecondAnswerComesLate(t *testing.T) {
 	r := newRig(t)
-	r.c.limits.ConnsPerServer = map[Protocol]int{"": 2}
+	r.core.limits.ConnsPerServer = map[Protocol]int{"": 2}
 	r.step(ServerUp{Server: "a", Address: "a:1", Conn: 12})
 	r.list(elmseam.Ready, elmseam.Gone)
 	r.want(r.setUp(7, 5*time.Second), "offer7@10 ")
-	r.c.servers["a"].lines[0].used, r.c.servers["a"].lines[1].used = r.now+2, r.now+1
-	r.again("a")
+	r.core.servers["a"].conns[0].lastSetUp, r.core.servers["a"].conns[1].lastSetUp = r.now+2, r.now+1
+	r.resendTo("a")
 	r.want(r.step(ServerEnd{Server: "a", Conn: 10, ID: 7, Reason: Full}), "offer7@12 ")
 	for _, late := range []Event{
 		ServerEnd{Server: "a", Conn: 10, ID: 7, Reason: Reset}, ServerEnd{Server: "a", Conn: 10, ID: 7, Reason: Full},
 		ServerAnswer{Server: "a", Conn: 10, ID: 7}, NotSent{Server: "a", Conn: 10, ID: 7}, ServerMalformed{Server: "a", Conn: 10, ID: 7},
 	} {
-		if said := r.step(late); countOf(said, "offer")+countOf(said, "answered")+countOf(said, "end7") > 0 || r.c.calls[7].out == nil {
-			t.Errorf("%T: %q, and the attempt is %v", late, said, r.c.calls[7].out)
+		if said := r.step(late); countOf(said, "offer")+countOf(said, "answered")+countOf(said, "end7") > 0 || r.core.calls[7].attempt == nil {
+			t.Errorf("%T: %q, and the attempt is %v", late, said, r.core.calls[7].attempt)
 		}
 	}
 	r.want(r.step(ServerAnswer{Server: "a", Conn: 12, ID: 7}), "answered7@1 ")
@@ -125,18 +125,18 @@
 	} {
 		for _, first := range []bool{true, false} {
 			r := newRig(t)
-			r.again("b")
+			r.resendTo("b")
 			r.setUp(7, 5*time.Second)
-			k := r.c.calls[7]
-			due := TimerFired{Token: Token{kind: tokenTimeout, call: 7, cid: k.cid, number: uint32(k.out.number)}}
+			k := r.core.calls[7]
+			due := TimerFired{Token: Token{kind: tokenAttemptTimeout, call: 7, controllerID: k.controllerID, number: uint32(k.attempt.number)}}
 			if first {
 				r.want(strings.TrimSuffix(r.step(tt.ev)+r.step(due)+r.step(EndWritten{Server: "a", Conn: 10, ID: 7}), "close@10 "), tt.first)
-				r.want(r.pass(199*ms), "")
-				r.want(r.pass(2*ms), tt.after)
+				r.want(r.advance(199*ms), "")
+				r.want(r.advance(2*ms), tt.after)
 			} else {
 				r.want(strings.TrimSuffix(r.step(due)+r.step(tt.ev)+r.step(EndWritten{Server: "a", Conn: 10, ID: 7}), "close@10 "), "end7@10 ")
-				r.want(r.pass(199*ms), "")
-				r.want(r.pass(2*ms), "offer7@11 ")
+				r.want(r.advance(199*ms), "")
+				r.want(r.advance(2*ms), "offer7@11 ")
 			}
 			r.want(r.step(due), "") // that of an attempt which is over
 		}
@@ -148,15 +148,15 @@
 // closed at once, and all set-ups open on it ended as reset.
 func TestMalformedAnswerEndsItsAttemptAlone(t *testing.T) {
 	r := newRig(t)
-	r.dials = true
+	r.recordDials = true
 	r.want(r.setUp(7, 5*time.Second)+r.setUp(8, 5*time.Second), "offer7@10 offer8@10 ")
 	r.want(r.step(ServerMalformed{Server: "a", Conn: 10, ID: 7}), "end7@10 dial-a ")
 	r.want(r.step(ServerMalformed{Server: "a", Conn: 10}), "")
 	r.want(r.step(EndWritten{Server: "a", Conn: 10, ID: 7}), "")
 	r.want(r.step(ServerUp{Server: "a", Address: "a:1", Conn: 12}), "")
 	r.want(r.setUp(9, 5*time.Second), "offer9@12 ")
-	r.want(r.pass(199*ms), "")
-	r.want(r.pass(2*ms), "offer7@11 ")
+	r.want(r.advance(199*ms), "")
+	r.want(r.advance(2*ms), "offer7@11 ")
 	r.want(r.step(ServerAnswer{Server: "a", Conn: 10, ID: 8}), "answered8@1 close@10 ")
 	r.want(r.step(ServerDown{Server: "a", Conn: 10}), "")
 	r.want(r.step(ServerEnd{Server: "a", Conn: 12, ID: 8, Reason: Normal}), "released8@1 ")
@@ -167,8 +167,8 @@
 // server, back in service, was never dialled again.
 func TestConnectionComesUpLate(t *testing.T) {
 	r := newRig(t)
-	r.dials = true
-	r.c.limits.ConnsPerServer = map[Protocol]int{"": 2}
+	r.recordDials = true
+	r.core.limits.ConnsPerServer = map[Protocol]int{"": 2}
 	r.setUp(1, 5*time.Second)
 	r.step(ServerAnswer{Server: "a", ID: 1})
 	r.want(r.list(elmseam.Ready, elmseam.Ready), "dial-a dial-b ") // a second one to each
@@ -180,17 +180,17 @@
 	r.want(r.step(ServerUp{Server: "a", Address: "a:1", Conn: 13}), "hangup@13 ")
 	r.step(ServerDown{Server: "b", Conn: 11})
 	r.want(r.setUp(2, 50*time.Millisecond), "") // given up before a connection is there
-	r.want(r.pass(time.Second), "rejected2@1 ")
+	r.want(r.advance(time.Second), "rejected2@1 ")
 	r.want(r.step(ServerUp{Server: "b", Address: "b:1", Conn: 14}), "dial-b ")
 
 	// The dial to where a server was fails late: the set-up that waits for the way to where it is now doesn't pay for it.
 	r = newRig(t)
-	r.dials = true
+	r.recordDials = true
 	r.step(ServerDown{Server: "a", Conn: 10})
 	r.step(ServerDown{Server: "b", Conn: 11})
-	r.pass(ms)
+	r.advance(ms)
 	r.setUp(3, 5*time.Second)
-	to := r.c.calls[3].out.server.Name
+	to := r.core.calls[3].attempt.server.Name
 	r.step(List{Servers: []Server{{Name: to, Address: "elsewhere:1", Phase: elmseam.Ready}}})
 	r.want(r.step(ServerDown{Server: to, Address: to + ":1"}), "dial-"+to+" ")
 	r.want(r.step(ServerUp{Server: to, Address: "elsewhere:1", Conn: 12}), "offer3@12 ")
@@ -201,7 +201,7 @@
 // also where the first one's dial comes up late and reaches it.
 func TestAnotherServerAtTheSameAddress(t *testing.T) {
 	r := newRig(t)
-	r.dials = true
+	r.recordDials = true
 	r.setUp(1, 5*time.Second)
 	r.step(ServerAnswer{Server: "a", ID: 1})
 	r.setUp(2, 5*time.Second) // at a
@@ -213,8 +213,8 @@
 	r.want(r.step(ServerUp{Server: "a", Address: "a:1", Conn: 12}), "hangup@12 ")
 	r.want(r.step(ServerAnswer{Server: "a", Conn: 10, ID: 2}), "") // it crossed
 	r.want(r.step(ServerUp{Server: "c", Address: "a:1", Conn: 13}), "")
-	r.want(r.pass(199*ms), "")
-	if said := r.pass(2 * time.Second); countOf(said, "offer2") > countOf(said, "offer2@13") || countOf(said, "offer2") > 1 {
+	r.want(r.advance(199*ms), "")
+	if said := r.advance(2 * time.Second); countOf(said, "offer2") > countOf(said, "offer2@13") || countOf(said, "offer2") > 1 {
 		t.Errorf("after the gap: %q", said)
 	}
 }
@@ -235,9 +235,9 @@
 		for _, leaves := range []Event{CallerEnd{ID: 7, From: 1}, CallerDown{Conn: 1}} {
 			r := newRig(t)
 			wait(r)
-			said := r.step(leaves) + r.pass(101*ms)
-			said += r.step(ServerUp{Server: "a", Address: "a:1", Conn: 12}) + r.step(EndWritten{Server: "a", Conn: 10, ID: 7}) + r.pass(10*time.Second)
-			if h := r.c.Retained(); countOf(said, "offer") > 0 || countOf(said, "rejected") > 0 || countOf(said, "answered") > 0 || h != (Retained{}) {
+			said := r.step(leaves) + r.advance(101*ms)
+			said += r.step(ServerUp{Server: "a", Address: "a:1", Conn: 12}) + r.step(EndWritten{Server: "a", Conn: 10, ID: 7}) + r.advance(10*time.Second)
+			if h := r.core.Retained(); countOf(said, "offer") > 0 || countOf(said, "rejected") > 0 || countOf(said, "answered") > 0 || h != (Retained{}) {
 				t.Errorf("%s, %T: %q, and %+v is kept", name, leaves, said, h)
 			}
 		}
@@ -248,7 +248,7 @@
 // the new call.
 func TestTimersOfAnEarlierCallOfTheSameID(t *testing.T) {
 	r := newRig(t)
-	r.c.limits.MaxEndedCalls = 1
+	r.core.limits.MaxEndedCalls = 1
 	r.setUp(7, 2*time.Second)
 	r.step(CallerEnd{ID: 7, From: 1})
 	r.step(EndWritten{Server: "a", ID: 7})
@@ -256,7 +256,7 @@
 	r.step(CallerEnd{ID: 8, From: 1})
 	r.step(EndWritten{Server: "a", ID: 8})
 	r.want(r.setUp(7, 9*time.Second), "offer7@10 ")
-	r.want(r.pass(4*time.Second), "")
+	r.want(r.advance(4*time.Second), "")
 	r.want(r.step(ServerAnswer{Server: "a", ID: 7}), "answered7@1 ")
 }
 
@@ -266,14 +266,14 @@
 func TestSettingsChangeBetweenARequestsEvents(t *testing.T) {
 	r := newRig(t)
 	set := func(gap time.Duration, attempts int, columns ...elmseam.LoadMetric) {
-		r.step(Configured{Limits: r.c.limits, Settings: elmseam.Settings{
+		r.step(Configured{Limits: r.core.limits, Settings: elmseam.Settings{
 			Classes:     []elmseam.Class{{Deadline: 9 * time.Second, Worth: 1}, {Deadline: 9 * time.Second, Worth: 1}},
 			MaxAttempts: attempts, MaxRetryAfter: 2 * time.Second, OwnCell: -1, ReleaseGuard: gap, ReportMetrics: columns,
 		}})
 	}
 	set(200*ms, 4, elmseam.LoadMetricFreeLines, elmseam.LoadMetricTotalLines, elmseam.LoadMetricHoldBackShare)
 	var seen elmseam.Report
-	r.c.hook.SuppressEvent = func(ev elmseam.Event) bool {
+	r.core.hook.SuppressEvent = func(ev elmseam.Event) bool {
 		if h, report := ev.(elmseam.Health); report {
 			seen = h.Report
 		}
@@ -282,11 +282,11 @@
 	report := ServerReport{Server: "a", Conn: 10, Report: Report{{elmseam.LoadMetricFreeLines, 8}, {elmseam.LoadMetricTotalLines, 9}, {elmseam.LoadMetricHoldBackShare, 0.5}}}
 	offered := ""
 	class := func(ev Event) {
-		for _, e := range r.c.Step(r.now, ev) {
+		for _, e := range r.core.Step(r.now, ev) {
 			if o, is := e.(Offer); is {
 				offered = o.Class
 			} else if d, is := e.(Timer); is {
-				r.due = append(r.due, d)
+				r.timers = append(r.timers, d)
 			}
 		}
 	}
@@ -304,9 +304,9 @@
 		t.Errorf("report %v where the settings name no columns", seen)
 	}
 	r.step(ServerDown{Server: "a", Conn: 10})
-	r.want(r.pass(199*ms), "") // the gap it came under
-	for _, d := range slices.Clone(r.due) {
-		if offered = ""; d.Token.kind == tokenGap {
+	r.want(r.advance(199*ms), "") // the gap it came under
+	for _, d := range slices.Clone(r.timers) {
+		if offered = ""; d.Token.kind == tokenReleaseGuard {
 			r.now += 2 * ms
 			class(TimerFired{Token: d.Token})
 			break
@@ -322,16 +322,16 @@
 // accept any more, or could not start at all: found with 64 and 48 descriptors and 24 servers.
 func TestConnectionsToServersKeepWithinDescriptors(t *testing.T) {
 	r := newRig(t)
-	r.dials = true
-	r.c.limits.MaxServerConns, r.c.limits.ConnsPerServer = 2, map[Protocol]int{"": 2}
+	r.recordDials = true
+	r.core.limits.MaxServerConns, r.core.limits.ConnsPerServer = 2, map[Protocol]int{"": 2}
 	more := Server{Name: "c", Address: "c:1", Cell: 2, Phase: elmseam.Ready}
 	r.want(r.step(List{Servers: []Server{more}}), "") // not before it is needed
 	r.want(r.setUp(1, 5*time.Second), "offer1@10 ")
 	to := "c"
-	r.c.hook.Decide = func(ev elmseam.Event, actions []elmseam.Action) []elmseam.Action {
+	r.core.hook.Decide = func(ev elmseam.Event, actions []elmseam.Action) []elmseam.Action {
 		switch ev := ev.(type) {
 		case elmseam.Arrival:
-			return []elmseam.Action{elmseam.Send{Call: ev.Call, Server: r.c.servers[to].id}}
+			return []elmseam.Action{elmseam.Send{Call: ev.Call, Server: r.core.servers[to].id}}
 		case elmseam.Outcome:
 			return []elmseam.Action{elmseam.Refuse{Call: ev.Call}}
 		}
@@ -345,7 +345,7 @@
 	r.want(r.step(ServerEnd{Server: "c", ID: 2, Reason: Busy}), "rejected2@1 ")
 	r.want(r.setUp(4, 5*time.Second), "close@12 dial-b ") // the last at a has to tell of what stands there
 	r.want(r.step(ServerDown{Server: "b"})+r.step(ServerDown{Server: "c", Conn: 12}), "rejected4@1 ")
-	if n := r.c.lines(); n > 2 {
+	if n := r.core.serverConnCount(); n > 2 {
 		t.Errorf("%d connections to servers", n)
 	}
 }
--- a/internal/core/drain.go
+++ b/internal/core/drain.go
@@ -8,38 +8,40 @@
 // calls still stand is needed for their releases; callers that go on asking on it are turned away after a while.
 
 // drain begins or ends a drain. To ask for what is so already changes nothing.
-func (c *Core) drain(on bool) {
+func (c *Core) setDraining(on bool) {
 	if on == c.draining {
 		return
 	}
-	c.draining, c.drained = on, c.now
-	c.drains++
-	c.toPeers(membership.Drain{On: on || c.stopping})
+	c.draining, c.drainChangedAt = on, c.now
+	c.drainChanges++
+	c.stepMembership(membership.Drain{On: on || c.stopping})
 	if on {
-		c.timer(c.now+c.limits.DrainGrace, Token{kind: tokenDrain, number: c.drains})
+		c.setTimer(c.now+c.limits.DrainGrace, Token{kind: tokenDrainCheck, number: c.drainChanges})
 	}
 }
 
 // sweep closes the connections of callers that have nothing here, and looks again in a while as long as the drain lasts.
-func (c *Core) sweep(drain uint32) {
-	if !c.draining || drain != c.drains || c.handing {
+func (c *Core) closeIdleCallers(drain uint32) {
+	if !c.draining || drain != c.drainChanges || c.handingOver {
 		return
 	}
-	carries := c.busy()
+	carries := c.busyConns()
 	for _, k := range c.calls {
 		carries[k.From] = true
 	}
-	var idle []*caller
-	for _, l := range c.links {
-		if !carries[l.link] && c.limits.Transient[l.front] && c.now >= l.heard+c.limits.DrainIdle {
+	var idle []*callerConn
+	for _, l := range c.callerOrder {
+		if !carries[l.id] && c.limits.Transient[l.protocol] && c.now >= l.lastActive+c.limits.DrainIdle {
 			idle = append(idle, l)
 		}
 	}
 	for _, l := range idle {
-		c.closeGracefully(l)
+		c.closeCaller(l)
 	}
-	c.timer(c.now+c.limits.DrainCheckInterval, Token{kind: tokenDrain, number: drain})
+	c.setTimer(c.now+c.limits.DrainCheckInterval, Token{kind: tokenDrainCheck, number: drain})
 }
 
 // away says whether callers have had time enough to go elsewhere.
-func (c *Core) away() bool { return c.draining && c.now >= c.drained+c.limits.DrainRefuseAfter }
+func (c *Core) drainRefuses() bool {
+	return c.draining && c.now >= c.drainChangedAt+c.limits.DrainRefuseAfter
+}
--- a/internal/core/figures.go
+++ b/internal/core/figures.go
@@ -33,20 +33,20 @@
 
 // Stats are the figures of now. What they hold is the caller's.
 func (c *Core) Stats(now Time) Stats {
-	f := c.figures
+	f := c.stats
 	f.Classes = slices.Clone(f.Classes)
 	f.Current, f.Draining, f.Stopping = len(c.calls), c.draining, c.stopping
 	if c.limits.Probe.Permitted {
 		probes := c.prober.Counters()
 		f.Probes = &probes
 	}
-	f.Members, f.Maintenance, f.Quotas, f.Knowledge = c.members(), c.maintained(), c.shared(), c.known()
-	for _, s := range c.order {
+	f.Members, f.Maintenance, f.Quotas, f.Knowledge = c.memberStats(), c.maintenanceStats(), c.quotaStats(), c.knowledgeStats()
+	for _, s := range c.serverOrder {
 		if s.Phase == 0 { // gone, and kept for what is left of it
 			continue
 		}
 		f.ClusterSize++
-		if s.sound() == 0 || c.ctl.Blocked(s.id, max(now, c.now)) {
+		if s.usableConns() == 0 || c.controller.Blocked(s.id, max(now, c.now)) {
 			f.ClusterUnhealthy++
 		} else {
 			f.Ready = c.serving
@@ -56,11 +56,11 @@
 }
 
 // count takes in a final answer of a class.
-func (c *Core) count(class int, answered bool, why Reason) {
-	if class < 0 || class >= len(c.figures.Classes) {
+func (c *Core) countAnswer(class int, answered bool, why Reason) {
+	if class < 0 || class >= len(c.stats.Classes) {
 		return
 	}
-	switch f := &c.figures.Classes[class]; {
+	switch f := &c.stats.Classes[class]; {
 	case answered:
 		f.Answered++
 	case why == Congested || why == Full || why == Unsent:
@@ -71,7 +71,7 @@
 }
 
 // room makes room for the figures of so many classes.
-func (f *Stats) room(classes int) {
+func (f *Stats) growClasses(classes int) {
 	for len(f.Classes) < classes {
 		f.Classes = append(f.Classes, ClassStats{})
 	}
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -11,116 +11,116 @@
 
 // handOver begins to hand the callers on. What comes on their connections from now on is the successor's.
 func (c *Core) handOver() {
-	if c.handing || c.ending { // at the end connections are closed: one on its way would be lost
+	if c.handingOver || c.closing { // at the end connections are closed: one on its way would be lost
 		return
 	}
-	c.handing, c.stopping = true, true
-	for _, l := range c.links {
-		c.move(l)
+	c.handingOver, c.stopping = true, true
+	for _, l := range c.callerOrder {
+		c.stopReading(l)
 	}
-	c.timer(c.now+c.limits.HandOverGrace, Token{kind: tokenStop})
-	c.timer(c.now+c.limits.MaxStopWait, Token{kind: tokenFinal})
+	c.setTimer(c.now+c.limits.HandOverGrace, Token{kind: tokenStopGrace})
+	c.setTimer(c.now+c.limits.MaxStopWait, Token{kind: tokenMaxStopWait})
 }
 
 // move has a connection read no further.
-func (c *Core) move(l *caller) {
-	if c.limits.Transient[l.front] && !l.malformed {
-		c.do(StopReading{To: l.link})
+func (c *Core) stopReading(l *callerConn) {
+	if c.limits.Transient[l.protocol] && !l.malformed {
+		c.emit(StopReading{To: l.id})
 	}
 }
 
 // moved passes on a connection that is read no further, with the set-ups that are open on it.
-func (c *Core) moved(link ConnID) {
+func (c *Core) transfer(link ConnID) {
 	l := c.callers[link]
 	if l == nil {
 		return
 	}
-	l.handed, l.passing = true, true
+	l.transferred, l.transferUnconfirmed = true, true
 	var open, stand []ID
-	for _, k := range inOrder(c.calls) {
+	for _, k := range inArrivalOrder(c.calls) {
 		switch {
-		case k.From != link || k.gone:
+		case k.From != link || k.callerGone:
 		case !k.answered:
 			open = append(open, k.ID)
-		case k.stands != nil:
+		case k.server != nil:
 			stand = append(stand, k.ID)
 		}
 	}
 	// They have to fit into one message. An answer that is owed goes before a release that finds another way.
 	stand = stand[:min(len(stand), max(c.limits.MaxTransferredCalls-len(open), 0))]
-	c.do(Transfer{To: link, Open: open, Established: stand, HadSetUp: l.asked})
+	c.emit(Transfer{To: link, Open: open, Established: stand, HadSetUp: l.hadSetUp})
 }
 
 // keeps says whether callers' connections are still here that have to be handed on, or are on their way.
-func (c *Core) keeps() bool {
-	return c.handing && slices.ContainsFunc(c.links, func(l *caller) bool {
-		return (!l.handed || l.passing) && !l.kept && !l.malformed && c.limits.Transient[l.front]
+func (c *Core) transfersPending() bool {
+	return c.handingOver && slices.ContainsFunc(c.callerOrder, func(l *callerConn) bool {
+		return (!l.transferred || l.transferUnconfirmed) && !l.transferFailed && !l.malformed && c.limits.Transient[l.protocol]
 	})
 }
 
 // adopt takes in what a predecessor says of a connection that it has handed on.
-func (c *Core) adopt(l *caller, ev CallerUp) {
-	if l.asked = ev.HadSetUp; l.asked {
-		c.flush()
+func (c *Core) adoptTransferred(l *callerConn, ev CallerUp) {
+	if l.hadSetUp = ev.HadSetUp; l.hadSetUp {
+		c.flushReleases()
 	}
 	for _, id := range ev.Open {
-		c.foreign[id] = ev.Conn
+		c.predecessorSetUps[id] = ev.Conn
 	}
 	for _, id := range ev.Established {
-		c.stood[id] = ev.Conn
+		c.predecessorCalls[id] = ev.Conn
 	}
 }
 
 // predecessor takes in that another process owns calls of callers who are here, or that it has gone. What it owed an
 // answer may have run.
-func (c *Core) predecessor(ev Predecessor) {
-	c.preceded, c.halved = ev.Present, ev.Present && !ev.Transferring
+func (c *Core) predecessorChanged(ev Predecessor) {
+	c.hasPredecessor, c.sharesCallerLimit = ev.Present, ev.Present && !ev.Transferring
 	if ev.Present {
 		return
 	}
-	for _, id := range slices.Sorted(maps.Keys(c.foreign)) {
-		c.do(Rejected{To: c.foreign[id], ID: id, Reason: Failed})
-		c.remember(id)
+	for _, id := range slices.Sorted(maps.Keys(c.predecessorSetUps)) {
+		c.emit(Rejected{To: c.predecessorSetUps[id], ID: id, Reason: Failed})
+		c.rememberEnded(id)
 	}
-	clear(c.foreign)
+	clear(c.predecessorSetUps)
 }
 
 // relayed passes on what a predecessor tells a caller of its own call. A second final answer is passed on to nobody.
-func (c *Core) relayed(ev Relayed) {
+func (c *Core) relayFromPredecessor(ev Relayed) {
 	switch e := ev.Effect.(type) {
 	case Answered:
-		if to, owed := c.foreign[e.ID]; owed {
-			delete(c.foreign, e.ID)
+		if to, owed := c.predecessorSetUps[e.ID]; owed {
+			delete(c.predecessorSetUps, e.ID)
 			e.To = to
-			c.stood[e.ID] = to
-			c.do(e)
+			c.predecessorCalls[e.ID] = to
+			c.emit(e)
 		}
 	case Rejected:
-		if to, owed := c.foreign[e.ID]; owed {
-			delete(c.foreign, e.ID)
+		if to, owed := c.predecessorSetUps[e.ID]; owed {
+			delete(c.predecessorSetUps, e.ID)
 			e.To = to
-			c.do(e)
-			c.remember(e.ID)
+			c.emit(e)
+			c.rememberEnded(e.ID)
 		}
 	case Released:
 		if _, known := c.ended[e.ID]; !known {
-			c.remember(e.ID)
-			delete(c.stood, e.ID)
-			c.release(ev.Protocol, ev.Conn, e.ID, e.Reason)
+			c.rememberEnded(e.ID)
+			delete(c.predecessorCalls, e.ID)
+			c.sendRelease(ev.Protocol, ev.Conn, e.ID, e.Reason)
 		}
 	}
 }
 
 // forgetForeign takes in that nobody waits any more for the set-ups that a predecessor has open for a caller.
-func (c *Core) forgetForeign(link ConnID) {
+func (c *Core) forgetPredecessorCalls(link ConnID) {
 	theirs := func(_ ID, of ConnID) bool { return of == link }
-	maps.DeleteFunc(c.foreign, theirs)
-	maps.DeleteFunc(c.stood, theirs)
+	maps.DeleteFunc(c.predecessorSetUps, theirs)
+	maps.DeleteFunc(c.predecessorCalls, theirs)
 }
 
 // RecentlyEnded are the ids of the last calls that ended here, at most so many, for a successor.
 func (c *Core) RecentlyEnded(most int) []ID {
-	last := c.endedAt[max(len(c.endedAt)-most, 0):]
+	last := c.endedOrder[max(len(c.endedOrder)-most, 0):]
 	ids := make([]ID, 0, len(last))
 	for _, o := range last {
 		ids = append(ids, o.id)
--- a/internal/core/hook.go
+++ b/internal/core/hook.go
@@ -28,15 +28,15 @@
 func (c *Core) SetHook(h Hook) { c.hook = h }
 
 // has says whether a guard is in its place.
-func (c *Core) has(g Guard) bool { return c.hook.DisabledGuards&g == 0 }
+func (c *Core) guardEnabled(g Guard) bool { return c.hook.DisabledGuards&g == 0 }
 
 // TimerObsolete says whether a timer can mean nothing any more, as its call is over. No id comes twice.
 func (c *Core) TimerObsolete(t Token) bool {
 	switch t.kind {
 	case tokenController:
-		return !c.ctl.HasCall(elmseam.CallID(t.number))
-	case tokenDeadline, tokenRebind, tokenTimeout, tokenGap:
-		return c.calls[t.call] == nil || c.calls[t.call].cid != t.cid
+		return !c.controller.HasCall(elmseam.CallID(t.number))
+	case tokenDeadline, tokenRebind, tokenAttemptTimeout, tokenReleaseGuard:
+		return c.calls[t.call] == nil || c.calls[t.call].controllerID != t.controllerID
 	}
 	return false
 }
@@ -51,10 +51,10 @@
 
 // Retained is what the core keeps now. When every call is over it is all zeros.
 func (c *Core) Retained() Retained {
-	h := Retained{Calls: len(c.calls), Open: c.open, Bytes: c.bytes, PendingReleases: len(c.pending), ControllerCalls: c.ctl.Calls()}
+	h := Retained{Calls: len(c.calls), Open: c.openSetUps, Bytes: c.callBytes, PendingReleases: len(c.pendingReleases), ControllerCalls: c.controller.Calls()}
 	for _, s := range c.servers {
-		h.Attempts += len(s.out)
-		h.Established += len(s.standing)
+		h.Attempts += len(s.outstanding)
+		h.Established += len(s.established)
 	}
 	return h
 }
--- a/internal/core/members.go
+++ b/internal/core/members.go
@@ -49,89 +49,89 @@
 }
 
 // join begins membership. A second Join changes nothing.
-func (c *Core) join(ev StartMembership) {
-	if c.fleet != nil {
+func (c *Core) startMembership(ev StartMembership) {
+	if c.membership != nil {
 		return
 	}
 	fleet, out, err := membership.New(ev.Config, c.now)
 	if err != nil {
-		c.do(Violation{Rule: err.Error()})
+		c.emit(Violation{Rule: err.Error()})
 		return
 	}
-	c.fleet, c.self = fleet, ev.Config.Self
-	c.peers(out)
-	c.ctl.SetColdQuotaFraction(c.fleet.View().ColdQuotaFactor())
+	c.membership, c.selfIndex = fleet, ev.Config.Self
+	c.membershipEffects(out)
+	c.controller.SetColdQuotaFraction(c.membership.View().ColdQuotaFactor())
 	if c.draining || c.stopping {
-		c.toPeers(membership.Drain{On: true})
+		c.stepMembership(membership.Drain{On: true})
 	}
 }
 
 // peer hands a datagram to the protocol that its first byte names; what none knows, membership counts.
-func (c *Core) peer(ev MemberDatagram) {
+func (c *Core) memberDatagram(ev MemberDatagram) {
 	version := byte(membership.Version)
 	if len(ev.Data) > 0 {
 		version = ev.Data[0]
 	}
 	switch {
-	case c.work != nil && version == maintenance.Version:
-		c.toWork(maintenance.Datagram{From: ev.From, Data: ev.Data})
-	case c.parts != nil && version == budget.Version:
-		c.toParts(budget.Datagram{From: ev.From, Data: ev.Data})
-		c.allot()
-	case c.knows != nil && version == knowledge.Version:
-		c.seen()
-		c.toKnow(knowledge.Datagram{From: ev.From, Data: ev.Data})
+	case c.maintenance != nil && version == maintenance.Version:
+		c.stepMaintenance(maintenance.Datagram{From: ev.From, Data: ev.Data})
+	case c.budget != nil && version == budget.Version:
+		c.stepBudget(budget.Datagram{From: ev.From, Data: ev.Data})
+		c.applyColdRates()
+	case c.knowledge != nil && version == knowledge.Version:
+		c.reportObservations()
+		c.stepKnowledge(knowledge.Datagram{From: ev.From, Data: ev.Data})
 	default:
 		bare, rider, err := datagram.SplitPiggyback(ev.Data)
 		if err != nil { // membership counts it
 			bare = ev.Data
 		}
-		c.toPeers(membership.Datagram{From: ev.From, Data: bare})
-		if len(rider) > 0 && c.knows != nil {
-			c.toKnow(knowledge.Piggyback{From: ev.From, Data: rider})
+		c.stepMembership(membership.Datagram{From: ev.From, Data: bare})
+		if len(rider) > 0 && c.knowledge != nil {
+			c.stepKnowledge(knowledge.Piggyback{From: ev.From, Data: rider})
 		}
 	}
 }
 
 // toPeers hands membership an event.
-func (c *Core) toPeers(ev membership.Event) {
-	if c.fleet != nil {
-		c.peers(c.fleet.Step(c.now, ev))
+func (c *Core) stepMembership(ev membership.Event) {
+	if c.membership != nil {
+		c.membershipEffects(c.membership.Step(c.now, ev))
 	}
 }
 
 // peers carries out what membership asks for.
-func (c *Core) peers(out []membership.Effect) {
+func (c *Core) membershipEffects(out []membership.Effect) {
 	changed := false
 	for _, e := range out {
 		switch e := e.(type) {
 		case membership.Send:
-			c.do(SendToMember{To: e.To, Data: c.ride(e.Data)})
+			c.emit(SendToMember{To: e.To, Data: c.appendPiggyback(e.Data)})
 		case membership.Timer:
-			c.timer(e.At, Token{kind: tokenMember, member: e.Token})
+			c.setTimer(e.At, Token{kind: tokenMembership, membership: e.Token})
 		case membership.StateChanged:
 			changed = true
-			if e.Member != c.self {
-				c.do(MemberChanged{e})
-				c.peerThere(e.Member, e.New)
-				c.partThere(e.Member, e.New)
-				c.knowThere(e.Member, e.Old, e.New)
+			if e.Member != c.selfIndex {
+				c.emit(MemberChanged{e})
+				c.maintenanceAvailability(e.Member, e.New)
+				c.budgetAvailability(e.Member, e.New)
+				c.knowledgeAvailability(e.Member, e.Old, e.New)
 			}
 		}
 	}
 	if changed {
-		c.ctl.SetColdQuotaFraction(c.fleet.View().ColdQuotaFactor())
+		c.controller.SetColdQuotaFraction(c.membership.View().ColdQuotaFactor())
 	}
 }
 
 // members are the figures of the tier; nil where there is no membership.
-func (c *Core) members() *MemberStats {
-	if c.fleet == nil {
+func (c *Core) memberStats() *MemberStats {
+	if c.membership == nil {
 		return nil
 	}
-	v := c.fleet.View()
+	v := c.membership.View()
 	return &MemberStats{
-		Counters: c.fleet.Counters(), View: v, Self: c.self, Members: c.fleet.Members(),
-		Health: c.fleet.Health(), ColdShare: v.ColdQuotaFactor(),
+		Counters: c.membership.Counters(), View: v, Self: c.selfIndex, Members: c.membership.Members(),
+		Health: c.membership.Health(), ColdShare: v.ColdQuotaFactor(),
 	}
 }
--- a/internal/core/ops_test.go
+++ b/internal/core/ops_test.go
@@ -7,8 +7,8 @@
 	"elmseam"
 )
 
-func (r *rig) drainable() {
-	l := &r.c.limits
+func (r *rig) enableDrains() {
+	l := &r.core.limits
 	l.DrainGrace, l.DrainRefuseAfter, l.DrainCheckInterval, l.DrainIdle = 500*ms, 1500*ms, 20*ms, 20*ms
 	l.Transient = map[Protocol]bool{"f": true}
 }
@@ -18,27 +18,27 @@
 // to ask once, and a drain that has ended closes nothing.
 func TestDrain(t *testing.T) {
 	r := newRig(t)
-	r.drainable()
+	r.enableDrains()
 	r.step(CallerUp{Conn: 2, Protocol: "f"})
 	r.step(CallerUp{Conn: 3, Protocol: "m"}) // associations of the other front stay
 	r.want(r.setUp(7, 5*time.Second), "offer7@10 ")
 	r.want(r.step(ServerAnswer{Server: "a", ID: 7}), "answered7@1 ")
 	r.want(r.step(Drain{On: true}), "")
-	r.want(r.pass(300*ms), "")
+	r.want(r.advance(300*ms), "")
 	r.want(r.setUp(8, 5*time.Second), "offer8@10 ") // the front sends new ones for a while
 	r.want(r.step(Drain{On: true}), "")
 	r.want(r.step(ServerAnswer{Server: "a", ID: 8}), "answered8@1 ")
-	r.want(r.pass(210*ms), "close@2 ")
-	r.want(r.pass(time.Second), "")
+	r.want(r.advance(210*ms), "close@2 ")
+	r.want(r.advance(time.Second), "")
 	r.want(r.setUp(9, 5*time.Second), "rejected9@1 ")
 	r.want(r.step(ServerEnd{Server: "a", ID: 8, Reason: Normal}), "released8@1 ")
-	r.want(r.pass(time.Second), "")
+	r.want(r.advance(time.Second), "")
 	r.want(r.step(ServerEnd{Server: "a", ID: 7, Reason: Normal}), "released7@1 ")
-	r.want(r.pass(50*ms), "close@1 ")
+	r.want(r.advance(50*ms), "close@1 ")
 	r.step(Drain{})
 	r.step(CallerUp{Conn: 4, Protocol: "f"})
-	r.want(r.pass(time.Minute), "")
-	if f := r.c.Stats(r.now); !f.Ready || f.Draining {
+	r.want(r.advance(time.Minute), "")
+	if f := r.core.Stats(r.now); !f.Ready || f.Draining {
 		t.Errorf("figures after the drain: %+v", f)
 	}
 }
@@ -47,7 +47,7 @@
 // front's test, it would be lost.
 func TestReleaseWaitsForACaller(t *testing.T) {
 	r := newRig(t)
-	r.drainable()
+	r.enableDrains()
 	r.setUp(7, 5*time.Second)
 	r.step(ServerAnswer{Server: "a", ID: 7})
 	r.step(CallerDown{Conn: 1})
@@ -66,10 +66,10 @@
 	r.step(ServerAnswer{Server: "a", ID: 1})
 	r.step(SetUp{ID: 2, From: 1, Cell: 0, TimeLeft: ms, At: r.now}) // too late to be sent
 	r.setUp(3, 400*ms)
-	r.pass(time.Second) // its time is up
+	r.advance(time.Second) // its time is up
 	r.setUp(4, 5*time.Second)
 	r.step(ServerEnd{Server: "a", ID: 4, Reason: Full, Refusal: elmseam.RefusalProcessor})
-	f := r.c.Stats(r.now)
+	f := r.core.Stats(r.now)
 	if want := (ClassStats{Answered: 1, Deferred: 1, Errored: 1}); f.Classes[0] != want {
 		t.Errorf("figures of the class %+v, want %+v", f.Classes[0], want)
 	}
@@ -77,9 +77,9 @@
 		t.Errorf("figures %+v", f)
 	}
 	r.step(Misconfigured{})
-	r.step(Configured{Settings: elmseam.Settings{Classes: make([]elmseam.Class, 2), MaxAttempts: 1, OwnCell: -1}, Limits: r.c.limits})
+	r.step(Configured{Settings: elmseam.Settings{Classes: make([]elmseam.Class, 2), MaxAttempts: 1, OwnCell: -1}, Limits: r.core.limits})
 	r.list(elmseam.Draining, elmseam.Gone)
-	f = r.c.Stats(r.now)
+	f = r.core.Stats(r.now)
 	if len(f.Classes) != 2 || f.Classes[0].Answered != 1 || f.ConfigsLoaded != 1 || f.ConfigsInvalid != 1 {
 		t.Errorf("figures after a reload %+v", f)
 	}
@@ -93,7 +93,7 @@
 // process as long as that is there, where it would release it at every server otherwise.
 func TestTakenOver(t *testing.T) {
 	r := newRig(t)
-	r.drainable()
+	r.enableDrains()
 	r.step(Predecessor{Present: true})
 	r.want(r.step(CallerUp{Conn: 5, Protocol: "f", HadSetUp: true, Open: []ID{1, 2, 3}, Established: []ID{4, 5}}), "")
 	relayed := func(e Effect) string { return r.step(Relayed{Protocol: "f", Conn: 5, Effect: e}) }
@@ -117,8 +117,8 @@
 // is open on each, and a release that finds no connection goes to the successor.
 func TestHandOver(t *testing.T) {
 	r := newRig(t)
-	r.drainable()
-	r.c.limits.HandOverGrace, r.c.limits.MaxTransferredCalls = 100*ms, 10
+	r.enableDrains()
+	r.core.limits.HandOverGrace, r.core.limits.MaxTransferredCalls = 100*ms, 10
 	r.setUp(1, 5*time.Second)
 	r.step(ServerAnswer{Server: "a", ID: 1})
 	r.setUp(2, 5*time.Second)
@@ -129,12 +129,12 @@
 	r.want(r.step(ReadingStopped{Conn: 1}), "pass@1[2][1] ")
 	r.want(r.step(ReadingStopped{Conn: 2})+r.step(Transferred{Conn: 2}), "pass@2[][] ")
 	r.want(r.step(ServerAnswer{Server: "a", ID: 2}), "answered2@1 ")
-	r.want(r.pass(time.Second), "")
+	r.want(r.advance(time.Second), "")
 	r.want(r.step(ServerEnd{Server: "a", ID: 2, Reason: Normal}), "released2@1 ")
 	r.step(CallerDown{Conn: 1})
 	r.want(r.step(ServerEnd{Server: "a", ID: 1, Reason: Normal}), "to the newer ")
 	r.want(r.step(ReadingStopped{Conn: 3}), "pass@3[][] ")
-	r.want(r.pass(100*ms), "") // the successor hasn't got it yet
+	r.want(r.advance(100*ms), "") // the successor hasn't got it yet
 	r.want(r.step(Transferred{Conn: 3}), "stopped ")
 }
 
@@ -142,16 +142,16 @@
 // and nothing else would make one. It went on holding a line for nobody. One that is gone, or another process, isn't told.
 func TestHangUpWithoutConnection(t *testing.T) {
 	r := newRig(t)
-	r.c.limits.MaxPendingReleases = 8
+	r.core.limits.MaxPendingReleases = 8
 	r.setUp(7, 5*time.Second)
 	r.step(ServerAnswer{Server: "a", ID: 7})
 	r.list(elmseam.Draining, elmseam.Ready)
 	r.step(ServerDown{Server: "a", Conn: 10})
 	r.want(r.step(CallerEnd{ID: 7, From: 1}), "")
-	r.pass(time.Second)
+	r.advance(time.Second)
 	r.want(r.step(ServerUp{Server: "a", Address: "a:1", Conn: 12}), "end7@12 ")
 	r.want(r.step(ServerEnd{Server: "a", ID: 7, Reason: Normal}), "") // crossed: nobody is told
-	if h := r.c.Retained(); h != (Retained{}) {
+	if h := r.core.Retained(); h != (Retained{}) {
 		t.Errorf("%+v is kept", h)
 	}
 }
--- a/internal/core/parts.go
+++ b/internal/core/parts.go
@@ -19,106 +19,106 @@
 func (StartBudget) event() {}
 
 // share begins. A second Share changes nothing.
-func (c *Core) share(ev StartBudget) {
-	if c.parts != nil || c.fleet == nil {
+func (c *Core) startBudget(ev StartBudget) {
+	if c.budget != nil || c.membership == nil {
 		return
 	}
 	parts, out, err := budget.New(ev.Config, c.now)
 	if err != nil {
-		c.do(Violation{Rule: err.Error()})
+		c.emit(Violation{Rule: err.Error()})
 		return
 	}
-	c.parts = parts
-	c.partEffects(out)
-	for m, e := range c.fleet.Members() {
-		c.toParts(budget.MemberAvailability{Member: m, Available: e.State.Available()})
+	c.budget = parts
+	c.budgetEffects(out)
+	for m, e := range c.membership.Members() {
+		c.stepBudget(budget.MemberAvailability{Member: m, Available: e.State.Available()})
 	}
-	c.colds()
+	c.reportColdServers()
 }
 
 // toParts hands budget an event.
-func (c *Core) toParts(ev budget.Event) {
-	if c.parts != nil {
-		c.partEffects(c.parts.Step(c.now, ev))
+func (c *Core) stepBudget(ev budget.Event) {
+	if c.budget != nil {
+		c.budgetEffects(c.budget.Step(c.now, ev))
 	}
 }
 
 // partEffects carries out what budget asks for.
-func (c *Core) partEffects(out []budget.Effect) {
+func (c *Core) budgetEffects(out []budget.Effect) {
 	for _, e := range out {
 		switch e := e.(type) {
 		case budget.Send:
-			c.do(SendToMember{To: e.To, Data: e.Data})
+			c.emit(SendToMember{To: e.To, Data: e.Data})
 		case budget.Timer:
-			c.timer(e.At, Token{kind: tokenParts, parts: e.Token})
+			c.setTimer(e.At, Token{kind: tokenBudget, budget: e.Token})
 		}
 	}
 }
 
 // startOf names one start of a server, alike at every softswitch that was told of it.
-func startOf(s *server) uint32 {
+func incarnationKey(s *server) uint32 {
 	return uint32(xxh3.HashString(s.Name + " " + strconv.FormatInt(int64(s.Started), 10)))
 }
 
 // settling is how long a softswitch that has just started tells anew what its part of a cold server is: at first it has
 // counted nothing, and a part of nothing would stay so until the server is warm.
-const settling = 15 * time.Second
+const coldReportPeriod = 15 * time.Second
 
 // colds tells budget of the servers that are cold.
-func (c *Core) colds() {
-	if c.parts == nil {
+func (c *Core) reportColdServers() {
+	if c.budget == nil {
 		return
 	}
-	for _, s := range c.order {
-		cold, yes := c.ctl.ColdBudget(s.id, c.now)
-		if yes && s.coldAt != s.Started {
-			s.coldAt, s.coldFrom, s.coldSent = s.Started, c.now, 0
-		} else if c.now > c.since+settling {
+	for _, s := range c.serverOrder {
+		cold, yes := c.controller.ColdBudget(s.id, c.now)
+		if yes && s.coldStart != s.Started {
+			s.coldStart, s.coldCountSince, s.coldSetUps = s.Started, c.now, 0
+		} else if c.now > c.startedAt+coldReportPeriod {
 			yes = false
 		}
 		if yes {
-			c.toParts(budget.ColdServer{Server: startOf(s), Rate: cold.Quota, Until: cold.Until})
+			c.stepBudget(budget.ColdServer{Server: incarnationKey(s), Rate: cold.Quota, Until: cold.Until})
 		}
 	}
-	c.allot()
+	c.applyColdRates()
 }
 
 // allot tells the module what may be used of cold servers' budgets now.
-func (c *Core) allot() {
-	if c.parts == nil || !c.parts.AnyCold() {
+func (c *Core) applyColdRates() {
+	if c.budget == nil || !c.budget.AnyCold() {
 		return
 	}
-	for _, s := range c.order {
-		if s.coldAt == 0 || s.coldAt != s.Started {
+	for _, s := range c.serverOrder {
+		if s.coldStart == 0 || s.coldStart != s.Started {
 			continue
 		}
-		rate, known := c.parts.Rate(c.now, startOf(s))
+		rate, known := c.budget.Rate(c.now, incarnationKey(s))
 		if !known {
 			rate = -1
 		}
-		c.ctl.SetColdRate(s.id, rate)
+		c.controller.SetColdRate(s.id, rate)
 	}
 }
 
 // coldUse is how much of its own part of cold servers' budgets this softswitch has used since it was asked last, of the
 // one of which it used most; 1 is all.
-func (c *Core) coldUse() (most float64) {
-	for _, s := range c.order {
-		cold, yes := c.ctl.ColdBudget(s.id, c.now)
-		if dt := (c.now - s.coldFrom).Seconds(); yes && s.coldAt == s.Started && dt > 0 {
+func (c *Core) coldDemand() (most float64) {
+	for _, s := range c.serverOrder {
+		cold, yes := c.controller.ColdBudget(s.id, c.now)
+		if dt := (c.now - s.coldCountSince).Seconds(); yes && s.coldStart == s.Started && dt > 0 {
 			if own := cold.RateMultiple * cold.Quota * dt; own > 0 {
-				most = max(most, float64(s.coldSent)/own)
+				most = max(most, float64(s.coldSetUps)/own)
 			}
 		}
-		s.coldFrom, s.coldSent = c.now, 0
+		s.coldCountSince, s.coldSetUps = c.now, 0
 	}
 	return most
 }
 
 // partThere tells budget who is there. One that is merely suspected is not: what it left can be had only when its lease
 // has run out.
-func (c *Core) partThere(m int, s membership.State) {
-	c.toParts(budget.MemberAvailability{Member: m, Available: s.Available()})
+func (c *Core) budgetAvailability(m int, s membership.State) {
+	c.stepBudget(budget.MemberAvailability{Member: m, Available: s.Available()})
 }
 
 // QuotaStats are what operators are shown of parts of budgets.
@@ -130,9 +130,9 @@
 }
 
 // shared are the figures of parts; nil where they don't move.
-func (c *Core) shared() *QuotaStats {
-	if c.parts == nil {
+func (c *Core) quotaStats() *QuotaStats {
+	if c.budget == nil {
 		return nil
 	}
-	return &QuotaStats{Counters: c.parts.Counters(), Enabled: c.parts.Transferable(), Active: c.parts.AnyCold(), Quotas: c.parts.Quotas()}
+	return &QuotaStats{Counters: c.budget.Counters(), Enabled: c.budget.Transferable(), Active: c.budget.AnyCold(), Quotas: c.budget.Quotas()}
 }
--- a/internal/core/probe.go
+++ b/internal/core/probe.go
@@ -40,82 +40,82 @@
 // is held for dead, whether the set-up is still out or was given up meanwhile. One that has had its first since then later is
 // looked at again, and one on which nothing is owed may be silent. Where calls stand, what ends them may come on any
 // connection: it is probed, or replaced where no probe is permitted.
-func (c *Core) silent(ev ServerSilent) {
+func (c *Core) serverSilent(ev ServerSilent) {
 	s := c.servers[ev.Server]
 	if s == nil {
 		return
 	}
-	l := s.lineOf(ev.Conn)
+	l := s.connByID(ev.Conn)
 	if l == nil {
 		return
 	}
-	first := l.mute // set-up that nothing has come after, or that is out
-	for _, k := range s.out {
-		if k.out.line == l && (first == 0 || k.out.at < first) {
-			first = k.out.at
+	first := l.unansweredSince // set-up that nothing has come after, or that is out
+	for _, k := range s.outstanding {
+		if k.attempt.conn == l && (first == 0 || k.attempt.startedAt < first) {
+			first = k.attempt.startedAt
 		}
 	}
 	switch {
 	case first != 0 && c.now-first >= ev.For/2:
-		c.replace(s, l)
+		c.replaceConn(s, l)
 		return
-	case first != 0, len(s.standing) == 0:
+	case first != 0, len(s.established) == 0:
 		return
 	}
 	verdict, id, until := probe.Forbidden, probe.ID(0), Time(0)
-	if s.told == elmseam.Ready {
-		verdict, id, until = c.prober.Request(c.now, uint64(l.link))
+	if s.effectivePhase == elmseam.Ready {
+		verdict, id, until = c.prober.Request(c.now, uint64(l.id))
 	}
 	switch verdict {
 	case probe.Forbidden:
-		c.replace(s, l)
+		c.replaceConn(s, l)
 	case probe.Send:
-		l.mute = c.now // as for a set-up: what goes out from now on goes elsewhere unless something comes
-		c.do(Probe{To: l.link, ID: id})
-		c.timer(until, Token{kind: tokenProbe, server: s.Name, probe: id, link: l.link})
+		l.unansweredSince = c.now // as for a set-up: what goes out from now on goes elsewhere unless something comes
+		c.emit(Probe{To: l.id, ID: id})
+		c.setTimer(until, Token{kind: tokenProbeTimeout, server: s.Name, probe: id, conn: l.id})
 	}
 }
 
 // tested takes in what a server says to a probe.
-func (c *Core) tested(ev ServerProbeAnswer) {
+func (c *Core) probeAnswered(ev ServerProbeAnswer) {
 	s := c.servers[ev.Server]
 	if s == nil {
 		return
 	}
-	s.heard(ev.Conn)
+	s.markReceived(ev.Conn)
 	if c.prober.Answered(ev.ID, uint64(ev.Conn)) {
-		c.health(s, ev.Report)
+		c.reportHealth(s, ev.Report)
 	}
 }
 
 // overdue takes in that a probe's time is up. Without an answer its connection is of no use.
-func (c *Core) overdue(t Token) {
+func (c *Core) probeExpired(t Token) {
 	if s := c.servers[t.server]; c.prober.Expire(t.probe) && s != nil {
-		if l := s.lineOf(t.link); l != nil {
-			c.replace(s, l)
+		if l := s.connByID(t.conn); l != nil {
+			c.replaceConn(s, l)
 		}
 	}
 }
 
 // replace ends a connection that is held for dead, with what is out there, and asks for another.
-func (c *Core) replace(s *server, l *line) {
-	c.prober.ConnClosed(uint64(l.link))
-	if slices.ContainsFunc(inOrder(s.out), func(k *call) bool { return k.out.line == l }) {
+func (c *Core) replaceConn(s *server, l *serverConn) {
+	c.prober.ConnClosed(uint64(l.id))
+	if slices.ContainsFunc(inArrivalOrder(s.outstanding), func(k *call) bool { return k.attempt.conn == l }) {
 		l.malformed = true
-		c.do(CloseConn{To: l.link}) // its end tells of what was out
+		c.emit(CloseConn{To: l.id}) // its end tells of what was out
 	} else {
-		s.lines = slices.DeleteFunc(s.lines, func(have *line) bool { return have == l })
-		c.do(GracefulClose{To: l.link})
+		s.conns = slices.DeleteFunc(s.conns, func(have *serverConn) bool { return have == l })
+		c.emit(GracefulClose{To: l.id})
 	}
-	if c.wanted(s) > 0 {
-		c.ahead(s)
+	if c.wantedConns(s) > 0 {
+		c.dialAhead(s)
 	}
 }
 
 // lineOf is a connection to a server by its name; nil: it is one no more.
-func (s *server) lineOf(link ConnID) *line {
-	for _, l := range s.lines {
-		if l.link == link {
+func (s *server) connByID(link ConnID) *serverConn {
+	for _, l := range s.conns {
+		if l.id == link {
 			return l
 		}
 	}
--- a/internal/core/random_test.go
+++ b/internal/core/random_test.go
@@ -19,8 +19,8 @@
 
 func rulesUnderRandomEvents(t *testing.T, set elmseam.Settings) {
 	rnd := rand.New(rand.NewPCG(7, 7))
-	r := rigOf(t, set)
-	r.c.limits.MaxCallBytes = 1 << 20
+	r := newRigWith(t, set)
+	r.core.limits.MaxCallBytes = 1 << 20
 	type model struct {
 		out      string // server that has an attempt
 		ending   bool   // its end is not written
@@ -56,10 +56,10 @@
 		}
 	}
 	step := func(ev Event) {
-		for _, e := range r.c.Step(r.now, ev) {
+		for _, e := range r.core.Step(r.now, ev) {
 			switch e := e.(type) {
 			case Timer:
-				r.due = append(r.due, e)
+				r.timers = append(r.timers, e)
 			case Dial:
 				dialed = append(dialed, e.Server)
 			case CloseConn:
@@ -75,7 +75,7 @@
 					fail(e.ID, "second attempt out")
 				case ready[name] != elmseam.Ready:
 					fail(e.ID, "sent to a server that drains or is gone")
-				case m.badEnd != 0 && r.now < m.badEnd+r.c.guard:
+				case m.badEnd != 0 && r.now < m.badEnd+r.core.releaseGuard:
 					fail(e.ID, "sent within the release gap")
 				case m.finals > 0 || m.gone:
 					fail(e.ID, "sent after its end")
@@ -86,7 +86,7 @@
 				m.attempts++
 			case Probe:
 				name := links[e.To]
-				if !r.c.limits.Probe.Permitted || name == "" || ready[name] != elmseam.Ready {
+				if !r.core.limits.Probe.Permitted || name == "" || ready[name] != elmseam.Ready {
 					t.Fatalf("a probe on link %d, which goes to %q", e.To, name)
 				}
 				if rnd.IntN(2) == 0 {
@@ -135,9 +135,9 @@
 	stood := 0
 	for range 60000 {
 		r.now += time.Duration(rnd.IntN(8)) * ms
-		for i := 0; i < len(r.due); {
-			if d := r.due[i]; d.At <= r.now {
-				r.due = append(r.due[:i], r.due[i+1:]...)
+		for i := 0; i < len(r.timers); {
+			if d := r.timers[i]; d.At <= r.now {
+				r.timers = append(r.timers[:i], r.timers[i+1:]...)
 				step(TimerFired{Token: d.Token})
 				i = 0
 			} else {
@@ -230,10 +230,10 @@
 	}
 	for range 100 { // all that is owed comes out in the end
 		r.now += time.Second
-		for _, d := range r.due {
+		for _, d := range r.timers {
 			step(TimerFired{Token: d.Token})
 		}
-		r.due = nil
+		r.timers = nil
 	}
 	for id, m := range calls {
 		if m.finals == 0 && !m.gone && m.stands == "" {
--- a/internal/core/servers_test.go
+++ b/internal/core/servers_test.go
@@ -14,17 +14,17 @@
 // nothing to tell keeps its connection. It was closed by its reader's own clock, with whatever was out there.
 func TestSilenceCountsWhereSomethingIsOwed(t *testing.T) {
 	r := newRig(t)
-	r.dials = true
+	r.recordDials = true
 	silent := ServerSilent{Server: "a", Conn: 10, For: time.Second}
 	r.want(r.step(silent), "")
 	r.want(r.setUp(1, 5*time.Second), "offer1@10 ")
-	r.pass(400 * ms)
+	r.advance(400 * ms)
 	r.want(r.step(silent), "")
 	r.want(r.step(ServerSilent{Server: "a", Conn: 99, For: time.Second}), "")
-	r.pass(200 * ms)
+	r.advance(200 * ms)
 	r.want(r.step(silent), "hangup@10 dial-a ")
 	r.want(r.step(ServerDown{Server: "a", Conn: 10}), "")
-	r.want(r.pass(201*ms), "offer1@11 ") // after the release gap
+	r.want(r.advance(201*ms), "offer1@11 ") // after the release gap
 	r.step(ServerAnswer{Server: "b", Conn: 11, ID: 1})
 	r.want(r.step(ServerSilent{Server: "b", Conn: 11, For: time.Second}), "close@11 dial-b ")
 	r.want(r.step(ServerSilent{Server: "b", Conn: 11, For: time.Second}), "")
@@ -35,11 +35,11 @@
 	// The module gives a set-up up sooner than that; its silence tells as much. On a connection that had died each next
 	// set-up was lost as well: a tenth of all calls refused (seen on rate+silent+leave, 0.996 against 0.82 to 0.92).
 	r.want(r.step(SetUp{ID: 2, From: 1, Cell: 1, TimeLeft: 5 * time.Second, At: r.now}), "offer2@12 ")
-	r.c.out = nil
-	r.c.giveUp(r.c.calls[2], elmseam.CauseCancelled)
+	r.core.out = nil
+	r.core.giveUpAttempt(r.core.calls[2], elmseam.CauseCancelled)
 	r.want(r.step(EndWritten{Server: "b", Conn: 12, ID: 2}), "")
-	r.want(r.pass(400*ms)+r.step(ServerSilent{Server: "b", Conn: 12, For: time.Second}), "")
-	r.want(r.pass(100*ms)+r.step(ServerSilent{Server: "b", Conn: 12, For: time.Second}), "close@12 dial-b ")
+	r.want(r.advance(400*ms)+r.step(ServerSilent{Server: "b", Conn: 12, For: time.Second}), "")
+	r.want(r.advance(100*ms)+r.step(ServerSilent{Server: "b", Conn: 12, For: time.Second}), "close@12 dial-b ")
 }
 
 // Where the settings permit probes a silent connection is probed before it is replaced, at a bounded rate and one at a time:
@@ -47,11 +47,11 @@
 // that never comes has the connection replaced, and a set-up that went out meanwhile ends with it.
 func TestProbesOfSilentConnections(t *testing.T) {
 	r := newRig(t)
-	r.dials = true
-	limits := r.c.limits
+	r.recordDials = true
+	limits := r.core.limits
 	limits.Probe = probe.Limits{Permitted: true, Rate: 1, Burst: 2, Timeout: time.Second}
 	r.step(Configured{Settings: elmseam.Settings{Classes: []elmseam.Class{{Deadline: 9 * time.Second}}, MaxAttempts: 4, OwnCell: -1}, Limits: limits})
-	r.c.prober = probe.New(limits.Probe)
+	r.core.prober = probe.New(limits.Probe)
 	look := func(server string, link ConnID) string {
 		return r.step(ServerSilent{Server: server, Conn: link, For: 200 * ms})
 	}
@@ -60,7 +60,7 @@
 	}
 	figures := func(want string) {
 		t.Helper()
-		if got := fmt.Sprint(*r.c.Stats(r.now).Probes); got != want {
+		if got := fmt.Sprint(*r.core.Stats(r.now).Probes); got != want {
 			t.Errorf("probes %s, want %s", got, want)
 		}
 	}
@@ -69,23 +69,23 @@
 	r.want(look("a", 10), "") // a set-up is out, and tells as much
 	r.step(ServerAnswer{Server: "a", Conn: 10, ID: 1})
 	r.want(look("a", 10)+look("a", 10), "test1@10 ") // one at a time
-	r.want(answer("b", 11, 1)+answer("a", 10, 1)+answer("a", 10, 1)+r.pass(time.Second), "")
+	r.want(answer("b", 11, 1)+answer("a", 10, 1)+answer("a", 10, 1)+r.advance(time.Second), "")
 	figures("{1 1 0 0 2}")
 	r.want(look("a", 10), "test2@10 ")
-	r.want(r.pass(500*ms)+r.setUp(2, 9*time.Second), "offer2@10 ")
-	r.want(r.pass(500*ms), "hangup@10 dial-a ") // the probe has failed
-	r.want(r.step(ServerDown{Server: "a", Conn: 10})+r.pass(201*ms), "offer2@11 ")
+	r.want(r.advance(500*ms)+r.setUp(2, 9*time.Second), "offer2@10 ")
+	r.want(r.advance(500*ms), "hangup@10 dial-a ") // the probe has failed
+	r.want(r.step(ServerDown{Server: "a", Conn: 10})+r.advance(201*ms), "offer2@11 ")
 	r.want(answer("a", 10, 2), "")
 	figures("{2 1 1 0 3}")
 	r.step(ServerAnswer{Server: "b", Conn: 11, ID: 2})
-	r.want(look("b", 11)+r.pass(time.Second), "test3@11 close@11 dial-b ")
+	r.want(look("b", 11)+r.advance(time.Second), "test3@11 close@11 dial-b ")
 	r.step(ServerUp{Server: "b", Address: "b:1", Conn: 12})
-	r.c.prober = probe.New(probe.Limits{Permitted: true, Rate: 0.01, Burst: 1, Timeout: time.Second})
+	r.core.prober = probe.New(probe.Limits{Permitted: true, Rate: 0.01, Burst: 1, Timeout: time.Second})
 	r.want(look("b", 12), "test1@12 ")
 	r.step(ServerProbeAnswer{Server: "b", Conn: 12, ID: 1})
 	r.want(look("b", 12)+look("b", 12), "") // there is no budget, and the connection stays
 	figures("{1 1 0 2 0}")
-	r.pass(100 * time.Second)
+	r.advance(100 * time.Second)
 	r.list(elmseam.Ready, elmseam.Draining)
 	r.want(look("b", 12), "close@12 dial-b ")
 	r.step(ServerUp{Server: "b", Address: "b:1", Conn: 13})
@@ -98,17 +98,17 @@
 // if it had been a set-up, whatever the time of a probe.
 func TestProbedConnectionIsInDoubt(t *testing.T) {
 	r := newRig(t)
-	r.c.limits.ConnsPerServer, r.c.limits.UnresponsiveAfter = map[Protocol]int{"": 2}, 100*ms
-	r.c.prober = probe.New(probe.Limits{Permitted: true, Rate: 1, Burst: 2, Timeout: 9 * time.Second})
+	r.core.limits.ConnsPerServer, r.core.limits.UnresponsiveAfter = map[Protocol]int{"": 2}, 100*ms
+	r.core.prober = probe.New(probe.Limits{Permitted: true, Rate: 1, Burst: 2, Timeout: 9 * time.Second})
 	r.step(ServerUp{Server: "a", Address: "a:1", Conn: 20})
 	r.want(r.setUp(1, 9*time.Second), "offer1@10 ")
 	r.step(ServerAnswer{Server: "a", Conn: 10, ID: 1})
-	r.pass(time.Second)
+	r.advance(time.Second)
 	silent := ServerSilent{Server: "a", Conn: 20, For: time.Second}
 	r.want(r.step(silent), "test1@20 ")
-	r.want(r.pass(101*ms)+r.setUp(2, 9*time.Second), "offer2@10 ") // 20 has been used least
+	r.want(r.advance(101*ms)+r.setUp(2, 9*time.Second), "offer2@10 ") // 20 has been used least
 	r.step(ServerAnswer{Server: "a", Conn: 10, ID: 2})
-	r.want(r.pass(400*ms)+r.step(silent), "close@20 ")
+	r.want(r.advance(400*ms)+r.step(silent), "close@20 ")
 }
 
 // A call's tenant is looked up by its name as the call comes, under the settings of then: an index given by a front would
@@ -116,7 +116,7 @@
 func TestTenantIsBoundAtArrival(t *testing.T) {
 	r := newRig(t)
 	var heard []int
-	r.c.hook.SuppressEvent = func(ev elmseam.Event) bool {
+	r.core.hook.SuppressEvent = func(ev elmseam.Event) bool {
 		if a, ok := ev.(elmseam.Arrival); ok {
 			heard = append(heard, a.Tenant)
 		}
@@ -130,13 +130,13 @@
 		r.step(SetUp{ID: id, From: 1, Tenant: tenant, TimeLeft: 5 * time.Second, At: r.now})
 	}
 	ask(1, "x")
-	r.step(Configured{Settings: set, Limits: r.c.limits})
+	r.step(Configured{Settings: set, Limits: r.core.limits})
 	ask(2, "x")
 	ask(3, "y")
 	ask(4, "z")
 	ask(5, "")
 	set.Tenants = []elmseam.Tenant{{Name: "y", Allowance: 1}}
-	r.step(Configured{Settings: set, Limits: r.c.limits})
+	r.step(Configured{Settings: set, Limits: r.core.limits})
 	ask(6, "x")
 	ask(7, "y")
 	for i, want := range []int{-1, 0, 1, -1, -1, -1, 0} {
--- a/internal/core/tier_test.go
+++ b/internal/core/tier_test.go
@@ -16,7 +16,7 @@
 	"elmseam/internal/membership"
 )
 
-func (r *rig) join(tier int) {
+func (r *rig) startMembership(tier int) {
 	r.step(StartMembership{Config: membership.Config{TierSize: tier, Limits: membership.Defaults(), Seed: 1}})
 }
 
@@ -26,11 +26,11 @@
 	sent := func(tier int) (n int) {
 		r := newRig(t)
 		if tier > 0 {
-			r.join(tier)
+			r.startMembership(tier)
 		}
 		id := ID(0)
 		serve := func(span time.Duration) (cold int) {
-			for end := r.now + span; r.now < end; r.pass(5 * ms) {
+			for end := r.now + span; r.now < end; r.advance(5 * ms) {
 				id++
 				said := r.setUp(id, 5*time.Second)
 				for server, link := range map[string]string{"a": "@10 ", "b": "@11 "} {
@@ -60,18 +60,18 @@
 // who takes its callers back has ended that. A drain by hand stays when the work is over.
 func TestOutForWork(t *testing.T) {
 	r := newRig(t)
-	r.drainable()
-	r.join(1)
+	r.enableDrains()
+	r.startMembership(1)
 	limits := maintenance.Defaults()
 	r.step(StartMaintenance{Config: maintenance.Config{TierSize: 1, Zone: -1, Limits: limits, Seed: 1}})
-	stage := func() maintenance.Stage { return r.c.Stats(r.now).Maintenance.Records[0].Stage }
+	stage := func() maintenance.Stage { return r.core.Stats(r.now).Maintenance.Records[0].Stage }
 	r.setUp(7, 5*time.Second)
 	r.step(ServerAnswer{Server: "a", ID: 7})
 	r.step(MaintenanceRequest{Event: maintenance.Request{Members: []int{0}}})
-	if f := r.c.Stats(r.now); f.Ready || !f.Draining || stage() != maintenance.Draining {
+	if f := r.core.Stats(r.now); f.Ready || !f.Draining || stage() != maintenance.Draining {
 		t.Errorf("its turn has come: %+v, %v", f, stage())
 	}
-	r.pass(3 * time.Second)
+	r.advance(3 * time.Second)
 	if stage() != maintenance.Draining { // a call stands
 		t.Errorf("with a call that stands it is %v", stage())
 	}
@@ -80,20 +80,20 @@
 		t.Errorf("with nothing left it is %v", stage())
 	}
 	r.step(Drain{})
-	if f := r.c.Stats(r.now); !f.Ready || f.Draining || stage() != maintenance.Done {
+	if f := r.core.Stats(r.now); !f.Ready || f.Draining || stage() != maintenance.Done {
 		t.Errorf("taken back: %+v, %v", f, stage())
 	}
 	r.step(Drain{On: true})
 	r.step(MaintenanceRequest{Event: maintenance.Request{Members: []int{0}}})
-	r.pass(3 * time.Second)
+	r.advance(3 * time.Second)
 	r.step(MaintenanceRequest{Event: maintenance.Cancel{Members: []int{0}}})
-	if f := r.c.Stats(r.now); !f.Draining || stage() != maintenance.Done {
+	if f := r.core.Stats(r.now); !f.Draining || stage() != maintenance.Done {
 		t.Errorf("drained by hand all along: %+v, %v", f, stage())
 	}
 }
 
 // hears hands the core a peer's word on server a.
-func (r *rig) hears(peer *knowledge.Reducer, s knowledge.Observation) string {
+func (r *rig) receiveObservation(peer *knowledge.Reducer, s knowledge.Observation) string {
 	peer.Step(r.now, knowledge.LocalObservations{Servers: map[uint32]knowledge.Observation{uint32(xxh3.HashString("a")): s}})
 	bare := datagram.Encode(membership.Version, []int{}) // nonsense to membership; its rider counts all the same
 	return r.step(MemberDatagram{From: 1, Data: peer.AppendPiggyback(r.now, bare)})
@@ -103,7 +103,7 @@
 // has the last word, and an older word or a share changes nothing of that.
 func TestAPeersWordThatAServerDrains(t *testing.T) {
 	r := newRig(t)
-	r.join(2)
+	r.startMembership(2)
 	r.step(StartKnowledge{Config: knowledge.Config{TierSize: 2, Limits: knowledge.Defaults(), Seed: 1}})
 	peer, _, _ := knowledge.New(knowledge.Config{Self: 1, TierSize: 2, Limits: knowledge.Defaults(), Seed: 1}, r.now)
 	id := ID(0)
@@ -117,23 +117,23 @@
 			t.Errorf("%s: %swant it at the server: %t", what, said, there)
 		}
 	}
-	r.pass(time.Second)
-	r.hears(peer, knowledge.Observation{DrainingSince: r.now - 3*time.Second}) // older than the own list
+	r.advance(time.Second)
+	r.receiveObservation(peer, knowledge.Observation{DrainingSince: r.now - 3*time.Second}) // older than the own list
 	want("an older word", true)
-	r.pass(time.Second)
-	r.hears(peer, knowledge.Observation{DrainingSince: r.now})
-	r.pass(time.Second)
+	r.advance(time.Second)
+	r.receiveObservation(peer, knowledge.Observation{DrainingSince: r.now})
+	r.advance(time.Second)
 	want("a newer word", false)
-	r.pass(r.c.limits.ReportedDrainTTL + time.Second) // not confirmed
+	r.advance(r.core.limits.ReportedDrainTTL + time.Second) // not confirmed
 	want("one that the own list does not confirm", true)
-	r.pass(time.Second)
-	r.hears(peer, knowledge.Observation{DrainingSince: r.now})
-	r.pass(10 * ms)
+	r.advance(time.Second)
+	r.receiveObservation(peer, knowledge.Observation{DrainingSince: r.now})
+	r.advance(10 * ms)
 	r.list(elmseam.Ready, elmseam.Ready)
 	want("the own list has spoken since", true)
 	r.list(elmseam.Draining, elmseam.Ready)
-	r.pass(time.Second)
-	r.hears(peer, knowledge.Observation{Rate: 100, HoldBackShare: 0, HoldBackShareAt: r.now})
+	r.advance(time.Second)
+	r.receiveObservation(peer, knowledge.Observation{Rate: 100, HoldBackShare: 0, HoldBackShareAt: r.now})
 	want("a word of ease, and the own list says that it drains", false)
 }
 
@@ -141,10 +141,10 @@
 // wakes with the sure eighth of its part.
 func TestWakesWithTheSurePart(t *testing.T) {
 	r := newRig(t)
-	r.join(1)
+	r.startMembership(1)
 	r.step(StartBudget{Config: budget.Config{TierSize: 1, Limits: budget.Defaults(), Seed: 1}})
 	for id := ID(1); id < 400; id++ {
-		r.pass(10 * ms)
+		r.advance(10 * ms)
 		if strings.Contains(r.setUp(id, 5*time.Second), "@10") {
 			r.step(ServerAnswer{Server: "a", ID: id})
 			r.step(ServerEnd{Server: "a", ID: id, Reason: Normal})
@@ -165,15 +165,15 @@
 		return n
 	}
 	r.step(ServerUp{Server: "a", Address: "a:1", Conn: 10})
-	r.pass(time.Second)
+	r.advance(time.Second)
 	whole := sent()
 	r.now += 3 * time.Second
 	if sure := sent(); whole < 6 || sure > whole/2 {
 		t.Errorf("%d set-ups to a cold server on waking, %d before", sure, whole)
 	}
-	rate, known := r.c.parts.Rate(r.now, startOf(r.c.servers["a"]))
-	r.pass(time.Second)
-	if again, _ := r.c.parts.Rate(r.now, startOf(r.c.servers["a"])); !known || math.Abs(again/rate-budget.Units) > 1e-9 {
+	rate, known := r.core.budget.Rate(r.now, incarnationKey(r.core.servers["a"]))
+	r.advance(time.Second)
+	if again, _ := r.core.budget.Rate(r.now, incarnationKey(r.core.servers["a"])); !known || math.Abs(again/rate-budget.Units) > 1e-9 {
 		t.Errorf("%v a second on waking, %v a second later, want eight times as much", rate, again)
 	}
 }
@@ -182,13 +182,13 @@
 // until the server is warm (the whole tier restarted: a cold server got nothing for ten seconds).
 func TestAPartThatBeganAsNothingGrows(t *testing.T) {
 	r := newRig(t)
-	r.join(1)
+	r.startMembership(1)
 	r.step(StartBudget{Config: budget.Config{TierSize: 1, Limits: budget.Defaults(), Seed: 1}})
 	r.step(List{Servers: []Server{{Name: "a", Address: "a:1", Phase: elmseam.Ready, Started: r.now}}})
 	r.step(ServerUp{Server: "a", Address: "a:1", Conn: 10})
 	cold := 0
 	for id := ID(1); id < 500; id++ {
-		r.pass(10 * ms)
+		r.advance(10 * ms)
 		said := r.setUp(id, 5*time.Second)
 		for server, link := range map[string]string{"a": "@10 ", "b": "@11 "} {
 			if strings.Contains(said, link) {
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -350,17 +350,17 @@
 
 // Token says what a timer is for.
 type Token struct {
-	kind   tokenKind
-	call   ID
-	cid    elmseam.CallID // of that call: ids may come again
-	number uint32         // the controller's token, or the attempt
-	server string
-	member membership.Token
-	work   maintenance.Token
-	parts  budget.Token
-	know   knowledge.Token
-	probe  probe.ID
-	link   ConnID
+	kind         tokenKind
+	call         ID
+	controllerID elmseam.CallID // of that call: ids may come again
+	number       uint32         // the controller's token, or the attempt
+	server       string
+	membership   membership.Token
+	maintenance  maintenance.Token
+	budget       budget.Token
+	knowledge    knowledge.Token
+	probe        probe.ID
+	conn         ConnID
 }
 
 type tokenKind uint8
@@ -368,22 +368,22 @@
 const (
 	tokenController tokenKind = iota
 	tokenDeadline
-	tokenRebind  // a caller's connection ended with the set-up open
-	tokenTimeout // of an attempt
-	tokenGap     // a send waits for the release gap
+	tokenRebind         // a caller's connection ended with the set-up open
+	tokenAttemptTimeout // of an attempt
+	tokenReleaseGuard   // a send waits for the release gap
 	tokenRedial
-	tokenLost  // a server has been out of reach for long
-	tokenStop  // the grace of a stop is over
-	tokenDrain // callers of a drained process are looked through
-	tokenFinal // and so is the longest time for what still stands
-	tokenRoom  // there may be connections of callers that can be missed by now
-	tokenClose // and callers have been refused for long enough
-	tokenMember
-	tokenWork
-	tokenParts
-	tokenKnow
-	tokenProbe
-	tokenHearsay // a server is held for draining by a peer's word no longer
+	tokenServerLost   // a server has been out of reach for long
+	tokenStopGrace    // the grace of a stop is over
+	tokenDrainCheck   // callers of a drained process are looked through
+	tokenMaxStopWait  // and so is the longest time for what still stands
+	tokenPruneCallers // there may be connections of callers that can be missed by now
+	tokenStopLinger   // and callers have been refused for long enough
+	tokenMembership
+	tokenMaintenance
+	tokenBudget
+	tokenKnowledge
+	tokenProbeTimeout
+	tokenDrainReport // a server is held for draining by a peer's word no longer
 )
 
 // Limits are the times the core keeps.
--- a/internal/core/work.go
+++ b/internal/core/work.go
@@ -31,70 +31,70 @@
 func (MaintenanceProgress) effect() {}
 
 // drainers are those who may want a softswitch drained: it is as long as one does.
-type drainers struct{ hand, work bool }
+type drainReasons struct{ operator, maintenance bool }
 
 // plan begins maintenance. A second Plan changes nothing.
-func (c *Core) plan(ev StartMaintenance) {
-	if c.work != nil || c.fleet == nil {
+func (c *Core) startMaintenance(ev StartMaintenance) {
+	if c.maintenance != nil || c.membership == nil {
 		return
 	}
 	work, out, err := maintenance.New(ev.Config, c.now)
 	if err != nil {
-		c.do(Violation{Rule: err.Error()})
+		c.emit(Violation{Rule: err.Error()})
 		return
 	}
-	c.work = work
-	c.works(out)
-	for m, e := range c.fleet.Members() {
-		c.toWork(maintenance.MemberAvailability{Member: m, Available: e.State.Available()})
+	c.maintenance = work
+	c.maintenanceEffects(out)
+	for m, e := range c.membership.Members() {
+		c.stepMaintenance(maintenance.MemberAvailability{Member: m, Available: e.State.Available()})
 	}
-	c.toWork(maintenance.Serving{Serving: c.serving})
+	c.stepMaintenance(maintenance.Serving{Serving: c.serving})
 }
 
 // toWork hands maintenance an event.
-func (c *Core) toWork(ev maintenance.Event) {
-	if c.work != nil {
-		c.works(c.work.Step(c.now, ev))
+func (c *Core) stepMaintenance(ev maintenance.Event) {
+	if c.maintenance != nil {
+		c.maintenanceEffects(c.maintenance.Step(c.now, ev))
 	}
 }
 
 // works carries out what maintenance asks for.
-func (c *Core) works(out []maintenance.Effect) {
+func (c *Core) maintenanceEffects(out []maintenance.Effect) {
 	for _, e := range out {
 		switch e := e.(type) {
 		case maintenance.Send:
-			c.do(SendToMember{To: e.To, Data: e.Data})
+			c.emit(SendToMember{To: e.To, Data: e.Data})
 		case maintenance.Timer:
-			c.timer(e.At, Token{kind: tokenWork, work: e.Token})
+			c.setTimer(e.At, Token{kind: tokenMaintenance, maintenance: e.Token})
 		case maintenance.RequestChanged:
-			c.do(MaintenanceProgress{e})
+			c.emit(MaintenanceProgress{e})
 		case maintenance.Drain:
-			c.by.work = e.On
-			c.drain(c.by.hand || c.by.work)
-			c.do(DrainChanged{On: c.draining})
+			c.drainReasons.maintenance = e.On
+			c.setDraining(c.drainReasons.operator || c.drainReasons.maintenance)
+			c.emit(DrainChanged{On: c.draining})
 		}
 	}
 }
 
 // byHand drains for an operator. One who takes callers back while the softswitch is out for work ends that.
-func (c *Core) byHand(on bool) {
-	c.by.hand = on
-	if !on && c.by.work {
-		c.toWork(maintenance.Cancel{Members: []int{c.self}})
+func (c *Core) operatorDrain(on bool) {
+	c.drainReasons.operator = on
+	if !on && c.drainReasons.maintenance {
+		c.stepMaintenance(maintenance.Cancel{Members: []int{c.selfIndex}})
 	}
-	c.drain(c.by.hand || c.by.work)
+	c.setDraining(c.drainReasons.operator || c.drainReasons.maintenance)
 }
 
 // empty tells maintenance, once, that nothing is left here.
-func (c *Core) empty() {
-	if c.work != nil && c.work.AwaitsDrained() && c.away() && len(c.calls) == 0 {
-		c.toWork(maintenance.Drained{})
+func (c *Core) reportDrained() {
+	if c.maintenance != nil && c.maintenance.AwaitsDrained() && c.drainRefuses() && len(c.calls) == 0 {
+		c.stepMaintenance(maintenance.Drained{})
 	}
 }
 
 // peerThere tells maintenance who is there: one that is merely suspected keeps its place.
-func (c *Core) peerThere(m int, s membership.State) {
-	c.toWork(maintenance.MemberAvailability{Member: m, Available: s.Available() || s == membership.Suspect})
+func (c *Core) maintenanceAvailability(m int, s membership.State) {
+	c.stepMaintenance(maintenance.MemberAvailability{Member: m, Available: s.Available() || s == membership.Suspect})
 }
 
 // MaintenanceStats are what operators are shown of the tier's maintenance.
@@ -105,9 +105,9 @@
 }
 
 // maintained are the figures of maintenance; nil where there is none.
-func (c *Core) maintained() *MaintenanceStats {
-	if c.work == nil {
+func (c *Core) maintenanceStats() *MaintenanceStats {
+	if c.maintenance == nil {
 		return nil
 	}
-	return &MaintenanceStats{Status: c.work.Status(), Self: c.self, Names: slices.Clone(c.work.Names())}
+	return &MaintenanceStats{Status: c.maintenance.Status(), Self: c.selfIndex, Names: slices.Clone(c.maintenance.Names())}
 }
