--- /dev/null
+++ b/internal/core/callers.go
@@ -0,0 +1,208 @@
+package core
+
+import (
+	"slices"
+
+	"elmseam"
+)
+
+// callerConn is the connection of a caller.
+type callerConn struct {
+	id             ConnID
+	protocol       Protocol
+	hadSetUp       bool // the connection has brought a set-up
+	hadEstablished bool // one of its set-ups was established
+	transferred    bool // the connection was transferred to the successor: effects for it go there
+
+	transferUnconfirmed bool // the successor has not confirmed the transfer
+	transferFailed      bool // the transfer failed; the connection is read here again
+	malformed           bool // nothing more is read from the connection; it is closed once no set-up is open on it
+	lastActive          Time // when the connection last brought a request or one of its calls was established
+}
+
+// pendingRelease is a release that waits for a connection to callers.
+type pendingRelease struct {
+	protocol Protocol
+	id       ID
+	reason   Reason
+	at       Time
+}
+
+// callerUp takes in a new connection of a caller.
+func (c *Core) callerUp(ev CallerUp) {
+	conn := &callerConn{id: ev.Conn, protocol: ev.Protocol, lastActive: c.now}
+	c.callers[ev.Conn] = conn
+	c.callerOrder = append(c.callerOrder, conn)
+	c.adoptTransferred(conn, ev)
+	c.pruneCallers()
+	if c.acceptsReleases(conn) {
+		c.flushReleases()
+	}
+	if c.handingOver {
+		c.stopReading(conn)
+	}
+}
+
+// callerDown takes in that the connection of a caller has ended. Its set-ups may come again on another connection within Rebind.
+func (c *Core) callerDown(id ConnID) {
+	c.forgetCaller(id)
+	c.forgetPredecessorCalls(id)
+	for _, k := range inArrivalOrder(c.calls) {
+		if k.From == id && k.server == nil && !k.answered {
+			k.orphaned = true
+			c.setTimer(c.now+c.limits.Rebind, Token{kind: tokenRebind, call: k.ID, controllerID: k.controllerID})
+		}
+	}
+}
+
+// callerEnd takes in that a caller gives a set-up up or releases an established call, perhaps one from before a restart.
+func (c *Core) callerEnd(ev CallerEnd) {
+	k := c.calls[ev.ID]
+	if conn := c.callers[ev.From]; conn != nil {
+		c.markUsed(conn)
+	}
+	switch {
+	case k == nil:
+		_, known := c.ended[ev.ID]
+		switch {
+		case known, ev.SetUpDiscarded:
+		case c.hasPredecessor:
+			delete(c.predecessorCalls, ev.ID)
+			delete(c.predecessorSetUps, ev.ID)
+			c.rememberEnded(ev.ID) // the predecessor may send a release of the call at the same time
+			c.emit(ToPredecessor{Event: ev})
+		default:
+			for _, s := range c.serverOrder {
+				c.sendEnd(s, ev.ID)
+			}
+		}
+	case k.server != nil:
+		k.callerGone = true
+		c.releaseAtServer(k.server, k.ID)
+		c.endEstablished(k, Normal, elmseam.Outcome{Cause: elmseam.CauseCancelled})
+	case ev.From == k.From || k.orphaned:
+		c.abandonSetUp(k)
+	} // otherwise another client guessed the id of a set-up that is open on a different connection
+}
+
+// markUsed takes in that the connection of a caller is used. Releases that waited for a connection go out on it.
+func (c *Core) markUsed(conn *callerConn) {
+	conn.lastActive = c.now
+	if !conn.hadSetUp {
+		conn.hadSetUp = true
+		c.flushReleases()
+	}
+}
+
+// acceptsReleases says whether releases of any call can go out on a connection. A transient connection that has not brought a
+// set-up yet may be a health check of the front, where releases would be lost.
+func (c *Core) acceptsReleases(conn *callerConn) bool {
+	return conn.hadSetUp || !c.limits.Transient[conn.protocol]
+}
+
+// sendRelease tells a caller that an established call has ended, on the connection of the call or, if that is gone, on another of
+// the same protocol: best on one that has had established calls and was active last. If there is none, the release waits for
+// the next connection.
+func (c *Core) sendRelease(protocol Protocol, to ConnID, id ID, reason Reason) {
+	if c.callers[to] == nil {
+		var best *callerConn
+		for _, conn := range c.callerOrder {
+			if conn.protocol == protocol && c.acceptsReleases(conn) && (best == nil || conn.hadEstablished && !best.hadEstablished || conn.hadEstablished == best.hadEstablished && conn.lastActive >= best.lastActive) {
+				best = conn
+			}
+		}
+		if best == nil && c.handingOver && c.limits.Transient[protocol] {
+			c.emit(ToSuccessor{Protocol: protocol, Effect: Released{ID: id, Reason: reason}})
+			return
+		}
+		if best == nil {
+			c.pendingReleases = append(c.pendingReleases, &pendingRelease{protocol, id, reason, c.now})
+			return
+		}
+		to = best.id
+	}
+	c.emit(Released{To: to, ID: id, Reason: reason})
+}
+
+// flushReleases sends the releases that have waited for a connection. A release older than EndedCallTTL is dropped.
+func (c *Core) flushReleases() {
+	releases := c.pendingReleases
+	c.pendingReleases = nil
+	for _, release := range releases {
+		if release.at > c.now-c.limits.EndedCallTTL {
+			c.sendRelease(release.protocol, 0, release.id, release.reason)
+		} else {
+			c.emit(ForgetCall{Protocol: release.protocol, ID: release.id})
+		}
+	}
+}
+
+// busyConns returns the connections of callers with an open set-up, here or on the predecessor.
+func (c *Core) busyConns() map[ConnID]bool {
+	busy := make(map[ConnID]bool)
+	for _, k := range c.calls {
+		if !k.answered && !k.callerGone && !k.orphaned {
+			busy[k.From] = true
+		}
+	}
+	for _, id := range c.predecessorSetUps {
+		busy[id] = true
+	}
+	return busy
+}
+
+// pruneCallers closes connections of callers that have no open set-up: those from which nothing more can be read and, while there
+// are more than MaxCallerConns, the best candidates for eviction. Where every connection has an open set-up, the limit is
+// exceeded for a while.
+func (c *Core) pruneCallers() {
+	maxConns := c.limits.MaxCallerConns
+	if c.sharesCallerLimit { // file descriptors are shared between both processes
+		maxConns /= 2
+	}
+	if len(c.callerOrder) <= maxConns && !slices.ContainsFunc(c.callerOrder, func(conn *callerConn) bool { return conn.malformed }) {
+		return
+	}
+	busy := c.busyConns()
+	for _, conn := range slices.Clone(c.callerOrder) {
+		if conn.malformed && !busy[conn.id] {
+			c.closeCaller(conn)
+		}
+	}
+	for len(c.callerOrder) > maxConns {
+		victim := c.evictionCandidate(busy)
+		if victim == nil {
+			if !c.pruneTimerSet && c.limits.NewConnGrace > 0 {
+				c.pruneTimerSet = true
+				c.setTimer(c.now+c.limits.NewConnGrace, Token{kind: tokenPruneCallers})
+			}
+			return
+		}
+		c.closeCaller(victim)
+	}
+}
+
+// evictionCandidate returns the connection to close first: the oldest of those that have brought no set-up, or else the one that
+// has been idle longest. Connections in busy, transferred ones and the newest one are no candidates, nor is one that has brought
+// no set-up and is younger than NewConnGrace, as its first set-up may be on its way. The result is nil if there is no candidate.
+func (c *Core) evictionCandidate(busy map[ConnID]bool) (victim *callerConn) {
+	for _, conn := range c.callerOrder[:max(len(c.callerOrder)-1, 0)] {
+		switch {
+		case busy[conn.id], conn.transferred, !conn.hadSetUp && c.now < conn.lastActive+c.limits.NewConnGrace:
+		case victim == nil, victim.hadSetUp && !conn.hadSetUp, victim.hadSetUp == conn.hadSetUp && conn.lastActive < victim.lastActive:
+			victim = conn
+		}
+	}
+	return victim
+}
+
+// closeCaller closes the connection of a caller gracefully: what was written last can still be read.
+func (c *Core) closeCaller(conn *callerConn) {
+	c.forgetCaller(conn.id)
+	c.emit(GracefulClose{To: conn.id})
+}
+
+// forgetCaller removes a connection from the list of callers.
+func (c *Core) forgetCaller(id ConnID) {
+	delete(c.callers, id)
+	c.callerOrder = slices.DeleteFunc(c.callerOrder, func(conn *callerConn) bool { return conn.id == id })
+}
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -72,75 +72,75 @@
 
 // step gives an event and writes down the effects that go out on links.
 func (r *rig) step(ev Event) string {
-	said := ""
+	effects := ""
 	for _, e := range r.core.Step(r.now, ev) {
 		switch e := e.(type) {
 		case Timer:
 			r.timers = append(r.timers, e)
 		case Offer:
-			said += fmt.Sprintf("offer%d@%d ", e.ID, e.To)
+			effects += fmt.Sprintf("offer%d@%d ", e.ID, e.To)
 		case End:
-			said += fmt.Sprintf("end%d@%d ", e.ID, e.To)
+			effects += fmt.Sprintf("end%d@%d ", e.ID, e.To)
 		case Answered:
-			said += fmt.Sprintf("answered%d@%d ", e.ID, e.To)
+			effects += fmt.Sprintf("answered%d@%d ", e.ID, e.To)
 		case Rejected:
-			said += fmt.Sprintf("rejected%d@%d ", e.ID, e.To)
+			effects += fmt.Sprintf("rejected%d@%d ", e.ID, e.To)
 		case Released:
-			said += fmt.Sprintf("released%d@%d ", e.ID, e.To)
+			effects += fmt.Sprintf("released%d@%d ", e.ID, e.To)
 		case Probe:
-			said += fmt.Sprintf("test%d@%d ", e.ID, e.To)
+			effects += fmt.Sprintf("test%d@%d ", e.ID, e.To)
 		case Withdraw:
-			said += fmt.Sprintf("withdraw@%d ", e.To)
+			effects += fmt.Sprintf("withdraw@%d ", e.To)
 		case StopReading:
-			said += fmt.Sprintf("move@%d ", e.To)
+			effects += fmt.Sprintf("move@%d ", e.To)
 		case Transfer:
-			said += fmt.Sprintf("pass@%d%v%v ", e.To, e.Open, e.Established)
+			effects += fmt.Sprintf("pass@%d%v%v ", e.To, e.Open, e.Established)
 		case ToPredecessor:
-			said += "to the older "
+			effects += "to the older "
 		case ToSuccessor:
-			said += "to the newer "
+			effects += "to the newer "
 		case GracefulClose:
-			said += fmt.Sprintf("close@%d ", e.To)
+			effects += fmt.Sprintf("close@%d ", e.To)
 		case CloseConn:
-			said += fmt.Sprintf("hangup@%d ", e.To)
+			effects += fmt.Sprintf("hangup@%d ", e.To)
 		case ForgetCall:
-			said += fmt.Sprintf("dropped%d ", e.ID)
+			effects += fmt.Sprintf("dropped%d ", e.ID)
 		case Stopped:
-			said += "stopped "
+			effects += "stopped "
 		case CloseListener:
-			said += "closes its listener "
+			effects += "closes its listener "
 		case Dial:
 			if r.recordDials {
-				said += "dial-" + e.Server + " "
+				effects += "dial-" + e.Server + " "
 			}
 		case Violation:
 			r.t.Errorf("a guard had to hold: call %d: %s", e.ID, e.Rule)
 		}
 	}
-	return said
+	return effects
 }
 
 // pass lets time go by, timers included.
-func (r *rig) advance(d time.Duration) (said string) {
-	for until := r.now + d; ; {
+func (r *rig) advance(duration time.Duration) (effects string) {
+	for until := r.now + duration; ; {
 		next := -1
-		for i, t := range r.timers {
-			if t.At <= until && (next < 0 || t.At < r.timers[next].At) {
+		for i, timer := range r.timers {
+			if timer.At <= until && (next < 0 || timer.At < r.timers[next].At) {
 				next = i
 			}
 		}
 		if next < 0 {
 			r.now = until
-			return said
+			return effects
 		}
-		t := r.timers[next]
+		timer := r.timers[next]
 		r.timers = append(r.timers[:next], r.timers[next+1:]...)
-		r.now = max(r.now, t.At)
-		said += r.step(TimerFired{Token: t.Token})
+		r.now = max(r.now, timer.At)
+		effects += r.step(TimerFired{Token: timer.Token})
 	}
 }
 
-func countOf(said, part string) int { return strings.Count(said, part) }
+func countOf(effects, part string) int { return strings.Count(effects, part) }
 
 func (r *rig) want(got, want string) {
 	r.t.Helper()
@@ -149,8 +149,8 @@
 	}
 }
 
-func (r *rig) setUp(id ID, left time.Duration) string {
-	return r.step(SetUp{ID: id, From: 1, Cell: 0, TimeLeft: left, At: r.now})
+func (r *rig) setUp(id ID, timeLeft time.Duration) string {
+	return r.step(SetUp{ID: id, From: 1, Cell: 0, TimeLeft: timeLeft, At: r.now})
 }
 
 // A reset server connection ends the attempt, and the call goes elsewhere only after the release gap;
@@ -302,20 +302,20 @@
 		r.core.calls[id], r.core.callsByControllerID[k.controllerID] = k, k
 		return k
 	}
-	send := func(k *call, server string) (said string) {
+	send := func(k *call, server string) (effects string) {
 		r.core.out = nil
 		r.core.startAttempt(k, elmseam.Send{Server: r.core.servers[server].id})
 		for _, e := range r.core.out {
 			switch e := e.(type) {
 			case Offer:
-				said += "offer "
+				effects += "offer "
 			case Violation:
-				said += "held "
+				effects += "held "
 			case Timer:
 				r.timers = append(r.timers, e)
 			}
 		}
-		return said
+		return effects
 	}
 	k := newCall(1)
 	r.want(send(k, "a"), "offer ")
--- a/internal/core/crossings_test.go
+++ b/internal/core/crossings_test.go
@@ -69,9 +69,9 @@
 	r.want(r.step(ServerEnd{Server: "a", ID: 1, Reason: Normal})+r.step(ServerEnd{Server: "a", ID: 4, Reason: Normal}), "released1@1 released4@1 ")
 	r.advance(600 * ms)
 	r.want(r.setUp(5, 30*time.Second), "rejected5@1 ")
-	said := r.advance(9 * time.Second)
-	if finals := countOf(said, "rejected3@1"); finals != 1 || !strings.HasSuffix(said, "close@1 stopped ") {
-		t.Errorf("at the end of the longest wait: %q", said)
+	effects := r.advance(9 * time.Second)
+	if rejections := countOf(effects, "rejected3@1"); rejections != 1 || !strings.HasSuffix(effects, "close@1 stopped ") {
+		t.Errorf("at the end of the longest wait: %q", effects)
 	}
 
 	r = newRig(t) // what crosses the end itself
@@ -100,8 +100,8 @@
 		ServerEnd{Server: "a", Conn: 10, ID: 7, Reason: Reset}, ServerEnd{Server: "a", Conn: 10, ID: 7, Reason: Full},
 		ServerAnswer{Server: "a", Conn: 10, ID: 7}, NotSent{Server: "a", Conn: 10, ID: 7}, ServerMalformed{Server: "a", Conn: 10, ID: 7},
 	} {
-		if said := r.step(late); countOf(said, "offer")+countOf(said, "answered")+countOf(said, "end7") > 0 || r.core.calls[7].attempt == nil {
-			t.Errorf("%T: %q, and the attempt is %v", late, said, r.core.calls[7].attempt)
+		if effects := r.step(late); countOf(effects, "offer")+countOf(effects, "answered")+countOf(effects, "end7") > 0 || r.core.calls[7].attempt == nil {
+			t.Errorf("%T: %q, and the attempt is %v", late, effects, r.core.calls[7].attempt)
 		}
 	}
 	r.want(r.step(ServerAnswer{Server: "a", Conn: 12, ID: 7}), "answered7@1 ")
@@ -123,22 +123,22 @@
 		{ServerDown{Server: "a", Conn: 10}, "", "offer7@11 "},
 		{ServerMalformed{Server: "a", Conn: 10, ID: 7}, "end7@10 ", "offer7@11 "},
 	} {
-		for _, first := range []bool{true, false} {
+		for _, eventFirst := range []bool{true, false} {
 			r := newRig(t)
 			r.resendTo("b")
 			r.setUp(7, 5*time.Second)
 			k := r.core.calls[7]
-			due := TimerFired{Token: Token{kind: tokenAttemptTimeout, call: 7, controllerID: k.controllerID, number: uint32(k.attempt.number)}}
-			if first {
-				r.want(strings.TrimSuffix(r.step(tt.ev)+r.step(due)+r.step(EndWritten{Server: "a", Conn: 10, ID: 7}), "close@10 "), tt.first)
+			timeout := TimerFired{Token: Token{kind: tokenAttemptTimeout, call: 7, controllerID: k.controllerID, number: uint32(k.attempt.number)}}
+			if eventFirst {
+				r.want(strings.TrimSuffix(r.step(tt.ev)+r.step(timeout)+r.step(EndWritten{Server: "a", Conn: 10, ID: 7}), "close@10 "), tt.first)
 				r.want(r.advance(199*ms), "")
 				r.want(r.advance(2*ms), tt.after)
 			} else {
-				r.want(strings.TrimSuffix(r.step(due)+r.step(tt.ev)+r.step(EndWritten{Server: "a", Conn: 10, ID: 7}), "close@10 "), "end7@10 ")
+				r.want(strings.TrimSuffix(r.step(timeout)+r.step(tt.ev)+r.step(EndWritten{Server: "a", Conn: 10, ID: 7}), "close@10 "), "end7@10 ")
 				r.want(r.advance(199*ms), "")
 				r.want(r.advance(2*ms), "offer7@11 ")
 			}
-			r.want(r.step(due), "") // that of an attempt which is over
+			r.want(r.step(timeout), "") // that of an attempt which is over
 		}
 	}
 }
@@ -222,7 +222,7 @@
 // The caller gives up, or closes its connection, while its set-up waits for a connection, within the release gap, and
 // while it is being written: it is not sent on, or is ended, and no answer is owed.
 func TestCallerLeavesWhileItsSetUpWaits(t *testing.T) {
-	for name, wait := range map[string]func(r *rig){
+	for name, begin := range map[string]func(r *rig){
 		"for a connection": func(r *rig) {
 			r.step(ServerDown{Server: "a", Conn: 10})
 			r.step(ServerDown{Server: "b", Conn: 11})
@@ -232,13 +232,13 @@
 		"while it is written":   func(r *rig) { r.setUp(7, 5*time.Second) },
 		"for its end's writing": func(r *rig) { r.setUp(7, 5*time.Second); r.step(ServerMalformed{Server: "a", Conn: 10, ID: 7}) },
 	} {
-		for _, leaves := range []Event{CallerEnd{ID: 7, From: 1}, CallerDown{Conn: 1}} {
+		for _, departure := range []Event{CallerEnd{ID: 7, From: 1}, CallerDown{Conn: 1}} {
 			r := newRig(t)
-			wait(r)
-			said := r.step(leaves) + r.advance(101*ms)
-			said += r.step(ServerUp{Server: "a", Address: "a:1", Conn: 12}) + r.step(EndWritten{Server: "a", Conn: 10, ID: 7}) + r.advance(10*time.Second)
-			if h := r.core.Retained(); countOf(said, "offer") > 0 || countOf(said, "rejected") > 0 || countOf(said, "answered") > 0 || h != (Retained{}) {
-				t.Errorf("%s, %T: %q, and %+v is kept", name, leaves, said, h)
+			begin(r)
+			effects := r.step(departure) + r.advance(101*ms)
+			effects += r.step(ServerUp{Server: "a", Address: "a:1", Conn: 12}) + r.step(EndWritten{Server: "a", Conn: 10, ID: 7}) + r.advance(10*time.Second)
+			if retained := r.core.Retained(); countOf(effects, "offer") > 0 || countOf(effects, "rejected") > 0 || countOf(effects, "answered") > 0 || retained != (Retained{}) {
+				t.Errorf("%s, %T: %q, and %+v is kept", name, departure, effects, retained)
 			}
 		}
 	}
@@ -265,55 +265,55 @@
 // was read as a number of lines, and the other way round.
 func TestSettingsChangeBetweenARequestsEvents(t *testing.T) {
 	r := newRig(t)
-	set := func(gap time.Duration, attempts int, columns ...elmseam.LoadMetric) {
+	configure := func(releaseGuard time.Duration, attempts int, metrics ...elmseam.LoadMetric) {
 		r.step(Configured{Limits: r.core.limits, Settings: elmseam.Settings{
 			Classes:     []elmseam.Class{{Deadline: 9 * time.Second, Worth: 1}, {Deadline: 9 * time.Second, Worth: 1}},
-			MaxAttempts: attempts, MaxRetryAfter: 2 * time.Second, OwnCell: -1, ReleaseGuard: gap, ReportMetrics: columns,
+			MaxAttempts: attempts, MaxRetryAfter: 2 * time.Second, OwnCell: -1, ReleaseGuard: releaseGuard, ReportMetrics: metrics,
 		}})
 	}
-	set(200*ms, 4, elmseam.LoadMetricFreeLines, elmseam.LoadMetricTotalLines, elmseam.LoadMetricHoldBackShare)
-	var seen elmseam.Report
+	configure(200*ms, 4, elmseam.LoadMetricFreeLines, elmseam.LoadMetricTotalLines, elmseam.LoadMetricHoldBackShare)
+	var reported elmseam.Report
 	r.core.hook.SuppressEvent = func(ev elmseam.Event) bool {
-		if h, report := ev.(elmseam.Health); report {
-			seen = h.Report
+		if health, isHealth := ev.(elmseam.Health); isHealth {
+			reported = health.Report
 		}
 		return false
 	}
 	report := ServerReport{Server: "a", Conn: 10, Report: Report{{elmseam.LoadMetricFreeLines, 8}, {elmseam.LoadMetricTotalLines, 9}, {elmseam.LoadMetricHoldBackShare, 0.5}}}
-	offered := ""
-	class := func(ev Event) {
+	offeredClass := ""
+	stepOffer := func(ev Event) {
 		for _, e := range r.core.Step(r.now, ev) {
-			if o, is := e.(Offer); is {
-				offered = o.Class
-			} else if d, is := e.(Timer); is {
-				r.timers = append(r.timers, d)
+			if o, ok := e.(Offer); ok {
+				offeredClass = o.Class
+			} else if timer, ok := e.(Timer); ok {
+				r.timers = append(r.timers, timer)
 			}
 		}
 	}
-	class(SetUp{ID: 7, From: 1, Class: 1, Name: "gold", Cell: 0, TimeLeft: 5 * time.Second, At: r.now})
-	if r.step(report); offered != "gold" || !slices.Equal(seen, elmseam.Report{8, 9, 0.5}) {
-		t.Errorf("class %q, report %v", offered, seen)
+	stepOffer(SetUp{ID: 7, From: 1, Class: 1, Name: "gold", Cell: 0, TimeLeft: 5 * time.Second, At: r.now})
+	if r.step(report); offeredClass != "gold" || !slices.Equal(reported, elmseam.Report{8, 9, 0.5}) {
+		t.Errorf("class %q, report %v", offeredClass, reported)
 	}
-	set(0, 1, elmseam.LoadMetricHoldBackShare, elmseam.LoadMetricTotalLines)
-	if r.step(report); !slices.Equal(seen, elmseam.Report{0.5, 9}) {
-		t.Errorf("report %v with the columns changed", seen)
+	configure(0, 1, elmseam.LoadMetricHoldBackShare, elmseam.LoadMetricTotalLines)
+	if r.step(report); !slices.Equal(reported, elmseam.Report{0.5, 9}) {
+		t.Errorf("report %v with the columns changed", reported)
 	}
-	set(0, 1)
-	seen = nil
-	if r.step(report); seen != nil {
-		t.Errorf("report %v where the settings name no columns", seen)
+	configure(0, 1)
+	reported = nil
+	if r.step(report); reported != nil {
+		t.Errorf("report %v where the settings name no columns", reported)
 	}
 	r.step(ServerDown{Server: "a", Conn: 10})
 	r.want(r.advance(199*ms), "") // the gap it came under
-	for _, d := range slices.Clone(r.timers) {
-		if offered = ""; d.Token.kind == tokenReleaseGuard {
+	for _, timer := range slices.Clone(r.timers) {
+		if offeredClass = ""; timer.Token.kind == tokenReleaseGuard {
 			r.now += 2 * ms
-			class(TimerFired{Token: d.Token})
+			stepOffer(TimerFired{Token: timer.Token})
 			break
 		}
 	}
-	if offered != "gold" {
-		t.Errorf("sent again as %q", offered)
+	if offeredClass != "gold" {
+		t.Errorf("sent again as %q", offeredClass)
 	}
 }
 
@@ -324,14 +324,14 @@
 	r := newRig(t)
 	r.recordDials = true
 	r.core.limits.MaxServerConns, r.core.limits.ConnsPerServer = 2, map[Protocol]int{"": 2}
-	more := Server{Name: "c", Address: "c:1", Cell: 2, Phase: elmseam.Ready}
-	r.want(r.step(List{Servers: []Server{more}}), "") // not before it is needed
+	third := Server{Name: "c", Address: "c:1", Cell: 2, Phase: elmseam.Ready}
+	r.want(r.step(List{Servers: []Server{third}}), "") // not before it is needed
 	r.want(r.setUp(1, 5*time.Second), "offer1@10 ")
-	to := "c"
+	target := "c"
 	r.core.hook.Decide = func(ev elmseam.Event, actions []elmseam.Action) []elmseam.Action {
 		switch ev := ev.(type) {
 		case elmseam.Arrival:
-			return []elmseam.Action{elmseam.Send{Call: ev.Call, Server: r.core.servers[to].id}}
+			return []elmseam.Action{elmseam.Send{Call: ev.Call, Server: r.core.servers[target].id}}
 		case elmseam.Outcome:
 			return []elmseam.Action{elmseam.Refuse{Call: ev.Call}}
 		}
@@ -339,7 +339,7 @@
 	}
 	r.want(r.setUp(2, 5*time.Second), "close@11 dial-c ") // something is out at a
 	r.want(r.step(ServerUp{Server: "c", Address: "c:1", Conn: 12}), "offer2@12 ")
-	to = "b"
+	target = "b"
 	r.want(r.setUp(3, 5*time.Second), "rejected3@1 ") // none can be missed
 	r.step(ServerAnswer{Server: "a", ID: 1})
 	r.want(r.step(ServerEnd{Server: "c", ID: 2, Reason: Busy}), "rejected2@1 ")
--- a/internal/core/random_test.go
+++ b/internal/core/random_test.go
@@ -32,23 +32,23 @@
 		over     bool
 	}
 	calls := make(map[ID]*model)
-	live := []ID{}
-	links := map[ConnID]string{10: "a", 11: "b"}
-	up := map[string]ConnID{"a": 10, "b": 11}
-	ready := map[string]elmseam.Phase{"a": elmseam.Ready, "b": elmseam.Ready}
-	var dialed []string
-	type key struct {
+	ids := []ID{}
+	connServer := map[ConnID]string{10: "a", 11: "b"}
+	serverConnID := map[string]ConnID{"a": 10, "b": 11}
+	phases := map[string]elmseam.Phase{"a": elmseam.Ready, "b": elmseam.Ready}
+	var pendingDials []string
+	type serverCall struct {
 		server string
 		id     ID
 	}
-	var unwritten []key
-	var tested []ServerProbeAnswer
-	next, nextLink := ID(0), ConnID(100)
-	var caller ConnID = 1
-	fail := func(id ID, what string) { t.Fatalf("call %d: %s: %+v", id, what, calls[id]) }
-	lose := func(name string) { // a connection is no more: what is out on it is over
-		delete(links, up[name])
-		delete(up, name)
+	var unwrittenEnds []serverCall
+	var probeAnswers []ServerProbeAnswer
+	lastID, lastConn := ID(0), ConnID(100)
+	var callerConnID ConnID = 1
+	failCall := func(id ID, what string) { t.Fatalf("call %d: %s: %+v", id, what, calls[id]) }
+	loseConn := func(name string) { // a connection is no more: what is out on it is over
+		delete(connServer, serverConnID[name])
+		delete(serverConnID, name)
 		for _, m := range calls {
 			if m.out == name {
 				m.out, m.ending, m.badEnd = "", false, r.now
@@ -61,50 +61,50 @@
 			case Timer:
 				r.timers = append(r.timers, e)
 			case Dial:
-				dialed = append(dialed, e.Server)
+				pendingDials = append(pendingDials, e.Server)
 			case CloseConn:
-				if name, there := links[e.To]; there {
-					lose(name)
+				if name, there := connServer[e.To]; there {
+					loseConn(name)
 				}
 			case Offer:
-				m, name := calls[e.ID], links[e.To]
+				m, name := calls[e.ID], connServer[e.To]
 				switch {
 				case name == "":
-					fail(e.ID, "offered on a connection that is no more")
+					failCall(e.ID, "offered on a connection that is no more")
 				case m.out != "":
-					fail(e.ID, "second attempt out")
-				case ready[name] != elmseam.Ready:
-					fail(e.ID, "sent to a server that drains or is gone")
+					failCall(e.ID, "second attempt out")
+				case phases[name] != elmseam.Ready:
+					failCall(e.ID, "sent to a server that drains or is gone")
 				case m.badEnd != 0 && r.now < m.badEnd+r.core.releaseGuard:
-					fail(e.ID, "sent within the release gap")
+					failCall(e.ID, "sent within the release gap")
 				case m.finals > 0 || m.gone:
-					fail(e.ID, "sent after its end")
+					failCall(e.ID, "sent after its end")
 				}
 				if m.out = name; m.attempts == set.MaxAttempts {
-					fail(e.ID, "an attempt too many")
+					failCall(e.ID, "an attempt too many")
 				}
 				m.attempts++
 			case Probe:
-				name := links[e.To]
-				if !r.core.limits.Probe.Permitted || name == "" || ready[name] != elmseam.Ready {
+				name := connServer[e.To]
+				if !r.core.limits.Probe.Permitted || name == "" || phases[name] != elmseam.Ready {
 					t.Fatalf("a probe on link %d, which goes to %q", e.To, name)
 				}
 				if rnd.IntN(2) == 0 {
-					tested = append(tested, ServerProbeAnswer{Server: name, Conn: e.To, ID: e.ID, Report: Report{{elmseam.LoadMetricWait, rnd.Float64() * 900}}})
+					probeAnswers = append(probeAnswers, ServerProbeAnswer{Server: name, Conn: e.To, ID: e.ID, Report: Report{{elmseam.LoadMetricWait, rnd.Float64() * 900}}})
 				}
 			case GracefulClose:
-				if name, there := links[e.To]; there { // replaced, where nothing is out
+				if name, there := connServer[e.To]; there { // replaced, where nothing is out
 					for id, m := range calls {
 						if m.out == name {
-							fail(id, "its connection is closed as one on which nothing is out")
+							failCall(id, "its connection is closed as one on which nothing is out")
 						}
 					}
-					lose(name)
+					loseConn(name)
 				}
 			case End:
-				if m, name := calls[e.ID], links[e.To]; m != nil && name != "" && m.out == name {
+				if m, name := calls[e.ID], connServer[e.To]; m != nil && name != "" && m.out == name {
 					if m.ending = true; e.Notify {
-						unwritten = append(unwritten, key{name, e.ID})
+						unwrittenEnds = append(unwrittenEnds, serverCall{name, e.ID})
 					} else {
 						m.out, m.ending = "", false
 					}
@@ -112,33 +112,33 @@
 			case Answered:
 				m := calls[e.ID]
 				if m.finals++; m.stands == "" || m.finals > 1 {
-					fail(e.ID, "answered, and never or twice")
+					failCall(e.ID, "answered, and never or twice")
 				}
 			case Rejected:
 				m := calls[e.ID]
 				if m.finals++; m.finals > 1 || m.gone {
-					fail(e.ID, "refused after its end")
+					failCall(e.ID, "refused after its end")
 				}
 			case ForgetCall:
 				calls[e.ID].gone = true
 			case Released:
 				if m := calls[e.ID]; m != nil && (m.stands == "" || m.over) {
-					fail(e.ID, "released, but never stood or twice")
+					failCall(e.ID, "released, but never stood or twice")
 				} else if m != nil {
 					m.over = true
 				}
 			case Violation:
-				fail(e.ID, e.Rule)
+				failCall(e.ID, e.Rule)
 			}
 		}
 	}
-	stood := 0
+	establishedCount := 0
 	for range 60000 {
 		r.now += time.Duration(rnd.IntN(8)) * ms
 		for i := 0; i < len(r.timers); {
-			if d := r.timers[i]; d.At <= r.now {
+			if timer := r.timers[i]; timer.At <= r.now {
 				r.timers = append(r.timers[:i], r.timers[i+1:]...)
-				step(TimerFired{Token: d.Token})
+				step(TimerFired{Token: timer.Token})
 				i = 0
 			} else {
 				i++
@@ -146,102 +146,102 @@
 		}
 		name := []string{"a", "b"}[rnd.IntN(2)]
 		var id ID
-		if len(live) > 0 {
-			id = live[max(0, len(live)-1-rnd.IntN(30))]
+		if len(ids) > 0 {
+			id = ids[max(0, len(ids)-1-rnd.IntN(30))]
 		}
 		m := calls[id]
 		switch rnd.IntN(26) {
 		case 24:
-			step(ServerSilent{Server: name, Conn: up[name], For: time.Duration(rnd.IntN(2000)) * ms})
+			step(ServerSilent{Server: name, Conn: serverConnID[name], For: time.Duration(rnd.IntN(2000)) * ms})
 		case 25: // the answer to a probe, the last one twice
-			if n := len(tested); n > 0 {
-				step(tested[0])
-				tested = tested[min(1, n-1):]
+			if n := len(probeAnswers); n > 0 {
+				step(probeAnswers[0])
+				probeAnswers = probeAnswers[min(1, n-1):]
 			}
 		case 0, 1, 2, 3, 4:
-			next++
-			calls[next] = &model{}
-			live = append(live, next)
-			step(SetUp{ID: next, From: caller, Class: rnd.IntN(len(set.Classes)), Tenant: []string{"", "x", "y", "z"}[rnd.IntN(4)], Cell: rnd.IntN(2), TimeLeft: time.Duration(50+rnd.IntN(4000)) * ms, At: r.now})
+			lastID++
+			calls[lastID] = &model{}
+			ids = append(ids, lastID)
+			step(SetUp{ID: lastID, From: callerConnID, Class: rnd.IntN(len(set.Classes)), Tenant: []string{"", "x", "y", "z"}[rnd.IntN(4)], Cell: rnd.IntN(2), TimeLeft: time.Duration(50+rnd.IntN(4000)) * ms, At: r.now})
 		case 5, 6, 7, 8, 9, 10, 11, 12: // the server answers what is out
 			if m != nil && m.out != "" {
 				server := m.out
 				if !m.ending {
 					m.out, m.stands = "", server
-					stood++
+					establishedCount++
 				}
-				step(ServerAnswer{Server: server, Conn: up[server], ID: id})
+				step(ServerAnswer{Server: server, Conn: serverConnID[server], ID: id})
 			}
 		case 13:
 			if m != nil && m.out != "" && !m.ending {
 				server := m.out
 				m.out = ""
-				step(ServerEnd{Server: server, Conn: up[server], ID: id, Reason: []Reason{Full, Busy, Unsent}[rnd.IntN(3)]})
+				step(ServerEnd{Server: server, Conn: serverConnID[server], ID: id, Reason: []Reason{Full, Busy, Unsent}[rnd.IntN(3)]})
 			}
 		case 14, 15:
-			if m != nil && m.stands != "" && !m.over && up[m.stands] != 0 {
-				step(ServerEnd{Server: m.stands, Conn: up[m.stands], ID: id, Reason: Normal})
+			if m != nil && m.stands != "" && !m.over && serverConnID[m.stands] != 0 {
+				step(ServerEnd{Server: m.stands, Conn: serverConnID[m.stands], ID: id, Reason: Normal})
 			}
 		case 16:
 			if m != nil && !m.gone && !m.over {
 				m.gone, m.over = m.stands == "", m.stands != ""
-				step(CallerEnd{ID: id, From: caller})
+				step(CallerEnd{ID: id, From: callerConnID})
 			}
 		case 17:
-			if l := up[name]; l != 0 && rnd.IntN(20) == 0 {
-				lose(name)
+			if l := serverConnID[name]; l != 0 && rnd.IntN(20) == 0 {
+				loseConn(name)
 				step(ServerDown{Server: name, Conn: l})
 			}
 		case 18, 19: // a dial ends
-			if len(dialed) > 0 {
-				server := dialed[0]
-				dialed = dialed[1:]
+			if len(pendingDials) > 0 {
+				server := pendingDials[0]
+				pendingDials = pendingDials[1:]
 				if rnd.IntN(10) == 0 {
 					step(ServerDown{Server: server})
 				} else {
-					nextLink++
-					links[nextLink], up[server] = server, nextLink
-					step(ServerUp{Server: server, Address: server + ":1", Conn: nextLink})
+					lastConn++
+					connServer[lastConn], serverConnID[server] = server, lastConn
+					step(ServerUp{Server: server, Address: server + ":1", Conn: lastConn})
 				}
 			}
 		case 20:
 			if rnd.IntN(4) == 0 {
-				ready[name] = []elmseam.Phase{elmseam.Ready, elmseam.Ready, elmseam.Ready, elmseam.Ready, elmseam.Draining, elmseam.Gone}[rnd.IntN(6)]
-				step(List{Servers: []Server{{Name: name, Address: name + ":1", Cell: int(name[0] - 'a'), Phase: ready[name]}}})
+				phases[name] = []elmseam.Phase{elmseam.Ready, elmseam.Ready, elmseam.Ready, elmseam.Ready, elmseam.Draining, elmseam.Gone}[rnd.IntN(6)]
+				step(List{Servers: []Server{{Name: name, Address: name + ":1", Cell: int(name[0] - 'a'), Phase: phases[name]}}})
 			}
 		case 21, 22: // an end is written at last
-			if len(unwritten) > 0 {
-				k := unwritten[0]
-				unwritten = unwritten[1:]
-				if m := calls[k.id]; m.out == k.server && m.ending {
+			if len(unwrittenEnds) > 0 {
+				end := unwrittenEnds[0]
+				unwrittenEnds = unwrittenEnds[1:]
+				if m := calls[end.id]; m.out == end.server && m.ending {
 					m.out, m.ending, m.badEnd = "", false, r.now
 				}
-				step(EndWritten{Server: k.server, ID: k.id})
+				step(EndWritten{Server: end.server, ID: end.id})
 			}
 		case 23:
 			if rnd.IntN(20) == 0 {
-				old := caller
-				nextLink++
-				caller = nextLink
+				old := callerConnID
+				lastConn++
+				callerConnID = lastConn
 				step(CallerDown{Conn: old})
-				step(CallerUp{Conn: caller, Protocol: "f"})
+				step(CallerUp{Conn: callerConnID, Protocol: "f"})
 			}
 		}
 	}
 	for range 100 { // all that is owed comes out in the end
 		r.now += time.Second
-		for _, d := range r.timers {
-			step(TimerFired{Token: d.Token})
+		for _, timer := range r.timers {
+			step(TimerFired{Token: timer.Token})
 		}
 		r.timers = nil
 	}
 	for id, m := range calls {
 		if m.finals == 0 && !m.gone && m.stands == "" {
-			fail(id, "no final answer")
+			failCall(id, "no final answer")
 		}
 	}
-	t.Logf("%d calls, %d stood", next, stood)
-	if next < 5000 || stood < 500 {
+	t.Logf("%d calls, %d stood", lastID, establishedCount)
+	if lastID < 5000 || establishedCount < 500 {
 		t.Error("the test has not met its case")
 	}
 }
--- /dev/null
+++ b/internal/core/servermsgs.go
@@ -0,0 +1,195 @@
+package core
+
+import (
+	"time"
+
+	"elmseam"
+)
+
+// server is a server of the list, with its connections and calls.
+type server struct {
+	Server
+	id               elmseam.ServerID // name of the server towards the controller
+	conns            []*serverConn
+	dialing          bool          // a Dial effect has no result yet
+	backoff          time.Duration // wait before the last redial
+	unreachableSince Time          // when the last connection ended or could not be made; 0: reachable
+	paused           bool          // its own signalling takes no new work
+	source           string        // source of the list entry
+	effectivePhase   elmseam.Phase // phase reported to the controller: that of the list, lowered by routes, pauses and drain reports
+	established      map[ID]*call
+	outstanding      map[ID]*call // calls with an attempt here, attempts that are ending included
+	redialPending    bool         // a redial timer is set
+	coldStart        Time         // start of the server that was reported to the budget reducer
+	coldCountSince   Time         // when counting of coldSetUps began
+	coldSetUps       int          // offers sent since coldCountSince
+	drainReport      drainReport
+	pendingReleases  []ID // calls whose release waits for a connection
+}
+
+// removedServer remembers the controller's id of a server that has left the list, so that the server keeps the id when it
+// comes back.
+type removedServer struct {
+	name string
+	id   elmseam.ServerID
+}
+
+// serverConn is a connection to a server.
+type serverConn struct {
+	id              ConnID
+	lastSetUp       Time // when the last offer went out on the connection
+	malformed       bool // a message on the connection could not be decoded: no new offer goes there
+	unansweredSince Time // time of the first set-up or probe sent since the connection last brought something; 0: none
+}
+
+// serverAnswer takes in that a server has answered a set-up. An answer to an attempt that has ended is released at the server and
+// never passed on to the caller.
+func (c *Core) serverAnswer(ev ServerAnswer) {
+	s := c.servers[ev.Server]
+	if s == nil {
+		return
+	}
+	s.markReceived(ev.Conn)
+	k := s.outstanding[ev.ID]
+	switch {
+	case k == nil && s.established[ev.ID] != nil:
+		return // repeated answer
+	case k != nil && k.concernsEarlierAttempt(ev.Conn) && c.guardEnabled(GuardSingleAnswer):
+		return // answer to an earlier attempt, whose End is being written
+	case k == nil:
+		c.sendEnd(s, ev.ID)
+		return
+	case k.attempt.phase != attemptSent && c.guardEnabled(GuardSingleAnswer):
+		return // the attempt's End is being written
+	case (k.orphaned || k.callerGone || k.answered) && c.guardEnabled(GuardSingleAnswer) || c.now > k.deadline+c.limits.AnswerMargin:
+		c.giveUpAttempt(k, elmseam.CauseCancelled)
+		return
+	}
+	setUpTime := c.now - k.attempt.startedAt
+	k.attempt = nil
+	delete(s.outstanding, k.ID)
+	k.server, k.answerDesc, k.answered = s, ev.Desc, true
+	c.callBytes += len(ev.Desc) - len(k.SetUp.Desc)
+	k.size += len(ev.Desc) - len(k.SetUp.Desc)
+	k.SetUp.Desc = nil
+	s.established[k.ID] = k
+	c.openSetUps--
+	if conn := c.callers[k.From]; conn != nil {
+		conn.hadEstablished, conn.lastActive = true, c.now
+	}
+	c.emit(Answered{To: k.From, ID: k.ID, Desc: ev.Desc})
+	c.countAnswer(k.Class, true, Normal)
+	c.notifyController(elmseam.Established{Call: k.controllerID, Server: s.id, SetUpTime: setUpTime})
+	c.reportHealth(s, ev.Report)
+	c.closeMalformedConns(s)
+	c.pruneCallers()
+}
+
+// serverEnd takes in a server's refusal of a set-up or its release of an established call.
+func (c *Core) serverEnd(ev ServerEnd) {
+	s := c.servers[ev.Server]
+	if s == nil {
+		return
+	}
+	s.markReceived(ev.Conn)
+	outcome := elmseam.Outcome{Refusal: ev.Refusal, Report: c.orderReport(ev.Report)}
+	if k := s.established[ev.ID]; k != nil {
+		if ev.RefusalOnly { // a second answer to the set-up
+			c.reportHealth(s, ev.Report)
+			return
+		}
+		if outcome.Cause = elmseam.CauseReset; ev.Reason == Normal {
+			outcome.Cause = elmseam.CauseEnded
+		}
+		c.endEstablished(k, ev.Reason, outcome)
+		return
+	}
+	k := s.outstanding[ev.ID]
+	if k == nil || k.attempt.phase != attemptSent || k.concernsEarlierAttempt(ev.Conn) {
+		c.reportHealth(s, ev.Report)
+		if k == nil {
+			c.releaseUnknown(ev)
+		}
+		return
+	}
+	switch ev.Reason {
+	case Full, Congested:
+		outcome.Cause = elmseam.CauseFull
+	case Busy, Failed, Unsupported:
+		outcome.Cause = elmseam.CauseBusy
+	case Unsent:
+		outcome.Cause = elmseam.CauseNotSent
+	default:
+		outcome.Cause = elmseam.CauseReset
+	}
+	c.endAttempt(k, outcome)
+}
+
+// serverMalformed gives up the attempt that an undecodable message was for, as the set-up may have run. No new offer goes out on
+// that connection, and the connection is closed once no attempt is outstanding on it, so that no other call is lost.
+func (c *Core) serverMalformed(ev ServerMalformed) {
+	s := c.servers[ev.Server]
+	if s == nil {
+		return
+	}
+	for _, conn := range s.conns {
+		conn.malformed = conn.malformed || conn.id == ev.Conn
+	}
+	if k := c.outstandingCall(ev.Server, ev.Conn, ev.ID); k != nil && k.attempt.phase == attemptSent {
+		c.giveUpAttempt(k, elmseam.CauseReset)
+	}
+	c.closeMalformedConns(s)
+	if c.wantedConns(s) > 0 { // also for established calls, whose releases may have been lost on the malformed connection
+		c.dialAhead(s)
+	}
+}
+
+// releaseUnknown passes on the release of a call that was established before this process started, or that this process never
+// saw. The release is nobody's second answer, as the ids of calls that ended here are remembered.
+func (c *Core) releaseUnknown(ev ServerEnd) {
+	if _, known := c.ended[ev.ID]; known && c.guardEnabled(GuardSingleRelease) || c.calls[ev.ID] != nil || ev.Reason == Full || ev.Reason == Busy || ev.Reason == Unsent {
+		return
+	}
+	if c.hasPredecessor { // the predecessor knows whether the call has ended
+		c.emit(ToPredecessor{Event: ev})
+		return
+	}
+	c.rememberEnded(ev.ID)
+	if conn := c.callers[c.predecessorCalls[ev.ID]]; conn != nil {
+		delete(c.predecessorCalls, ev.ID)
+		c.sendRelease(conn.protocol, conn.id, ev.ID, ev.Reason)
+		return
+	}
+	notified := make(map[Protocol]bool)
+	for _, conn := range c.callerOrder { // the protocol of the call is unknown: each one gets the release once
+		if !notified[conn.protocol] {
+			notified[conn.protocol] = true
+			c.sendRelease(conn.protocol, 0, ev.ID, ev.Reason)
+		}
+	}
+}
+
+// orderReport puts the values of a report into the order in which the controller reads them. A value that the server did not
+// report is -1.
+func (c *Core) orderReport(report Report) elmseam.Report {
+	var values elmseam.Report
+	for i, metric := range c.reportMetrics {
+		for _, loadValue := range report {
+			if loadValue.Metric != metric {
+				continue
+			}
+			for len(values) < len(c.reportMetrics) {
+				values = append(values, -1)
+			}
+			values[i] = loadValue.Value
+		}
+	}
+	return values
+}
+
+// reportHealth tells the controller of a load report that a server sent by itself, or with a message that concerns no attempt.
+func (c *Core) reportHealth(s *server, report Report) {
+	if values := c.orderReport(report); values != nil {
+		c.notifyController(elmseam.Health{Server: s.id, OK: true, Report: values})
+	}
+}
--- /dev/null
+++ b/internal/core/stop.go
@@ -0,0 +1,76 @@
+package core
+
+import (
+	"slices"
+
+	"elmseam"
+	"elmseam/internal/maintenance"
+	"elmseam/internal/membership"
+)
+
+// updateServing tells when new calls begin or cease to be welcome, when the process is ready to serve for the first time, and
+// begins to close once a stop has nothing pending.
+func (c *Core) updateServing() {
+	serving := false
+	for _, s := range c.serverOrder {
+		serving = serving || s.effectivePhase == elmseam.Ready
+	}
+	if serving = serving && !c.stopping && !c.draining; serving != c.serving {
+		c.serving = serving
+		c.emit(Serving{On: serving})
+		c.stepMaintenance(maintenance.Serving{Serving: serving})
+	}
+	if !c.ready && serving {
+		for _, s := range c.serverOrder {
+			c.ready = c.ready || s.effectivePhase == elmseam.Ready && len(s.conns) > 0
+		}
+		if c.ready {
+			c.emit(ReadyToServe{})
+		}
+	}
+	if c.stopGraceOver && !c.closing && len(c.calls) == 0 && len(c.pendingReleases) == 0 && !c.transfersPending() {
+		c.beginClosing()
+	}
+}
+
+// beginClosing is reached when nothing is pending any more, and tells the other members that this softswitch leaves. Set-ups that
+// callers sent before they could know of the end may still be on their way: they are refused for StopLinger before the
+// connections are closed.
+func (c *Core) beginClosing() {
+	c.closing = true
+	c.stepMembership(membership.Leave{})
+	if !slices.ContainsFunc(c.callerOrder, func(conn *callerConn) bool { return !conn.transferred }) && c.handingOver || c.limits.StopLinger == 0 {
+		c.finishStop()
+		return
+	}
+	c.emit(CloseListener{})
+	c.setTimer(c.now+c.limits.StopLinger, Token{kind: tokenStopLinger})
+}
+
+// finishStop closes the connections gracefully and reports that the process has stopped.
+func (c *Core) finishStop() {
+	for _, conn := range slices.Clone(c.callerOrder) {
+		if c.limits.Transient[conn.protocol] && !conn.transferred {
+			c.closeCaller(conn)
+		}
+	}
+	for _, s := range c.serverOrder {
+		for _, conn := range s.conns {
+			if c.limits.Transient[s.Protocol] {
+				c.emit(GracefulClose{To: conn.id})
+			}
+		}
+	}
+	c.stopped = true
+	c.emit(Stopped{})
+}
+
+// failOpenSetUps rejects every set-up that has no final answer: this process ends, and no other process knows of them.
+func (c *Core) failOpenSetUps() {
+	for _, k := range inArrivalOrder(c.calls) {
+		if !k.answered && !k.callerGone {
+			c.notifyController(elmseam.CallerGone{Call: k.controllerID})
+			c.reject(k, Rejected{Reason: Failed})
+		}
+	}
+}
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -14,197 +14,204 @@
 // Time is an instant on the clock that Step is given.
 type Time = elmseam.Time
 
-// ID names a call towards callers and servers. A call keeps it on every attempt.
+// ID identifies a call towards callers and servers. A call has the same ID on every attempt.
 type ID uint64
 
-// ConnID names one connection, of a caller or to a server. 0 is none.
+// ConnID identifies one connection, of a caller or to a server. 0 means no connection.
 type ConnID uint64
 
 // Protocol names a signalling protocol.
 type Protocol string
 
-// Reason says why a call or a set-up ended, in no protocol's terms.
+// Reason says why a set-up or a call ended, independently of the signalling protocol.
 type Reason uint8
 
 // The reasons.
 const (
-	Normal      Reason = iota // ended or called off
-	Full                      // turned away before it ran
+	Normal      Reason = iota // released or given up by one of the parties
+	Full                      // refused by the server before the set-up ran
 	Busy                      // the number called, or its signalling, is at fault
-	Reset                     // broken on its way, or cut
-	Unsent                    // it never left
-	Congested                 // refused here: trying again is harmless
-	Failed                    // given up here
-	Unsupported               // the set-up makes no sense
+	Reset                     // the call or its attempt was cut on the way
+	Unsent                    // the set-up was never sent
+	Congested                 // refused by the softswitch; trying again does no harm
+	Failed                    // given up by the softswitch
+	Unsupported               // the set-up is invalid
 )
 
-// Server is one server of the list.
+// Server is one entry of the server list.
 type Server struct {
 	Name     string
 	Address  string
 	Protocol Protocol
 	Cell     int
 	Phase    elmseam.Phase
-	Started  Time
+	Started  Time // when the process of the server started; another value means another process
 }
 
-// Report is what a server tells of its load, each value by what it means: the order of the settings may change between
-// its arrival and its use.
+// Report is a server's load report. Each value names its metric, because the order of the metrics in the settings may change
+// between the arrival of a report and its use.
 type Report []LoadValue
 
-// LoadValue is one value of a report.
+// LoadValue is one value of a load report.
 type LoadValue struct {
 	Metric elmseam.LoadMetric
 	Value  float64
 }
 
-// Event is something that has happened; see the types below.
+// Event is an event that Step takes in; the types below and those in the files on the tier implement it.
 type Event interface{ event() }
 
 type (
-	// CallerUp and CallerDown say that a caller's connection begins and ends. One that a predecessor has handed on
-	// may have asked for calls already, and that one owes an answer to those open.
+	// CallerUp reports a new connection of a caller. A connection that a predecessor transferred may have brought set-ups
+	// already; the predecessor owes the answers to those in Open.
 	CallerUp struct {
 		Conn        ConnID
 		Protocol    Protocol
-		HadSetUp    bool
-		Open        []ID
-		Established []ID // calls that stand
+		HadSetUp    bool // a set-up came on the connection before its transfer
+		Open        []ID // set-ups that the predecessor has not answered yet
+		Established []ID // calls that are established on the predecessor
 	}
+	// CallerDown reports that the connection of a caller has ended.
 	CallerDown struct{ Conn ConnID }
-	// CallerIdle says that nothing has come on a caller's connection for long, CallerMalformed that nothing more can be read
-	// from it, as what came makes no sense or is never whole. Either ends with a GracefulClose, when no set-up is open on it.
-	CallerIdle      struct{ Conn ConnID }
+	// CallerIdle reports that nothing has come on the connection of a caller for long. If no set-up is open on the connection, a
+	// GracefulClose follows.
+	CallerIdle struct{ Conn ConnID }
+	// CallerMalformed reports that nothing more can be read from the connection of a caller, because its input is malformed or a
+	// message stays incomplete. A GracefulClose follows once no set-up is open on the connection.
 	CallerMalformed struct{ Conn ConnID }
-	// SetUp is a call that a caller asks for.
+	// SetUp is a caller's request for a call.
 	SetUp struct {
 		ID          ID
 		From        ConnID
-		Class       int
-		Name        string // of the class, as the caller wrote it
-		Tenant      string // its name; empty: the caller named none
-		Number      uint64
-		NumberText  string // the number called as the caller wrote it
-		Desc        []byte // the caller's description, passed on as it is
-		Cell        int    // first choice, -1: none
-		Interrupted bool   // it stood, was cut and comes again
+		Class       int    // index of the class in the settings; negative: unknown
+		Name        string // name of the class as the caller wrote it
+		Tenant      string // name of the tenant; empty: the caller named none
+		Number      uint64 // number called
+		NumberText  string // number called as the caller wrote it
+		Desc        []byte // description from the caller, passed on to the server unchanged
+		Cell        int    // cell of first choice, -1: none
+		Interrupted bool   // the call was established, was cut and is set up again
 		TimeLeft    time.Duration
-		At          Time // when its last byte arrived
+		At          Time // when the last byte of the set-up arrived
 	}
-	// CallerEnd is a caller giving its set-up up, or releasing a call that stands. Moot: its set-up was not taken in, as the
-	// two came together.
+	// CallerEnd reports that a caller gives its set-up up or releases an established call.
 	CallerEnd struct {
 		ID             ID
 		From           ConnID
-		SetUpDiscarded bool
+		SetUpDiscarded bool // the set-up was discarded before it reached the core, as the end came together with it
 	}
-	// ServerUp says that a connection to a server is made; ServerDown that one has ended, or with
-	// a Link of 0 that none could be made to the address.
+	// ServerUp reports that a connection to a server is made.
 	ServerUp struct {
 		Server  string
 		Address string
 		Conn    ConnID
 	}
+	// ServerDown reports that a connection to a server has ended or, with a Conn of 0, that none could be made to the address.
 	ServerDown struct {
 		Server  string
 		Address string
 		Conn    ConnID
 	}
-	// ServerAnswer says that the call stands.
+	// ServerAnswer reports that a server has answered a set-up: the call is established.
 	ServerAnswer struct {
 		Server string
 		Conn   ConnID
 		ID     ID
-		Desc   []byte
+		Desc   []byte // description from the server, passed on to the caller unchanged
 		Report Report
 	}
-	// ServerEnd is a server's refusal of a set-up or its release of a call that stands.
+	// ServerEnd is a server's refusal of a set-up or its release of an established call.
 	ServerEnd struct {
 		Server      string
 		Conn        ConnID
 		ID          ID
 		Reason      Reason
 		Refusal     elmseam.Refusal
-		RefusalOnly bool // it can only be the answer to a set-up: it ends no call that stands
+		RefusalOnly bool // the message can only refuse a set-up: it never releases an established call
 		Report      Report
 	}
-	// ServerMalformed is something of a server's that can't be read. An ID of 0: whose it was isn't known. What comes behind
-	// it on this connection may be malformed too.
+	// ServerMalformed reports a message from a server that can't be decoded. An ID of 0 means that its call is unknown. What
+	// follows on the connection may be malformed too.
 	ServerMalformed struct {
 		Server string
 		Conn   ConnID
 		ID     ID
 	}
-	// ServerReport is a load report that came by itself.
+	// ServerReport is a load report that a server sent by itself.
 	ServerReport struct {
 		Server string
 		Conn   ConnID
 		Report Report
 	}
-	// ServerPaused says that a server's own signalling takes no new work, or does again.
+	// ServerPaused reports that a server's own signalling takes no new work, or takes new work again.
 	ServerPaused struct {
 		Server string
 		Paused bool
 	}
-	// Route says that the way to the servers whose addresses it covers has gone or come.
+	// Route reports that the route to some servers is withdrawn or announced again.
 	Route struct {
 		Name   string
-		Covers func(address string) bool
+		Covers func(address string) bool // whether the route leads to a server's address
 		Up     bool
 	}
-	// EndWritten says that the end of an attempt has left, NotSent that an attempt was taken back
-	// before its first byte. A Link of 0: whichever connection the attempt that is out went over.
+	// EndWritten reports that the End of an attempt has been written. A Conn of 0 stands for the connection of the outstanding
+	// attempt.
 	EndWritten struct {
 		Server string
 		Conn   ConnID
 		ID     ID
 	}
+	// NotSent reports that an offer was withdrawn before its first byte was written. A Conn of 0 stands for the connection of
+	// the outstanding attempt.
 	NotSent struct {
 		Server string
 		Conn   ConnID
 		ID     ID
 	}
-	// List is news of the servers; Full: it replaces all that was known from this source.
+	// List is news of the servers from one source. Full means that the list replaces all that was known from this source, Cached
+	// that the list was stored before a restart.
 	List struct {
 		Source       string
 		Full, Cached bool
 		Servers      []Server
 	}
-	// Configured says that settings and limits have changed. The classes of old keep their places.
+	// Configured reports new settings and limits. The classes of the settings before keep their indexes.
 	Configured struct {
 		Settings elmseam.Settings
 		Limits   Limits
 	}
-	// Misconfigured says that a configuration was turned down. What was told before holds on.
+	// Misconfigured reports that a new configuration is invalid. The one in use stays in force.
 	Misconfigured struct{}
 	// Drain begins or ends a drain: callers are sent away while the process goes on.
 	Drain struct{ On bool }
-	// OfferWritten says that an offer has been written whole.
+	// OfferWritten reports that the last byte of an offer has been written.
 	OfferWritten struct {
 		Server string
 		ID     ID
 	}
-	// HandOver hands the callers on to a successor that serves, and ends this process when nothing is owed.
+	// HandOver begins to transfer the connections of callers to a successor that serves. The process ends when nothing is
+	// pending any more.
 	HandOver struct{}
-	// ReadingStopped says that a connection is read no further, Passed that the successor has it, Kept that it could not be handed
-	// on and is read again.
+	// ReadingStopped reports that a connection is no longer read, after a StopReading.
 	ReadingStopped struct{ Conn ConnID }
-	Transferred    struct{ Conn ConnID }
+	// Transferred reports that the successor has a connection.
+	Transferred struct{ Conn ConnID }
+	// TransferFailed reports that a connection could not be transferred and is read again here.
 	TransferFailed struct{ Conn ConnID }
-	// Predecessor says whether there is another process that owns calls of callers who come here.
-	// Moving: it hands its callers on by now.
+	// Predecessor reports whether there is another process that owns calls whose callers are connected here. Transferring means
+	// that the predecessor has begun to transfer its connections of callers.
 	Predecessor struct{ Present, Transferring bool }
-	// Relayed is what a predecessor has to tell a caller. A Link of 0: any.
+	// Relayed is an effect of a predecessor for one of its callers. A Conn of 0 stands for any connection.
 	Relayed struct {
 		Protocol Protocol
 		Conn     ConnID
 		Effect   Effect
 	}
-	// EndedCalls names calls that have ended elsewhere.
+	// EndedCalls names calls that have ended in another process.
 	EndedCalls struct{ IDs []ID }
-	// TimerFired is a timer that has come due.
+	// TimerFired reports that a timer fires.
 	TimerFired struct{ Token Token }
-	// Stop asks for an orderly end.
+	// Stop asks for an orderly end of the process.
 	Stop struct{}
 )
 
@@ -239,90 +246,95 @@
 func (TimerFired) event()      {}
 func (Stop) event()            {}
 
-// Effect is something the loop shall carry out; see the types below.
+// Effect is an action that the loop has to carry out; the types below and those in the files on the tier implement it.
 type Effect interface{ effect() }
 
 type (
-	// Answered, Rejected and Released are for a caller: the call stands, gets no answer, is over.
+	// Answered tells a caller that its call is established.
 	Answered struct {
 		To   ConnID
 		ID   ID
 		Desc []byte
 	}
+	// Rejected tells a caller that its set-up has failed or is refused.
 	Rejected struct {
 		To         ConnID
 		ID         ID
 		Reason     Reason
-		RetryAfter time.Duration
+		RetryAfter time.Duration // wait recommended to the caller before another set-up; 0: no recommendation
 	}
+	// Released tells a caller that its established call has ended.
 	Released struct {
 		To     ConnID
 		ID     ID
 		Reason Reason
 	}
-	// Offer starts an attempt. It is not written after Until.
+	// Offer starts an attempt. An offer is not written after Until.
 	Offer struct {
 		To         ConnID
 		ID         ID
-		Class      string // its name
+		Class      string // name of the class
 		NumberText string
 		Desc       []byte
 		Cell       int
 		Until      Time // when the caller gives up
 	}
-	// End gives an attempt up or releases a call; a Written or a NotSent follows if Tell is set.
+	// End gives an attempt up or releases a call.
 	End struct {
 		To     ConnID
 		ID     ID
-		Notify bool
+		Notify bool // an EndWritten or a NotSent has to follow
 	}
-	// Withdraw takes back the offers that have not been begun.
+	// Withdraw takes back the offers of a connection of which no byte has been written.
 	Withdraw struct{ To ConnID }
-	// Dial asks for a connection to a server, Hangup for its end.
+	// Dial asks for a connection to a server. A ServerUp or a ServerDown follows.
 	Dial struct {
 		Server   string
 		Address  string
 		Protocol Protocol
 	}
+	// CloseConn closes a connection to a server at once.
 	CloseConn struct{ To ConnID }
-	// GracefulClose ends a connection with no set-up open on it, so that what was written last can be read.
+	// GracefulClose closes a connection with no open set-up such that what was written last can still be read.
 	GracefulClose struct{ To ConnID }
-	// StopReading has a caller's connection read no further; a Parked follows. Pass hands it to the successor, with the
-	// set-ups open on it, and what is for it goes there from then on.
+	// StopReading has the connection of a caller read no further. A ReadingStopped follows.
 	StopReading struct{ To ConnID }
-	Transfer    struct {
+	// Transfer passes the connection of a caller to the successor, with its calls. Effects for the connection go there from then
+	// on.
+	Transfer struct {
 		To          ConnID
-		Open        []ID
-		Established []ID
+		Open        []ID // set-ups that this process still has to answer
+		Established []ID // calls that are established on this process
 		HadSetUp    bool
 	}
-	// ToPredecessor and ToSuccessor are for the other process.
+	// ToPredecessor passes an event to the predecessor.
 	ToPredecessor struct{ Event Event }
-	ToSuccessor   struct {
+	// ToSuccessor passes an effect for a caller to the successor.
+	ToSuccessor struct {
 		Protocol Protocol
 		Effect   Effect
 	}
 	// ReadyToServe says, once, that this process can serve.
 	ReadyToServe struct{}
-	// Timer asks for a Due.
+	// Timer asks for a TimerFired with the token at the time.
 	Timer struct {
 		At    Time
 		Token Token
 	}
 	// Serving says whether new calls are welcome.
 	Serving struct{ On bool }
-	// ForgetCall says that a caller's call is over, or never was, and that it will not be told.
+	// ForgetCall says that a caller's call has ended, or never began, and that the caller is not told.
 	ForgetCall struct {
-		Protocol Protocol // empty: not known
+		Protocol Protocol // empty: unknown
 		ID       ID
 	}
-	// CloseListener says that the callers' listener is to be closed: what comes from now on is refused.
+	// CloseListener closes the listener for callers: new connections are refused from then on.
 	CloseListener struct{}
-	// Stopped says that nothing is owed any more after a Stop.
+	// Stopped says that nothing is pending any more after a Stop or a HandOver.
 	Stopped struct{}
-	// Violation says that a guard held back what a rule forbids.
+	// Violation reports that a guard prevented the violation of a rule, or that a configuration of a part of the core is invalid.
 	Violation struct {
-		ID   ID
+		ID   ID // call concerned; 0: none
 		Rule string
 	}
 )
@@ -348,12 +360,12 @@
 func (Stopped) effect()       {}
 func (Violation) effect()     {}
 
-// Token says what a timer is for.
+// Token says what a timer is for. The fields that are set depend on the kind.
 type Token struct {
 	kind         tokenKind
 	call         ID
-	controllerID elmseam.CallID // of that call: ids may come again
-	number       uint32         // the controller's token, or the attempt
+	controllerID elmseam.CallID // the controller's id of that call, as an ID may be used again
+	number       uint32         // token of the controller's timer, number of the attempt, or count of drain changes
 	server       string
 	membership   membership.Token
 	maintenance  maintenance.Token
@@ -366,56 +378,56 @@
 type tokenKind uint8
 
 const (
-	tokenController tokenKind = iota
-	tokenDeadline
-	tokenRebind         // a caller's connection ended with the set-up open
-	tokenAttemptTimeout // of an attempt
-	tokenReleaseGuard   // a send waits for the release gap
-	tokenRedial
-	tokenServerLost   // a server has been out of reach for long
-	tokenStopGrace    // the grace of a stop is over
-	tokenDrainCheck   // callers of a drained process are looked through
-	tokenMaxStopWait  // and so is the longest time for what still stands
-	tokenPruneCallers // there may be connections of callers that can be missed by now
-	tokenStopLinger   // and callers have been refused for long enough
-	tokenMembership
-	tokenMaintenance
-	tokenBudget
-	tokenKnowledge
-	tokenProbeTimeout
-	tokenDrainReport // a server is held for draining by a peer's word no longer
+	tokenController     tokenKind = iota // a timer of the controller
+	tokenDeadline                        // the final answer of a call is due
+	tokenRebind                          // a set-up whose connection ended has not come again in time
+	tokenAttemptTimeout                  // an attempt has had no answer
+	tokenReleaseGuard                    // the release guard of a waiting attempt has ended
+	tokenRedial                          // a server may be dialled again
+	tokenServerLost                      // a server has been unreachable for ServerLostAfter
+	tokenStopGrace                       // the grace of a stop or a hand-over has ended
+	tokenDrainCheck                      // idle connections are closed during a drain
+	tokenMaxStopWait                     // a stop waits no longer for established calls
+	tokenPruneCallers                    // pruneCallers runs again, as connections have passed NewConnGrace
+	tokenStopLinger                      // set-ups have been refused for StopLinger after the end
+	tokenMembership                      // a timer of the membership reducer
+	tokenMaintenance                     // a timer of the maintenance reducer
+	tokenBudget                          // a timer of the budget reducer
+	tokenKnowledge                       // a timer of the knowledge reducer
+	tokenProbeTimeout                    // a probe has had no answer
+	tokenDrainReport                     // a drain reported by members expires
 )
 
-// Limits are the times the core keeps.
+// Limits are the times and sizes that the core keeps to.
 type Limits struct {
-	AnswerMargin        time.Duration // the final answer leaves this long before the caller's time is up
-	Rebind              time.Duration // a set-up may come again on a new connection for so long
-	MinRedial           time.Duration // between attempts to reach a server again
-	MaxRedial           time.Duration
-	ConnsPerServer      map[Protocol]int  // connections to a server, by its front; not named: one
-	MaxServerConns      int               // to all servers together; 0: any
-	UnresponsiveAfter   time.Duration     // a connection that has brought nothing so long after a set-up is doubtful
-	MaxPendingReleases  int               // releases that wait for a connection to a server, the last ones
-	MaxRemovedServers   int               // servers that have gone and are known again when they come back
-	ServerLostAfter     time.Duration     // out of reach for so long, a server's standing calls are taken for cut
-	DrainGrace          time.Duration     // and after a Drain, before connections are closed
-	DrainRefuseAfter    time.Duration     // and before set-ups are refused on those that stay open
-	DrainCheckInterval  time.Duration     // between looks for connections that can be closed
-	DrainIdle           time.Duration     // one that has brought a set-up so short a time ago may bring the next
-	Transient           map[Protocol]bool // fronts whose callers come and go by connections, and are sent away by closing them
-	MaxTransferredCalls int               // calls that are named with a connection, open ones first
-	HandOverGrace       time.Duration     // connections may still turn up for this long after a HandOver
-	StopGrace           time.Duration     // callers may still come for this long after a Stop
-	MaxStopWait         time.Duration     // and standing calls are waited for this long
-	StopLinger          time.Duration     // what crosses the end is refused for this long before connections are closed
+	AnswerMargin        time.Duration     // the final answer leaves this long before the caller's time is up
+	Rebind              time.Duration     // time for a set-up to come again after its connection has ended
+	MinRedial           time.Duration     // shortest wait between attempts to reach a server
+	MaxRedial           time.Duration     // longest wait between attempts to reach a server
+	ConnsPerServer      map[Protocol]int  // connections to a server, by its protocol; one where the protocol is missing
+	MaxServerConns      int               // connections to all servers together; 0: no limit
+	UnresponsiveAfter   time.Duration     // a connection without input for this long after a set-up is avoided for new set-ups
+	MaxPendingReleases  int               // releases per server that wait for a connection; the oldest are dropped
+	MaxRemovedServers   int               // removed servers that are remembered in case they come back
+	ServerLostAfter     time.Duration     // the established calls of a server unreachable for this long are taken for cut
+	DrainGrace          time.Duration     // time from the begin of a drain until idle connections of callers are closed
+	DrainRefuseAfter    time.Duration     // time from the begin of a drain until set-ups are refused
+	DrainCheckInterval  time.Duration     // interval between searches for idle connections during a drain
+	DrainIdle           time.Duration     // a connection that brought a set-up less than this long ago is not idle
+	Transient           map[Protocol]bool // protocols whose callers connect and disconnect freely, and are sent away by closing their connections
+	MaxTransferredCalls int               // calls that are named when a connection is transferred; open set-ups go first
+	HandOverGrace       time.Duration     // time after a HandOver in which connections may still arrive
+	StopGrace           time.Duration     // time after a Stop in which new calls are still accepted
+	MaxStopWait         time.Duration     // longest wait after a Stop or a HandOver for calls to end
+	StopLinger          time.Duration     // time between the last call and the closing of connections, in which late set-ups are refused
 	MaxCallerConns      int               // connections of callers
-	NewConnGrace        time.Duration     // one that has asked for nothing is not missed before this: its set-up is on its way
+	NewConnGrace        time.Duration     // age at which a connection without a set-up may be closed; before that its set-up may be on its way
 	MaxOpen             int               // set-ups open at once
-	MaxCallBytes        int               // that calls in hand may keep
-	RetryHint           time.Duration     // told with a refusal for want of room
-	EndedCallTTL        time.Duration     // a call that is over is remembered for so long
-	MaxEndedCalls       int               // and of so many; 0: of any
-	ReportedDrainTTL    time.Duration     // a server is held for draining by a peer's word for so long
-	Probe               probe.Limits      // of connections in doubt
-	MaxRoutes           int               // withdrawn ones that concern no server of the list
+	MaxCallBytes        int               // bytes that calls may keep in memory
+	RetryHint           time.Duration     // RetryAfter of a refusal for lack of capacity
+	EndedCallTTL        time.Duration     // how long the id of an ended call is remembered
+	MaxEndedCalls       int               // ids of ended calls that are remembered; 0: no limit
+	ReportedDrainTTL    time.Duration     // how long a server counts as draining because members reported so
+	Probe               probe.Limits      // limits of probes of silent connections
+	MaxRoutes           int               // withdrawn routes that are remembered though they concern no server of the list
 }
