--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -12,31 +12,33 @@
 
 const ms = time.Millisecond
 
-// rig drives a core by hand: two servers, both with connections, and a caller on link 1.
+// rig drives a core by hand, event by event. It begins with two servers, "a" on connection 10 and "b" on connection 11, and a
+// caller on connection 1.
 type rig struct {
 	t      *testing.T
 	core   *Core
 	now    Time
-	timers []Timer
+	timers []Timer // timers that the core has set and that have not fired
 
-	recordDials bool // are written down
+	recordDials bool // step reports Dial effects too
 }
 
+// newRig returns a rig with the settings of servers that report a hold-back share.
 func newRig(t *testing.T) *rig {
 	t.Helper()
-	return newRigWith(t, deployments["share told"])
+	return newRigWith(t, deployments["hold-back share reported"])
 }
 
-// deployments are settings of two kinds: servers that tell a share to hold back, and none that may be probed; servers that
-// tell their wait, probes, tenants with shares, and other figures of the rules.
+// deployments are settings of two kinds. In the first, servers report a hold-back share and may not be probed. In the second,
+// servers report their waiting time and may be probed, tenants have shares, and the times and limits differ.
 var deployments = map[string]elmseam.Settings{
-	"share told": {
+	"hold-back share reported": {
 		Classes:     []elmseam.Class{{Aim: time.Second, Deadline: 9 * time.Second, Worth: 1}},
 		MaxAttempts: 4, MaxRetryAfter: 2 * time.Second, CanCancel: true, OwnCell: -1,
 		RetransmitInterval: 500 * ms, ReleaseGuard: 200 * ms, ColdInitialShare: 0.3, ColdRamp: 14 * time.Second,
 		OverloadMultiple: 2.5, OverloadAfter: time.Second,
 	},
-	"wait told": {
+	"wait reported": {
 		Classes: []elmseam.Class{{Aim: 1500 * ms, Deadline: 9 * time.Second, Worth: 1}, {Aim: 1500 * ms, Deadline: 9 * time.Second, Worth: 3}},
 		Tenants: []elmseam.Tenant{{Name: "x", Allowance: 54}, {Name: "y", Allowance: 19}}, OverShareWorth: 0.1,
 		ReportMetrics: []elmseam.LoadMetric{elmseam.LoadMetricFreeLines, elmseam.LoadMetricTotalLines, elmseam.LoadMetricWait},
@@ -46,6 +48,7 @@
 	},
 }
 
+// newRigWith returns a rig with the settings. The core may send probes if the settings have tenants.
 func newRigWith(t *testing.T, set elmseam.Settings) *rig {
 	t.Helper()
 	c, err := New(set, 1, Limits{
@@ -64,13 +67,15 @@
 	return r
 }
 
+// list gives the core a full server list in which "a" and "b" have the phases.
 func (r *rig) list(a, b elmseam.Phase) string {
 	return r.step(List{Full: true, Servers: []Server{
 		{Name: "a", Address: "a:1", Cell: 0, Phase: a}, {Name: "b", Address: "b:1", Cell: 1, Phase: b},
 	}})
 }
 
-// step gives an event and writes down the effects that go out on links.
+// step gives the core an event and returns the effects as text, each as a word, the id of its call and the connection. Timers
+// are kept for advance. A violation fails the test.
 func (r *rig) step(ev Event) string {
 	effects := ""
 	for _, e := range r.core.Step(r.now, ev) {
@@ -104,23 +109,23 @@
 		case CloseConn:
 			effects += fmt.Sprintf("hangup@%d ", e.To)
 		case ForgetCall:
-			effects += fmt.Sprintf("dropped%d ", e.ID)
+			effects += fmt.Sprintf("forget%d ", e.ID)
 		case Stopped:
 			effects += "stopped "
 		case CloseListener:
-			effects += "closes its listener "
+			effects += "close-listener "
 		case Dial:
 			if r.recordDials {
 				effects += "dial-" + e.Server + " "
 			}
 		case Violation:
-			r.t.Errorf("a guard had to hold: call %d: %s", e.ID, e.Rule)
+			r.t.Errorf("violation: call %d: %s", e.ID, e.Rule)
 		}
 	}
 	return effects
 }
 
-// pass lets time go by, timers included.
+// advance lets the time go by, with the timers that fire in it, and returns the effects.
 func (r *rig) advance(duration time.Duration) (effects string) {
 	for until := r.now + duration; ; {
 		next := -1
@@ -140,8 +145,10 @@
 	}
 }
 
+// countOf counts an effect in a text of step.
 func countOf(effects, part string) int { return strings.Count(effects, part) }
 
+// want checks a text of effects.
 func (r *rig) want(got, want string) {
 	r.t.Helper()
 	if got != want {
@@ -149,13 +156,14 @@
 	}
 }
 
+// setUp gives the core a set-up from the caller on connection 1 that prefers the cell of server "a".
 func (r *rig) setUp(id ID, timeLeft time.Duration) string {
 	return r.step(SetUp{ID: id, From: 1, Cell: 0, TimeLeft: timeLeft, At: r.now})
 }
 
-// A reset server connection ends the attempt, and the call goes elsewhere only after the release gap;
-// the answer is passed on once, and what comes late from the first server is released there.
-func TestResetThenGapThenElsewhere(t *testing.T) {
+// When the connection to a server is reset, the attempt ends and the call is sent to another server only after the release
+// guard. The answer is passed on once, and a late answer from the first server is released there.
+func TestResetAttemptIsRetriedElsewhereAfterReleaseGuard(t *testing.T) {
 	r := newRig(t)
 	r.want(r.setUp(7, 5*time.Second), "offer7@10 ")
 	r.want(r.step(ServerDown{Server: "a", Conn: 10}), "")
@@ -168,26 +176,26 @@
 	r.want(r.step(ServerEnd{Server: "b", ID: 7, Reason: Normal}), "released7@1 ")
 }
 
-// An attempt is out until its end is written: the guard against two attempts out at once waits for that,
-// however long a stalled connection takes, and the release gap counts from then.
-func TestGivenUpAttemptIsOutUntilItsEndIsWritten(t *testing.T) {
+// An attempt that was given up stays outstanding until its End is written, however long a stalled connection takes. Only then
+// does the release guard begin and may another attempt follow.
+func TestGivenUpAttemptIsOutstandingUntilItsEndIsWritten(t *testing.T) {
 	r := newRig(t)
 	r.setUp(7, 5*time.Second)
 	k := r.core.calls[7]
 	r.core.out = nil
-	r.core.giveUpAttempt(k, elmseam.CauseCancelled) // as the module does with an overtaken set-up
+	r.core.giveUpAttempt(k, elmseam.CauseCancelled) // as the controller does when a set-up has been overtaken
 	r.want(r.advance(time.Second), "")
 	if k.attempt == nil {
-		t.Fatal("the attempt is over before its end was written")
+		t.Fatal("the attempt ended before its End was written")
 	}
 	r.want(r.step(ServerAnswer{Server: "a", ID: 7}), "")
 	r.want(r.step(EndWritten{Server: "a", ID: 7}), "")
 	r.want(r.advance(201*ms), "offer7@11 ")
 }
 
-// The final answer is out before the caller's time is up, and only one: the answer that comes after it is
-// never passed on.
-func TestDeadline(t *testing.T) {
+// The final answer is given before the caller's time is up. An answer from the server after it is released there and never
+// passed on.
+func TestFinalAnswerBeforeDeadline(t *testing.T) {
 	r := newRig(t)
 	r.setUp(7, 400*ms)
 	r.want(r.advance(384*ms), "")
@@ -196,21 +204,22 @@
 	r.want(r.advance(10*time.Second), "")
 }
 
-// A server that drains gets nothing new: what waits for its connection is not sent there, and offers that
-// are queued on it are withdrawn.
-func TestDrainStopsWhatWaits(t *testing.T) {
+// A draining server gets no new set-ups: attempts that wait for its connection go elsewhere, and offers that are queued on its
+// connections are withdrawn.
+func TestServerDrainStopsWaitingAttempts(t *testing.T) {
 	r := newRig(t)
 	r.step(ServerDown{Server: "a", Conn: 10})
-	r.want(r.setUp(7, 5*time.Second), "") // dialling
+	r.want(r.setUp(7, 5*time.Second), "") // waits for the connection
 	r.want(r.list(elmseam.Draining, elmseam.Ready), "offer7@11 ")
-	r.want(r.step(ServerUp{Server: "a", Address: "a:1", Conn: 12}), "hangup@12 ") // too late to be of use
+	r.want(r.step(ServerUp{Server: "a", Address: "a:1", Conn: 12}), "hangup@12 ") // no longer wanted
 	r.want(r.list(elmseam.Ready, elmseam.Draining), "withdraw@11 ")
 	r.want(r.step(NotSent{Server: "b", ID: 7}), "rejected7@1 ")
 }
 
-// A call that stands outlives connections; its release goes out on another one, or on the next. That of a
-// server that is gone for good, or out of reach for long, is told by nobody else.
-func TestStandingCallsBelongToNoConnection(t *testing.T) {
+// An established call outlives the connections that it was set up on: its release goes out on another connection, or on the next
+// one. When its server is removed, or unreachable for ServerLostAfter, the core releases the call, as no message from the
+// server will.
+func TestEstablishedCallsOutliveConnections(t *testing.T) {
 	r := newRig(t)
 	for id := ID(1); id <= 3; id++ {
 		r.setUp(id, 5*time.Second)
@@ -230,20 +239,20 @@
 	r.want(r.advance(200*ms), "released4@2 ")
 }
 
-// A set-up comes again after a crossing close: one call goes on, with one answer. One that does not come
-// again is given up.
+// A set-up that is sent again on another connection, after a close that crossed it, goes on as one call with one answer. A
+// set-up that does not come again within Rebind is given up.
 func TestSetUpComesAgain(t *testing.T) {
 	r := newRig(t)
 	r.want(r.setUp(7, 5*time.Second)+r.setUp(8, 5*time.Second), "offer7@10 offer8@10 ")
 	r.step(CallerDown{Conn: 1})
 	r.step(CallerUp{Conn: 2, Protocol: "f"})
 	r.want(r.step(SetUp{ID: 7, From: 2, TimeLeft: 5 * time.Second, At: r.now}), "")
-	r.want(r.advance(101*ms), "dropped8 end8@10 ")
+	r.want(r.advance(101*ms), "forget8 end8@10 ")
 	r.want(r.step(EndWritten{Server: "a", ID: 8}), "")
 	r.want(r.step(ServerAnswer{Server: "a", ID: 7}), "answered7@2 ")
 }
 
-// A way that is withdrawn counts as the server gone, one that comes back as ready; so with a pause.
+// A server whose route is withdrawn counts as gone until the route is back, a paused server as draining.
 func TestRouteAndPause(t *testing.T) {
 	r := newRig(t)
 	covers := func(address string) bool { return address == "a:1" }
@@ -254,7 +263,7 @@
 	r.want(r.setUp(8, 5*time.Second), "offer8@10 ")
 }
 
-// After a stop callers may still come for the grace; the end waits for what is owed, but not for ever.
+// New calls are accepted for StopGrace after a stop. The process ends when the calls have ended.
 func TestStop(t *testing.T) {
 	r := newRig(t)
 	r.step(Stop{})
@@ -265,9 +274,9 @@
 	r.want(r.step(ServerEnd{Server: "a", ID: 7, Reason: Normal}), "released7@1 stopped ")
 }
 
-// A release of a call that stood before this start is passed on; one of a call that ended here is not, as
-// it would be a second answer.
-func TestStrayRelease(t *testing.T) {
+// The release of a call that this process has never seen is passed on. The release of a call that ended here is not, as it
+// would be a second answer.
+func TestReleaseOfUnknownCall(t *testing.T) {
 	r := newRig(t)
 	r.want(r.step(ServerEnd{Server: "a", ID: 99, Reason: Normal}), "released99@1 ")
 	r.want(r.step(ServerEnd{Server: "a", ID: 99, Reason: Normal}), "")
@@ -277,27 +286,27 @@
 	r.want(r.step(ServerEnd{Server: "a", ID: 7, Reason: Reset}), "")
 }
 
-// Large descriptions of many open calls cost no more memory than there is: the next call is refused.
+// A set-up is refused when the descriptions of the calls would take more memory than MaxCallBytes.
 func TestOpenCallsKeepWithinMemory(t *testing.T) {
 	r := newRig(t)
 	big := SetUp{ID: 1, From: 1, TimeLeft: 5 * time.Second, At: r.now, Desc: make([]byte, 80)}
 	r.want(r.step(big), "offer1@10 ")
 	big.ID = 2
 	r.want(r.step(big), "rejected2@1 ")
-	r.step(ServerAnswer{Server: "a", ID: 1, Desc: make([]byte, 10)}) // what has been passed on is not kept
+	r.step(ServerAnswer{Server: "a", ID: 1, Desc: make([]byte, 10)}) // the description of the caller is freed
 	big.ID = 3
 	r.want(r.step(big), "offer3@10 ")
 	r.step(ServerEnd{Server: "a", ID: 1})
 	r.step(ServerEnd{Server: "a", ID: 3, Reason: Reset})
 	if r.advance(10 * time.Second); r.core.callBytes != 0 {
-		t.Errorf("%d bytes kept for no call", r.core.callBytes)
+		t.Errorf("%d bytes kept without a call", r.core.callBytes)
 	}
 }
 
-// The core's guards hold whatever the module decides: here the sends are not its own, and break the rules.
-func TestGuardsHoldAgainstTheModule(t *testing.T) {
+// The guards of the core hold whatever the controller decides: here the test decides on attempts that break the rules.
+func TestGuardsHoldAgainstTheController(t *testing.T) {
 	r := newRig(t)
-	newCall := func(id ID) *call {
+	addCall := func(id ID) *call {
 		k := &call{SetUp: SetUp{ID: id, From: 1}, controllerID: elmseam.CallID(1000 + id), deadline: r.now + 5*time.Second, releaseGuard: r.core.releaseGuard}
 		r.core.calls[id], r.core.callsByControllerID[k.controllerID] = k, k
 		return k
@@ -310,42 +319,43 @@
 			case Offer:
 				effects += "offer "
 			case Violation:
-				effects += "held "
+				effects += "violation "
 			case Timer:
 				r.timers = append(r.timers, e)
 			}
 		}
 		return effects
 	}
-	k := newCall(1)
+	k := addCall(1)
 	r.want(send(k, "a"), "offer ")
-	r.want(send(k, "b"), "held ") // one is out
+	r.want(send(k, "b"), "violation ") // another attempt is outstanding
 	r.step(ServerDown{Server: "a", Conn: 10})
-	r.want(send(k, "b"), "") // within the gap: it waits
+	r.want(send(k, "b"), "") // waits for the release guard
 	r.want(r.advance(199*ms), "")
 	r.want(r.advance(2*ms), "offer1@11 ")
 	r.step(ServerUp{Server: "a", Address: "a:1", Conn: 12})
 	r.core.servers["a"].effectivePhase = elmseam.Draining
-	k = newCall(2)
+	k = addCall(2)
 	if r.want(send(k, "a"), ""); k.attempt != nil {
-		t.Error("a send to a server that drains waits for something")
+		t.Error("an attempt to a draining server is outstanding")
 	}
-	k = newCall(3)
+	k = addCall(3)
 	k.maxAttempts = 4
 	k.attempts = k.maxAttempts
 	if r.want(send(k, "b"), ""); k.attempt != nil {
-		t.Error("an attempt too many waits for something")
+		t.Error("an attempt beyond the limit is outstanding")
 	}
-	k = newCall(4)
+	k = addCall(4)
 	k.answered = true
-	r.want(send(k, "b"), "held ")
-	k = newCall(5)
+	r.want(send(k, "b"), "violation ")
+	k = addCall(5)
 	r.core.now = k.deadline
 	r.want(send(k, "b"), "")
 }
 
-// Somebody else's set-up under the id of an open call is refused and does that call no harm: it took over the call
-// and was given its answer. Two under one id on one connection are both refused, and an id that is over stays over.
+// A different set-up with the id of an open call is refused and does not affect that call. Without the check it took the call
+// over and was given its answer. Two set-ups with one id on one connection are both refused, and the id of an ended call is
+// never used again.
 func TestRepeatedIDs(t *testing.T) {
 	r := newRig(t)
 	r.step(CallerUp{Conn: 2, Protocol: "f"})
@@ -355,7 +365,7 @@
 	r.want(r.step(ServerAnswer{Server: "a", ID: 7}), "answered7@1 ")
 	r.want(r.step(SetUp{ID: 7, From: 2, Cell: 0, TimeLeft: 5 * time.Second, At: r.now, Desc: []byte("another")}), "rejected7@2 ")
 	r.want(r.step(CallerDown{Conn: 1}), "")
-	r.want(r.setUp(7, 5*time.Second), "") // what a connection sent before it was closed: it can't be told anything
+	r.want(r.setUp(7, 5*time.Second), "") // sent before the connection was closed: no answer can reach it
 	r.want(r.step(SetUp{ID: 7, From: 2, Cell: 0, TimeLeft: 5 * time.Second, At: r.now}), "answered7@2 ")
 	r.want(r.step(ServerEnd{Server: "a", ID: 7}), "released7@2 ")
 
@@ -366,9 +376,10 @@
 	r.want(r.step(SetUp{ID: 8, From: 2, Cell: 0, TimeLeft: 5 * time.Second, At: r.now}), "rejected8@2 ")
 }
 
-// Connections that ask for nothing fill up what callers may hold: they go first, then the ones idle longest. One
-// with an open set-up stays, and where all have one so does the newest, as what it asks is on its way: the first that is
-// answered makes room. It was hung up on, with its set-up, and those that went lost the answer just written.
+// When callers hold more than MaxCallerConns connections, those without a set-up are closed first, then those idle longest.
+// Connections with an open set-up stay, and so does the newest, as its set-up may be on its way: the next connection whose
+// set-up is answered is closed instead. The core used to close the newest connection with its set-up, and connections were
+// closed before the answer just written could be read.
 func TestCallersMakeRoom(t *testing.T) {
 	r := newRig(t)
 	r.core.limits.MaxCallerConns = 4
@@ -385,20 +396,20 @@
 	ask(3)
 	r.step(ServerAnswer{Server: "a", ID: 1})
 	r.step(ServerAnswer{Server: "a", ID: 2})
-	r.want(r.step(CallerUp{Conn: 5, Protocol: "f"}), "close@4 ") // never asked
+	r.want(r.step(CallerUp{Conn: 5, Protocol: "f"}), "close@4 ") // has brought no set-up
 	ask(5)
-	r.want(r.step(CallerUp{Conn: 6, Protocol: "f"}), "close@1 ") // idle longest, as both calls stand
+	r.want(r.step(CallerUp{Conn: 6, Protocol: "f"}), "close@1 ") // idle longest, as the calls on 1 and 2 are established
 	ask(6)
 	r.want(r.step(CallerUp{Conn: 7, Protocol: "f"}), "close@2 ")
 	ask(7)
 	r.want(r.step(CallerUp{Conn: 8, Protocol: "f"}), "")
 	r.want(r.step(SetUp{ID: 8, From: 8, Cell: 0, TimeLeft: time.Minute, At: r.now}), "offer8@10 ")
 	r.want(r.step(ServerAnswer{Server: "a", ID: 3}), "answered3@3 close@3 ")
-	// A front that keeps something for a call, a circuit say, is told that it never was.
-	r.want(r.step(SetUp{ID: 9, From: 3, Cell: 0, TimeLeft: time.Minute, At: r.now}), "dropped9 ")
+	// A protocol handler that keeps state for the call, a circuit for instance, is told to forget it.
+	r.want(r.step(SetUp{ID: 9, From: 3, Cell: 0, TimeLeft: time.Minute, At: r.now}), "forget9 ")
 }
 
-// New settings and limits hold from now on, and drop no call in hand: that one keeps the attempts it came with.
+// New settings and limits apply to new calls. A call that exists keeps the number of attempts of its own settings.
 func TestConfiguredAnew(t *testing.T) {
 	r := newRig(t)
 	r.want(r.setUp(7, 5*time.Second), "offer7@10 ")
@@ -409,13 +420,13 @@
 	r.want(r.setUp(8, 5*time.Second), "rejected8@1 ")
 	r.want(r.step(ServerEnd{Server: "a", ID: 7, Reason: Full}), "offer7@11 ")
 	r.step(ServerEnd{Server: "b", ID: 7, Reason: Full})
-	r.advance(5 * time.Second) // the full cuts are over
+	r.advance(5 * time.Second) // the servers are no longer blocked
 	r.want(r.setUp(9, 5*time.Second), "offer9@10 ")
-	r.want(r.step(ServerEnd{Server: "a", ID: 9, Reason: Full}), "rejected9@1 ") // by the new settings
+	r.want(r.step(ServerEnd{Server: "a", ID: 9, Reason: Full}), "rejected9@1 ") // one attempt, by the new settings
 }
 
-// What comes at full speed to be turned away, or is told of addresses that no server has, fills no memory.
-func TestMemoriesAreBounded(t *testing.T) {
+// Calls that are refused at full speed, and routes to addresses that no server has, take a bounded amount of memory.
+func TestRememberedIDsAndRoutesAreBounded(t *testing.T) {
 	r := newRig(t)
 	r.core.limits.MaxEndedCalls, r.core.limits.MaxRoutes = 3, 2
 	for id := ID(1); id <= 10; id++ {
@@ -424,27 +435,28 @@
 		r.step(ServerEnd{Server: "b", ID: id, Reason: Full})
 	}
 	if len(r.core.ended) != 3 || len(r.core.endedOrder) != 3 || len(r.core.calls) != 0 {
-		t.Errorf("%d, %d ids kept, %d calls", len(r.core.ended), len(r.core.endedOrder), len(r.core.calls))
+		t.Errorf("%d and %d ids of ended calls, and %d calls, are kept", len(r.core.ended), len(r.core.endedOrder), len(r.core.calls))
 	}
-	r.want(r.setUp(10, 5*time.Second), "rejected10@1 ") // the last ones are
+	r.want(r.setUp(10, 5*time.Second), "rejected10@1 ") // the last ids are kept
 	for i := range 10 {
 		r.step(Route{Name: fmt.Sprint(i), Covers: func(string) bool { return false }})
 	}
 	r.want(r.step(Route{Name: "a/32", Covers: func(address string) bool { return address == "a:1" }}), "withdraw@10 ")
 	if len(r.core.withdrawnRoutes) != 3 || r.core.servers["a"].effectivePhase != elmseam.Gone {
-		t.Errorf("%d routes kept, a server whose own is withdrawn is in phase %v", len(r.core.withdrawnRoutes), r.core.servers["a"].effectivePhase)
+		t.Errorf("%d routes kept, a server whose route is withdrawn is in phase %v", len(r.core.withdrawnRoutes), r.core.servers["a"].effectivePhase)
 	}
 }
 
-// A server that went and comes back is the same one to the module; what is kept of those that don't is bounded.
-func TestServerComesBack(t *testing.T) {
+// A server that leaves the list and comes back keeps its id towards the controller. The number of removed servers that are
+// remembered is bounded.
+func TestReturningServerKeepsItsID(t *testing.T) {
 	r := newRig(t)
 	r.core.limits.MaxRemovedServers = 2
 	id := r.core.servers["a"].id
 	r.list(elmseam.Gone, elmseam.Ready)
 	r.list(elmseam.Ready, elmseam.Ready)
 	if got := r.core.servers["a"].id; got != id {
-		t.Errorf("it is %d now, was %d", got, id)
+		t.Errorf("the id of the server is %d, was %d", got, id)
 	}
 	for i := range 10 {
 		name := fmt.Sprint(i)
@@ -452,6 +464,6 @@
 		r.step(List{Servers: []Server{{Name: name, Address: "x:1", Phase: elmseam.Gone}}})
 	}
 	if len(r.core.removed) != 2 || len(r.core.servers) != 2 || len(r.core.serversByID) != 2 || len(r.core.serverOrder) != 2 {
-		t.Errorf("%d left, %d servers, %d ids, %d in order", len(r.core.removed), len(r.core.servers), len(r.core.serversByID), len(r.core.serverOrder))
+		t.Errorf("%d removed servers, %d servers, %d ids, %d in order", len(r.core.removed), len(r.core.servers), len(r.core.serversByID), len(r.core.serverOrder))
 	}
 }
--- a/internal/core/crossings_test.go
+++ b/internal/core/crossings_test.go
@@ -9,10 +9,10 @@
 	"elmseam"
 )
 
-// What crosses what is listed in docs/CROSSINGS.md. Here the order is forced by hand, event by event; the same moments
-// over sockets are in the fronts' tests.
+// Events that cross each other are listed in docs/CROSSINGS.md. The tests here force their order event by event; the tests of
+// the fronts force the same crossings over sockets.
 
-// again has each attempt that ends followed by one to a server, whatever the module would do.
+// resendTo has each attempt that ends followed by one to the server, whatever the controller would decide.
 func (r *rig) resendTo(server string) {
 	r.core.hook.Decide = func(ev elmseam.Event, actions []elmseam.Action) []elmseam.Action {
 		if o, ended := ev.(elmseam.Outcome); ended && !o.Final {
@@ -22,8 +22,8 @@
 	}
 }
 
-// A connection that is idle for long is closed only where no set-up is open on it, here or with an older process: its
-// reader closed it by its own clock, and the answer had no way.
+// An idle connection is closed only if no set-up is open on it, here or on the predecessor. Guards against a
+// reader that closes the connection by its own clock, so that the answer can't reach the caller.
 func TestIdleCloseCrossesASetUp(t *testing.T) {
 	r := newRig(t)
 	r.want(r.setUp(7, 5*time.Second)+r.step(CallerIdle{Conn: 1}), "offer7@10 ")
@@ -35,8 +35,8 @@
 	r.want(r.step(CallerIdle{Conn: 2}), "close@2 ")
 }
 
-// Nonsense behind set-ups that are open costs these nothing: each gets its answer, then the connection ends. It was
-// closed at once, and they were given up without a word.
+// Malformed input on a connection does not affect the set-ups that are open on it: each gets its answer, then the connection is
+// closed. A connection closed at once would leave them without an answer.
 func TestMalformedCallerGetsWhatItIsOwed(t *testing.T) {
 	r := newRig(t)
 	r.want(r.setUp(7, 5*time.Second)+r.setUp(8, time.Second)+r.step(CallerMalformed{Conn: 1}), "offer7@10 offer8@10 ")
@@ -44,26 +44,26 @@
 	r.want(r.advance(time.Second), "end8@10 rejected8@1 close@1 ")
 	r.step(CallerUp{Conn: 2, Protocol: "f"})
 	r.want(r.step(CallerMalformed{Conn: 2}), "close@2 ")
-	r.step(CallerUp{Conn: 3, Protocol: "f"}) // one that leaves is not kept for its set-up
+	r.step(CallerUp{Conn: 3, Protocol: "f"}) // a malformed connection that ends is not kept for its set-up
 	r.step(SetUp{ID: 9, From: 3, TimeLeft: 5 * time.Second, At: r.now})
 	r.step(CallerMalformed{Conn: 3})
 	r.step(CallerDown{Conn: 3})
-	r.want(r.advance(101*ms), "dropped9 end9@10 ")
+	r.want(r.advance(101*ms), "forget9 end9@10 ")
 }
 
-// A stop finds calls that wait for a connection, are out, are within the release gap, and stand. Each gets one answer;
-// what comes after the grace is refused, also while the end is being written, and only then connections are closed. At
-// the longest time that is waited for, open set-ups were left without an answer.
+// A stop meets calls that wait for a connection, that have an outstanding attempt, that wait for the release guard and that are
+// established. Each set-up gets one answer. Set-ups after StopGrace are refused, also during StopLinger, and only then are the
+// connections closed. Guards against open set-ups left without an answer when MaxStopWait ends.
 func TestStopAnswersEverySetUp(t *testing.T) {
 	r := newRig(t)
 	r.core.limits.StopLinger, r.core.limits.Transient = 60*ms, map[Protocol]bool{"f": true}
 	r.want(r.setUp(1, 30*time.Second)+r.step(ServerAnswer{Server: "a", ID: 1}), "offer1@10 answered1@1 ")
-	r.want(r.setUp(2, 30*time.Second)+r.step(ServerDown{Server: "a", Conn: 10}), "offer2@10 ") // within the gap
+	r.want(r.setUp(2, 30*time.Second)+r.step(ServerDown{Server: "a", Conn: 10}), "offer2@10 ") // waits for the release guard
 	r.want(r.setUp(3, 30*time.Second), "")                                                     // waits for a connection
 	r.step(Stop{})
-	r.step(Stop{}) // a second one changes nothing
+	r.step(Stop{}) // a second Stop changes nothing
 	r.want(r.step(ServerUp{Server: "a", Address: "a:1", Conn: 12}), "offer3@12 ")
-	r.want(r.setUp(4, 30*time.Second), "offer4@12 ") // in the grace
+	r.want(r.setUp(4, 30*time.Second), "offer4@12 ") // within StopGrace
 	r.want(r.advance(201*ms), "offer2@11 ")
 	r.want(r.step(ServerEnd{Server: "b", ID: 2, Reason: Busy})+r.step(ServerAnswer{Server: "a", ID: 4}), "rejected2@1 answered4@1 ")
 	r.want(r.step(ServerEnd{Server: "a", ID: 1, Reason: Normal})+r.step(ServerEnd{Server: "a", ID: 4, Reason: Normal}), "released1@1 released4@1 ")
@@ -71,22 +71,22 @@
 	r.want(r.setUp(5, 30*time.Second), "rejected5@1 ")
 	effects := r.advance(9 * time.Second)
 	if rejections := countOf(effects, "rejected3@1"); rejections != 1 || !strings.HasSuffix(effects, "close@1 stopped ") {
-		t.Errorf("at the end of the longest wait: %q", effects)
+		t.Errorf("when MaxStopWait ends: %q", effects)
 	}
 
-	r = newRig(t) // what crosses the end itself
+	r = newRig(t) // set-ups that cross the end of the stop
 	r.core.limits.StopLinger, r.core.limits.Transient = 60*ms, map[Protocol]bool{"f": true}
 	r.step(Stop{})
-	r.want(r.advance(701*ms), "closes its listener ")
+	r.want(r.advance(701*ms), "close-listener ")
 	r.want(r.setUp(6, 5*time.Second), "rejected6@1 ")
-	r.step(CallerUp{Conn: 2, Protocol: "f"}) // the machine had accepted it
+	r.step(CallerUp{Conn: 2, Protocol: "f"}) // accepted before the listener was closed
 	r.want(r.step(SetUp{ID: 7, From: 2, TimeLeft: 5 * time.Second, At: r.now}), "rejected7@2 ")
-	r.want(r.step(HandOver{}), "") // a successor that comes now finds them on their own connections
+	r.want(r.step(HandOver{}), "") // no transfer begins, as the connections are about to be closed
 	r.want(r.advance(61*ms), "close@1 close@2 stopped ")
 }
 
-// A second answer comes some milliseconds late: to an attempt that is over it changes nothing for the one that is out at
-// the same server over another connection, and a refusal ends no call that stands.
+// A second answer to an attempt that has ended comes late. It does not affect the outstanding attempt, which is at the same
+// server on another connection, and a late refusal does not release an established call.
 func TestSecondAnswerComesLate(t *testing.T) {
 	r := newRig(t)
 	r.core.limits.ConnsPerServer = map[Protocol]int{"": 2}
@@ -101,7 +101,7 @@
 		ServerAnswer{Server: "a", Conn: 10, ID: 7}, NotSent{Server: "a", Conn: 10, ID: 7}, ServerMalformed{Server: "a", Conn: 10, ID: 7},
 	} {
 		if effects := r.step(late); countOf(effects, "offer")+countOf(effects, "answered")+countOf(effects, "end7") > 0 || r.core.calls[7].attempt == nil {
-			t.Errorf("%T: %q, and the attempt is %v", late, effects, r.core.calls[7].attempt)
+			t.Errorf("%T: effects %q, attempt %v", late, effects, r.core.calls[7].attempt)
 		}
 	}
 	r.want(r.step(ServerAnswer{Server: "a", Conn: 12, ID: 7}), "answered7@1 ")
@@ -110,12 +110,12 @@
 	r.want(r.step(ServerEnd{Server: "a", Conn: 12, ID: 7, Reason: Normal}), "released7@1 ")
 }
 
-// The answer, the refusal or the reset of an attempt comes in the same instant as its time-out, on either side of it. It
-// has one outcome, and the gap runs where it may have run.
+// The answer, the refusal or the reset of an attempt comes at the same time as its time-out, before or after it. The attempt has
+// one outcome, and the release guard applies wherever the set-up may have run.
 func TestAnswerCrossesTimeOut(t *testing.T) {
 	for _, tt := range []struct {
 		ev           Event
-		first, after string // with the event before its time-out, and what follows the gap
+		first, after string // effects of the event before the time-out, and effects after the release guard
 	}{
 		{ServerAnswer{Server: "a", Conn: 10, ID: 7}, "answered7@1 ", ""},
 		{ServerEnd{Server: "a", Conn: 10, ID: 7, Reason: Full}, "offer7@11 ", ""},
@@ -138,14 +138,14 @@
 				r.want(r.advance(199*ms), "")
 				r.want(r.advance(2*ms), "offer7@11 ")
 			}
-			r.want(r.step(timeout), "") // that of an attempt which is over
+			r.want(r.step(timeout), "") // the timer of an attempt that has ended
 		}
 	}
 }
 
-// What a server says that can't be read ends the attempt it was for, which may have run, and no other call. The rest out
-// on that connection is waited for, nothing new goes there, and what stands is heard of on another. The connection was
-// closed at once, and all set-ups open on it ended as reset.
+// A malformed message from a server ends the attempt that it was for, as the set-up may have run, and no other. The other
+// attempts on that connection may finish, no new offer goes there, and established calls are released on another connection. A
+// connection closed at once would end all of its attempts as reset.
 func TestMalformedAnswerEndsItsAttemptAlone(t *testing.T) {
 	r := newRig(t)
 	r.recordDials = true
@@ -162,75 +162,76 @@
 	r.want(r.step(ServerEnd{Server: "a", Conn: 12, ID: 8, Reason: Normal}), "released8@1 ")
 }
 
-// A connection comes up late: its server drains, is gone, has another address, or has enough. It is closed, nothing is
-// sent on it, and the next one can be asked for. The dial that had been overtaken counted as under way for ever: the
-// server, back in service, was never dialled again.
+// A connection is made late, when its server drains, is gone, has another address or has connections enough. It is closed with
+// nothing sent on it, and another dial can follow. Guards against an overtaken dial that counts as under way for ever, so that
+// the server is never dialled again once it is back in service.
 func TestConnectionComesUpLate(t *testing.T) {
 	r := newRig(t)
 	r.recordDials = true
 	r.core.limits.ConnsPerServer = map[Protocol]int{"": 2}
 	r.setUp(1, 5*time.Second)
 	r.step(ServerAnswer{Server: "a", ID: 1})
-	r.want(r.list(elmseam.Ready, elmseam.Ready), "dial-a dial-b ") // a second one to each
+	r.want(r.list(elmseam.Ready, elmseam.Ready), "dial-a dial-b ") // a second connection to each server
 	r.want(r.list(elmseam.Draining, elmseam.Ready), "withdraw@10 ")
-	r.want(r.step(ServerUp{Server: "a", Address: "a:1", Conn: 12}), "hangup@12 ") // one is enough for what stands
+	r.want(r.step(ServerUp{Server: "a", Address: "a:1", Conn: 12}), "hangup@12 ") // one connection is enough for the established call
 	r.want(r.step(ServerDown{Server: "a", Conn: 12}), "")
 	r.want(r.list(elmseam.Ready, elmseam.Ready), "dial-a ")
 	r.want(r.list(elmseam.Gone, elmseam.Ready), "withdraw@10 released1@1 hangup@10 ")
 	r.want(r.step(ServerUp{Server: "a", Address: "a:1", Conn: 13}), "hangup@13 ")
 	r.step(ServerDown{Server: "b", Conn: 11})
-	r.want(r.setUp(2, 50*time.Millisecond), "") // given up before a connection is there
+	r.want(r.setUp(2, 50*time.Millisecond), "") // given up before a connection is made
 	r.want(r.advance(time.Second), "rejected2@1 ")
 	r.want(r.step(ServerUp{Server: "b", Address: "b:1", Conn: 14}), "dial-b ")
 
-	// The dial to where a server was fails late: the set-up that waits for the way to where it is now doesn't pay for it.
+	// The dial to a server's former address fails late. The set-up that waits for a connection to the new address goes on.
 	r = newRig(t)
 	r.recordDials = true
 	r.step(ServerDown{Server: "a", Conn: 10})
 	r.step(ServerDown{Server: "b", Conn: 11})
 	r.advance(ms)
 	r.setUp(3, 5*time.Second)
-	to := r.core.calls[3].attempt.server.Name
-	r.step(List{Servers: []Server{{Name: to, Address: "elsewhere:1", Phase: elmseam.Ready}}})
-	r.want(r.step(ServerDown{Server: to, Address: to + ":1"}), "dial-"+to+" ")
-	r.want(r.step(ServerUp{Server: to, Address: "elsewhere:1", Conn: 12}), "offer3@12 ")
+	target := r.core.calls[3].attempt.server.Name
+	r.step(List{Servers: []Server{{Name: target, Address: "elsewhere:1", Phase: elmseam.Ready}}})
+	r.want(r.step(ServerDown{Server: target, Address: target + ":1"}), "dial-"+target+" ")
+	r.want(r.step(ServerUp{Server: target, Address: "elsewhere:1", Conn: 12}), "offer3@12 ")
 }
 
-// One event says that a server is gone and that another is at its address: what was out at the first ends as reset and is
-// not sent to its successor within the gap, what stood is released, and what waits goes over a connection of the other's own,
-// also where the first one's dial comes up late and reaches it.
+// One list removes a server and names another one at the same address. Attempts at the first server end as reset and are not
+// sent to the other one within the release guard, and established calls are released. Offers to the other server go out on a
+// connection of its own, even if a late dial for the first server has reached it.
 func TestAnotherServerAtTheSameAddress(t *testing.T) {
 	r := newRig(t)
 	r.recordDials = true
 	r.setUp(1, 5*time.Second)
 	r.step(ServerAnswer{Server: "a", ID: 1})
-	r.setUp(2, 5*time.Second) // at a
+	r.setUp(2, 5*time.Second) // at server "a"
 	r.step(ServerDown{Server: "b", Conn: 11})
 	r.want(r.step(List{Servers: []Server{
 		{Name: "a", Address: "a:1", Phase: elmseam.Gone}, {Name: "b", Address: "b:1", Cell: 1, Phase: elmseam.Gone},
 		{Name: "c", Address: "a:1", Phase: elmseam.Ready, Started: r.now},
 	}}), "withdraw@10 released1@1 hangup@10 dial-c ")
 	r.want(r.step(ServerUp{Server: "a", Address: "a:1", Conn: 12}), "hangup@12 ")
-	r.want(r.step(ServerAnswer{Server: "a", Conn: 10, ID: 2}), "") // it crossed
+	r.want(r.step(ServerAnswer{Server: "a", Conn: 10, ID: 2}), "") // crossed the close
 	r.want(r.step(ServerUp{Server: "c", Address: "a:1", Conn: 13}), "")
 	r.want(r.advance(199*ms), "")
-	if said := r.advance(2 * time.Second); countOf(said, "offer2") > countOf(said, "offer2@13") || countOf(said, "offer2") > 1 {
-		t.Errorf("after the gap: %q", said)
+	if effects := r.advance(2 * time.Second); countOf(effects, "offer2") > countOf(effects, "offer2@13") || countOf(effects, "offer2") > 1 {
+		t.Errorf("after the release guard: %q", effects)
 	}
 }
 
-// The caller gives up, or closes its connection, while its set-up waits for a connection, within the release gap, and
-// while it is being written: it is not sent on, or is ended, and no answer is owed.
+// The caller gives up or closes its connection while its set-up waits for a connection or for the release guard, while its
+// offer is being written, or while the End of its attempt is being written. The set-up is not sent again, gets no answer, and
+// nothing is kept of it.
 func TestCallerLeavesWhileItsSetUpWaits(t *testing.T) {
 	for name, begin := range map[string]func(r *rig){
-		"for a connection": func(r *rig) {
+		"waiting for a connection": func(r *rig) {
 			r.step(ServerDown{Server: "a", Conn: 10})
 			r.step(ServerDown{Server: "b", Conn: 11})
 			r.setUp(7, 5*time.Second)
 		},
-		"within the gap":        func(r *rig) { r.setUp(7, 5*time.Second); r.step(ServerDown{Server: "a", Conn: 10}) },
-		"while it is written":   func(r *rig) { r.setUp(7, 5*time.Second) },
-		"for its end's writing": func(r *rig) { r.setUp(7, 5*time.Second); r.step(ServerMalformed{Server: "a", Conn: 10, ID: 7}) },
+		"waiting for the release guard": func(r *rig) { r.setUp(7, 5*time.Second); r.step(ServerDown{Server: "a", Conn: 10}) },
+		"offer being written":           func(r *rig) { r.setUp(7, 5*time.Second) },
+		"end being written":             func(r *rig) { r.setUp(7, 5*time.Second); r.step(ServerMalformed{Server: "a", Conn: 10, ID: 7}) },
 	} {
 		for _, departure := range []Event{CallerEnd{ID: 7, From: 1}, CallerDown{Conn: 1}} {
 			r := newRig(t)
@@ -238,14 +239,14 @@
 			effects := r.step(departure) + r.advance(101*ms)
 			effects += r.step(ServerUp{Server: "a", Address: "a:1", Conn: 12}) + r.step(EndWritten{Server: "a", Conn: 10, ID: 7}) + r.advance(10*time.Second)
 			if retained := r.core.Retained(); countOf(effects, "offer") > 0 || countOf(effects, "rejected") > 0 || countOf(effects, "answered") > 0 || retained != (Retained{}) {
-				t.Errorf("%s, %T: %q, and %+v is kept", name, departure, effects, retained)
+				t.Errorf("%s, %T: effects %q, and %+v is kept", name, departure, effects, retained)
 			}
 		}
 	}
 }
 
-// An id comes again: the timers of the call that had it mean nothing to the one that has it now. Its old deadline failed
-// the new call.
+// The timers of an ended call do not apply to a later call with the same id. Guards against the old deadline failing the new
+// call.
 func TestTimersOfAnEarlierCallOfTheSameID(t *testing.T) {
 	r := newRig(t)
 	r.core.limits.MaxEndedCalls = 1
@@ -260,9 +261,9 @@
 	r.want(r.step(ServerAnswer{Server: "a", ID: 7}), "answered7@1 ")
 }
 
-// A call keeps what it came with while the settings change: its class by name, the release gap, how often it may be sent.
-// A report that is read before the columns of the settings change places, and used after, keeps its meaning: a share
-// was read as a number of lines, and the other way round.
+// A call keeps the name of its class, its release guard and its number of attempts while the settings change. A report that was
+// decoded before the order of the metrics changes keeps its meaning. Guards against a share read as a number of lines, and the
+// other way round.
 func TestSettingsChangeBetweenARequestsEvents(t *testing.T) {
 	r := newRig(t)
 	configure := func(releaseGuard time.Duration, attempts int, metrics ...elmseam.LoadMetric) {
@@ -296,15 +297,15 @@
 	}
 	configure(0, 1, elmseam.LoadMetricHoldBackShare, elmseam.LoadMetricTotalLines)
 	if r.step(report); !slices.Equal(reported, elmseam.Report{0.5, 9}) {
-		t.Errorf("report %v with the columns changed", reported)
+		t.Errorf("report %v after the metrics changed", reported)
 	}
 	configure(0, 1)
 	reported = nil
 	if r.step(report); reported != nil {
-		t.Errorf("report %v where the settings name no columns", reported)
+		t.Errorf("report %v where the settings name no metrics", reported)
 	}
 	r.step(ServerDown{Server: "a", Conn: 10})
-	r.want(r.advance(199*ms), "") // the gap it came under
+	r.want(r.advance(199*ms), "") // the release guard of the settings it arrived under
 	for _, timer := range slices.Clone(r.timers) {
 		if offeredClass = ""; timer.Token.kind == tokenReleaseGuard {
 			r.now += 2 * ms
@@ -313,19 +314,19 @@
 		}
 	}
 	if offeredClass != "gold" {
-		t.Errorf("sent again as %q", offeredClass)
+		t.Errorf("class %q when sent again", offeredClass)
 	}
 }
 
-// Descriptors are scarce: connections to servers keep within what there are, and one that is needed takes the place of one
-// that is not. With as many as there are servers the program took descriptors from its callers, whose set-ups it could not
-// accept any more, or could not start at all: found with 64 and 48 descriptors and 24 servers.
+// Connections to servers keep within MaxServerConns, and a connection that is needed replaces one that is not. Without the
+// limit, 24 servers with 64 or 48 file descriptors left too few for callers: the program accepted no more set-ups, or could not
+// start.
 func TestConnectionsToServersKeepWithinDescriptors(t *testing.T) {
 	r := newRig(t)
 	r.recordDials = true
 	r.core.limits.MaxServerConns, r.core.limits.ConnsPerServer = 2, map[Protocol]int{"": 2}
 	third := Server{Name: "c", Address: "c:1", Cell: 2, Phase: elmseam.Ready}
-	r.want(r.step(List{Servers: []Server{third}}), "") // not before it is needed
+	r.want(r.step(List{Servers: []Server{third}}), "") // no dial before the connection is needed
 	r.want(r.setUp(1, 5*time.Second), "offer1@10 ")
 	target := "c"
 	r.core.hook.Decide = func(ev elmseam.Event, actions []elmseam.Action) []elmseam.Action {
@@ -337,13 +338,13 @@
 		}
 		return actions
 	}
-	r.want(r.setUp(2, 5*time.Second), "close@11 dial-c ") // something is out at a
+	r.want(r.setUp(2, 5*time.Second), "close@11 dial-c ") // an attempt is outstanding at server "a"
 	r.want(r.step(ServerUp{Server: "c", Address: "c:1", Conn: 12}), "offer2@12 ")
 	target = "b"
-	r.want(r.setUp(3, 5*time.Second), "rejected3@1 ") // none can be missed
+	r.want(r.setUp(3, 5*time.Second), "rejected3@1 ") // every connection has an outstanding attempt
 	r.step(ServerAnswer{Server: "a", ID: 1})
 	r.want(r.step(ServerEnd{Server: "c", ID: 2, Reason: Busy}), "rejected2@1 ")
-	r.want(r.setUp(4, 5*time.Second), "close@12 dial-b ") // the last at a has to tell of what stands there
+	r.want(r.setUp(4, 5*time.Second), "close@12 dial-b ") // the last connection to "a" is kept for its established call
 	r.want(r.step(ServerDown{Server: "b"})+r.step(ServerDown{Server: "c", Conn: 12}), "rejected4@1 ")
 	if n := r.core.serverConnCount(); n > 2 {
 		t.Errorf("%d connections to servers", n)
--- a/internal/core/random_test.go
+++ b/internal/core/random_test.go
@@ -8,9 +8,9 @@
 	"elmseam"
 )
 
-// The rules hold whatever happens in whatever order: thousands of calls under random answers, resets, drains,
-// restarts, give-ups, closed callers and ends that are written late. What goes out is held against a model that
-// knows the rules only.
+// The rules hold whatever happens in whatever order: thousands of calls meet random answers, resets, drains, restarts,
+// give-ups, closed connections of callers and End effects that are written late. The effects are checked against a model that
+// knows only the rules.
 func TestRulesUnderRandomEvents(t *testing.T) {
 	for name, set := range deployments {
 		t.Run(name, func(t *testing.T) { rulesUnderRandomEvents(t, set) })
@@ -22,14 +22,14 @@
 	r := newRigWith(t, set)
 	r.core.limits.MaxCallBytes = 1 << 20
 	type model struct {
-		out      string // server that has an attempt
-		ending   bool   // its end is not written
-		attempts int
-		finals   int
-		gone     bool
-		badEnd   Time // of the last attempt that was reset, cancelled or timed out
-		stands   string
-		over     bool
+		server       string // server with an outstanding attempt; empty: none
+		ending       bool   // the End of the attempt is not written yet
+		attempts     int
+		finalAnswers int
+		callerGone   bool   // the caller has given up, or is not told about the call
+		badEndAt     Time   // when the last attempt was reset, cancelled or timed out; 0: none was
+		established  string // server on which the call was established; empty: none
+		released     bool
 	}
 	calls := make(map[ID]*model)
 	ids := []ID{}
@@ -46,12 +46,12 @@
 	lastID, lastConn := ID(0), ConnID(100)
 	var callerConnID ConnID = 1
 	failCall := func(id ID, what string) { t.Fatalf("call %d: %s: %+v", id, what, calls[id]) }
-	loseConn := func(name string) { // a connection is no more: what is out on it is over
+	loseConn := func(name string) { // ends a connection to a server and the attempts on it
 		delete(connServer, serverConnID[name])
 		delete(serverConnID, name)
 		for _, m := range calls {
-			if m.out == name {
-				m.out, m.ending, m.badEnd = "", false, r.now
+			if m.server == name {
+				m.server, m.ending, m.badEndAt = "", false, r.now
 			}
 		}
 	}
@@ -70,62 +70,62 @@
 				m, name := calls[e.ID], connServer[e.To]
 				switch {
 				case name == "":
-					failCall(e.ID, "offered on a connection that is no more")
-				case m.out != "":
-					failCall(e.ID, "second attempt out")
+					failCall(e.ID, "offered on a connection that has ended")
+				case m.server != "":
+					failCall(e.ID, "second attempt while one is outstanding")
 				case phases[name] != elmseam.Ready:
 					failCall(e.ID, "sent to a server that drains or is gone")
-				case m.badEnd != 0 && r.now < m.badEnd+r.core.releaseGuard:
-					failCall(e.ID, "sent within the release gap")
-				case m.finals > 0 || m.gone:
-					failCall(e.ID, "sent after its end")
+				case m.badEndAt != 0 && r.now < m.badEndAt+r.core.releaseGuard:
+					failCall(e.ID, "sent within the release guard")
+				case m.finalAnswers > 0 || m.callerGone:
+					failCall(e.ID, "sent after its final answer or give-up")
 				}
-				if m.out = name; m.attempts == set.MaxAttempts {
-					failCall(e.ID, "an attempt too many")
+				if m.server = name; m.attempts == set.MaxAttempts {
+					failCall(e.ID, "more attempts than permitted")
 				}
 				m.attempts++
 			case Probe:
 				name := connServer[e.To]
 				if !r.core.limits.Probe.Permitted || name == "" || phases[name] != elmseam.Ready {
-					t.Fatalf("a probe on link %d, which goes to %q", e.To, name)
+					t.Fatalf("a probe on connection %d, which goes to %q", e.To, name)
 				}
 				if rnd.IntN(2) == 0 {
 					probeAnswers = append(probeAnswers, ServerProbeAnswer{Server: name, Conn: e.To, ID: e.ID, Report: Report{{elmseam.LoadMetricWait, rnd.Float64() * 900}}})
 				}
 			case GracefulClose:
-				if name, there := connServer[e.To]; there { // replaced, where nothing is out
+				if name, there := connServer[e.To]; there { // replaced, as no attempt is outstanding on it
 					for id, m := range calls {
-						if m.out == name {
-							failCall(id, "its connection is closed as one on which nothing is out")
+						if m.server == name {
+							failCall(id, "its connection is closed as one without an outstanding attempt")
 						}
 					}
 					loseConn(name)
 				}
 			case End:
-				if m, name := calls[e.ID], connServer[e.To]; m != nil && name != "" && m.out == name {
+				if m, name := calls[e.ID], connServer[e.To]; m != nil && name != "" && m.server == name {
 					if m.ending = true; e.Notify {
 						unwrittenEnds = append(unwrittenEnds, serverCall{name, e.ID})
 					} else {
-						m.out, m.ending = "", false
+						m.server, m.ending = "", false
 					}
 				}
 			case Answered:
 				m := calls[e.ID]
-				if m.finals++; m.stands == "" || m.finals > 1 {
-					failCall(e.ID, "answered, and never or twice")
+				if m.finalAnswers++; m.established == "" || m.finalAnswers > 1 {
+					failCall(e.ID, "answered twice, or without an answer of a server")
 				}
 			case Rejected:
 				m := calls[e.ID]
-				if m.finals++; m.finals > 1 || m.gone {
-					failCall(e.ID, "refused after its end")
+				if m.finalAnswers++; m.finalAnswers > 1 || m.callerGone {
+					failCall(e.ID, "refused after its final answer or give-up")
 				}
 			case ForgetCall:
-				calls[e.ID].gone = true
+				calls[e.ID].callerGone = true
 			case Released:
-				if m := calls[e.ID]; m != nil && (m.stands == "" || m.over) {
-					failCall(e.ID, "released, but never stood or twice")
+				if m := calls[e.ID]; m != nil && (m.established == "" || m.released) {
+					failCall(e.ID, "released twice, or without having been established")
 				} else if m != nil {
-					m.over = true
+					m.released = true
 				}
 			case Violation:
 				failCall(e.ID, e.Rule)
@@ -153,7 +153,7 @@
 		switch rnd.IntN(26) {
 		case 24:
 			step(ServerSilent{Server: name, Conn: serverConnID[name], For: time.Duration(rnd.IntN(2000)) * ms})
-		case 25: // the answer to a probe, the last one twice
+		case 25: // the answer to a probe; the last answer comes twice
 			if n := len(probeAnswers); n > 0 {
 				step(probeAnswers[0])
 				probeAnswers = probeAnswers[min(1, n-1):]
@@ -163,28 +163,28 @@
 			calls[lastID] = &model{}
 			ids = append(ids, lastID)
 			step(SetUp{ID: lastID, From: callerConnID, Class: rnd.IntN(len(set.Classes)), Tenant: []string{"", "x", "y", "z"}[rnd.IntN(4)], Cell: rnd.IntN(2), TimeLeft: time.Duration(50+rnd.IntN(4000)) * ms, At: r.now})
-		case 5, 6, 7, 8, 9, 10, 11, 12: // the server answers what is out
-			if m != nil && m.out != "" {
-				server := m.out
+		case 5, 6, 7, 8, 9, 10, 11, 12: // a server answers an attempt
+			if m != nil && m.server != "" {
+				server := m.server
 				if !m.ending {
-					m.out, m.stands = "", server
+					m.server, m.established = "", server
 					establishedCount++
 				}
 				step(ServerAnswer{Server: server, Conn: serverConnID[server], ID: id})
 			}
 		case 13:
-			if m != nil && m.out != "" && !m.ending {
-				server := m.out
-				m.out = ""
+			if m != nil && m.server != "" && !m.ending {
+				server := m.server
+				m.server = ""
 				step(ServerEnd{Server: server, Conn: serverConnID[server], ID: id, Reason: []Reason{Full, Busy, Unsent}[rnd.IntN(3)]})
 			}
 		case 14, 15:
-			if m != nil && m.stands != "" && !m.over && serverConnID[m.stands] != 0 {
-				step(ServerEnd{Server: m.stands, Conn: serverConnID[m.stands], ID: id, Reason: Normal})
+			if m != nil && m.established != "" && !m.released && serverConnID[m.established] != 0 {
+				step(ServerEnd{Server: m.established, Conn: serverConnID[m.established], ID: id, Reason: Normal})
 			}
 		case 16:
-			if m != nil && !m.gone && !m.over {
-				m.gone, m.over = m.stands == "", m.stands != ""
+			if m != nil && !m.callerGone && !m.released {
+				m.callerGone, m.released = m.established == "", m.established != ""
 				step(CallerEnd{ID: id, From: callerConnID})
 			}
 		case 17:
@@ -192,7 +192,7 @@
 				loseConn(name)
 				step(ServerDown{Server: name, Conn: l})
 			}
-		case 18, 19: // a dial ends
+		case 18, 19: // a dial succeeds or fails
 			if len(pendingDials) > 0 {
 				server := pendingDials[0]
 				pendingDials = pendingDials[1:]
@@ -209,12 +209,12 @@
 				phases[name] = []elmseam.Phase{elmseam.Ready, elmseam.Ready, elmseam.Ready, elmseam.Ready, elmseam.Draining, elmseam.Gone}[rnd.IntN(6)]
 				step(List{Servers: []Server{{Name: name, Address: name + ":1", Cell: int(name[0] - 'a'), Phase: phases[name]}}})
 			}
-		case 21, 22: // an end is written at last
+		case 21, 22: // an End is written late
 			if len(unwrittenEnds) > 0 {
 				end := unwrittenEnds[0]
 				unwrittenEnds = unwrittenEnds[1:]
-				if m := calls[end.id]; m.out == end.server && m.ending {
-					m.out, m.ending, m.badEnd = "", false, r.now
+				if m := calls[end.id]; m.server == end.server && m.ending {
+					m.server, m.ending, m.badEndAt = "", false, r.now
 				}
 				step(EndWritten{Server: end.server, ID: end.id})
 			}
@@ -228,7 +228,7 @@
 			}
 		}
 	}
-	for range 100 { // all that is owed comes out in the end
+	for range 100 { // all final answers that are pending are given
 		r.now += time.Second
 		for _, timer := range r.timers {
 			step(TimerFired{Token: timer.Token})
@@ -236,12 +236,12 @@
 		r.timers = nil
 	}
 	for id, m := range calls {
-		if m.finals == 0 && !m.gone && m.stands == "" {
+		if m.finalAnswers == 0 && !m.callerGone && m.established == "" {
 			failCall(id, "no final answer")
 		}
 	}
-	t.Logf("%d calls, %d stood", lastID, establishedCount)
+	t.Logf("%d calls, %d established", lastID, establishedCount)
 	if lastID < 5000 || establishedCount < 500 {
-		t.Error("the test has not met its case")
+		t.Error("too few calls for the test to mean anything")
 	}
 }
