--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -107,22 +107,22 @@
 	c.notifyController(outcome)
 }
 
-// endWritten takes in that the End of an attempt has been written.
+// endWritten ends the attempt whose End has been written.
 func (c *Core) endWritten(ev EndWritten) {
 	if k := c.outstandingCall(ev.Server, ev.Conn, ev.ID); k != nil && k.attempt.phase == attemptEnding {
 		c.endAttempt(k, elmseam.Outcome{Cause: k.attempt.endCause})
 	}
 }
 
-// notSent takes in that the offer of an attempt was withdrawn before its first byte was written.
+// notSent ends the attempt whose offer was withdrawn before its first byte was written.
 func (c *Core) notSent(ev NotSent) {
 	if k := c.outstandingCall(ev.Server, ev.Conn, ev.ID); k != nil {
 		c.endAttempt(k, elmseam.Outcome{Cause: elmseam.CauseNotSent})
 	}
 }
 
-// outstandingCall finds the call that has an outstanding attempt at a server, and whose attempt a message on the connection can
-// concern.
+// outstandingCall returns the call whose outstanding attempt at a server is meant by an event from a connection. The result is nil
+// if the call has no attempt there, or if the event is about an earlier attempt.
 func (c *Core) outstandingCall(name string, conn ConnID, id ID) *call {
 	s := c.servers[name]
 	if s == nil {
--- a/internal/core/callers.go
+++ b/internal/core/callers.go
@@ -28,7 +28,7 @@
 	at       Time
 }
 
-// callerUp takes in a new connection of a caller.
+// callerUp handles a new connection of a caller.
 func (c *Core) callerUp(ev CallerUp) {
 	conn := &callerConn{id: ev.Conn, protocol: ev.Protocol, lastActive: c.now}
 	c.callers[ev.Conn] = conn
@@ -43,7 +43,7 @@
 	}
 }
 
-// callerDown takes in that the connection of a caller has ended. Its set-ups may come again on another connection within Rebind.
+// callerDown handles the end of the connection of a caller. Its set-ups may come again on another connection within Rebind.
 func (c *Core) callerDown(id ConnID) {
 	c.forgetCaller(id)
 	c.forgetPredecessorCalls(id)
@@ -55,7 +55,7 @@
 	}
 }
 
-// callerEnd takes in that a caller gives a set-up up or releases an established call, perhaps one from before a restart.
+// callerEnd handles a caller that gives a set-up up or releases an established call, perhaps one from before a restart.
 func (c *Core) callerEnd(ev CallerEnd) {
 	k := c.calls[ev.ID]
 	if conn := c.callers[ev.From]; conn != nil {
@@ -85,7 +85,7 @@
 	} // otherwise another client guessed the id of a set-up that is open on a different connection
 }
 
-// markUsed takes in that the connection of a caller is used. Releases that waited for a connection go out on it.
+// markUsed records that a caller uses its connection. Releases that waited for a connection go out on it.
 func (c *Core) markUsed(conn *callerConn) {
 	conn.lastActive = c.now
 	if !conn.hadSetUp {
--- a/internal/core/calls.go
+++ b/internal/core/calls.go
@@ -35,7 +35,7 @@
 	at Time // when the id was recorded
 }
 
-// setUp takes in a set-up. A set-up with the id of a call that has ended may have been sent again because its answer was lost
+// setUp handles a set-up from a caller. A set-up with the id of a call that has ended may have been sent again because its answer was lost
 // with a closing connection; as ids are never used twice, it is refused.
 func (c *Core) setUp(ev SetUp) {
 	from := c.callers[ev.From]
@@ -86,7 +86,7 @@
 	k.Tenant = ""
 }
 
-// repeatedSetUp takes in a set-up with the id of a call that has not ended. The same set-up on another connection was sent again
+// repeatedSetUp handles a set-up with the id of a call that has not ended. The same set-up on another connection was sent again
 // after its first connection had closed: the call goes on for the new connection, which is given the answer that its caller
 // may have missed. Any other set-up is refused, as the answer to the existing call is no answer to it. When both came on one
 // connection, both are refused, as the caller could not tell which of them an answer is for.
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,4 +1,4 @@
-// Package core is the softswitch without its sockets: a reducer that takes in one event at a time and returns the effects
+// Package core is the softswitch without its sockets: a reducer that processes one event at a time and returns the effects
 // to carry out. It owns the calls, the attempts, the list of servers and the controller, which is the decision module of
 // package elmseam. Guards of its own enforce the rules of signalling whatever the controller decides.
 //
@@ -72,7 +72,7 @@
 
 // New makes a core with a controller for the settings. The seed sets the controller's random choices.
 func New(set elmseam.Settings, seed uint64, limits Limits) (*Core, error) {
-	ctl, err := elmseam.New(set, seed)
+	controller, err := elmseam.New(set, seed)
 	if err != nil {
 		return nil, err
 	}
@@ -83,7 +83,7 @@
 		reportMetrics:       set.ReportMetrics,
 		tenants:             set.Tenants,
 		prober:              probe.New(limits.Probe),
-		controller:          ctl,
+		controller:          controller,
 		calls:               make(map[ID]*call),
 		callsByControllerID: make(map[elmseam.CallID]*call),
 		servers:             make(map[string]*server),
@@ -98,7 +98,7 @@
 	return c, nil
 }
 
-// Step takes in one event and returns the effects, which have to be carried out in their order and are valid until the next
+// Step processes one event and returns the effects, which have to be carried out in their order and are valid until the next
 // Step. A time before that of the last Step counts as the time of the last Step.
 func (c *Core) Step(now Time, ev Event) []Effect {
 	c.now, c.out = max(now, c.now), c.out[:0]
@@ -259,7 +259,7 @@
 	}
 }
 
-// timerFired takes in a timer. As no timer is ever cancelled, each case checks whether it still applies.
+// timerFired handles a timer that fires. As no timer is ever cancelled, each case checks whether it still applies.
 func (c *Core) timerFired(t Token) {
 	k := c.calls[t.call]
 	if t.controllerID != 0 && (k == nil || k.controllerID != t.controllerID) { // the call has ended
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -353,8 +353,8 @@
 	r.want(send(k, "b"), "")
 }
 
-// A different set-up with the id of an open call is refused and does not affect that call. Without the check it took the call
-// over and was given its answer. Two set-ups with one id on one connection are both refused, and the id of an ended call is
+// A different set-up with the id of an open call is refused and does not affect that call. Guards against the second
+// set-up taking the call over and being given its answer. Two set-ups with one id on one connection are both refused, and the id of an ended call is
 // never used again.
 func TestRepeatedIDs(t *testing.T) {
 	r := newRig(t)
@@ -378,30 +378,30 @@
 
 // When callers hold more than MaxCallerConns connections, those without a set-up are closed first, then those idle longest.
 // Connections with an open set-up stay, and so does the newest, as its set-up may be on its way: the next connection whose
-// set-up is answered is closed instead. The core used to close the newest connection with its set-up, and connections were
-// closed before the answer just written could be read.
+// set-up is answered is closed instead. Guards against closing the newest connection with its set-up, and against closing a
+// connection before the answer just written can be read.
 func TestCallersMakeRoom(t *testing.T) {
 	r := newRig(t)
 	r.core.limits.MaxCallerConns = 4
-	for l := ConnID(2); l <= 4; l++ {
+	for conn := ConnID(2); conn <= 4; conn++ {
 		r.now += ms
-		r.want(r.step(CallerUp{Conn: l, Protocol: "f"}), "")
+		r.want(r.step(CallerUp{Conn: conn, Protocol: "f"}), "")
 	}
-	ask := func(l ConnID) {
+	sendSetUp := func(conn ConnID) {
 		r.now += ms
-		r.step(SetUp{ID: ID(l), From: l, Cell: 0, TimeLeft: time.Minute, At: r.now})
+		r.step(SetUp{ID: ID(conn), From: conn, Cell: 0, TimeLeft: time.Minute, At: r.now})
 	}
-	ask(1)
-	ask(2)
-	ask(3)
+	sendSetUp(1)
+	sendSetUp(2)
+	sendSetUp(3)
 	r.step(ServerAnswer{Server: "a", ID: 1})
 	r.step(ServerAnswer{Server: "a", ID: 2})
 	r.want(r.step(CallerUp{Conn: 5, Protocol: "f"}), "close@4 ") // has brought no set-up
-	ask(5)
+	sendSetUp(5)
 	r.want(r.step(CallerUp{Conn: 6, Protocol: "f"}), "close@1 ") // idle longest, as the calls on 1 and 2 are established
-	ask(6)
+	sendSetUp(6)
 	r.want(r.step(CallerUp{Conn: 7, Protocol: "f"}), "close@2 ")
-	ask(7)
+	sendSetUp(7)
 	r.want(r.step(CallerUp{Conn: 8, Protocol: "f"}), "")
 	r.want(r.step(SetUp{ID: 8, From: 8, Cell: 0, TimeLeft: time.Minute, At: r.now}), "offer8@10 ")
 	r.want(r.step(ServerAnswer{Server: "a", ID: 3}), "answered3@3 close@3 ")
--- a/internal/core/random_test.go
+++ b/internal/core/random_test.go
@@ -63,7 +63,7 @@
 			case Dial:
 				pendingDials = append(pendingDials, e.Server)
 			case CloseConn:
-				if name, there := connServer[e.To]; there {
+				if name, known := connServer[e.To]; known {
 					loseConn(name)
 				}
 			case Offer:
@@ -93,7 +93,7 @@
 					probeAnswers = append(probeAnswers, ServerProbeAnswer{Server: name, Conn: e.To, ID: e.ID, Report: Report{{elmseam.LoadMetricWait, rnd.Float64() * 900}}})
 				}
 			case GracefulClose:
-				if name, there := connServer[e.To]; there { // replaced, as no attempt is outstanding on it
+				if name, known := connServer[e.To]; known { // replaced, as no attempt is outstanding on it
 					for id, m := range calls {
 						if m.server == name {
 							failCall(id, "its connection is closed as one without an outstanding attempt")
--- a/internal/core/servermsgs.go
+++ b/internal/core/servermsgs.go
@@ -42,7 +42,7 @@
 	unansweredSince Time // time of the first set-up or probe sent since the connection last brought something; 0: none
 }
 
-// serverAnswer takes in that a server has answered a set-up. An answer to an attempt that has ended is released at the server and
+// serverAnswer handles the answer of a server to a set-up. An answer to an attempt that has ended is released at the server and
 // never passed on to the caller.
 func (c *Core) serverAnswer(ev ServerAnswer) {
 	s := c.servers[ev.Server]
@@ -85,7 +85,7 @@
 	c.pruneCallers()
 }
 
-// serverEnd takes in a server's refusal of a set-up or its release of an established call.
+// serverEnd handles a server's refusal of a set-up or its release of an established call.
 func (c *Core) serverEnd(ev ServerEnd) {
 	s := c.servers[ev.Server]
 	if s == nil {
@@ -139,13 +139,13 @@
 		c.giveUpAttempt(k, elmseam.CauseReset)
 	}
 	c.closeMalformedConns(s)
-	if c.wantedConns(s) > 0 { // also for established calls, whose releases may have been lost on the malformed connection
+	if c.wantedConns(s) > 0 { // also so that the server can repeat releases of established calls that were lost
 		c.dialAhead(s)
 	}
 }
 
 // releaseUnknown passes on the release of a call that was established before this process started, or that this process never
-// saw. The release is nobody's second answer, as the ids of calls that ended here are remembered.
+// saw. The release can't be a second answer, as the ids of calls that ended here are remembered.
 func (c *Core) releaseUnknown(ev ServerEnd) {
 	if _, known := c.ended[ev.ID]; known && c.guardEnabled(GuardSingleRelease) || c.calls[ev.ID] != nil || ev.Reason == Full || ev.Reason == Busy || ev.Reason == Unsent {
 		return
--- a/internal/core/stop.go
+++ b/internal/core/stop.go
@@ -8,8 +8,8 @@
 	"elmseam/internal/membership"
 )
 
-// updateServing tells when new calls begin or cease to be welcome, when the process is ready to serve for the first time, and
-// begins to close once a stop has nothing pending.
+// updateServing reports when new calls begin or cease to be welcome and when the process is first ready to serve. It begins to
+// close once a stop has nothing pending.
 func (c *Core) updateServing() {
 	serving := false
 	for _, s := range c.serverOrder {
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -58,7 +58,7 @@
 	Value  float64
 }
 
-// Event is an event that Step takes in; the types below and those in the files on the tier implement it.
+// Event is an input of Step; the types below and those in the files on the tier implement it.
 type Event interface{ event() }
 
 type (
@@ -246,7 +246,7 @@
 func (TimerFired) event()      {}
 func (Stop) event()            {}
 
-// Effect is an action that the loop has to carry out; the types below and those in the files on the tier implement it.
+// Effect is an output of Step, which the loop has to carry out; the types below and those in the files on the tier implement it.
 type Effect interface{ effect() }
 
 type (
