--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -241,7 +241,7 @@
 
 // A set-up that is sent again on another connection, after a close that crossed it, goes on as one call with one answer. A
 // set-up that does not come again within Rebind is given up.
-func TestSetUpComesAgain(t *testing.T) {
+func TestSetUpResentOnAnotherConnection(t *testing.T) {
 	r := newRig(t)
 	r.want(r.setUp(7, 5*time.Second)+r.setUp(8, 5*time.Second), "offer7@10 offer8@10 ")
 	r.step(CallerDown{Conn: 1})
@@ -287,7 +287,7 @@
 }
 
 // A set-up is refused when the descriptions of the calls would take more memory than MaxCallBytes.
-func TestOpenCallsKeepWithinMemory(t *testing.T) {
+func TestCallBytesAreLimited(t *testing.T) {
 	r := newRig(t)
 	big := SetUp{ID: 1, From: 1, TimeLeft: 5 * time.Second, At: r.now, Desc: make([]byte, 80)}
 	r.want(r.step(big), "offer1@10 ")
@@ -380,7 +380,7 @@
 // Connections with an open set-up stay, and so does the newest, as its set-up may be on its way: the next connection whose
 // set-up is answered is closed instead. Guards against closing the newest connection with its set-up, and against closing a
 // connection before the answer just written can be read.
-func TestCallersMakeRoom(t *testing.T) {
+func TestSurplusCallerConnectionsAreClosed(t *testing.T) {
 	r := newRig(t)
 	r.core.limits.MaxCallerConns = 4
 	for conn := ConnID(2); conn <= 4; conn++ {
@@ -410,7 +410,7 @@
 }
 
 // New settings and limits apply to new calls. A call that exists keeps the number of attempts of its own settings.
-func TestConfiguredAnew(t *testing.T) {
+func TestReconfiguration(t *testing.T) {
 	r := newRig(t)
 	r.want(r.setUp(7, 5*time.Second), "offer7@10 ")
 	set := elmseam.Settings{Classes: []elmseam.Class{{Deadline: 9 * time.Second, Worth: 1}}, MaxAttempts: 1, OwnCell: -1}
--- a/internal/core/crossings_test.go
+++ b/internal/core/crossings_test.go
@@ -37,7 +37,7 @@
 
 // Malformed input on a connection does not affect the set-ups that are open on it: each gets its answer, then the connection is
 // closed. A connection closed at once would leave them without an answer.
-func TestMalformedCallerGetsWhatItIsOwed(t *testing.T) {
+func TestMalformedCallerGetsItsAnswers(t *testing.T) {
 	r := newRig(t)
 	r.want(r.setUp(7, 5*time.Second)+r.setUp(8, time.Second)+r.step(CallerMalformed{Conn: 1}), "offer7@10 offer8@10 ")
 	r.want(r.step(ServerAnswer{Server: "a", ID: 7}), "answered7@1 ")
@@ -87,7 +87,7 @@
 
 // A second answer to an attempt that has ended comes late. It does not affect the outstanding attempt, which is at the same
 // server on another connection, and a late refusal does not release an established call.
-func TestSecondAnswerComesLate(t *testing.T) {
+func TestLateSecondAnswer(t *testing.T) {
 	r := newRig(t)
 	r.core.limits.ConnsPerServer = map[Protocol]int{"": 2}
 	r.step(ServerUp{Server: "a", Address: "a:1", Conn: 12})
@@ -146,7 +146,7 @@
 // A malformed message from a server ends the attempt that it was for, as the set-up may have run, and no other. The other
 // attempts on that connection may finish, no new offer goes there, and established calls are released on another connection. A
 // connection closed at once would end all of its attempts as reset.
-func TestMalformedAnswerEndsItsAttemptAlone(t *testing.T) {
+func TestMalformedAnswerEndsOnlyItsAttempt(t *testing.T) {
 	r := newRig(t)
 	r.recordDials = true
 	r.want(r.setUp(7, 5*time.Second)+r.setUp(8, 5*time.Second), "offer7@10 offer8@10 ")
@@ -165,7 +165,7 @@
 // A connection is made late, when its server drains, is gone, has another address or has connections enough. It is closed with
 // nothing sent on it, and another dial can follow. Guards against an overtaken dial that counts as under way for ever, so that
 // the server is never dialled again once it is back in service.
-func TestConnectionComesUpLate(t *testing.T) {
+func TestLateServerConnection(t *testing.T) {
 	r := newRig(t)
 	r.recordDials = true
 	r.core.limits.ConnsPerServer = map[Protocol]int{"": 2}
@@ -222,7 +222,7 @@
 // The caller gives up or closes its connection while its set-up waits for a connection or for the release guard, while its
 // offer is being written, or while the End of its attempt is being written. The set-up is not sent again, gets no answer, and
 // nothing is kept of it.
-func TestCallerLeavesWhileItsSetUpWaits(t *testing.T) {
+func TestCallerLeavesDuringSetUp(t *testing.T) {
 	for name, begin := range map[string]func(r *rig){
 		"waiting for a connection": func(r *rig) {
 			r.step(ServerDown{Server: "a", Conn: 10})
@@ -264,7 +264,7 @@
 // A call keeps the name of its class, its release guard and its number of attempts while the settings change. A report that was
 // decoded before the order of the metrics changes keeps its meaning. Guards against a share read as a number of lines, and the
 // other way round.
-func TestSettingsChangeBetweenARequestsEvents(t *testing.T) {
+func TestSettingsChangeDuringCall(t *testing.T) {
 	r := newRig(t)
 	configure := func(releaseGuard time.Duration, attempts int, metrics ...elmseam.LoadMetric) {
 		r.step(Configured{Limits: r.core.limits, Settings: elmseam.Settings{
--- a/internal/core/drain.go
+++ b/internal/core/drain.go
@@ -21,24 +21,24 @@
 }
 
 // sweep closes the connections of callers that have nothing here, and looks again in a while as long as the drain lasts.
-func (c *Core) closeIdleCallers(drain uint32) {
-	if !c.draining || drain != c.drainChanges || c.handingOver {
+func (c *Core) closeIdleCallers(drainChange uint32) {
+	if !c.draining || drainChange != c.drainChanges || c.handingOver {
 		return
 	}
-	carries := c.busyConns()
+	busy := c.busyConns()
 	for _, k := range c.calls {
-		carries[k.From] = true
+		busy[k.From] = true
 	}
 	var idle []*callerConn
-	for _, l := range c.callerOrder {
-		if !carries[l.id] && c.limits.Transient[l.protocol] && c.now >= l.lastActive+c.limits.DrainIdle {
-			idle = append(idle, l)
+	for _, conn := range c.callerOrder {
+		if !busy[conn.id] && c.limits.Transient[conn.protocol] && c.now >= conn.lastActive+c.limits.DrainIdle {
+			idle = append(idle, conn)
 		}
 	}
-	for _, l := range idle {
-		c.closeCaller(l)
+	for _, conn := range idle {
+		c.closeCaller(conn)
 	}
-	c.setTimer(c.now+c.limits.DrainCheckInterval, Token{kind: tokenDrainCheck, number: drain})
+	c.setTimer(c.now+c.limits.DrainCheckInterval, Token{kind: tokenDrainCheck, number: drainChange})
 }
 
 // away says whether callers have had time enough to go elsewhere.
--- a/internal/core/figures.go
+++ b/internal/core/figures.go
@@ -33,46 +33,46 @@
 
 // Stats are the figures of now. What they hold is the caller's.
 func (c *Core) Stats(now Time) Stats {
-	f := c.stats
-	f.Classes = slices.Clone(f.Classes)
-	f.Current, f.Draining, f.Stopping = len(c.calls), c.draining, c.stopping
+	stats := c.stats
+	stats.Classes = slices.Clone(stats.Classes)
+	stats.Current, stats.Draining, stats.Stopping = len(c.calls), c.draining, c.stopping
 	if c.limits.Probe.Permitted {
 		probes := c.prober.Counters()
-		f.Probes = &probes
+		stats.Probes = &probes
 	}
-	f.Members, f.Maintenance, f.Quotas, f.Knowledge = c.memberStats(), c.maintenanceStats(), c.quotaStats(), c.knowledgeStats()
+	stats.Members, stats.Maintenance, stats.Quotas, stats.Knowledge = c.memberStats(), c.maintenanceStats(), c.quotaStats(), c.knowledgeStats()
 	for _, s := range c.serverOrder {
 		if s.Phase == 0 { // gone, and kept for what is left of it
 			continue
 		}
-		f.ClusterSize++
+		stats.ClusterSize++
 		if s.usableConns() == 0 || c.controller.Blocked(s.id, max(now, c.now)) {
-			f.ClusterUnhealthy++
+			stats.ClusterUnhealthy++
 		} else {
-			f.Ready = c.serving
+			stats.Ready = c.serving
 		}
 	}
-	return f
+	return stats
 }
 
 // count takes in a final answer of a class.
-func (c *Core) countAnswer(class int, answered bool, why Reason) {
+func (c *Core) countAnswer(class int, answered bool, reason Reason) {
 	if class < 0 || class >= len(c.stats.Classes) {
 		return
 	}
-	switch f := &c.stats.Classes[class]; {
+	switch classStats := &c.stats.Classes[class]; {
 	case answered:
-		f.Answered++
-	case why == Congested || why == Full || why == Unsent:
-		f.Deferred++
+		classStats.Answered++
+	case reason == Congested || reason == Full || reason == Unsent:
+		classStats.Deferred++
 	default:
-		f.Errored++
+		classStats.Errored++
 	}
 }
 
 // room makes room for the figures of so many classes.
-func (f *Stats) growClasses(classes int) {
-	for len(f.Classes) < classes {
-		f.Classes = append(f.Classes, ClassStats{})
+func (s *Stats) growClasses(classes int) {
+	for len(s.Classes) < classes {
+		s.Classes = append(s.Classes, ClassStats{})
 	}
 }
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -15,52 +15,52 @@
 		return
 	}
 	c.handingOver, c.stopping = true, true
-	for _, l := range c.callerOrder {
-		c.stopReading(l)
+	for _, conn := range c.callerOrder {
+		c.stopReading(conn)
 	}
 	c.setTimer(c.now+c.limits.HandOverGrace, Token{kind: tokenStopGrace})
 	c.setTimer(c.now+c.limits.MaxStopWait, Token{kind: tokenMaxStopWait})
 }
 
 // move has a connection read no further.
-func (c *Core) stopReading(l *callerConn) {
-	if c.limits.Transient[l.protocol] && !l.malformed {
-		c.emit(StopReading{To: l.id})
+func (c *Core) stopReading(conn *callerConn) {
+	if c.limits.Transient[conn.protocol] && !conn.malformed {
+		c.emit(StopReading{To: conn.id})
 	}
 }
 
 // moved passes on a connection that is read no further, with the set-ups that are open on it.
-func (c *Core) transfer(link ConnID) {
-	l := c.callers[link]
-	if l == nil {
+func (c *Core) transfer(id ConnID) {
+	conn := c.callers[id]
+	if conn == nil {
 		return
 	}
-	l.transferred, l.transferUnconfirmed = true, true
-	var open, stand []ID
+	conn.transferred, conn.transferUnconfirmed = true, true
+	var open, established []ID
 	for _, k := range inArrivalOrder(c.calls) {
 		switch {
-		case k.From != link || k.callerGone:
+		case k.From != id || k.callerGone:
 		case !k.answered:
 			open = append(open, k.ID)
 		case k.server != nil:
-			stand = append(stand, k.ID)
+			established = append(established, k.ID)
 		}
 	}
 	// They have to fit into one message. An answer that is owed goes before a release that finds another way.
-	stand = stand[:min(len(stand), max(c.limits.MaxTransferredCalls-len(open), 0))]
-	c.emit(Transfer{To: link, Open: open, Established: stand, HadSetUp: l.hadSetUp})
+	established = established[:min(len(established), max(c.limits.MaxTransferredCalls-len(open), 0))]
+	c.emit(Transfer{To: id, Open: open, Established: established, HadSetUp: conn.hadSetUp})
 }
 
 // keeps says whether callers' connections are still here that have to be handed on, or are on their way.
 func (c *Core) transfersPending() bool {
-	return c.handingOver && slices.ContainsFunc(c.callerOrder, func(l *callerConn) bool {
-		return (!l.transferred || l.transferUnconfirmed) && !l.transferFailed && !l.malformed && c.limits.Transient[l.protocol]
+	return c.handingOver && slices.ContainsFunc(c.callerOrder, func(conn *callerConn) bool {
+		return (!conn.transferred || conn.transferUnconfirmed) && !conn.transferFailed && !conn.malformed && c.limits.Transient[conn.protocol]
 	})
 }
 
 // adopt takes in what a predecessor says of a connection that it has handed on.
-func (c *Core) adoptTransferred(l *callerConn, ev CallerUp) {
-	if l.hadSetUp = ev.HadSetUp; l.hadSetUp {
+func (c *Core) adoptTransferred(conn *callerConn, ev CallerUp) {
+	if conn.hadSetUp = ev.HadSetUp; conn.hadSetUp {
 		c.flushReleases()
 	}
 	for _, id := range ev.Open {
@@ -87,43 +87,43 @@
 
 // relayed passes on what a predecessor tells a caller of its own call. A second final answer is passed on to nobody.
 func (c *Core) relayFromPredecessor(ev Relayed) {
-	switch e := ev.Effect.(type) {
+	switch effect := ev.Effect.(type) {
 	case Answered:
-		if to, owed := c.predecessorSetUps[e.ID]; owed {
-			delete(c.predecessorSetUps, e.ID)
-			e.To = to
-			c.predecessorCalls[e.ID] = to
-			c.emit(e)
+		if to, open := c.predecessorSetUps[effect.ID]; open {
+			delete(c.predecessorSetUps, effect.ID)
+			effect.To = to
+			c.predecessorCalls[effect.ID] = to
+			c.emit(effect)
 		}
 	case Rejected:
-		if to, owed := c.predecessorSetUps[e.ID]; owed {
-			delete(c.predecessorSetUps, e.ID)
-			e.To = to
-			c.emit(e)
-			c.rememberEnded(e.ID)
+		if to, open := c.predecessorSetUps[effect.ID]; open {
+			delete(c.predecessorSetUps, effect.ID)
+			effect.To = to
+			c.emit(effect)
+			c.rememberEnded(effect.ID)
 		}
 	case Released:
-		if _, known := c.ended[e.ID]; !known {
-			c.rememberEnded(e.ID)
-			delete(c.predecessorCalls, e.ID)
-			c.sendRelease(ev.Protocol, ev.Conn, e.ID, e.Reason)
+		if _, known := c.ended[effect.ID]; !known {
+			c.rememberEnded(effect.ID)
+			delete(c.predecessorCalls, effect.ID)
+			c.sendRelease(ev.Protocol, ev.Conn, effect.ID, effect.Reason)
 		}
 	}
 }
 
 // forgetForeign takes in that nobody waits any more for the set-ups that a predecessor has open for a caller.
-func (c *Core) forgetPredecessorCalls(link ConnID) {
-	theirs := func(_ ID, of ConnID) bool { return of == link }
-	maps.DeleteFunc(c.predecessorSetUps, theirs)
-	maps.DeleteFunc(c.predecessorCalls, theirs)
+func (c *Core) forgetPredecessorCalls(conn ConnID) {
+	ofConn := func(_ ID, callConn ConnID) bool { return callConn == conn }
+	maps.DeleteFunc(c.predecessorSetUps, ofConn)
+	maps.DeleteFunc(c.predecessorCalls, ofConn)
 }
 
 // RecentlyEnded are the ids of the last calls that ended here, at most so many, for a successor.
-func (c *Core) RecentlyEnded(most int) []ID {
-	last := c.endedOrder[max(len(c.endedOrder)-most, 0):]
-	ids := make([]ID, 0, len(last))
-	for _, o := range last {
-		ids = append(ids, o.id)
+func (c *Core) RecentlyEnded(limit int) []ID {
+	latest := c.endedOrder[max(len(c.endedOrder)-limit, 0):]
+	ids := make([]ID, 0, len(latest))
+	for _, call := range latest {
+		ids = append(ids, call.id)
 	}
 	return ids
 }
--- a/internal/core/hook.go
+++ b/internal/core/hook.go
@@ -51,10 +51,10 @@
 
 // Retained is what the core keeps now. When every call is over it is all zeros.
 func (c *Core) Retained() Retained {
-	h := Retained{Calls: len(c.calls), Open: c.openSetUps, Bytes: c.callBytes, PendingReleases: len(c.pendingReleases), ControllerCalls: c.controller.Calls()}
+	retained := Retained{Calls: len(c.calls), Open: c.openSetUps, Bytes: c.callBytes, PendingReleases: len(c.pendingReleases), ControllerCalls: c.controller.Calls()}
 	for _, s := range c.servers {
-		h.Attempts += len(s.outstanding)
-		h.Established += len(s.established)
+		retained.Attempts += len(s.outstanding)
+		retained.Established += len(s.established)
 	}
-	return h
+	return retained
 }
--- a/internal/core/know.go
+++ b/internal/core/know.go
@@ -28,15 +28,15 @@
 	if c.knowledge != nil || c.membership == nil {
 		return
 	}
-	knows, out, err := knowledge.New(ev.Config, c.now)
+	reducer, effects, err := knowledge.New(ev.Config, c.now)
 	if err != nil {
 		c.emit(Violation{Rule: err.Error()})
 		return
 	}
-	c.knowledge, c.takeoverFactors = knows, make(map[int]float64)
-	c.knowledgeEffects(out)
-	for m, e := range c.membership.Members() {
-		c.stepKnowledge(knowledge.MemberAvailability{Member: m, Available: e.State.Available()})
+	c.knowledge, c.takeoverFactors = reducer, make(map[int]float64)
+	c.knowledgeEffects(effects)
+	for index, member := range c.membership.Members() {
+		c.stepKnowledge(knowledge.MemberAvailability{Member: index, Available: member.State.Available()})
 	}
 }
 
@@ -48,15 +48,15 @@
 }
 
 // learnt carries out what knowledge asks for.
-func (c *Core) knowledgeEffects(out []knowledge.Effect) {
-	for _, e := range out {
-		switch e := e.(type) {
+func (c *Core) knowledgeEffects(effects []knowledge.Effect) {
+	for _, effect := range effects {
+		switch effect := effect.(type) {
 		case knowledge.Send:
-			c.emit(SendToMember{To: e.To, Data: e.Data})
+			c.emit(SendToMember{To: effect.To, Data: effect.Data})
 		case knowledge.Timer:
-			c.setTimer(e.At, Token{kind: tokenKnowledge, knowledge: e.Token})
+			c.setTimer(effect.At, Token{kind: tokenKnowledge, knowledge: effect.Token})
 		case knowledge.ServersUpdated:
-			for _, key := range e.Servers {
+			for _, key := range effect.Servers {
 				c.applyTierReport(key)
 			}
 		}
@@ -69,11 +69,11 @@
 	if s == nil {
 		return
 	}
-	v := c.knowledge.View(c.now, key)
-	c.controller.ApplyTierReport(c.now, s.id, elmseam.TierReport{Share: v.HoldBackShare, ShareAt: v.HoldBackShareAt, Rate: v.FairRate, Failing: v.Observers > 1 && v.FailingShare > 0.5, RoundTrip: v.MinSetUpTime})
-	if h := &s.drainReport; v.DrainingSince > h.listedAt && h.expiry == 0 && s.Phase == elmseam.Ready {
-		h.expiry = c.now + c.limits.ReportedDrainTTL
-		c.setTimer(h.expiry, Token{kind: tokenDrainReport, server: s.Name})
+	view := c.knowledge.View(c.now, key)
+	c.controller.ApplyTierReport(c.now, s.id, elmseam.TierReport{Share: view.HoldBackShare, ShareAt: view.HoldBackShareAt, Rate: view.FairRate, Failing: view.Observers > 1 && view.FailingShare > 0.5, RoundTrip: view.MinSetUpTime})
+	if report := &s.drainReport; view.DrainingSince > report.listedAt && report.expiry == 0 && s.Phase == elmseam.Ready {
+		report.expiry = c.now + c.limits.ReportedDrainTTL
+		c.setTimer(report.expiry, Token{kind: tokenDrainReport, server: s.Name})
 		c.updatePhases([]*server{s}, false, false)
 	}
 }
@@ -88,36 +88,36 @@
 
 // named are the servers by the hash of their names; two that hash alike are left out.
 func (c *Core) serversByKey() map[uint32]*server {
-	all := make(map[uint32]*server, len(c.serverOrder))
+	byKey := make(map[uint32]*server, len(c.serverOrder))
 	for _, s := range c.serverOrder {
 		if s.Phase == elmseam.Gone {
 			continue
 		}
 		key := uint32(xxh3.HashString(s.Name))
-		if _, twice := all[key]; twice {
-			all[key] = nil
+		if _, duplicate := byKey[key]; duplicate {
+			byKey[key] = nil
 			continue
 		}
-		all[key] = s
+		byKey[key] = s
 	}
-	return all
+	return byKey
 }
 
 // seen tells knowledge what this softswitch has seen itself.
 func (c *Core) reportObservations() {
-	own := make(map[uint32]knowledge.Observation)
+	observations := make(map[uint32]knowledge.Observation)
 	for key, s := range c.serversByKey() {
 		if s == nil {
 			continue
 		}
-		k, _ := c.controller.Observed(s.id, c.now)
-		e := knowledge.Observation{HoldBackShare: k.Share, HoldBackShareAt: k.ShareAt, Rate: k.Rate, Lines: k.TotalLines, FailureWeight: k.FailureWeight, MinSetUpTime: k.MinSetUpTime}
+		observed, _ := c.controller.Observed(s.id, c.now)
+		observation := knowledge.Observation{HoldBackShare: observed.Share, HoldBackShareAt: observed.ShareAt, Rate: observed.Rate, Lines: observed.TotalLines, FailureWeight: observed.FailureWeight, MinSetUpTime: observed.MinSetUpTime}
 		if s.Phase == elmseam.Draining {
-			e.DrainingSince = s.drainReport.listedAt
+			observation.DrainingSince = s.drainReport.listedAt
 		}
-		own[key] = e
+		observations[key] = observation
 	}
-	c.stepKnowledge(knowledge.LocalObservations{Servers: own})
+	c.stepKnowledge(knowledge.LocalObservations{Servers: observations})
 }
 
 // ride has what this softswitch has seen ride on a datagram of membership.
@@ -132,19 +132,19 @@
 // knowThere tells knowledge who is there. Who dies leaves its callers to the others, who serve them at rates that would
 // follow slowly; who comes back takes them back. A suspicion is enough: the callers of one that answers nobody leave it long
 // before it is held dead, and a rate that is held too high for a while costs little.
-func (c *Core) knowledgeAvailability(m int, was, is membership.State) {
-	c.stepKnowledge(knowledge.MemberAvailability{Member: m, Available: is.Available()})
+func (c *Core) knowledgeAvailability(member int, oldState, newState membership.State) {
+	c.stepKnowledge(knowledge.MemberAvailability{Member: member, Available: newState.Available()})
 	if c.knowledge == nil {
 		return
 	}
-	switch times := c.takeoverFactors[m]; {
-	case was.Available() && !is.Available():
-		times = c.knowledge.TakeoverFactor([]int{m}, c.membership.View().Available)
-		c.takeoverFactors[m] = times
-		c.controller.ScaleRates(c.now, times)
-	case times > 0 && is.Available():
-		delete(c.takeoverFactors, m)
-		c.controller.ScaleRates(c.now, 1/times)
+	switch factor := c.takeoverFactors[member]; {
+	case oldState.Available() && !newState.Available():
+		factor = c.knowledge.TakeoverFactor([]int{member}, c.membership.View().Available)
+		c.takeoverFactors[member] = factor
+		c.controller.ScaleRates(c.now, factor)
+	case factor > 0 && newState.Available():
+		delete(c.takeoverFactors, member)
+		c.controller.ScaleRates(c.now, 1/factor)
 	}
 }
 
@@ -169,20 +169,20 @@
 	if c.knowledge == nil {
 		return nil
 	}
-	f := &KnowledgeStats{Counters: c.knowledge.Counters()}
-	named := c.serversByKey()
+	stats := &KnowledgeStats{Counters: c.knowledge.Counters()}
+	byKey := c.serversByKey()
 	for _, s := range c.serverOrder {
 		key := uint32(xxh3.HashString(s.Name))
-		if named[key] != s {
+		if byKey[key] != s {
 			continue
 		}
-		e := ServerKnowledge{Name: s.Name, Phase: s.effectivePhase, DrainReported: s.drainReport.expiry > 0, View: c.knowledge.View(c.now, key), Reports: c.knowledge.Entries(key), ColdRate: -1}
+		entry := ServerKnowledge{Name: s.Name, Phase: s.effectivePhase, DrainReported: s.drainReport.expiry > 0, View: c.knowledge.View(c.now, key), Reports: c.knowledge.Entries(key), ColdRate: -1}
 		if c.budget != nil && c.budget.AnyCold() {
 			if rate, known := c.budget.Rate(c.now, incarnationKey(s)); known {
-				e.ColdRate = rate
+				entry.ColdRate = rate
 			}
 		}
-		f.Servers = append(f.Servers, e)
+		stats.Servers = append(stats.Servers, entry)
 	}
-	return f
+	return stats
 }
--- a/internal/core/members.go
+++ b/internal/core/members.go
@@ -53,13 +53,13 @@
 	if c.membership != nil {
 		return
 	}
-	fleet, out, err := membership.New(ev.Config, c.now)
+	reducer, effects, err := membership.New(ev.Config, c.now)
 	if err != nil {
 		c.emit(Violation{Rule: err.Error()})
 		return
 	}
-	c.membership, c.selfIndex = fleet, ev.Config.Self
-	c.membershipEffects(out)
+	c.membership, c.selfIndex = reducer, ev.Config.Self
+	c.membershipEffects(effects)
 	c.controller.SetColdQuotaFraction(c.membership.View().ColdQuotaFactor())
 	if c.draining || c.stopping {
 		c.stepMembership(membership.Drain{On: true})
@@ -82,13 +82,13 @@
 		c.reportObservations()
 		c.stepKnowledge(knowledge.Datagram{From: ev.From, Data: ev.Data})
 	default:
-		bare, rider, err := datagram.SplitPiggyback(ev.Data)
+		data, piggyback, err := datagram.SplitPiggyback(ev.Data)
 		if err != nil { // membership counts it
-			bare = ev.Data
+			data = ev.Data
 		}
-		c.stepMembership(membership.Datagram{From: ev.From, Data: bare})
-		if len(rider) > 0 && c.knowledge != nil {
-			c.stepKnowledge(knowledge.Piggyback{From: ev.From, Data: rider})
+		c.stepMembership(membership.Datagram{From: ev.From, Data: data})
+		if len(piggyback) > 0 && c.knowledge != nil {
+			c.stepKnowledge(knowledge.Piggyback{From: ev.From, Data: piggyback})
 		}
 	}
 }
@@ -101,21 +101,21 @@
 }
 
 // peers carries out what membership asks for.
-func (c *Core) membershipEffects(out []membership.Effect) {
+func (c *Core) membershipEffects(effects []membership.Effect) {
 	changed := false
-	for _, e := range out {
-		switch e := e.(type) {
+	for _, effect := range effects {
+		switch effect := effect.(type) {
 		case membership.Send:
-			c.emit(SendToMember{To: e.To, Data: c.appendPiggyback(e.Data)})
+			c.emit(SendToMember{To: effect.To, Data: c.appendPiggyback(effect.Data)})
 		case membership.Timer:
-			c.setTimer(e.At, Token{kind: tokenMembership, membership: e.Token})
+			c.setTimer(effect.At, Token{kind: tokenMembership, membership: effect.Token})
 		case membership.StateChanged:
 			changed = true
-			if e.Member != c.selfIndex {
-				c.emit(MemberChanged{e})
-				c.maintenanceAvailability(e.Member, e.New)
-				c.budgetAvailability(e.Member, e.New)
-				c.knowledgeAvailability(e.Member, e.Old, e.New)
+			if effect.Member != c.selfIndex {
+				c.emit(MemberChanged{effect})
+				c.maintenanceAvailability(effect.Member, effect.New)
+				c.budgetAvailability(effect.Member, effect.New)
+				c.knowledgeAvailability(effect.Member, effect.Old, effect.New)
 			}
 		}
 	}
@@ -129,9 +129,9 @@
 	if c.membership == nil {
 		return nil
 	}
-	v := c.membership.View()
+	view := c.membership.View()
 	return &MemberStats{
-		Counters: c.membership.Counters(), View: v, Self: c.selfIndex, Members: c.membership.Members(),
-		Health: c.membership.Health(), ColdShare: v.ColdQuotaFactor(),
+		Counters: c.membership.Counters(), View: view, Self: c.selfIndex, Members: c.membership.Members(),
+		Health: c.membership.Health(), ColdShare: view.ColdQuotaFactor(),
 	}
 }
--- a/internal/core/ops_test.go
+++ b/internal/core/ops_test.go
@@ -8,9 +8,9 @@
 )
 
 func (r *rig) enableDrains() {
-	l := &r.core.limits
-	l.DrainGrace, l.DrainRefuseAfter, l.DrainCheckInterval, l.DrainIdle = 500*ms, 1500*ms, 20*ms, 20*ms
-	l.Transient = map[Protocol]bool{"f": true}
+	limits := &r.core.limits
+	limits.DrainGrace, limits.DrainRefuseAfter, limits.DrainCheckInterval, limits.DrainIdle = 500*ms, 1500*ms, 20*ms, 20*ms
+	limits.Transient = map[Protocol]bool{"f": true}
 }
 
 // A drain closes the connections that carry no call once the front has learned of it; one whose call stands is left
@@ -38,14 +38,14 @@
 	r.step(Drain{})
 	r.step(CallerUp{Conn: 4, Protocol: "f"})
 	r.want(r.advance(time.Minute), "")
-	if f := r.core.Stats(r.now); !f.Ready || f.Draining {
-		t.Errorf("figures after the drain: %+v", f)
+	if stats := r.core.Stats(r.now); !stats.Ready || stats.Draining {
+		t.Errorf("figures after the drain: %+v", stats)
 	}
 }
 
 // A release that finds no connection of its caller waits for one that is used: on one that has asked for nothing, a
 // front's test, it would be lost.
-func TestReleaseWaitsForACaller(t *testing.T) {
+func TestReleaseWaitsForUsedCallerConnection(t *testing.T) {
 	r := newRig(t)
 	r.enableDrains()
 	r.setUp(7, 5*time.Second)
@@ -59,7 +59,7 @@
 
 // The figures count each request once, by its final answer, in its class; a class that a new configuration drops
 // keeps its counts, and servers that are avoided show.
-func TestFigures(t *testing.T) {
+func TestStats(t *testing.T) {
 	r := newRig(t)
 	r.setUp(1, 5*time.Second)
 	r.step(OfferWritten{Server: "a", ID: 1})
@@ -69,43 +69,43 @@
 	r.advance(time.Second) // its time is up
 	r.setUp(4, 5*time.Second)
 	r.step(ServerEnd{Server: "a", ID: 4, Reason: Full, Refusal: elmseam.RefusalProcessor})
-	f := r.core.Stats(r.now)
-	if want := (ClassStats{Answered: 1, Deferred: 1, Errored: 1}); f.Classes[0] != want {
-		t.Errorf("figures of the class %+v, want %+v", f.Classes[0], want)
+	stats := r.core.Stats(r.now)
+	if want := (ClassStats{Answered: 1, Deferred: 1, Errored: 1}); stats.Classes[0] != want {
+		t.Errorf("figures of the class %+v, want %+v", stats.Classes[0], want)
 	}
-	if f.Sends != 1 || f.Current != 2 || f.ClusterSize != 2 || f.ClusterUnhealthy != 1 || !f.Ready {
-		t.Errorf("figures %+v", f)
+	if stats.Sends != 1 || stats.Current != 2 || stats.ClusterSize != 2 || stats.ClusterUnhealthy != 1 || !stats.Ready {
+		t.Errorf("figures %+v", stats)
 	}
 	r.step(Misconfigured{})
 	r.step(Configured{Settings: elmseam.Settings{Classes: make([]elmseam.Class, 2), MaxAttempts: 1, OwnCell: -1}, Limits: r.core.limits})
 	r.list(elmseam.Draining, elmseam.Gone)
-	f = r.core.Stats(r.now)
-	if len(f.Classes) != 2 || f.Classes[0].Answered != 1 || f.ConfigsLoaded != 1 || f.ConfigsInvalid != 1 {
-		t.Errorf("figures after a reload %+v", f)
+	stats = r.core.Stats(r.now)
+	if len(stats.Classes) != 2 || stats.Classes[0].Answered != 1 || stats.ConfigsLoaded != 1 || stats.ConfigsInvalid != 1 {
+		t.Errorf("figures after a reload %+v", stats)
 	}
-	if f.ClusterSize != 1 || f.ClusterUnhealthy != 1 || f.Ready {
-		t.Errorf("figures with one server that drains %+v", f)
+	if stats.ClusterSize != 1 || stats.ClusterUnhealthy != 1 || stats.Ready {
+		t.Errorf("figures with one server that drains %+v", stats)
 	}
 }
 
 // A successor keeps account of the set-ups that the older process has open: it passes one answer on for each, on the
 // connection they came on, and answers those that nobody can answer any more. What it doesn't know it asks of the older
 // process as long as that is there, where it would release it at every server otherwise.
-func TestTakenOver(t *testing.T) {
+func TestSuccessorAnswersForPredecessor(t *testing.T) {
 	r := newRig(t)
 	r.enableDrains()
 	r.step(Predecessor{Present: true})
 	r.want(r.step(CallerUp{Conn: 5, Protocol: "f", HadSetUp: true, Open: []ID{1, 2, 3}, Established: []ID{4, 5}}), "")
-	relayed := func(e Effect) string { return r.step(Relayed{Protocol: "f", Conn: 5, Effect: e}) }
-	r.want(relayed(Answered{ID: 1}), "answered1@5 ")
-	r.want(relayed(Answered{ID: 1}), "")
-	r.want(relayed(Rejected{ID: 1}), "")
-	r.want(relayed(Released{ID: 1}), "released1@5 ")
-	r.want(relayed(Released{ID: 1}), "")
+	relay := func(e Effect) string { return r.step(Relayed{Protocol: "f", Conn: 5, Effect: e}) }
+	r.want(relay(Answered{ID: 1}), "answered1@5 ")
+	r.want(relay(Answered{ID: 1}), "")
+	r.want(relay(Rejected{ID: 1}), "")
+	r.want(relay(Released{ID: 1}), "released1@5 ")
+	r.want(relay(Released{ID: 1}), "")
 	r.want(r.step(SetUp{ID: 2, From: 5, TimeLeft: time.Second, At: r.now}), "rejected2@5 ") // its id is in use
 	r.want(r.step(CallerEnd{ID: 3, From: 5}), "to the older ")
-	r.want(relayed(Rejected{ID: 3}), "")
-	r.want(relayed(Released{ID: 3}), "") // it crossed: the caller has left
+	r.want(relay(Rejected{ID: 3}), "")
+	r.want(relay(Released{ID: 3}), "") // it crossed: the caller has left
 	r.want(r.step(ServerEnd{Server: "a", ID: 4, Reason: Normal}), "to the older ")
 	r.want(r.step(Predecessor{}), "rejected2@5 ")
 	r.want(r.step(ServerEnd{Server: "a", ID: 5, Reason: Normal}), "released5@5 ")
@@ -140,7 +140,7 @@
 
 // A caller hangs up while its call's server has no connection: the server is told on the next one, also where it drains
 // and nothing else would make one. It went on holding a line for nobody. One that is gone, or another process, isn't told.
-func TestHangUpWithoutConnection(t *testing.T) {
+func TestReleaseWithoutServerConnection(t *testing.T) {
 	r := newRig(t)
 	r.core.limits.MaxPendingReleases = 8
 	r.setUp(7, 5*time.Second)
@@ -151,7 +151,7 @@
 	r.advance(time.Second)
 	r.want(r.step(ServerUp{Server: "a", Address: "a:1", Conn: 12}), "end7@12 ")
 	r.want(r.step(ServerEnd{Server: "a", ID: 7, Reason: Normal}), "") // crossed: nobody is told
-	if h := r.core.Retained(); h != (Retained{}) {
-		t.Errorf("%+v is kept", h)
+	if retained := r.core.Retained(); retained != (Retained{}) {
+		t.Errorf("%+v is kept", retained)
 	}
 }
--- a/internal/core/parts.go
+++ b/internal/core/parts.go
@@ -23,15 +23,15 @@
 	if c.budget != nil || c.membership == nil {
 		return
 	}
-	parts, out, err := budget.New(ev.Config, c.now)
+	reducer, effects, err := budget.New(ev.Config, c.now)
 	if err != nil {
 		c.emit(Violation{Rule: err.Error()})
 		return
 	}
-	c.budget = parts
-	c.budgetEffects(out)
-	for m, e := range c.membership.Members() {
-		c.stepBudget(budget.MemberAvailability{Member: m, Available: e.State.Available()})
+	c.budget = reducer
+	c.budgetEffects(effects)
+	for index, member := range c.membership.Members() {
+		c.stepBudget(budget.MemberAvailability{Member: index, Available: member.State.Available()})
 	}
 	c.reportColdServers()
 }
@@ -44,13 +44,13 @@
 }
 
 // partEffects carries out what budget asks for.
-func (c *Core) budgetEffects(out []budget.Effect) {
-	for _, e := range out {
-		switch e := e.(type) {
+func (c *Core) budgetEffects(effects []budget.Effect) {
+	for _, effect := range effects {
+		switch effect := effect.(type) {
 		case budget.Send:
-			c.emit(SendToMember{To: e.To, Data: e.Data})
+			c.emit(SendToMember{To: effect.To, Data: effect.Data})
 		case budget.Timer:
-			c.setTimer(e.At, Token{kind: tokenBudget, budget: e.Token})
+			c.setTimer(effect.At, Token{kind: tokenBudget, budget: effect.Token})
 		}
 	}
 }
@@ -70,14 +70,14 @@
 		return
 	}
 	for _, s := range c.serverOrder {
-		cold, yes := c.controller.ColdBudget(s.id, c.now)
-		if yes && s.coldStart != s.Started {
+		coldBudget, isCold := c.controller.ColdBudget(s.id, c.now)
+		if isCold && s.coldStart != s.Started {
 			s.coldStart, s.coldCountSince, s.coldSetUps = s.Started, c.now, 0
 		} else if c.now > c.startedAt+coldReportPeriod {
-			yes = false
+			isCold = false
 		}
-		if yes {
-			c.stepBudget(budget.ColdServer{Server: incarnationKey(s), Rate: cold.Quota, Until: cold.Until})
+		if isCold {
+			c.stepBudget(budget.ColdServer{Server: incarnationKey(s), Rate: coldBudget.Quota, Until: coldBudget.Until})
 		}
 	}
 	c.applyColdRates()
@@ -102,23 +102,23 @@
 
 // coldUse is how much of its own part of cold servers' budgets this softswitch has used since it was asked last, of the
 // one of which it used most; 1 is all.
-func (c *Core) coldDemand() (most float64) {
+func (c *Core) coldDemand() (demand float64) {
 	for _, s := range c.serverOrder {
-		cold, yes := c.controller.ColdBudget(s.id, c.now)
-		if dt := (c.now - s.coldCountSince).Seconds(); yes && s.coldStart == s.Started && dt > 0 {
-			if own := cold.RateMultiple * cold.Quota * dt; own > 0 {
-				most = max(most, float64(s.coldSetUps)/own)
+		coldBudget, isCold := c.controller.ColdBudget(s.id, c.now)
+		if elapsed := (c.now - s.coldCountSince).Seconds(); isCold && s.coldStart == s.Started && elapsed > 0 {
+			if quota := coldBudget.RateMultiple * coldBudget.Quota * elapsed; quota > 0 {
+				demand = max(demand, float64(s.coldSetUps)/quota)
 			}
 		}
 		s.coldCountSince, s.coldSetUps = c.now, 0
 	}
-	return most
+	return demand
 }
 
 // partThere tells budget who is there. One that is merely suspected is not: what it left can be had only when its lease
 // has run out.
-func (c *Core) budgetAvailability(m int, s membership.State) {
-	c.stepBudget(budget.MemberAvailability{Member: m, Available: s.Available()})
+func (c *Core) budgetAvailability(member int, state membership.State) {
+	c.stepBudget(budget.MemberAvailability{Member: member, Available: state.Available()})
 }
 
 // QuotaStats are what operators are shown of parts of budgets.
--- a/internal/core/probe.go
+++ b/internal/core/probe.go
@@ -45,34 +45,34 @@
 	if s == nil {
 		return
 	}
-	l := s.connByID(ev.Conn)
-	if l == nil {
+	conn := s.connByID(ev.Conn)
+	if conn == nil {
 		return
 	}
-	first := l.unansweredSince // set-up that nothing has come after, or that is out
+	unansweredSince := conn.unansweredSince // set-up that nothing has come after, or that is out
 	for _, k := range s.outstanding {
-		if k.attempt.conn == l && (first == 0 || k.attempt.startedAt < first) {
-			first = k.attempt.startedAt
+		if k.attempt.conn == conn && (unansweredSince == 0 || k.attempt.startedAt < unansweredSince) {
+			unansweredSince = k.attempt.startedAt
 		}
 	}
 	switch {
-	case first != 0 && c.now-first >= ev.For/2:
-		c.replaceConn(s, l)
+	case unansweredSince != 0 && c.now-unansweredSince >= ev.For/2:
+		c.replaceConn(s, conn)
 		return
-	case first != 0, len(s.established) == 0:
+	case unansweredSince != 0, len(s.established) == 0:
 		return
 	}
-	verdict, id, until := probe.Forbidden, probe.ID(0), Time(0)
+	verdict, id, deadline := probe.Forbidden, probe.ID(0), Time(0)
 	if s.effectivePhase == elmseam.Ready {
-		verdict, id, until = c.prober.Request(c.now, uint64(l.id))
+		verdict, id, deadline = c.prober.Request(c.now, uint64(conn.id))
 	}
 	switch verdict {
 	case probe.Forbidden:
-		c.replaceConn(s, l)
+		c.replaceConn(s, conn)
 	case probe.Send:
-		l.unansweredSince = c.now // as for a set-up: what goes out from now on goes elsewhere unless something comes
-		c.emit(Probe{To: l.id, ID: id})
-		c.setTimer(until, Token{kind: tokenProbeTimeout, server: s.Name, probe: id, conn: l.id})
+		conn.unansweredSince = c.now // as for a set-up: what goes out from now on goes elsewhere unless something comes
+		c.emit(Probe{To: conn.id, ID: id})
+		c.setTimer(deadline, Token{kind: tokenProbeTimeout, server: s.Name, probe: id, conn: conn.id})
 	}
 }
 
@@ -91,21 +91,21 @@
 // overdue takes in that a probe's time is up. Without an answer its connection is of no use.
 func (c *Core) probeExpired(t Token) {
 	if s := c.servers[t.server]; c.prober.Expire(t.probe) && s != nil {
-		if l := s.connByID(t.conn); l != nil {
-			c.replaceConn(s, l)
+		if conn := s.connByID(t.conn); conn != nil {
+			c.replaceConn(s, conn)
 		}
 	}
 }
 
 // replace ends a connection that is held for dead, with what is out there, and asks for another.
-func (c *Core) replaceConn(s *server, l *serverConn) {
-	c.prober.ConnClosed(uint64(l.id))
-	if slices.ContainsFunc(inArrivalOrder(s.outstanding), func(k *call) bool { return k.attempt.conn == l }) {
-		l.malformed = true
-		c.emit(CloseConn{To: l.id}) // its end tells of what was out
+func (c *Core) replaceConn(s *server, conn *serverConn) {
+	c.prober.ConnClosed(uint64(conn.id))
+	if slices.ContainsFunc(inArrivalOrder(s.outstanding), func(k *call) bool { return k.attempt.conn == conn }) {
+		conn.malformed = true
+		c.emit(CloseConn{To: conn.id}) // its end tells of what was out
 	} else {
-		s.conns = slices.DeleteFunc(s.conns, func(have *serverConn) bool { return have == l })
-		c.emit(GracefulClose{To: l.id})
+		s.conns = slices.DeleteFunc(s.conns, func(other *serverConn) bool { return other == conn })
+		c.emit(GracefulClose{To: conn.id})
 	}
 	if c.wantedConns(s) > 0 {
 		c.dialAhead(s)
@@ -113,10 +113,10 @@
 }
 
 // lineOf is a connection to a server by its name; nil: it is one no more.
-func (s *server) connByID(link ConnID) *serverConn {
-	for _, l := range s.conns {
-		if l.id == link {
-			return l
+func (s *server) connByID(id ConnID) *serverConn {
+	for _, conn := range s.conns {
+		if conn.id == id {
+			return conn
 		}
 	}
 	return nil
--- a/internal/core/random_test.go
+++ b/internal/core/random_test.go
@@ -188,9 +188,9 @@
 				step(CallerEnd{ID: id, From: callerConnID})
 			}
 		case 17:
-			if l := serverConnID[name]; l != 0 && rnd.IntN(20) == 0 {
+			if connID := serverConnID[name]; connID != 0 && rnd.IntN(20) == 0 {
 				loseConn(name)
-				step(ServerDown{Server: name, Conn: l})
+				step(ServerDown{Server: name, Conn: connID})
 			}
 		case 18, 19: // a dial succeeds or fails
 			if len(pendingDials) > 0 {
--- a/internal/core/servers.go
+++ b/internal/core/servers.go
@@ -9,28 +9,28 @@
 
 // list takes in news of the servers.
 func (c *Core) serverList(ev List) {
-	named := make(map[string]bool)
+	listed := make(map[string]bool)
 	var changed []*server
-	for _, e := range ev.Servers {
-		named[e.Name] = true
-		s := c.servers[e.Name]
+	for _, entry := range ev.Servers {
+		listed[entry.Name] = true
+		s := c.servers[entry.Name]
 		switch {
 		case s == nil:
-			s = &server{id: c.serverID(e.Name), established: make(map[ID]*call), outstanding: make(map[ID]*call)}
-			c.servers[e.Name], c.serversByID[s.id] = s, s
+			s = &server{id: c.serverID(entry.Name), established: make(map[ID]*call), outstanding: make(map[ID]*call)}
+			c.servers[entry.Name], c.serversByID[s.id] = s, s
 			c.serverOrder = append(c.serverOrder, s)
-		case s.Started != e.Started || s.Address != e.Address:
+		case s.Started != entry.Started || s.Address != entry.Address:
 			// Another process: what stood at the one before is cut. Its connection is of no use.
 			c.resetEstablished(s)
 			c.closeServerConns(s)
 			s.pendingReleases = nil // of the process that is no more
 		}
-		s.Server, s.source, s.drainReport = e, ev.Source, drainReport{listedAt: c.now}
+		s.Server, s.source, s.drainReport = entry, ev.Source, drainReport{listedAt: c.now}
 		changed = append(changed, s)
 	}
 	if ev.Full {
 		for _, s := range c.serverOrder {
-			if s.source == ev.Source && !named[s.Name] {
+			if s.source == ev.Source && !listed[s.Name] {
 				s.Phase = elmseam.Gone
 			}
 		}
@@ -66,8 +66,8 @@
 			c.dialAhead(s)
 			continue
 		}
-		for _, l := range s.conns {
-			c.emit(Withdraw{To: l.id})
+		for _, conn := range s.conns {
+			c.emit(Withdraw{To: conn.id})
 		}
 		for _, k := range inArrivalOrder(s.outstanding) {
 			if k.attempt.phase == attemptWaiting {
@@ -92,8 +92,8 @@
 	delete(c.serversByID, s.id)
 	c.removed = append(c.removed, removedServer{s.Name, s.id})
 	c.removed = c.removed[max(len(c.removed)-c.limits.MaxRemovedServers, 0):]
-	for i, have := range c.serverOrder {
-		if have == s {
+	for i, other := range c.serverOrder {
+		if other == s {
 			c.serverOrder = append(c.serverOrder[:i], c.serverOrder[i+1:]...)
 			break
 		}
@@ -102,10 +102,10 @@
 
 // idOf is the module's name for a server that comes into the list.
 func (c *Core) serverID(name string) elmseam.ServerID {
-	for i, l := range c.removed {
-		if l.name == name {
+	for i, removed := range c.removed {
+		if removed.name == name {
 			c.removed = slices.Delete(c.removed, i, i+1)
-			return l.id
+			return removed.id
 		}
 	}
 	c.lastServerID++
@@ -133,8 +133,8 @@
 
 // cutOff says whether the way to a server is withdrawn.
 func (c *Core) routeWithdrawn(s *server) bool {
-	for _, r := range c.withdrawnRoutes {
-		if r.Covers(s.Address) {
+	for _, route := range c.withdrawnRoutes {
+		if route.Covers(s.Address) {
 			return true
 		}
 	}
@@ -146,11 +146,11 @@
 func (c *Core) wantedConns(s *server) int {
 	switch {
 	case s.Phase == elmseam.Ready && !c.routeWithdrawn(s):
-		most := max(c.limits.ConnsPerServer[s.Protocol], 1)
+		wanted := max(c.limits.ConnsPerServer[s.Protocol], 1)
 		if c.limits.MaxServerConns > 0 { // descriptors are scarce: each server its part, and one at least
-			most = min(most, max(c.limits.MaxServerConns/len(c.serverOrder), 1))
+			wanted = min(wanted, max(c.limits.MaxServerConns/len(c.serverOrder), 1))
 		}
-		return most
+		return wanted
 	case len(s.established) > 0, len(s.pendingReleases) > 0 && s.Phase != elmseam.Gone:
 		return 1
 	}
@@ -159,8 +159,8 @@
 
 // sound are the connections to a server that are of use for something new.
 func (s *server) usableConns() (n int) {
-	for _, l := range s.conns {
-		if !l.malformed {
+	for _, conn := range s.conns {
+		if !conn.malformed {
 			n++
 		}
 	}
@@ -176,9 +176,9 @@
 	for _, k := range s.outstanding {
 		used[k.attempt.conn] = true
 	}
-	s.conns = slices.DeleteFunc(s.conns, func(l *serverConn) bool {
-		if l.malformed && !used[l] {
-			c.emit(GracefulClose{To: l.id})
+	s.conns = slices.DeleteFunc(s.conns, func(conn *serverConn) bool {
+		if conn.malformed && !used[conn] {
+			c.emit(GracefulClose{To: conn.id})
 			return true
 		}
 		return false
@@ -217,27 +217,27 @@
 
 // spareLine makes room for a connection to a server where descriptors are scarce: it closes the one used least of late
 // among those on which nothing is out, and that are not a server's last while calls stand there. It says whether it did.
-func (c *Core) evictServerConn(other *server) bool {
-	var of *server
+func (c *Core) evictServerConn(requester *server) bool {
+	var owner *server
 	var victim *serverConn
 	for _, s := range c.serverOrder {
-		if s == other || len(s.conns) == 1 && len(s.established) > 0 {
+		if s == requester || len(s.conns) == 1 && len(s.established) > 0 {
 			continue
 		}
 		used := make(map[*serverConn]bool)
 		for _, k := range s.outstanding {
 			used[k.attempt.conn] = true
 		}
-		for _, l := range s.conns {
-			if !used[l] && (victim == nil || l.lastSetUp < victim.lastSetUp) {
-				of, victim = s, l
+		for _, conn := range s.conns {
+			if !used[conn] && (victim == nil || conn.lastSetUp < victim.lastSetUp) {
+				owner, victim = s, conn
 			}
 		}
 	}
 	if victim == nil {
 		return false
 	}
-	of.conns = slices.DeleteFunc(of.conns, func(l *serverConn) bool { return l == victim })
+	owner.conns = slices.DeleteFunc(owner.conns, func(conn *serverConn) bool { return conn == victim })
 	c.emit(GracefulClose{To: victim.id}) // releases may wait there to be written
 	return true
 }
@@ -245,31 +245,31 @@
 // lineTo is the connection for the next set-up: the one used least of late among those that don't leave set-ups
 // without a word. None goes over a malformed one.
 func (c *Core) connFor(s *server) (best *serverConn) {
-	doubt := func(l *serverConn) bool {
-		return l.unansweredSince != 0 && c.now-l.unansweredSince > c.limits.UnresponsiveAfter
+	unresponsive := func(conn *serverConn) bool {
+		return conn.unansweredSince != 0 && c.now-conn.unansweredSince > c.limits.UnresponsiveAfter
 	}
-	for _, l := range s.conns {
-		if l.malformed {
+	for _, conn := range s.conns {
+		if conn.malformed {
 			continue
 		}
-		if best == nil || doubt(best) && !doubt(l) || doubt(best) == doubt(l) && l.lastSetUp < best.lastSetUp {
-			best = l
+		if best == nil || unresponsive(best) && !unresponsive(conn) || unresponsive(best) == unresponsive(conn) && conn.lastSetUp < best.lastSetUp {
+			best = conn
 		}
 	}
 	return best
 }
 
 // heard takes in that a connection brings something.
-func (s *server) markReceived(link ConnID) {
-	if l := s.connByID(link); l != nil {
-		l.unansweredSince = 0
+func (s *server) markReceived(id ConnID) {
+	if conn := s.connByID(id); conn != nil {
+		conn.unansweredSince = 0
 	}
 }
 
 // endAt releases a call at a server, on any connection.
 func (c *Core) sendEnd(s *server, id ID) {
-	if l := c.connFor(s); l != nil {
-		c.emit(End{To: l.id, ID: id})
+	if conn := c.connFor(s); conn != nil {
+		c.emit(End{To: conn.id, ID: id})
 	}
 }
 
@@ -292,11 +292,11 @@
 
 // hangUp ends the connections to a server; what is out there is cut.
 func (c *Core) closeServerConns(s *server) {
-	lines := s.conns
+	conns := s.conns
 	s.conns = nil
-	for _, l := range lines {
-		c.emit(CloseConn{To: l.id})
-		c.failAttempts(s, l, elmseam.CauseReset)
+	for _, conn := range conns {
+		c.emit(CloseConn{To: conn.id})
+		c.failAttempts(s, conn, elmseam.CauseReset)
 	}
 }
 
@@ -341,13 +341,13 @@
 		return
 	}
 	cause := elmseam.CauseUnreachable
-	var gone *serverConn
+	var endedConn *serverConn
 	if ev.Conn != 0 {
-		i := slices.IndexFunc(s.conns, func(l *serverConn) bool { return l.id == ev.Conn })
+		i := slices.IndexFunc(s.conns, func(conn *serverConn) bool { return conn.id == ev.Conn })
 		if i < 0 {
 			return
 		}
-		cause, gone = elmseam.CauseReset, s.conns[i]
+		cause, endedConn = elmseam.CauseReset, s.conns[i]
 		c.prober.ConnClosed(uint64(ev.Conn))
 		s.conns = slices.Delete(s.conns, i, i+1)
 	} else {
@@ -363,7 +363,7 @@
 		s.unreachableSince = c.now
 		c.setTimer(c.now+c.limits.ServerLostAfter, Token{kind: tokenServerLost, server: s.Name})
 	}
-	c.failAttempts(s, gone, cause)
+	c.failAttempts(s, endedConn, cause)
 	if !s.dialing && !s.redialPending && s.usableConns() < c.wantedConns(s) {
 		at := c.now
 		if cause == elmseam.CauseUnreachable {
@@ -378,21 +378,21 @@
 
 // cutOut ends the attempts out at a server on a connection that has ended, and if it was the last, or none could
 // be made, those that wait for one.
-func (c *Core) failAttempts(s *server, gone *serverConn, cause elmseam.Cause) {
+func (c *Core) failAttempts(s *server, endedConn *serverConn, cause elmseam.Cause) {
 	for _, k := range inArrivalOrder(s.outstanding) {
 		if k.attempt == nil || k.attempt.server != s {
 			continue
 		}
-		o := elmseam.Outcome{Cause: cause}
+		outcome := elmseam.Outcome{Cause: cause}
 		switch a := k.attempt; {
-		case a.phase == attemptWaiting && len(s.conns) > 0, a.phase != attemptWaiting && a.conn != gone:
+		case a.phase == attemptWaiting && len(s.conns) > 0, a.phase != attemptWaiting && a.conn != endedConn:
 			continue
 		case a.phase == attemptEnding:
-			o.Cause = a.endCause
+			outcome.Cause = a.endCause
 		case a.phase == attemptWaiting && cause == elmseam.CauseReset:
-			o.Cause = elmseam.CauseNotSent
+			outcome.Cause = elmseam.CauseNotSent
 		}
-		c.endAttempt(k, o)
+		c.endAttempt(k, outcome)
 	}
 }
 
--- a/internal/core/servers_test.go
+++ b/internal/core/servers_test.go
@@ -12,7 +12,7 @@
 // A connection that brings nothing is held for dead only where something is owed on it: a set-up that has been out for long
 // ends, one that has just gone out is left alone, a server whose calls stand is asked on a new connection, and one that has
 // nothing to tell keeps its connection. It was closed by its reader's own clock, with whatever was out there.
-func TestSilenceCountsWhereSomethingIsOwed(t *testing.T) {
+func TestSilentConnectionIsReplacedOnlyIfInUse(t *testing.T) {
 	r := newRig(t)
 	r.recordDials = true
 	silent := ServerSilent{Server: "a", Conn: 10, For: time.Second}
@@ -52,51 +52,51 @@
 	limits.Probe = probe.Limits{Permitted: true, Rate: 1, Burst: 2, Timeout: time.Second}
 	r.step(Configured{Settings: elmseam.Settings{Classes: []elmseam.Class{{Deadline: 9 * time.Second}}, MaxAttempts: 4, OwnCell: -1}, Limits: limits})
 	r.core.prober = probe.New(limits.Probe)
-	look := func(server string, link ConnID) string {
-		return r.step(ServerSilent{Server: server, Conn: link, For: 200 * ms})
+	reportSilence := func(server string, conn ConnID) string {
+		return r.step(ServerSilent{Server: server, Conn: conn, For: 200 * ms})
 	}
-	answer := func(server string, link ConnID, id probe.ID) string {
-		return r.step(ServerProbeAnswer{Server: server, Conn: link, ID: id, Report: Report{{elmseam.LoadMetricWait, 5}}})
+	answer := func(server string, conn ConnID, id probe.ID) string {
+		return r.step(ServerProbeAnswer{Server: server, Conn: conn, ID: id, Report: Report{{elmseam.LoadMetricWait, 5}}})
 	}
-	figures := func(want string) {
+	wantCounters := func(want string) {
 		t.Helper()
 		if got := fmt.Sprint(*r.core.Stats(r.now).Probes); got != want {
 			t.Errorf("probes %s, want %s", got, want)
 		}
 	}
-	r.want(look("a", 10), "") // nothing is owed
+	r.want(reportSilence("a", 10), "") // nothing is owed
 	r.setUp(1, 9*time.Second)
-	r.want(look("a", 10), "") // a set-up is out, and tells as much
+	r.want(reportSilence("a", 10), "") // a set-up is out, and tells as much
 	r.step(ServerAnswer{Server: "a", Conn: 10, ID: 1})
-	r.want(look("a", 10)+look("a", 10), "test1@10 ") // one at a time
+	r.want(reportSilence("a", 10)+reportSilence("a", 10), "test1@10 ") // one at a time
 	r.want(answer("b", 11, 1)+answer("a", 10, 1)+answer("a", 10, 1)+r.advance(time.Second), "")
-	figures("{1 1 0 0 2}")
-	r.want(look("a", 10), "test2@10 ")
+	wantCounters("{1 1 0 0 2}")
+	r.want(reportSilence("a", 10), "test2@10 ")
 	r.want(r.advance(500*ms)+r.setUp(2, 9*time.Second), "offer2@10 ")
 	r.want(r.advance(500*ms), "hangup@10 dial-a ") // the probe has failed
 	r.want(r.step(ServerDown{Server: "a", Conn: 10})+r.advance(201*ms), "offer2@11 ")
 	r.want(answer("a", 10, 2), "")
-	figures("{2 1 1 0 3}")
+	wantCounters("{2 1 1 0 3}")
 	r.step(ServerAnswer{Server: "b", Conn: 11, ID: 2})
-	r.want(look("b", 11)+r.advance(time.Second), "test3@11 close@11 dial-b ")
+	r.want(reportSilence("b", 11)+r.advance(time.Second), "test3@11 close@11 dial-b ")
 	r.step(ServerUp{Server: "b", Address: "b:1", Conn: 12})
 	r.core.prober = probe.New(probe.Limits{Permitted: true, Rate: 0.01, Burst: 1, Timeout: time.Second})
-	r.want(look("b", 12), "test1@12 ")
+	r.want(reportSilence("b", 12), "test1@12 ")
 	r.step(ServerProbeAnswer{Server: "b", Conn: 12, ID: 1})
-	r.want(look("b", 12)+look("b", 12), "") // there is no budget, and the connection stays
-	figures("{1 1 0 2 0}")
+	r.want(reportSilence("b", 12)+reportSilence("b", 12), "") // there is no budget, and the connection stays
+	wantCounters("{1 1 0 2 0}")
 	r.advance(100 * time.Second)
 	r.list(elmseam.Ready, elmseam.Draining)
-	r.want(look("b", 12), "close@12 dial-b ")
+	r.want(reportSilence("b", 12), "close@12 dial-b ")
 	r.step(ServerUp{Server: "b", Address: "b:1", Conn: 13})
 	r.list(elmseam.Ready, elmseam.Gone)
-	r.want(look("b", 13), "")
-	figures("{1 1 0 2 0}")
+	r.want(reportSilence("b", 13), "")
+	wantCounters("{1 1 0 2 0}")
 }
 
 // While the answer to a probe is awaited, set-ups go out on another connection; and without one the connection is replaced as
 // if it had been a set-up, whatever the time of a probe.
-func TestProbedConnectionIsInDoubt(t *testing.T) {
+func TestProbedConnectionIsAvoided(t *testing.T) {
 	r := newRig(t)
 	r.core.limits.ConnsPerServer, r.core.limits.UnresponsiveAfter = map[Protocol]int{"": 2}, 100*ms
 	r.core.prober = probe.New(probe.Limits{Permitted: true, Rate: 1, Burst: 2, Timeout: 9 * time.Second})
@@ -115,33 +115,33 @@
 // be another tenant's after a new configuration.
 func TestTenantIsBoundAtArrival(t *testing.T) {
 	r := newRig(t)
-	var heard []int
+	var tenants []int
 	r.core.hook.SuppressEvent = func(ev elmseam.Event) bool {
 		if a, ok := ev.(elmseam.Arrival); ok {
-			heard = append(heard, a.Tenant)
+			tenants = append(tenants, a.Tenant)
 		}
 		return false
 	}
-	set := elmseam.Settings{
+	settings := elmseam.Settings{
 		Classes: []elmseam.Class{{Aim: time.Second, Deadline: 9 * time.Second, Worth: 1}}, MaxAttempts: 4, OwnCell: -1,
 		Tenants: []elmseam.Tenant{{Name: "x", Allowance: 1}, {Name: "y", Allowance: 1}}, OverShareWorth: 0.1,
 	}
-	ask := func(id ID, tenant string) {
+	sendSetUp := func(id ID, tenant string) {
 		r.step(SetUp{ID: id, From: 1, Tenant: tenant, TimeLeft: 5 * time.Second, At: r.now})
 	}
-	ask(1, "x")
-	r.step(Configured{Settings: set, Limits: r.core.limits})
-	ask(2, "x")
-	ask(3, "y")
-	ask(4, "z")
-	ask(5, "")
-	set.Tenants = []elmseam.Tenant{{Name: "y", Allowance: 1}}
-	r.step(Configured{Settings: set, Limits: r.core.limits})
-	ask(6, "x")
-	ask(7, "y")
+	sendSetUp(1, "x")
+	r.step(Configured{Settings: settings, Limits: r.core.limits})
+	sendSetUp(2, "x")
+	sendSetUp(3, "y")
+	sendSetUp(4, "z")
+	sendSetUp(5, "")
+	settings.Tenants = []elmseam.Tenant{{Name: "y", Allowance: 1}}
+	r.step(Configured{Settings: settings, Limits: r.core.limits})
+	sendSetUp(6, "x")
+	sendSetUp(7, "y")
 	for i, want := range []int{-1, 0, 1, -1, -1, -1, 0} {
-		if heard[i] != want {
-			t.Errorf("call %d comes as tenant %d, want %d", i+1, heard[i], want)
+		if tenants[i] != want {
+			t.Errorf("call %d comes as tenant %d, want %d", i+1, tenants[i], want)
 		}
 	}
 }
--- a/internal/core/work.go
+++ b/internal/core/work.go
@@ -38,15 +38,15 @@
 	if c.maintenance != nil || c.membership == nil {
 		return
 	}
-	work, out, err := maintenance.New(ev.Config, c.now)
+	reducer, effects, err := maintenance.New(ev.Config, c.now)
 	if err != nil {
 		c.emit(Violation{Rule: err.Error()})
 		return
 	}
-	c.maintenance = work
-	c.maintenanceEffects(out)
-	for m, e := range c.membership.Members() {
-		c.stepMaintenance(maintenance.MemberAvailability{Member: m, Available: e.State.Available()})
+	c.maintenance = reducer
+	c.maintenanceEffects(effects)
+	for index, member := range c.membership.Members() {
+		c.stepMaintenance(maintenance.MemberAvailability{Member: index, Available: member.State.Available()})
 	}
 	c.stepMaintenance(maintenance.Serving{Serving: c.serving})
 }
@@ -59,17 +59,17 @@
 }
 
 // works carries out what maintenance asks for.
-func (c *Core) maintenanceEffects(out []maintenance.Effect) {
-	for _, e := range out {
-		switch e := e.(type) {
+func (c *Core) maintenanceEffects(effects []maintenance.Effect) {
+	for _, effect := range effects {
+		switch effect := effect.(type) {
 		case maintenance.Send:
-			c.emit(SendToMember{To: e.To, Data: e.Data})
+			c.emit(SendToMember{To: effect.To, Data: effect.Data})
 		case maintenance.Timer:
-			c.setTimer(e.At, Token{kind: tokenMaintenance, maintenance: e.Token})
+			c.setTimer(effect.At, Token{kind: tokenMaintenance, maintenance: effect.Token})
 		case maintenance.RequestChanged:
-			c.emit(MaintenanceProgress{e})
+			c.emit(MaintenanceProgress{effect})
 		case maintenance.Drain:
-			c.drainReasons.maintenance = e.On
+			c.drainReasons.maintenance = effect.On
 			c.setDraining(c.drainReasons.operator || c.drainReasons.maintenance)
 			c.emit(DrainChanged{On: c.draining})
 		}
@@ -93,8 +93,8 @@
 }
 
 // peerThere tells maintenance who is there: one that is merely suspected keeps its place.
-func (c *Core) maintenanceAvailability(m int, s membership.State) {
-	c.stepMaintenance(maintenance.MemberAvailability{Member: m, Available: s.Available() || s == membership.Suspect})
+func (c *Core) maintenanceAvailability(member int, state membership.State) {
+	c.stepMaintenance(maintenance.MemberAvailability{Member: member, Available: state.Available() || state == membership.Suspect})
 }
 
 // MaintenanceStats are what operators are shown of the tier's maintenance.
