--- a/internal/core/drain.go
+++ b/internal/core/drain.go
@@ -2,12 +2,13 @@
 
 import "elmseam/internal/membership"
 
-// A drain sends callers away while the process goes on: operators ask for it and end it, as often as they like.
-// New calls cease to be welcome at once, and the front's test says so. The front needs a while to learn of it and
-// sends new ones until then; they are served. After that, connections that carry no call are closed. One whose
-// calls still stand is needed for their releases; callers that go on asking on it are turned away after a while.
+// A drain sends callers away while the process goes on. Operators and ordered maintenance can begin and end drains any number of
+// times. New calls cease to be welcome at once, which the health check of the callers' front shows. The front notices it only
+// after a while; the set-ups that it still sends until then are served. After DrainGrace, connections of callers without a call
+// are closed. A connection with established calls stays open, as their releases need it, and set-ups that still arrive on it are
+// refused after DrainRefuseAfter.
 
-// drain begins or ends a drain. To ask for what is so already changes nothing.
+// setDraining begins or ends a drain. It does nothing if the drain already is as requested.
 func (c *Core) setDraining(on bool) {
 	if on == c.draining {
 		return
@@ -20,7 +21,9 @@
 	}
 }
 
-// sweep closes the connections of callers that have nothing here, and looks again in a while as long as the drain lasts.
+// closeIdleCallers closes the idle connections of callers without a call, and does so again after DrainCheckInterval until the
+// drain ends. drainChange is the value of drainChanges at the begin of the drain that the timer was set for: a timer of an earlier
+// drain does nothing.
 func (c *Core) closeIdleCallers(drainChange uint32) {
 	if !c.draining || drainChange != c.drainChanges || c.handingOver {
 		return
@@ -41,7 +44,8 @@
 	c.setTimer(c.now+c.limits.DrainCheckInterval, Token{kind: tokenDrainCheck, number: drainChange})
 }
 
-// away says whether callers have had time enough to go elsewhere.
+// drainRefuses says whether set-ups are refused because a drain has lasted for DrainRefuseAfter, in which callers had time to go
+// elsewhere.
 func (c *Core) drainRefuses() bool {
 	return c.draining && c.now >= c.drainChangedAt+c.limits.DrainRefuseAfter
 }
--- a/internal/core/figures.go
+++ b/internal/core/figures.go
@@ -6,32 +6,32 @@
 	"elmseam/internal/probe"
 )
 
-// ClassStats count the requests of a class by their final answers.
+// ClassStats counts the set-ups of a class by their final answers.
 type ClassStats struct {
-	Answered uint64 // it stands
-	Deferred uint64 // refused: trying again is harmless
-	Errored  uint64 // failed
+	Answered uint64 // the call was established
+	Deferred uint64 // refused: the caller may safely try again
+	Errored  uint64 // the set-up failed
 }
 
-// Stats are what operators are shown. The counts start with the process.
+// Stats is the state of the core and its counters since the start of the process, as shown to operators.
 type Stats struct {
-	Classes                       []ClassStats // by place; a class that a new configuration drops keeps its own
-	Sends                         uint64       // attempts written whole to servers
-	Current                       int          // requests taken and not yet ended
+	Classes                       []ClassStats // by index of the class; the counters of a class that a new configuration drops are kept
+	Sends                         uint64       // offers to servers that have been written completely
+	Current                       int          // calls accepted and not yet ended
 	ClusterSize                   int          // servers in the list
-	ClusterUnhealthy              int          // those of them that get nothing new now
-	ConfigsLoaded, ConfigsInvalid uint64       // configurations taken over and turned down
-	Ready                         bool         // this process can serve
+	ClusterUnhealthy              int          // servers of ClusterSize that get no new set-ups now
+	ConfigsLoaded, ConfigsInvalid uint64       // new configurations that came into force, and new ones that were invalid
+	Ready                         bool         // this process can serve new calls
 	Draining                      bool
 	Stopping                      bool
-	Probes                        *probe.Counters   // of connections in doubt; nil: none is permitted
-	Members                       *MemberStats      // of the tier; nil: there is no membership
-	Maintenance                   *MaintenanceStats // of its maintenance; nil: there is none
-	Knowledge                     *KnowledgeStats   // of what the tier knows of the servers; nil: it is off
-	Quotas                        *QuotaStats       // of its parts of cold servers' budgets; nil: they don't move
+	Probes                        *probe.Counters   // probes of silent connections; nil: no probe is permitted
+	Members                       *MemberStats      // membership of the tier; nil: no membership
+	Maintenance                   *MaintenanceStats // ordered maintenance of the tier; nil: no ordered maintenance
+	Knowledge                     *KnowledgeStats   // knowledge of the servers shared in the tier; nil: not shared
+	Quotas                        *QuotaStats       // quotas of cold servers' budgets; nil: the quotas are fixed
 }
 
-// Stats are the figures of now. What they hold is the caller's.
+// Stats returns the state and the counters at the time now. The result shares no memory with the core.
 func (c *Core) Stats(now Time) Stats {
 	stats := c.stats
 	stats.Classes = slices.Clone(stats.Classes)
@@ -42,7 +42,7 @@
 	}
 	stats.Members, stats.Maintenance, stats.Quotas, stats.Knowledge = c.memberStats(), c.maintenanceStats(), c.quotaStats(), c.knowledgeStats()
 	for _, s := range c.serverOrder {
-		if s.Phase == 0 { // gone, and kept for what is left of it
+		if s.Phase == 0 { // phase 0 is Gone: the server is kept only for its remaining calls
 			continue
 		}
 		stats.ClusterSize++
@@ -55,7 +55,7 @@
 	return stats
 }
 
-// count takes in a final answer of a class.
+// countAnswer counts a final answer to a set-up of a class. The reason matters only if the call was not established.
 func (c *Core) countAnswer(class int, answered bool, reason Reason) {
 	if class < 0 || class >= len(c.stats.Classes) {
 		return
@@ -70,7 +70,7 @@
 	}
 }
 
-// room makes room for the figures of so many classes.
+// growClasses extends the counters to the number of classes.
 func (s *Stats) growClasses(classes int) {
 	for len(s.Classes) < classes {
 		s.Classes = append(s.Classes, ClassStats{})
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -5,13 +5,14 @@
 	"slices"
 )
 
-// A new process takes over from an old one while both run. The old one hands its callers' connections on, between two
-// messages, and keeps the calls it has: what it says to their callers goes through the new one, which keeps account
-// of the set-ups that the old one still owes an answer. Should the old one die, the new one answers them.
+// In a hand-over a new process, the successor, takes over from the running process, its predecessor, while both run. The
+// predecessor transfers the connections of its callers, each at a boundary between two messages, and keeps its calls: its effects
+// for their callers go through the successor. The successor records the set-ups that the predecessor has not answered yet, and
+// rejects them if the predecessor ends first.
 
-// handOver begins to hand the callers on. What comes on their connections from now on is the successor's.
+// handOver begins to transfer the connections of callers. Their input from now on is read by the successor.
 func (c *Core) handOver() {
-	if c.handingOver || c.closing { // at the end connections are closed: one on its way would be lost
+	if c.handingOver || c.closing { // while closing, connections are about to be closed: one in transfer would be lost
 		return
 	}
 	c.handingOver, c.stopping = true, true
@@ -22,14 +23,15 @@
 	c.setTimer(c.now+c.limits.MaxStopWait, Token{kind: tokenMaxStopWait})
 }
 
-// move has a connection read no further.
+// stopReading begins the transfer of a connection: the connection is read no further. Only transient connections whose input is
+// not malformed are transferred.
 func (c *Core) stopReading(conn *callerConn) {
 	if c.limits.Transient[conn.protocol] && !conn.malformed {
 		c.emit(StopReading{To: conn.id})
 	}
 }
 
-// moved passes on a connection that is read no further, with the set-ups that are open on it.
+// transfer passes a connection that is read no further to the successor, with the ids of its open set-ups and established calls.
 func (c *Core) transfer(id ConnID) {
 	conn := c.callers[id]
 	if conn == nil {
@@ -46,19 +48,20 @@
 			established = append(established, k.ID)
 		}
 	}
-	// They have to fit into one message. An answer that is owed goes before a release that finds another way.
+	// The ids have to fit into one message. Open set-ups go first: their answers need this connection, whereas the release of an
+	// established call can be sent on another one.
 	established = established[:min(len(established), max(c.limits.MaxTransferredCalls-len(open), 0))]
 	c.emit(Transfer{To: id, Open: open, Established: established, HadSetUp: conn.hadSetUp})
 }
 
-// keeps says whether callers' connections are still here that have to be handed on, or are on their way.
+// transfersPending says whether a connection of a caller still has to be transferred, or its transfer is not confirmed yet.
 func (c *Core) transfersPending() bool {
 	return c.handingOver && slices.ContainsFunc(c.callerOrder, func(conn *callerConn) bool {
 		return (!conn.transferred || conn.transferUnconfirmed) && !conn.transferFailed && !conn.malformed && c.limits.Transient[conn.protocol]
 	})
 }
 
-// adopt takes in what a predecessor says of a connection that it has handed on.
+// adoptTransferred records the calls that the predecessor has on a connection that it transferred.
 func (c *Core) adoptTransferred(conn *callerConn, ev CallerUp) {
 	if conn.hadSetUp = ev.HadSetUp; conn.hadSetUp {
 		c.flushReleases()
@@ -71,8 +74,8 @@
 	}
 }
 
-// predecessor takes in that another process owns calls of callers who are here, or that it has gone. What it owed an
-// answer may have run.
+// predecessorChanged handles news that a predecessor owns calls whose callers are connected here, or that the predecessor has
+// ended. The set-ups that it left unanswered may have run at a server and are rejected as Failed.
 func (c *Core) predecessorChanged(ev Predecessor) {
 	c.hasPredecessor, c.sharesCallerLimit = ev.Present, ev.Present && !ev.Transferring
 	if ev.Present {
@@ -85,7 +88,7 @@
 	clear(c.predecessorSetUps)
 }
 
-// relayed passes on what a predecessor tells a caller of its own call. A second final answer is passed on to nobody.
+// relayFromPredecessor passes an effect of the predecessor on to the caller. A second final answer to a set-up is dropped.
 func (c *Core) relayFromPredecessor(ev Relayed) {
 	switch effect := ev.Effect.(type) {
 	case Answered:
@@ -111,14 +114,14 @@
 	}
 }
 
-// forgetForeign takes in that nobody waits any more for the set-ups that a predecessor has open for a caller.
+// forgetPredecessorCalls forgets the calls of the predecessor on the connection of a caller that has ended.
 func (c *Core) forgetPredecessorCalls(conn ConnID) {
 	ofConn := func(_ ID, callConn ConnID) bool { return callConn == conn }
 	maps.DeleteFunc(c.predecessorSetUps, ofConn)
 	maps.DeleteFunc(c.predecessorCalls, ofConn)
 }
 
-// RecentlyEnded are the ids of the last calls that ended here, at most so many, for a successor.
+// RecentlyEnded returns the ids of the latest calls that ended in this process, oldest first and at most limit, for a successor.
 func (c *Core) RecentlyEnded(limit int) []ID {
 	latest := c.endedOrder[max(len(c.endedOrder)-limit, 0):]
 	ids := make([]ID, 0, len(latest))
--- a/internal/core/hook.go
+++ b/internal/core/hook.go
@@ -2,35 +2,36 @@
 
 import "elmseam"
 
-// Guard names a guard of the core's own. Checks take one out, to see that its absence shows.
+// Guard names a guard of the core. Tests disable a guard to check that they detect the violations it prevents.
 type Guard uint16
 
 // The guards.
 const (
-	GuardSingleAnswer  Guard = 1 << iota // one final answer
-	GuardSingleAttempt                   // no attempt beside another
-	GuardMaxAttempts                     // no attempt too many
-	GuardResendWait                      // none within the release gap
-	GuardPhase                           // none to a server that takes no new work
-	GuardDeadline                        // an answer while the caller waits
-	GuardSingleRelease                   // one release
-	GuardForgetEnded                     // a call that is over is forgotten
+	GuardSingleAnswer  Guard = 1 << iota // a set-up gets one final answer
+	GuardSingleAttempt                   // a call has one outstanding attempt at a time
+	GuardMaxAttempts                     // a call has no more attempts than permitted
+	GuardResendWait                      // no attempt starts within the release guard
+	GuardPhase                           // no attempt goes to a server that takes no new work
+	GuardDeadline                        // the final answer comes before the caller's time is up
+	GuardSingleRelease                   // a call is released once
+	GuardForgetEnded                     // an ended call is forgotten
 )
 
-// Hook breaks a core on purpose, for checks that have to see a rule broken. No program sets one.
+// Hook makes a core violate its rules on purpose, for tests that have to detect the violation. No program sets a Hook.
 type Hook struct {
-	DisabledGuards Guard
-	SuppressEvent  func(elmseam.Event) bool                               // the module isn't told
-	Decide         func(elmseam.Event, []elmseam.Action) []elmseam.Action // in place of the module's decision
+	DisabledGuards Guard                                                  // guards that are switched off, as a bit set
+	SuppressEvent  func(elmseam.Event) bool                               // events for which it returns true are kept from the controller
+	Decide         func(elmseam.Event, []elmseam.Action) []elmseam.Action // replaces the actions that the controller decided on
 }
 
-// SetHook breaks the core.
+// SetHook installs a hook.
 func (c *Core) SetHook(h Hook) { c.hook = h }
 
-// has says whether a guard is in its place.
+// guardEnabled says whether a guard is not disabled by the hook.
 func (c *Core) guardEnabled(g Guard) bool { return c.hook.DisabledGuards&g == 0 }
 
-// TimerObsolete says whether a timer can mean nothing any more, as its call is over. No id comes twice.
+// TimerObsolete says whether a timer can have no effect any more, because its call has ended. The controller never uses an id
+// twice.
 func (c *Core) TimerObsolete(t Token) bool {
 	switch t.kind {
 	case tokenController:
@@ -41,15 +42,15 @@
 	return false
 }
 
-// Retained is what a core keeps of calls.
+// Retained counts what a core keeps for calls.
 type Retained struct {
-	Calls, Open, Bytes    int // in hand, without a final answer, and what they keep
-	Attempts, Established int
-	PendingReleases       int // that wait for a connection
-	ControllerCalls       int // calls that the module knows
+	Calls, Open, Bytes    int // calls, those without a final answer, and the memory of all calls in bytes
+	Attempts, Established int // outstanding attempts and established calls at all servers
+	PendingReleases       int // releases that wait for a connection of callers
+	ControllerCalls       int // calls that the controller keeps
 }
 
-// Retained is what the core keeps now. When every call is over it is all zeros.
+// Retained returns what the core keeps now. All counts are 0 when every call has ended.
 func (c *Core) Retained() Retained {
 	retained := Retained{Calls: len(c.calls), Open: c.openSetUps, Bytes: c.callBytes, PendingReleases: len(c.pendingReleases), ControllerCalls: c.controller.Calls()}
 	for _, s := range c.servers {
--- a/internal/core/know.go
+++ b/internal/core/know.go
@@ -8,22 +8,23 @@
 	"elmseam/internal/membership"
 )
 
-// What the tier knows of the servers (internal/knowledge) runs inside the core: what the module has seen rides on
-// membership's datagrams, and what others have seen is weighed there and handed to the module by one event, Learn. It
-// names no servers. Only that a server drains reaches past the module, and only for the less.
+// The knowledge reducer (internal/knowledge), which shares observations of the servers within the tier, runs inside the core. The
+// controller's own observations are piggybacked on membership datagrams. Observations reported by other members are weighed by
+// the reducer and given to the controller by ApplyTierReport. They never add a server to the list. Only a reported drain acts on
+// the core itself, and it can only stop new set-ups to a server, never permit them.
 
-// StartKnowledge begins this softswitch's part in sharing what the tier knows of the servers. It needs a Join before.
+// StartKnowledge begins to share observations of the servers with the tier. It has no effect without a StartMembership before it.
 type StartKnowledge struct{ Config knowledge.Config }
 
 func (StartKnowledge) event() {}
 
-// hearsay is what peers' lists say of a server beyond the own list.
+// drainReport says whether other members report that a server drains, although it is ready in this softswitch's own list.
 type drainReport struct {
-	listedAt Time // when the own list spoke of it last
-	expiry   Time // till then it is held for draining, as a peer's list says so that is newer
+	listedAt Time // when the own server list last named the server
+	expiry   Time // until then the server counts as draining, as a member has news that is later than listedAt; 0: not reported
 }
 
-// know begins. A second Know changes nothing.
+// startKnowledge starts the knowledge reducer. A second StartKnowledge has no effect.
 func (c *Core) startKnowledge(ev StartKnowledge) {
 	if c.knowledge != nil || c.membership == nil {
 		return
@@ -40,14 +41,14 @@
 	}
 }
 
-// toKnow hands knowledge an event.
+// stepKnowledge gives the knowledge reducer an event and carries out its effects.
 func (c *Core) stepKnowledge(ev knowledge.Event) {
 	if c.knowledge != nil {
 		c.knowledgeEffects(c.knowledge.Step(c.now, ev))
 	}
 }
 
-// learnt carries out what knowledge asks for.
+// knowledgeEffects carries out effects of the knowledge reducer.
 func (c *Core) knowledgeEffects(effects []knowledge.Effect) {
 	for _, effect := range effects {
 		switch effect := effect.(type) {
@@ -63,7 +64,8 @@
 	}
 }
 
-// learn hands the module what the tier knows of a server.
+// applyTierReport gives the controller what other members report of a server. A reported drain later than the server's last entry
+// in the own list makes the server count as draining for ReportedDrainTTL.
 func (c *Core) applyTierReport(key uint32) {
 	s := c.serversByKey()[key]
 	if s == nil {
@@ -78,7 +80,7 @@
 	}
 }
 
-// unhear forgets that a server is held for draining: the own list, which is late, has not confirmed it.
+// expireDrainReport ends the effect of a reported drain that the own server list has not confirmed within ReportedDrainTTL.
 func (c *Core) expireDrainReport(name string) {
 	if s := c.servers[name]; s != nil && s.drainReport.expiry > 0 && c.now >= s.drainReport.expiry {
 		s.drainReport = drainReport{listedAt: c.now}
@@ -86,7 +88,8 @@
 	}
 }
 
-// named are the servers by the hash of their names; two that hash alike are left out.
+// serversByKey returns the servers by the hash of their names. Servers whose names have the same hash are left out: their entry is
+// nil.
 func (c *Core) serversByKey() map[uint32]*server {
 	byKey := make(map[uint32]*server, len(c.serverOrder))
 	for _, s := range c.serverOrder {
@@ -103,7 +106,7 @@
 	return byKey
 }
 
-// seen tells knowledge what this softswitch has seen itself.
+// reportObservations gives the knowledge reducer the observations of this softswitch.
 func (c *Core) reportObservations() {
 	observations := make(map[uint32]knowledge.Observation)
 	for key, s := range c.serversByKey() {
@@ -120,7 +123,7 @@
 	c.stepKnowledge(knowledge.LocalObservations{Servers: observations})
 }
 
-// ride has what this softswitch has seen ride on a datagram of membership.
+// appendPiggyback appends the observations of this softswitch to a membership datagram.
 func (c *Core) appendPiggyback(data []byte) []byte {
 	if c.knowledge == nil {
 		return data
@@ -129,9 +132,11 @@
 	return c.knowledge.AppendPiggyback(c.now, data)
 }
 
-// knowThere tells knowledge who is there. Who dies leaves its callers to the others, who serve them at rates that would
-// follow slowly; who comes back takes them back. A suspicion is enough: the callers of one that answers nobody leave it long
-// before it is held dead, and a rate that is held too high for a while costs little.
+// knowledgeAvailability tells the knowledge reducer whether a member is available and adapts the controller's rates. The callers
+// of a member that dies move to the other members, whose measured rates would follow only slowly: the rates are raised at once by
+// the takeover factor, and lowered by the same factor when the member is back. A suspected member already counts as unavailable:
+// callers leave a member that does not respond long before it is declared dead, and rates that are too high for a while cost
+// little.
 func (c *Core) knowledgeAvailability(member int, oldState, newState membership.State) {
 	c.stepKnowledge(knowledge.MemberAvailability{Member: member, Available: newState.Available()})
 	if c.knowledge == nil {
@@ -148,23 +153,23 @@
 	}
 }
 
-// ServerKnowledge is what is known of a server, for operators.
+// ServerKnowledge is the knowledge of a server, as shown to operators.
 type ServerKnowledge struct {
 	Name          string
 	Phase         elmseam.Phase
-	DrainReported bool // it is held for draining by a peer's word alone
-	View          knowledge.View
-	Reports       []knowledge.ObserverEntry
-	ColdRate      float64 // that may be used of its budget, while it is cold; negative: the own part counts
+	DrainReported bool                      // the server counts as draining only because members report so
+	View          knowledge.View            // the weighed reports of all members
+	Reports       []knowledge.ObserverEntry // the report of each member
+	ColdRate      float64                   // while the server is cold, rate of set-ups that its budget permits here, in set-ups/s of a warm server; negative: the own quota applies
 }
 
-// KnowledgeStats are what operators are shown of what the tier knows.
+// KnowledgeStats is the state of the knowledge reducer, as shown to operators.
 type KnowledgeStats struct {
 	knowledge.Counters
 	Servers []ServerKnowledge
 }
 
-// known are the figures of knowledge; nil where it is off.
+// knowledgeStats returns the state of the knowledge reducer; nil if observations are not shared.
 func (c *Core) knowledgeStats() *KnowledgeStats {
 	if c.knowledge == nil {
 		return nil
--- a/internal/core/members.go
+++ b/internal/core/members.go
@@ -8,14 +8,15 @@
 	"elmseam/internal/membership"
 )
 
-// The tier's membership runs inside the core: its datagrams come through the inbox like all else, so a softswitch
-// whose core stands still answers no probe, and is suspected for it. What is learned of the others changes one
-// decision, the part of a cold server's budget, and only for the less (membership.View.ColdShare).
+// The membership reducer of the tier runs inside the core. Its datagrams come through the inbox of the core like all other events,
+// so a softswitch whose core has stalled answers no membership probes and is suspected. The states of the other members change one
+// decision: the fraction of its own quota of a cold server's budget that this softswitch uses, which they can only lower
+// (membership.View.ColdQuotaFactor).
 
 type (
-	// StartMembership begins this softswitch's part in its tier. Without one there is no membership.
+	// StartMembership makes this softswitch a member of its tier. Without this event there is no membership.
 	StartMembership struct{ Config membership.Config }
-	// MemberDatagram is a datagram of another softswitch of the tier, by its number.
+	// MemberDatagram is a datagram from another member of the tier; From is the index of that member.
 	MemberDatagram struct {
 		From int
 		Data []byte
@@ -26,29 +27,29 @@
 func (MemberDatagram) event()  {}
 
 type (
-	// SendToMember is a datagram to another softswitch of the tier, by its number.
+	// SendToMember sends a datagram to another member of the tier; To is the index of that member.
 	SendToMember struct {
 		To   int
 		Data []byte
 	}
-	// MemberChanged says that another softswitch of the tier is held to be in another state now.
+	// MemberChanged reports that the state of another member of the tier, as seen from here, has changed.
 	MemberChanged struct{ membership.StateChanged }
 )
 
 func (SendToMember) effect()  {}
 func (MemberChanged) effect() {}
 
-// MemberStats are what operators are shown of the tier.
+// MemberStats is the state of the tier, as shown to operators.
 type MemberStats struct {
 	membership.Counters
 	membership.View
-	Self      int
-	Members   []membership.Member
-	Health    int     // local health multiplier, 0 the best
-	ColdShare float64 // part of its own part of a cold server's budget that this softswitch takes
+	Self      int                 // index of this softswitch
+	Members   []membership.Member // by index
+	Health    int                 // local health multiplier; 0 is best
+	ColdShare float64             // fraction, 0 to 1, of its own quota of a cold server's budget that this softswitch uses
 }
 
-// join begins membership. A second Join changes nothing.
+// startMembership starts the membership reducer. A second StartMembership has no effect.
 func (c *Core) startMembership(ev StartMembership) {
 	if c.membership != nil {
 		return
@@ -66,7 +67,8 @@
 	}
 }
 
-// peer hands a datagram to the protocol that its first byte names; what none knows, membership counts.
+// memberDatagram gives a datagram to the reducer whose version its first byte names. Any other datagram goes to membership, which
+// counts the malformed ones.
 func (c *Core) memberDatagram(ev MemberDatagram) {
 	version := byte(membership.Version)
 	if len(ev.Data) > 0 {
@@ -83,7 +85,7 @@
 		c.stepKnowledge(knowledge.Datagram{From: ev.From, Data: ev.Data})
 	default:
 		data, piggyback, err := datagram.SplitPiggyback(ev.Data)
-		if err != nil { // membership counts it
+		if err != nil { // membership counts it as malformed
 			data = ev.Data
 		}
 		c.stepMembership(membership.Datagram{From: ev.From, Data: data})
@@ -93,14 +95,14 @@
 	}
 }
 
-// toPeers hands membership an event.
+// stepMembership gives the membership reducer an event and carries out its effects.
 func (c *Core) stepMembership(ev membership.Event) {
 	if c.membership != nil {
 		c.membershipEffects(c.membership.Step(c.now, ev))
 	}
 }
 
-// peers carries out what membership asks for.
+// membershipEffects carries out effects of the membership reducer.
 func (c *Core) membershipEffects(effects []membership.Effect) {
 	changed := false
 	for _, effect := range effects {
@@ -124,7 +126,7 @@
 	}
 }
 
-// members are the figures of the tier; nil where there is no membership.
+// memberStats returns the state of the tier; nil if there is no membership.
 func (c *Core) memberStats() *MemberStats {
 	if c.membership == nil {
 		return nil
--- a/internal/core/parts.go
+++ b/internal/core/parts.go
@@ -10,15 +10,17 @@
 	"elmseam/internal/membership"
 )
 
-// Parts of a cold server's budget move between the softswitches of the tier (internal/budget); membership tells it who is
-// there. What may be used here is set anew before each event, as a lease may have run out while this process stood still.
+// The budget reducer (internal/budget) moves units of the quotas of cold servers' budgets between the members of the tier;
+// membership tells it which members are available. The controller's cold rates are set again before each event, as a lease may have
+// expired while this process was stalled.
 
-// StartBudget begins this softswitch's part in moving the tier's parts of cold servers' budgets. It needs a Join before.
+// StartBudget begins to share the quotas of cold servers' budgets with the tier. It has no effect without a StartMembership before
+// it.
 type StartBudget struct{ Config budget.Config }
 
 func (StartBudget) event() {}
 
-// share begins. A second Share changes nothing.
+// startBudget starts the budget reducer. A second StartBudget has no effect.
 func (c *Core) startBudget(ev StartBudget) {
 	if c.budget != nil || c.membership == nil {
 		return
@@ -36,14 +38,14 @@
 	c.reportColdServers()
 }
 
-// toParts hands budget an event.
+// stepBudget gives the budget reducer an event and carries out its effects.
 func (c *Core) stepBudget(ev budget.Event) {
 	if c.budget != nil {
 		c.budgetEffects(c.budget.Step(c.now, ev))
 	}
 }
 
-// partEffects carries out what budget asks for.
+// budgetEffects carries out effects of the budget reducer.
 func (c *Core) budgetEffects(effects []budget.Effect) {
 	for _, effect := range effects {
 		switch effect := effect.(type) {
@@ -55,16 +57,18 @@
 	}
 }
 
-// startOf names one start of a server, alike at every softswitch that was told of it.
+// incarnationKey hashes the name of a server and the time when its process started. The key of an incarnation is the same at every
+// member.
 func incarnationKey(s *server) uint32 {
 	return uint32(xxh3.HashString(s.Name + " " + strconv.FormatInt(int64(s.Started), 10)))
 }
 
-// settling is how long a softswitch that has just started tells anew what its part of a cold server is: at first it has
-// counted nothing, and a part of nothing would stay so until the server is warm.
+// coldReportPeriod is how long after the start of this softswitch its quota of a cold server is reported again and again. At the
+// start nothing has been counted, so the first reported quota is 0 and without an update would stay 0 until the server is warm.
 const coldReportPeriod = 15 * time.Second
 
-// colds tells budget of the servers that are cold.
+// reportColdServers tells the budget reducer which servers are cold and the quotas of this softswitch: once for each start of a
+// server, and every time within coldReportPeriod.
 func (c *Core) reportColdServers() {
 	if c.budget == nil {
 		return
@@ -83,7 +87,7 @@
 	c.applyColdRates()
 }
 
-// allot tells the module what may be used of cold servers' budgets now.
+// applyColdRates sets the rates at which the controller may send set-ups to cold servers now.
 func (c *Core) applyColdRates() {
 	if c.budget == nil || !c.budget.AnyCold() {
 		return
@@ -100,8 +104,8 @@
 	}
 }
 
-// coldUse is how much of its own part of cold servers' budgets this softswitch has used since it was asked last, of the
-// one of which it used most; 1 is all.
+// coldDemand returns the fraction of its own quota that this softswitch has used since the last call of coldDemand, for the cold
+// server where that fraction is the highest. 1 means that the quota was used up.
 func (c *Core) coldDemand() (demand float64) {
 	for _, s := range c.serverOrder {
 		coldBudget, isCold := c.controller.ColdBudget(s.id, c.now)
@@ -115,21 +119,21 @@
 	return demand
 }
 
-// partThere tells budget who is there. One that is merely suspected is not: what it left can be had only when its lease
-// has run out.
+// budgetAvailability tells the budget reducer whether a member is available. A suspected member counts as unavailable, which is
+// safe: its units can be taken only after its lease has expired.
 func (c *Core) budgetAvailability(member int, state membership.State) {
 	c.stepBudget(budget.MemberAvailability{Member: member, Available: state.Available()})
 }
 
-// QuotaStats are what operators are shown of parts of budgets.
+// QuotaStats is the state of the budget reducer, as shown to operators.
 type QuotaStats struct {
 	budget.Counters
-	Enabled bool // false: the tier is too great for it
-	Active  bool // a server is cold
-	Quotas  []budget.Quota
+	Enabled bool           // false: the tier is too large to move units
+	Active  bool           // a server is cold
+	Quotas  []budget.Quota // quotas that this softswitch keeps account of
 }
 
-// shared are the figures of parts; nil where they don't move.
+// quotaStats returns the state of the budget reducer; nil if the quotas are fixed.
 func (c *Core) quotaStats() *QuotaStats {
 	if c.budget == nil {
 		return nil
--- a/internal/core/probe.go
+++ b/internal/core/probe.go
@@ -8,24 +8,25 @@
 	"elmseam/internal/probe"
 )
 
-// A connection that brings nothing may be dead, or its server has nothing to tell. What is owed there decides.
+// A connection without input may be dead, or its server has nothing to send. What is pending on the connection decides whether it
+// is replaced, probed or left alone.
 
 type (
-	// ServerSilent says that nothing has come on a connection for so long. Whether anything is owed there, is not for its
-	// reader to say.
+	// ServerSilent reports that nothing has come on a connection for the duration For. The reader of the connection does not
+	// know whether anything is pending there.
 	ServerSilent struct {
 		Server string
 		Conn   ConnID
 		For    time.Duration
 	}
-	// ServerProbeAnswer is the answer to a Test.
+	// ServerProbeAnswer reports the answer of a server to a Probe.
 	ServerProbeAnswer struct {
 		Server string
 		Conn   ConnID
 		ID     probe.ID
 		Report Report
 	}
-	// Probe asks a server, on a connection, whether it is there. It is no set-up.
+	// Probe asks a server on a connection whether it responds. A probe is not a set-up.
 	Probe struct {
 		To ConnID
 		ID probe.ID
@@ -36,10 +37,11 @@
 func (ServerProbeAnswer) event() {}
 func (Probe) effect()            {}
 
-// silent takes in that nothing has come on a connection for some time. Where a set-up went out on it half of that ago, it
-// is held for dead, whether the set-up is still out or was given up meanwhile. One that has had its first since then later is
-// looked at again, and one on which nothing is owed may be silent. Where calls stand, what ends them may come on any
-// connection: it is probed, or replaced where no probe is permitted.
+// serverSilent handles a connection on which nothing has come for the duration For. If an unanswered set-up went out there at least
+// For/2 ago, the connection counts as dead and is replaced, whether that set-up is still outstanding or was given up meanwhile. If
+// the first unanswered set-up is younger, the connection is judged at the next ServerSilent. Without an unanswered set-up the
+// silence is normal, except at a server with established calls, whose releases may come on any connection: there the connection is
+// probed, or replaced where no probe is permitted.
 func (c *Core) serverSilent(ev ServerSilent) {
 	s := c.servers[ev.Server]
 	if s == nil {
@@ -49,7 +51,7 @@
 	if conn == nil {
 		return
 	}
-	unansweredSince := conn.unansweredSince // set-up that nothing has come after, or that is out
+	unansweredSince := conn.unansweredSince // time of the first set-up or probe without an input after it, or of an older outstanding set-up
 	for _, k := range s.outstanding {
 		if k.attempt.conn == conn && (unansweredSince == 0 || k.attempt.startedAt < unansweredSince) {
 			unansweredSince = k.attempt.startedAt
@@ -70,13 +72,13 @@
 	case probe.Forbidden:
 		c.replaceConn(s, conn)
 	case probe.Send:
-		conn.unansweredSince = c.now // as for a set-up: what goes out from now on goes elsewhere unless something comes
+		conn.unansweredSince = c.now // as after a set-up: new set-ups avoid the connection after UnresponsiveAfter without input
 		c.emit(Probe{To: conn.id, ID: id})
 		c.setTimer(deadline, Token{kind: tokenProbeTimeout, server: s.Name, probe: id, conn: conn.id})
 	}
 }
 
-// tested takes in what a server says to a probe.
+// probeAnswered handles the answer to a probe.
 func (c *Core) probeAnswered(ev ServerProbeAnswer) {
 	s := c.servers[ev.Server]
 	if s == nil {
@@ -88,7 +90,7 @@
 	}
 }
 
-// overdue takes in that a probe's time is up. Without an answer its connection is of no use.
+// probeExpired handles the time-out of a probe. The connection is replaced if the probe has not been answered.
 func (c *Core) probeExpired(t Token) {
 	if s := c.servers[t.server]; c.prober.Expire(t.probe) && s != nil {
 		if conn := s.connByID(t.conn); conn != nil {
@@ -97,12 +99,12 @@
 	}
 }
 
-// replace ends a connection that is held for dead, with what is out there, and asks for another.
+// replaceConn closes a connection that counts as dead, which ends its outstanding attempts, and dials another.
 func (c *Core) replaceConn(s *server, conn *serverConn) {
 	c.prober.ConnClosed(uint64(conn.id))
 	if slices.ContainsFunc(inArrivalOrder(s.outstanding), func(k *call) bool { return k.attempt.conn == conn }) {
 		conn.malformed = true
-		c.emit(CloseConn{To: conn.id}) // its end tells of what was out
+		c.emit(CloseConn{To: conn.id}) // the ServerDown that follows ends the outstanding attempts
 	} else {
 		s.conns = slices.DeleteFunc(s.conns, func(other *serverConn) bool { return other == conn })
 		c.emit(GracefulClose{To: conn.id})
@@ -112,7 +114,7 @@
 	}
 }
 
-// lineOf is a connection to a server by its name; nil: it is one no more.
+// connByID returns the connection to the server with the id; nil: the server has no such connection any more.
 func (s *server) connByID(id ConnID) *serverConn {
 	for _, conn := range s.conns {
 		if conn.id == id {
--- a/internal/core/servers.go
+++ b/internal/core/servers.go
@@ -7,7 +7,7 @@
 	"elmseam"
 )
 
-// list takes in news of the servers.
+// serverList handles news of the servers from one source.
 func (c *Core) serverList(ev List) {
 	listed := make(map[string]bool)
 	var changed []*server
@@ -20,10 +20,10 @@
 			c.servers[entry.Name], c.serversByID[s.id] = s, s
 			c.serverOrder = append(c.serverOrder, s)
 		case s.Started != entry.Started || s.Address != entry.Address:
-			// Another process: what stood at the one before is cut. Its connection is of no use.
+			// Another process: the calls established on the former one are lost, and its connections are useless.
 			c.resetEstablished(s)
 			c.closeServerConns(s)
-			s.pendingReleases = nil // of the process that is no more
+			s.pendingReleases = nil // they were for the former process
 		}
 		s.Server, s.source, s.drainReport = entry, ev.Source, drainReport{listedAt: c.now}
 		changed = append(changed, s)
@@ -35,14 +35,14 @@
 			}
 		}
 	}
-	if ev.Full { // the module takes a full list for all there is
+	if ev.Full { // the controller takes a full list to name all servers
 		changed = slices.Clone(c.serverOrder)
 	}
 	c.updatePhases(changed, ev.Full, ev.Cached)
 }
 
-// phases tells the module of servers whose state may have changed, stops new work where it must, and
-// looks after the connections.
+// updatePhases recomputes the effective phases of servers and reports them to the controller. Servers that are ready are dialled.
+// Servers that are not lose their waiting attempts and unwritten offers, and servers that are gone their connections too.
 func (c *Core) updatePhases(changed []*server, full, cached bool) {
 	var entries []elmseam.ListEntry
 	for _, s := range changed {
@@ -74,7 +74,7 @@
 				c.endAttempt(k, elmseam.Outcome{Cause: elmseam.CauseNotSent})
 			}
 		}
-		if s.Phase == elmseam.Gone { // closing the connection gives up what is out there
+		if s.Phase == elmseam.Gone { // closing the connections ends the outstanding attempts
 			c.resetEstablished(s)
 			c.closeServerConns(s)
 			c.removeIfUnused(s)
@@ -82,7 +82,7 @@
 	}
 }
 
-// tidy closes the connection to a server that is gone and of which nothing is left, and forgets it.
+// removeIfUnused forgets a server that is gone and has neither calls nor attempts, and closes its connections.
 func (c *Core) removeIfUnused(s *server) {
 	if s.Phase != elmseam.Gone || len(s.established)+len(s.outstanding) > 0 || c.servers[s.Name] != s {
 		return
@@ -100,7 +100,7 @@
 	}
 }
 
-// idOf is the module's name for a server that comes into the list.
+// serverID returns the controller's id for a server that comes into the list: the former id of a server that comes back.
 func (c *Core) serverID(name string) elmseam.ServerID {
 	for i, removed := range c.removed {
 		if removed.name == name {
@@ -112,7 +112,7 @@
 	return c.lastServerID
 }
 
-// route takes in that the way to some servers has gone or come.
+// routeChanged handles a route that is withdrawn or announced again.
 func (c *Core) routeChanged(ev Route) {
 	var changed []*server
 	for _, s := range c.serverOrder {
@@ -131,7 +131,7 @@
 	}
 }
 
-// cutOff says whether the way to a server is withdrawn.
+// routeWithdrawn says whether a withdrawn route covers the address of a server.
 func (c *Core) routeWithdrawn(s *server) bool {
 	for _, route := range c.withdrawnRoutes {
 		if route.Covers(s.Address) {
@@ -141,13 +141,13 @@
 	return false
 }
 
-// wanted is how many connections to a server are of use. More than one, so that what goes wrong on one doesn't
-// concern all that is out there, and shows.
+// wantedConns returns how many connections to a server are useful. With several connections, a failure of one does not affect all
+// outstanding attempts at the server, and it is noticed, as the other connections still bring answers.
 func (c *Core) wantedConns(s *server) int {
 	switch {
 	case s.Phase == elmseam.Ready && !c.routeWithdrawn(s):
 		wanted := max(c.limits.ConnsPerServer[s.Protocol], 1)
-		if c.limits.MaxServerConns > 0 { // descriptors are scarce: each server its part, and one at least
+		if c.limits.MaxServerConns > 0 { // file descriptors are scarce: each server gets an equal share of them, but at least one
 			wanted = min(wanted, max(c.limits.MaxServerConns/len(c.serverOrder), 1))
 		}
 		return wanted
@@ -157,7 +157,7 @@
 	return 0
 }
 
-// sound are the connections to a server that are of use for something new.
+// usableConns returns how many connections to a server can carry new set-ups.
 func (s *server) usableConns() (n int) {
 	for _, conn := range s.conns {
 		if !conn.malformed {
@@ -167,7 +167,7 @@
 	return n
 }
 
-// retire closes the malformed connections to a server on which nothing is out any more.
+// closeMalformedConns closes the malformed connections to a server that have no outstanding attempt any more.
 func (c *Core) closeMalformedConns(s *server) {
 	if s.usableConns() == len(s.conns) {
 		return
@@ -185,7 +185,8 @@
 	})
 }
 
-// dial asks for a connection, one at a time, and says whether one is on its way.
+// dial asks for a connection to a server, unless a dial is under way or the server has connections enough. It returns whether a
+// dial is under way.
 func (c *Core) dial(s *server) bool {
 	if s.dialing || s.usableConns() >= max(c.wantedConns(s), 1) {
 		return s.dialing
@@ -198,14 +199,15 @@
 	return true
 }
 
-// ahead asks for a connection before anything needs it, where that takes none from another server.
+// dialAhead asks for a connection before a set-up needs it, if no connection to another server has to be closed for it. A server
+// with established calls and no usable connection is dialled in any case.
 func (c *Core) dialAhead(s *server) {
 	if c.limits.MaxServerConns == 0 || c.serverConnCount() < c.limits.MaxServerConns || len(s.established) > 0 && s.usableConns() == 0 {
 		c.dial(s)
 	}
 }
 
-// lines are the connections to servers that there are or will be.
+// serverConnCount returns the number of connections to all servers, dials under way included.
 func (c *Core) serverConnCount() (n int) {
 	for _, s := range c.serverOrder {
 		if n += len(s.conns); s.dialing {
@@ -215,8 +217,9 @@
 	return n
 }
 
-// spareLine makes room for a connection to a server where descriptors are scarce: it closes the one used least of late
-// among those on which nothing is out, and that are not a server's last while calls stand there. It says whether it did.
+// evictServerConn closes a connection of another server to make room for a connection to the requester, when file descriptors are
+// scarce. It chooses the connection whose last offer is the oldest, among those without an outstanding attempt. The only connection
+// to a server with established calls is never chosen. It returns whether it closed one.
 func (c *Core) evictServerConn(requester *server) bool {
 	var owner *server
 	var victim *serverConn
@@ -238,12 +241,13 @@
 		return false
 	}
 	owner.conns = slices.DeleteFunc(owner.conns, func(conn *serverConn) bool { return conn == victim })
-	c.emit(GracefulClose{To: victim.id}) // releases may wait there to be written
+	c.emit(GracefulClose{To: victim.id}) // releases may still be waiting to be written there
 	return true
 }
 
-// lineTo is the connection for the next set-up: the one used least of late among those that don't leave set-ups
-// without a word. None goes over a malformed one.
+// connFor returns the connection for the next set-up to a server: the one whose last offer is the oldest, among those that are not
+// unresponsive. An unresponsive connection is used only if there is no other, a malformed one never. The result is nil if there is
+// no usable connection.
 func (c *Core) connFor(s *server) (best *serverConn) {
 	unresponsive := func(conn *serverConn) bool {
 		return conn.unansweredSince != 0 && c.now-conn.unansweredSince > c.limits.UnresponsiveAfter
@@ -259,22 +263,22 @@
 	return best
 }
 
-// heard takes in that a connection brings something.
+// markReceived records that something has come on a connection.
 func (s *server) markReceived(id ConnID) {
 	if conn := s.connByID(id); conn != nil {
 		conn.unansweredSince = 0
 	}
 }
 
-// endAt releases a call at a server, on any connection.
+// sendEnd sends a server the End of a call on any usable connection; without one it sends nothing.
 func (c *Core) sendEnd(s *server, id ID) {
 	if conn := c.connFor(s); conn != nil {
 		c.emit(End{To: conn.id, ID: id})
 	}
 }
 
-// hangUpAt releases a call that stands at a server, on the next connection if there is none: the server would go on
-// holding a line for a caller who has left.
+// releaseAtServer releases a call that is established on a server. Without a usable connection the release waits for the next one:
+// the server would otherwise keep a line occupied for a caller who has left.
 func (c *Core) releaseAtServer(s *server, id ID) {
 	if s.usableConns() > 0 {
 		c.sendEnd(s, id)
@@ -290,7 +294,7 @@
 	}
 }
 
-// hangUp ends the connections to a server; what is out there is cut.
+// closeServerConns closes all connections to a server at once and ends the outstanding attempts there as reset.
 func (c *Core) closeServerConns(s *server) {
 	conns := s.conns
 	s.conns = nil
@@ -300,7 +304,8 @@
 	}
 }
 
-// serverUp sends what has waited for the connection.
+// serverUp handles a new connection to a server: the releases and attempts that waited for a connection go out. A connection that
+// is not wanted any more is closed.
 func (c *Core) serverUp(ev ServerUp) {
 	s := c.servers[ev.Server]
 	if s == nil {
@@ -309,13 +314,13 @@
 	}
 	s.dialing = false
 	switch {
-	case s.Address != ev.Address: // it has moved meanwhile
+	case s.Address != ev.Address: // the server has another address by now
 		c.emit(CloseConn{To: ev.Conn})
 		if c.wantedConns(s) > 0 {
 			c.dialAhead(s)
 		}
 		return
-	case s.usableConns() >= c.wantedConns(s): // late: it is of no use any more
+	case s.usableConns() >= c.wantedConns(s): // the connection comes late and is not needed any more
 		c.emit(CloseConn{To: ev.Conn})
 		return
 	}
@@ -333,8 +338,8 @@
 	c.dialAhead(s)
 }
 
-// serverDown takes in that a connection has ended or could not be made. Set-ups open on it are cut or
-// were never sent; what stands there stands on, and a new connection will tell of it.
+// serverDown handles the end of a connection to a server, or a dial that failed. The attempts outstanding on the connection end as
+// reset or as never sent. Established calls go on: their releases can come on a new connection.
 func (c *Core) serverDown(ev ServerDown) {
 	s := c.servers[ev.Server]
 	if s == nil {
@@ -352,7 +357,7 @@
 		s.conns = slices.Delete(s.conns, i, i+1)
 	} else {
 		s.dialing = false
-		if ev.Address != "" && ev.Address != s.Address { // a dial of before it moved: it says nothing of where it is now
+		if ev.Address != "" && ev.Address != s.Address { // a dial to a former address says nothing about the present one
 			if c.wantedConns(s) > 0 {
 				c.dialAhead(s)
 			}
@@ -376,8 +381,8 @@
 	c.removeIfUnused(s)
 }
 
-// cutOut ends the attempts out at a server on a connection that has ended, and if it was the last, or none could
-// be made, those that wait for one.
+// failAttempts ends the attempts at a server that are outstanding on a connection that has ended. If the server has no connection
+// left, the attempts that wait for a connection end too.
 func (c *Core) failAttempts(s *server, endedConn *serverConn, cause elmseam.Cause) {
 	for _, k := range inArrivalOrder(s.outstanding) {
 		if k.attempt == nil || k.attempt.server != s {
@@ -396,14 +401,14 @@
 	}
 }
 
-// cutAll releases the calls that stand at a server which is no more.
+// resetEstablished ends the calls established on a server whose process is gone, as reset.
 func (c *Core) resetEstablished(s *server) {
 	for _, k := range inArrivalOrder(s.established) {
 		c.endEstablished(k, Reset, elmseam.Outcome{Cause: elmseam.CauseReset})
 	}
 }
 
-// inOrder lists calls as they came, so that the same events have the same effects.
+// inArrivalOrder returns calls in the order of their arrival, so that the same events always have the same effects.
 func inArrivalOrder(calls map[ID]*call) []*call {
 	return slices.SortedFunc(maps.Values(calls), func(a, b *call) int { return int(a.controllerID) - int(b.controllerID) })
 }
--- a/internal/core/work.go
+++ b/internal/core/work.go
@@ -7,13 +7,16 @@
 	"elmseam/internal/membership"
 )
 
-// Ordered maintenance runs inside the core beside membership, which tells it who is there. When the turn of this softswitch
-// has come it drains as an operator would have it drain; when nothing is left on it, it says that it is ready for work.
+// The maintenance reducer (internal/maintenance), which lets the members of the tier be taken out of service in an order, runs
+// inside the core beside membership, which tells it which members are available. When it is this softswitch's turn, the softswitch
+// drains as on an operator's request. When its last call has ended, it reports that it is ready for the maintenance work.
 
 type (
-	// StartMaintenance begins this softswitch's part in its tier's ordered maintenance. It needs a Join before.
+	// StartMaintenance begins to take part in the tier's ordered maintenance. It has no effect without a StartMembership before
+	// it.
 	StartMaintenance struct{ Config maintenance.Config }
-	// MaintenanceRequest is what an operator asks of the tier's maintenance: a Request or a Cancel, of members by their numbers.
+	// MaintenanceRequest is an operator's request to the tier's maintenance: a maintenance.Request or a maintenance.Cancel, which
+	// name members by their indexes.
 	MaintenanceRequest struct{ Event maintenance.Event }
 )
 
@@ -21,19 +24,19 @@
 func (MaintenanceRequest) event() {}
 
 type (
-	// DrainChanged says whether this softswitch drains, when its turn for work has come or is over.
+	// DrainChanged says whether this softswitch drains, after its turn for maintenance has begun or ended.
 	DrainChanged struct{ On bool }
-	// MaintenanceProgress says how far a softswitch's maintenance is now.
+	// MaintenanceProgress reports that the maintenance of a member has reached another stage.
 	MaintenanceProgress struct{ maintenance.RequestChanged }
 )
 
 func (DrainChanged) effect()        {}
 func (MaintenanceProgress) effect() {}
 
-// drainers are those who may want a softswitch drained: it is as long as one does.
+// drainReasons says who wants this softswitch drained. It drains as long as there is at least one reason.
 type drainReasons struct{ operator, maintenance bool }
 
-// plan begins maintenance. A second Plan changes nothing.
+// startMaintenance starts the maintenance reducer. A second StartMaintenance has no effect.
 func (c *Core) startMaintenance(ev StartMaintenance) {
 	if c.maintenance != nil || c.membership == nil {
 		return
@@ -51,14 +54,14 @@
 	c.stepMaintenance(maintenance.Serving{Serving: c.serving})
 }
 
-// toWork hands maintenance an event.
+// stepMaintenance gives the maintenance reducer an event and carries out its effects.
 func (c *Core) stepMaintenance(ev maintenance.Event) {
 	if c.maintenance != nil {
 		c.maintenanceEffects(c.maintenance.Step(c.now, ev))
 	}
 }
 
-// works carries out what maintenance asks for.
+// maintenanceEffects carries out effects of the maintenance reducer.
 func (c *Core) maintenanceEffects(effects []maintenance.Effect) {
 	for _, effect := range effects {
 		switch effect := effect.(type) {
@@ -76,7 +79,8 @@
 	}
 }
 
-// byHand drains for an operator. One who takes callers back while the softswitch is out for work ends that.
+// operatorDrain begins or ends a drain on an operator's request. To end the drain during this softswitch's maintenance also cancels
+// that maintenance.
 func (c *Core) operatorDrain(on bool) {
 	c.drainReasons.operator = on
 	if !on && c.drainReasons.maintenance {
@@ -85,26 +89,27 @@
 	c.setDraining(c.drainReasons.operator || c.drainReasons.maintenance)
 }
 
-// empty tells maintenance, once, that nothing is left here.
+// reportDrained tells the maintenance reducer, once, that this softswitch refuses set-ups and has no call left.
 func (c *Core) reportDrained() {
 	if c.maintenance != nil && c.maintenance.AwaitsDrained() && c.drainRefuses() && len(c.calls) == 0 {
 		c.stepMaintenance(maintenance.Drained{})
 	}
 }
 
-// peerThere tells maintenance who is there: one that is merely suspected keeps its place.
+// maintenanceAvailability tells the maintenance reducer whether a member is available. A suspected member still counts as available
+// and keeps its place in the order.
 func (c *Core) maintenanceAvailability(member int, state membership.State) {
 	c.stepMaintenance(maintenance.MemberAvailability{Member: member, Available: state.Available() || state == membership.Suspect})
 }
 
-// MaintenanceStats are what operators are shown of the tier's maintenance.
+// MaintenanceStats is the state of the tier's maintenance, as shown to operators.
 type MaintenanceStats struct {
 	maintenance.Status
-	Self  int
-	Names []string // of the tier's softswitches, by number, where they have told them
+	Self  int      // index of this softswitch
+	Names []string // names of the members, by index; empty where a member has not sent its name
 }
 
-// maintained are the figures of maintenance; nil where there is none.
+// maintenanceStats returns the state of the maintenance; nil if there is no ordered maintenance.
 func (c *Core) maintenanceStats() *MaintenanceStats {
 	if c.maintenance == nil {
 		return nil
