--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -93,21 +93,21 @@
 		case Released:
 			effects += fmt.Sprintf("released%d@%d ", e.ID, e.To)
 		case Probe:
-			effects += fmt.Sprintf("test%d@%d ", e.ID, e.To)
+			effects += fmt.Sprintf("probe%d@%d ", e.ID, e.To)
 		case Withdraw:
 			effects += fmt.Sprintf("withdraw@%d ", e.To)
 		case StopReading:
-			effects += fmt.Sprintf("move@%d ", e.To)
+			effects += fmt.Sprintf("stopreading@%d ", e.To)
 		case Transfer:
-			effects += fmt.Sprintf("pass@%d%v%v ", e.To, e.Open, e.Established)
+			effects += fmt.Sprintf("transfer@%d%v%v ", e.To, e.Open, e.Established)
 		case ToPredecessor:
-			effects += "to the older "
+			effects += "to-predecessor "
 		case ToSuccessor:
-			effects += "to the newer "
+			effects += "to-successor "
 		case GracefulClose:
 			effects += fmt.Sprintf("close@%d ", e.To)
 		case CloseConn:
-			effects += fmt.Sprintf("hangup@%d ", e.To)
+			effects += fmt.Sprintf("closeconn@%d ", e.To)
 		case ForgetCall:
 			effects += fmt.Sprintf("forget%d ", e.ID)
 		case Stopped:
@@ -211,7 +211,7 @@
 	r.step(ServerDown{Server: "a", Conn: 10})
 	r.want(r.setUp(7, 5*time.Second), "") // waits for the connection
 	r.want(r.list(elmseam.Draining, elmseam.Ready), "offer7@11 ")
-	r.want(r.step(ServerUp{Server: "a", Address: "a:1", Conn: 12}), "hangup@12 ") // no longer wanted
+	r.want(r.step(ServerUp{Server: "a", Address: "a:1", Conn: 12}), "closeconn@12 ") // no longer wanted
 	r.want(r.list(elmseam.Ready, elmseam.Draining), "withdraw@11 ")
 	r.want(r.step(NotSent{Server: "b", ID: 7}), "rejected7@1 ")
 }
@@ -231,7 +231,7 @@
 	r.want(r.step(ServerEnd{Server: "a", ID: 1, Reason: Normal}), "")
 	r.want(r.step(CallerUp{Conn: 2, Protocol: "f"}), "released1@2 ")
 	r.want(r.step(CallerEnd{ID: 2, From: 2}), "end2@12 ")
-	r.want(r.list(elmseam.Gone, elmseam.Ready), "withdraw@12 released3@2 hangup@12 ")
+	r.want(r.list(elmseam.Gone, elmseam.Ready), "withdraw@12 released3@2 closeconn@12 ")
 	r.step(SetUp{ID: 4, From: 2, TimeLeft: 5 * time.Second, At: r.now})
 	r.step(ServerAnswer{Server: "b", ID: 4})
 	r.step(ServerDown{Server: "b", Conn: 11})
--- a/internal/core/crossings_test.go
+++ b/internal/core/crossings_test.go
@@ -173,11 +173,11 @@
 	r.step(ServerAnswer{Server: "a", ID: 1})
 	r.want(r.list(elmseam.Ready, elmseam.Ready), "dial-a dial-b ") // a second connection to each server
 	r.want(r.list(elmseam.Draining, elmseam.Ready), "withdraw@10 ")
-	r.want(r.step(ServerUp{Server: "a", Address: "a:1", Conn: 12}), "hangup@12 ") // one connection is enough for the established call
+	r.want(r.step(ServerUp{Server: "a", Address: "a:1", Conn: 12}), "closeconn@12 ") // one connection is enough for the established call
 	r.want(r.step(ServerDown{Server: "a", Conn: 12}), "")
 	r.want(r.list(elmseam.Ready, elmseam.Ready), "dial-a ")
-	r.want(r.list(elmseam.Gone, elmseam.Ready), "withdraw@10 released1@1 hangup@10 ")
-	r.want(r.step(ServerUp{Server: "a", Address: "a:1", Conn: 13}), "hangup@13 ")
+	r.want(r.list(elmseam.Gone, elmseam.Ready), "withdraw@10 released1@1 closeconn@10 ")
+	r.want(r.step(ServerUp{Server: "a", Address: "a:1", Conn: 13}), "closeconn@13 ")
 	r.step(ServerDown{Server: "b", Conn: 11})
 	r.want(r.setUp(2, 50*time.Millisecond), "") // given up before a connection is made
 	r.want(r.advance(time.Second), "rejected2@1 ")
@@ -209,8 +209,8 @@
 	r.want(r.step(List{Servers: []Server{
 		{Name: "a", Address: "a:1", Phase: elmseam.Gone}, {Name: "b", Address: "b:1", Cell: 1, Phase: elmseam.Gone},
 		{Name: "c", Address: "a:1", Phase: elmseam.Ready, Started: r.now},
-	}}), "withdraw@10 released1@1 hangup@10 dial-c ")
-	r.want(r.step(ServerUp{Server: "a", Address: "a:1", Conn: 12}), "hangup@12 ")
+	}}), "withdraw@10 released1@1 closeconn@10 dial-c ")
+	r.want(r.step(ServerUp{Server: "a", Address: "a:1", Conn: 12}), "closeconn@12 ")
 	r.want(r.step(ServerAnswer{Server: "a", Conn: 10, ID: 2}), "") // crossed the close
 	r.want(r.step(ServerUp{Server: "c", Address: "a:1", Conn: 13}), "")
 	r.want(r.advance(199*ms), "")
--- a/internal/core/ops_test.go
+++ b/internal/core/ops_test.go
@@ -103,10 +103,10 @@
 	r.want(relay(Released{ID: 1}), "released1@5 ")
 	r.want(relay(Released{ID: 1}), "")
 	r.want(r.step(SetUp{ID: 2, From: 5, TimeLeft: time.Second, At: r.now}), "rejected2@5 ") // its id is in use
-	r.want(r.step(CallerEnd{ID: 3, From: 5}), "to the older ")
+	r.want(r.step(CallerEnd{ID: 3, From: 5}), "to-predecessor ")
 	r.want(relay(Rejected{ID: 3}), "")
 	r.want(relay(Released{ID: 3}), "") // it crossed: the caller has left
-	r.want(r.step(ServerEnd{Server: "a", ID: 4, Reason: Normal}), "to the older ")
+	r.want(r.step(ServerEnd{Server: "a", ID: 4, Reason: Normal}), "to-predecessor ")
 	r.want(r.step(Predecessor{}), "rejected2@5 ")
 	r.want(r.step(ServerEnd{Server: "a", ID: 5, Reason: Normal}), "released5@5 ")
 	r.step(EndedCalls{IDs: []ID{9}})
@@ -123,17 +123,17 @@
 	r.step(ServerAnswer{Server: "a", ID: 1})
 	r.setUp(2, 5*time.Second)
 	r.step(CallerUp{Conn: 2, Protocol: "f"})
-	r.want(r.step(HandOver{}), "move@1 move@2 ")
+	r.want(r.step(HandOver{}), "stopreading@1 stopreading@2 ")
 	r.want(r.step(HandOver{}), "")
-	r.want(r.step(CallerUp{Conn: 3, Protocol: "f"}), "move@3 ") // it was on its way in
-	r.want(r.step(ReadingStopped{Conn: 1}), "pass@1[2][1] ")
-	r.want(r.step(ReadingStopped{Conn: 2})+r.step(Transferred{Conn: 2}), "pass@2[][] ")
+	r.want(r.step(CallerUp{Conn: 3, Protocol: "f"}), "stopreading@3 ") // it was on its way in
+	r.want(r.step(ReadingStopped{Conn: 1}), "transfer@1[2][1] ")
+	r.want(r.step(ReadingStopped{Conn: 2})+r.step(Transferred{Conn: 2}), "transfer@2[][] ")
 	r.want(r.step(ServerAnswer{Server: "a", ID: 2}), "answered2@1 ")
 	r.want(r.advance(time.Second), "")
 	r.want(r.step(ServerEnd{Server: "a", ID: 2, Reason: Normal}), "released2@1 ")
 	r.step(CallerDown{Conn: 1})
-	r.want(r.step(ServerEnd{Server: "a", ID: 1, Reason: Normal}), "to the newer ")
-	r.want(r.step(ReadingStopped{Conn: 3}), "pass@3[][] ")
+	r.want(r.step(ServerEnd{Server: "a", ID: 1, Reason: Normal}), "to-successor ")
+	r.want(r.step(ReadingStopped{Conn: 3}), "transfer@3[][] ")
 	r.want(r.advance(100*ms), "") // the successor hasn't got it yet
 	r.want(r.step(Transferred{Conn: 3}), "stopped ")
 }
--- a/internal/core/servers_test.go
+++ b/internal/core/servers_test.go
@@ -22,7 +22,7 @@
 	r.want(r.step(silent), "")
 	r.want(r.step(ServerSilent{Server: "a", Conn: 99, For: time.Second}), "")
 	r.advance(200 * ms)
-	r.want(r.step(silent), "hangup@10 dial-a ")
+	r.want(r.step(silent), "closeconn@10 dial-a ")
 	r.want(r.step(ServerDown{Server: "a", Conn: 10}), "")
 	r.want(r.advance(201*ms), "offer1@11 ") // after the release gap
 	r.step(ServerAnswer{Server: "b", Conn: 11, ID: 1})
@@ -68,20 +68,20 @@
 	r.setUp(1, 9*time.Second)
 	r.want(reportSilence("a", 10), "") // a set-up is out, and tells as much
 	r.step(ServerAnswer{Server: "a", Conn: 10, ID: 1})
-	r.want(reportSilence("a", 10)+reportSilence("a", 10), "test1@10 ") // one at a time
+	r.want(reportSilence("a", 10)+reportSilence("a", 10), "probe1@10 ") // one at a time
 	r.want(answer("b", 11, 1)+answer("a", 10, 1)+answer("a", 10, 1)+r.advance(time.Second), "")
 	wantCounters("{1 1 0 0 2}")
-	r.want(reportSilence("a", 10), "test2@10 ")
+	r.want(reportSilence("a", 10), "probe2@10 ")
 	r.want(r.advance(500*ms)+r.setUp(2, 9*time.Second), "offer2@10 ")
-	r.want(r.advance(500*ms), "hangup@10 dial-a ") // the probe has failed
+	r.want(r.advance(500*ms), "closeconn@10 dial-a ") // the probe has failed
 	r.want(r.step(ServerDown{Server: "a", Conn: 10})+r.advance(201*ms), "offer2@11 ")
 	r.want(answer("a", 10, 2), "")
 	wantCounters("{2 1 1 0 3}")
 	r.step(ServerAnswer{Server: "b", Conn: 11, ID: 2})
-	r.want(reportSilence("b", 11)+r.advance(time.Second), "test3@11 close@11 dial-b ")
+	r.want(reportSilence("b", 11)+r.advance(time.Second), "probe3@11 close@11 dial-b ")
 	r.step(ServerUp{Server: "b", Address: "b:1", Conn: 12})
 	r.core.prober = probe.New(probe.Limits{Permitted: true, Rate: 0.01, Burst: 1, Timeout: time.Second})
-	r.want(reportSilence("b", 12), "test1@12 ")
+	r.want(reportSilence("b", 12), "probe1@12 ")
 	r.step(ServerProbeAnswer{Server: "b", Conn: 12, ID: 1})
 	r.want(reportSilence("b", 12)+reportSilence("b", 12), "") // there is no budget, and the connection stays
 	wantCounters("{1 1 0 2 0}")
@@ -105,7 +105,7 @@
 	r.step(ServerAnswer{Server: "a", Conn: 10, ID: 1})
 	r.advance(time.Second)
 	silent := ServerSilent{Server: "a", Conn: 20, For: time.Second}
-	r.want(r.step(silent), "test1@20 ")
+	r.want(r.step(silent), "probe1@20 ")
 	r.want(r.advance(101*ms)+r.setUp(2, 9*time.Second), "offer2@10 ") // 20 has been used least
 	r.step(ServerAnswer{Server: "a", Conn: 10, ID: 2})
 	r.want(r.advance(400*ms)+r.step(silent), "close@20 ")
