--- a/internal/core/parts.go
+++ b/internal/core/parts.go
@@ -130,7 +130,7 @@
 	budget.Counters
 	Enabled bool           // false: the tier is too large to move units
 	Active  bool           // a server is cold
-	Quotas  []budget.Quota // quotas that this softswitch keeps account of
+	Quotas  []budget.Quota // by index of the member that the quota belongs to
 }
 
 // quotaStats returns the state of the budget reducer; nil if the quotas are fixed.
--- a/internal/core/servers_test.go
+++ b/internal/core/servers_test.go
@@ -9,9 +9,9 @@
 	"elmseam/internal/probe"
 )
 
-// A connection that brings nothing is held for dead only where something is owed on it: a set-up that has been out for long
-// ends, one that has just gone out is left alone, a server whose calls stand is asked on a new connection, and one that has
-// nothing to tell keeps its connection. It was closed by its reader's own clock, with whatever was out there.
+// A silent connection counts as dead only if something is pending on it. An attempt that has been outstanding for long ends with the
+// connection, an attempt that has just begun is left alone, the connection to a server with established calls is replaced, and an
+// unused connection is kept. Guards against a reader that closes the connection by its own clock, with all its outstanding attempts.
 func TestSilentConnectionIsReplacedOnlyIfInUse(t *testing.T) {
 	r := newRig(t)
 	r.recordDials = true
@@ -24,7 +24,7 @@
 	r.advance(200 * ms)
 	r.want(r.step(silent), "closeconn@10 dial-a ")
 	r.want(r.step(ServerDown{Server: "a", Conn: 10}), "")
-	r.want(r.advance(201*ms), "offer1@11 ") // after the release gap
+	r.want(r.advance(201*ms), "offer1@11 ") // after the release guard
 	r.step(ServerAnswer{Server: "b", Conn: 11, ID: 1})
 	r.want(r.step(ServerSilent{Server: "b", Conn: 11, For: time.Second}), "close@11 dial-b ")
 	r.want(r.step(ServerSilent{Server: "b", Conn: 11, For: time.Second}), "")
@@ -32,8 +32,8 @@
 	r.want(r.step(ServerEnd{Server: "b", Conn: 12, ID: 1, Reason: Normal}), "released1@1 ")
 	r.want(r.step(ServerSilent{Server: "b", Conn: 12, For: time.Second}), "")
 
-	// The module gives a set-up up sooner than that; its silence tells as much. On a connection that had died each next
-	// set-up was lost as well: a tenth of all calls refused (seen on rate+silent+leave, 0.996 against 0.82 to 0.92).
+	// A set-up that the controller has given up counts as unanswered too. Otherwise each further set-up on a dead connection was
+	// lost as well, and a tenth of all calls was refused (0.82 to 0.92 instead of 0.996 of the calls in rate+silent+leave).
 	r.want(r.step(SetUp{ID: 2, From: 1, Cell: 1, TimeLeft: 5 * time.Second, At: r.now}), "offer2@12 ")
 	r.core.out = nil
 	r.core.giveUpAttempt(r.core.calls[2], elmseam.CauseCancelled)
@@ -42,9 +42,9 @@
 	r.want(r.advance(100*ms)+r.step(ServerSilent{Server: "b", Conn: 12, For: time.Second}), "close@12 dial-b ")
 }
 
-// Where the settings permit probes a silent connection is probed before it is replaced, at a bounded rate and one at a time:
-// not where a set-up is out, which tells as much, nor at a server that drains or is gone. An answer counts once; one
-// that never comes has the connection replaced, and a set-up that went out meanwhile ends with it.
+// Where the settings permit probes, a silent connection is probed before it is replaced, with one probe at a time and at a limited
+// rate. It is not probed while an attempt is outstanding, which shows as much as a probe, nor if the server drains or is gone. An answer
+// counts once. Without an answer in time the connection is replaced, and attempts that began on it meanwhile end.
 func TestProbesOfSilentConnections(t *testing.T) {
 	r := newRig(t)
 	r.recordDials = true
@@ -61,12 +61,12 @@
 	wantCounters := func(want string) {
 		t.Helper()
 		if got := fmt.Sprint(*r.core.Stats(r.now).Probes); got != want {
-			t.Errorf("probes %s, want %s", got, want)
+			t.Errorf("probe counters %s, want %s", got, want)
 		}
 	}
-	r.want(reportSilence("a", 10), "") // nothing is owed
+	r.want(reportSilence("a", 10), "") // nothing is pending
 	r.setUp(1, 9*time.Second)
-	r.want(reportSilence("a", 10), "") // a set-up is out, and tells as much
+	r.want(reportSilence("a", 10), "") // an outstanding attempt makes the probe superfluous
 	r.step(ServerAnswer{Server: "a", Conn: 10, ID: 1})
 	r.want(reportSilence("a", 10)+reportSilence("a", 10), "probe1@10 ") // one at a time
 	r.want(answer("b", 11, 1)+answer("a", 10, 1)+answer("a", 10, 1)+r.advance(time.Second), "")
@@ -83,7 +83,7 @@
 	r.core.prober = probe.New(probe.Limits{Permitted: true, Rate: 0.01, Burst: 1, Timeout: time.Second})
 	r.want(reportSilence("b", 12), "probe1@12 ")
 	r.step(ServerProbeAnswer{Server: "b", Conn: 12, ID: 1})
-	r.want(reportSilence("b", 12)+reportSilence("b", 12), "") // there is no budget, and the connection stays
+	r.want(reportSilence("b", 12)+reportSilence("b", 12), "") // the rate limit permits no probe, and the connection stays
 	wantCounters("{1 1 0 2 0}")
 	r.advance(100 * time.Second)
 	r.list(elmseam.Ready, elmseam.Draining)
@@ -94,8 +94,8 @@
 	wantCounters("{1 1 0 2 0}")
 }
 
-// While the answer to a probe is awaited, set-ups go out on another connection; and without one the connection is replaced as
-// if it had been a set-up, whatever the time of a probe.
+// While the answer to a probe is outstanding, set-ups go out on another connection. An unanswered probe has the connection replaced at
+// the next silence, as an unanswered set-up does, even if the time-out of the probe is much longer.
 func TestProbedConnectionIsAvoided(t *testing.T) {
 	r := newRig(t)
 	r.core.limits.ConnsPerServer, r.core.limits.UnresponsiveAfter = map[Protocol]int{"": 2}, 100*ms
@@ -106,13 +106,13 @@
 	r.advance(time.Second)
 	silent := ServerSilent{Server: "a", Conn: 20, For: time.Second}
 	r.want(r.step(silent), "probe1@20 ")
-	r.want(r.advance(101*ms)+r.setUp(2, 9*time.Second), "offer2@10 ") // 20 has been used least
+	r.want(r.advance(101*ms)+r.setUp(2, 9*time.Second), "offer2@10 ") // without the probe, connection 20 would be chosen, as its last offer is the oldest
 	r.step(ServerAnswer{Server: "a", Conn: 10, ID: 2})
 	r.want(r.advance(400*ms)+r.step(silent), "close@20 ")
 }
 
-// A call's tenant is looked up by its name as the call comes, under the settings of then: an index given by a front would
-// be another tenant's after a new configuration.
+// The tenant of a call is looked up by name when the call arrives, under the settings in force. An index from a protocol handler
+// would mean another tenant after a new configuration.
 func TestTenantIsBoundAtArrival(t *testing.T) {
 	r := newRig(t)
 	var tenants []int
@@ -141,7 +141,7 @@
 	sendSetUp(7, "y")
 	for i, want := range []int{-1, 0, 1, -1, -1, -1, 0} {
 		if tenants[i] != want {
-			t.Errorf("call %d comes as tenant %d, want %d", i+1, tenants[i], want)
+			t.Errorf("call %d has tenant %d, want %d", i+1, tenants[i], want)
 		}
 	}
 }
--- a/internal/core/tier_test.go
+++ b/internal/core/tier_test.go
@@ -16,12 +16,13 @@
 	"elmseam/internal/membership"
 )
 
+// startMembership makes the core member 0 of a tier.
 func (r *rig) startMembership(tierSize int) {
 	r.step(StartMembership{Config: membership.Config{TierSize: tierSize, Limits: membership.Defaults(), Seed: 1}})
 }
 
-// A softswitch that hears of nobody in its tier sends a just-started server the share of its own part that it sees of
-// the tier: a fifth. One that is alone in its tier, or knows of none, sends its whole part.
+// A member that hears of no other member of its tier uses the fraction of its own quota of a cold server's budget that the available
+// members make up of the tier: a fifth in a tier of five. In a tier of one, and without a tier, the softswitch uses its whole quota.
 func TestIsolatedMemberReducesColdServerLoad(t *testing.T) {
 	coldSetUps := func(tierSize int) (n int) {
 		r := newRig(t)
@@ -45,19 +46,19 @@
 			}
 			return cold
 		}
-		serveFor(10 * time.Second) // at a rate that both know
+		serveFor(10 * time.Second) // the controller measures the rates of both servers
 		r.step(List{Servers: []Server{{Name: "a", Address: "a:1", Phase: 1, Started: r.now}}})
 		r.step(ServerUp{Server: "a", Address: "a:1", Conn: 10})
 		return serveFor(2 * time.Second)
 	}
 	noTier, tierOfOne, isolated := coldSetUps(0), coldSetUps(1), coldSetUps(5)
 	if tierOfOne != noTier || noTier < 50 || isolated > noTier/3 || isolated == 0 {
-		t.Errorf("to a cold server went %d without a tier, %d alone in one, %d cut off from four others", noTier, tierOfOne, isolated)
+		t.Errorf("set-ups to a cold server: %d without a tier, %d in a tier of one, %d isolated from four other members", noTier, tierOfOne, isolated)
 	}
 }
 
-// When its turn for work has come it drains as for an operator; when nothing is left it is ready for work, and an operator
-// who takes its callers back has ended that. A drain by hand stays when the work is over.
+// A softswitch drains when its turn for maintenance comes, and is ready for the work when its last call has ended. An operator who ends
+// the drain cancels the maintenance. A drain on an operator's request goes on after the maintenance.
 func TestMaintenanceDrain(t *testing.T) {
 	r := newRig(t)
 	r.enableDrains()
@@ -69,38 +70,38 @@
 	r.step(ServerAnswer{Server: "a", ID: 7})
 	r.step(MaintenanceRequest{Event: maintenance.Request{Members: []int{0}}})
 	if stats := r.core.Stats(r.now); stats.Ready || !stats.Draining || stage() != maintenance.Draining {
-		t.Errorf("its turn has come: %+v, %v", stats, stage())
+		t.Errorf("on its turn for maintenance: %+v, stage %v", stats, stage())
 	}
 	r.advance(3 * time.Second)
-	if stage() != maintenance.Draining { // a call stands
-		t.Errorf("with a call that stands it is %v", stage())
+	if stage() != maintenance.Draining { // a call is established
+		t.Errorf("stage %v with an established call", stage())
 	}
 	r.want(r.step(ServerEnd{Server: "a", ID: 7, Reason: Normal}), "released7@1 ")
 	if stage() != maintenance.Ready {
-		t.Errorf("with nothing left it is %v", stage())
+		t.Errorf("stage %v after the last call", stage())
 	}
 	r.step(Drain{})
 	if stats := r.core.Stats(r.now); !stats.Ready || stats.Draining || stage() != maintenance.Done {
-		t.Errorf("taken back: %+v, %v", stats, stage())
+		t.Errorf("after the operator ended the drain: %+v, stage %v", stats, stage())
 	}
 	r.step(Drain{On: true})
 	r.step(MaintenanceRequest{Event: maintenance.Request{Members: []int{0}}})
 	r.advance(3 * time.Second)
 	r.step(MaintenanceRequest{Event: maintenance.Cancel{Members: []int{0}}})
 	if stats := r.core.Stats(r.now); !stats.Draining || stage() != maintenance.Done {
-		t.Errorf("drained by hand all along: %+v, %v", stats, stage())
+		t.Errorf("with a drain on an operator's request: %+v, stage %v", stats, stage())
 	}
 }
 
-// hears hands the core a peer's word on server a.
+// receiveObservation gives the core another member's observation of server "a".
 func (r *rig) receiveObservation(sender *knowledge.Reducer, observation knowledge.Observation) string {
 	sender.Step(r.now, knowledge.LocalObservations{Servers: map[uint32]knowledge.Observation{uint32(xxh3.HashString("a")): observation}})
-	data := datagram.Encode(membership.Version, []int{}) // nonsense to membership; its rider counts all the same
+	data := datagram.Encode(membership.Version, []int{}) // malformed for membership; the piggybacked data counts all the same
 	return r.step(MemberDatagram{From: 1, Data: sender.AppendPiggyback(r.now, data)})
 }
 
-// A peer's word that a server drains holds back where it is newer than the own list, and only for a while: the own list
-// has the last word, and an older word or a share changes nothing of that.
+// A drain reported by another member stops new set-ups to the server if the report is newer than the own list, and only for
+// ReportedDrainTTL. The own list takes precedence: an older report and a reported hold-back share do not override it.
 func TestDrainReportedByMember(t *testing.T) {
 	r := newRig(t)
 	r.startMembership(2)
@@ -114,31 +115,31 @@
 		r.step(ServerAnswer{Server: "a", ID: id})
 		r.step(ServerAnswer{Server: "b", ID: id})
 		if strings.Contains(effects, "@10") != offered {
-			t.Errorf("%s: %swant it at the server: %t", what, effects, offered)
+			t.Errorf("%s: effects %q, want an offer to the server: %t", what, effects, offered)
 		}
 	}
 	r.advance(time.Second)
 	r.receiveObservation(sender, knowledge.Observation{DrainingSince: r.now - 3*time.Second}) // older than the own list
-	wantOffered("an older word", true)
+	wantOffered("report older than the own list", true)
 	r.advance(time.Second)
 	r.receiveObservation(sender, knowledge.Observation{DrainingSince: r.now})
 	r.advance(time.Second)
-	wantOffered("a newer word", false)
-	r.advance(r.core.limits.ReportedDrainTTL + time.Second) // not confirmed
-	wantOffered("one that the own list does not confirm", true)
+	wantOffered("report newer than the own list", false)
+	r.advance(r.core.limits.ReportedDrainTTL + time.Second) // the own list does not confirm the drain
+	wantOffered("report not confirmed by the own list", true)
 	r.advance(time.Second)
 	r.receiveObservation(sender, knowledge.Observation{DrainingSince: r.now})
 	r.advance(10 * ms)
 	r.list(elmseam.Ready, elmseam.Ready)
-	wantOffered("the own list has spoken since", true)
+	wantOffered("own list newer than the report", true)
 	r.list(elmseam.Draining, elmseam.Ready)
 	r.advance(time.Second)
 	r.receiveObservation(sender, knowledge.Observation{Rate: 100, HoldBackShare: 0, HoldBackShareAt: r.now})
-	wantOffered("a word of ease, and the own list says that it drains", false)
+	wantOffered("reported hold-back share of 0, and a drain in the own list", false)
 }
 
-// What may be used of a cold server's budget is looked at before every event: a softswitch that stood still past its leases
-// wakes with the sure eighth of its part.
+// The rate permitted to a cold server is set again before every event. A softswitch that was stalled until its leases had expired
+// resumes with the one unit of its quota, an eighth, that is never lent.
 func TestColdRateAfterLeasesExpired(t *testing.T) {
 	r := newRig(t)
 	r.startMembership(1)
@@ -152,7 +153,7 @@
 	}
 	r.step(List{Servers: []Server{{Name: "a", Address: "a:1", Phase: elmseam.Ready, Started: r.now}}})
 	id := ID(400)
-	countSent := func() (n int) { // in 300 ms, in which no timer runs
+	countSent := func() (n int) { // within 300 ms, in which no timer fires
 		for range 30 {
 			id++
 			r.now += 10 * ms
@@ -169,17 +170,18 @@
 	before := countSent()
 	r.now += 3 * time.Second
 	if after := countSent(); before < 6 || after > before/2 {
-		t.Errorf("%d set-ups to a cold server on waking, %d before", after, before)
+		t.Errorf("%d set-ups to a cold server after the stall, %d before it", after, before)
 	}
 	rate, known := r.core.budget.Rate(r.now, incarnationKey(r.core.servers["a"]))
 	r.advance(time.Second)
 	if renewed, _ := r.core.budget.Rate(r.now, incarnationKey(r.core.servers["a"])); !known || math.Abs(renewed/rate-budget.Units) > 1e-9 {
-		t.Errorf("%v a second on waking, %v a second later, want eight times as much", rate, renewed)
+		t.Errorf("rate %v after the stall, %v a second later, want eight times as much", rate, renewed)
 	}
 }
 
-// Who starts while a server is cold has counted nothing yet: its part of it grows as it counts, or it would stay nothing
-// until the server is warm (the whole tier restarted: a cold server got nothing for ten seconds).
+// A softswitch that starts while a server is cold has counted no set-ups yet, so its quota begins at 0. The quota grows as set-ups are
+// counted. Guards against a quota that stays 0 until the server is warm: after a restart of the whole tier a cold server got no
+// set-ups for ten seconds.
 func TestInitiallyZeroQuotaGrows(t *testing.T) {
 	r := newRig(t)
 	r.startMembership(1)
