--- a/internal/core/callers.go
+++ b/internal/core/callers.go
@@ -101,7 +101,7 @@
 }
 
 // sendRelease tells a caller that an established call has ended, on the connection of the call or, if that is gone, on another of
-// the same protocol: best on one that has had established calls and was active last. If there is none, the release waits for
+// the same protocol: preferably one that has had established calls, then the one active last. If there is none, the release waits for
 // the next connection.
 func (c *Core) sendRelease(protocol Protocol, to ConnID, id ID, reason Reason) {
 	if c.callers[to] == nil {
--- a/internal/core/calls.go
+++ b/internal/core/calls.go
@@ -11,9 +11,9 @@
 // call is a call of a caller, from its set-up to its release. The variables of this type are named k, as c is the Core.
 type call struct {
 	SetUp
-	controllerID elmseam.CallID // name of the call towards the controller
+	controllerID elmseam.CallID // the controller's id of the call
 	fingerprint  uint64         // hash of what the set-up asks for; a set-up sent again has the same
-	size         int            // bytes that the call keeps in memory
+	size         int            // size of the number and the description that the call keeps, in bytes
 	releaseGuard time.Duration  // release guard of the settings that the call arrived under
 	protocol     Protocol       // signalling protocol of the caller
 	deadline     Time           // latest time of the final answer
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -23,14 +23,14 @@
 	maxAttempts         int                  // attempts a call may have; 0: any number
 	reportMetrics       []elmseam.LoadMetric // values of a load report, in the order that the controller reads
 	tenants             []elmseam.Tenant     // tenants of the settings; the controller knows them by their index
-	prober              *probe.Prober
-	controller          *elmseam.Controller // the decision module
-	now                 Time
-	out                 []Effect // effects of the current Step
+	prober              *probe.Prober        // decides on probes of silent connections
+	controller          *elmseam.Controller  // the decision module
+	now                 Time                 // time of the current Step
+	effects             []Effect             // effects of the current Step
 	calls               map[ID]*call
 	callsByControllerID map[elmseam.CallID]*call
 	openSetUps          int // set-ups without a final answer
-	callBytes           int // memory that the calls keep, in bytes
+	callBytes           int // size of the numbers and descriptions of all calls, in bytes
 	lastControllerID    elmseam.CallID
 	servers             map[string]*server
 	serversByID         map[elmseam.ServerID]*server
@@ -70,18 +70,18 @@
 	budget              *budget.Reducer      // nil: the quotas of cold servers' budgets are fixed
 }
 
-// New makes a core with a controller for the settings. The seed sets the controller's random choices.
-func New(set elmseam.Settings, seed uint64, limits Limits) (*Core, error) {
-	controller, err := elmseam.New(set, seed)
+// New makes a core and its controller for the settings. The seed determines the random choices of the controller.
+func New(settings elmseam.Settings, seed uint64, limits Limits) (*Core, error) {
+	controller, err := elmseam.New(settings, seed)
 	if err != nil {
 		return nil, err
 	}
 	c := &Core{
 		limits:              limits,
-		releaseGuard:        set.ReleaseGuard,
-		maxAttempts:         set.MaxAttempts,
-		reportMetrics:       set.ReportMetrics,
-		tenants:             set.Tenants,
+		releaseGuard:        settings.ReleaseGuard,
+		maxAttempts:         settings.MaxAttempts,
+		reportMetrics:       settings.ReportMetrics,
+		tenants:             settings.Tenants,
 		prober:              probe.New(limits.Probe),
 		controller:          controller,
 		calls:               make(map[ID]*call),
@@ -94,14 +94,14 @@
 		predecessorSetUps:   make(map[ID]ConnID),
 		predecessorCalls:    make(map[ID]ConnID),
 	}
-	c.stats.growClasses(len(set.Classes))
+	c.stats.growClasses(len(settings.Classes))
 	return c, nil
 }
 
 // Step processes one event and returns the effects, which have to be carried out in their order and are valid until the next
 // Step. A time before that of the last Step counts as the time of the last Step.
 func (c *Core) Step(now Time, ev Event) []Effect {
-	c.now, c.out = max(now, c.now), c.out[:0]
+	c.now, c.effects = max(now, c.now), c.effects[:0]
 	c.applyColdRates()
 	if c.startedAt == 0 {
 		c.startedAt = c.now
@@ -217,11 +217,11 @@
 	}
 	c.reportDrained()
 	c.updateServing()
-	return c.out
+	return c.effects
 }
 
 // emit adds an effect to those of this Step.
-func (c *Core) emit(e Effect) { c.out = append(c.out, e) }
+func (c *Core) emit(e Effect) { c.effects = append(c.effects, e) }
 
 // setTimer asks for a TimerFired with the token. A timer is never cancelled: timerFired checks whether it still applies.
 func (c *Core) setTimer(at Time, t Token) { c.emit(Timer{At: at, Token: t}) }
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -49,11 +49,11 @@
 }
 
 // newRigWith returns a rig with the settings. The core may send probes if the settings have tenants.
-func newRigWith(t *testing.T, set elmseam.Settings) *rig {
+func newRigWith(t *testing.T, settings elmseam.Settings) *rig {
 	t.Helper()
-	c, err := New(set, 1, Limits{
+	c, err := New(settings, 1, Limits{
 		AnswerMargin: 15 * ms, Rebind: 100 * ms, MinRedial: 100 * ms, MaxRedial: 500 * ms,
-		Probe:           probe.Limits{Permitted: len(set.Tenants) > 0, Rate: 5, Burst: 2, Timeout: 300 * ms},
+		Probe:           probe.Limits{Permitted: len(settings.Tenants) > 0, Rate: 5, Burst: 2, Timeout: 300 * ms},
 		ServerLostAfter: 6 * time.Second, StopGrace: 700 * ms, MaxStopWait: 9 * time.Second, MaxCallerConns: 100, MaxOpen: 100, MaxCallBytes: 100, EndedCallTTL: time.Minute, ReportedDrainTTL: 5 * time.Second,
 	})
 	if err != nil {
@@ -182,7 +182,7 @@
 	r := newRig(t)
 	r.setUp(7, 5*time.Second)
 	k := r.core.calls[7]
-	r.core.out = nil
+	r.core.effects = nil
 	r.core.giveUpAttempt(k, elmseam.CauseCancelled) // as the controller does when a set-up has been overtaken
 	r.want(r.advance(time.Second), "")
 	if k.attempt == nil {
@@ -239,8 +239,8 @@
 	r.want(r.advance(200*ms), "released4@2 ")
 }
 
-// A set-up that is sent again on another connection, after a close that crossed it, goes on as one call with one answer. A
-// set-up that does not come again within Rebind is given up.
+// A set-up may be sent just as its connection is closed. The caller sends it again on another connection: it stays one call with one
+// answer. A set-up that does not come again within Rebind is given up.
 func TestSetUpResentOnAnotherConnection(t *testing.T) {
 	r := newRig(t)
 	r.want(r.setUp(7, 5*time.Second)+r.setUp(8, 5*time.Second), "offer7@10 offer8@10 ")
@@ -312,9 +312,9 @@
 		return k
 	}
 	send := func(k *call, server string) (effects string) {
-		r.core.out = nil
+		r.core.effects = nil
 		r.core.startAttempt(k, elmseam.Send{Server: r.core.servers[server].id})
-		for _, e := range r.core.out {
+		for _, e := range r.core.effects {
 			switch e := e.(type) {
 			case Offer:
 				effects += "offer "
@@ -353,9 +353,9 @@
 	r.want(send(k, "b"), "")
 }
 
-// A different set-up with the id of an open call is refused and does not affect that call. Guards against the second
-// set-up taking the call over and being given its answer. Two set-ups with one id on one connection are both refused, and the id of an ended call is
-// never used again.
+// A different set-up with the id of an open call is refused and does not affect that call. Guards against the second set-up taking the
+// call over and being given its answer. Two set-ups with one id on one connection are both refused, and the id of an ended call is never
+// used again.
 func TestRepeatedIDs(t *testing.T) {
 	r := newRig(t)
 	r.step(CallerUp{Conn: 2, Protocol: "f"})
@@ -413,10 +413,10 @@
 func TestReconfiguration(t *testing.T) {
 	r := newRig(t)
 	r.want(r.setUp(7, 5*time.Second), "offer7@10 ")
-	set := elmseam.Settings{Classes: []elmseam.Class{{Deadline: 9 * time.Second, Worth: 1}}, MaxAttempts: 1, OwnCell: -1}
+	settings := elmseam.Settings{Classes: []elmseam.Class{{Deadline: 9 * time.Second, Worth: 1}}, MaxAttempts: 1, OwnCell: -1}
 	limits := r.core.limits
 	limits.MaxOpen = 1
-	r.want(r.step(Configured{Settings: set, Limits: limits}), "")
+	r.want(r.step(Configured{Settings: settings, Limits: limits}), "")
 	r.want(r.setUp(8, 5*time.Second), "rejected8@1 ")
 	r.want(r.step(ServerEnd{Server: "a", ID: 7, Reason: Full}), "offer7@11 ")
 	r.step(ServerEnd{Server: "b", ID: 7, Reason: Full})
--- a/internal/core/crossings_test.go
+++ b/internal/core/crossings_test.go
@@ -9,10 +9,10 @@
 	"elmseam"
 )
 
-// Events that cross each other are listed in docs/CROSSINGS.md. The tests here force their order event by event; the tests of
-// the fronts force the same crossings over sockets.
+// Two events cross each other when each side sends one before it has received the other's. docs/CROSSINGS.md lists the crossings.
+// The tests here force the order of the events one by one; the tests of the protocol handlers force the same crossings over sockets.
 
-// resendTo has each attempt that ends followed by one to the server, whatever the controller would decide.
+// resendTo replaces the controller's decisions: each attempt that ends is followed by an attempt at the server.
 func (r *rig) resendTo(server string) {
 	r.core.hook.Decide = func(ev elmseam.Event, actions []elmseam.Action) []elmseam.Action {
 		if o, ended := ev.(elmseam.Outcome); ended && !o.Final {
@@ -113,7 +113,7 @@
 // The answer, the refusal or the reset of an attempt comes at the same time as its time-out, before or after it. The attempt has
 // one outcome, and the release guard applies wherever the set-up may have run.
 func TestAnswerCrossesTimeOut(t *testing.T) {
-	for _, tt := range []struct {
+	for _, test := range []struct {
 		ev           Event
 		first, after string // effects of the event before the time-out, and effects after the release guard
 	}{
@@ -130,11 +130,11 @@
 			k := r.core.calls[7]
 			timeout := TimerFired{Token: Token{kind: tokenAttemptTimeout, call: 7, controllerID: k.controllerID, number: uint32(k.attempt.number)}}
 			if eventFirst {
-				r.want(strings.TrimSuffix(r.step(tt.ev)+r.step(timeout)+r.step(EndWritten{Server: "a", Conn: 10, ID: 7}), "close@10 "), tt.first)
+				r.want(strings.TrimSuffix(r.step(test.ev)+r.step(timeout)+r.step(EndWritten{Server: "a", Conn: 10, ID: 7}), "close@10 "), test.first)
 				r.want(r.advance(199*ms), "")
-				r.want(r.advance(2*ms), tt.after)
+				r.want(r.advance(2*ms), test.after)
 			} else {
-				r.want(strings.TrimSuffix(r.step(timeout)+r.step(tt.ev)+r.step(EndWritten{Server: "a", Conn: 10, ID: 7}), "close@10 "), "end7@10 ")
+				r.want(strings.TrimSuffix(r.step(timeout)+r.step(test.ev)+r.step(EndWritten{Server: "a", Conn: 10, ID: 7}), "close@10 "), "end7@10 ")
 				r.want(r.advance(199*ms), "")
 				r.want(r.advance(2*ms), "offer7@11 ")
 			}
@@ -321,7 +321,7 @@
 // Connections to servers keep within MaxServerConns, and a connection that is needed replaces one that is not. Without the
 // limit, 24 servers with 64 or 48 file descriptors left too few for callers: the program accepted no more set-ups, or could not
 // start.
-func TestConnectionsToServersKeepWithinDescriptors(t *testing.T) {
+func TestServerConnectionsKeepWithinLimit(t *testing.T) {
 	r := newRig(t)
 	r.recordDials = true
 	r.core.limits.MaxServerConns, r.core.limits.ConnsPerServer = 2, map[Protocol]int{"": 2}
--- a/internal/core/drain.go
+++ b/internal/core/drain.go
@@ -22,7 +22,7 @@
 }
 
 // closeIdleCallers closes the idle connections of callers without a call, and does so again after DrainCheckInterval until the
-// drain ends. drainChange is the value of drainChanges at the begin of the drain that the timer was set for: a timer of an earlier
+// drain ends. drainChange is the value of drainChanges at the beginning of the drain that the timer was set for: a timer of an earlier
 // drain does nothing.
 func (c *Core) closeIdleCallers(drainChange uint32) {
 	if !c.draining || drainChange != c.drainChanges || c.handingOver {
--- a/internal/core/parts.go
+++ b/internal/core/parts.go
@@ -11,8 +11,9 @@
 )
 
 // The budget reducer (internal/budget) moves units of the quotas of cold servers' budgets between the members of the tier;
-// membership tells it which members are available. The controller's cold rates are set again before each event, as a lease may have
-// expired while this process was stalled.
+// membership tells it which members are available. A cold server has just started and ramps up (slow start). Until it is warm, its
+// budget limits the set-ups that all members together may send to it, and each member has a quota of that budget. The controller's
+// cold rates are set again before each event, as a lease may have expired while this process was stalled.
 
 // StartBudget begins to share the quotas of cold servers' budgets with the tier. It has no effect without a StartMembership before
 // it.
@@ -120,7 +121,7 @@
 }
 
 // budgetAvailability tells the budget reducer whether a member is available. A suspected member counts as unavailable, which is
-// safe: its units can be taken only after its lease has expired.
+// safe: the units that it holds can be taken only after its leases have expired.
 func (c *Core) budgetAvailability(member int, state membership.State) {
 	c.stepBudget(budget.MemberAvailability{Member: member, Available: state.Available()})
 }
--- a/internal/core/random_test.go
+++ b/internal/core/random_test.go
@@ -8,18 +8,18 @@
 	"elmseam"
 )
 
-// The rules hold whatever happens in whatever order: thousands of calls meet random answers, resets, drains, restarts,
+// The rules hold for any events in any order: thousands of calls meet random answers, resets, drains, restarts,
 // give-ups, closed connections of callers and End effects that are written late. The effects are checked against a model that
 // knows only the rules.
 func TestRulesUnderRandomEvents(t *testing.T) {
-	for name, set := range deployments {
-		t.Run(name, func(t *testing.T) { rulesUnderRandomEvents(t, set) })
+	for name, settings := range deployments {
+		t.Run(name, func(t *testing.T) { rulesUnderRandomEvents(t, settings) })
 	}
 }
 
-func rulesUnderRandomEvents(t *testing.T, set elmseam.Settings) {
+func rulesUnderRandomEvents(t *testing.T, settings elmseam.Settings) {
 	rnd := rand.New(rand.NewPCG(7, 7))
-	r := newRigWith(t, set)
+	r := newRigWith(t, settings)
 	r.core.limits.MaxCallBytes = 1 << 20
 	type model struct {
 		server       string // server with an outstanding attempt; empty: none
@@ -80,7 +80,7 @@
 				case m.finalAnswers > 0 || m.callerGone:
 					failCall(e.ID, "sent after its final answer or give-up")
 				}
-				if m.server = name; m.attempts == set.MaxAttempts {
+				if m.server = name; m.attempts == settings.MaxAttempts {
 					failCall(e.ID, "more attempts than permitted")
 				}
 				m.attempts++
@@ -162,7 +162,7 @@
 			lastID++
 			calls[lastID] = &model{}
 			ids = append(ids, lastID)
-			step(SetUp{ID: lastID, From: callerConnID, Class: rnd.IntN(len(set.Classes)), Tenant: []string{"", "x", "y", "z"}[rnd.IntN(4)], Cell: rnd.IntN(2), TimeLeft: time.Duration(50+rnd.IntN(4000)) * ms, At: r.now})
+			step(SetUp{ID: lastID, From: callerConnID, Class: rnd.IntN(len(settings.Classes)), Tenant: []string{"", "x", "y", "z"}[rnd.IntN(4)], Cell: rnd.IntN(2), TimeLeft: time.Duration(50+rnd.IntN(4000)) * ms, At: r.now})
 		case 5, 6, 7, 8, 9, 10, 11, 12: // a server answers an attempt
 			if m != nil && m.server != "" {
 				server := m.server
--- a/internal/core/servermsgs.go
+++ b/internal/core/servermsgs.go
@@ -9,7 +9,7 @@
 // server is a server of the list, with its connections and calls.
 type server struct {
 	Server
-	id               elmseam.ServerID // name of the server towards the controller
+	id               elmseam.ServerID // the controller's id of the server
 	conns            []*serverConn
 	dialing          bool          // a Dial effect has no result yet
 	backoff          time.Duration // wait before the last redial
@@ -17,14 +17,14 @@
 	paused           bool          // its own signalling takes no new work
 	source           string        // source of the list entry
 	effectivePhase   elmseam.Phase // phase reported to the controller: that of the list, lowered by routes, pauses and drain reports
-	established      map[ID]*call
-	outstanding      map[ID]*call // calls with an attempt here, attempts that are ending included
-	redialPending    bool         // a redial timer is set
-	coldStart        Time         // start of the server that was reported to the budget reducer
-	coldCountSince   Time         // when counting of coldSetUps began
-	coldSetUps       int          // offers sent since coldCountSince
-	drainReport      drainReport
-	pendingReleases  []ID // calls whose release waits for a connection
+	established      map[ID]*call  // calls established on the server
+	outstanding      map[ID]*call  // calls with an attempt here, attempts that are ending included
+	redialPending    bool          // a redial timer is set
+	coldStart        Time          // Started of the server's incarnation that was last cold; 0: none was
+	coldCountSince   Time          // when counting of coldSetUps began
+	coldSetUps       int           // offers sent since coldCountSince
+	drainReport      drainReport   // whether other members report that the server drains
+	pendingReleases  []ID          // calls whose release waits for a connection
 }
 
 // removedServer remembers the controller's id of a server that has left the list, so that the server keeps the id when it
--- a/internal/core/servers_test.go
+++ b/internal/core/servers_test.go
@@ -35,7 +35,7 @@
 	// A set-up that the controller has given up counts as unanswered too. Otherwise each further set-up on a dead connection was
 	// lost as well, and a tenth of all calls was refused (0.82 to 0.92 instead of 0.996 of the calls in rate+silent+leave).
 	r.want(r.step(SetUp{ID: 2, From: 1, Cell: 1, TimeLeft: 5 * time.Second, At: r.now}), "offer2@12 ")
-	r.core.out = nil
+	r.core.effects = nil
 	r.core.giveUpAttempt(r.core.calls[2], elmseam.CauseCancelled)
 	r.want(r.step(EndWritten{Server: "b", Conn: 12, ID: 2}), "")
 	r.want(r.advance(400*ms)+r.step(ServerSilent{Server: "b", Conn: 12, For: time.Second}), "")
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -26,14 +26,14 @@
 // Reason says why a set-up or a call ended, independently of the signalling protocol.
 type Reason uint8
 
-// The reasons.
+// Reasons for the end of a set-up or a call.
 const (
 	Normal      Reason = iota // released or given up by one of the parties
 	Full                      // refused by the server before the set-up ran
-	Busy                      // the number called, or its signalling, is at fault
-	Reset                     // the call or its attempt was cut on the way
+	Busy                      // the number called is busy, or it or its signalling is at fault
+	Reset                     // the call or its attempt was lost, for example with a connection or a server process
 	Unsent                    // the set-up was never sent
-	Congested                 // refused by the softswitch; trying again does no harm
+	Congested                 // refused by the softswitch; the caller may safely try again
 	Failed                    // given up by the softswitch
 	Unsupported               // the set-up is invalid
 )
@@ -58,7 +58,7 @@
 	Value  float64
 }
 
-// Event is an input of Step; the types below and those in the files on the tier implement it.
+// Event is an input of Step. The types below implement it, as do those beside membership, maintenance, knowledge, budget and probes.
 type Event interface{ event() }
 
 type (
@@ -246,7 +246,8 @@
 func (TimerFired) event()      {}
 func (Stop) event()            {}
 
-// Effect is an output of Step, which the loop has to carry out; the types below and those in the files on the tier implement it.
+// Effect is an output of Step, which the loop has to carry out. The types below implement it, as do those beside membership,
+// maintenance and probes.
 type Effect interface{ effect() }
 
 type (
@@ -400,34 +401,34 @@
 
 // Limits are the times and sizes that the core keeps to.
 type Limits struct {
-	AnswerMargin        time.Duration     // the final answer leaves this long before the caller's time is up
-	Rebind              time.Duration     // time for a set-up to come again after its connection has ended
+	AnswerMargin        time.Duration     // the final answer is given this long before the caller's time limit
+	Rebind              time.Duration     // a set-up whose connection has ended is given up if it does not come again within this time
 	MinRedial           time.Duration     // shortest wait between attempts to reach a server
 	MaxRedial           time.Duration     // longest wait between attempts to reach a server
-	ConnsPerServer      map[Protocol]int  // connections to a server, by its protocol; one where the protocol is missing
-	MaxServerConns      int               // connections to all servers together; 0: no limit
+	ConnsPerServer      map[Protocol]int  // max connections to one server, by its protocol; 1 where the protocol is missing
+	MaxServerConns      int               // max connections to all servers together; 0: no limit
 	UnresponsiveAfter   time.Duration     // a connection without input for this long after a set-up is avoided for new set-ups
-	MaxPendingReleases  int               // releases per server that wait for a connection; the oldest are dropped
-	MaxRemovedServers   int               // removed servers that are remembered in case they come back
-	ServerLostAfter     time.Duration     // the established calls of a server unreachable for this long are taken for cut
-	DrainGrace          time.Duration     // time from the begin of a drain until idle connections of callers are closed
-	DrainRefuseAfter    time.Duration     // time from the begin of a drain until set-ups are refused
+	MaxPendingReleases  int               // max releases per server that wait for a connection; the oldest are dropped
+	MaxRemovedServers   int               // max removed servers that are remembered in case they come back
+	ServerLostAfter     time.Duration     // the established calls of a server that has been unreachable for this long count as lost
+	DrainGrace          time.Duration     // time from the beginning of a drain until idle connections of callers are closed
+	DrainRefuseAfter    time.Duration     // time from the beginning of a drain until set-ups are refused
 	DrainCheckInterval  time.Duration     // interval between searches for idle connections during a drain
 	DrainIdle           time.Duration     // a connection that brought a set-up less than this long ago is not idle
 	Transient           map[Protocol]bool // protocols whose callers connect and disconnect freely, and are sent away by closing their connections
-	MaxTransferredCalls int               // calls that are named when a connection is transferred; open set-ups go first
+	MaxTransferredCalls int               // max calls that are named when a connection is transferred; open set-ups go first
 	HandOverGrace       time.Duration     // time after a HandOver in which connections may still arrive
 	StopGrace           time.Duration     // time after a Stop in which new calls are still accepted
 	MaxStopWait         time.Duration     // longest wait after a Stop or a HandOver for calls to end
 	StopLinger          time.Duration     // time between the last call and the closing of connections, in which late set-ups are refused
-	MaxCallerConns      int               // connections of callers
+	MaxCallerConns      int               // max connections of callers
 	NewConnGrace        time.Duration     // age at which a connection without a set-up may be closed; before that its set-up may be on its way
-	MaxOpen             int               // set-ups open at once
-	MaxCallBytes        int               // bytes that calls may keep in memory
+	MaxOpen             int               // max set-ups without a final answer at a time
+	MaxCallBytes        int               // max memory that the descriptions and numbers of all calls may take, in bytes
 	RetryHint           time.Duration     // RetryAfter of a refusal for lack of capacity
 	EndedCallTTL        time.Duration     // how long the id of an ended call is remembered
-	MaxEndedCalls       int               // ids of ended calls that are remembered; 0: no limit
+	MaxEndedCalls       int               // max ids of ended calls that are remembered; 0: no limit
 	ReportedDrainTTL    time.Duration     // how long a server counts as draining because members reported so
 	Probe               probe.Limits      // limits of probes of silent connections
-	MaxRoutes           int               // withdrawn routes that are remembered though they concern no server of the list
+	MaxRoutes           int               // max withdrawn routes that are remembered though they concern no server of the list
 }
