--- a/internal/core/know.go
+++ b/internal/core/know.go
@@ -160,7 +160,9 @@
 	DrainReported bool                      // the server counts as draining only because members report so
 	View          knowledge.View            // the weighed reports of all members
 	Reports       []knowledge.ObserverEntry // the report of each member
-	ColdRate      float64                   // while the server is cold, rate of set-ups that its budget permits here, in set-ups/s of a warm server; negative: the own quota applies
+	// ColdRate is the rate of set-ups that the budget of a cold server permits here, in set-ups/s of a warm server. Negative: the
+	// server is not cold, or the own quota applies.
+	ColdRate float64
 }
 
 // KnowledgeStats is the state of the knowledge reducer, as shown to operators.
--- a/internal/core/probe.go
+++ b/internal/core/probe.go
@@ -51,7 +51,8 @@
 	if conn == nil {
 		return
 	}
-	unansweredSince := conn.unansweredSince // time of the first set-up or probe without an input after it, or of an older outstanding set-up
+	// Time of the first set-up or probe after which nothing came on the connection, or of an older set-up that is outstanding there.
+	unansweredSince := conn.unansweredSince
 	for _, k := range s.outstanding {
 		if k.attempt.conn == conn && (unansweredSince == 0 || k.attempt.startedAt < unansweredSince) {
 			unansweredSince = k.attempt.startedAt
--- a/internal/core/servers_test.go
+++ b/internal/core/servers_test.go
@@ -106,7 +106,7 @@
 	r.advance(time.Second)
 	silent := ServerSilent{Server: "a", Conn: 20, For: time.Second}
 	r.want(r.step(silent), "probe1@20 ")
-	r.want(r.advance(101*ms)+r.setUp(2, 9*time.Second), "offer2@10 ") // without the probe, connection 20 would be chosen, as its last offer is the oldest
+	r.want(r.advance(101*ms)+r.setUp(2, 9*time.Second), "offer2@10 ") // without the probe: connection 20, which was used least recently
 	r.step(ServerAnswer{Server: "a", Conn: 10, ID: 2})
 	r.want(r.advance(400*ms)+r.step(silent), "close@20 ")
 }
