--- a/internal/core/callers.go
+++ b/internal/core/callers.go
@@ -95,7 +95,7 @@
 }
 
 // acceptsReleases says whether releases of any call can go out on a connection. A transient connection that has not brought a
-// set-up yet may be a health check of the front, where releases would be lost.
+// set-up yet may be a health check of the callers' front end, where releases would be lost.
 func (c *Core) acceptsReleases(conn *callerConn) bool {
 	return conn.hadSetUp || !c.limits.Transient[conn.protocol]
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -24,7 +24,7 @@
 	reportMetrics       []elmseam.LoadMetric // values of a load report, in the order that the controller reads
 	tenants             []elmseam.Tenant     // tenants of the settings; the controller knows them by their index
 	prober              *probe.Prober        // decides on probes of silent connections
-	controller          *elmseam.Controller  // the decision module
+	controller          *elmseam.Controller  // decides on servers, retries and refusals
 	now                 Time                 // time of the current Step
 	effects             []Effect             // effects of the current Step
 	calls               map[ID]*call
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -405,7 +405,7 @@
 	r.want(r.step(CallerUp{Conn: 8, Protocol: "f"}), "")
 	r.want(r.step(SetUp{ID: 8, From: 8, Cell: 0, TimeLeft: time.Minute, At: r.now}), "offer8@10 ")
 	r.want(r.step(ServerAnswer{Server: "a", ID: 3}), "answered3@3 close@3 ")
-	// A protocol handler that keeps state for the call, a circuit for instance, is told to forget it.
+	// A protocol handler that keeps state for the call, a circuit for instance, has to forget it.
 	r.want(r.step(SetUp{ID: 9, From: 3, Cell: 0, TimeLeft: time.Minute, At: r.now}), "forget9 ")
 }
 
--- a/internal/core/ops_test.go
+++ b/internal/core/ops_test.go
@@ -14,7 +14,7 @@
 	limits.Transient = map[Protocol]bool{"f": true}
 }
 
-// A drain closes the connections without a call after DrainGrace, when the callers' front has noticed the drain. A connection with an
+// A drain closes the connections without a call after DrainGrace, when the callers' front end has noticed the drain. A connection with an
 // established call stays open for the release of that call, and set-ups on it are refused after DrainRefuseAfter. A second Drain event
 // changes nothing, and after the end of the drain no connection is closed.
 func TestDrain(t *testing.T) {
@@ -26,7 +26,7 @@
 	r.want(r.step(ServerAnswer{Server: "a", ID: 7}), "answered7@1 ")
 	r.want(r.step(Drain{On: true}), "")
 	r.want(r.advance(300*ms), "")
-	r.want(r.setUp(8, 5*time.Second), "offer8@10 ") // until the front notices the drain, its set-ups are served
+	r.want(r.setUp(8, 5*time.Second), "offer8@10 ") // until the front end notices the drain, its set-ups are served
 	r.want(r.step(Drain{On: true}), "")
 	r.want(r.step(ServerAnswer{Server: "a", ID: 8}), "answered8@1 ")
 	r.want(r.advance(210*ms), "close@2 ")
@@ -45,7 +45,7 @@
 }
 
 // A release whose caller has no connection waits for a connection that brings a set-up. A connection without a set-up may be a health
-// check of the front, where the release would be lost.
+// check of the front end, where the release would be lost.
 func TestReleaseWaitsForUsedCallerConnection(t *testing.T) {
 	r := newRig(t)
 	r.enableDrains()
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -63,7 +63,7 @@
 
 type (
 	// CallerUp reports a new connection of a caller. A connection that a predecessor transferred may have brought set-ups
-	// already; the predecessor owes the answers to those in Open.
+	// already; the predecessor still has to answer those in Open.
 	CallerUp struct {
 		Conn        ConnID
 		Protocol    Protocol
