--- a/controller.go
+++ b/controller.go
@@ -16,54 +16,54 @@
 
 // Tuned values. Times that depend on the deployment are given as parts of its settings.
 const (
-	reportLapse   = 10.0                   // gaps after which a report is forgotten (draft 4.5: 5 s)
-	fullHold      = 2.0                    // after 'processor full' no report that may be older lifts the cut
-	waitLow       = 0.1                    // part of the gap up to which a wait asks for no cut
-	waitSpan      = 0.8                    // each further such part leaves 1/e: steady at reports delays
-	scarceLines   = 0.02                   // part of its lines free below which a server is spared
-	fewLines      = 0.08                   // part of its lines free below which each sender reuses its own
-	shortHold     = time.Second            // a server that had no line counts as short of them for so long
-	keptLines     = 1.0                    // freed lines kept for calls of great worth
-	rateNeeded    = 0.5                    // part of its best told rate that a server needs
-	silence       = 0.3                    // part of the gap that a set-up may be unanswered before the next
-	doubtful      = 0.6                    // gaps without an answer, reports of ease meanwhile: a loss
-	hopeless      = 2.0                    // gaps without an answer after which a set-up is held for lost
-	overtaken     = 0.2                    // gaps by which an answered set-up must be later to tell of a loss
-	maxVotes      = 20                     // tries of another length in a row that make it the usual one
-	failLimit     = 8                      // weight of bad endings in a row for a full cut; an error is 1
-	silenceWeight = 4                      // of a set-up that stays unanswered
-	busyHold      = 4.0                    // gaps for which calls to a number found busy are refused
-	busyNumbers   = 8                      // numbers kept as busy
-	windowed      = 0.1                    // share over which a server also has a window
-	defaultGap    = 500 * time.Millisecond // stands in for the resend gap where there is none
-	lagFresh      = 2.0                    // gaps for which an observed answer delay tells of the present
-	wayVaries     = 1.5                    // times the shortest that the way there and back may take
-	lagKeep       = 3                      // and for so many times the delay itself: slow ones jam easily
-	rateMemory    = 15.0                   // s, memory of the own rate
-	minMemory     = 3.0                    // s, least time over which a rate is taken
-	coldSafety    = 0.9                    // part of the tipping multiple that cold servers may get
-	coldBurst     = 2.0                    // set-ups that may go to a cold server at once
-	divertPart    = 0.5                    // times its part of the set-ups that a server may get diverted
-	easePart      = 3.0                    // times as many where a live report tells of ease
-	easeShare     = 0.25                   // the less of it the nearer the share asked for comes to this
-	trialShare    = 0.5                    // share over which a lapse is followed by a trial
-	trialPart     = 0.25                   // part of its part that a server gets as trials after a full cut
-	savedGaps     = 4.0                    // gaps for which a budget of less than a set-up is kept
-	coldGaps      = 3.0                    // the same for a cold server
-	divertBurst   = 3.0                    // diverted set-ups at once
-	maxCredit     = 3.0                    // set-ups a server's thinning remainder may save up
-	lowCredit     = 2.0                    // remainder that a call of little worth needs
-	highDebt      = -3.0                   // remainder down to which a call of great worth may go
-	greatWorth    = 2.0                    // times the least worth of a class that make great worth
-	greatWindow   = 3.0                    // times the limit on unanswered set-ups that holds for such a call
-	offeredPart   = 0.25                   // of the calls that came: the least taken for what servers take
-	retryPart     = 0.25                   // of the least aim: a redial after it can still stand in time
-	answerMargin  = 5 * time.Millisecond   // final answers go out this long before the caller's time is up
-	stallRoom     = 4.0                    // gaps that a held call must have left: a proxy may stall
-	stallAims     = 2.0                    // but no more than so many aims, where the gap is long
-	pastKept      = time.Minute            // what a server that has gone was is known for so long
-	pastServers   = 8                      // and of so many
-	resubscribe   = time.Second            // gap between requests for the list after one failed
+	reportLifetime        = 10.0                   // gaps after which a report is forgotten (draft 4.5: 5 s)
+	minBlockTime          = 2.0                    // after 'processor full' no report that may be older lifts the cut
+	waitThreshold         = 0.1                    // part of the gap up to which a wait asks for no cut
+	waitScale             = 0.8                    // each further such part leaves 1/e: steady at reports delays
+	scarceLineShare       = 0.02                   // part of its lines free below which a server is spared
+	lowLineShare          = 0.08                   // part of its lines free below which each sender reuses its own
+	lineShortageHold      = time.Second            // a server that had no line counts as short of them for so long
+	reservedLines         = 1.0                    // freed lines kept for calls of great worth
+	neededRateShare       = 0.5                    // part of its best told rate that a server needs
+	maxUnanswered         = 0.3                    // part of the gap that a set-up may be unanswered before the next
+	suspectLossAfter      = 0.6                    // gaps without an answer, reports of ease meanwhile: a loss
+	assumeLossAfter       = 2.0                    // gaps without an answer after which a set-up is held for lost
+	overtakeMargin        = 0.2                    // gaps by which an answered set-up must be later to tell of a loss
+	maxTimeLeftVotes      = 20                     // tries of another length in a row that make it the usual one
+	maxFailureWeight      = 8                      // weight of bad endings in a row for a full cut; an error is 1
+	unansweredWeight      = 4                      // of a set-up that stays unanswered
+	busyNumberHold        = 4.0                    // gaps for which calls to a number found busy are refused
+	maxBusyNumbers        = 8                      // numbers kept as busy
+	windowMinShare        = 0.1                    // share over which a server also has a window
+	defaultInterval       = 500 * time.Millisecond // stands in for the resend gap where there is none
+	delayLifetime         = 2.0                    // gaps for which an observed answer delay tells of the present
+	roundTripVariation    = 1.5                    // times the shortest that the way there and back may take
+	delayLifetimeFactor   = 3                      // and for so many times the delay itself: slow ones jam easily
+	rateTimeConstant      = 15.0                   // s, memory of the own rate
+	minRateSpan           = 3.0                    // s, least time over which a rate is taken
+	coldSafetyFactor      = 0.9                    // part of the tipping multiple that cold servers may get
+	coldBurst             = 2.0                    // set-ups that may go to a cold server at once
+	divertFactor          = 0.5                    // times its part of the set-ups that a server may get diverted
+	idleDivertFactor      = 3.0                    // times as many where a live report tells of ease
+	idleMaxShare          = 0.25                   // the less of it the nearer the share asked for comes to this
+	trialMinShare         = 0.5                    // share over which a lapse is followed by a trial
+	trialFactor           = 0.25                   // part of its part that a server gets as trials after a full cut
+	divertSaveTime        = 4.0                    // gaps for which a budget of less than a set-up is kept
+	coldSaveTime          = 3.0                    // the same for a cold server
+	divertBurst           = 3.0                    // diverted set-ups at once
+	maxCredit             = 3.0                    // set-ups a server's thinning remainder may save up
+	lowWorthCredit        = 2.0                    // remainder that a call of little worth needs
+	highWorthCredit       = -3.0                   // remainder down to which a call of great worth may go
+	highWorthFactor       = 2.0                    // times the least worth of a class that make great worth
+	highWorthWindowFactor = 3.0                    // times the limit on unanswered set-ups that holds for such a call
+	minOfferedShare       = 0.25                   // of the calls that came: the least taken for what servers take
+	retryAfterShare       = 0.25                   // of the least aim: a redial after it can still stand in time
+	answerMargin          = 5 * time.Millisecond   // final answers go out this long before the caller's time is up
+	stallReserve          = 4.0                    // gaps that a held call must have left: a proxy may stall
+	maxStallReserve       = 2.0                    // but no more than so many aims, where the gap is long
+	removedServerTTL      = time.Minute            // what a server that has gone was is known for so long
+	maxRemovedServers     = 8                      // and of so many
+	resubscribeDelay      = time.Second            // gap between requests for the list after one failed
 )
 
 // server is what this edge proxy knows of a core server.
@@ -73,74 +73,74 @@
 	phase   Phase
 	started Time
 
-	told   float64 // hold-back share last told
-	own    float64 // and here, not to others of the tier
-	ownAt  Time
-	lapse  Time    // when that is forgotten
-	full   bool    // the cut is a full one: when it lapses, a trial comes first
-	fullAt Time    // when it began
-	trial  bool    // the trial is out
-	lines  float64 // hold-back share that its free lines ask for
-	free   float64 // its free lines when last told, less what was sent since
-	short  Time    // until then it is held for short of lines: it has turned a call away for want of one
-	freed  float64 // lines that calls from here have freed and none has taken again
-	spare  bucket  // budget of tries beside those
-	credit float64 // thinning remainder: one passes a set-up
-
-	floor time.Duration // shortest set-up time seen: the way there and back
-	lag   time.Duration // last set-up's time beyond that
-	lagAt Time
-	out   []*attempt // unanswered, oldest first
-
-	stands counter // calls from here that stood
-	took   float64 // such calls a second, the most before it started anew
-	faults int     // weight of the bad endings in a row
-	errs   bool    // its cut is for errors: it answers, and not every call fails
-
-	topRate float64 // highest rate told
-	size    float64 // lines in all, 0: not told
-	most    float64 // the most that it has had: its processor is still there for those
-	cold    bucket  // budget while cold
-	allot   float64 // what the tier allots of that budget; negative: nothing, the own part counts
-	divert  bucket  // budget of diverted calls
-	trials  bucket  // budget of trials after a full cut
+	reportedShare  float64 // hold-back share last told
+	ownShare       float64 // and here, not to others of the tier
+	ownShareAt     Time
+	shareExpiry    Time    // when that is forgotten
+	blocked        bool    // the cut is a full one: when it lapses, a trial comes first
+	blockedAt      Time    // when it began
+	trialPending   bool    // the trial is out
+	lineShare      float64 // hold-back share that its free lines ask for
+	freeLines      float64 // its free lines when last told, less what was sent since
+	lineShortUntil Time    // until then it is held for short of lines: it has turned a call away for want of one
+	reusableLines  float64 // lines that calls from here have freed and none has taken again
+	lineTryBudget  bucket  // budget of tries beside those
+	credit         float64 // thinning remainder: one passes a set-up
+
+	minSetUpTime  time.Duration // shortest set-up time seen: the way there and back
+	answerDelay   time.Duration // last set-up's time beyond that
+	answerDelayAt Time
+	pending       []*attempt // unanswered, oldest first
+
+	established       decayingCounter // calls from here that stood
+	rateBeforeRestart float64         // such calls a second, the most before it started anew
+	failureWeight     int             // weight of the bad endings in a row
+	blockedForErrors  bool            // its cut is for errors: it answers, and not every call fails
+
+	maxReportedRate float64 // highest rate told
+	totalLines      float64 // lines in all, 0: not told
+	maxLines        float64 // the most that it has had: its processor is still there for those
+	coldBudget      bucket  // budget while cold
+	allottedRate    float64 // what the tier allots of that budget; negative: nothing, the own part counts
+	divertBudget    bucket  // budget of diverted calls
+	trialBudget     bucket  // budget of trials after a full cut
 }
 
 // past is what a server was that has gone: it may come back.
-type past struct {
-	id         ServerID
-	most, took float64
-	floor      time.Duration
-	at         Time
+type removedServer struct {
+	id             ServerID
+	maxLines, rate float64
+	minSetUpTime   time.Duration
+	removedAt      Time
 }
 
 // attempt is a set-up that has not been answered.
 type attempt struct {
-	call    *call
-	server  *server
-	sent    Time
-	trial   bool
-	lost    bool // held for lost: no sign of a queue any more
-	dropped bool // called off
+	call         *callState
+	server       *server
+	sentAt       Time
+	trial        bool
+	presumedLost bool // held for lost: no sign of a queue any more
+	cancelled    bool // called off
 }
 
 // call is a call that this edge proxy owes an answer.
-type call struct {
-	id      CallID
-	class   *Class
-	number  uint64
-	cell    int
-	transit bool
-	low     bool // worth little
-	end     Time // the final answer is out by then
-	after   Time // not sent again before
-	sends   int
-	most    int  // attempts it may have, by the settings it came under
-	mayRun  bool // an attempt may have run
-	gone    bool // its caller has left
-	cut     bool // it stood, was cut and comes again
-	tried   []*server
-	out     *attempt
+type callState struct {
+	id          CallID
+	class       *Class
+	number      uint64
+	cell        int
+	transit     bool
+	lowWorth    bool // worth little
+	answerBy    Time // the final answer is out by then
+	notBefore   Time // not sent again before
+	attempts    int
+	maxAttempts int  // attempts it may have, by the settings it came under
+	mayHaveRun  bool // an attempt may have run
+	callerLeft  bool // its caller has left
+	interrupted bool // it stood, was cut and comes again
+	tried       []*server
+	pending     *attempt
 }
 
 // busyNumber is a number called whose lines were all busy, and until when that is believed.
@@ -150,50 +150,50 @@
 }
 
 // usualTry is the time that most tries of a class have before their caller gives up.
-type usualTry struct {
-	within time.Duration
-	votes  int
+type usualTimeLeft struct {
+	timeLeft time.Duration
+	votes    int
 }
 
 // Controller decides for one edge proxy.
 type Controller struct {
-	set        Settings
-	servers    []*server // as listed
-	byID       map[ServerID]*server
-	past       []past // the last to go, oldest first
-	calls      map[CallID]*call
-	out        []Action
-	now        Time
-	leastWorth float64
-	hint       time.Duration // told with a refusal
-	usual      []usualTry    // of each class
-	busy       [busyNumbers]busyNumber
-	busyAt     int             // next to be replaced
-	mix        *shares.Tracker // of the tenants' calls
-	born       Time            // first event
-	stands     counter         // calls that stood at warm servers
-	offered    counter         // calls that came
-	meanLines  float64         // of the servers that tell their lines
-	measured   Time
-	lineTime   float64 // line seconds of warm servers, decayed
-	perLine    float64 // set-ups a second that stand from here for each line of a warm server
-	rng        *rand.Rand
-	askAt      Time
-	asked      bool
-	careful    float64 // part of its own part of a cold server's budget that this sender takes
-	foreign    float64 // share of its rates that is not of calls from here, when that changed
-	foreignAt  Time
+	settings          Settings
+	servers           []*server // as listed
+	byID              map[ServerID]*server
+	removed           []removedServer // the last to go, oldest first
+	calls             map[CallID]*callState
+	actions           []Action
+	now               Time
+	minWorth          float64
+	retryAfterHint    time.Duration   // told with a refusal
+	usualTimes        []usualTimeLeft // of each class
+	busyNumbers       [maxBusyNumbers]busyNumber
+	nextBusyNumber    int             // next to be replaced
+	tenantTracker     *shares.Tracker // of the tenants' calls
+	startedAt         Time            // first event
+	established       decayingCounter // calls that stood at warm servers
+	offered           decayingCounter // calls that came
+	meanLines         float64         // of the servers that tell their lines
+	measuredAt        Time
+	lineSeconds       float64 // line seconds of warm servers, decayed
+	ratePerLine       float64 // set-ups a second that stand from here for each line of a warm server
+	rng               *rand.Rand
+	subscribeAt       Time
+	subscribed        bool
+	coldQuotaFraction float64 // part of its own part of a cold server's budget that this sender takes
+	importedShare     float64 // share of its rates that is not of calls from here, when that changed
+	importedShareAt   Time
 }
 
 // New makes a controller. The seed sets the phases of its budgets: those of many senders are not in step.
-func New(set Settings, seed uint64) (*Controller, error) {
+func New(settings Settings, seed uint64) (*Controller, error) {
 	c := &Controller{
-		rng: rand.New(rand.NewPCG(seed, 0)), careful: 1,
-		byID:  make(map[ServerID]*server),
-		calls: make(map[CallID]*call),
-		mix:   shares.New(rateMemory * Time(time.Second)),
+		rng: rand.New(rand.NewPCG(seed, 0)), coldQuotaFraction: 1,
+		byID:          make(map[ServerID]*server),
+		calls:         make(map[CallID]*callState),
+		tenantTracker: shares.New(rateTimeConstant * Time(time.Second)),
 	}
-	if err := c.Configure(set); err != nil {
+	if err := c.Configure(settings); err != nil {
 		return nil, err
 	}
 	return c, nil
@@ -201,328 +201,332 @@
 
 // Configure replaces the settings; what is known of servers and calls stays. Settings that make no sense
 // change nothing. The classes there were keep their places.
-func (c *Controller) Configure(set Settings) error {
-	if err := check(&set); err != nil {
+func (c *Controller) Configure(settings Settings) error {
+	if err := checkSettings(&settings); err != nil {
 		return fmt.Errorf("elmseam: settings: %w", err)
 	}
-	c.set = set
-	c.mix.Configure(set.Tenants)
-	c.usual = make([]usualTry, len(set.Classes))
-	c.leastWorth = set.Classes[0].Worth
-	aim := set.Classes[0].Aim
-	for _, class := range set.Classes {
-		c.leastWorth, aim = min(c.leastWorth, class.Worth), min(aim, class.Aim)
+	c.settings = settings
+	c.tenantTracker.Configure(settings.Tenants)
+	c.usualTimes = make([]usualTimeLeft, len(settings.Classes))
+	c.minWorth = settings.Classes[0].Worth
+	aim := settings.Classes[0].Aim
+	for _, class := range settings.Classes {
+		c.minWorth, aim = min(c.minWorth, class.Worth), min(aim, class.Aim)
 	}
-	c.hint = time.Duration(retryPart * float64(aim))
+	c.retryAfterHint = time.Duration(retryAfterShare * float64(aim))
 	return nil
 }
 
 // check names the first setting that makes no sense.
-func check(set *Settings) error {
-	if len(set.Classes) == 0 {
+func checkSettings(settings *Settings) error {
+	if len(settings.Classes) == 0 {
 		return fmt.Errorf("Classes: no class")
 	}
-	for i, c := range set.Classes {
+	for i, class := range settings.Classes {
 		switch {
-		case c.Aim < 0:
-			return fmt.Errorf("Classes[%d].Aim: negative time %v", i, c.Aim)
-		case c.Deadline < 0:
-			return fmt.Errorf("Classes[%d].Deadline: negative time %v", i, c.Deadline)
+		case class.Aim < 0:
+			return fmt.Errorf("Classes[%d].Aim: negative time %v", i, class.Aim)
+		case class.Deadline < 0:
+			return fmt.Errorf("Classes[%d].Deadline: negative time %v", i, class.Deadline)
 		}
 	}
 	switch {
-	case set.MaxRetryAfter < 0:
-		return fmt.Errorf("MaxRetryAfter: negative time %v", set.MaxRetryAfter)
-	case set.RetransmitInterval < 0:
-		return fmt.Errorf("ResendGap: negative time %v", set.RetransmitInterval)
-	case set.ReleaseGuard < 0:
-		return fmt.Errorf("ReleaseGuard: negative time %v", set.ReleaseGuard)
-	case set.OverloadAfter < 0:
-		return fmt.Errorf("TipAfter: negative time %v", set.OverloadAfter)
-	case set.ColdRamp < 0:
-		return fmt.Errorf("ColdRamp: negative time %v", set.ColdRamp)
-	case !(set.ColdInitialShare >= 0 && set.ColdInitialShare <= 1):
-		return fmt.Errorf("ColdFrom: %v is no share", set.ColdInitialShare)
-	case !(set.OverloadMultiple >= 0):
-		return fmt.Errorf("TipMultiple: %v is negative", set.OverloadMultiple)
-	}
-	for _, f := range set.ReportMetrics {
-		if f != LoadMetricUnknown {
+	case settings.MaxRetryAfter < 0:
+		return fmt.Errorf("MaxRetryAfter: negative time %v", settings.MaxRetryAfter)
+	case settings.RetransmitInterval < 0:
+		return fmt.Errorf("ResendGap: negative time %v", settings.RetransmitInterval)
+	case settings.ReleaseGuard < 0:
+		return fmt.Errorf("ReleaseGuard: negative time %v", settings.ReleaseGuard)
+	case settings.OverloadAfter < 0:
+		return fmt.Errorf("TipAfter: negative time %v", settings.OverloadAfter)
+	case settings.ColdRamp < 0:
+		return fmt.Errorf("ColdRamp: negative time %v", settings.ColdRamp)
+	case !(settings.ColdInitialShare >= 0 && settings.ColdInitialShare <= 1):
+		return fmt.Errorf("ColdFrom: %v is no share", settings.ColdInitialShare)
+	case !(settings.OverloadMultiple >= 0):
+		return fmt.Errorf("TipMultiple: %v is negative", settings.OverloadMultiple)
+	}
+	for _, metric := range settings.ReportMetrics {
+		if metric != LoadMetricUnknown {
 			return nil
 		}
 	}
-	if len(set.ReportMetrics) > 0 {
-		return fmt.Errorf("Report: no known figure among %d", len(set.ReportMetrics))
+	if len(settings.ReportMetrics) > 0 {
+		return fmt.Errorf("Report: no known figure among %d", len(settings.ReportMetrics))
 	}
 	return nil
 }
 
 // Handle takes in one event and appends what is to be done to out.
 func (c *Controller) Handle(now Time, ev Event, out []Action) []Action {
-	c.now, c.out = now, out
-	if c.born == 0 {
-		c.born, c.measured = now, now
+	c.now, c.actions = now, out
+	if c.startedAt == 0 {
+		c.startedAt, c.measuredAt = now, now
 	}
-	c.follow()
+	c.subscribe()
 	switch ev := ev.(type) {
 	case ListFull:
-		c.listFull(ev)
+		c.applyFullList(ev)
 	case ListDelta:
 		for _, e := range ev.Entries {
-			c.listEntry(e)
+			c.applyListEntry(e)
 		}
-		c.forget()
+		c.dropGoneServers()
 	case ListFailed:
-		c.asked, c.askAt = false, now+resubscribe
+		c.subscribed, c.subscribeAt = false, now+resubscribeDelay
 	case Arrival:
-		c.arrive(ev)
+		c.handleArrival(ev)
 	case Established:
-		c.standing(ev)
+		c.handleEstablished(ev)
 	case Outcome:
-		c.outcome(ev)
+		c.handleOutcome(ev)
 	case CallerGone:
-		c.callerGone(ev.Call)
+		c.handleCallerGone(ev.Call)
 	case TimerFired:
-		c.wake(CallID(ev.Token))
+		c.handleTimer(CallID(ev.Token))
 	case Health:
 		if s := c.byID[ev.Server]; s != nil {
-			c.report(s, ev.Report)
+			c.applyReport(s, ev.Report)
 		}
 	}
-	out, c.out = c.out, nil
+	out, c.actions = c.actions, nil
 	return out
 }
 
-func (c *Controller) do(a Action) { c.out = append(c.out, a) }
+func (c *Controller) emit(action Action) { c.actions = append(c.actions, action) }
 
 // follow subscribes to the list where it has to be asked for.
-func (c *Controller) follow() {
-	if c.set.ListOnRequest && !c.asked && c.now >= c.askAt {
-		c.asked = true
-		c.do(Subscribe{})
+func (c *Controller) subscribe() {
+	if c.settings.ListOnRequest && !c.subscribed && c.now >= c.subscribeAt {
+		c.subscribed = true
+		c.emit(Subscribe{})
 	}
 }
 
-func (c *Controller) listFull(ev ListFull) {
+func (c *Controller) applyFullList(ev ListFull) {
 	for _, s := range c.servers {
 		s.phase = Gone
 	}
 	for _, e := range ev.Entries {
-		c.listEntry(e)
+		c.applyListEntry(e)
 	}
-	c.forget()
+	c.dropGoneServers()
 }
 
 // forget drops servers that are gone and have nothing out, so that replacements do not pile up.
-func (c *Controller) forget() {
+func (c *Controller) dropGoneServers() {
 	c.servers = slices.DeleteFunc(c.servers, func(s *server) bool {
-		over := s.phase == Gone && len(s.out) == 0
-		if over {
+		drop := s.phase == Gone && len(s.pending) == 0
+		if drop {
 			delete(c.byID, s.id)
-			c.past = append(c.past, past{s.id, s.most, c.tookBy(s), s.floor, c.now})
+			c.removed = append(c.removed, removedServer{s.id, s.maxLines, c.lastKnownRate(s), s.minSetUpTime, c.now})
 		}
-		return over
+		return drop
 	})
-	c.past = slices.DeleteFunc(c.past, func(p past) bool { return c.now > p.at+pastKept })
-	c.past = c.past[max(len(c.past)-pastServers, 0):]
+	c.removed = slices.DeleteFunc(c.removed, func(p removedServer) bool { return c.now > p.removedAt+removedServerTTL })
+	c.removed = c.removed[max(len(c.removed)-maxRemovedServers, 0):]
 }
 
 // tookBy is what a server takes from here, or took before it started anew: as it was when it last
 // answered, for one that starts anew has been dead for a while.
-func (c *Controller) tookBy(s *server) float64 { return max(s.took, c.rateAt(s.stands, s.stands.at)) }
+func (c *Controller) lastKnownRate(s *server) float64 {
+	return max(s.rateBeforeRestart, c.rateAt(s.established, s.established.updatedAt))
+}
 
 // newServer is a server that the list names; of one that comes back some things are known.
 func (c *Controller) newServer(id ServerID) *server {
-	s := &server{id: id, allot: -1}
-	for _, p := range c.past {
-		if p.id == id {
-			s.most, s.took, s.floor = p.most, p.took, p.floor
+	s := &server{id: id, allottedRate: -1}
+	for _, old := range c.removed {
+		if old.id == id {
+			s.maxLines, s.rateBeforeRestart, s.minSetUpTime = old.maxLines, old.rate, old.minSetUpTime
 		}
 	}
 	return s
 }
 
 // listEntry takes in what the list says of one server. One that started anew has a clean slate.
-func (c *Controller) listEntry(e ListEntry) {
-	s := c.byID[e.Server]
+func (c *Controller) applyListEntry(entry ListEntry) {
+	s := c.byID[entry.Server]
 	if s == nil {
-		s = c.newServer(e.Server)
-		c.byID[e.Server] = s
+		s = c.newServer(entry.Server)
+		c.byID[entry.Server] = s
 		c.servers = append(c.servers, s)
-	} else if s.started != e.Started {
-		*s = server{id: s.id, allot: -1, out: s.out, floor: s.floor, most: s.most, took: c.tookBy(s)}
+	} else if s.started != entry.Started {
+		*s = server{id: s.id, allottedRate: -1, pending: s.pending, minSetUpTime: s.minSetUpTime, maxLines: s.maxLines, rateBeforeRestart: c.lastKnownRate(s)}
 	}
-	s.cell, s.phase, s.started = e.Cell, e.Phase, e.Started
-	if s.cold.at == 0 { // from the telling on, or what came due before would go out at once
-		s.cold, s.divert = bucket{c.rng.Float64(), c.now}, bucket{c.rng.Float64(), c.now}
+	s.cell, s.phase, s.started = entry.Cell, entry.Phase, entry.Started
+	if s.coldBudget.updatedAt == 0 { // from the telling on, or what came due before would go out at once
+		s.coldBudget, s.divertBudget = bucket{c.rng.Float64(), c.now}, bucket{c.rng.Float64(), c.now}
 	}
 }
 
 // report replaces the state of a server by what a load report tells.
-func (c *Controller) report(s *server, r Report) {
-	c.freeLines(s, r)
-	share, known := c.shareTold(s, r)
-	if !known || s.full && c.now < s.fullAt+c.gaps(fullHold) {
+func (c *Controller) applyReport(s *server, r Report) {
+	c.applyLineReport(s, r)
+	share, known := c.shareFromReport(s, r)
+	if !known || s.blocked && c.now < s.blockedAt+c.intervals(minBlockTime) {
 		return
 	}
-	s.told, s.lapse, s.full, s.trial = share, c.now+c.gaps(reportLapse), false, false
-	s.own, s.ownAt = share, c.now
+	s.reportedShare, s.shareExpiry, s.blocked, s.trialPending = share, c.now+c.intervals(reportLifetime), false, false
+	s.ownShare, s.ownShareAt = share, c.now
 }
 
 // ApplyTierReport takes in what others of the tier have seen of a server. A report that came to them after
 // the last one here stands for one, but lifts no full cut. One that fails for them is cut at its next bad
 // ending here. A sender just back begins with the rates that they have; no budget while cold grows by that,
 // see coldPart.
-func (c *Controller) ApplyTierReport(now Time, id ServerID, l TierReport) {
+func (c *Controller) ApplyTierReport(now Time, id ServerID, report TierReport) {
 	s := c.byID[id]
 	if s == nil {
 		return
 	}
-	if lapse := l.ShareAt + c.gaps(reportLapse); l.ShareAt > 0 && lapse > s.lapse && !s.full {
-		s.told, s.lapse = l.Share, lapse
+	if expiry := report.ShareAt + c.intervals(reportLifetime); report.ShareAt > 0 && expiry > s.shareExpiry && !s.blocked {
+		s.reportedShare, s.shareExpiry = report.Share, expiry
 	}
-	if l.Failing {
-		s.faults = max(s.faults, failLimit-1)
+	if report.Failing {
+		s.failureWeight = max(s.failureWeight, maxFailureWeight-1)
 	}
-	if s.floor == 0 {
-		s.floor = l.RoundTrip
+	if s.minSetUpTime == 0 {
+		s.minSetUpTime = report.RoundTrip
 	}
-	if (c.young(now) || c.foreign > 0) && s.stands.count == 0 && l.Rate > 0 {
-		if c.foreign == 0 { // as if it had counted for so long
-			c.born, c.measured = c.born-minMemory*Time(time.Second), c.measured-minMemory*Time(time.Second)
+	if (c.newlyStarted(now) || c.importedShare > 0) && s.established.count == 0 && report.Rate > 0 {
+		if c.importedShare == 0 { // as if it had counted for so long
+			c.startedAt, c.measuredAt = c.startedAt-minRateSpan*Time(time.Second), c.measuredAt-minRateSpan*Time(time.Second)
 		}
-		n := l.Rate * rateMemory * (1 - decay(minMemory))
-		s.stands, c.stands = counter{n, now}, counter{c.stands.now(now) + n, now}
-		c.foreign, c.foreignAt = 1-offeredPart, now
+		count := report.Rate * rateTimeConstant * (1 - decayFactor(minRateSpan))
+		s.established, c.established = decayingCounter{count, now}, decayingCounter{c.established.value(now) + count, now}
+		c.importedShare, c.importedShareAt = 1-minOfferedShare, now
 	}
 }
 
 // freeLines takes in how many lines a server has left, which it tells by itself at short intervals.
 // It guards against a server that has processor to spare and turns all away for want of lines.
-func (c *Controller) freeLines(s *server, r Report) {
-	free, all := -1.0, -1.0
-	for i, f := range c.set.ReportMetrics {
+func (c *Controller) applyLineReport(s *server, r Report) {
+	free, total := -1.0, -1.0
+	for i, metric := range c.settings.ReportMetrics {
 		switch {
 		case i >= len(r):
-		case f == LoadMetricFreeLines:
+		case metric == LoadMetricFreeLines:
 			free = r[i]
-		case f == LoadMetricTotalLines:
-			all = r[i]
+		case metric == LoadMetricTotalLines:
+			total = r[i]
 		}
 	}
-	if free >= 0 && all > 0 {
-		s.size, s.most, s.free = all, max(s.most, all), free
-		s.lines = max(0, 1-free/(scarceLines*all))
+	if free >= 0 && total > 0 {
+		s.totalLines, s.maxLines, s.freeLines = total, max(s.maxLines, total), free
+		s.lineShare = max(0, 1-free/(scarceLineShare*total))
 	}
 }
 
 // shareTold is the one map from told figures to a hold-back share: the most that any of them asks for.
 // A rate is for all senders, and this one's part of it is not known: streams differ and peers die. It is
 // set against the highest rate that the server has told, of which it needs some part for what is offered.
-func (c *Controller) shareTold(s *server, r Report) (share float64, known bool) {
-	for i, f := range c.set.ReportMetrics {
+func (c *Controller) shareFromReport(s *server, r Report) (share float64, known bool) {
+	for i, metric := range c.settings.ReportMetrics {
 		if i >= len(r) || !(r[i] >= 0) {
 			continue
 		}
-		asked := 0.0
-		switch f {
+		requested := 0.0
+		switch metric {
 		case LoadMetricHoldBackShare:
-			asked = r[i]
+			requested = r[i]
 		case LoadMetricWait:
-			asked = c.shareOfWait(time.Duration(r[i] * float64(time.Millisecond)))
+			requested = c.shareForWait(time.Duration(r[i] * float64(time.Millisecond)))
 		case LoadMetricRate:
-			s.topRate = max(s.topRate, r[i])
-			asked = 1 - r[i]/max(rateNeeded*s.topRate, 1e-9)
+			s.maxReportedRate = max(s.maxReportedRate, r[i])
+			requested = 1 - r[i]/max(neededRateShare*s.maxReportedRate, 1e-9)
 		default:
 			continue
 		}
-		share, known = min(max(share, asked), 1), true
+		share, known = min(max(share, requested), 1), true
 	}
 	return share, known
 }
 
 // shareOfWait is the share to hold back at a given wait.
-func (c *Controller) shareOfWait(wait time.Duration) float64 {
-	parts := float64(wait) / float64(c.gaps(1))
-	return 1 - math.Exp(-max(parts-waitLow, 0)/waitSpan)
+func (c *Controller) shareForWait(wait time.Duration) float64 {
+	waitIntervals := float64(wait) / float64(c.intervals(1))
+	return 1 - math.Exp(-max(waitIntervals-waitThreshold, 0)/waitScale)
 }
 
 // gaps is so many resend gaps.
-func (c *Controller) gaps(n float64) time.Duration {
-	gap := c.set.RetransmitInterval
-	if gap <= 0 {
-		gap = defaultGap
+func (c *Controller) intervals(n float64) time.Duration {
+	interval := c.settings.RetransmitInterval
+	if interval <= 0 {
+		interval = defaultInterval
 	}
-	return time.Duration(n * float64(gap))
+	return time.Duration(n * float64(interval))
 }
 
 // cut makes a full cut of a server.
-func (c *Controller) cut(s *server, wait time.Duration) {
-	if most := c.gaps(reportLapse); wait <= 0 || wait > most {
-		wait = most
+func (c *Controller) block(s *server, wait time.Duration) {
+	if maxWait := c.intervals(reportLifetime); wait <= 0 || wait > maxWait {
+		wait = maxWait
 	}
-	c.tryAfter(s)
-	s.told, s.fullAt, s.lapse, s.trial, s.errs = 1, c.now, c.now+wait, false, false
+	c.requireTrial(s)
+	s.reportedShare, s.blockedAt, s.shareExpiry, s.trialPending, s.blockedForErrors = 1, c.now, c.now+wait, false, false
 }
 
 // tryAfter makes a cut one that trials follow when it lapses.
-func (c *Controller) tryAfter(s *server) {
-	if !s.full {
-		s.full, s.errs, s.trials = true, false, bucket{c.rng.Float64(), c.now}
+func (c *Controller) requireTrial(s *server) {
+	if !s.blocked {
+		s.blocked, s.blockedForErrors, s.trialBudget = true, false, bucket{c.rng.Float64(), c.now}
 	}
 }
 
 // way is the time that a set-up may take that meets no queue.
-func (s *server) way() time.Duration { return time.Duration(wayVaries * float64(s.floor)) }
+func (s *server) maxRoundTrip() time.Duration {
+	return time.Duration(roundTripVariation * float64(s.minSetUpTime))
+}
 
 // lagNow is how late a server's answers are: the last set-up's delay, or what the oldest
 // unanswered one has waited by now.
-func (s *server) lagNow(now Time, fresh time.Duration) time.Duration {
-	var lag time.Duration
-	if now < s.lagAt+fresh+lagKeep*s.lag {
-		lag = s.lag
-	}
-	for _, a := range s.out {
-		if !a.lost {
-			return max(lag, now-a.sent-s.way())
+func (s *server) currentDelay(now Time, lifetime time.Duration) time.Duration {
+	var delay time.Duration
+	if now < s.answerDelayAt+lifetime+delayLifetimeFactor*s.answerDelay {
+		delay = s.answerDelay
+	}
+	for _, a := range s.pending {
+		if !a.presumedLost {
+			return max(delay, now-a.sentAt-s.maxRoundTrip())
 		}
 	}
-	return lag
+	return delay
 }
 
 // share is the share of new set-ups to hold back from a server now, of ordinary calls.
-func (c *Controller) share(s *server) float64 {
-	p := c.reported(s)
-	if p < 1 && c.unanswered(s, c.pressed(s, p), 1) {
+func (c *Controller) holdBackShare(s *server) float64 {
+	share := c.requestedShare(s)
+	if share < 1 && c.windowFull(s, c.hasWindow(s, share), 1) {
 		return 1
 	}
-	return p
+	return share
 }
 
 // reported is the share that live reports and observed delays of a server ask for. A full cut that has lapsed
 // is over for one set-up, the trial, when the budget of trials has room. A share over a half lapses likewise:
 // a jammed server ends no calls and so reports nothing, and all senders would come back with whole calls.
-func (c *Controller) reported(s *server) float64 {
-	if c.now >= s.lapse && s.told > trialShare {
-		c.tryAfter(s)
+func (c *Controller) requestedShare(s *server) float64 {
+	if c.now >= s.shareExpiry && s.reportedShare > trialMinShare {
+		c.requireTrial(s)
 	}
-	if s.full {
-		if c.now < s.lapse || s.trial || !s.trials.refill(c.now, trialPart*c.partOf(s), 1) {
+	if s.blocked {
+		if c.now < s.shareExpiry || s.trialPending || !s.trialBudget.refill(c.now, trialFactor*c.expectedRate(s), 1) {
 			return 1
 		}
 		return 0
 	}
-	p := max(s.lines, c.shareOfWait(s.lagNow(c.now, c.gaps(lagFresh))))
-	if c.now < s.lapse {
-		p = max(p, s.told)
+	share := max(s.lineShare, c.shareForWait(s.currentDelay(c.now, c.intervals(delayLifetime))))
+	if c.now < s.shareExpiry {
+		share = max(share, s.reportedShare)
 	}
-	return p
+	return share
 }
 
 // pressed says whether a server has a window now: where it asks to hold back, and for a while after its
 // processor was full. A report of ease lifts that cut, and all that comes would fill its queue again at once.
-func (c *Controller) pressed(s *server, p float64) bool {
-	return p > windowed || s.fullAt > 0 && c.now < s.fullAt+c.gaps(reportLapse)
+func (c *Controller) hasWindow(s *server, share float64) bool {
+	return share > windowMinShare || s.blockedAt > 0 && c.now < s.blockedAt+c.intervals(reportLifetime)
 }
 
 // unanswered says whether a server leaves this sender's set-ups without an answer so that no other may
@@ -531,59 +535,59 @@
 // server that is slow, hung, jammed or gone. What is on its way there and back is not held against a server:
 // that way may be as long as the limit. It could harm where ways are more uneven than queues.
 // Calls of great worth have a wider limit.
-func (c *Controller) unanswered(s *server, pressed bool, wider float64) bool {
-	limit := c.gaps(silence * wider)
-	n := 0
-	for _, a := range s.out {
-		if a.lost {
+func (c *Controller) windowFull(s *server, hasWindow bool, limitFactor float64) bool {
+	limit := c.intervals(maxUnanswered * limitFactor)
+	count := 0
+	for _, a := range s.pending {
+		if a.presumedLost {
 			continue
 		}
-		if n++; c.now-a.sent-s.way() > limit {
+		if count++; c.now-a.sentAt-s.maxRoundTrip() > limit {
 			return true
 		}
 	}
-	return pressed && float64(n) >= max(wider, c.rate(s.stands)*(limit+s.way()).Seconds())
+	return hasWindow && float64(count) >= max(limitFactor, c.currentRate(s.established)*(limit+s.maxRoundTrip()).Seconds())
 }
 
 // usable says whether a call may go to a server at all.
-func (c *Controller) usable(s *server, k *call) bool {
-	if s.phase != Ready || s.cell == c.set.OwnCell && c.set.OwnCell >= 0 {
+func (c *Controller) eligible(s *server, call *callState) bool {
+	if s.phase != Ready || s.cell == c.settings.OwnCell && c.settings.OwnCell >= 0 {
 		return false
 	}
-	if k.transit && s.cell != k.cell {
+	if call.transit && s.cell != call.cell {
 		return false
 	}
-	if slices.Contains(k.tried, s) {
+	if slices.Contains(call.tried, s) {
 		return false
 	}
-	return len(k.class.Cells) == 0 || c.set.OwnCell >= 0 || slices.Contains(k.class.Cells, s.cell)
+	return len(call.class.Cells) == 0 || c.settings.OwnCell >= 0 || slices.Contains(call.class.Cells, s.cell)
 }
 
 // route sends a call, or refuses it: also when its time is all but up, as after a stall of this proxy, where
 // each send would come back as not sent until the answer is late.
-func (c *Controller) route(k *call) {
-	if c.now >= k.end {
-		c.refuse(k, c.hint)
+func (c *Controller) route(call *callState) {
+	if c.now >= call.answerBy {
+		c.refuse(call, c.retryAfterHint)
 		return
 	}
-	c.measure()
-	s := c.pick(k)
+	c.updateRatePerLine()
+	s := c.pickServer(call)
 	if s == nil {
-		s = c.lastResort(k)
+		s = c.pickLastResort(call)
 	}
 	if s == nil {
-		c.refuse(k, c.hint)
+		c.refuse(call, c.retryAfterHint)
 		return
 	}
-	c.send(k, s)
+	c.send(call, s)
 }
 
 // lastResort is a server that is cut for its errors, for a call that would be refused. Errors come at once:
 // they cost a call less than a refusal does, and a server seldom fails every call.
-func (c *Controller) lastResort(k *call) *server {
+func (c *Controller) pickLastResort(call *callState) *server {
 	for _, s := range c.servers {
-		if s.full && s.errs && !k.low && k.class.Retry == RetryAlways && c.usable(s, k) && c.coldPasses(s) &&
-			c.linePasses(s, k) && !c.unanswered(s, true, 1) {
+		if s.blocked && s.blockedForErrors && !call.lowWorth && call.class.Retry == RetryAlways && c.eligible(s, call) && c.coldBudgetAllows(s) &&
+			c.lineAvailable(s, call) && !c.windowFull(s, true, 1) {
 			return s
 		}
 	}
@@ -594,55 +598,55 @@
 // least pressed of the others with room for diverted calls. That is one without a live report; where none
 // is left, the call may still pass the thinning of the least pressed. A call of great worth whose first
 // choice is pressed goes to the least pressed at once: to pass into a queue that loses callers is no favour.
-func (c *Controller) pick(k *call) *server {
+func (c *Controller) pickServer(call *callState) *server {
 	var primary, best *server
 	for _, s := range c.servers {
 		switch {
-		case !c.usable(s, k) || !c.coldPasses(s) || !c.linePasses(s, k):
-		case s.cell == k.cell && primary == nil && !(c.great(k) && c.reported(s) > windowed):
+		case !c.eligible(s, call) || !c.coldBudgetAllows(s) || !c.lineAvailable(s, call):
+		case s.cell == call.cell && primary == nil && !(c.highWorth(call) && c.requestedShare(s) > windowMinShare):
 			primary = s
-		case c.divertPasses(s, k) && (best == nil || c.less(s, best)):
+		case c.divertBudgetAllows(s, call) && (best == nil || c.lessLoaded(s, best)):
 			best = s
 		}
 	}
 	switch {
-	case primary != nil && c.passes(primary, k):
+	case primary != nil && c.passesThinning(primary, call):
 		return primary
-	case best != nil && c.passes(best, k):
-		best.divert.tokens = max(best.divert.tokens-1, -divertBurst)
+	case best != nil && c.passesThinning(best, call):
+		best.divertBudget.tokens = max(best.divertBudget.tokens-1, -divertBurst)
 		return best
 	}
 	return nil
 }
 
 // less says whether a is less pressed than b: by the share to hold back, then by what is out for its size.
-func (c *Controller) less(a, b *server) bool {
-	if p, q := c.share(a), c.share(b); p != q {
+func (c *Controller) lessLoaded(a, b *server) bool {
+	if p, q := c.holdBackShare(a), c.holdBackShare(b); p != q {
 		return p < q
 	}
-	return float64(len(a.out)+1)*c.linesOf(b) < float64(len(b.out)+1)*c.linesOf(a)
+	return float64(len(a.pending)+1)*c.linesOrMean(b) < float64(len(b.pending)+1)*c.linesOrMean(a)
 }
 
 // passes thins by a running remainder, calls of little worth first and those of great worth last: these
 // overdraw the remainder and wait for no answers, and the ordinary ones make up for it.
-func (c *Controller) passes(s *server, k *call) bool {
-	p, need := c.share(s), 1.0
+func (c *Controller) passesThinning(s *server, call *callState) bool {
+	share, needed := c.holdBackShare(s), 1.0
 	switch {
-	case k.low:
-		need = lowCredit
-	case c.great(k):
-		need = highDebt
-		if p = c.reported(s); p < 1 && c.unanswered(s, c.pressed(s, p), greatWindow) {
+	case call.lowWorth:
+		needed = lowWorthCredit
+	case c.highWorth(call):
+		needed = highWorthCredit
+		if share = c.requestedShare(s); share < 1 && c.windowFull(s, c.hasWindow(s, share), highWorthWindowFactor) {
 			return false
 		}
 	}
-	if p <= 0 {
+	if share <= 0 {
 		return true
 	}
-	if p >= 1 {
+	if share >= 1 {
 		return false
 	}
-	if s.credit = min(s.credit+1-p, maxCredit); s.credit < need {
+	if s.credit = min(s.credit+1-share, maxCredit); s.credit < needed {
 		return false
 	}
 	s.credit--
@@ -650,83 +654,85 @@
 }
 
 // great says whether a call is worth far more than the least of the classes, or was cut and comes again.
-func (c *Controller) great(k *call) bool {
-	return !k.low && (k.cut || k.class.Worth > greatWorth*c.leastWorth)
+func (c *Controller) highWorth(call *callState) bool {
+	return !call.lowWorth && (call.interrupted || call.class.Worth > highWorthFactor*c.minWorth)
 }
 
 // isCold says whether a server has started so recently that it may not be warm.
 func (c *Controller) isCold(s *server) bool {
-	return s.started > 0 && c.now < s.started+c.set.ColdRamp
+	return s.started > 0 && c.now < s.started+c.settings.ColdRamp
 }
 
 // coldPasses says whether a cold server has room in this sender's budget: this sender's part of what
 // a warm server of its size takes, times what is surely warm of it, times a part of the multiple that
 // tips it over. If every sender keeps to its own part, all together do. The budget of one among many is a
 // small part of a set-up, so it starts at a random phase: else the first ones of all would come at once.
-func (c *Controller) coldPasses(s *server) bool {
+func (c *Controller) coldBudgetAllows(s *server) bool {
 	if !c.isCold(s) {
 		return true
 	}
-	part := s.allot
-	if part < 0 {
-		part = c.careful * c.coldPart(s)
+	quota := s.allottedRate
+	if quota < 0 {
+		quota = c.coldQuotaFraction * c.coldQuota(s)
 	}
-	return s.cold.spread(c.now, c.coldTimes(s, c.now)*part, coldBurst, c.gaps(coldGaps))
+	return s.coldBudget.refillCapped(c.now, c.coldRateMultiple(s, c.now)*quota, coldBurst, c.intervals(coldSaveTime))
 }
 
 // coldTimes is how many set-ups a cold server may get for each that it takes when warm.
-func (c *Controller) coldTimes(s *server, now Time) float64 {
-	warm := c.set.ColdInitialShare + (1-c.set.ColdInitialShare)*float64(now-s.started)/float64(c.set.ColdRamp)
-	return coldSafety * c.set.OverloadMultiple * warm
+func (c *Controller) coldRateMultiple(s *server, now Time) float64 {
+	warmShare := c.settings.ColdInitialShare + (1-c.settings.ColdInitialShare)*float64(now-s.started)/float64(c.settings.ColdRamp)
+	return coldSafetyFactor * c.settings.OverloadMultiple * warmShare
 }
 
 // coldPart is this sender's own part of a cold server, as set-ups a second of a warm one: what it took before
 // it started anew, as lines say little of a processor.
-func (c *Controller) coldPart(s *server) float64 {
-	if s.took > 0 {
-		return s.took
+func (c *Controller) coldQuota(s *server) float64 {
+	if s.rateBeforeRestart > 0 {
+		return s.rateBeforeRestart
 	}
-	return c.partOf(s) * (1 - c.foreignNow(c.now))
+	return c.expectedRate(s) * (1 - c.currentImportedShare(c.now))
 }
 
 // linePasses says whether a server has a line for one more call. Where few are free, all senders hear of the
 // same ones and race for them, and each that loses costs the processor a look. So a sender then uses the
 // lines again that its own calls have freed, the last of them for calls of great worth, and tries for others
 // the less the fewer they are: one just back has none of its own.
-func (c *Controller) linePasses(s *server, k *call) bool {
-	few := s.free / max(fewLines*s.size, 1)
-	if c.now >= s.short || few >= 1 {
+func (c *Controller) lineAvailable(s *server, call *callState) bool {
+	freeRatio := s.freeLines / max(lowLineShare*s.totalLines, 1)
+	if c.now >= s.lineShortUntil || freeRatio >= 1 {
 		return true
 	}
-	if s.freed >= 1 && c.great(k) || s.freed >= 1+keptLines {
+	if s.reusableLines >= 1 && c.highWorth(call) || s.reusableLines >= 1+reservedLines {
 		return true
 	}
-	return s.spare.refill(c.now, few*few*c.partOf(s), 1) && s.free >= 1
+	return s.lineTryBudget.refill(c.now, freeRatio*freeRatio*c.expectedRate(s), 1) && s.freeLines >= 1
 }
 
 // divertPasses says whether a server has room for one more diverted call. Reports tell of a flood only when
 // it has come: where a great server leaves, all that it had would fall on small ones and jam them for
 // long. So a server gets diverted no more than what is its part by its lines. Calls of great worth overdraw
 // that, but not by so much that the others are kept out for long.
-func (c *Controller) divertPasses(s *server, k *call) bool {
-	part := divertPart * c.partOf(s)
-	if c.now < s.lapse {
-		part *= 1 + (easePart-1)*max(1-c.reported(s)/easeShare, 0)
+func (c *Controller) divertBudgetAllows(s *server, call *callState) bool {
+	rate := divertFactor * c.expectedRate(s)
+	if c.now < s.shareExpiry {
+		rate *= 1 + (idleDivertFactor-1)*max(1-c.requestedShare(s)/idleMaxShare, 0)
 	}
-	room := s.divert.spread(c.now, part, divertBurst, c.gaps(savedGaps))
-	return room || c.great(k) || c.young(c.now) && c.foreign == 0 // one just back knows no rate
+	hasRoom := s.divertBudget.refillCapped(c.now, rate, divertBurst, c.intervals(divertSaveTime))
+	return hasRoom || c.highWorth(call) || c.newlyStarted(c.now) && c.importedShare == 0 // one just back knows no rate
 }
 
 // young says whether this sender has just started, and has no rate of its own.
-func (c *Controller) young(now Time) bool { return c.born == 0 || (now-c.born).Seconds() < minMemory }
+func (c *Controller) newlyStarted(now Time) bool {
+	return c.startedAt == 0 || (now-c.startedAt).Seconds() < minRateSpan
+}
 
 // partOf is a server's part, by its lines, of the set-ups a second that warm servers take from here.
-func (c *Controller) partOf(s *server) float64 { return c.perLine * c.linesOf(s) }
+func (c *Controller) expectedRate(s *server) float64 { return c.ratePerLine * c.linesOrMean(s) }
 
 // linesOf is the size of a server as far as its processor goes: the mean of the others where it is not told.
-func (c *Controller) linesOf(s *server) float64 {
-	if s.most > 0 {
-		return s.most
+func (c *Controller) linesOrMean(s *server) float64 {
+	if s.maxLines > 0 {
+		return s.maxLines
 	}
 	return c.meanLines
 }
@@ -735,289 +741,289 @@
 // their lines were there for it, both with the same memory. So servers that leave, few or many, change it by
 // what they took themselves, and where none is left the last known holds. A part of the calls that came is
 // the least: a sender just back, or one that nothing stood for of late, has to try somewhere.
-func (c *Controller) measure() {
-	told, n := 0.0, 0.0
+func (c *Controller) updateRatePerLine() {
+	reportedLines, reporting := 0.0, 0.0
 	for _, s := range c.servers {
-		if s.most > 0 {
-			told, n = told+s.most, n+1
+		if s.maxLines > 0 {
+			reportedLines, reporting = reportedLines+s.maxLines, reporting+1
 		}
 	}
-	if c.meanLines = 1; n > 0 {
-		c.meanLines = told / n
+	if c.meanLines = 1; reporting > 0 {
+		c.meanLines = reportedLines / reporting
 	}
-	lines, all, dt := 0.0, 1.0, (c.now - c.measured).Seconds()
+	warmLines, allLines, elapsed := 0.0, 1.0, (c.now - c.measuredAt).Seconds()
 	for _, s := range c.servers {
-		if all += c.linesOf(s); s.phase == Ready && !c.isCold(s) {
-			lines += c.linesOf(s)
+		if allLines += c.linesOrMean(s); s.phase == Ready && !c.isCold(s) {
+			warmLines += c.linesOrMean(s)
 		}
 	}
-	c.lineTime, c.measured = c.lineTime*decay(dt)+lines*min(dt, rateMemory), c.now
-	c.perLine = max(c.stands.now(c.now), offeredPart*c.offered.now(c.now)) / max(c.lineTime, all*minMemory)
+	c.lineSeconds, c.measuredAt = c.lineSeconds*decayFactor(elapsed)+warmLines*min(elapsed, rateTimeConstant), c.now
+	c.ratePerLine = max(c.established.value(c.now), minOfferedShare*c.offered.value(c.now)) / max(c.lineSeconds, allLines*minRateSpan)
 }
 
 // rate is the rate a second of what a counter has counted.
-func (c *Controller) rate(n counter) float64 { return c.rateAt(n, c.now) }
+func (c *Controller) currentRate(counter decayingCounter) float64 { return c.rateAt(counter, c.now) }
 
 // rateAt is the rate as it was at a time after the last count.
-func (c *Controller) rateAt(n counter, at Time) float64 {
-	return n.now(at) / (rateMemory * (1 - decay(max((at-c.born).Seconds(), minMemory))))
+func (c *Controller) rateAt(counter decayingCounter, at Time) float64 {
+	return counter.value(at) / (rateTimeConstant * (1 - decayFactor(max((at-c.startedAt).Seconds(), minRateSpan))))
 }
 
-func (c *Controller) send(k *call, s *server) {
-	a := &attempt{call: k, server: s, sent: c.now}
-	if s.full {
-		a.trial, s.trial = true, true
-		s.trials.tokens--
+func (c *Controller) send(call *callState, s *server) {
+	a := &attempt{call: call, server: s, sentAt: c.now}
+	if s.blocked {
+		a.trial, s.trialPending = true, true
+		s.trialBudget.tokens--
 	}
 	if c.isCold(s) {
-		s.cold.tokens--
+		s.coldBudget.tokens--
 	}
-	if s.free--; s.freed >= 1 {
-		s.freed--
+	if s.freeLines--; s.reusableLines >= 1 {
+		s.reusableLines--
 	} else {
-		s.spare.tokens--
+		s.lineTryBudget.tokens--
 	}
-	k.out, k.sends = a, k.sends+1
-	k.tried = append(k.tried, s)
-	s.out = append(s.out, a)
-	c.do(Send{Call: k.id, Server: s.id})
-	c.do(SetTimer{Token: uint32(k.id), At: c.now + c.gaps(doubtful)})
+	call.pending, call.attempts = a, call.attempts+1
+	call.tried = append(call.tried, s)
+	s.pending = append(s.pending, a)
+	c.emit(Send{Call: call.id, Server: s.id})
+	c.emit(SetTimer{Token: uint32(call.id), At: c.now + c.intervals(suspectLossAfter)})
 }
 
 // giveUp calls off an attempt that a later one has overtaken: servers answer in order, so it or its answer
 // was lost. The call goes on elsewhere if it can.
-func (c *Controller) giveUp(a *attempt) {
-	k := a.call
-	if a.lost = true; !a.dropped && c.set.CanCancel && k.class.Retry == RetryAlways && !k.gone {
-		a.dropped = true
-		c.do(Cancel{Call: k.id, Attempt: k.sends - 1})
+func (c *Controller) presumeLost(a *attempt) {
+	call := a.call
+	if a.presumedLost = true; !a.cancelled && c.settings.CanCancel && call.class.Retry == RetryAlways && !call.callerLeft {
+		a.cancelled = true
+		c.emit(Cancel{Call: call.id, Attempt: call.attempts - 1})
 	}
 }
 
 // fault counts bad endings in a row with no call standing between them; enough of them make a full cut. A
 // silence weighs more than an error: it costs its call the time in which an error is made good elsewhere.
 // A server that fails all at once looks idle and would draw every call; one that is silent keeps its load.
-func (c *Controller) fault(s *server, weight int) {
-	if s.faults += weight; s.faults >= failLimit {
-		errs := weight < silenceWeight && (s.errs || !s.full) // no error makes light of another cause
-		c.cut(s, 0)
-		s.errs = errs
+func (c *Controller) recordFailure(s *server, weight int) {
+	if s.failureWeight += weight; s.failureWeight >= maxFailureWeight {
+		errorsOnly := weight < unansweredWeight && (s.blockedForErrors || !s.blocked) // no error makes light of another cause
+		c.block(s, 0)
+		s.blockedForErrors = errorsOnly
 	}
 }
 
-func (c *Controller) arrive(ev Arrival) {
-	if ev.Class < 0 || ev.Class >= len(c.set.Classes) {
+func (c *Controller) handleArrival(ev Arrival) {
+	if ev.Class < 0 || ev.Class >= len(c.settings.Classes) {
 		ev.Class = 0
 	}
-	k := &call{
-		id: ev.Call, class: &c.set.Classes[ev.Class], number: ev.Number, cell: ev.Cell, transit: ev.Transit,
-		most: c.set.MaxAttempts, end: c.now + ev.TimeLeft - answerMargin,
+	call := &callState{
+		id: ev.Call, class: &c.settings.Classes[ev.Class], number: ev.Number, cell: ev.Cell, transit: ev.Transit,
+		maxAttempts: c.settings.MaxAttempts, answerBy: c.now + ev.TimeLeft - answerMargin,
 	}
 	c.offered.add(c.now)
-	late, over := c.lateTry(ev), c.overShare(ev.Tenant)
-	k.low, k.cut = late || over, ev.Interrupted
-	c.calls[k.id] = k
-	if c.numberBusy(k.number) {
-		c.refuse(k, c.set.MaxRetryAfter)
+	late, overShare := c.isLateTry(ev), c.exceedsTenantShare(ev.Tenant)
+	call.lowWorth, call.interrupted = late || overShare, ev.Interrupted
+	c.calls[call.id] = call
+	if c.numberIsBusy(call.number) {
+		c.refuse(call, c.settings.MaxRetryAfter)
 		return
 	}
-	c.route(k)
+	c.route(call)
 }
 
 // numberBusy says whether a number was found busy of late. A crowd on one number costs the servers a
 // set-up for each try and all but a few fail; when the hold lapses the next call is the trial.
-func (c *Controller) numberBusy(number uint64) bool {
-	for i := range c.busy {
-		if b := &c.busy[i]; number != 0 && b.number == number {
-			return c.now < b.until
+func (c *Controller) numberIsBusy(number uint64) bool {
+	for i := range c.busyNumbers {
+		if entry := &c.busyNumbers[i]; number != 0 && entry.number == number {
+			return c.now < entry.until
 		}
 	}
 	return false
 }
 
 // holdNumber takes in that all lines of a number are busy.
-func (c *Controller) holdNumber(number uint64) {
-	for i := range c.busy {
-		if c.busy[i].number == number {
-			c.busy[i].until = c.now + c.gaps(busyHold)
+func (c *Controller) markNumberBusy(number uint64) {
+	for i := range c.busyNumbers {
+		if c.busyNumbers[i].number == number {
+			c.busyNumbers[i].until = c.now + c.intervals(busyNumberHold)
 			return
 		}
 	}
-	c.busy[c.busyAt] = busyNumber{number, c.now + c.gaps(busyHold)}
-	c.busyAt = (c.busyAt + 1) % len(c.busy)
+	c.busyNumbers[c.nextBusyNumber] = busyNumber{number, c.now + c.intervals(busyNumberHold)}
+	c.nextBusyNumber = (c.nextBusyNumber + 1) % len(c.busyNumbers)
 }
 
 // overShare says whether a call is one of those beyond its tenant's share, where these are worth little.
-func (c *Controller) overShare(tenant int) bool {
-	return c.set.OverShareWorth*greatWorth < 1 && c.mix.ExceedsShare(c.now, tenant)
+func (c *Controller) exceedsTenantShare(tenant int) bool {
+	return c.settings.OverShareWorth*highWorthFactor < 1 && c.tenantTracker.ExceedsShare(c.now, tenant)
 }
 
 // lateTry says whether a try is known to come after the aim has passed. Most tries have the time that
 // callers usually give one (found by majority vote); another time is what is left of the deadline.
-func (c *Controller) lateTry(ev Arrival) bool {
-	u, class := &c.usual[ev.Class], &c.set.Classes[ev.Class]
-	usual := ev.TimeLeft <= u.within+answerMargin && ev.TimeLeft >= u.within-answerMargin
+func (c *Controller) isLateTry(ev Arrival) bool {
+	usualTime, class := &c.usualTimes[ev.Class], &c.settings.Classes[ev.Class]
+	isUsual := ev.TimeLeft <= usualTime.timeLeft+answerMargin && ev.TimeLeft >= usualTime.timeLeft-answerMargin
 	switch {
-	case usual:
-		u.votes = min(u.votes+1, maxVotes)
-	case u.votes > 0:
-		u.votes--
+	case isUsual:
+		usualTime.votes = min(usualTime.votes+1, maxTimeLeftVotes)
+	case usualTime.votes > 0:
+		usualTime.votes--
 	default:
-		u.within = ev.TimeLeft
+		usualTime.timeLeft = ev.TimeLeft
 	}
-	return !usual && u.votes > 0 && class.Deadline-ev.TimeLeft > class.Aim
+	return !isUsual && usualTime.votes > 0 && class.Deadline-ev.TimeLeft > class.Aim
 }
 
 // refuse gives a call its final answer: refused, or failed where an attempt may have run.
-func (c *Controller) refuse(k *call, retryAfter time.Duration) {
-	delete(c.calls, k.id)
-	if k.mayRun && k.class.Retry != RetryAlways {
-		c.do(Fail{Call: k.id})
+func (c *Controller) refuse(call *callState, retryAfter time.Duration) {
+	delete(c.calls, call.id)
+	if call.mayHaveRun && call.class.Retry != RetryAlways {
+		c.emit(Fail{Call: call.id})
 		return
 	}
-	c.do(Refuse{Call: k.id, RetryAfter: min(retryAfter, c.set.MaxRetryAfter)})
+	c.emit(Refuse{Call: call.id, RetryAfter: min(retryAfter, c.settings.MaxRetryAfter)})
 }
 
 // answered takes an attempt off its server's list.
-func (c *Controller) answered(k *call) *attempt {
-	a := k.out
+func (c *Controller) detachAttempt(call *callState) *attempt {
+	a := call.pending
 	if a == nil {
 		return nil
 	}
-	k.out = nil
-	a.server.out = slices.DeleteFunc(a.server.out, func(o *attempt) bool { return o == a })
+	call.pending = nil
+	a.server.pending = slices.DeleteFunc(a.server.pending, func(other *attempt) bool { return other == a })
 	return a
 }
 
-func (c *Controller) standing(ev Established) {
-	k := c.calls[ev.Call]
-	if k == nil {
+func (c *Controller) handleEstablished(ev Established) {
+	call := c.calls[ev.Call]
+	if call == nil {
 		return
 	}
 	delete(c.calls, ev.Call)
-	a := c.answered(k)
+	a := c.detachAttempt(call)
 	if a == nil {
 		return
 	}
 	s := a.server
 	if !c.isCold(s) {
-		c.stands.add(c.now)
+		c.established.add(c.now)
 	}
-	s.stands.add(c.now)
-	s.faults = 0
-	if s.floor == 0 || ev.SetUpTime < s.floor {
-		s.floor = ev.SetUpTime
+	s.established.add(c.now)
+	s.failureWeight = 0
+	if s.minSetUpTime == 0 || ev.SetUpTime < s.minSetUpTime {
+		s.minSetUpTime = ev.SetUpTime
 	}
-	s.lag, s.lagAt = max(ev.SetUpTime-s.way(), 0), c.now
-	if s.full && a.trial {
-		s.full, s.trial, s.told = false, false, 0
+	s.answerDelay, s.answerDelayAt = max(ev.SetUpTime-s.maxRoundTrip(), 0), c.now
+	if s.blocked && a.trial {
+		s.blocked, s.trialPending, s.reportedShare = false, false, 0
 	}
-	for _, o := range s.out {
-		if o.sent+c.gaps(overtaken) < a.sent {
-			c.giveUp(o)
+	for _, other := range s.pending {
+		if other.sentAt+c.intervals(overtakeMargin) < a.sentAt {
+			c.presumeLost(other)
 		}
 	}
 }
 
 // callerGone ends a call. Its attempt counts as unanswered until its own end is told.
-func (c *Controller) callerGone(id CallID) {
-	k := c.calls[id]
-	if k == nil {
+func (c *Controller) handleCallerGone(id CallID) {
+	call := c.calls[id]
+	if call == nil {
 		return
 	}
-	if k.gone = true; k.out == nil {
+	if call.callerLeft = true; call.pending == nil {
 		delete(c.calls, id)
 	}
 }
 
-func (c *Controller) outcome(ev Outcome) {
-	k := c.calls[ev.Call]
+func (c *Controller) handleOutcome(ev Outcome) {
+	call := c.calls[ev.Call]
 	if s := c.byID[ev.Server]; s != nil {
-		c.report(s, ev.Report)
+		c.applyReport(s, ev.Report)
 		switch {
 		case ev.Cause == CauseFull && ev.Refusal == RefusalProcessor, ev.Cause == CauseUnreachable:
-			c.cut(s, ev.Wait)
+			c.block(s, ev.Wait)
 		case ev.Cause == CauseFull:
-			if s.short = c.now + shortHold; s.size > 0 { // else no report will tell of a free line
-				s.lines = 1
+			if s.lineShortUntil = c.now + lineShortageHold; s.totalLines > 0 { // else no report will tell of a free line
+				s.lineShare = 1
 			}
 		}
 	}
-	if k == nil {
+	if call == nil {
 		if s := c.byID[ev.Server]; s != nil && ev.Cause != CauseFull { // a call that stood is over
-			s.freed = min(s.freed+1, max(fewLines*s.size, 1+keptLines))
+			s.reusableLines = min(s.reusableLines+1, max(lowLineShare*s.totalLines, 1+reservedLines))
 		}
 		return
 	}
-	a := c.answered(k)
+	a := c.detachAttempt(call)
 	if a != nil && a.trial {
-		a.server.trial = false
+		a.server.trialPending = false
 	}
-	if ev.Final || k.gone {
+	if ev.Final || call.callerLeft {
 		delete(c.calls, ev.Call)
 		return
 	}
 	switch ev.Cause {
 	case CauseBusy:
-		k.mayRun = true
+		call.mayHaveRun = true
 		if ev.Refusal == RefusalNumber {
-			c.holdNumber(k.number)
-			c.refuse(k, c.set.MaxRetryAfter)
+			c.markNumberBusy(call.number)
+			c.refuse(call, c.settings.MaxRetryAfter)
 			return
 		}
 		if a != nil {
-			c.fault(a.server, 1)
+			c.recordFailure(a.server, 1)
 		}
-		c.again(k)
+		c.retry(call)
 	case CauseFull, CauseUnreachable, CauseNotSent:
-		c.again(k)
+		c.retry(call)
 	case CauseReset, CauseCancelled:
-		k.mayRun = true
-		k.after = c.now + c.set.ReleaseGuard
-		c.again(k)
+		call.mayHaveRun = true
+		call.notBefore = c.now + c.settings.ReleaseGuard
+		c.retry(call)
 	default:
-		k.mayRun = true
-		delete(c.calls, k.id)
-		c.do(Fail{Call: k.id})
+		call.mayHaveRun = true
+		delete(c.calls, call.id)
+		c.emit(Fail{Call: call.id})
 	}
 }
 
 // again makes a further attempt, now or when the release guard has passed. A call is held only if it has so
 // much time left that a stall of this proxy does not lose it: while it is held nothing else answers it.
-func (c *Controller) again(k *call) {
-	room := min(c.gaps(stallRoom), time.Duration(stallAims*float64(k.class.Aim)))
-	if k.sends >= k.most || k.mayRun && k.class.Retry != RetryAlways ||
-		k.after > c.now && k.after > k.end-room {
-		c.refuse(k, c.hint)
+func (c *Controller) retry(call *callState) {
+	reserve := min(c.intervals(stallReserve), time.Duration(maxStallReserve*float64(call.class.Aim)))
+	if call.attempts >= call.maxAttempts || call.mayHaveRun && call.class.Retry != RetryAlways ||
+		call.notBefore > c.now && call.notBefore > call.answerBy-reserve {
+		c.refuse(call, c.retryAfterHint)
 		return
 	}
-	if k.after > c.now {
-		c.do(SetTimer{Token: uint32(k.id), At: k.after})
+	if call.notBefore > c.now {
+		c.emit(SetTimer{Token: uint32(call.id), At: call.notBefore})
 		return
 	}
-	c.route(k)
+	c.route(call)
 }
 
 // atEase says whether a server has reported of late that it is not pressed.
-func (c *Controller) atEase(s *server) bool {
-	return s.told < windowed && c.now < s.lapse-c.gaps(reportLapse-lagFresh)
+func (c *Controller) reportedIdle(s *server) bool {
+	return s.reportedShare < windowMinShare && c.now < s.shareExpiry-c.intervals(reportLifetime-delayLifetime)
 }
 
 // wake looks after a call: the release guard has passed, or its attempt has been out for long.
-func (c *Controller) wake(id CallID) {
-	k := c.calls[id]
+func (c *Controller) handleTimer(id CallID) {
+	call := c.calls[id]
 	switch {
-	case k == nil:
-	case k.out == nil:
-		if c.now >= k.after {
-			c.again(k)
+	case call == nil:
+	case call.pending == nil:
+		if c.now >= call.notBefore {
+			c.retry(call)
 		}
-	case c.now >= k.out.sent+c.gaps(hopeless):
-		if k.out.lost = true; !c.atEase(k.out.server) { // it says that it is there: the way is at fault
-			c.fault(k.out.server, silenceWeight)
+	case c.now >= call.pending.sentAt+c.intervals(assumeLossAfter):
+		if call.pending.presumedLost = true; !c.reportedIdle(call.pending.server) { // it says that it is there: the way is at fault
+			c.recordFailure(call.pending.server, unansweredWeight)
 		}
-	case c.now >= k.out.sent+c.gaps(doubtful):
-		k.out.lost = c.atEase(k.out.server)
-		c.do(SetTimer{Token: uint32(k.id), At: k.out.sent + c.gaps(hopeless)})
+	case c.now >= call.pending.sentAt+c.intervals(suspectLossAfter):
+		call.pending.presumedLost = c.reportedIdle(call.pending.server)
+		c.emit(SetTimer{Token: uint32(call.id), At: call.pending.sentAt + c.intervals(assumeLossAfter)})
 	}
 }
--- a/tier.go
+++ b/tier.go
@@ -5,13 +5,15 @@
 import "time"
 
 // SetColdQuotaFraction sets the part, up to 1, of its own part of a cold server's budget that this sender takes.
-func (c *Controller) SetColdQuotaFraction(part float64) { c.careful = min(max(part, 0), 1) }
+func (c *Controller) SetColdQuotaFraction(fraction float64) {
+	c.coldQuotaFraction = min(max(fraction, 0), 1)
+}
 
 // SetColdRate sets what the tier lets this sender use of a cold server's budget, in set-ups a second of a warm one, in the place
 // of its own part. Negative: the own part counts.
 func (c *Controller) SetColdRate(id ServerID, rate float64) {
 	if s := c.byID[id]; s != nil {
-		s.allot = rate
+		s.allottedRate = rate
 	}
 }
 
@@ -26,19 +28,19 @@
 }
 
 // Observation is what this sender has seen of a server itself, at a time.
-func (c *Controller) Observed(id ServerID, now Time) (k Observation, listed bool) {
+func (c *Controller) Observed(id ServerID, now Time) (observation Observation, listed bool) {
 	s := c.byID[id]
 	if s == nil {
-		return k, false
+		return observation, false
 	}
-	k = Observation{Share: s.own, ShareAt: s.ownAt, TotalLines: s.most, FailureWeight: s.faults, MinSetUpTime: s.floor}
+	observation = Observation{Share: s.ownShare, ShareAt: s.ownShareAt, TotalLines: s.maxLines, FailureWeight: s.failureWeight, MinSetUpTime: s.minSetUpTime}
 	switch {
-	case s.started > 0 && now < s.started+c.set.ColdRamp:
-		k.Rate = s.took
-	case !c.young(now) && c.foreignNow(now) < 0.5: // what was heard is not told on
-		k.Rate = c.rateAt(s.stands, now)
+	case s.started > 0 && now < s.started+c.settings.ColdRamp:
+		observation.Rate = s.rateBeforeRestart
+	case !c.newlyStarted(now) && c.currentImportedShare(now) < 0.5: // what was heard is not told on
+		observation.Rate = c.rateAt(s.established, now)
 	}
-	return k, true
+	return observation, true
 }
 
 // TierReport is what others of the tier have seen of a server.
@@ -52,21 +54,21 @@
 
 // ScaleRates scales the rates that this sender holds for its own: others of the tier have left it their callers, or taken them
 // back. Counting would show it within the memory of rates; budgets while cold go by counting alone (see coldPart).
-func (c *Controller) ScaleRates(now Time, times float64) {
-	if !(times > 0) || c.born == 0 {
+func (c *Controller) ScaleRates(now Time, factor float64) {
+	if !(factor > 0) || c.startedAt == 0 {
 		return
 	}
 	for _, s := range c.servers {
-		s.stands.count *= times
+		s.established.count *= factor
 	}
-	c.stands.count *= times
-	c.offered.count *= times
-	c.foreign, c.foreignAt = max(1-(1-c.foreignNow(now))/times, 0), now
+	c.established.count *= factor
+	c.offered.count *= factor
+	c.importedShare, c.importedShareAt = max(1-(1-c.currentImportedShare(now))/factor, 0), now
 }
 
 // foreignNow is the share of the rates that is not of calls from here: it fades as these do.
-func (c *Controller) foreignNow(now Time) float64 {
-	return c.foreign * decay((now - c.foreignAt).Seconds())
+func (c *Controller) currentImportedShare(now Time) float64 {
+	return c.importedShare * decayFactor((now - c.importedShareAt).Seconds())
 }
 
 // ColdBudget is what this sender holds of a server that is cold.
@@ -79,16 +81,16 @@
 // ColdBudget says whether a server is cold at a time, and what is held of it.
 func (c *Controller) ColdBudget(id ServerID, now Time) (ColdBudget, bool) {
 	s := c.byID[id]
-	if s == nil || s.phase != Ready || s.started <= 0 || now >= s.started+c.set.ColdRamp {
+	if s == nil || s.phase != Ready || s.started <= 0 || now >= s.started+c.settings.ColdRamp {
 		return ColdBudget{}, false
 	}
-	return ColdBudget{s.started + c.set.ColdRamp, c.coldPart(s), c.coldTimes(s, now)}, true
+	return ColdBudget{s.started + c.settings.ColdRamp, c.coldQuota(s), c.coldRateMultiple(s, now)}, true
 }
 
 // Blocked says whether a server gets nothing new for now: it is not ready, or its cut is a full one.
 func (c *Controller) Blocked(id ServerID, now Time) bool {
 	s := c.byID[id]
-	return s == nil || s.phase != Ready || s.full || s.told >= 1 && now < s.lapse || s.lines >= 1
+	return s == nil || s.phase != Ready || s.blocked || s.reportedShare >= 1 && now < s.shareExpiry || s.lineShare >= 1
 }
 
 // HasCall says whether a call is in hand, and Calls how many are.
