--- /dev/null
+++ b/calls.go
@@ -0,0 +1,323 @@
+package elmseam
+
+// Calls and their attempts: arrivals, outcomes, retries, final answers, timers.
+
+import (
+	"slices"
+	"time"
+)
+
+// callState is a call that needs a final answer, or whose caller has left while an attempt is pending.
+type callState struct {
+	id          CallID
+	class       *Class
+	number      uint64 // called number; 0: none
+	cell        int    // cell of the first choice; -1: none
+	transit     bool   // the call may be sent to cell only
+	lowWorth    bool   // late, or beyond its tenant's share
+	answerBy    Time   // latest time of the final answer
+	notBefore   Time   // the call is not sent again before this time
+	attempts    int    // attempts made
+	maxAttempts int    // maximum number of attempts, by the settings at the arrival
+	mayHaveRun  bool   // an attempt may have run at a server
+	callerLeft  bool   // the caller has left
+	interrupted bool   // the call was established before, was cut and is set up again
+	tried       []*server
+	pending     *attempt // the unanswered attempt; nil: none
+}
+
+// attempt is a set-up that a server has not answered.
+type attempt struct {
+	call         *callState
+	server       *server
+	sentAt       Time
+	trial        bool // the server was blocked when the attempt was sent
+	presumedLost bool // the attempt or its answer counts as lost and is no sign of a queue
+	cancelled    bool // a Cancel action was emitted
+}
+
+// busyNumber is a called number whose lines were all busy.
+type busyNumber struct {
+	number uint64
+	until  Time // calls to the number are refused until then
+}
+
+// usualTimeLeft is the time left, on arrival, of most calls of a class.
+type usualTimeLeft struct {
+	timeLeft time.Duration
+	votes    int // raised by a call with this time left, lowered by any other; 0: timeLeft is replaced
+}
+
+// handleArrival routes a new call, or refuses the call if the called number is known to be busy.
+func (c *Controller) handleArrival(ev Arrival) {
+	if ev.Class < 0 || ev.Class >= len(c.settings.Classes) {
+		ev.Class = 0
+	}
+	call := &callState{
+		id: ev.Call, class: &c.settings.Classes[ev.Class], number: ev.Number,
+		cell: ev.Cell, transit: ev.Transit,
+		maxAttempts: c.settings.MaxAttempts, answerBy: c.now + ev.TimeLeft - answerMargin,
+	}
+	c.offered.add(c.now)
+	late, overShare := c.isLateTry(ev), c.exceedsTenantShare(ev.Tenant)
+	call.lowWorth, call.interrupted = late || overShare, ev.Interrupted
+	c.calls[call.id] = call
+	if c.numberIsBusy(call.number) {
+		c.refuse(call, c.settings.MaxRetryAfter)
+		return
+	}
+	c.route(call)
+}
+
+// numberIsBusy returns whether all lines of a number were busy recently. Many calls to one number cost the
+// servers a set-up for each try, and nearly all of them fail. After busyNumberHold the next call tests the
+// number.
+func (c *Controller) numberIsBusy(number uint64) bool {
+	for i := range c.busyNumbers {
+		if entry := &c.busyNumbers[i]; number != 0 && entry.number == number {
+			return c.now < entry.until
+		}
+	}
+	return false
+}
+
+// markNumberBusy records that all lines of a number are busy.
+func (c *Controller) markNumberBusy(number uint64) {
+	for i := range c.busyNumbers {
+		if c.busyNumbers[i].number == number {
+			c.busyNumbers[i].until = c.now + c.intervals(busyNumberHold)
+			return
+		}
+	}
+	c.busyNumbers[c.nextBusyNumber] = busyNumber{number, c.now + c.intervals(busyNumberHold)}
+	c.nextBusyNumber = (c.nextBusyNumber + 1) % len(c.busyNumbers)
+}
+
+// exceedsTenantShare counts a call of a tenant and returns whether the call is beyond the tenant's share,
+// in deployments where such calls are worth little.
+func (c *Controller) exceedsTenantShare(tenant int) bool {
+	return c.settings.OverShareWorth*highWorthFactor < 1 && c.tenantTracker.ExceedsShare(c.now, tenant)
+}
+
+// isLateTry returns whether a call is known to arrive after its aim has passed. Most calls arrive with the
+// time left that callers usually have, which is found by majority vote; any other time left is the rest of
+// the deadline.
+func (c *Controller) isLateTry(ev Arrival) bool {
+	usualTime, class := &c.usualTimes[ev.Class], &c.settings.Classes[ev.Class]
+	isUsual := ev.TimeLeft <= usualTime.timeLeft+answerMargin &&
+		ev.TimeLeft >= usualTime.timeLeft-answerMargin
+	switch {
+	case isUsual:
+		usualTime.votes = min(usualTime.votes+1, maxTimeLeftVotes)
+	case usualTime.votes > 0:
+		usualTime.votes--
+	default:
+		usualTime.timeLeft = ev.TimeLeft
+	}
+	return !isUsual && usualTime.votes > 0 && class.Deadline-ev.TimeLeft > class.Aim
+}
+
+// send makes an attempt of a call at a server and sets the timer that checks on an unanswered attempt.
+func (c *Controller) send(call *callState, s *server) {
+	a := &attempt{call: call, server: s, sentAt: c.now}
+	if s.blocked {
+		a.trial, s.trialPending = true, true
+		s.trialBudget.tokens--
+	}
+	if c.isCold(s) {
+		s.coldBudget.tokens--
+	}
+	if s.freeLines--; s.reusableLines >= 1 {
+		s.reusableLines--
+	} else {
+		s.lineTryBudget.tokens--
+	}
+	call.pending, call.attempts = a, call.attempts+1
+	call.tried = append(call.tried, s)
+	s.pending = append(s.pending, a)
+	c.emit(Send{Call: call.id, Server: s.id})
+	c.emit(SetTimer{Token: uint32(call.id), At: c.now + c.intervals(suspectLossAfter)})
+}
+
+// refuse gives a call its final answer: Refuse, or Fail if an attempt may have run and cannot be retried.
+func (c *Controller) refuse(call *callState, retryAfter time.Duration) {
+	delete(c.calls, call.id)
+	if call.mayHaveRun && call.class.Retry != RetryAlways {
+		c.emit(Fail{Call: call.id})
+		return
+	}
+	c.emit(Refuse{Call: call.id, RetryAfter: min(retryAfter, c.settings.MaxRetryAfter)})
+}
+
+// retry makes another attempt of a call, now or after the release guard, or refuses the call. A call is
+// held for the release guard only if it has enough time left to survive a stall of this softswitch, as
+// nothing else answers the call meanwhile.
+func (c *Controller) retry(call *callState) {
+	reserve := min(c.intervals(stallReserve), time.Duration(maxStallReserve*float64(call.class.Aim)))
+	if call.attempts >= call.maxAttempts || call.mayHaveRun && call.class.Retry != RetryAlways ||
+		call.notBefore > c.now && call.notBefore > call.answerBy-reserve {
+		c.refuse(call, c.retryAfterHint)
+		return
+	}
+	if call.notBefore > c.now {
+		c.emit(SetTimer{Token: uint32(call.id), At: call.notBefore})
+		return
+	}
+	c.route(call)
+}
+
+// handleEstablished removes an established call, updates the rates and the answer delay of its server, and
+// presumes earlier attempts without an answer to be lost.
+func (c *Controller) handleEstablished(ev Established) {
+	call := c.calls[ev.Call]
+	if call == nil {
+		return
+	}
+	delete(c.calls, ev.Call)
+	a := c.detachAttempt(call)
+	if a == nil {
+		return
+	}
+	s := a.server
+	if !c.isCold(s) {
+		c.established.add(c.now)
+	}
+	s.established.add(c.now)
+	s.failureWeight = 0
+	if s.minSetUpTime == 0 || ev.SetUpTime < s.minSetUpTime {
+		s.minSetUpTime = ev.SetUpTime
+	}
+	s.answerDelay, s.answerDelayAt = max(ev.SetUpTime-s.maxRoundTrip(), 0), c.now
+	if s.blocked && a.trial {
+		s.blocked, s.trialPending, s.reportedShare = false, false, 0
+	}
+	for _, other := range s.pending {
+		if other.sentAt+c.intervals(overtakeMargin) < a.sentAt {
+			c.presumeLost(other)
+		}
+	}
+}
+
+// handleCallerGone ends a call. Its attempt counts as unanswered until its outcome comes.
+func (c *Controller) handleCallerGone(id CallID) {
+	call := c.calls[id]
+	if call == nil {
+		return
+	}
+	if call.callerLeft = true; call.pending == nil {
+		delete(c.calls, id)
+	}
+}
+
+// handleOutcome processes the end of an attempt: the load of the server, then the retry or final answer of
+// the call.
+func (c *Controller) handleOutcome(ev Outcome) {
+	call := c.calls[ev.Call]
+	if s := c.byID[ev.Server]; s != nil {
+		c.applyReport(s, ev.Report)
+		switch {
+		case ev.Cause == CauseFull && ev.Refusal == RefusalProcessor, ev.Cause == CauseUnreachable:
+			c.block(s, ev.Wait)
+		case ev.Cause == CauseFull:
+			// A server that reports no lines could not report a free one.
+			if s.lineShortUntil = c.now + lineShortageHold; s.totalLines > 0 {
+				s.lineShare = 1
+			}
+		}
+	}
+	if call == nil {
+		// An established call has ended, unless the server was full.
+		if s := c.byID[ev.Server]; s != nil && ev.Cause != CauseFull {
+			s.reusableLines = min(s.reusableLines+1, max(lowLineShare*s.totalLines, 1+reservedLines))
+		}
+		return
+	}
+	a := c.detachAttempt(call)
+	if a != nil && a.trial {
+		a.server.trialPending = false
+	}
+	if ev.Final || call.callerLeft {
+		delete(c.calls, ev.Call)
+		return
+	}
+	switch ev.Cause {
+	case CauseBusy:
+		call.mayHaveRun = true
+		if ev.Refusal == RefusalNumber {
+			c.markNumberBusy(call.number)
+			c.refuse(call, c.settings.MaxRetryAfter)
+			return
+		}
+		if a != nil {
+			c.recordFailure(a.server, 1)
+		}
+		c.retry(call)
+	case CauseFull, CauseUnreachable, CauseNotSent:
+		c.retry(call)
+	case CauseReset, CauseCancelled:
+		call.mayHaveRun = true
+		call.notBefore = c.now + c.settings.ReleaseGuard
+		c.retry(call)
+	default:
+		call.mayHaveRun = true
+		delete(c.calls, call.id)
+		c.emit(Fail{Call: call.id})
+	}
+}
+
+// handleTimer checks on a call whose release guard has passed, or whose attempt has been unanswered for
+// long.
+func (c *Controller) handleTimer(id CallID) {
+	call := c.calls[id]
+	switch {
+	case call == nil:
+	case call.pending == nil:
+		if c.now >= call.notBefore {
+			c.retry(call)
+		}
+	case c.now >= call.pending.sentAt+c.intervals(assumeLossAfter):
+		// Where the server reports a low load, the connection is at fault.
+		if call.pending.presumedLost = true; !c.reportedIdle(call.pending.server) {
+			c.recordFailure(call.pending.server, unansweredWeight)
+		}
+	case c.now >= call.pending.sentAt+c.intervals(suspectLossAfter):
+		call.pending.presumedLost = c.reportedIdle(call.pending.server)
+		c.emit(SetTimer{Token: uint32(call.id), At: call.pending.sentAt + c.intervals(assumeLossAfter)})
+	}
+}
+
+// detachAttempt removes the pending attempt from its call and server and returns it, or nil if there is
+// none.
+func (c *Controller) detachAttempt(call *callState) *attempt {
+	a := call.pending
+	if a == nil {
+		return nil
+	}
+	call.pending = nil
+	a.server.pending = slices.DeleteFunc(a.server.pending, func(other *attempt) bool { return other == a })
+	return a
+}
+
+// presumeLost handles an unanswered attempt that was sent before an answered one: servers answer in order,
+// so the attempt or its answer was lost. The attempt is cancelled if its call can be retried.
+func (c *Controller) presumeLost(a *attempt) {
+	call := a.call
+	if a.presumedLost = true; !a.cancelled && c.settings.CanCancel &&
+		call.class.Retry == RetryAlways && !call.callerLeft {
+		a.cancelled = true
+		c.emit(Cancel{Call: call.id, Attempt: call.attempts - 1})
+	}
+}
+
+// recordFailure adds to the weight of a server's consecutive failures, which an established call resets,
+// and blocks the server at maxFailureWeight. An unanswered set-up weighs more than an error: the call
+// loses the time in which an error is retried elsewhere. A server that fails every call at once looks idle
+// and would attract all calls, whereas an unresponsive server keeps its load.
+func (c *Controller) recordFailure(s *server, weight int) {
+	if s.failureWeight += weight; s.failureWeight >= maxFailureWeight {
+		// An error does not replace another cause of a block.
+		errorsOnly := weight < unansweredWeight && (s.blockedForErrors || !s.blocked)
+		c.block(s, 0)
+		s.blockedForErrors = errorsOnly
+	}
+}
--- /dev/null
+++ b/load.go
@@ -0,0 +1,215 @@
+package elmseam
+
+// The load of servers: load reports, the hold-back share, blocked servers, unanswered set-ups.
+
+import (
+	"math"
+	"time"
+)
+
+// applyReport replaces the load of a server by the load in a report.
+func (c *Controller) applyReport(s *server, r Report) {
+	c.applyLineReport(s, r)
+	share, known := c.shareFromReport(s, r)
+	if !known || s.blocked && c.now < s.blockedAt+c.intervals(minBlockTime) {
+		return
+	}
+	s.reportedShare, s.shareExpiry, s.blocked, s.trialPending =
+		share, c.now+c.intervals(reportLifetime), false, false
+	s.ownShare, s.ownShareAt = share, c.now
+}
+
+// ApplyTierReport processes what the other members of the tier have observed of a server. Their hold-back
+// share counts like that of a load report if it is newer than the last one here, but never lifts a block.
+// A server that is failing for them is blocked at its next failure here. A newly started softswitch adopts
+// the members' rates; the budgets of cold servers do not grow by them (see coldQuota).
+func (c *Controller) ApplyTierReport(now Time, id ServerID, report TierReport) {
+	s := c.byID[id]
+	if s == nil {
+		return
+	}
+	if expiry := report.ShareAt + c.intervals(reportLifetime); report.ShareAt > 0 &&
+		expiry > s.shareExpiry && !s.blocked {
+		s.reportedShare, s.shareExpiry = report.Share, expiry
+	}
+	if report.Failing {
+		s.failureWeight = max(s.failureWeight, maxFailureWeight-1)
+	}
+	if s.minSetUpTime == 0 {
+		s.minSetUpTime = report.RoundTrip
+	}
+	if (c.newlyStarted(now) || c.importedShare > 0) && s.established.count == 0 && report.Rate > 0 {
+		if c.importedShare == 0 {
+			// The rate counts as if it had been observed for minRateSpan.
+			c.startedAt, c.measuredAt =
+				c.startedAt-minRateSpan*Time(time.Second), c.measuredAt-minRateSpan*Time(time.Second)
+		}
+		count := report.Rate * rateTimeConstant * (1 - decayFactor(minRateSpan))
+		s.established, c.established =
+			decayingCounter{count, now}, decayingCounter{c.established.value(now) + count, now}
+		c.importedShare, c.importedShareAt = 1-minOfferedShare, now
+	}
+}
+
+// applyLineReport updates the lines of a server, which the server reports unasked at short intervals. The
+// lines hold back set-ups from a server with a free processor that refuses every call for want of lines.
+func (c *Controller) applyLineReport(s *server, r Report) {
+	free, total := -1.0, -1.0
+	for i, metric := range c.settings.ReportMetrics {
+		switch {
+		case i >= len(r):
+		case metric == LoadMetricFreeLines:
+			free = r[i]
+		case metric == LoadMetricTotalLines:
+			total = r[i]
+		}
+	}
+	if free >= 0 && total > 0 {
+		s.totalLines, s.maxLines, s.freeLines = total, max(s.maxLines, total), free
+		s.lineShare = max(0, 1-free/(scarceLineShare*total))
+	}
+}
+
+// shareFromReport returns the hold-back share that a load report asks for: the highest that any of its
+// metrics asks for. The result is not known if the report has no usable metric. A reported rate is for all
+// softswitches, and the quota of this softswitch is unknown, as traffic is uneven and softswitches fail.
+// The rate is therefore compared with the highest rate that the server has reported, of which the offered
+// calls need neededRateShare.
+func (c *Controller) shareFromReport(s *server, r Report) (share float64, known bool) {
+	for i, metric := range c.settings.ReportMetrics {
+		if i >= len(r) || !(r[i] >= 0) {
+			continue
+		}
+		requested := 0.0
+		switch metric {
+		case LoadMetricHoldBackShare:
+			requested = r[i]
+		case LoadMetricWait:
+			requested = c.shareForWait(time.Duration(r[i] * float64(time.Millisecond)))
+		case LoadMetricRate:
+			s.maxReportedRate = max(s.maxReportedRate, r[i])
+			requested = 1 - r[i]/max(neededRateShare*s.maxReportedRate, 1e-9)
+		default:
+			continue
+		}
+		share, known = min(max(share, requested), 1), true
+	}
+	return share, known
+}
+
+// shareForWait returns the hold-back share for a wait at the server's processor.
+func (c *Controller) shareForWait(wait time.Duration) float64 {
+	waitIntervals := float64(wait) / float64(c.intervals(1))
+	return 1 - math.Exp(-max(waitIntervals-waitThreshold, 0)/waitScale)
+}
+
+// intervals returns the length of n retransmit intervals.
+func (c *Controller) intervals(n float64) time.Duration {
+	interval := c.settings.RetransmitInterval
+	if interval <= 0 {
+		interval = defaultInterval
+	}
+	return time.Duration(n * float64(interval))
+}
+
+// block stops new set-ups to a server for the given wait. A wait of 0 or beyond reportLifetime becomes
+// reportLifetime.
+func (c *Controller) block(s *server, wait time.Duration) {
+	if maxWait := c.intervals(reportLifetime); wait <= 0 || wait > maxWait {
+		wait = maxWait
+	}
+	c.requireTrial(s)
+	s.reportedShare, s.blockedAt, s.shareExpiry, s.trialPending, s.blockedForErrors =
+		1, c.now, c.now+wait, false, false
+}
+
+// requireTrial blocks a server such that trials follow when its hold-back share expires.
+func (c *Controller) requireTrial(s *server) {
+	if !s.blocked {
+		s.blocked, s.blockedForErrors, s.trialBudget = true, false, bucket{c.rng.Float64(), c.now}
+	}
+}
+
+// maxRoundTrip returns the longest set-up time that shows no queue at the server.
+func (s *server) maxRoundTrip() time.Duration {
+	return time.Duration(roundTripVariation * float64(s.minSetUpTime))
+}
+
+// currentDelay returns the delay of a server's answers beyond the round trip: the delay of the last set-up
+// if that is recent, or the time that the oldest unanswered set-up has waited so far, whichever is longer.
+func (s *server) currentDelay(now Time, lifetime time.Duration) time.Duration {
+	var delay time.Duration
+	if now < s.answerDelayAt+lifetime+delayLifetimeFactor*s.answerDelay {
+		delay = s.answerDelay
+	}
+	for _, a := range s.pending {
+		if !a.presumedLost {
+			return max(delay, now-a.sentAt-s.maxRoundTrip())
+		}
+	}
+	return delay
+}
+
+// holdBackShare returns the share of new ordinary set-ups to hold back from a server now, 0 to 1.
+func (c *Controller) holdBackShare(s *server) float64 {
+	share := c.requestedShare(s)
+	if share < 1 && c.windowFull(s, c.hasWindow(s, share), 1) {
+		return 1
+	}
+	return share
+}
+
+// requestedShare returns the hold-back share that the live reports and the observed delays of a server ask
+// for. A block that has expired admits one set-up, the trial, when the budget of trials allows it. A share
+// above trialMinShare expires in the same way: a jammed server ends no calls and so sends no reports, and
+// all softswitches would resume their full load at once.
+func (c *Controller) requestedShare(s *server) float64 {
+	if c.now >= s.shareExpiry && s.reportedShare > trialMinShare {
+		c.requireTrial(s)
+	}
+	if s.blocked {
+		if c.now < s.shareExpiry || s.trialPending ||
+			!s.trialBudget.refill(c.now, trialFactor*c.expectedRate(s), 1) {
+			return 1
+		}
+		return 0
+	}
+	share := max(s.lineShare, c.shareForWait(s.currentDelay(c.now, c.intervals(delayLifetime))))
+	if c.now < s.shareExpiry {
+		share = max(share, s.reportedShare)
+	}
+	return share
+}
+
+// hasWindow returns whether the number of unanswered set-ups to a server is limited now. The limit holds
+// while the server asks to hold back, and for reportLifetime after its processor was full: the first
+// report of a low load lifts that block, and the full load would fill the server's queue again at once.
+func (c *Controller) hasWindow(s *server, share float64) bool {
+	return share > windowMinShare || s.blockedAt > 0 && c.now < s.blockedAt+c.intervals(reportLifetime)
+}
+
+// windowFull returns whether a server's unanswered set-ups forbid another one now: the oldest has waited
+// too long, or a server with a window has more unanswered set-ups than it answers within the limit. The
+// answers thus pace the softswitches, whatever number of redials passes the thinning, and no queue grows
+// at a server that is slow, hung, jammed or gone. The round trip does not count against a server, as it
+// may be as long as the limit; this would do harm where round trips vary more than queues. limitFactor
+// widens the limits for calls of high worth.
+func (c *Controller) windowFull(s *server, hasWindow bool, limitFactor float64) bool {
+	limit := c.intervals(maxUnanswered * limitFactor)
+	count := 0
+	for _, a := range s.pending {
+		if a.presumedLost {
+			continue
+		}
+		if count++; c.now-a.sentAt-s.maxRoundTrip() > limit {
+			return true
+		}
+	}
+	return hasWindow &&
+		float64(count) >= max(limitFactor, c.currentRate(s.established)*(limit+s.maxRoundTrip()).Seconds())
+}
+
+// reportedIdle returns whether a server has reported a low load recently.
+func (c *Controller) reportedIdle(s *server) bool {
+	return s.reportedShare < windowMinShare && c.now < s.shareExpiry-c.intervals(reportLifetime-delayLifetime)
+}
--- a/rates.go
+++ b/rates.go
@@ -1,6 +1,6 @@
 package elmseam
 
-// What budgets and rates are kept in. Nothing here decides.
+// Token buckets and decaying counters, in which budgets and rates are kept. This file makes no decisions.
 
 import (
 	"math"
@@ -9,19 +9,21 @@
 
 // bucket is a budget of set-ups that refills with time.
 type bucket struct {
-	tokens    float64
-	updatedAt Time
+	tokens    float64 // set-ups that the budget allows now
+	updatedAt Time    // time of the last refill
 }
 
-// refill adds what has come in at a rate since the last time and says whether one set-up has room.
+// refill adds the tokens that have accrued since the last refill, at a rate in set-ups per second and up to
+// burst, and returns whether the budget allows one set-up.
 func (b *bucket) refill(now Time, rate, burst float64) bool {
 	b.tokens = min(b.tokens+rate*(now-b.updatedAt).Seconds(), burst)
 	b.updatedAt = now
 	return b.tokens >= 1
 }
 
-// spread is refill for a budget that is small beside one set-up: a set-up that has room is not kept for later
-// than within, so that those of many senders, saved up, do not come at once.
+// refillCapped is refill for a budget that may earn less than one set-up within saveTime. Such a budget drops
+// an allowed set-up that is not used within saveTime, so that the saved set-ups of many softswitches do not
+// come at once.
 func (b *bucket) refillCapped(now Time, rate, burst float64, saveTime time.Duration) bool {
 	saved := rate * saveTime.Seconds()
 	if b.refill(now, rate, burst); saved < 1 && b.tokens > 1+saved {
@@ -30,21 +32,21 @@
 	return b.tokens >= 1
 }
 
-// counter is a count in which what is long ago fades.
+// decayingCounter is a count that decays exponentially with the time constant rateTimeConstant.
 type decayingCounter struct {
-	count     float64
-	updatedAt Time // last added to
+	count     float64 // value at updatedAt
+	updatedAt Time    // time of the last addition
 }
 
-// now is the count with what has faded.
-func (counter decayingCounter) value(now Time) float64 {
-	return counter.count * decayFactor((now - counter.updatedAt).Seconds())
+// value returns the count, decayed until now.
+func (d decayingCounter) value(now Time) float64 {
+	return d.count * decayFactor((now - d.updatedAt).Seconds())
 }
 
-// add counts one more.
-func (counter *decayingCounter) add(now Time) {
-	counter.count, counter.updatedAt = counter.value(now)+1, now
+// add adds one to the count.
+func (d *decayingCounter) add(now Time) {
+	d.count, d.updatedAt = d.value(now)+1, now
 }
 
-// decay is the weight of what happened dt seconds ago.
+// decayFactor returns the weight of an event that happened the given number of seconds ago.
 func decayFactor(seconds float64) float64 { return math.Exp(-seconds / rateTimeConstant) }
--- /dev/null
+++ b/routing.go
@@ -0,0 +1,122 @@
+package elmseam
+
+// The choice of the server for a call.
+
+import "slices"
+
+// eligible returns whether a call may go to a server at all, whatever the server's load.
+func (c *Controller) eligible(s *server, call *callState) bool {
+	if s.phase != Ready || s.cell == c.settings.OwnCell && c.settings.OwnCell >= 0 {
+		return false
+	}
+	if call.transit && s.cell != call.cell {
+		return false
+	}
+	if slices.Contains(call.tried, s) {
+		return false
+	}
+	return len(call.class.Cells) == 0 || c.settings.OwnCell >= 0 || slices.Contains(call.class.Cells, s.cell)
+}
+
+// route sends a call to a server or refuses the call. A call whose time is nearly up, as after a stall of
+// this softswitch, is refused: each set-up would come back as not sent until the answer is too late.
+func (c *Controller) route(call *callState) {
+	if c.now >= call.answerBy {
+		c.refuse(call, c.retryAfterHint)
+		return
+	}
+	c.updateRatePerLine()
+	s := c.pickServer(call)
+	if s == nil {
+		s = c.pickLastResort(call)
+	}
+	if s == nil {
+		c.refuse(call, c.retryAfterHint)
+		return
+	}
+	c.send(call, s)
+}
+
+// pickLastResort returns a server that is blocked for errors, for a call that would be refused otherwise,
+// or nil. Errors are answered at once, so an error costs a call less than a refusal does, and a server
+// seldom fails every call.
+func (c *Controller) pickLastResort(call *callState) *server {
+	for _, s := range c.servers {
+		if s.blocked && s.blockedForErrors && !call.lowWorth && call.class.Retry == RetryAlways &&
+			c.eligible(s, call) && c.coldBudgetAllows(s) &&
+			c.lineAvailable(s, call) && !c.windowFull(s, true, 1) {
+			return s
+		}
+	}
+	return nil
+}
+
+// pickServer returns the server for a call, or nil. The first choice is taken if it is available and its
+// thinning lets the call pass. Otherwise the call is diverted to the least loaded of the other servers
+// whose divert budget allows it, if that server's thinning lets the call pass; a server without a live
+// report counts as not loaded. A call of high worth whose first choice is loaded is diverted at once:
+// admitting the call to a queue that loses callers would not help it.
+func (c *Controller) pickServer(call *callState) *server {
+	var primary, best *server
+	for _, s := range c.servers {
+		switch {
+		case !c.eligible(s, call) || !c.coldBudgetAllows(s) || !c.lineAvailable(s, call):
+		case s.cell == call.cell && primary == nil &&
+			!(c.highWorth(call) && c.requestedShare(s) > windowMinShare):
+			primary = s
+		case c.divertBudgetAllows(s, call) && (best == nil || c.lessLoaded(s, best)):
+			best = s
+		}
+	}
+	switch {
+	case primary != nil && c.passesThinning(primary, call):
+		return primary
+	case best != nil && c.passesThinning(best, call):
+		best.divertBudget.tokens = max(best.divertBudget.tokens-1, -divertBurst)
+		return best
+	}
+	return nil
+}
+
+// lessLoaded returns whether a is less loaded than b: by the hold-back share, then by the pending attempts
+// in proportion to the lines.
+func (c *Controller) lessLoaded(a, b *server) bool {
+	if p, q := c.holdBackShare(a), c.holdBackShare(b); p != q {
+		return p < q
+	}
+	return float64(len(a.pending)+1)*c.linesOrMean(b) < float64(len(b.pending)+1)*c.linesOrMean(a)
+}
+
+// passesThinning returns whether a server's hold-back share lets a call pass, by a credit that earns the
+// admitted share for each call. Calls of low worth are held back first and those of high worth last: these
+// overdraw the credit and have a wider window, and ordinary calls make up for them.
+func (c *Controller) passesThinning(s *server, call *callState) bool {
+	share, needed := c.holdBackShare(s), 1.0
+	switch {
+	case call.lowWorth:
+		needed = lowWorthCredit
+	case c.highWorth(call):
+		needed = highWorthCredit
+		if share = c.requestedShare(s); share < 1 &&
+			c.windowFull(s, c.hasWindow(s, share), highWorthWindowFactor) {
+			return false
+		}
+	}
+	if share <= 0 {
+		return true
+	}
+	if share >= 1 {
+		return false
+	}
+	if s.credit = min(s.credit+1-share, maxCredit); s.credit < needed {
+		return false
+	}
+	s.credit--
+	return true
+}
+
+// highWorth returns whether a call is worth far more than a call of the least class, or was established
+// before and cut.
+func (c *Controller) highWorth(call *callState) bool {
+	return !call.lowWorth && (call.interrupted || call.class.Worth > highWorthFactor*c.minWorth)
+}
--- /dev/null
+++ b/servers.go
@@ -0,0 +1,133 @@
+package elmseam
+
+// The servers, as the server list names them.
+
+import (
+	"slices"
+	"time"
+)
+
+// server is what this softswitch knows of a server.
+type server struct {
+	id      ServerID
+	cell    int
+	phase   Phase
+	started Time
+
+	reportedShare  float64 // hold-back share of the last report, from the server or from the tier
+	ownShare       float64 // hold-back share of the last report to this softswitch
+	ownShareAt     Time    // time of that report
+	shareExpiry    Time    // time at which reportedShare expires
+	blocked        bool    // no set-ups until shareExpiry, then trials
+	blockedAt      Time    // time of the last block
+	trialPending   bool    // a trial is unanswered
+	lineShare      float64 // hold-back share that the free lines ask for
+	freeLines      float64 // free lines last reported, less the set-ups sent since
+	lineShortUntil Time    // a refusal for want of a line makes the server short of lines until then
+	reusableLines  float64 // lines that calls of this softswitch have freed and no call has taken again
+	lineTryBudget  bucket  // budget of set-ups for other free lines
+	credit         float64 // credit of the thinning; a set-up that passes uses 1
+
+	minSetUpTime  time.Duration // shortest set-up time seen, taken for the round trip
+	answerDelay   time.Duration // set-up time of the last call beyond maxRoundTrip
+	answerDelayAt Time          // time of that call's answer
+	pending       []*attempt    // unanswered attempts, oldest first
+
+	established       decayingCounter // calls of this softswitch that the server established
+	rateBeforeRestart float64         // highest known rate of such calls before the last restart, per second
+	failureWeight     int             // weight of consecutive failures
+	blockedForErrors  bool            // the block is for errors: the server answers, and not every call fails
+
+	maxReportedRate float64 // highest rate reported, in set-ups per second
+	totalLines      float64 // lines last reported in all; 0: not reported
+	maxLines        float64 // most lines ever reported: the processor is still dimensioned for these
+	coldBudget      bucket  // budget while the server is cold
+	allottedRate    float64 // quota allotted by the tier (see SetColdRate); negative: use the own quota
+	divertBudget    bucket  // budget of diverted calls
+	trialBudget     bucket  // budget of trials while the server is blocked
+}
+
+// removedServer is what is remembered of a server that has left the list, as the server may come back.
+type removedServer struct {
+	id             ServerID
+	maxLines, rate float64 // server.maxLines and the last known rate in set-ups per second
+	minSetUpTime   time.Duration
+	removedAt      Time
+}
+
+// subscribe asks for the server list where the list comes only on request.
+func (c *Controller) subscribe() {
+	if c.settings.ListOnRequest && !c.subscribed && c.now >= c.subscribeAt {
+		c.subscribed = true
+		c.emit(Subscribe{})
+	}
+}
+
+// applyFullList replaces the server list. Servers that the new list does not name are gone.
+func (c *Controller) applyFullList(ev ListFull) {
+	for _, s := range c.servers {
+		s.phase = Gone
+	}
+	for _, e := range ev.Entries {
+		c.applyListEntry(e)
+	}
+	c.dropGoneServers()
+}
+
+// dropGoneServers removes the servers that are gone and have no pending attempt, so that replaced servers
+// do not accumulate, and remembers the last of them for a while.
+func (c *Controller) dropGoneServers() {
+	c.servers = slices.DeleteFunc(c.servers, func(s *server) bool {
+		drop := s.phase == Gone && len(s.pending) == 0
+		if drop {
+			delete(c.byID, s.id)
+			c.removed = append(c.removed, removedServer{
+				s.id, s.maxLines, c.lastKnownRate(s), s.minSetUpTime, c.now,
+			})
+		}
+		return drop
+	})
+	c.removed = slices.DeleteFunc(c.removed, func(p removedServer) bool {
+		return c.now > p.removedAt+removedServerTTL
+	})
+	c.removed = c.removed[max(len(c.removed)-maxRemovedServers, 0):]
+}
+
+// lastKnownRate returns the rate of calls that a server establishes for this softswitch, in calls per
+// second, or established before its restart. The rate is computed at the server's last answer, as a server
+// that restarts has been down for a while.
+func (c *Controller) lastKnownRate(s *server) float64 {
+	return max(s.rateBeforeRestart, c.rateAt(s.established, s.established.updatedAt))
+}
+
+// newServer makes the state of a server that the list names for the first time. A server that comes back
+// within removedServerTTL keeps its lines, rate and set-up time.
+func (c *Controller) newServer(id ServerID) *server {
+	s := &server{id: id, allottedRate: -1}
+	for _, old := range c.removed {
+		if old.id == id {
+			s.maxLines, s.rateBeforeRestart, s.minSetUpTime = old.maxLines, old.rate, old.minSetUpTime
+		}
+	}
+	return s
+}
+
+// applyListEntry updates a server from its list entry. A restarted server loses its reports and failures.
+func (c *Controller) applyListEntry(entry ListEntry) {
+	s := c.byID[entry.Server]
+	if s == nil {
+		s = c.newServer(entry.Server)
+		c.byID[entry.Server] = s
+		c.servers = append(c.servers, s)
+	} else if s.started != entry.Started {
+		*s = server{
+			id: s.id, allottedRate: -1, pending: s.pending, minSetUpTime: s.minSetUpTime,
+			maxLines: s.maxLines, rateBeforeRestart: c.lastKnownRate(s),
+		}
+	}
+	s.cell, s.phase, s.started = entry.Cell, entry.Phase, entry.Started
+	// Budgets accrue from now on: set-ups saved up since the server started would be sent at once.
+	if s.coldBudget.updatedAt == 0 {
+		s.coldBudget, s.divertBudget = bucket{c.rng.Float64(), c.now}, bucket{c.rng.Float64(), c.now}
+	}
+}
--- a/tier.go
+++ b/tier.go
@@ -1,59 +1,67 @@
 package elmseam
 
-// What the embedding softswitch asks of the module and tells it of its tier. Nothing here decides.
+// Exchange of observations and budgets with the other softswitches of the tier, through the embedding
+// softswitch.
 
 import "time"
 
-// SetColdQuotaFraction sets the part, up to 1, of its own part of a cold server's budget that this sender takes.
+// SetColdQuotaFraction sets the fraction, 0 to 1, of its own quota of a cold server's budget that this
+// softswitch uses.
 func (c *Controller) SetColdQuotaFraction(fraction float64) {
 	c.coldQuotaFraction = min(max(fraction, 0), 1)
 }
 
-// SetColdRate sets what the tier lets this sender use of a cold server's budget, in set-ups a second of a warm one, in the place
-// of its own part. Negative: the own part counts.
+// SetColdRate sets the quota of a cold server's budget that the tier allots to this softswitch, in set-ups
+// per second of a warm server. With a negative rate the softswitch uses its own quota.
 func (c *Controller) SetColdRate(id ServerID, rate float64) {
 	if s := c.byID[id]; s != nil {
 		s.allottedRate = rate
 	}
 }
 
-// Observation is what this sender has seen of a server itself.
+// Observation is what this softswitch has observed of a server itself.
 type Observation struct {
-	Share         float64       // hold-back share last told to it
-	ShareAt       Time          // when; 0: never
-	Rate          float64       // set-ups a second that the server takes from here when warm; 0: not known
-	TotalLines    float64       // 0: not told
-	FailureWeight int           // weight of the bad endings in a row
-	MinSetUpTime  time.Duration // shortest set-up time: the way there and back; 0: none stood yet
+	Share         float64       // hold-back share of the last report to this softswitch, 0 to 1
+	ShareAt       Time          // time of that report; 0: none
+	Rate          float64       // set-ups per second that the warm server takes from here; 0: unknown
+	TotalLines    float64       // most lines that the server has reported in all; 0: none reported
+	FailureWeight int           // weight of the consecutive failures
+	MinSetUpTime  time.Duration // shortest set-up time, taken for the round trip; 0: no call established yet
 }
 
-// Observation is what this sender has seen of a server itself, at a time.
+// Observed returns what this softswitch has observed of a server itself until now, and whether the server is
+// listed.
 func (c *Controller) Observed(id ServerID, now Time) (observation Observation, listed bool) {
 	s := c.byID[id]
 	if s == nil {
 		return observation, false
 	}
-	observation = Observation{Share: s.ownShare, ShareAt: s.ownShareAt, TotalLines: s.maxLines, FailureWeight: s.failureWeight, MinSetUpTime: s.minSetUpTime}
+	observation = Observation{
+		Share: s.ownShare, ShareAt: s.ownShareAt, TotalLines: s.maxLines,
+		FailureWeight: s.failureWeight, MinSetUpTime: s.minSetUpTime,
+	}
 	switch {
 	case s.started > 0 && now < s.started+c.settings.ColdRamp:
 		observation.Rate = s.rateBeforeRestart
-	case !c.newlyStarted(now) && c.currentImportedShare(now) < 0.5: // what was heard is not told on
+	case !c.newlyStarted(now) && c.currentImportedShare(now) < 0.5:
+		// Rates reported by members are not passed on.
 		observation.Rate = c.rateAt(s.established, now)
 	}
 	return observation, true
 }
 
-// TierReport is what others of the tier have seen of a server.
+// TierReport is what the other members of the tier have observed of a server.
 type TierReport struct {
-	Share     float64       // to hold back, by their reports
-	ShareAt   Time          // of the newest of these; 0: there is none
-	Rate      float64       // set-ups a second that it takes from one of them when warm, on the mean; 0: not known
-	Failing   bool          // most of them hold it for failing
-	RoundTrip time.Duration // the longest of their ways there and back; 0: not known
+	Share     float64       // hold-back share that their load reports ask for, 0 to 1
+	ShareAt   Time          // time of the newest of these load reports; 0: none
+	Rate      float64       // mean set-ups per second that the warm server takes from one member; 0: unknown
+	Failing   bool          // whether the server is failing for most members
+	RoundTrip time.Duration // longest round trip to the server of any member; 0: unknown
 }
 
-// ScaleRates scales the rates that this sender holds for its own: others of the tier have left it their callers, or taken them
-// back. Counting would show it within the memory of rates; budgets while cold go by counting alone (see coldPart).
+// ScaleRates multiplies the rates that this softswitch has counted by factor, after other members of the tier
+// have left it their callers or taken them back. Counting alone would show the change only within
+// rateTimeConstant. Budgets of cold servers are not scaled (see coldQuota).
 func (c *Controller) ScaleRates(now Time, factor float64) {
 	if !(factor > 0) || c.startedAt == 0 {
 		return
@@ -66,19 +74,20 @@
 	c.importedShare, c.importedShareAt = max(1-(1-c.currentImportedShare(now))/factor, 0), now
 }
 
-// foreignNow is the share of the rates that is not of calls from here: it fades as these do.
+// currentImportedShare returns the share of the rates that does not come from calls of this softswitch. The
+// share decays like the counters behind the rates.
 func (c *Controller) currentImportedShare(now Time) float64 {
 	return c.importedShare * decayFactor((now - c.importedShareAt).Seconds())
 }
 
-// ColdBudget is what this sender holds of a server that is cold.
+// ColdBudget is this softswitch's budget of set-ups to a cold server.
 type ColdBudget struct {
-	Until        Time    // it is warm then
-	Quota        float64 // this sender's own part of it, in set-ups a second of a warm one
-	RateMultiple float64 // set-ups a second that may be sent to it now for each that a warm one takes
+	Until        Time    // time at which the server is warm
+	Quota        float64 // this softswitch's own quota, in set-ups per second of the warm server
+	RateMultiple float64 // set-ups that the server may get now for each set-up that the warm server takes
 }
 
-// ColdBudget says whether a server is cold at a time, and what is held of it.
+// ColdBudget returns the budget of a cold server, or false if the server is not cold at the given time.
 func (c *Controller) ColdBudget(id ServerID, now Time) (ColdBudget, bool) {
 	s := c.byID[id]
 	if s == nil || s.phase != Ready || s.started <= 0 || now >= s.started+c.settings.ColdRamp {
@@ -87,13 +96,16 @@
 	return ColdBudget{s.started + c.settings.ColdRamp, c.coldQuota(s), c.coldRateMultiple(s, now)}, true
 }
 
-// Blocked says whether a server gets nothing new for now: it is not ready, or its cut is a full one.
+// Blocked returns whether a server gets no new set-ups now: it is not ready, it is blocked, its load reports
+// ask to hold back everything, or it has no free line.
 func (c *Controller) Blocked(id ServerID, now Time) bool {
 	s := c.byID[id]
-	return s == nil || s.phase != Ready || s.blocked || s.reportedShare >= 1 && now < s.shareExpiry || s.lineShare >= 1
+	return s == nil || s.phase != Ready || s.blocked ||
+		s.reportedShare >= 1 && now < s.shareExpiry || s.lineShare >= 1
 }
 
-// HasCall says whether a call is in hand, and Calls how many are.
+// HasCall returns whether a call still needs an answer or has an attempt pending.
 func (c *Controller) HasCall(id CallID) bool { return c.calls[id] != nil }
 
+// Calls returns the number of calls that still need an answer or have an attempt pending.
 func (c *Controller) Calls() int { return len(c.calls) }
