--- a/calls.go
+++ b/calls.go
@@ -219,14 +219,14 @@
 		case ev.Cause == CauseFull && ev.Refusal == RefusalProcessor, ev.Cause == CauseUnreachable:
 			c.block(s, ev.Wait)
 		case ev.Cause == CauseFull:
-			// A server that reports no lines could not report a free one.
+			// Only a server that reports its lines can report a free one and so lower the share again.
 			if s.lineShortUntil = c.now + lineShortageHold; s.totalLines > 0 {
 				s.lineShare = 1
 			}
 		}
 	}
 	if call == nil {
-		// An established call has ended, unless the server was full.
+		// With any other cause than CauseFull an established call has ended.
 		if s := c.byID[ev.Server]; s != nil && ev.Cause != CauseFull {
 			s.reusableLines = min(s.reusableLines+1, max(lowLineShare*s.totalLines, 1+reservedLines))
 		}
--- a/controller_test.go
+++ b/controller_test.go
@@ -14,7 +14,7 @@
 
 const ms = time.Millisecond
 
-// bench drives one controller and keeps what it did.
+// harness drives one controller and records its actions.
 type harness struct {
 	t          *testing.T
 	controller *Controller
@@ -23,6 +23,7 @@
 	actions    []Action
 }
 
+// testSettings returns valid settings with one class and reports of lines and wait.
 func testSettings() Settings {
 	return Settings{
 		Classes:            []Class{{Aim: 2 * time.Second, Deadline: 9 * time.Second, Worth: 1}},
@@ -40,11 +41,13 @@
 	}
 }
 
+// newHarness makes a harness with servers 1 to servers and a fixed seed.
 func newHarness(t *testing.T, settings Settings, servers int) *harness {
 	t.Helper()
 	return newSeededHarness(t, settings, servers, 1)
 }
 
+// newSeededHarness is newHarness with a seed for the controller.
 func newSeededHarness(t *testing.T, settings Settings, servers int, seed uint64) *harness {
 	t.Helper()
 	c, err := New(settings, seed)
@@ -56,7 +59,7 @@
 	return h
 }
 
-// ready lists servers 1 to n, in cells 1 to n, running since long ago.
+// readyServers lists the servers 1 to count, in the cells 1 to count, started long ago.
 func readyServers(count int) []ListEntry {
 	var list []ListEntry
 	for i := 1; i <= count; i++ {
@@ -65,21 +68,23 @@
 	return list
 }
 
+// handle hands an event to the controller, records the actions and returns them.
 func (h *harness) handle(ev Event) []Action {
 	actions := h.controller.Handle(h.now, ev, nil)
 	h.actions = append(h.actions, actions...)
 	return actions
 }
 
+// advance moves the time on.
 func (h *harness) advance(d time.Duration) { h.now += d }
 
-// call brings in a call with a first choice and returns its id and what was done with it.
-func (b *harness) arrive(cell int) (CallID, []Action) {
-	b.lastCall++
-	return b.lastCall, b.handle(Arrival{Call: b.lastCall, Cell: cell, TimeLeft: 3 * time.Second})
+// arrive brings in a call with the given cell as its first choice and returns its id and the actions.
+func (h *harness) arrive(cell int) (CallID, []Action) {
+	h.lastCall++
+	return h.lastCall, h.handle(Arrival{Call: h.lastCall, Cell: cell, TimeLeft: 3 * time.Second})
 }
 
-// sentTo is the server of the first Send; 0 if there is none.
+// firstSendTarget returns the server of the first Send action, or 0 if there is none.
 func firstSendTarget(actions []Action) ServerID {
 	for _, a := range actions {
 		if s, ok := a.(Send); ok {
@@ -89,6 +94,7 @@
 	return 0
 }
 
+// isRefusal returns whether the actions are a single Refuse action.
 func isRefusal(actions []Action) bool {
 	if len(actions) != 1 {
 		return false
@@ -97,7 +103,8 @@
 	return ok
 }
 
-// answered sends a call to a cell and lets it stand at once.
+// establish brings in a call for a cell, lets it be established at once and returns its server, or 0 if it
+// was not sent.
 func (h *harness) establish(cell int, setUpTime time.Duration) ServerID {
 	id, actions := h.arrive(cell)
 	s := firstSendTarget(actions)
@@ -107,7 +114,8 @@
 	return s
 }
 
-// steady lets ten calls a second stand for 20 s, spread over servers 1 to n: a sender that knows its rate.
+// warmUp establishes ten calls per second for 20 s, spread over the servers 1 to servers, so that the
+// controller knows its rates.
 func (h *harness) warmUp(servers int) {
 	for i := range 200 {
 		h.advance(100 * ms)
@@ -115,10 +123,12 @@
 	}
 }
 
+// reportLoad brings in a load report with free and total lines and a wait in milliseconds.
 func (h *harness) reportLoad(server ServerID, free, total, wait float64) {
 	h.handle(Health{Server: server, OK: true, Report: Report{free, total, wait}})
 }
 
+// expectServer reports an error if a call was not sent to the wanted server; 0 means to none.
 func (h *harness) expectServer(when string, got, want ServerID) {
 	h.t.Helper()
 	if got != want {
@@ -129,18 +139,18 @@
 func TestShareFromLoadMetrics(t *testing.T) {
 	tests := []struct {
 		name   string
-		figure LoadMetric
+		metric LoadMetric
 		value  float64
 		want   float64
 	}{
-		{"share as told", LoadMetricHoldBackShare, 0.4, 0.4},
+		{"share as reported", LoadMetricHoldBackShare, 0.4, 0.4},
 		{"share over one", LoadMetricHoldBackShare, 7, 1},
 		{"no wait", LoadMetricWait, 0, 0},
 		{"little wait", LoadMetricWait, 40, 0},
 	}
 	for _, tt := range tests {
 		settings := testSettings()
-		settings.ReportMetrics = []LoadMetric{LoadMetricUnknown, tt.figure}
+		settings.ReportMetrics = []LoadMetric{LoadMetricUnknown, tt.metric}
 		h := newHarness(t, settings, 1)
 		got, known := h.controller.shareFromReport(h.controller.byID[1], Report{0, tt.value})
 		if !known || math.Abs(got-tt.want) > 1e-9 {
@@ -152,12 +162,12 @@
 	h := newHarness(t, settings, 1)
 	for _, tt := range []struct{ rate, want float64 }{{40, 0}, {30, 0}, {10, 0.5}, {0, 1}, {39, 0}} {
 		if got, _ := h.controller.shareFromReport(h.controller.byID[1], Report{tt.rate}); math.Abs(got-tt.want) > 1e-9 {
-			t.Errorf("rate %v, 40 at best: share %v, want %v", tt.rate, got, tt.want)
+			t.Errorf("rate %v of a highest rate of 40: share %v, want %v", tt.rate, got, tt.want)
 		}
 	}
 	h = newHarness(t, testSettings(), 1)
 	if _, known := h.controller.shareFromReport(h.controller.byID[1], Report{10, 10, -1}); known {
-		t.Error("a figure of -1 was taken for told")
+		t.Error("a value of -1 counts as reported")
 	}
 	last := -1.0
 	for wait := time.Duration(0); wait < 4*time.Second; wait += 100 * ms {
@@ -189,7 +199,7 @@
 	}
 }
 
-// A tenant's calls beyond its part of the allowances are the first to be held back.
+// A tenant's calls beyond its share of the allowances are the first to be held back.
 func TestCallsBeyondTenantShareMarked(t *testing.T) {
 	settings := testSettings()
 	settings.OverShareWorth = 0.2
@@ -197,7 +207,7 @@
 	h := newHarness(t, settings, 1)
 	marked, offered := [2]int{}, [2]int{}
 	for i := range 4000 {
-		tenant := i % 2 // half each, where the shares are 3/4 and 1/4
+		tenant := i % 2 // half of the calls each, with shares of 3/4 and 1/4
 		h.controller.now += 10 * ms
 		offered[tenant]++
 		if h.controller.exceedsTenantShare(tenant) {
@@ -205,13 +215,14 @@
 		}
 	}
 	if marked[0] != 0 || math.Abs(float64(marked[1])/float64(offered[1])-0.5) > 0.05 {
-		t.Errorf("marked %v of %v, want none of the first and half of the second", marked, offered)
+		t.Errorf("marked %v of %v, want none of the first tenant and half of the second", marked, offered)
 	}
 }
 
-// Under overload a tenant that asks for three times its share loses the calls beyond it, whether the others are within
-// theirs by far or just; one that is within loses next to none. A call that names no known tenant is in nobody's share.
-// The deployment's reports tell no share to hold back: their wait asks for it.
+// Under overload a tenant that asks for three times its share loses the calls beyond it, whether the other
+// tenants are far within their share or just within it. A tenant within its share loses next to no calls.
+// A call that names no known tenant is in no share. The load reports hold no hold-back share here: their
+// wait asks for one.
 func TestTenantWithinShareServed(t *testing.T) {
 	settings := testSettings()
 	settings.OverShareWorth = 0.1
@@ -220,7 +231,7 @@
 	sent, offered := map[int]float64{}, map[int]float64{}
 	for i := range 6000 {
 		if i%50 == 0 {
-			h.reportLoad(1, 900, 1000, 350) // holds back about half
+			h.reportLoad(1, 900, 1000, 350) // asks to hold back about half
 		}
 		h.advance(10 * ms)
 		tenant := []int{0, 1, 1, 1, 7, -1}[i%6]
@@ -238,7 +249,7 @@
 	}
 }
 
-// Calls of great worth are held back last, and the ordinary ones make up for them.
+// Calls of high worth are held back last, and ordinary calls make up for them.
 func TestHighWorthThinnedLast(t *testing.T) {
 	settings := testSettings()
 	settings.ReportMetrics = []LoadMetric{LoadMetricHoldBackShare}
@@ -260,10 +271,10 @@
 		}
 	}
 	if sent[1] != offered[1] {
-		t.Errorf("%d of %d calls of great worth sent, want all", sent[1], offered[1])
+		t.Errorf("%d of %d calls of high worth sent, want all", sent[1], offered[1])
 	}
 	if all := sent[0] + sent[1]; all < 990 || all > 1010 {
-		t.Errorf("%d of 2000 sent at a share of 0.5", all)
+		t.Errorf("%d of 2000 calls sent at a share of 0.5", all)
 	}
 }
 
@@ -281,12 +292,12 @@
 	h.advance(h.controller.intervals(reportLifetime))
 	h.handle(TimerFired{})
 	if got := h.controller.holdBackShare(s); got != 0 {
-		t.Errorf("share %v after the lapse, want none", got)
+		t.Errorf("share %v after the expiry, want 0", got)
 	}
 	report(0.5)
 	report(0)
 	if got := h.controller.holdBackShare(s); got != 0 {
-		t.Errorf("share %v after a report of 0, want none", got)
+		t.Errorf("share %v after a report of 0, want 0", got)
 	}
 }
 
@@ -294,17 +305,17 @@
 	h := newHarness(t, testSettings(), 2)
 	h.warmUp(2)
 	id, actions := h.arrive(1)
-	h.expectServer("before", firstSendTarget(actions), 1)
+	h.expectServer("before the block", firstSendTarget(actions), 1)
 	actions = h.handle(Outcome{Call: id, Server: 1, Cause: CauseFull, Refusal: RefusalProcessor, Report: Report{50, 100, 900}})
-	h.expectServer("the refused call goes on", firstSendTarget(actions), 2)
+	h.expectServer("retry of the refused call", firstSendTarget(actions), 2)
 	h.handle(Established{Call: id, Server: 2, SetUpTime: 20 * ms})
 	h.reportLoad(1, 50, 100, 0)
 	h.advance(100 * ms)
-	h.expectServer("an older report does not lift the cut", h.establish(1, 20*ms), 2)
+	h.expectServer("after a report that may be older than the block", h.establish(1, 20*ms), 2)
 	h.advance(h.controller.intervals(reportLifetime))
 	trial, actions := h.arrive(1)
 	h.expectServer("trial", firstSendTarget(actions), 1)
-	h.expectServer("second call during the trial", h.establish(1, 20*ms), 2)
+	h.expectServer("another call during the trial", h.establish(1, 20*ms), 2)
 	h.advance(30 * ms)
 	h.handle(Established{Call: trial, Server: 1, SetUpTime: 30 * ms})
 	h.expectServer("after the trial", h.establish(1, 20*ms), 1)
@@ -321,7 +332,7 @@
 	h.handle(CallerGone{Call: trial})
 	h.handle(Outcome{Call: trial, Server: 1, Cause: CauseCancelled, Final: true})
 	h.advance(2 * time.Second)
-	h.expectServer("a new trial", h.establish(1, 20*ms), 1)
+	h.expectServer("new trial", h.establish(1, 20*ms), 1)
 }
 
 func TestDiversionAndRefusal(t *testing.T) {
@@ -331,40 +342,41 @@
 	}
 	h.reportLoad(1, 0, 100, 0)
 	if s := h.establish(1, 20*ms); s == 1 || s == 0 {
-		t.Errorf("call for a server without lines sent to %d, want 2 or 3", s)
+		t.Errorf("call for a server without free lines sent to %d, want 2 or 3", s)
 	}
 	h.reportLoad(2, 0, 100, 0)
-	h.expectServer("only one left", h.establish(1, 20*ms), 3)
+	h.expectServer("only one server with free lines", h.establish(1, 20*ms), 3)
 	h.reportLoad(3, 0, 100, 0)
 	_, actions := h.arrive(1)
 	if !isRefusal(actions) || actions[0].(Refuse).RetryAfter <= 0 {
-		t.Errorf("no server left: %v, want a refusal with a hint", actions)
+		t.Errorf("no server with free lines: %v, want a refusal with a hint", actions)
 	}
 	h.reportLoad(2, 60, 100, 0)
-	h.expectServer("lines free again", h.establish(1, 20*ms), 2)
+	h.expectServer("server with free lines again", h.establish(1, 20*ms), 2)
 }
 
-// Slow, hung, jammed, gone: set-ups that stay unanswered stop the next ones until an answer comes.
+// Set-ups that stay unanswered, at a server that is slow, hung, jammed or gone, stop further set-ups until
+// an answer comes.
 func TestUnansweredSetUpStopsFurtherOnes(t *testing.T) {
 	h := newHarness(t, testSettings(), 2)
-	for range 400 { // a stream so large that its window alone would let more follow
+	for range 400 { // so many calls that the window alone would admit more
 		h.advance(10 * ms)
 		h.establish(1, 20*ms)
 	}
 	h.advance(2 * time.Second)
 	unanswered, actions := h.arrive(1)
-	h.expectServer("first", firstSendTarget(actions), 1)
+	h.expectServer("first call", firstSendTarget(actions), 1)
 	h.advance(400 * ms)
-	for range 8 { // more than the thinning by the delay alone would divert
+	for range 8 { // more calls than thinning by the delay alone would divert
 		h.advance(60 * ms)
-		h.expectServer("while it is unanswered", h.establish(1, 20*ms), 2)
+		h.expectServer("while the set-up is unanswered", h.establish(1, 20*ms), 2)
 	}
 	h.handle(Established{Call: unanswered, Server: 1, SetUpTime: 20 * ms})
 	h.expectServer("after the answer", h.establish(1, 20*ms), 1)
 }
 
-// A great server that leaves must not bury small ones under all that it had: they get diverted no more
-// than twice their part by their lines (hunted day h8ae8c2).
+// When a large server leaves, its load must not overrun small servers: these get no more than twice the
+// diverted rate that their lines allow (simulated day h8ae8c2).
 func TestDivertBudget(t *testing.T) {
 	h := newHarness(t, testSettings(), 2)
 	h.reportLoad(1, 900, 900, 0)
@@ -382,11 +394,12 @@
 		}
 	}
 	if rate := 50 * 0.1; float64(sent) > 2*divertFactor*rate+divertBurst || float64(sent) < 2*divertFactor*rate {
-		t.Errorf("%d calls diverted in 2 s to a server whose part is %v a second", sent, rate)
+		t.Errorf("%d calls diverted in 2 s to a server with a share of %v calls per second", sent, rate)
 	}
 }
 
-// Redials multiply what a share lets through; a pressed server still gets no more than it answers.
+// Redials multiply the calls that a hold-back share admits; a loaded server still gets no more set-ups
+// than it answers.
 func TestWindowOfLoadedServer(t *testing.T) {
 	settings := testSettings()
 	settings.ReportMetrics = []LoadMetric{LoadMetricHoldBackShare}
@@ -399,12 +412,13 @@
 		}
 	}
 	if sent != 1 {
-		t.Errorf("%d unanswered set-ups at a pressed server, want 1", sent)
+		t.Errorf("%d unanswered set-ups at a loaded server, want 1", sent)
 	}
 }
 
-// A first choice whose processor was full is at ease again by its first report; in the lab (three equal servers, twice the
-// load) all that came in the next tenth of a second filled its queue anew, and it was cut for all but that of each second.
+// A first choice whose processor was full reports a low load in its first report. In the lab, with three
+// equal servers at twice the load, the calls of the next tenth of a second filled its queue again, and the
+// server was blocked for the rest of each second.
 func TestWindowAfterProcessorFull(t *testing.T) {
 	h := newHarness(t, testSettings(), 1)
 	h.warmUp(1)
@@ -419,12 +433,13 @@
 		}
 	}
 	if sent == 0 || sent > 3 {
-		t.Errorf("%d unanswered set-ups at a server that was full a second ago and answers ten a second, want 1 to 3", sent)
+		t.Errorf("%d unanswered set-ups at a server that was full a second ago and answers 10 per second, want 1 to 3", sent)
 	}
 }
 
-// On sockets the clock counts from 1970, in the simulator from the start: a sender's rates begin with its first event on
-// both. They began with 15 s of nothing on sockets, and a second choice got half of its part for half a minute.
+// On sockets the clock counts from 1970, in the simulator from the start of the run: rates start with the
+// first event on both. On sockets the rates began with 15 s without calls, and a second choice got half of
+// its rate for half a minute.
 func TestRatesStartAtFirstEvent(t *testing.T) {
 	rateSince := func(epoch Time) float64 {
 		c, err := New(testSettings(), 1)
@@ -443,13 +458,13 @@
 		return c.expectedRate(c.byID[1])
 	}
 	if atZero, atUnixTime := rateSince(time.Millisecond), rateSince(1_700_000_000*time.Second); math.Abs(atZero-atUnixTime) > 0.1 || atUnixTime < 4 {
-		t.Errorf("a part of %.1f a second where the clock began just now, of %.1f where it began in 1970; want 5", atZero, atUnixTime)
+		t.Errorf("rate of %.1f per second with a clock that starts at 0, %.1f with one that starts in 1970; want 5", atZero, atUnixTime)
 	}
 }
 
-// A live report that asks for a little is nearly as much ease as one that asks for nothing: in the lab (two equal servers,
-// a third more than both can do) the second choice went back and forth between three times its part and one, and was left
-// with an eighth of what it could take.
+// A live report that asks for a low hold-back share allows nearly as many diverted calls as one that asks
+// for none. In the lab, with two equal servers at a third more than their capacity, the second choice
+// alternated between three times its rate and its rate, and got an eighth of what it could take.
 func TestDivertBudgetGradedByShare(t *testing.T) {
 	settings := testSettings()
 	settings.ReportMetrics = []LoadMetric{LoadMetricHoldBackShare}
@@ -466,12 +481,12 @@
 	}
 	atZero, atHalf, atTwice := budgetAt(0), budgetAt(idleMaxShare/2), budgetAt(2*idleMaxShare)
 	if !(atZero > 1.3*atHalf && atHalf > 1.3*atTwice && atTwice > 0) {
-		t.Errorf("room for %.2f, %.2f and %.2f diverted calls at no share, half of %v and twice", atZero, atHalf, atTwice, idleMaxShare)
+		t.Errorf("budgets of %.2f, %.2f and %.2f diverted calls at a share of 0, half of %v and twice that", atZero, atHalf, atTwice, idleMaxShare)
 	}
 }
 
-// After a stall of the proxy a call can come in with its time used up; it is answered at once, and so is
-// one whose attempt was not sent when its time is all but up (incident i057cfa).
+// After a stall of the softswitch a call can arrive with no time left; such a call is answered at once, as
+// is a call whose attempt was not sent and whose time is nearly up (incident i057cfa).
 func TestRuleNoCallLostAfterStall(t *testing.T) {
 	h := newHarness(t, testSettings(), 2)
 	h.lastCall++
@@ -482,21 +497,22 @@
 	h.handle(Arrival{Call: h.lastCall, Cell: 1, TimeLeft: 20 * ms})
 	h.advance(20 * ms)
 	if actions := h.handle(Outcome{Call: h.lastCall, Server: 1, Cause: CauseNotSent}); !isRefusal(actions) {
-		t.Errorf("not sent, its time up: %v, want a refusal", actions)
+		t.Errorf("call that was not sent and has no time left: %v, want a refusal", actions)
 	}
 }
 
-// While a call is held for the release guard a stall of the proxy would lose it: held only with time to spare.
+// A stall of the softswitch loses a call that is held for the release guard, so a call is held only with
+// time to spare.
 func TestRuleCallHeldOnlyWithTimeToSpare(t *testing.T) {
 	h := newHarness(t, testSettings(), 2)
 	id, _ := h.arrive(1)
 	h.advance(800 * ms)
 	if actions := h.handle(Outcome{Call: id, Server: 1, Cause: CauseReset}); !isRefusal(actions) {
-		t.Errorf("cut with 2.2 s left: %v, want a refusal", actions)
+		t.Errorf("call with a reset connection and 2.2 s left: %v, want a refusal", actions)
 	}
 }
 
-// A caller in haste says nothing of the server (incident i9e2cb0).
+// The timeout of a caller with little time left says nothing about the server (incident i9e2cb0).
 func TestShortTimeoutBlocksNothing(t *testing.T) {
 	h := newHarness(t, testSettings(), 2)
 	h.lastCall++
@@ -506,26 +522,27 @@
 	h.expectServer("next call", h.establish(1, 20*ms), 1)
 }
 
-// Silence of a server that has been sent two set-ups one after the other cuts it in full; a trial follows.
+// A server that leaves two consecutive set-ups unanswered is blocked; a trial follows.
 func TestUnansweredSetUpsBlock(t *testing.T) {
 	h := newHarness(t, testSettings(), 2)
 	h.warmUp(2)
 	for range 2 {
 		id, actions := h.arrive(1)
-		h.expectServer("silent server", firstSendTarget(actions), 1)
+		h.expectServer("unresponsive server", firstSendTarget(actions), 1)
 		h.advance(time.Second)
 		h.handle(TimerFired{Token: uint32(id)})
 	}
-	h.expectServer("after a long silence", h.establish(1, 20*ms), 2)
+	h.expectServer("after two unanswered set-ups", h.establish(1, 20*ms), 2)
 	h.advance(h.controller.intervals(reportLifetime))
 	h.expectServer("trial", h.establish(1, 20*ms), 1)
 }
 
-// Fresh reports of ease while a set-up stays unanswered tell of a loss, not of a queue (incident i54d70c).
+// An unanswered set-up together with recent reports of a low load shows a loss, not a queue (incident
+// i54d70c).
 func TestUnansweredSetUpOfIdleServer(t *testing.T) {
 	for _, idle := range []bool{true, false} {
 		h := newHarness(t, testSettings(), 2)
-		h.expectServer("warm-up", h.establish(1, 20*ms), 1)
+		h.expectServer("first call", h.establish(1, 20*ms), 1)
 		h.advance(2 * time.Second)
 		id, _ := h.arrive(1)
 		h.advance(200 * ms)
@@ -543,8 +560,8 @@
 	}
 }
 
-// A set-up whose answer is lost looks like a slow server, but for the answers to what is sent after it
-// (incident i5746d9): it is called off and made elsewhere, and the server is served as before.
+// A set-up whose answer is lost looks like a slow server, except that later set-ups are answered (incident
+// i5746d9). The set-up is cancelled and retried elsewhere, and the server gets calls as before.
 func TestOvertakenSetUpRetriedElsewhere(t *testing.T) {
 	h := newHarness(t, testSettings(), 2)
 	h.lastCall++
@@ -553,22 +570,22 @@
 	h.advance(time.Second)
 	h.handle(TimerFired{Token: uint32(overtaken)})
 	later, actions := h.arrive(1)
-	h.expectServer("after two gaps", firstSendTarget(actions), 1)
+	h.expectServer("after two retransmit intervals", firstSendTarget(actions), 1)
 	h.advance(20 * ms)
 	actions = h.handle(Established{Call: later, Server: 1, SetUpTime: 20 * ms})
 	if len(actions) != 1 || actions[0] != (Cancel{Call: overtaken}) {
-		t.Fatalf("after the later answer: %v, want the lost one called off", actions)
+		t.Fatalf("after the later answer: %v, want the lost attempt cancelled", actions)
 	}
 	actions = h.handle(Outcome{Call: overtaken, Server: 1, Cause: CauseCancelled})
 	if firstSendTarget(actions) != 0 {
-		t.Error("sent again before the release guard")
+		t.Error("call sent again before the release guard has passed")
 	}
 	h.advance(300 * ms)
-	h.expectServer("the lost call", firstSendTarget(h.handle(TimerFired{Token: uint32(overtaken)})), 2)
-	h.expectServer("the server", h.establish(1, 20*ms), 1)
+	h.expectServer("retry of the overtaken call", firstSendTarget(h.handle(TimerFired{Token: uint32(overtaken)})), 2)
+	h.expectServer("next call for the server", h.establish(1, 20*ms), 1)
 }
 
-// A server that fails every call at once looks idle; it must not draw all calls (incident ic65e3e).
+// A server that fails every call at once looks idle; it must not attract all calls (incident ic65e3e).
 func TestConsecutiveErrorsBlock(t *testing.T) {
 	h := newHarness(t, testSettings(), 2)
 	h.warmUp(2)
@@ -577,26 +594,27 @@
 		id, actions := h.arrive(1)
 		h.expectServer("failing server", firstSendTarget(actions), 1)
 		actions = h.handle(Outcome{Call: id, Server: 1, Cause: CauseBusy})
-		h.expectServer("the failed call goes on", firstSendTarget(actions), 2)
+		h.expectServer("retry of the failed call", firstSendTarget(actions), 2)
 		h.handle(Established{Call: id, Server: 2, SetUpTime: 20 * ms})
 	}
-	h.expectServer("after errors in a row", h.establish(1, 20*ms), 2)
+	h.expectServer("after consecutive errors", h.establish(1, 20*ms), 2)
 	h.advance(h.controller.intervals(reportLifetime))
 	h.expectServer("trial", h.establish(1, 20*ms), 1)
 	h.expectServer("after the trial", h.establish(1, 20*ms), 1)
 }
 
-// Set-ups lost on one connection that dies are no sign against a server that reports, over its others, that it is at
-// ease: two of them made a full cut of ten gaps, and a tenth of all calls was refused (a day of silent connections). A
-// server that doesn't report is cut as before.
+// Set-ups lost on one dead connection do not block a server that reports a low load over its other
+// connections. Two such losses blocked the server for ten retransmit intervals, and a tenth of all calls
+// was refused in a simulated day with silent connections. A server that sends no reports is blocked as
+// before.
 func TestLostSetUpsOfIdleServer(t *testing.T) {
 	for _, reports := range []bool{true, false} {
 		h := newHarness(t, testSettings(), 2)
 		h.warmUp(2)
 		for range maxFailureWeight / unansweredWeight {
 			id, actions := h.arrive(1)
-			h.expectServer("to the server", firstSendTarget(actions), 1)
-			for range 10 { // to two gaps
+			h.expectServer("call for the server", firstSendTarget(actions), 1)
+			for range 10 { // to two retransmit intervals
 				h.advance(100 * ms)
 				if reports {
 					h.reportLoad(1, 900, 1000, 0)
@@ -605,30 +623,31 @@
 			h.handle(TimerFired{Token: uint32(id)})
 		}
 		if blocked := h.controller.byID[1].blocked; blocked == reports {
-			t.Errorf("reports %v: cut %v", reports, blocked)
+			t.Errorf("reports %v: blocked %v", reports, blocked)
 		}
 	}
 }
 
-// A server that is cut for its errors gets the calls that would be refused else: three of four failed at one, and one in
-// eight of all calls was refused. None of little worth goes there, nor any where a call that may have run can't be made
-// again, while one that it got is unanswered, or where it is cut for its load or its silence.
+// A server that is blocked for errors gets the calls that would be refused otherwise: with three of four
+// calls failing at such a server, one in eight of all calls was refused. The server gets no call of low
+// worth, none that cannot be retried after it may have run, none while a set-up is unanswered, and none if
+// it is blocked for load or unanswered set-ups.
 func TestLastResort(t *testing.T) {
 	for name, c := range map[string]struct {
-		cause  Cause
-		repeat RetryPolicy
-		known  bool // the tenant
-		want   ServerID
+		cause Cause
+		retry RetryPolicy
+		known bool // whether the call names a known tenant
+		want  ServerID
 	}{
-		"errors":            {CauseBusy, RetryAlways, true, 1},
-		"little worth":      {CauseBusy, RetryAlways, false, 0},
-		"not to be made up": {CauseBusy, RetryNever, true, 0},
-		"processor full":    {CauseFull, RetryAlways, true, 0},
-		"no connection":     {CauseUnreachable, RetryAlways, true, 0},
-		"silence":           {CauseTimeout, RetryAlways, true, 0},
+		"errors":         {CauseBusy, RetryAlways, true, 1},
+		"low worth":      {CauseBusy, RetryAlways, false, 0},
+		"never retried":  {CauseBusy, RetryNever, true, 0},
+		"processor full": {CauseFull, RetryAlways, true, 0},
+		"no connection":  {CauseUnreachable, RetryAlways, true, 0},
+		"unanswered":     {CauseTimeout, RetryAlways, true, 0},
 	} {
 		settings := testSettings()
-		settings.Tenants, settings.OverShareWorth, settings.Classes[0].Retry = []Tenant{{Name: "a", Allowance: 1}}, 0.1, c.repeat
+		settings.Tenants, settings.OverShareWorth, settings.Classes[0].Retry = []Tenant{{Name: "a", Allowance: 1}}, 0.1, c.retry
 		h := newHarness(t, settings, 2)
 		h.warmUp(2)
 		call := func() (CallID, []Action) {
@@ -659,14 +678,14 @@
 			continue
 		}
 		_, actions = call()
-		h.expectServer("while one is unanswered", firstSendTarget(actions), 0)
+		h.expectServer("while a set-up is unanswered", firstSendTarget(actions), 0)
 		if actions = h.handle(Outcome{Call: id, Server: 1, Cause: CauseBusy}); !isRefusal(actions) {
-			t.Errorf("a call that the last resort has failed: %v, want a refusal", actions)
+			t.Errorf("a call that failed at the last resort: %v, want a refusal", actions)
 		}
 		id, actions = call()
-		h.expectServer("the next", firstSendTarget(actions), 1)
+		h.expectServer("next call", firstSendTarget(actions), 1)
 		h.handle(Outcome{Call: id, Server: 1, Cause: CauseFull, Refusal: RefusalProcessor})
-		h.controller.recordFailure(h.controller.byID[1], 1) // an answer that was on its way
+		h.controller.recordFailure(h.controller.byID[1], 1) // an error that was already in transit
 		_, actions = call()
 		h.expectServer("after its processor was full", firstSendTarget(actions), 0)
 	}
@@ -676,25 +695,25 @@
 	h.controller.recordFailure(s, maxFailureWeight)
 	s.blockedForErrors = true
 	h.advance(h.controller.intervals(minBlockTime))
-	h.reportLoad(1, 900, 1000, 900) // lifts the cut, and asks for a share that a trial follows
+	h.reportLoad(1, 900, 1000, 900) // lifts the block and asks for a share whose expiry needs a trial
 	h.advance(h.controller.intervals(reportLifetime))
 	if h.arrive(1); !s.blocked || s.blockedForErrors {
-		t.Errorf("a share that has lapsed: a full cut %v, for errors %v", s.blocked, s.blockedForErrors)
+		t.Errorf("an expired share: blocked %v, for errors %v; want true, false", s.blocked, s.blockedForErrors)
 	}
 }
 
-// A server that fails a part of its calls still serves the others (incident i1a4c38).
+// A server that fails some of its calls still serves the others (incident i1a4c38).
 func TestPartialErrorsDoNotBlock(t *testing.T) {
 	h := newHarness(t, testSettings(), 2)
 	for range 10 {
 		for range 2 {
 			id, actions := h.arrive(1)
-			h.expectServer("half failing server", firstSendTarget(actions), 1)
+			h.expectServer("server that fails two of three calls", firstSendTarget(actions), 1)
 			h.handle(Outcome{Call: id, Server: 1, Cause: CauseBusy})
 			h.handle(Established{Call: id, Server: 2, SetUpTime: 20 * ms})
 		}
 		h.advance(100 * ms)
-		h.expectServer("the third call", h.establish(1, 20*ms), 1)
+		h.expectServer("third call", h.establish(1, 20*ms), 1)
 		h.advance(100 * ms)
 	}
 }
@@ -708,50 +727,50 @@
 	id, _ := dial(7)
 	actions := h.handle(Outcome{Call: id, Server: 1, Cause: CauseBusy, Refusal: RefusalNumber})
 	if !isRefusal(actions) {
-		t.Errorf("busy number: %v, want a refusal", actions)
+		t.Errorf("call to a busy number: %v, want a refusal", actions)
 	}
 	if _, actions = dial(7); !isRefusal(actions) {
-		t.Errorf("next call to it: %v, want a refusal", actions)
+		t.Errorf("next call to the busy number: %v, want a refusal", actions)
 	}
 	id, actions = dial(8)
-	h.expectServer("another number", firstSendTarget(actions), 1)
+	h.expectServer("call to another number", firstSendTarget(actions), 1)
 	h.handle(Established{Call: id, Server: 1, SetUpTime: 20 * ms})
 	h.advance(h.controller.intervals(busyNumberHold))
 	_, actions = dial(7)
 	h.expectServer("after the hold", firstSendTarget(actions), 1)
 }
 
-// An attempt whose caller left stays on the server's account until its end is told, and then leaves it.
+// An attempt whose caller left counts as unanswered until its outcome comes, and no longer.
 func TestCallerGoneRemovesAttempt(t *testing.T) {
 	h := newHarness(t, testSettings(), 2)
 	id, _ := h.arrive(1)
 	h.handle(CallerGone{Call: id})
 	h.advance(time.Second)
-	h.expectServer("attempt still out", h.establish(1, 20*ms), 2)
+	h.expectServer("while the attempt is pending", h.establish(1, 20*ms), 2)
 	h.handle(Outcome{Call: id, Server: 1, Cause: CauseCancelled, Final: true})
-	h.expectServer("attempt ended", h.establish(1, 20*ms), 1)
+	h.expectServer("after the attempt has ended", h.establish(1, 20*ms), 1)
 }
 
-// Ordinary tries are not taken for late ones because a patient last try has more time.
+// Ordinary calls do not count as late because a patient last call has more time left.
 func TestLateTries(t *testing.T) {
 	h := newHarness(t, testSettings(), 1)
 	tests := []struct {
-		within time.Duration
-		late   bool
+		timeLeft time.Duration
+		late     bool
 	}{
 		{3 * time.Second, false},
 		{3 * time.Second, false},
 		{3 * time.Second, false},
 		{3 * time.Second, false},
-		{7500 * ms, false}, // 1.5 s after the first try: within the aim
+		{7500 * ms, false}, // 1.5 s after the first call: within the aim
 		{3 * time.Second, false},
 		{6 * time.Second, true},
 		{400 * ms, true},
 		{3 * time.Second, false},
 	}
 	for i, tt := range tests {
-		if got := h.controller.isLateTry(Arrival{TimeLeft: tt.within}); got != tt.late {
-			t.Errorf("try %d of %v: late %v, want %v", i, tt.within, got, tt.late)
+		if got := h.controller.isLateTry(Arrival{TimeLeft: tt.timeLeft}); got != tt.late {
+			t.Errorf("call %d with %v left: late %v, want %v", i, tt.timeLeft, got, tt.late)
 		}
 	}
 }
@@ -763,7 +782,7 @@
 		h.handle(ListDelta{Entries: []ListEntry{{Server: 1, Cell: 1, Phase: phase}}})
 		for range 50 {
 			h.advance(50 * ms)
-			h.expectServer("told to leave", h.establish(1, 20*ms), 2)
+			h.expectServer("server that is draining or gone", h.establish(1, 20*ms), 2)
 		}
 	}
 	h := newHarness(t, testSettings(), 2)
@@ -771,13 +790,13 @@
 	h.expectServer("missing from a full list", h.establish(1, 20*ms), 2)
 }
 
-// All senders together stay under the multiple in every window, the first one included.
+// One softswitch stays below the overload multiple of a cold server in every window, the first included.
 func TestRuleColdServerNotOverloaded(t *testing.T) {
 	settings := testSettings()
 	h := newHarness(t, settings, 2)
 	h.reportLoad(1, 900, 1000, 0)
 	h.reportLoad(2, 900, 1000, 0)
-	const perSecond = 40 // and a warm server takes half of it
+	const perSecond = 40 // calls per second; a warm server takes half of them
 	step := time.Second / perSecond
 	for range 20 * perSecond {
 		h.advance(step)
@@ -794,13 +813,14 @@
 		}
 	}
 	if len(sent) < 100 {
-		t.Errorf("only %d set-ups in the ramp: the cold server stands idle", len(sent))
+		t.Errorf("only %d set-ups in the ramp: the cold server stays idle", len(sent))
 	}
 	checkColdLimit(t, settings, startedAt, sent, perSecond/2, coldBurst)
 }
 
-// coldWindows holds the set-ups sent to a cold server against the tipping limit in each window, where a warm
-// one takes so many a second, with some slack for chance.
+// checkColdLimit fails the test if the set-ups sent to a cold server exceed the overload limit in a window
+// of OverloadAfter. A warm server takes warmRate set-ups per second; slack set-ups are tolerated for
+// chance.
 func checkColdLimit(t *testing.T, settings Settings, startedAt Time, sent []Time, warmRate, slack float64) {
 	t.Helper()
 	for i, windowStart := range sent {
@@ -813,12 +833,12 @@
 		warmShare := settings.ColdInitialShare + (1-settings.ColdInitialShare)*float64(windowStart-startedAt)/float64(settings.ColdRamp)
 		limit := settings.OverloadMultiple * warmShare * warmRate * settings.OverloadAfter.Seconds()
 		if float64(count) > limit+slack {
-			t.Fatalf("%d set-ups within %v from %v on, limit %.1f", count, settings.OverloadAfter, windowStart-startedAt, limit)
+			t.Fatalf("%d set-ups within %v from %v after the start, limit %.1f", count, settings.OverloadAfter, windowStart-startedAt, limit)
 		}
 	}
 }
 
-// A sender just back from a crash knows no rate; it must not flood a cold server.
+// A softswitch that has restarted after a crash knows no rate; it must not flood a cold server.
 func TestColdServerAndNewlyStartedSender(t *testing.T) {
 	h := newHarness(t, testSettings(), 0)
 	h.handle(ListFull{Entries: []ListEntry{{Server: 1, Cell: 1, Phase: Ready, Started: h.now}}})
@@ -829,7 +849,7 @@
 		}
 	}
 	if sent > 2 {
-		t.Errorf("%d set-ups at once to a cold server, want 2 at most", sent)
+		t.Errorf("%d set-ups at once to a cold server, want at most 2", sent)
 	}
 }
 
@@ -840,14 +860,14 @@
 		id, _ := h.arrive(1)
 		actions := h.handle(Outcome{Call: id, Server: 1, Cause: cause})
 		if firstSendTarget(actions) != 0 {
-			t.Errorf("cause %d: sent again at once", cause)
+			t.Errorf("cause %d: call sent again at once", cause)
 		}
 		timer, ok := actions[0].(SetTimer)
 		if !ok || timer.At < h.now+settings.ReleaseGuard {
 			t.Fatalf("cause %d: %v, want a timer after the release guard", cause, actions)
 		}
 		h.now = timer.At
-		h.expectServer("after the guard", firstSendTarget(h.handle(TimerFired{Token: timer.Token})), 2)
+		h.expectServer("after the release guard", firstSendTarget(h.handle(TimerFired{Token: timer.Token})), 2)
 	}
 }
 
@@ -858,7 +878,7 @@
 		CallerGone{Call: 99}, TimerFired{Token: 99}, Health{Server: 9}, ListFailed{}, ListDelta{},
 	} {
 		if actions := h.handle(ev); len(actions) != 0 {
-			t.Errorf("%T for something unknown: %v, want nothing", ev, actions)
+			t.Errorf("%T with unknown ids: %v, want no action", ev, actions)
 		}
 	}
 }
@@ -870,24 +890,25 @@
 		h.handle(ListDelta{Entries: []ListEntry{{Server: i, Phase: Gone}, {Server: i + 1, Cell: 1, Phase: Ready}}})
 	}
 	if n := len(h.controller.servers); n != 2 || len(h.controller.byID) != n {
-		t.Errorf("%d servers kept, want the listed one and the one with a set-up out", n)
+		t.Errorf("%d servers kept, want the listed one and the one with a pending attempt", n)
 	}
 	h.handle(Outcome{Call: heldCall, Server: 1, Cause: CauseTimeout, Final: true})
 	h.handle(ListDelta{})
 	if n := len(h.controller.servers); n != 1 {
-		t.Errorf("%d servers kept after the set-up's end, want 1", n)
+		t.Errorf("%d servers kept after the end of the attempt, want 1", n)
 	}
 	if n := len(h.controller.removed); n > maxRemovedServers {
-		t.Errorf("%d servers known that have gone", n)
+		t.Errorf("%d removed servers remembered", n)
 	}
 	h.advance(removedServerTTL + time.Second)
 	if h.handle(ListDelta{}); len(h.controller.removed) != 0 {
-		t.Errorf("%d servers known that went long ago", len(h.controller.removed))
+		t.Errorf("%d servers remembered that were removed long ago", len(h.controller.removed))
 	}
 }
 
-// A server that dies and comes back with a part of its lines still has its processor: its budget while cold goes
-// by what it was. It was taken for a new and small one, and stood idle beside one that was overrun.
+// A server that dies and comes back with fewer lines still has its processor, so its budget while cold is
+// based on its former rate. Such a server was taken for a new, small one and stayed idle beside an overrun
+// one.
 func TestReturningServerKeepsRate(t *testing.T) {
 	settings := testSettings()
 	h := newHarness(t, settings, 2)
@@ -912,7 +933,7 @@
 		}
 	})
 	if len(sent) < 40 {
-		t.Errorf("%d set-ups in 4 s, of a processor that took 20 a second", len(sent))
+		t.Errorf("%d set-ups in 4 s to a server that took 20 per second", len(sent))
 	}
 	checkColdLimit(t, settings, startedAt, sent, perSecond/2, coldBurst)
 }
@@ -933,33 +954,35 @@
 	}
 }
 
-// TestRandomEvents plays random events and holds the rules as invariants: one final answer for each
-// call, in time; one attempt out at most; no send after the answer or within the release guard.
+// TestRandomEvents plays random events and checks invariants: one final answer for each call, in time; at
+// most one attempt pending; no set-up after the answer or within the release guard.
 func TestRandomEvents(t *testing.T) {
 	for seed := range uint64(30) {
 		first := runRandomEvents(t, seed)
 		if second := runRandomEvents(t, seed); !reflect.DeepEqual(first, second) {
-			t.Fatalf("seed %d: the same events gave other actions", seed)
+			t.Fatalf("seed %d: the same events gave different actions", seed)
 		}
 	}
 }
 
-// FuzzRandomEvents is the same for any seed, to be run for longer than CI does.
+// FuzzRandomEvents checks the invariants of TestRandomEvents for any seed, in longer runs than those of
+// CI.
 func FuzzRandomEvents(f *testing.F) {
 	f.Add(uint64(1000))
 	f.Fuzz(func(t *testing.T, seed uint64) { runRandomEvents(t, seed) })
 }
 
+// modelCall is what the test expects of a call that needs an answer.
 type modelCall struct {
 	answerBy   Time
 	pendingAt  ServerID
 	notBefore  Time
 	retry      RetryPolicy
 	mayHaveRun bool
-	cancelled  bool // its attempt was called off
+	cancelled  bool // its attempt was cancelled
 }
 
-// randomSettings draws settings within what New accepts.
+// randomSettings draws random settings that New accepts.
 func randomSettings(rng *rand.Rand) Settings {
 	settings := testSettings()
 	settings.CanCancel = rng.IntN(2) == 0
@@ -979,6 +1002,7 @@
 	return settings
 }
 
+// runRandomEvents plays random events with a seed, checks the invariants and returns all actions.
 func runRandomEvents(t *testing.T, seed uint64) []Action {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	settings := randomSettings(rng)
@@ -995,7 +1019,7 @@
 				case call == nil:
 					t.Fatalf("seed %d: call %d sent after its answer", seed, a.Call)
 				case call.pendingAt != 0:
-					t.Fatalf("seed %d: call %d has two attempts out", seed, a.Call)
+					t.Fatalf("seed %d: call %d has two attempts pending", seed, a.Call)
 				case h.now < call.notBefore:
 					t.Fatalf("seed %d: call %d sent within the release guard", seed, a.Call)
 				case drained[a.Server]:
@@ -1007,7 +1031,7 @@
 			case Cancel:
 				call := liveCalls[a.Call]
 				if !settings.CanCancel || call == nil || call.pendingAt == 0 {
-					t.Fatalf("seed %d: call %d has nothing to call off", seed, a.Call)
+					t.Fatalf("seed %d: call %d has no attempt to cancel", seed, a.Call)
 				}
 				call.cancelled = true
 			case Refuse:
@@ -1054,7 +1078,7 @@
 				continue
 			}
 			s := call.pendingAt
-			if rng.IntN(10) == 0 { // the caller leaves, and the attempt's end comes later
+			if rng.IntN(10) == 0 { // the caller leaves, and the attempt ends later
 				delete(liveCalls, id)
 				check(h.handle(CallerGone{Call: id}))
 				check(h.handle(Outcome{Call: id, Server: s, Cause: CauseCancelled, Final: true}))
@@ -1062,7 +1086,7 @@
 			}
 			call.pendingAt = 0
 			cause := Cause(rng.IntN(8))
-			if call.cancelled && rng.IntN(2) == 0 { // else another end was on its way
+			if call.cancelled && rng.IntN(2) == 0 { // otherwise another outcome was already in transit
 				cause = CauseCancelled
 			}
 			if h.now >= call.answerBy {
@@ -1103,7 +1127,7 @@
 		{"negative guard", func(s *Settings) { s.ReleaseGuard = -1 }, "ReleaseGuard"},
 		{"negative ramp", func(s *Settings) { s.ColdRamp = -1 }, "ColdRamp"},
 		{"cold share over one", func(s *Settings) { s.ColdInitialShare = 2 }, "ColdFrom"},
-		{"unknown figures alone", func(s *Settings) { s.ReportMetrics = []LoadMetric{LoadMetricUnknown} }, "Report"},
+		{"only unknown metrics", func(s *Settings) { s.ReportMetrics = []LoadMetric{LoadMetricUnknown} }, "Report"},
 	}
 	for _, tt := range tests {
 		settings := testSettings()
@@ -1114,7 +1138,7 @@
 	}
 }
 
-// The module is read aloud after outages: it stays short.
+// The operators read the decisions aloud after outages, so lines and controller.go stay short.
 func TestModuleSize(t *testing.T) {
 	f, err := os.Open("controller.go")
 	if err != nil {
@@ -1132,17 +1156,18 @@
 		}
 	}
 	if lines > 950 {
-		t.Errorf("%d lines that are not blank, 950 at most", lines)
+		t.Errorf("%d lines that are not blank, want at most 950", lines)
 	}
 }
 
-// fleet is many senders side by side, each with a call every 1.6 s at a time of its own and a seed of its own.
-// Servers 1 to 4 answer all; what is sent to another is counted and answered too.
+// senderGroup is a number of softswitches side by side, each with its own seed and a call every 1.6 s at
+// its own phase. Servers 1 to 4 establish all calls; set-ups to a watched server are recorded.
 type senderGroup struct {
 	senders []*harness
 	now     Time
 }
 
+// newSenderGroup makes a senderGroup with servers 1 to 4.
 func newSenderGroup(t *testing.T, senders int) *senderGroup {
 	t.Helper()
 	f := &senderGroup{now: time.Second}
@@ -1152,7 +1177,7 @@
 	return f
 }
 
-// all hands an event to every sender.
+// broadcast hands an event to every softswitch.
 func (f *senderGroup) broadcast(ev Event) {
 	for _, h := range f.senders {
 		h.now = f.now
@@ -1160,8 +1185,8 @@
 	}
 }
 
-// run plays calls for a while, for the first n cells in turn from one on, and returns the times of the set-ups
-// to one server; 0: to none.
+// run plays calls for a duration, for the given number of cells in turn from firstCell on, and returns the
+// times of the set-ups to the watched server; 0 watches none. answer handles these set-ups.
 func (f *senderGroup) run(duration time.Duration, firstCell, cells int, watchedServer ServerID, answer func(*harness, CallID, ServerID)) []Time {
 	var sent []Time
 	const step = 5 * ms
@@ -1185,11 +1210,13 @@
 	return sent
 }
 
+// establishCall lets a call be established.
 func establishCall(h *harness, id CallID, s ServerID) {
 	h.handle(Established{Call: id, Server: s, SetUpTime: 20 * ms})
 }
 
-// However many senders there are, together they stay under the cold limit in each window, also in the first.
+// Any number of softswitches together stay below the overload limit of a cold server in every window, the
+// first included.
 func TestRuleColdServerNotOverloadedByManySenders(t *testing.T) {
 	for _, senders := range []int{100, 400} {
 		f := newSenderGroup(t, senders)
@@ -1199,13 +1226,13 @@
 		f.broadcast(ListDelta{Entries: []ListEntry{{Server: 5, Cell: 5, Phase: Ready, Started: startedAt}}})
 		sent := f.run(settings.ColdRamp, 5, 1, 5, establishCall)
 		if len(sent) < senders/2 {
-			t.Errorf("%d senders: %d set-ups in the ramp: the cold server stands idle", senders, len(sent))
+			t.Errorf("%d softswitches: %d set-ups in the ramp: the cold server stays idle", senders, len(sent))
 		}
 		checkColdLimit(t, settings, startedAt, sent, float64(senders)/1.6/4, 0)
 	}
 }
 
-// After a full cut the trials of all senders together are a part of what the server took before.
+// The trials of many softswitches at a blocked server are together a share of its former rate.
 func TestTrialRateOfManySenders(t *testing.T) {
 	f := newSenderGroup(t, 200)
 	f.run(60*time.Second, 1, 4, 0, establishCall)
@@ -1219,11 +1246,11 @@
 	trials := f.run(20*time.Second, 1, 4, 1, refuseFull)
 	formerSetUps := 200 / 1.6 / 4 * 20.0
 	if n := float64(len(trials)); n > trialFactor*formerSetUps*1.2 || n == 0 {
-		t.Errorf("%v trials within 20 s at a server that took %v set-ups", n, formerSetUps)
+		t.Errorf("%v trials within 20 s at a server that took %v set-ups in that time", n, formerSetUps)
 	}
 }
 
-// The calls that many senders divert to a small server at once are no more than its part.
+// The calls that many softswitches divert to a small server are together no more than its share by lines.
 func TestDivertedRateOfManySenders(t *testing.T) {
 	f := newSenderGroup(t, 200)
 	for s := ServerID(1); s <= 4; s++ {
@@ -1235,7 +1262,7 @@
 	}
 	f.run(60*time.Second, 1, 3, 0, establishCall)
 	var sent []Time
-	for range 20 { // the great ones are pressed, so all that they do not take is for the small one
+	for range 20 { // the large servers are loaded, so the calls that they do not take are for the small one
 		for s := ServerID(1); s <= 3; s++ {
 			f.broadcast(Health{Server: s, Report: Report{500, 1000, 1000}})
 		}
@@ -1243,29 +1270,29 @@
 	}
 	expected := 200 / 1.6 * 100 / 3100 * 20.0
 	if n := float64(len(sent)); n > 1.5*expected || n == 0 {
-		t.Errorf("%v set-ups diverted within 20 s to a server whose part is %.0f", n, expected)
+		t.Errorf("%v set-ups diverted within 20 s to a server with a share of %.0f", n, expected)
 	}
 }
 
-// A high share that lapses ends like a full cut: one set-up is tried first (incident i5959b7).
+// A high hold-back share that expires is followed by a trial, like a block (incident i5959b7).
 func TestExpiredHighShareNeedsTrial(t *testing.T) {
 	for _, tt := range []struct {
-		wait   float64 // told, in milliseconds
+		wait   float64 // reported wait in milliseconds
 		second ServerID
 	}{{2000, 2}, {100, 1}} {
 		h := newHarness(t, testSettings(), 2)
 		h.warmUp(2)
 		h.reportLoad(1, 50, 100, tt.wait)
 		h.advance(h.controller.intervals(reportLifetime))
-		h.establish(1, 20*ms) // finds that the share has lapsed
+		h.establish(1, 20*ms) // finds that the share has expired
 		h.advance(3 * time.Second)
 		_, actions := h.arrive(1)
-		h.expectServer("after the lapse", firstSendTarget(actions), 1)
-		h.expectServer("while that is unanswered", h.establish(1, 20*ms), tt.second)
+		h.expectServer("after the expiry", firstSendTarget(actions), 1)
+		h.expectServer("while the set-up is unanswered", h.establish(1, 20*ms), tt.second)
 	}
 }
 
-// A call of great worth whose first choice is pressed goes to the least pressed (incident i5959b7).
+// A call of high worth whose first choice is loaded goes to the least loaded server (incident i5959b7).
 func TestHighWorthGoesToLeastLoaded(t *testing.T) {
 	settings := testSettings()
 	settings.Classes = append(settings.Classes, Class{Aim: time.Second, Deadline: 6 * time.Second, Worth: 8})
@@ -1275,12 +1302,13 @@
 	h.reportLoad(3, 50, 100, 0)
 	for range 5 {
 		h.lastCall++
-		h.expectServer("great call", firstSendTarget(h.handle(Arrival{Call: h.lastCall, Class: 1, Cell: 1, TimeLeft: 3 * time.Second})), 3)
+		h.expectServer("call of high worth", firstSendTarget(h.handle(Arrival{Call: h.lastCall, Class: 1, Cell: 1, TimeLeft: 3 * time.Second})), 3)
 		h.handle(Established{Call: h.lastCall, Server: 3, SetUpTime: 20 * ms})
 	}
 }
 
-// What comes due between a server's start and the list's word of it is not sent at once.
+// The budget that would have accrued between a server's start and its appearance in the list is not sent
+// at once.
 func TestColdBudgetStartsAtListUpdate(t *testing.T) {
 	h := newHarness(t, testSettings(), 2)
 	h.warmUp(2)
@@ -1292,21 +1320,21 @@
 		}
 	}
 	if sent > 0 {
-		t.Errorf("%d set-ups at the moment of the telling, want none", sent)
+		t.Errorf("%d set-ups at the list update, want none", sent)
 	}
 }
 
-// What a server took is taken from its last answers: one that was dead for some seconds before it started anew was
-// held for half as strong as it was, and its budget stayed short until it was warm.
+// A server's rate before its restart is computed at its last answer. The rate of a server that had been
+// down for some seconds was underestimated by half, and its budget stayed too small until it was warm.
 func TestRateBeforeRestartIgnoresDownTime(t *testing.T) {
 	h := newHarness(t, testSettings(), 2)
 	h.reportLoad(1, 900, 1000, 0)
-	h.reportLoad(2, 1900, 2000, 0) // lines say little of a processor
+	h.reportLoad(2, 1900, 2000, 0) // lines say little about a processor
 	h.warmUp(2)
 	h.advance(6 * time.Second)
 	h.handle(ListDelta{Entries: []ListEntry{{Server: 2, Cell: 2, Phase: Ready, Started: h.now}}})
 	if rate := h.controller.byID[2].rateBeforeRestart; rate < 4.5 || rate > 5.5 {
-		t.Errorf("a server that took 5 a second is held for one that took %.1f", rate)
+		t.Errorf("rate before restart of %.1f per second, want 5", rate)
 	}
 	s := h.controller.byID[2]
 	h.controller.now = h.now
@@ -1316,12 +1344,13 @@
 	h.controller.coldBudgetAllows(s)
 	warmShare := 0.3 + 0.7*0.5/14
 	if got, want := s.coldBudget.tokens, coldSafetyFactor*2*warmShare*5/2; math.Abs(got-want) > 0.2 {
-		t.Errorf("a budget of %.2f in half a second, want %.2f", got, want)
+		t.Errorf("budget of %.2f after half a second, want %.2f", got, want)
 	}
 }
 
-// The way itself varies, and on sockets by a good part of the gap: an answer half as late again as the quickest is no
-// sign of a queue. It thinned calls out, and one set-up that waited for it held the next ones back.
+// Round trips vary, on sockets by a good part of the retransmit interval: an answer half as late again as
+// the quickest is no sign of a queue. Such answers thinned out calls, and one unanswered set-up held the
+// next ones back.
 func TestRoundTripVariation(t *testing.T) {
 	settings := testSettings()
 	settings.RetransmitInterval = 125 * ms
@@ -1331,16 +1360,16 @@
 	h.establish(1, 60*ms)
 	h.controller.now = h.now
 	if share := h.controller.holdBackShare(h.controller.byID[1]); share != 0 {
-		t.Errorf("a share of %.2f is held back", share)
+		t.Errorf("hold-back share of %.2f, want 0", share)
 	}
 	h.arrive(1)
 	h.advance(55 * ms)
-	h.expectServer("beside one that waits for 55 ms", h.establish(1, 40*ms), 1)
+	h.expectServer("beside a set-up unanswered for 55 ms", h.establish(1, 40*ms), 1)
 }
 
-// A pressed server may have as many set-ups out as are on their way there and back anyhow, beside those it answers
-// within the limit. Without the way a server that asked to hold back a tenth got one set-up at a time on sockets, where
-// the way is as long as the limit: the next was refused while the one before was still under way.
+// The window of a loaded server covers the set-ups in transit, beside those that the server answers within
+// the limit. Without the round trip, a server that asked to hold back a tenth got one set-up at a time on
+// sockets, where the round trip is as long as the limit, and the next calls were refused meanwhile.
 func TestWindowCoversRoundTrip(t *testing.T) {
 	settings := testSettings()
 	settings.RetransmitInterval = 125 * ms
@@ -1359,13 +1388,14 @@
 			sent++
 		}
 	}
-	if sent != 3 { // 30 a second, 37.5 ms of limit and 60 ms for the way
-		t.Errorf("%d set-ups out at once, want 3", sent)
+	if sent != 3 { // 30 per second, for a limit of 37.5 ms and a round trip of 60 ms
+		t.Errorf("%d set-ups pending at once, want 3", sent)
 	}
 }
 
-// Calls of great worth are diverted whatever the budget says, but run up no debt that others pay for long: after a
-// few seconds of a pressed first choice, ordinary calls were kept from an idle second one for four seconds more.
+// Calls of high worth are diverted whatever the divert budget, but overdraw it only so far that ordinary
+// calls are not kept out for long. After a few seconds with a loaded first choice, ordinary calls were
+// kept from an idle second one for four more seconds.
 func TestDivertOverdraftBounded(t *testing.T) {
 	settings := testSettings()
 	settings.Classes = append(settings.Classes, Class{Aim: time.Second, Deadline: 6 * time.Second, Worth: 8})
@@ -1380,11 +1410,12 @@
 	h.reportLoad(1, 900, 1000, 4000) // jammed
 	h.reportLoad(2, 900, 1000, 0)
 	h.advance(200 * ms)
-	h.expectServer("an ordinary call a moment later", h.establish(1, 20*ms), 2)
+	h.expectServer("ordinary call a moment later", h.establish(1, 20*ms), 2)
 }
 
-// Times go by the settings: on sockets a deployment's aims and gaps are told four times as short as the simulator's.
-// The hint sent callers away for all of the aim, and no call was held for the release guard as none had 2 s left.
+// Times follow the settings: on sockets a deployment's aims and intervals are a quarter of the
+// simulator's. With fixed times, the retry-after hint sent callers away for the whole aim, and no call was
+// held for the release guard as none had 2 s left.
 func TestTimesFollowSettings(t *testing.T) {
 	settings := testSettings()
 	settings.Classes[0].Aim, settings.RetransmitInterval, settings.ReleaseGuard = 320*ms, 125*ms, 100*ms
@@ -1392,15 +1423,15 @@
 	id, _ := h.arrive(1)
 	actions := h.handle(Outcome{Call: id, Server: 1, Cause: CauseReset})
 	if len(actions) != 1 || actions[0] != (SetTimer{Token: uint32(id), At: h.now + 100*ms}) {
-		t.Errorf("a call with 3 s left is not held for the guard: %v", actions)
+		t.Errorf("a call with 3 s left is not held for the release guard: %v", actions)
 	}
-	// A processor that was full is tried again as much earlier: the cut of 5 s was forty gaps.
+	// A full processor is tried again after ten retransmit intervals; a fixed block of 5 s was forty intervals.
 	h = newHarness(t, settings, 1)
 	h.warmUp(1)
 	id, _ = h.arrive(1)
 	h.handle(Outcome{Call: id, Server: 1, Cause: CauseFull, Refusal: RefusalProcessor})
 	h.advance(1200 * ms)
-	h.expectServer("before the cut lapses", h.establish(1, 40*ms), 0)
+	h.expectServer("before the block expires", h.establish(1, 40*ms), 0)
 	h.advance(100 * ms)
 	for range 20 {
 		h.advance(100 * ms) // the trials have a budget
@@ -1409,14 +1440,14 @@
 		}
 	}
 	if s := h.controller.byID[1]; s.blocked {
-		t.Error("a full cut holds for over ten gaps")
+		t.Error("the block holds for more than ten retransmit intervals")
 	}
-	// A gap longer than the call itself: no call that was cut was ever sent again.
+	// With a retransmit interval longer than the call, no call with a reset connection was ever sent again.
 	settings.RetransmitInterval = 10 * time.Second
 	h = newHarness(t, settings, 2)
 	id, _ = h.arrive(1)
 	if actions := h.handle(Outcome{Call: id, Server: 1, Cause: CauseReset}); len(actions) != 1 || actions[0] != (SetTimer{Token: uint32(id), At: h.now + 100*ms}) {
-		t.Errorf("with a gap of 10 s a call with 3 s left is not held for the guard: %v", actions)
+		t.Errorf("with a retransmit interval of 10 s a call with 3 s left is not held for the release guard: %v", actions)
 	}
 	settings.RetransmitInterval = 125 * ms
 	h = newHarness(t, settings, 0)
@@ -1425,7 +1456,7 @@
 	}
 }
 
-// The time to decide an arrival grows with the number of servers, and no faster.
+// The time to decide on an arrival grows linearly with the number of servers.
 func BenchmarkArrival(b *testing.B) {
 	for _, servers := range []int{3, 12, 48} {
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
@@ -1449,9 +1480,9 @@
 	}
 }
 
-// Where a server is short of lines, all senders hear of the same free ones and race for them: on the first days on
-// sockets half of all attempts were turned away for want of a line. So a sender uses those that its own calls have
-// freed, the last of them for calls of great worth, and goes for others seldom.
+// Where a server is short of lines, all softswitches learn of the same free lines and compete for them: on
+// sockets half of all attempts were refused for want of a line. A softswitch therefore reuses the lines
+// that its own calls have freed, the last of them for calls of high worth, and seldom tries for others.
 func TestFreedLinesReused(t *testing.T) {
 	settings := testSettings()
 	settings.Classes = append(settings.Classes, Class{Aim: time.Second, Deadline: 6 * time.Second, Worth: 8})
@@ -1459,7 +1490,7 @@
 	h.warmUp(1)
 	id, _ := h.arrive(1)
 	h.handle(Outcome{Call: id, Server: 1, Cause: CauseFull, Report: Report{0, 100, 0}})
-	h.reportLoad(1, 4, 100, 0) // free now, and told to all
+	h.reportLoad(1, 4, 100, 0) // four free lines that all softswitches know
 	sends := func(class int) (n int) {
 		for range 20 {
 			h.lastCall++
@@ -1471,7 +1502,7 @@
 		return n
 	}
 	if n := sends(0); n > 1 {
-		t.Errorf("%d of 20 calls go for four lines that all know of", n)
+		t.Errorf("%d of 20 calls try for four lines that all softswitches know", n)
 	}
 	for range 3 {
 		h.handle(Outcome{Call: 1, Server: 1, Cause: CauseEnded, Final: true, Report: Report{4, 100, 0}})
@@ -1480,31 +1511,32 @@
 		t.Errorf("%d ordinary calls take three freed lines, want 2", n)
 	}
 	if n := sends(1); n != 1 {
-		t.Errorf("%d calls of great worth take the last freed line, want 1", n)
+		t.Errorf("%d calls of high worth take the last freed line, want 1", n)
 	}
 	h.advance(lineShortageHold)
 	if n := sends(0); n < 4 {
-		t.Errorf("%d of 20 calls go to a server that is short no more", n)
+		t.Errorf("%d of 20 calls sent to a server that is no longer short of lines, want at least 4", n)
 	}
 }
 
-// A server that tells no lines and turns a call away for want of one is tried again after a moment: on M3UA, where
-// no report tells of a free line, one such refusal kept it out for good.
+// A server that reports no lines and refuses a call for want of one is tried again after a moment. On
+// M3UA, where no report shows a free line, one such refusal kept the server out for good.
 func TestServerWithoutLineReportsRetried(t *testing.T) {
 	h := newHarness(t, testSettings(), 1)
 	id, _ := h.arrive(1)
 	h.handle(Outcome{Call: id, Server: 1, Cause: CauseFull})
 	if _, actions := h.arrive(1); !isRefusal(actions) {
-		t.Errorf("right after the refusal: %v", actions)
+		t.Errorf("right after the refusal: %v, want a refusal", actions)
 	}
 	h.advance(lineShortageHold)
-	h.expectServer("after a moment", h.establish(1, 20*ms), 1)
-	h.expectServer("when that stood", h.establish(1, 20*ms), 1)
+	h.expectServer("after lineShortageHold", h.establish(1, 20*ms), 1)
+	h.expectServer("when that call is established", h.establish(1, 20*ms), 1)
 }
 
-// A sender just back that learns what others take begins with that, neither more nor less as it counts its own, and takes no
-// more of a cold server's budget for it than what it has counted itself. Without, it knew nothing: it let all that was
-// diverted pass for three seconds, and held the way to a full queue for the way.
+// A newly started softswitch adopts the rates that other members report, keeps them while it counts its
+// own, and takes no larger quota of a cold server's budget for them than it has counted itself. Without
+// reported rates it diverted calls without limit for three seconds and took the set-up time of a full
+// queue for the round trip.
 func TestTierReportRates(t *testing.T) {
 	c, err := New(testSettings(), 1)
 	if err != nil {
@@ -1517,17 +1549,17 @@
 		c.ApplyTierReport(h.now, s, TierReport{Rate: 5, RoundTrip: 15 * ms})
 	}
 	if minSetUpTime := c.byID[1].minSetUpTime; minSetUpTime != 15*ms {
-		t.Errorf("a way of %v, the others' is 15ms", minSetUpTime)
+		t.Errorf("minimum set-up time of %v, want the reported 15ms", minSetUpTime)
 	}
 	check := func(when string, minQuota, maxQuota float64) {
 		t.Helper()
 		c.now = h.now
 		c.updateRatePerLine()
 		if rate := c.expectedRate(c.byID[1]); rate < 4 || rate > 6 {
-			t.Errorf("%s its part is %.1f a second, the others' is 5", when, rate)
+			t.Errorf("%s: expected rate of %.1f per second, the reported rate is 5", when, rate)
 		}
 		if quota := c.coldQuota(c.byID[2]); quota < minQuota || quota > maxQuota {
-			t.Errorf("%s it takes %.1f a second for its part of a cold server, want %v to %v", when, quota, minQuota, maxQuota)
+			t.Errorf("%s: quota of a cold server of %.1f per second, want %v to %v", when, quota, minQuota, maxQuota)
 		}
 	}
 	check("at first", 0.5, 2)
@@ -1543,8 +1575,9 @@
 	check("after half a minute", 4, 6)
 }
 
-// A report that a peer heard later than the own last one stands for one; one that it heard before does not, and none lifts
-// a full cut. A server that fails for most is cut at the next bad ending, and not before.
+// A hold-back share reported by members replaces an older one of this softswitch, but no newer one, and
+// lifts no block. A server that is failing for most members is blocked at the next failure here, and not
+// before.
 func TestTierReportShares(t *testing.T) {
 	settings := testSettings()
 	settings.ReportMetrics = []LoadMetric{LoadMetricHoldBackShare}
@@ -1553,36 +1586,36 @@
 	h.handle(Health{Server: 1, OK: true, Report: Report{0.2}})
 	h.controller.ApplyTierReport(h.now, 1, TierReport{Share: 0.9, ShareAt: h.now - ms})
 	if h.controller.holdBackShare(s) > 0.3 {
-		t.Errorf("an older report stands: %v", h.controller.holdBackShare(s))
+		t.Errorf("an older report of a member counts: share %v", h.controller.holdBackShare(s))
 	}
 	h.advance(ms)
 	h.controller.ApplyTierReport(h.now, 1, TierReport{Share: 0.9, ShareAt: h.now})
 	h.controller.now = h.now
 	if h.controller.holdBackShare(s) < 0.8 {
-		t.Errorf("a newer report does not stand: %v", h.controller.holdBackShare(s))
+		t.Errorf("a newer report of a member does not count: share %v", h.controller.holdBackShare(s))
 	}
 	if observation, _ := h.controller.Observed(1, h.now); observation.Share != 0.2 {
-		t.Errorf("what was heard is told on for the own: %+v", observation)
+		t.Errorf("a share reported by a member is passed on as an own one: %+v", observation)
 	}
 	id, _ := h.arrive(2)
 	h.handle(Outcome{Call: id, Server: 2, Cause: CauseFull, Refusal: RefusalProcessor, Final: true})
 	h.controller.ApplyTierReport(h.now, 2, TierReport{Share: 0, ShareAt: h.now + ms})
 	if !h.controller.Blocked(2, h.now) {
-		t.Error("a peer's word of ease lifts a full cut")
+		t.Error("a member's report of a low load lifts a block")
 	}
 	h = newHarness(t, settings, 2)
 	h.controller.ApplyTierReport(h.now, 1, TierReport{Failing: true})
 	if h.controller.Blocked(1, h.now) {
-		t.Error("cut by the word alone")
+		t.Error("blocked by a member's report alone")
 	}
 	id, _ = h.arrive(1)
 	h.handle(Outcome{Call: id, Server: 1, Cause: CauseBusy})
 	if !h.controller.Blocked(1, h.now) {
-		t.Error("not cut at the next bad ending")
+		t.Error("not blocked at the next failure")
 	}
 }
 
-// What the dead leave is let through at once, and no cold server's budget grows by it.
+// The calls of dead members are admitted at once, and no quota of a cold server grows by them.
 func TestScaleRates(t *testing.T) {
 	h := newHarness(t, testSettings(), 2)
 	h.reportLoad(1, 900, 1000, 0)
@@ -1593,14 +1626,14 @@
 	h.controller.ScaleRates(h.now, 5.0/3)
 	h.arrive(1)
 	if got := h.controller.expectedRate(s); math.Abs(got-rate*5/3) > 0.1*rate {
-		t.Errorf("a part of %.2f when two of five have died, of %.2f before", got, rate)
+		t.Errorf("expected rate of %.2f after two of five members died, %.2f before", got, rate)
 	}
 	if got := h.controller.coldQuota(s); math.Abs(got-quota) > 0.1*quota {
-		t.Errorf("a cold server's part of %.2f when two of five have died, of %.2f before", got, quota)
+		t.Errorf("cold quota of %.2f after two of five members died, %.2f before", got, quota)
 	}
 	h.controller.ScaleRates(h.now, 3.0/5)
 	h.arrive(1)
 	if got := h.controller.expectedRate(s); math.Abs(got-rate) > 0.1*rate {
-		t.Errorf("a part of %.2f when they are back, of %.2f before", got, rate)
+		t.Errorf("expected rate of %.2f after the members came back, %.2f before", got, rate)
 	}
 }
--- a/servers.go
+++ b/servers.go
@@ -19,7 +19,7 @@
 	ownShareAt     Time    // time of that report
 	shareExpiry    Time    // time at which reportedShare expires
 	blocked        bool    // no set-ups until shareExpiry, then trials
-	blockedAt      Time    // time of the last block
+	blockedAt      Time    // time of the last block, not of one that only an expired report caused
 	trialPending   bool    // a trial is unanswered
 	lineShare      float64 // hold-back share that the free lines ask for
 	freeLines      float64 // free lines last reported, less the set-ups sent since
@@ -87,8 +87,8 @@
 		}
 		return drop
 	})
-	c.removed = slices.DeleteFunc(c.removed, func(p removedServer) bool {
-		return c.now > p.removedAt+removedServerTTL
+	c.removed = slices.DeleteFunc(c.removed, func(old removedServer) bool {
+		return c.now > old.removedAt+removedServerTTL
 	})
 	c.removed = c.removed[max(len(c.removed)-maxRemovedServers, 0):]
 }
