--- a/controller_test.go
+++ b/controller_test.go
@@ -839,7 +839,7 @@
 }
 
 // A softswitch that has restarted after a crash knows no rate; it must not flood a cold server.
-func TestColdServerAndNewlyStartedSender(t *testing.T) {
+func TestColdServerAndNewlyStartedSoftswitch(t *testing.T) {
 	h := newHarness(t, testSettings(), 0)
 	h.handle(ListFull{Entries: []ListEntry{{Server: 1, Cell: 1, Phase: Ready, Started: h.now}}})
 	sent := 0
@@ -913,8 +913,8 @@
 	settings := testSettings()
 	h := newHarness(t, settings, 2)
 	const perSecond = 40
-	run := func(d time.Duration, each func()) {
-		for until := h.now + d; h.now < until; h.advance(time.Second / perSecond) {
+	run := func(duration time.Duration, each func()) {
+		for until := h.now + duration; h.now < until; h.advance(time.Second / perSecond) {
 			each()
 		}
 	}
@@ -965,8 +965,7 @@
 	}
 }
 
-// FuzzRandomEvents checks the invariants of TestRandomEvents for any seed, in longer runs than those of
-// CI.
+// FuzzRandomEvents checks the invariants of TestRandomEvents for any seed. It is for longer runs than CI's.
 func FuzzRandomEvents(f *testing.F) {
 	f.Add(uint64(1000))
 	f.Fuzz(func(t *testing.T, seed uint64) { runRandomEvents(t, seed) })
@@ -974,9 +973,9 @@
 
 // modelCall is what the test expects of a call that needs an answer.
 type modelCall struct {
-	answerBy   Time
-	pendingAt  ServerID
-	notBefore  Time
+	answerBy   Time     // latest time of the final answer
+	pendingAt  ServerID // server of the pending attempt; 0: none
+	notBefore  Time     // not sent again before this time
 	retry      RetryPolicy
 	mayHaveRun bool
 	cancelled  bool // its attempt was cancelled
@@ -1058,12 +1057,12 @@
 		}
 		if rng.IntN(10) == 0 {
 			id := h.lastCall + 1
-			class, within := rng.IntN(len(settings.Classes)), time.Duration(1+rng.IntN(8))*500*ms
-			liveCalls[id] = &modelCall{answerBy: h.now + within, retry: settings.Classes[class].Retry}
+			class, timeLeft := rng.IntN(len(settings.Classes)), time.Duration(1+rng.IntN(8))*500*ms
+			liveCalls[id] = &modelCall{answerBy: h.now + timeLeft, retry: settings.Classes[class].Retry}
 			h.lastCall = id
 			check(h.handle(Arrival{
 				Call: id, Class: class, Tenant: rng.IntN(3), Number: uint64(rng.IntN(5)), Cell: 1 + rng.IntN(4),
-				Interrupted: rng.IntN(9) == 0, TimeLeft: within,
+				Interrupted: rng.IntN(9) == 0, TimeLeft: timeLeft,
 			}))
 		}
 		for id := CallID(1); id <= h.lastCall; id++ {
@@ -1169,47 +1168,47 @@
 	}
 }
 
-// senderGroup is a number of softswitches side by side, each with its own seed and a call every 1.6 s at
+// softswitchGroup is a number of softswitches side by side, each with its own seed and a call every 1.6 s at
 // its own phase. Servers 1 to 4 establish all calls; set-ups to a watched server are recorded.
-type senderGroup struct {
-	senders []*harness
-	now     Time
+type softswitchGroup struct {
+	softswitches []*harness
+	now          Time
 }
 
-// newSenderGroup makes a senderGroup with servers 1 to 4.
-func newSenderGroup(t *testing.T, senders int) *senderGroup {
+// newSoftswitchGroup makes a softswitchGroup with servers 1 to 4.
+func newSoftswitchGroup(t *testing.T, softswitches int) *softswitchGroup {
 	t.Helper()
-	f := &senderGroup{now: time.Second}
-	for i := range senders {
-		f.senders = append(f.senders, newSeededHarness(t, testSettings(), 4, uint64(i)))
+	g := &softswitchGroup{now: time.Second}
+	for i := range softswitches {
+		g.softswitches = append(g.softswitches, newSeededHarness(t, testSettings(), 4, uint64(i)))
 	}
-	return f
+	return g
 }
 
 // broadcast hands an event to every softswitch.
-func (f *senderGroup) broadcast(ev Event) {
-	for _, h := range f.senders {
-		h.now = f.now
+func (g *softswitchGroup) broadcast(ev Event) {
+	for _, h := range g.softswitches {
+		h.now = g.now
 		h.handle(ev)
 	}
 }
 
 // run plays calls for a duration, for the given number of cells in turn from firstCell on, and returns the
 // times of the set-ups to the watched server; 0 watches none. answer handles these set-ups.
-func (f *senderGroup) run(duration time.Duration, firstCell, cells int, watchedServer ServerID, answer func(*harness, CallID, ServerID)) []Time {
+func (g *softswitchGroup) run(duration time.Duration, firstCell, cells int, watchedServer ServerID, answer func(*harness, CallID, ServerID)) []Time {
 	var sent []Time
 	const step = 5 * ms
-	for end := f.now + duration; f.now < end; f.now += step {
-		for i, h := range f.senders {
-			if (f.now/step+Time(i*7))%320 != 0 {
+	for end := g.now + duration; g.now < end; g.now += step {
+		for i, h := range g.softswitches {
+			if (g.now/step+Time(i*7))%320 != 0 {
 				continue
 			}
-			h.now = f.now
+			h.now = g.now
 			id, actions := h.arrive(firstCell + (int(h.lastCall)+i)%cells)
 			switch s := firstSendTarget(actions); s {
 			case 0:
 			case watchedServer:
-				sent = append(sent, f.now)
+				sent = append(sent, g.now)
 				answer(h, id, s)
 			default:
 				establishCall(h, id, s)
@@ -1226,33 +1225,33 @@
 
 // Any number of softswitches together stay below the overload limit of a cold server in every window, the
 // first included.
-func TestRuleColdServerNotOverloadedByManySenders(t *testing.T) {
-	for _, senders := range []int{100, 400} {
-		f := newSenderGroup(t, senders)
-		f.run(60*time.Second, 1, 4, 0, establishCall)
+func TestRuleColdServerNotOverloadedByManySoftswitches(t *testing.T) {
+	for _, softswitches := range []int{100, 400} {
+		g := newSoftswitchGroup(t, softswitches)
+		g.run(60*time.Second, 1, 4, 0, establishCall)
 		settings := testSettings()
-		startedAt := f.now
-		f.broadcast(ListDelta{Entries: []ListEntry{{Server: 5, Cell: 5, Phase: Ready, Started: startedAt}}})
-		sent := f.run(settings.ColdRamp, 5, 1, 5, establishCall)
-		if len(sent) < senders/2 {
-			t.Errorf("%d softswitches: %d set-ups in the ramp: the cold server stays idle", senders, len(sent))
+		startedAt := g.now
+		g.broadcast(ListDelta{Entries: []ListEntry{{Server: 5, Cell: 5, Phase: Ready, Started: startedAt}}})
+		sent := g.run(settings.ColdRamp, 5, 1, 5, establishCall)
+		if len(sent) < softswitches/2 {
+			t.Errorf("%d softswitches: %d set-ups in the ramp: the cold server stays idle", softswitches, len(sent))
 		}
-		checkColdLimit(t, settings, startedAt, sent, float64(senders)/1.6/4, 0)
+		checkColdLimit(t, settings, startedAt, sent, float64(softswitches)/1.6/4, 0)
 	}
 }
 
 // The trials of many softswitches at a blocked server are together a share of its former rate.
-func TestTrialRateOfManySenders(t *testing.T) {
-	f := newSenderGroup(t, 200)
-	f.run(60*time.Second, 1, 4, 0, establishCall)
+func TestTrialRateOfManySoftswitches(t *testing.T) {
+	g := newSoftswitchGroup(t, 200)
+	g.run(60*time.Second, 1, 4, 0, establishCall)
 	refuseFull := func(h *harness, id CallID, s ServerID) {
 		actions := h.handle(Outcome{Call: id, Server: s, Cause: CauseFull, Refusal: RefusalProcessor})
 		if next := firstSendTarget(actions); next != 0 {
 			establishCall(h, id, next)
 		}
 	}
-	f.run(10*time.Second, 1, 4, 1, refuseFull)
-	trials := f.run(20*time.Second, 1, 4, 1, refuseFull)
+	g.run(10*time.Second, 1, 4, 1, refuseFull)
+	trials := g.run(20*time.Second, 1, 4, 1, refuseFull)
 	formerSetUps := 200 / 1.6 / 4 * 20.0
 	if n := float64(len(trials)); n > trialFactor*formerSetUps*1.2 || n == 0 {
 		t.Errorf("%v trials within 20 s at a server that took %v set-ups in that time", n, formerSetUps)
@@ -1260,22 +1259,22 @@
 }
 
 // The calls that many softswitches divert to a small server are together no more than its share by lines.
-func TestDivertedRateOfManySenders(t *testing.T) {
-	f := newSenderGroup(t, 200)
+func TestDivertedRateOfManySoftswitches(t *testing.T) {
+	g := newSoftswitchGroup(t, 200)
 	for s := ServerID(1); s <= 4; s++ {
 		lines := 1000.0
 		if s == 4 {
 			lines = 100
 		}
-		f.broadcast(Health{Server: s, Report: Report{lines, lines, -1}})
+		g.broadcast(Health{Server: s, Report: Report{lines, lines, -1}})
 	}
-	f.run(60*time.Second, 1, 3, 0, establishCall)
+	g.run(60*time.Second, 1, 3, 0, establishCall)
 	var sent []Time
 	for range 20 { // the large servers are loaded, so the calls that they do not take are for the small one
 		for s := ServerID(1); s <= 3; s++ {
-			f.broadcast(Health{Server: s, Report: Report{500, 1000, 1000}})
+			g.broadcast(Health{Server: s, Report: Report{500, 1000, 1000}})
 		}
-		sent = append(sent, f.run(time.Second, 1, 3, 4, establishCall)...)
+		sent = append(sent, g.run(time.Second, 1, 3, 4, establishCall)...)
 	}
 	expected := 200 / 1.6 * 100 / 3100 * 20.0
 	if n := float64(len(sent)); n > 1.5*expected || n == 0 {
@@ -1293,7 +1292,7 @@
 		h.warmUp(2)
 		h.reportLoad(1, 50, 100, tt.wait)
 		h.advance(h.controller.intervals(reportLifetime))
-		h.establish(1, 20*ms) // finds that the share has expired
+		h.establish(1, 20*ms) // this call makes the controller find that the share has expired
 		h.advance(3 * time.Second)
 		_, actions := h.arrive(1)
 		h.expectServer("after the expiry", firstSendTarget(actions), 1)
@@ -1410,7 +1409,7 @@
 	settings.Classes = append(settings.Classes, Class{Aim: time.Second, Deadline: 6 * time.Second, Worth: 8})
 	h := newHarness(t, settings, 2)
 	h.warmUp(2)
-	h.reportLoad(1, 900, 1000, 400) // pressed
+	h.reportLoad(1, 900, 1000, 400) // loaded
 	for range 40 {
 		h.lastCall++
 		h.handle(Arrival{Call: h.lastCall, Class: 1, Cell: 1, TimeLeft: 3 * time.Second})
@@ -1443,7 +1442,7 @@
 	h.expectServer("before the block expires", h.establish(1, 40*ms), 0)
 	h.advance(100 * ms)
 	for range 20 {
-		h.advance(100 * ms) // the trials have a budget
+		h.advance(100 * ms) // the trial budget grows with time
 		if h.establish(1, 40*ms) != 0 {
 			break
 		}
