--- a/internal/maintenance/maintenance_test.go
+++ b/internal/maintenance/maintenance_test.go
@@ -13,139 +13,139 @@
 const second = time.Second
 
 // world is a tier in its own time: datagrams take a millisecond, and those that cut names are lost.
-type world struct {
+type testTier struct {
 	*testing.T
-	limits  Limits
-	zones   []int
-	without Guard
-	now     Time
-	rs      []*Reducer // nil: killed
-	drains  []bool
-	queue   []happening
-	seq     int
-	loss    float64
-	rng     *rand.Rand
-	cut     func(from, to int) bool
-	stages  [][]Stage // of each one's own requests, as they came
-	at      []Time    // when each went out last
-	most    int       // out at once
+	limits         Limits
+	zones          []int
+	disabledGuards Guard
+	now            Time
+	reducers       []*Reducer // nil: killed
+	draining       []bool
+	queue          []scheduledEvent
+	seq            int
+	loss           float64
+	rng            *rand.Rand
+	cut            func(from, to int) bool
+	stages         [][]Stage // of each one's own requests, as they came
+	lastDrainAt    []Time    // when each went out last
+	maxOut         int       // out at once
 }
 
-type happening struct {
-	at   Time
-	seq  int
-	to   int
-	life *Reducer
-	ev   Event
+type scheduledEvent struct {
+	at      Time
+	seq     int
+	to      int
+	reducer *Reducer
+	ev      Event
 }
 
-func begin(t *testing.T, n int, limits Limits) *world {
+func startTier(t *testing.T, n int, limits Limits) *testTier {
 	t.Helper()
-	w := &world{T: t, limits: limits, now: 1_000_000 * second, rs: make([]*Reducer, n), drains: make([]bool, n), stages: make([][]Stage, n),
-		at: make([]Time, n), rng: rand.New(rand.NewPCG(1, 2)), zones: make([]int, n)}
+	tier := &testTier{T: t, limits: limits, now: 1_000_000 * second, reducers: make([]*Reducer, n), draining: make([]bool, n), stages: make([][]Stage, n),
+		lastDrainAt: make([]Time, n), rng: rand.New(rand.NewPCG(1, 2)), zones: make([]int, n)}
 	for m := range n {
-		w.zones[m] = -1
-		w.start(m)
+		tier.zones[m] = -1
+		tier.start(m)
 	}
-	return w
+	return tier
 }
 
-func short() Limits {
-	l := Defaults()
-	l.Lease, l.WorkLease, l.Round = 2*second, 4*second, 200*time.Millisecond
-	return l
+func shortLimits() Limits {
+	limits := Defaults()
+	limits.Lease, limits.WorkLease, limits.Round = 2*second, 4*second, 200*time.Millisecond
+	return limits
 }
 
-func (w *world) start(m int) {
-	r, out, err := New(Config{Self: m, TierSize: len(w.rs), Zone: w.zones[m], Name: fmt.Sprint("n", m), Limits: w.limits, Seed: uint64(w.seq), DisabledGuards: w.without}, w.now)
+func (tier *testTier) start(member int) {
+	reducer, effects, err := New(Config{Self: member, TierSize: len(tier.reducers), Zone: tier.zones[member], Name: fmt.Sprint("n", member), Limits: tier.limits, Seed: uint64(tier.seq), DisabledGuards: tier.disabledGuards}, tier.now)
 	if err != nil {
-		w.Fatal(err)
+		tier.Fatal(err)
 	}
-	w.rs[m], w.drains[m] = r, false
-	w.carry(m, out)
-	for o := range w.rs {
-		w.step(m, MemberAvailability{Member: o, Available: true})
-		w.step(o, MemberAvailability{Member: m, Available: true})
+	tier.reducers[member], tier.draining[member] = reducer, false
+	tier.handleEffects(member, effects)
+	for other := range tier.reducers {
+		tier.step(member, MemberAvailability{Member: other, Available: true})
+		tier.step(other, MemberAvailability{Member: member, Available: true})
 	}
-	w.step(m, Serving{Serving: true})
+	tier.step(member, Serving{Serving: true})
 }
 
-func (w *world) kill(m int) {
-	w.rs[m], w.drains[m] = nil, false
-	for o := range w.rs {
-		w.step(o, MemberAvailability{Member: m})
+func (tier *testTier) kill(member int) {
+	tier.reducers[member], tier.draining[member] = nil, false
+	for other := range tier.reducers {
+		tier.step(other, MemberAvailability{Member: member})
 	}
 }
 
-func (w *world) step(m int, ev Event) {
-	if r := w.rs[m]; r != nil {
-		w.carry(m, r.Step(w.now, ev))
+func (tier *testTier) step(member int, ev Event) {
+	if reducer := tier.reducers[member]; reducer != nil {
+		tier.handleEffects(member, reducer.Step(tier.now, ev))
 	}
 }
 
-func (w *world) push(in time.Duration, to int, ev Event) {
-	w.seq++
-	w.queue = append(w.queue, happening{w.now + in, w.seq, to, w.rs[to], ev})
+func (tier *testTier) schedule(delay time.Duration, to int, ev Event) {
+	tier.seq++
+	tier.queue = append(tier.queue, scheduledEvent{tier.now + delay, tier.seq, to, tier.reducers[to], ev})
 }
 
-func (w *world) carry(m int, out []Effect) {
-	for _, e := range out {
+func (tier *testTier) handleEffects(member int, effects []Effect) {
+	for _, e := range effects {
 		switch e := e.(type) {
 		case Send:
 			if len(e.Data) > datagram.MaxSize {
-				w.Errorf("a datagram of %d bytes", len(e.Data))
+				tier.Errorf("a datagram of %d bytes", len(e.Data))
 			}
-			if w.cut != nil && w.cut(m, e.To) || w.rng.Float64() < w.loss {
+			if tier.cut != nil && tier.cut(member, e.To) || tier.rng.Float64() < tier.loss {
 				continue
 			}
-			w.push(time.Millisecond, e.To, Datagram{From: m, Data: e.Data})
+			tier.schedule(time.Millisecond, e.To, Datagram{From: member, Data: e.Data})
 		case Timer:
-			w.push(max(e.At-w.now, 0), m, TimerFired{Token: e.Token})
+			tier.schedule(max(e.At-tier.now, 0), member, TimerFired{Token: e.Token})
 		case Drain:
-			if w.drains[m] = e.On; e.On {
-				w.at[m] = w.now
-				w.push(300*time.Millisecond, m, Drained{})
+			if tier.draining[member] = e.On; e.On {
+				tier.lastDrainAt[member] = tier.now
+				tier.schedule(300*time.Millisecond, member, Drained{})
 			}
 		case RequestChanged:
-			if e.Member == m {
-				w.stages[m] = append(w.stages[m], e.Record.Stage)
+			if e.Member == member {
+				tier.stages[member] = append(tier.stages[member], e.Record.Stage)
 			}
 		}
 	}
-	n := 0
-	for _, out := range w.drains {
-		if out {
-			n++
+	count := 0
+	for _, effects := range tier.draining {
+		if effects {
+			count++
 		}
 	}
-	w.most = max(w.most, n)
+	tier.maxOut = max(tier.maxOut, count)
 }
 
-func (w *world) pass(d time.Duration) {
-	for end := w.now + d; ; {
-		slices.SortFunc(w.queue, func(a, b happening) int {
+func (tier *testTier) advance(d time.Duration) {
+	for end := tier.now + d; ; {
+		slices.SortFunc(tier.queue, func(a, b scheduledEvent) int {
 			if a.at != b.at {
 				return int(a.at - b.at)
 			}
 			return a.seq - b.seq
 		})
-		if len(w.queue) == 0 || w.queue[0].at > end {
-			w.now = end
+		if len(tier.queue) == 0 || tier.queue[0].at > end {
+			tier.now = end
 			return
 		}
-		h := w.queue[0]
-		w.queue = w.queue[1:]
-		w.now = max(w.now, h.at)
-		if _, datagram := h.ev.(Datagram); datagram || h.life == w.rs[h.to] {
-			w.step(h.to, h.ev)
+		next := tier.queue[0]
+		tier.queue = tier.queue[1:]
+		tier.now = max(tier.now, next.at)
+		if _, datagram := next.ev.(Datagram); datagram || next.reducer == tier.reducers[next.to] {
+			tier.step(next.to, next.ev)
 		}
 	}
 }
 
 // out are those that drain or are ready now.
-func (w *world) outNow() (out []int) {
-	for m, yes := range w.drains {
-		if yes {
+func (tier *testTier) membersOut() (out []int) {
+	for m, draining := range tier.draining {
+		if draining {
 			out = append(out, m)
 		}
 	}
@@ -153,21 +153,21 @@
 }
 
 // finish has operators release whoever is ready, until time is up.
-func (w *world) finish(d time.Duration) {
-	for end := w.now + d; w.now < end; {
-		w.pass(100 * time.Millisecond)
-		for _, m := range w.outNow() {
-			if w.rs[m].Status().Records[m].Stage == Ready {
-				w.step(m, Cancel{Members: []int{m}})
+func (tier *testTier) completeWork(d time.Duration) {
+	for end := tier.now + d; tier.now < end; {
+		tier.advance(100 * time.Millisecond)
+		for _, m := range tier.membersOut() {
+			if tier.reducers[m].Status().Records[m].Stage == Ready {
+				tier.step(m, Cancel{Members: []int{m}})
 			}
 		}
 	}
 }
 
 // once fails unless each of these was ready for work once, and nobody else ever was out.
-func (w *world) once(members ...int) {
-	w.Helper()
-	for m, stages := range w.stages {
+func (tier *testTier) expectMaintainedOnce(members ...int) {
+	tier.Helper()
+	for m, stages := range tier.stages {
 		ready := 0
 		for _, s := range slices.Compact(slices.Clone(stages)) { // a new life hears of its stage again
 			if s == Ready {
@@ -175,7 +175,7 @@
 			}
 		}
 		if want := map[bool]int{true: 1}[slices.Contains(members, m)]; ready != want {
-			w.Errorf("member %d was ready for work %d times, want %d: %v", m, ready, want, stages)
+			tier.Errorf("member %d was ready for work %d times, want %d: %v", m, ready, want, stages)
 		}
 	}
 }
@@ -184,32 +184,32 @@
 // on the order, also where three in ten datagrams are lost.
 func TestTwoOperators(t *testing.T) {
 	for _, loss := range []float64{0, 0.3} {
-		l := short()
-		l.Budget = 2
-		w := begin(t, 5, l)
-		w.pass(2 * second)
-		w.loss = loss
-		w.step(0, Request{Members: []int{1, 2, 3}})
-		w.step(4, Request{Members: []int{2, 3, 0}})
-		w.pass(100 * time.Millisecond)
+		limits := shortLimits()
+		limits.Budget = 2
+		tier := startTier(t, 5, limits)
+		tier.advance(2 * second)
+		tier.loss = loss
+		tier.step(0, Request{Members: []int{1, 2, 3}})
+		tier.step(4, Request{Members: []int{2, 3, 0}})
+		tier.advance(100 * time.Millisecond)
 		if loss == 0 {
-			if a, b := w.rs[0].Queue(), w.rs[4].Queue(); !slices.Equal(a, b) || len(a) == 0 {
+			if a, b := tier.reducers[0].Queue(), tier.reducers[4].Queue(); !slices.Equal(a, b) || len(a) == 0 {
 				t.Errorf("the order is %v, and %v elsewhere", a, b)
 			}
 		}
-		w.finish(40 * second)
-		w.loss = 0
-		w.finish(10 * second)
+		tier.completeWork(40 * second)
+		tier.loss = 0
+		tier.completeWork(10 * second)
 		if loss == 0 {
-			w.once(0, 1, 2, 3)
+			tier.expectMaintainedOnce(0, 1, 2, 3)
 		}
-		if w.most != 2 {
-			t.Errorf("%d were out at once", w.most)
+		if tier.maxOut != 2 {
+			t.Errorf("%d were out at once", tier.maxOut)
 		}
-		for _, r := range w.rs {
-			for m, e := range r.Status().Records {
-				if !e.Stage.Ended() {
-					t.Errorf("member %d is %v in the end", m, e.Stage)
+		for _, reducer := range tier.reducers {
+			for m, record := range reducer.Status().Records {
+				if !record.Stage.Ended() {
+					t.Errorf("member %d is %v in the end", m, record.Stage)
 				}
 			}
 		}
@@ -217,202 +217,202 @@
 }
 
 // Of those asked for at once zones take turns; those asked for earlier go before.
-func TestOrderSpreadsOverZones(t *testing.T) {
-	w := begin(t, 6, short())
-	w.zones = []int{0, 0, 0, 1, 1, 2}
-	for m := range w.rs {
-		w.start(m)
-	}
-	w.pass(3 * second)
-	w.step(0, Request{Members: []int{2}})
-	w.pass(5 * time.Millisecond)
-	w.step(0, Request{Members: []int{0, 1, 3, 4, 5}})
-	if got := fmt.Sprint(w.rs[0].Queue()); got != "[2 3 5 0 4 1]" && got != "[3 5 0 4 1]" { // 2 may be out by now
+func TestQueueAlternatesZones(t *testing.T) {
+	tier := startTier(t, 6, shortLimits())
+	tier.zones = []int{0, 0, 0, 1, 1, 2}
+	for m := range tier.reducers {
+		tier.start(m)
+	}
+	tier.advance(3 * second)
+	tier.step(0, Request{Members: []int{2}})
+	tier.advance(5 * time.Millisecond)
+	tier.step(0, Request{Members: []int{0, 1, 3, 4, 5}})
+	if got := fmt.Sprint(tier.reducers[0].Queue()); got != "[2 3 5 0 4 1]" && got != "[3 5 0 4 1]" { // 2 may be out by now
 		t.Errorf("the order is %s", got)
 	}
 }
 
 // A member cut off from the majority starts no drain, and what it holds ends by its own clock before anybody else goes;
 // when the cut has healed all are served.
-func TestMinorityStartsNothing(t *testing.T) {
-	w := begin(t, 5, short())
-	w.pass(2 * second)
-	w.step(3, Request{Members: []int{3, 0}})
-	w.pass(250 * time.Millisecond)
-	if got := w.outNow(); len(got) != 1 {
+func TestMinorityStartsNoDrain(t *testing.T) {
+	tier := startTier(t, 5, shortLimits())
+	tier.advance(2 * second)
+	tier.step(3, Request{Members: []int{3, 0}})
+	tier.advance(250 * time.Millisecond)
+	if got := tier.membersOut(); len(got) != 1 {
 		t.Fatalf("out: %v", got)
 	}
-	w.cut = func(from, to int) bool { return (from < 3) != (to < 3) }
-	w.finish(8 * second)
-	if w.at[3] > w.at[0] {
-		t.Errorf("member 3 went out at %v, cut off", w.at[3])
+	tier.cut = func(from, to int) bool { return (from < 3) != (to < 3) }
+	tier.completeWork(8 * second)
+	if tier.lastDrainAt[3] > tier.lastDrainAt[0] {
+		t.Errorf("member 3 went out at %v, cut off", tier.lastDrainAt[3])
 	}
-	w.cut = nil
-	w.finish(15 * second)
-	if w.most != 1 {
-		t.Errorf("%d were out at once", w.most)
+	tier.cut = nil
+	tier.completeWork(15 * second)
+	if tier.maxOut != 1 {
+		t.Errorf("%d were out at once", tier.maxOut)
 	}
-	w.once(0, 3)
+	tier.expectMaintainedOnce(0, 3)
 }
 
 // A holder that dies frees its slot within its lease; the request for it waits until it is back, and it goes then.
-func TestHolderDies(t *testing.T) {
-	w := begin(t, 3, short())
-	w.pass(2 * second)
-	w.step(0, Request{Members: []int{0, 1}})
-	w.pass(250 * time.Millisecond)
-	w.kill(0)
-	died := w.now
-	w.finish(6 * second)
-	if took := w.at[1] - died; took <= 0 || took > w.limits.Lease+2*w.limits.Round {
-		t.Errorf("the next went %v after the death", took)
-	}
-	w.start(0)
-	w.finish(10 * second)
-	w.once(0, 1)
+func TestHolderDeathFreesSlot(t *testing.T) {
+	tier := startTier(t, 3, shortLimits())
+	tier.advance(2 * second)
+	tier.step(0, Request{Members: []int{0, 1}})
+	tier.advance(250 * time.Millisecond)
+	tier.kill(0)
+	diedAt := tier.now
+	tier.completeWork(6 * second)
+	if delay := tier.lastDrainAt[1] - diedAt; delay <= 0 || delay > tier.limits.Lease+2*tier.limits.Round {
+		t.Errorf("the next went %v after the death", delay)
+	}
+	tier.start(0)
+	tier.completeWork(10 * second)
+	tier.expectMaintainedOnce(0, 1)
 }
 
 // Amnesia: while one holds a slot, the two others that granted it start anew. They grant it to nobody else before they
 // know; without that rule two are out.
-func TestWhoStartsAnewGrantsNothing(t *testing.T) {
-	for _, without := range []Guard{0, GuardRecover} {
-		w := begin(t, 3, short())
-		w.without = without
-		w.pass(2 * second)
-		w.step(0, Request{Members: []int{0, 1}})
-		w.pass(250 * time.Millisecond)
-		if got := w.outNow(); !slices.Equal(got, []int{0}) {
+func TestNewlyStartedMemberGrantsNothing(t *testing.T) {
+	for _, disabledGuards := range []Guard{0, GuardRecover} {
+		tier := startTier(t, 3, shortLimits())
+		tier.disabledGuards = disabledGuards
+		tier.advance(2 * second)
+		tier.step(0, Request{Members: []int{0, 1}})
+		tier.advance(250 * time.Millisecond)
+		if got := tier.membersOut(); !slices.Equal(got, []int{0}) {
 			t.Fatalf("out: %v", got)
 		}
-		w.cut = func(from, _ int) bool { return from == 0 } // its word of the lease is lost, its word of the requests was heard
-		w.kill(2)
-		w.start(2)
-		w.pass(100 * time.Millisecond)
-		w.kill(1)
-		w.start(1)
-		w.step(1, Request{Members: []int{1}})
-		w.step(2, Request{Members: []int{1}})
-		w.pass(1500 * time.Millisecond)
-		if (w.most > 1) != (without != 0) {
-			t.Errorf("without %d: %d were out at once", without, w.most)
+		tier.cut = func(from, _ int) bool { return from == 0 } // its word of the lease is lost, its word of the requests was heard
+		tier.kill(2)
+		tier.start(2)
+		tier.advance(100 * time.Millisecond)
+		tier.kill(1)
+		tier.start(1)
+		tier.step(1, Request{Members: []int{1}})
+		tier.step(2, Request{Members: []int{1}})
+		tier.advance(1500 * time.Millisecond)
+		if (tier.maxOut > 1) != (disabledGuards != 0) {
+			t.Errorf("without %d: %d were out at once", disabledGuards, tier.maxOut)
 		}
 	}
 }
 
 // A budget that is lowered while more are out throws none back and lets none more out until few enough are.
 func TestLoweredBudget(t *testing.T) {
-	l := short()
-	l.Budget = 3
-	w := begin(t, 5, l)
-	w.pass(2 * second)
-	w.step(0, Request{Members: []int{0, 1, 2, 3, 4}})
+	limits := shortLimits()
+	limits.Budget = 3
+	tier := startTier(t, 5, limits)
+	tier.advance(2 * second)
+	tier.step(0, Request{Members: []int{0, 1, 2, 3, 4}})
 	for range 30 { // two may want one slot at first
-		if w.pass(100 * time.Millisecond); len(w.outNow()) == 3 {
+		if tier.advance(100 * time.Millisecond); len(tier.membersOut()) == 3 {
 			break
 		}
 	}
-	if got := w.outNow(); len(got) != 3 {
+	if got := tier.membersOut(); len(got) != 3 {
 		t.Fatalf("out: %v", got)
 	}
-	for m := range w.rs {
-		w.step(m, SetBudget{Budget: 1})
+	for m := range tier.reducers {
+		tier.step(m, SetBudget{Budget: 1})
 	}
-	out := w.outNow()
+	out := tier.membersOut()
 	for range 2 {
 		m := out[len(out)-1]
 		out = out[:len(out)-1]
-		w.step(m, Cancel{Members: []int{m}})
-		w.pass(second)
-		if got := w.outNow(); !slices.Equal(got, out) {
+		tier.step(m, Cancel{Members: []int{m}})
+		tier.advance(second)
+		if got := tier.membersOut(); !slices.Equal(got, out) {
 			t.Errorf("out: %v, want %v", got, out)
 		}
 	}
-	w.finish(20 * second)
-	w.once(0, 1, 2, 3, 4)
+	tier.completeWork(20 * second)
+	tier.expectMaintainedOnce(0, 1, 2, 3, 4)
 }
 
 // A member ready for work that ends keeps its slot while it is away, gives it back when it serves again, and is done.
-func TestAwayForWork(t *testing.T) {
-	w := begin(t, 3, short())
-	w.pass(2 * second)
-	w.step(1, Request{Members: []int{0, 1}})
-	w.pass(800 * time.Millisecond)
-	first := w.outNow()[0]
-	if s := w.rs[first].Status().Records[first].Stage; s != Ready {
-		t.Fatalf("member %d is %v", first, s)
-	}
-	w.kill(first)
-	w.pass(2500 * time.Millisecond) // past its first lease
-	if got := w.outNow(); len(got) > 0 {
+func TestSlotKeptDuringWork(t *testing.T) {
+	tier := startTier(t, 3, shortLimits())
+	tier.advance(2 * second)
+	tier.step(1, Request{Members: []int{0, 1}})
+	tier.advance(800 * time.Millisecond)
+	first := tier.membersOut()[0]
+	if stage := tier.reducers[first].Status().Records[first].Stage; stage != Ready {
+		t.Fatalf("member %d is %v", first, stage)
+	}
+	tier.kill(first)
+	tier.advance(2500 * time.Millisecond) // past its first lease
+	if got := tier.membersOut(); len(got) > 0 {
 		t.Errorf("out while one is away: %v", got)
 	}
-	w.start(first)
-	w.finish(8 * second)
-	w.once(0, 1)
+	tier.start(first)
+	tier.completeWork(8 * second)
+	tier.expectMaintainedOnce(0, 1)
 }
 
 // A slot given back is free for the next although all heard of it too late the first time: who granted it for as long as a
 // machine may be away would else hold it that long.
 func TestLostRelease(t *testing.T) {
-	l := short()
-	l.WorkLease = time.Hour
-	w := begin(t, 3, l)
-	w.pass(2 * second)
-	w.step(0, Request{Members: []int{0, 1}})
-	w.pass(800 * time.Millisecond)
-	if got := w.outNow(); !slices.Equal(got, []int{0}) || w.rs[0].Status().Records[0].Stage != Ready {
+	limits := shortLimits()
+	limits.WorkLease = time.Hour
+	tier := startTier(t, 3, limits)
+	tier.advance(2 * second)
+	tier.step(0, Request{Members: []int{0, 1}})
+	tier.advance(800 * time.Millisecond)
+	if got := tier.membersOut(); !slices.Equal(got, []int{0}) || tier.reducers[0].Status().Records[0].Stage != Ready {
 		t.Fatalf("out: %v", got)
 	}
-	w.cut = func(from, to int) bool { return from == 0 }
-	w.step(0, Cancel{Members: []int{0}})
-	w.cut = nil
-	w.finish(5 * second)
-	w.once(0, 1)
+	tier.cut = func(from, to int) bool { return from == 0 }
+	tier.step(0, Cancel{Members: []int{0}})
+	tier.cut = nil
+	tier.completeWork(5 * second)
+	tier.expectMaintainedOnce(0, 1)
 
 	// So it is where who gives it back dies at once, as soon as it is back.
-	w.step(0, Request{Members: []int{0, 1}})
-	w.pass(1500 * time.Millisecond)
-	w.cut = func(from, to int) bool { return from == 0 }
-	w.step(0, Cancel{Members: []int{0}})
-	w.cut = nil
-	w.step(1, Cancel{Members: []int{0}}) // known elsewhere, but not from who held it
-	w.kill(0)
-	w.pass(second)
-	if got := w.outNow(); len(got) > 0 {
+	tier.step(0, Request{Members: []int{0, 1}})
+	tier.advance(1500 * time.Millisecond)
+	tier.cut = func(from, to int) bool { return from == 0 }
+	tier.step(0, Cancel{Members: []int{0}})
+	tier.cut = nil
+	tier.step(1, Cancel{Members: []int{0}}) // known elsewhere, but not from who held it
+	tier.kill(0)
+	tier.advance(second)
+	if got := tier.membersOut(); len(got) > 0 {
 		t.Errorf("out: %v", got)
 	}
-	w.start(0)
-	w.pass(2 * second)
-	if got := w.outNow(); !slices.Equal(got, []int{1}) {
+	tier.start(0)
+	tier.advance(2 * second)
+	if got := tier.membersOut(); !slices.Equal(got, []int{1}) {
 		t.Errorf("out: %v, want the next", got)
 	}
 }
 
 // A great tier that starts at once causes no storm of queries, and settles.
-func TestNoStorm(t *testing.T) {
-	w := begin(t, 60, short())
-	w.pass(20 * second)
-	most := uint64(0)
-	for m, r := range w.rs {
-		if s := r.Status(); !s.Recovered {
+func TestSimultaneousStartCausesNoStorm(t *testing.T) {
+	tier := startTier(t, 60, shortLimits())
+	tier.advance(20 * second)
+	maxSent := uint64(0)
+	for m, reducer := range tier.reducers {
+		if status := reducer.Status(); !status.Recovered {
 			t.Errorf("member %d is not settled", m)
 		} else {
-			most = max(most, s.Counters.Sent)
+			maxSent = max(maxSent, status.Counters.Sent)
 		}
 	}
-	if most > 250 { // 59 queries, some again, and as many answers to others'
-		t.Errorf("a member sent %d datagrams", most)
+	if maxSent > 250 { // 59 queries, some again, and as many answers to others'
+		t.Errorf("a member sent %d datagrams", maxSent)
 	}
 }
 
 // Merge comes to the same in every order, however often, and two requests made at once for one member are one.
 func TestMerge(t *testing.T) {
-	r := rand.New(rand.NewPCG(3, 4))
-	draw := func() Record {
-		return Record{Generation: 1 + r.Uint32N(3), RequestedAt: 1 + r.Uint64N(3), Restarts: r.Uint32N(3), Stage: Stage(1 + r.IntN(int(stages)-1)), Slot: uint8(r.IntN(2)), Epoch: r.Uint64N(3)}
+	rng := rand.New(rand.NewPCG(3, 4))
+	randomRecord := func() Record {
+		return Record{Generation: 1 + rng.Uint32N(3), RequestedAt: 1 + rng.Uint64N(3), Restarts: rng.Uint32N(3), Stage: Stage(1 + rng.IntN(int(numStages)-1)), Slot: uint8(rng.IntN(2)), Epoch: rng.Uint64N(3)}
 	}
 	for range 20000 {
-		a, b, c := draw(), draw(), draw()
+		a, b, c := randomRecord(), randomRecord(), randomRecord()
 		if Merge(a, b) != Merge(b, a) || Merge(a, a) != a || Merge(Merge(a, b), c) != Merge(a, Merge(b, c)) || Merge(Merge(a, b), b) != Merge(a, b) {
 			t.Fatalf("%+v, %+v, %+v", a, b, c)
 		}
@@ -423,31 +423,31 @@
 }
 
 // Datagrams that are damaged, of another version or tier, or from nobody are counted and change nothing.
-func TestDropped(t *testing.T) {
-	w := begin(t, 3, short())
-	w.pass(second)
-	good := w.rs[1].encode(message{Kind: ask, Slot: 0, Epoch: 1 << 62, Lease: 1000})
-	other := begin(t, 4, short()).rs[1].encode(message{Kind: ask, Epoch: 1 << 62, Lease: 1000})
-	r := w.rs[0]
-	before := r.Status().Grants
-	for i := range good {
-		bad := slices.Clone(good)
-		bad[i] ^= 8
-		r.Step(w.now, Datagram{From: 1, Data: bad})
-		r.Step(w.now, Datagram{From: 1, Data: good[:i]})
-	}
-	version := slices.Clone(good)
-	version[0]++
-	r.Step(w.now, Datagram{From: 1, Data: datagram.FixChecksum(version)})
-	r.Step(w.now, Datagram{From: 1, Data: other})
-	r.Step(w.now, Datagram{From: 3, Data: good})
-	r.Step(w.now, Datagram{From: 1, Data: r.encode(message{Kind: news, Items: []int64{0, 1, 1, 0, 99, 0, 0}})})
-	f := r.Status().Counters
-	if f.Malformed != uint64(2*len(good)+1) || f.VersionMismatches != 1 || f.UnknownSenders != 2 || !slices.Equal(r.Status().Grants, before) {
-		t.Errorf("%+v, grants %v", f, r.Status().Grants)
-	}
-	r.Step(w.now, Datagram{From: 1, Data: good})
-	if r.Status().Grants[0].Holder != 1 {
+func TestInvalidDatagramsDropped(t *testing.T) {
+	tier := startTier(t, 3, shortLimits())
+	tier.advance(second)
+	valid := tier.reducers[1].encode(message{Kind: kindSlotRequest, Slot: 0, Epoch: 1 << 62, Lease: 1000})
+	otherTier := startTier(t, 4, shortLimits()).reducers[1].encode(message{Kind: kindSlotRequest, Epoch: 1 << 62, Lease: 1000})
+	reducer := tier.reducers[0]
+	grantsBefore := reducer.Status().Grants
+	for i := range valid {
+		damaged := slices.Clone(valid)
+		damaged[i] ^= 8
+		reducer.Step(tier.now, Datagram{From: 1, Data: damaged})
+		reducer.Step(tier.now, Datagram{From: 1, Data: valid[:i]})
+	}
+	otherVersion := slices.Clone(valid)
+	otherVersion[0]++
+	reducer.Step(tier.now, Datagram{From: 1, Data: datagram.FixChecksum(otherVersion)})
+	reducer.Step(tier.now, Datagram{From: 1, Data: otherTier})
+	reducer.Step(tier.now, Datagram{From: 3, Data: valid})
+	reducer.Step(tier.now, Datagram{From: 1, Data: reducer.encode(message{Kind: kindRecords, Items: []int64{0, 1, 1, 0, 99, 0, 0}})})
+	counters := reducer.Status().Counters
+	if counters.Malformed != uint64(2*len(valid)+1) || counters.VersionMismatches != 1 || counters.UnknownSenders != 2 || !slices.Equal(reducer.Status().Grants, grantsBefore) {
+		t.Errorf("%+v, grants %v", counters, reducer.Status().Grants)
+	}
+	reducer.Step(tier.now, Datagram{From: 1, Data: valid})
+	if reducer.Status().Grants[0].Holder != 1 {
 		t.Error("a good one is not taken")
 	}
 }
@@ -456,12 +456,12 @@
 func FuzzDatagram(f *testing.F) {
 	f.Add([]byte{Version, 0x8a, 0, 5, 0, 1, 0, 1, 0x19, 3, 0xe8, 0xf5, 0, 0x60, 0x80})
 	f.Fuzz(func(t *testing.T, data []byte) {
-		r, _, err := New(Config{TierSize: 5, Limits: Defaults()}, second)
+		reducer, _, err := New(Config{TierSize: 5, Limits: Defaults()}, second)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for _, d := range [][]byte{data, datagram.FixChecksum(append(slices.Clone(data), 0, 0, 0, 0))} {
-			for _, e := range r.Step(2*second, Datagram{From: 1, Data: d}) {
+			for _, e := range reducer.Step(2*second, Datagram{From: 1, Data: d}) {
 				if s, ok := e.(Send); ok && len(s.Data) > datagram.MaxSize {
 					t.Errorf("a datagram of %d bytes", len(s.Data))
 				}
--- a/internal/maintenance/recover.go
+++ b/internal/maintenance/recover.go
@@ -17,132 +17,132 @@
 // It asks a few a round, so that a great tier that starts at once causes no storm, and after it has asked all, one.
 
 // recover asks all what they have granted.
-func (r *Reducer) recover() {
-	if r.now >= r.began+r.cfg.Limits.longest() {
-		r.settle()
+func (r *Reducer) recoverGrants() {
+	if r.now >= r.startedAt+r.cfg.Limits.maxGrantDuration() {
+		r.finishRecovery()
 		return
 	}
-	if r.now < r.began+2*r.cfg.Limits.Round {
+	if r.now < r.startedAt+2*r.cfg.Limits.Round {
 		return
 	}
-	r.queries++
-	ask := askedAtOnce
-	if int(r.queries)*askedAtOnce > 2*r.cfg.TierSize {
-		ask = 1
+	r.queryRounds++
+	remaining := queriesPerRound
+	if int(r.queryRounds)*queriesPerRound > 2*r.cfg.TierSize {
+		remaining = 1
 	}
 	for range r.cfg.TierSize {
-		m := r.asking
-		r.asking = (r.asking + 1) % r.cfg.TierSize
-		if a := r.answers[m]; m == r.cfg.Self || a.Came && a.Settled {
+		member := r.nextQueried
+		r.nextQueried = (r.nextQueried + 1) % r.cfg.TierSize
+		if answer := r.answers[member]; member == r.cfg.Self || answer.Received && answer.Recovered {
 			continue
 		}
-		r.send(m, message{Kind: query, Seq: r.nonce})
-		if ask--; ask == 0 {
+		r.send(member, message{Kind: kindQuery, Seq: r.queryNonce})
+		if remaining--; remaining == 0 {
 			return
 		}
 	}
 }
 
 // askedAtOnce are how many members are asked in a round.
-const askedAtOnce = 8
+const queriesPerRound = 8
 
 // settle begins to grant. What an earlier life held and had no more use for is given back.
-func (r *Reducer) settle() {
-	r.settled = true
+func (r *Reducer) finishRecovery() {
+	r.recovered = true
 	for slot, g := range r.grants {
-		if g.Holder == r.cfg.Self && r.live(slot) && r.records[r.cfg.Self].Stage.Ended() {
-			r.release(slot, g.Epoch)
+		if g.Holder == r.cfg.Self && r.isGranted(slot) && r.records[r.cfg.Self].Stage.Ended() {
+			r.releaseSlot(slot, g.Epoch)
 		}
 	}
-	r.consider()
+	r.advanceOwnRequest()
 }
 
 // tell answers a query: with the records, if the asker's are others, then with what is granted and held here.
-func (r *Reducer) tell(to int, m message) {
-	if m.Sum != r.sum() {
-		var all []int
-		for of, e := range r.records {
-			if e.Stage != None {
-				all = append(all, of)
+func (r *Reducer) answerQuery(to int, msg message) {
+	if msg.RecordsHash != r.recordsHash() {
+		var members []int
+		for member, record := range r.records {
+			if record.Stage != None {
+				members = append(members, member)
 			}
 		}
-		for n := 0; len(all) > 0; all = all[n:] {
-			n = max(r.sendRecords(to, all), 1)
+		for count := 0; len(members) > 0; members = members[count:] {
+			count = max(r.sendRecords(to, members), 1)
 		}
 	}
-	var w []int64
-	for s, g := range r.grants {
-		holder, left := -1, time.Duration(0)
-		if r.live(s) {
-			holder, left = g.Holder, g.Expiry-r.now
+	var items []int64
+	for slot, g := range r.grants {
+		holder, remaining := -1, time.Duration(0)
+		if r.isGranted(slot) {
+			holder, remaining = g.Holder, g.Expiry-r.now
 		}
-		if r.lease != nil && r.lease.Slot == s {
-			holder, left = r.cfg.Self, max(r.lease.Until-r.now, left)
+		if r.lease != nil && r.lease.Slot == slot {
+			holder, remaining = r.cfg.Self, max(r.lease.Expiry-r.now, remaining)
 		}
-		if holder != -1 || r.tops[s] > 0 {
-			w = append(w, int64(s), int64(max(holder, -1)), int64(left/time.Millisecond), int64(r.tops[s]))
+		if holder != -1 || r.highestEpochs[slot] > 0 {
+			items = append(items, int64(slot), int64(max(holder, -1)), int64(remaining/time.Millisecond), int64(r.highestEpochs[slot]))
 		}
 	}
-	r.send(to, message{Kind: state, Seq: m.Seq, Items: w})
+	r.send(to, message{Kind: kindState, Seq: msg.Seq, Items: items})
 }
 
 // answered takes in an answer.
-func (r *Reducer) answered(from int, m message) {
-	if r.settled || m.Seq != r.nonce {
+func (r *Reducer) handleQueryAnswer(from int, msg message) {
+	if r.recovered || msg.Seq != r.queryNonce {
 		return
 	}
-	for w := m.Items; len(w) > 0; w = w[itemsOfState:] {
-		slot, left := w[0], time.Duration(w[2])*time.Millisecond
-		r.tops[slot] = max(r.tops[slot], uint64(w[3]))
-		if left <= 0 {
+	for items := msg.Items; len(items) > 0; items = items[itemsPerGrant:] {
+		slot, remaining := items[0], time.Duration(items[2])*time.Millisecond
+		r.highestEpochs[slot] = max(r.highestEpochs[slot], uint64(items[3]))
+		if remaining <= 0 {
 			continue
 		}
-		until := r.now + time.Duration(float64(left)*(1+2*r.cfg.Limits.MaxDrift)) + r.cfg.Limits.Round
-		g := &r.grants[slot]
+		expiry := r.now + time.Duration(float64(remaining)*(1+2*r.cfg.Limits.MaxDrift)) + r.cfg.Limits.Round
+		grant := &r.grants[slot]
 		switch {
-		case !r.live(int(slot)):
-			*g = Grant{Holder: int(w[1]), Epoch: uint64(w[3]), Expiry: until}
-			if w[1] < 0 {
-				g.Holder = somebody
+		case !r.isGranted(int(slot)):
+			*grant = Grant{Holder: int(items[1]), Epoch: uint64(items[3]), Expiry: expiry}
+			if items[1] < 0 {
+				grant.Holder = unknownHolder
 			}
-		case g.Holder == int(w[1]):
-			g.Epoch, g.Expiry = max(g.Epoch, uint64(w[3])), max(g.Expiry, until)
+		case grant.Holder == int(items[1]):
+			grant.Epoch, grant.Expiry = max(grant.Epoch, uint64(items[3])), max(grant.Expiry, expiry)
 		default:
-			g.Holder, g.Expiry = somebody, max(g.Expiry, until)
+			grant.Holder, grant.Expiry = unknownHolder, max(grant.Expiry, expiry)
 		}
 	}
-	if m.Sum == r.sum() {
-		r.answers[from] = answer{true, m.Settled || r.answers[from].Settled}
+	if msg.RecordsHash == r.recordsHash() {
+		r.answers[from] = queryAnswer{true, msg.Recovered || r.answers[from].Recovered}
 	}
-	all, settled := 0, 0
+	received, recovered := 0, 0
 	for _, a := range r.answers {
-		if a.Came {
-			all++
+		if a.Received {
+			received++
 		}
-		if a.Settled {
-			settled++
+		if a.Recovered {
+			recovered++
 		}
 	}
-	if settled >= r.quorum() || all == r.cfg.TierSize-1 {
-		r.settle()
+	if recovered >= r.quorum() || received == r.cfg.TierSize-1 {
+		r.finishRecovery()
 	}
 }
 
 // Status is what operators are shown. What it holds is the caller's.
 func (r *Reducer) Status() Status {
-	s := Status{Recovered: r.settled, Budget: r.cfg.Limits.Budget, Slot: -1, Queue: r.Queue(), Counters: r.figures}
-	s.Records = append(s.Records, r.records...)
+	status := Status{Recovered: r.recovered, Budget: r.cfg.Limits.Budget, Slot: -1, Queue: r.Queue(), Counters: r.counters}
+	status.Records = append(status.Records, r.records...)
 	if r.lease != nil {
-		s.Slot, s.Epoch, s.Expiry = r.lease.Slot, r.lease.Epoch, r.lease.Until
+		status.Slot, status.Epoch, status.Expiry = r.lease.Slot, r.lease.Epoch, r.lease.Expiry
 	}
 	for slot := range r.grants {
-		g := r.grants[slot]
-		if !r.live(slot) {
-			g.Holder = -1
+		grant := r.grants[slot]
+		if !r.isGranted(slot) {
+			grant.Holder = -1
 		}
-		s.Grants = append(s.Grants, g)
+		status.Grants = append(status.Grants, grant)
 	}
-	return s
+	return status
 }
 
 // Names are those of the tier's members, by number, where they have told them.
--- a/internal/maintenance/types.go
+++ b/internal/maintenance/types.go
@@ -36,13 +36,13 @@
 	Ready          // for work: nothing is left on it
 	Withdrawn
 	Done
-	stages
+	numStages
 )
 
-var stageNames = [stages]string{"none", "waiting", "draining", "ready for work", "withdrawn", "done"}
+var stageNames = [numStages]string{"none", "waiting", "draining", "ready for work", "withdrawn", "done"}
 
 func (s Stage) String() string {
-	if s < stages {
+	if s < numStages {
 		return stageNames[s]
 	}
 	return fmt.Sprintf("Stage(%d)", uint8(s))
@@ -128,13 +128,13 @@
 }
 
 // longest is the longest that a grant may still count anywhere, by any clock.
-func (l Limits) longest() time.Duration {
+func (l Limits) maxGrantDuration() time.Duration {
 	return time.Duration(float64(l.WorkLease)*(1+2*l.MaxDrift)) + 2*l.Round
 }
 
 // sure is for how long a holder believes in a lease, from the moment at which it first asked for it.
-func (l Limits) sure(lease time.Duration) time.Duration {
-	return time.Duration(float64(lease) * (1 - 2*l.MaxDrift))
+func (l Limits) safeDuration(duration time.Duration) time.Duration {
+	return time.Duration(float64(duration) * (1 - 2*l.MaxDrift))
 }
 
 // Event is something that has happened; see the types below.
@@ -210,11 +210,11 @@
 type tokenKind uint8
 
 const (
-	tokenTick  tokenKind = iota // a look at the queue, and gossip
-	tokenAgain                  // a round has had half of its time
-	tokenRound                  // or all of it
-	tokenRenew                  // the lease is to be renewed
-	tokenEnd                    // it is over by this member's clock
+	tokenTick         tokenKind = iota // a look at the queue, and gossip
+	tokenResend                        // a round has had half of its time
+	tokenRoundTimeout                  // or all of it
+	tokenRenew                         // the lease is to be renewed
+	tokenExpiry                        // it is over by this member's clock
 )
 
 // Counters count what has been done since the start.
--- a/internal/membership/codec.go
+++ b/internal/membership/codec.go
@@ -10,23 +10,23 @@
 const Version = 1
 
 // kind is what a datagram is for.
-type kind uint8
+type messageKind uint8
 
 const (
-	ping   kind = iota // answer with an ack of the same number
-	pingOn             // probe Target, and answer for it
-	ack                // the member pinged is there
-	nack               // the member to be probed has not answered in time; who was asked is there
-	sync               // tell what you know of all, in parts
-	part               // a part of that
-	news               // nothing but its updates: a member leaves
-	kinds
+	kindPing        messageKind = iota // answer with an ack of the same number
+	kindPingReq                        // probe Target, and answer for it
+	kindAck                            // the member pinged is there
+	kindNack                           // the member to be probed has not answered in time; who was asked is there
+	kindSyncRequest                    // tell what you know of all, in parts
+	kindSyncPart                       // a part of that
+	kindUpdates                        // nothing but its updates: a member leaves
+	numKinds
 )
 
 // message is what a datagram holds. Incarnations stand as differences to the sender's own.
 type message struct {
 	_           struct{} `cbor:",toarray"`
-	Kind        kind
+	Kind        messageKind
 	Tier        uint16 // members of the sender's tier
 	Seq         uint32
 	Target      uint16
@@ -40,67 +40,67 @@
 	member      int
 	state       State
 	incarnation uint64
-	by          int
+	observer    int
 }
 
 const stateBits = 3
 
-var errTier = errors.New("of another tier")
+var errOtherTier = errors.New("of another tier")
 
 // encode writes a message with as many of the updates as fit into most bytes, first ones first. It says how many did.
-func (m message) encode(updates []update, most int) (data []byte, taken int) {
+func (m message) encode(updates []update, maxSize int) (data []byte, count int) {
 	m.Updates = []int64{}
-	room := most - datagram.Overhead - datagram.Size(m) - 2 // two more for the count of the updates
+	remaining := maxSize - datagram.Overhead - datagram.Size(m) - 2 // two more for the count of the updates
 	for _, u := range updates {
-		words := u.words(m.Incarnation)
-		for _, w := range words {
-			room -= datagram.IntSize(w)
+		ints := u.encode(m.Incarnation)
+		for _, w := range ints {
+			remaining -= datagram.IntSize(w)
 		}
-		if room < 0 {
+		if remaining < 0 {
 			break
 		}
-		m.Updates = append(m.Updates, words...)
-		taken++
+		m.Updates = append(m.Updates, ints...)
+		count++
 	}
-	return datagram.Encode(Version, m), taken
+	return datagram.Encode(Version, m), count
 }
 
 // words are an update as it stands in a message of a sender with this incarnation.
-func (u update) words(base uint64) []int64 {
-	w := []int64{int64(u.member)<<stateBits | int64(u.state), int64(u.incarnation - base)}
+func (u update) encode(senderIncarnation uint64) []int64 {
+	ints := []int64{int64(u.member)<<stateBits | int64(u.state), int64(u.incarnation - senderIncarnation)}
 	if u.state == Suspect {
-		w = append(w, int64(u.by))
+		ints = append(ints, int64(u.observer))
 	}
-	return w
+	return ints
 }
 
 // decode reads a datagram of a tier of n members. What makes no sense in it makes all of it garbled.
-func decode(data []byte, n, most int) (m message, updates []update, err error) {
-	if err := datagram.Decode(data, Version, most, &m); err != nil {
-		return m, nil, err
+func decode(data []byte, tierSize, maxSize int) (msg message, updates []update, err error) {
+	if err := datagram.Decode(data, Version, maxSize, &msg); err != nil {
+		return msg, nil, err
 	}
 	switch {
-	case int(m.Tier) != n:
-		return m, nil, errTier
-	case m.Kind >= kinds, int(m.Target) >= n, m.Incarnation == 0, !m.State.Available() && m.State != Left:
-		return m, nil, datagram.ErrMalformed
+	case int(msg.Tier) != tierSize:
+		return msg, nil, errOtherTier
+	case msg.Kind >= numKinds, int(msg.Target) >= tierSize, msg.Incarnation == 0, !msg.State.Available() && msg.State != Left:
+		return msg, nil, datagram.ErrMalformed
 	}
-	for w := m.Updates; len(w) > 0; {
-		if len(w) < 2 {
-			return m, nil, datagram.ErrMalformed
+	for ints := msg.Updates; len(ints) > 0; {
+		if len(ints) < 2 {
+			return msg, nil, datagram.ErrMalformed
 		}
-		u := update{member: int(w[0] >> stateBits), state: State(w[0] & (1<<stateBits - 1)), incarnation: m.Incarnation + uint64(w[1]), by: -1}
-		w = w[2:]
+		u := update{member: int(ints[0] >> stateBits), state: State(ints[0] & (1<<stateBits - 1)), incarnation: msg.Incarnation + uint64(ints[1]), observer: -1}
+		ints = ints[2:]
 		if u.state == Suspect {
-			if len(w) == 0 || w[0] < 0 || w[0] >= int64(n) {
-				return m, nil, datagram.ErrMalformed
+			if len(ints) == 0 || ints[0] < 0 || ints[0] >= int64(tierSize) {
+				return msg, nil, datagram.ErrMalformed
 			}
-			u.by, w = int(w[0]), w[1:]
+			u.observer, ints = int(ints[0]), ints[1:]
 		}
-		if u.member < 0 || u.member >= n || u.state == Unknown || u.state >= states {
-			return m, nil, datagram.ErrMalformed
+		if u.member < 0 || u.member >= tierSize || u.state == Unknown || u.state >= numStates {
+			return msg, nil, datagram.ErrMalformed
 		}
 		updates = append(updates, u)
 	}
-	return m, updates, nil
+	return msg, updates, nil
 }
--- a/internal/membership/types.go
+++ b/internal/membership/types.go
@@ -29,13 +29,13 @@
 	Suspect
 	Dead
 	Left
-	states
+	numStates
 )
 
-var stateNames = [states]string{"unknown", "alive", "draining", "suspect", "dead", "left"}
+var stateNames = [numStates]string{"unknown", "alive", "draining", "suspect", "dead", "left"}
 
 func (s State) String() string {
-	if s < states {
+	if s < numStates {
 		return stateNames[s]
 	}
 	return fmt.Sprintf("State(%d)", uint8(s))
@@ -164,10 +164,10 @@
 type tokenKind uint8
 
 const (
-	tokenPeriod  tokenKind = iota // a protocol period begins
-	tokenDirect                   // the direct probe has had its time
-	tokenSuspect                  // a suspicion may be over
-	tokenRelay                    // a probe made for another has had most of its time
+	tokenPeriod       tokenKind = iota // a protocol period begins
+	tokenProbeTimeout                  // the direct probe has had its time
+	tokenSuspicion                     // a suspicion may be over
+	tokenRelayTimeout                  // a probe made for another has had most of its time
 )
 
 // Member is what is held of a member.
