--- a/internal/membership/codec.go
+++ b/internal/membership/codec.go
@@ -6,51 +6,56 @@
 	"elmseam/internal/datagram"
 )
 
-// Version is the first byte of membership's datagrams. Any other is counted and dropped.
+// Version is the first byte of the datagrams of the membership protocol. Datagrams with another first byte are
+// counted and dropped.
 const Version = 1
 
-// kind is what a datagram is for.
+// messageKind is the purpose of a datagram.
 type messageKind uint8
 
 const (
-	kindPing        messageKind = iota // answer with an ack of the same number
-	kindPingReq                        // probe Target, and answer for it
-	kindAck                            // the member pinged is there
-	kindNack                           // the member to be probed has not answered in time; who was asked is there
-	kindSyncRequest                    // tell what you know of all, in parts
-	kindSyncPart                       // a part of that
-	kindUpdates                        // nothing but its updates: a member leaves
+	kindPing        messageKind = iota // request for a kindAck with the same sequence number
+	kindPingReq                        // request to probe Target and to answer on its behalf (SWIM's ping-req)
+	kindAck                            // Target is alive
+	kindNack                           // Target did not answer the relayed probe in time; the sender of the nack is alive
+	kindSyncRequest                    // request for the states of all members
+	kindSyncPart                       // one part of the answer to a kindSyncRequest
+	kindUpdates                        // carries updates only: announces a change of the sender itself
 	numKinds
 )
 
-// message is what a datagram holds. Incarnations stand as differences to the sender's own.
+// message is the content of a datagram. Incarnations in Updates are encoded as differences to the incarnation of the
+// sender.
 type message struct {
 	_           struct{} `cbor:",toarray"`
 	Kind        messageKind
-	Tier        uint16 // members of the sender's tier
-	Seq         uint32
-	Target      uint16
+	Tier        uint16 // number of members of the sender's tier
+	Seq         uint32 // of the probe
+	Target      uint16 // index of the member that is probed or has answered
 	State       State  // of the sender: alive, draining or left
 	Incarnation uint64 // of the sender
 	Updates     []int64
 }
 
-// update is one piece of news: for a suspicion it says whose it is.
+// update is one member's state as it is sent to other members.
 type update struct {
 	member      int
 	state       State
 	incarnation uint64
-	observer    int
+	observer    int // of a suspicion: index of the member that observed the failure
 }
 
+// stateBits is the width of the state in the first integer of an update; the index of the member is above it.
 const stateBits = 3
 
-var errOtherTier = errors.New("of another tier")
+// errOtherTier rejects a datagram of a sender whose tier has another number of members.
+var errOtherTier = errors.New("datagram from a tier of another size")
 
-// encode writes a message with as many of the updates as fit into most bytes, first ones first. It says how many did.
+// encode encodes a message with as many of the updates as fit into maxSize bytes, in their order, and returns how
+// many did.
 func (m message) encode(updates []update, maxSize int) (data []byte, count int) {
 	m.Updates = []int64{}
-	remaining := maxSize - datagram.Overhead - datagram.Size(m) - 2 // two more for the count of the updates
+	remaining := maxSize - datagram.Overhead - datagram.Size(m) - 2 // 2 bytes more for the length of the list of updates
 	for _, u := range updates {
 		ints := u.encode(m.Incarnation)
 		for _, w := range ints {
@@ -65,7 +70,7 @@
 	return datagram.Encode(Version, m), count
 }
 
-// words are an update as it stands in a message of a sender with this incarnation.
+// encode returns the integers of an update in a message of a sender with senderIncarnation.
 func (u update) encode(senderIncarnation uint64) []int64 {
 	ints := []int64{int64(u.member)<<stateBits | int64(u.state), int64(u.incarnation - senderIncarnation)}
 	if u.state == Suspect {
@@ -74,7 +79,7 @@
 	return ints
 }
 
-// decode reads a datagram of a tier of n members. What makes no sense in it makes all of it garbled.
+// decode decodes a datagram of a tier of tierSize members. One invalid value makes the whole datagram malformed.
 func decode(data []byte, tierSize, maxSize int) (msg message, updates []update, err error) {
 	if err := datagram.Decode(data, Version, maxSize, &msg); err != nil {
 		return msg, nil, err
--- /dev/null
+++ b/internal/membership/gossip.go
@@ -0,0 +1,68 @@
+package membership
+
+import "slices"
+
+// enqueueUpdate queues an update for the next datagrams, in place of an older update about the same member. The queue
+// is in order of transmission: the least often transmitted updates first, and of those the newest first.
+func (r *Reducer) enqueueUpdate(u update) {
+	if i := slices.IndexFunc(r.updateQueue, func(p queuedUpdate) bool { return p.member == u.member }); i >= 0 {
+		r.updateQueue = slices.Delete(r.updateQueue, i, i+1)
+	}
+	r.lastUpdateSeq++
+	r.updateQueue = slices.Insert(r.updateQueue, 0, queuedUpdate{update: u, Seq: r.lastUpdateSeq})
+}
+
+// markTransmitted records that the first count updates of the queue were sent once more, removes those that were sent
+// often enough, and restores the order of the queue.
+func (r *Reducer) markTransmitted(count int) {
+	sent := slices.Clone(r.updateQueue[:count])
+	for i := range sent {
+		sent[i].Transmissions++
+	}
+	sent = slices.DeleteFunc(sent, func(p queuedUpdate) bool { return p.Transmissions >= r.maxTransmissions })
+	unsent, queue := r.updateQueue[count:], make([]queuedUpdate, 0, len(r.updateQueue))
+	for len(sent) > 0 && len(unsent) > 0 {
+		if a, b := sent[0], unsent[0]; a.Transmissions < b.Transmissions || a.Transmissions == b.Transmissions && a.Seq > b.Seq {
+			queue, sent = append(queue, a), sent[1:]
+		} else {
+			queue, unsent = append(queue, b), unsent[1:]
+		}
+	}
+	r.updateQueue = append(append(queue, sent...), unsent...)
+}
+
+// currentUpdate returns the current state of a member as an update.
+func (r *Reducer) currentUpdate(index int) update {
+	u := update{member: index, state: r.members[index].State, incarnation: r.members[index].Incarnation, observer: -1}
+	if s := r.suspicions[index]; s != nil {
+		u.observer = s.Observers[0]
+	}
+	return u
+}
+
+// send sends a datagram with the updates that were transmitted least often. The mandatory updates come first. A
+// member that is suspected or held dead gets its own state first of all, because it can refute only what it receives
+// (Lifeguard, Buddy System).
+func (r *Reducer) send(to int, msg message, mandatory ...update) {
+	if s := r.members[to].State; s == Suspect || s.Down() {
+		mandatory = append(mandatory, r.currentUpdate(to))
+	}
+	updates := mandatory
+	for _, p := range r.updateQueue[:min(len(r.updateQueue), r.cfg.Limits.MaxDatagram/2)] { // more never fit: an update takes at least 2 bytes
+		updates = append(updates, p.update)
+	}
+	if fromQueue := r.sendUpdates(to, msg, updates) - len(mandatory); fromQueue > 0 {
+		r.markTransmitted(fromQueue)
+	}
+}
+
+// sendUpdates sends a datagram with as many of the updates as fit, and returns how many did.
+func (r *Reducer) sendUpdates(to int, msg message, updates []update) int {
+	self := r.self()
+	msg.Tier, msg.State, msg.Incarnation = uint16(r.cfg.TierSize), self.State, self.Incarnation
+	data, count := msg.encode(updates, r.cfg.Limits.MaxDatagram)
+	r.counters.Sent++
+	r.counters.SentBytes += uint64(len(data))
+	r.emit(Send{To: to, Data: data})
+	return count
+}
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -12,381 +12,395 @@
 
 const second = time.Second
 
-// weather is a network that loses, doubles and reorders, and that cuts members apart while cut says so.
-type weather struct {
+// networkConditions describe a network that loses, duplicates and reorders datagrams, and drops those between members
+// for which cut returns true.
+type networkConditions struct {
 	loss float64
 	cut  func(from, to int) bool
 }
 
-func (w *weather) net(_ swarm.Time, from, to int, r *rand.Rand) []time.Duration {
-	if w.cut != nil && w.cut(from, to) || r.Float64() < w.loss {
+// delays returns the delay of each copy of a datagram that arrives.
+func (conditions *networkConditions) delays(_ swarm.Time, from, to int, r *rand.Rand) []time.Duration {
+	if conditions.cut != nil && conditions.cut(from, to) || r.Float64() < conditions.loss {
 		return nil
 	}
-	ds := []time.Duration{time.Millisecond + time.Duration(r.Int64N(int64(20*time.Millisecond)))}
+	delays := []time.Duration{time.Millisecond + time.Duration(r.Int64N(int64(20*time.Millisecond)))}
 	if r.Float64() < 0.1 {
-		ds = append(ds, ds[0]+time.Duration(r.Int64N(int64(30*time.Millisecond))))
+		delays = append(delays, delays[0]+time.Duration(r.Int64N(int64(30*time.Millisecond))))
 	}
-	return ds
+	return delays
 }
 
-type tier struct {
+// testTier is a simulated tier of n members.
+type testTier struct {
 	*swarm.Simulation
-	weather
+	networkConditions
 	t *testing.T
 	n int
 }
 
-func begin(t *testing.T, n int, loss float64) *tier {
+// startTier starts a simulated tier of n members whose network loses the given share of the datagrams.
+func startTier(t *testing.T, n int, loss float64) *testTier {
 	t.Helper()
-	x := &tier{t: t, weather: weather{loss: loss}, n: n}
+	tier := &testTier{t: t, networkConditions: networkConditions{loss: loss}, n: n}
 	var err error
-	if x.Simulation, err = swarm.New(swarm.Config{Members: n, Limits: membership.Defaults(), Seed: 7, Delays: x.net}); err != nil {
+	if tier.Simulation, err = swarm.New(swarm.Config{Members: n, Limits: membership.Defaults(), Seed: 7, Delays: tier.delays}); err != nil {
 		t.Fatal(err)
 	}
-	return x
+	return tier
 }
 
-func (x *tier) pass(d time.Duration) { x.Run(x.Now() + d) }
+// advance runs the simulation for d of simulated time.
+func (tier *testTier) advance(d time.Duration) { tier.Run(tier.Now() + d) }
 
-// agree fails unless every running member holds every running one there, and the others in the given state.
-func (x *tier) agree(when string, others membership.State) {
-	x.t.Helper()
-	for i := range x.n {
-		if !x.Running(i) {
+// expectAgreement fails the test unless every running member holds all running members available, and all stopped
+// members in stoppedState.
+func (tier *testTier) expectAgreement(phase string, stoppedState membership.State) {
+	tier.t.Helper()
+	for i := range tier.n {
+		if !tier.Running(i) {
 			continue
 		}
-		for j := range x.n {
-			got := x.StateOf(i, j).State
-			if x.Running(j) && !got.Available() || !x.Running(j) && got != others {
-				x.t.Errorf("%s: member %d holds member %d %v; it runs: %t", when, i, j, got, x.Running(j))
+		for j := range tier.n {
+			state := tier.StateOf(i, j).State
+			if tier.Running(j) && !state.Available() || !tier.Running(j) && state != stoppedState {
+				tier.t.Errorf("%s: member %d holds member %d %v; member runs: %t", phase, i, j, state, tier.Running(j))
 			}
 		}
 	}
 }
 
-// A killed member is held dead by all, and there again once it is back: its new life stands over what is believed of the
-// old one, though it remembers nothing, and also when it comes back within a period. Three in ten datagrams are lost.
-func TestKilledAndBack(t *testing.T) {
-	for _, away := range []time.Duration{20 * second, 100 * time.Millisecond} {
-		x := begin(t, 8, 0.3)
-		x.pass(10 * second)
-		old := x.StateOf(0, 3).Incarnation
-		x.Kill(3)
-		x.pass(away)
-		if away > second && x.StateOf(0, 3).State != membership.Dead {
-			t.Errorf("after %v it is held %v", away, x.StateOf(0, 3).State)
+// A killed member is held dead by all members, and available again after its restart: the incarnation of the new
+// process overrides what is known of the old one, although the new process remembers nothing, and also when it
+// restarts within one period. 30% of the datagrams are lost.
+func TestKilledMemberReturns(t *testing.T) {
+	for _, downtime := range []time.Duration{20 * second, 100 * time.Millisecond} {
+		tier := startTier(t, 8, 0.3)
+		tier.advance(10 * second)
+		oldIncarnation := tier.StateOf(0, 3).Incarnation
+		tier.Kill(3)
+		tier.advance(downtime)
+		if downtime > second && tier.StateOf(0, 3).State != membership.Dead {
+			t.Errorf("after %v the killed member is held %v", downtime, tier.StateOf(0, 3).State)
 		}
-		if err := x.Start(3); err != nil {
+		if err := tier.Start(3); err != nil {
 			t.Fatal(err)
 		}
-		x.loss = 0
-		x.pass(8 * second)
-		x.agree("back", membership.Dead)
-		if now := x.StateOf(0, 3).Incarnation; now <= old {
-			t.Errorf("incarnation %d after %d", now, old)
+		tier.loss = 0
+		tier.advance(8 * second)
+		tier.expectAgreement("after restart", membership.Dead)
+		if incarnation := tier.StateOf(0, 3).Incarnation; incarnation <= oldIncarnation {
+			t.Errorf("incarnation %d after %d", incarnation, oldIncarnation)
 		}
 	}
 }
 
-// A member that started anew with its clock set back hears of its earlier life and goes above it; else nobody would
-// believe it to be there until its clock has caught up.
-func TestClockSetBack(t *testing.T) {
-	x := begin(t, 4, 0)
-	x.pass(5 * second)
-	old := x.StateOf(0, 3).Incarnation
-	x.Kill(3)
-	x.pass(10 * second)
-	x.Skew(3, -time.Hour)
-	if err := x.Start(3); err != nil {
+// A member that restarts with its clock set back receives the higher incarnation of its earlier process and chooses
+// one above it. Otherwise no member would hold it available until its clock has caught up.
+func TestRestartWithClockSetBack(t *testing.T) {
+	tier := startTier(t, 4, 0)
+	tier.advance(5 * second)
+	oldIncarnation := tier.StateOf(0, 3).Incarnation
+	tier.Kill(3)
+	tier.advance(10 * second)
+	tier.Skew(3, -time.Hour)
+	if err := tier.Start(3); err != nil {
 		t.Fatal(err)
 	}
-	x.pass(5 * second)
-	x.agree("clock set back", membership.Dead)
-	if now := x.StateOf(0, 3).Incarnation; now <= old {
-		t.Errorf("incarnation %d after %d", now, old)
+	tier.advance(5 * second)
+	tier.expectAgreement("clock set back", membership.Dead)
+	if incarnation := tier.StateOf(0, 3).Incarnation; incarnation <= oldIncarnation {
+		t.Errorf("incarnation %d after %d", incarnation, oldIncarnation)
 	}
 }
 
-// While three of five are cut from the other two, each side holds the other dead; the small side takes less of a cold
-// server's budget, the great one no more than its part; when they meet again, all are there.
+// During a partition into three and two of five members, each side holds the other dead. The members of the smaller
+// side reduce their quota of a cold server's budget, those of the larger side use no more than their own quota. After
+// the partition all members are available.
 func TestPartition(t *testing.T) {
-	x := begin(t, 5, 0)
-	x.pass(5 * second)
-	x.cut = func(from, to int) bool { return (from < 3) != (to < 3) }
-	x.pass(15 * second)
+	tier := startTier(t, 5, 0)
+	tier.advance(5 * second)
+	tier.cut = func(from, to int) bool { return (from < 3) != (to < 3) }
+	tier.advance(15 * second)
 	for m := range 5 {
-		v := x.Member(m).View()
+		view := tier.Member(m).View()
 		want := map[bool]membership.View{true: {TierSize: 5, Available: 3, Down: 2}, false: {TierSize: 5, Available: 2, Down: 3}}[m < 3]
-		if v != want || v.Majority() != (m < 3) || v.ColdQuotaFactor() != map[bool]float64{true: 1, false: 0.4}[m < 3] {
-			t.Errorf("member %d: %+v, majority %t, cold share %v", m, v, v.Majority(), v.ColdQuotaFactor())
+		if view != want || view.Majority() != (m < 3) || view.ColdQuotaFactor() != map[bool]float64{true: 1, false: 0.4}[m < 3] {
+			t.Errorf("member %d: %+v, majority %t, cold quota factor %v", m, view, view.Majority(), view.ColdQuotaFactor())
 		}
 	}
-	x.cut = nil
-	x.pass(10 * second)
-	x.agree("healed", membership.Dead)
+	tier.cut = nil
+	tier.advance(10 * second)
+	tier.expectAgreement("healed", membership.Dead)
 }
 
-// A member that hears of nobody since its start is careful: it may be on the small side of a cut.
-func TestAloneIsCareful(t *testing.T) {
-	x := begin(t, 4, 1)
-	if got := x.Member(0).View().ColdQuotaFactor(); got != 0.25 {
-		t.Errorf("at the start %v", got)
+// A member that has received nothing since its start takes a reduced cold quota: it may be on the smaller side of a
+// partition.
+func TestIsolatedMemberTakesReducedColdQuota(t *testing.T) {
+	tier := startTier(t, 4, 1)
+	if factor := tier.Member(0).View().ColdQuotaFactor(); factor != 0.25 {
+		t.Errorf("cold quota factor at the start: %v", factor)
 	}
-	x.pass(20 * second)
-	if got := x.Member(0).View().ColdQuotaFactor(); got != 0.25 {
-		t.Errorf("after 20 s alone %v", got)
+	tier.advance(20 * second)
+	if factor := tier.Member(0).View().ColdQuotaFactor(); factor != 0.25 {
+		t.Errorf("cold quota factor after 20 s of isolation: %v", factor)
 	}
 }
 
-// Where one member's datagrams are lost and it hears the others, it is held dead while that lasts, and no other is; it
-// holds them all there, and is back soon after.
-func TestOneWay(t *testing.T) {
-	x := begin(t, 6, 0)
-	x.pass(5 * second)
-	x.cut = func(from, to int) bool { return from == 0 }
-	x.pass(20 * second)
+// If all datagrams of one member are lost while it receives those of the others, only that member is held dead, and
+// it holds all others available. After the fault it is available again.
+func TestOneWayLoss(t *testing.T) {
+	tier := startTier(t, 6, 0)
+	tier.advance(5 * second)
+	tier.cut = func(from, to int) bool { return from == 0 }
+	tier.advance(20 * second)
 	for i := 1; i < 6; i++ {
 		for j := range 6 {
-			if got := x.StateOf(i, j).State; (got == membership.Dead) != (j == 0) {
-				t.Errorf("member %d holds member %d %v", i, j, got)
+			if state := tier.StateOf(i, j).State; (state == membership.Dead) != (j == 0) {
+				t.Errorf("member %d holds member %d %v", i, j, state)
 			}
 		}
 	}
-	x.cut = nil
-	x.pass(10 * second)
-	x.agree("healed", membership.Dead)
+	tier.cut = nil
+	tier.advance(10 * second)
+	tier.expectAgreement("healed", membership.Dead)
 }
 
-// A link that comes and goes leaves every member there in the end, and those that it doesn't concern all along.
-func TestFlapping(t *testing.T) {
-	x := begin(t, 6, 0.1)
-	x.pass(5 * second)
-	x.OnChange = func(_ swarm.Time, observer int, c membership.StateChanged) {
+// A link that fails and recovers repeatedly leaves all members available in the end. Members that do not use the link
+// are available all the time.
+func TestFlappingLink(t *testing.T) {
+	tier := startTier(t, 6, 0.1)
+	tier.advance(5 * second)
+	tier.OnChange = func(_ swarm.Time, observer int, c membership.StateChanged) {
 		if c.New == membership.Dead && observer != 0 && c.Member != 0 {
 			t.Errorf("member %d holds member %d dead", observer, c.Member)
 		}
 	}
 	for i := range 20 {
-		x.cut = nil
+		tier.cut = nil
 		if i%2 == 0 {
-			x.cut = func(from, to int) bool { return from == 0 || to == 0 }
+			tier.cut = func(from, to int) bool { return from == 0 || to == 0 }
 		}
-		x.pass(second)
+		tier.advance(second)
 	}
-	x.pass(8 * second)
-	x.agree("after 20 s of flapping", membership.Dead)
+	tier.advance(8 * second)
+	tier.expectAgreement("after 20 s of flapping", membership.Dead)
 }
 
-// A member that stood still past its suspicion time-out comes back with what it believed before, and with probes and
-// suspicions whose time is up by its clock. It notices, holds nobody dead for it, and is there again for all.
-func TestPausedPastItsSuspicion(t *testing.T) {
-	x := begin(t, 6, 0.1)
-	x.pass(10 * second)
-	x.cut = func(from, to int) bool { return to == 5 } // what it waits for now will have run out
-	x.pass(1500 * time.Millisecond)
-	x.Pause(5)
-	x.cut = nil
-	x.pass(20 * second)
-	if got := x.StateOf(0, 5).State; got != membership.Dead {
-		t.Errorf("while it stands still it is held %v", got)
-	}
-	x.OnChange = func(_ swarm.Time, observer int, c membership.StateChanged) {
+// A member that was paused beyond the suspicion time-out resumes with its old state, and with probes and suspicions
+// that have timed out by its clock. It detects the pause, declares no member dead because of it, and is available
+// again for all members.
+func TestPauseBeyondSuspicionTimeout(t *testing.T) {
+	tier := startTier(t, 6, 0.1)
+	tier.advance(10 * second)
+	tier.cut = func(from, to int) bool { return to == 5 } // its probes and suspicions will have timed out when it resumes
+	tier.advance(1500 * time.Millisecond)
+	tier.Pause(5)
+	tier.cut = nil
+	tier.advance(20 * second)
+	if state := tier.StateOf(0, 5).State; state != membership.Dead {
+		t.Errorf("the paused member is held %v", state)
+	}
+	tier.OnChange = func(_ swarm.Time, observer int, c membership.StateChanged) {
 		if c.New == membership.Dead && c.Member != 5 {
 			t.Errorf("member %d holds member %d dead", observer, c.Member)
 		}
 	}
-	x.Resume(5)
-	x.pass(8 * second)
-	if x.Member(5).Counters().Stalls == 0 {
-		t.Error("it noticed nothing")
+	tier.Resume(5)
+	tier.advance(8 * second)
+	if tier.Member(5).Counters().Stalls == 0 {
+		t.Error("the pause was not detected")
 	}
-	x.agree("back", membership.Dead)
+	tier.expectAgreement("after the pause", membership.Dead)
 }
 
-// A drain and an end in order are told, at once and without a suspicion; what has left stays so until it is back.
+// A drain and an orderly shutdown are announced at once and without a suspicion. A member that has left stays in that
+// state until it restarts.
 func TestDrainAndLeave(t *testing.T) {
-	x := begin(t, 8, 0)
-	x.pass(8 * second)
-	x.Inject(2, membership.Drain{On: true})
-	x.pass(4 * second)
-	if got := x.StateOf(5, 2).State; got != membership.Draining {
-		t.Errorf("held %v while it drains", got)
-	}
-	x.Inject(2, membership.Leave{})
-	x.Kill(2)
-	x.pass(4 * second)
-	x.agree("left", membership.Left)
-	if n := x.Counters().Deaths; n != 0 {
-		t.Errorf("%d held dead", n)
+	tier := startTier(t, 8, 0)
+	tier.advance(8 * second)
+	tier.Inject(2, membership.Drain{On: true})
+	tier.advance(4 * second)
+	if state := tier.StateOf(5, 2).State; state != membership.Draining {
+		t.Errorf("the draining member is held %v", state)
+	}
+	tier.Inject(2, membership.Leave{})
+	tier.Kill(2)
+	tier.advance(4 * second)
+	tier.expectAgreement("after leaving", membership.Left)
+	if deaths := tier.Counters().Deaths; deaths != 0 {
+		t.Errorf("%d deaths", deaths)
 	}
 }
 
-// However many start at once, and whatever they have to tell, each sends a few datagrams a period, of 256 bytes at most.
-func TestNoStorm(t *testing.T) {
-	x := begin(t, 270, 0)
-	x.pass(5 * second)
+// When all members start together, and have many updates to send, each sends only a few datagrams a period, of at
+// most 256 bytes.
+func TestSimultaneousRestartCausesNoStorm(t *testing.T) {
+	tier := startTier(t, 270, 0)
+	tier.advance(5 * second)
 	for m := range 270 {
-		x.Kill(m)
+		tier.Kill(m)
 	}
-	before := x.Counters()
-	x.pass(second)
+	before := tier.Counters()
+	tier.advance(second)
 	for m := range 270 {
-		x.Start(m)
+		tier.Start(m)
 	}
-	x.pass(10 * second)
-	f := x.Counters()
-	n := f.Sent - before.Sent
-	if each := float64(n) / 270 / 10; each > 12 {
-		t.Errorf("%.1f datagrams a member and second", each)
+	tier.advance(10 * second)
+	after := tier.Counters()
+	sent := after.Sent - before.Sent
+	if rate := float64(sent) / 270 / 10; rate > 12 {
+		t.Errorf("%.1f datagrams per member and second", rate)
 	}
-	if size := (f.SentBytes - before.SentBytes) / n; size > datagram.MaxSize {
-		t.Errorf("%d bytes a datagram", size)
+	if size := (after.SentBytes - before.SentBytes) / sent; size > datagram.MaxSize {
+		t.Errorf("%d bytes per datagram", size)
 	}
-	x.pass(60 * second)
-	x.agree("restarted at once", membership.Dead)
+	tier.advance(60 * second)
+	tier.expectAgreement("after simultaneous restart", membership.Dead)
 }
 
-// Datagrams that are damaged, cut short, too long, of another version or tier, or from nobody are counted, change
-// nothing and are not answered; so is one with an incarnation that no clock will reach.
-func TestDropped(t *testing.T) {
+// Datagrams that are damaged, truncated, too long, of another version or tier, or from an unknown sender are counted,
+// change no state and are not answered. The same holds for a datagram with an incarnation far ahead of the clock.
+func TestInvalidDatagramsDropped(t *testing.T) {
 	limits := membership.Defaults()
-	fresh := func(self, tier int) (*membership.Reducer, []byte) {
-		r, out, err := membership.New(membership.Config{Self: self, TierSize: tier, Limits: limits}, swarm.Epoch)
+	newMember := func(self, tierSize int) (*membership.Reducer, []byte) {
+		r, effects, err := membership.New(membership.Config{Self: self, TierSize: tierSize, Limits: limits}, swarm.Epoch)
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, e := range r.Step(swarm.Epoch+second/2, membership.TimerFired{Token: out[0].(membership.Timer).Token}) {
+		for _, e := range r.Step(swarm.Epoch+second/2, membership.TimerFired{Token: effects[0].(membership.Timer).Token}) {
 			if s, ok := e.(membership.Send); ok {
 				return r, s.Data
 			}
 		}
-		t.Fatal("no probe")
+		t.Fatal("the first period sent no probe")
 		return nil, nil
 	}
-	r, _ := fresh(0, 2)
-	_, good := fresh(1, 2)
-	_, other := fresh(1, 3)
-	late, _, _ := membership.New(membership.Config{Self: 1, TierSize: 2, Limits: limits}, swarm.Epoch+1000*time.Hour)
-	late.Step(swarm.Epoch+1000*time.Hour, membership.Datagram{From: 0, Data: good})
-	var future []byte
-	for _, e := range late.Step(swarm.Epoch+1000*time.Hour, membership.Datagram{From: 0, Data: good}) {
-		future = e.(membership.Send).Data
-	}
-	version := append([]byte(nil), good...)
-	version[0]++
+	r, _ := newMember(0, 2)
+	_, valid := newMember(1, 2)
+	_, otherTier := newMember(1, 3)
+	ahead, _, _ := membership.New(membership.Config{Self: 1, TierSize: 2, Limits: limits}, swarm.Epoch+1000*time.Hour)
+	ahead.Step(swarm.Epoch+1000*time.Hour, membership.Datagram{From: 0, Data: valid})
+	var farAhead []byte
+	for _, e := range ahead.Step(swarm.Epoch+1000*time.Hour, membership.Datagram{From: 0, Data: valid}) {
+		farAhead = e.(membership.Send).Data
+	}
+	otherVersion := append([]byte(nil), valid...)
+	otherVersion[0]++
 	cases := []struct {
-		name string
-		from int
-		data []byte
-		what func(membership.Counters) uint64
+		name    string
+		from    int
+		data    []byte
+		counter func(membership.Counters) uint64
 	}{
-		{"nothing", 1, nil, func(f membership.Counters) uint64 { return f.Malformed }},
-		{"too long", 1, append(append([]byte(nil), good...), make([]byte, 256)...), func(f membership.Counters) uint64 { return f.Malformed }},
-		{"the future", 1, future, func(f membership.Counters) uint64 { return f.Malformed }},
-		{"a version", 1, datagram.FixChecksum(version), func(f membership.Counters) uint64 { return f.VersionMismatches }},
-		{"another tier", 1, other, func(f membership.Counters) uint64 { return f.UnknownSenders }},
-		{"nobody", 2, good, func(f membership.Counters) uint64 { return f.UnknownSenders }},
-	}
-	for i := range good {
-		flipped := append([]byte(nil), good...)
-		flipped[i] ^= 0x10
+		{"empty", 1, nil, func(counters membership.Counters) uint64 { return counters.Malformed }},
+		{"too long", 1, append(append([]byte(nil), valid...), make([]byte, 256)...), func(counters membership.Counters) uint64 { return counters.Malformed }},
+		{"incarnation far ahead", 1, farAhead, func(counters membership.Counters) uint64 { return counters.Malformed }},
+		{"other version", 1, datagram.FixChecksum(otherVersion), func(counters membership.Counters) uint64 { return counters.VersionMismatches }},
+		{"other tier", 1, otherTier, func(counters membership.Counters) uint64 { return counters.UnknownSenders }},
+		{"unknown sender", 2, valid, func(counters membership.Counters) uint64 { return counters.UnknownSenders }},
+	}
+	for i := range valid {
+		damaged := append([]byte(nil), valid...)
+		damaged[i] ^= 0x10
 		cases = append(cases, struct {
-			name string
-			from int
-			data []byte
-			what func(membership.Counters) uint64
-		}{"damaged", 1, flipped, func(f membership.Counters) uint64 { return f.Malformed }}, struct {
-			name string
-			from int
-			data []byte
-			what func(membership.Counters) uint64
-		}{"cut short", 1, good[:i], func(f membership.Counters) uint64 { return f.Malformed }})
+			name    string
+			from    int
+			data    []byte
+			counter func(membership.Counters) uint64
+		}{"damaged", 1, damaged, func(counters membership.Counters) uint64 { return counters.Malformed }}, struct {
+			name    string
+			from    int
+			data    []byte
+			counter func(membership.Counters) uint64
+		}{"truncated", 1, valid[:i], func(counters membership.Counters) uint64 { return counters.Malformed }})
 	}
 	for _, c := range cases {
-		before := c.what(r.Counters())
-		out := r.Step(swarm.Epoch+second/2, membership.Datagram{From: c.from, Data: c.data})
-		if c.what(r.Counters()) != before+1 || len(out) > 0 || r.Members()[1].State != membership.Unknown {
-			t.Errorf("%s: figures %+v, effects %v", c.name, r.Counters(), out)
+		before := c.counter(r.Counters())
+		effects := r.Step(swarm.Epoch+second/2, membership.Datagram{From: c.from, Data: c.data})
+		if c.counter(r.Counters()) != before+1 || len(effects) > 0 || r.Members()[1].State != membership.Unknown {
+			t.Errorf("%s: counters %+v, effects %v", c.name, r.Counters(), effects)
 		}
 	}
-	if out := r.Step(swarm.Epoch+second/2, membership.Datagram{From: 1, Data: good}); len(out) == 0 || r.Members()[1].State != membership.Alive {
-		t.Error("a good one is not taken")
+	if effects := r.Step(swarm.Epoch+second/2, membership.Datagram{From: 1, Data: valid}); len(effects) == 0 || r.Members()[1].State != membership.Alive {
+		t.Error("a valid datagram is not accepted")
 	}
 }
 
-// FuzzDatagram: whatever comes, the reducer stands, and no effect breaks the size.
+// FuzzDatagram checks that no datagram makes the reducer panic or send a datagram over the maximum size.
 func FuzzDatagram(f *testing.F) {
 	f.Add([]byte{1, 0x87, 0, 2, 0, 0, 1, 1, 0x80})
 	f.Fuzz(func(t *testing.T, data []byte) {
-		r, _, err := membership.New(membership.Config{Self: 0, TierSize: 5, Limits: membership.Defaults()}, swarm.Epoch)
+		reducer, _, err := membership.New(membership.Config{Self: 0, TierSize: 5, Limits: membership.Defaults()}, swarm.Epoch)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for _, d := range [][]byte{data, datagram.FixChecksum(append(append([]byte(nil), data...), 0, 0, 0, 0))} {
-			for _, e := range r.Step(swarm.Epoch+second, membership.Datagram{From: 1, Data: d}) {
+			for _, e := range reducer.Step(swarm.Epoch+second, membership.Datagram{From: 1, Data: d}) {
 				if s, ok := e.(membership.Send); ok && len(s.Data) > datagram.MaxSize {
-					t.Errorf("a datagram of %d bytes", len(s.Data))
+					t.Errorf("datagram of %d bytes", len(s.Data))
 				}
 			}
 		}
 	})
 }
 
-// Limits that make no sense are named.
-func TestLimits(t *testing.T) {
-	for field, spoil := range map[string]func(*membership.Limits){
+// Check names the invalid limit.
+func TestLimitsCheck(t *testing.T) {
+	for field, invalidate := range map[string]func(*membership.Limits){
 		"period":        func(l *membership.Limits) { l.Period = 0 },
 		"timeout":       func(l *membership.Limits) { l.Timeout = l.Period },
 		"suspicion_min": func(l *membership.Limits) { l.SuspicionMin = 0 },
 		"datagram":      func(l *membership.Limits) { l.MaxDatagram = 257 },
 	} {
 		l := membership.Defaults()
-		spoil(&l)
+		invalidate(&l)
 		if err := l.Check(); err == nil || err.Error()[:len(field)] != field {
 			t.Errorf("%s: %v", field, err)
 		}
 	}
 }
 
-// Where three in ten datagrams are lost, suspicions are many and nobody comes to be held dead: who suspects a member tells it
-// each period, and it refutes at once.
-func TestLossKillsNobody(t *testing.T) {
+// Under a loss of 30% of the datagrams there are many suspicions and no false death: the members that suspect a
+// member send it the suspicion every period, and it refutes at once.
+func TestLossCausesNoFalseDeaths(t *testing.T) {
 	suspicions := uint64(0)
 	for _, n := range []int{5, 8, 12} {
 		for seed := range uint64(8) {
-			o, err := swarm.Experiment{Members: n, Limits: membership.Defaults(), Seed: seed, Loss: 0.3, MaxDelay: 5 * time.Millisecond,
+			outcome, err := swarm.Experiment{Members: n, Limits: membership.Defaults(), Seed: seed, Loss: 0.3, MaxDelay: 5 * time.Millisecond,
 				WarmUp: 10 * second, Measured: 60 * second}.Run()
-			if err != nil || o.FalseDeaths > 0 {
-				t.Errorf("%d members, seed %d: %d held dead, %v", n, seed, o.FalseDeaths, err)
+			if err != nil || outcome.FalseDeaths > 0 {
+				t.Errorf("%d members, seed %d: %d false deaths, error %v", n, seed, outcome.FalseDeaths, err)
 			}
-			suspicions += o.Suspicions
+			suspicions += outcome.Suspicions
 		}
 	}
 	if suspicions < 100 {
-		t.Errorf("%d suspicions: nothing was put to the test", suspicions)
+		t.Errorf("only %d suspicions: the test covers too little", suspicions)
 	}
 }
 
-// A member that does badly itself does not have others held dead for it: 8 of 32 stand still for 4 s of every 5 s.
-func TestBadHealthIsNotContagious(t *testing.T) {
+// A member in bad health does not cause others to be declared dead: 8 of 32 members are paused for 4 s of every 5 s.
+// The variant that disables the protection has false deaths.
+func TestPausedMembersCauseNoFalseDeaths(t *testing.T) {
 	limits := membership.Defaults()
-	for _, c := range []struct {
+	for _, variant := range []struct {
 		change func(*membership.Limits)
 		deaths bool
 	}{{func(*membership.Limits) {}, false}, {swarm.Variants[0].Change, true}} {
 		l := limits
-		c.change(&l)
+		variant.change(&l)
 		deaths := 0
 		for seed := range uint64(2) {
-			o, err := swarm.Experiment{Members: 32, Limits: l, Seed: seed + 1, MaxDelay: 5 * time.Millisecond, WarmUp: 10 * second, Measured: 60 * second,
+			outcome, err := swarm.Experiment{Members: 32, Limits: l, Seed: seed + 1, MaxDelay: 5 * time.Millisecond, WarmUp: 10 * second, Measured: 60 * second,
 				Impaired: 8, PauseDuration: 4 * second, PauseInterval: 5 * second}.Run()
 			if err != nil {
 				t.Fatal(err)
 			}
-			deaths += o.FalseDeaths
+			deaths += outcome.FalseDeaths
 		}
-		if (deaths > 0) != c.deaths {
-			t.Errorf("%+v: %d held dead", l, deaths)
+		if (deaths > 0) != variant.deaths {
+			t.Errorf("limits %+v: %d false deaths", l, deaths)
 		}
 	}
 }
--- a/internal/membership/reducer.go
+++ b/internal/membership/reducer.go
@@ -11,82 +11,84 @@
 	"elmseam/internal/datagram"
 )
 
-// Config is what a member is told.
+// Config configures the reducer of one member.
 type Config struct {
-	Self, TierSize int // the own number, and how many members there are
+	Self, TierSize int // index of this member, and number of members of the tier
 	Limits         Limits
 	Seed           uint64
-	DisabledGuards Guard // taken out, for checks that have to see a rule broken; no program sets it
+	DisabledGuards Guard // guards that a check switches off to see a rule violated; no program sets it
 }
 
-// Guard names a part of the protocol that a check can take out.
+// Guard is a part of the protocol that a check can switch off.
 type Guard uint8
 
 // The guards.
 const (
-	GuardRefute  Guard = 1 << iota // a member refutes what is not so of it
-	GuardSuspect                   // a probe that failed makes a suspect
+	GuardRefute  Guard = 1 << iota // a member refutes false information about itself
+	GuardSuspect                   // a failed probe starts a suspicion
 )
 
+// guardEnabled reports whether a guard is in force.
 func (r *Reducer) guardEnabled(g Guard) bool { return r.cfg.DisabledGuards&g == 0 }
 
-// probe is the one under way.
+// probe is the current probe of this member.
 type probe struct {
 	Target         int
 	Seq            uint32
 	Acked          bool
-	Intermediaries []int // to probe for us
-	Nacked         []int // of those: there, but with no answer either
+	Intermediaries []int // members asked to probe on this member's behalf
+	Nacked         []int // intermediaries that are alive but got no answer either
 }
 
-// relay is a probe made for another member.
+// relayedProbe is a probe on behalf of another member.
 type relayedProbe struct {
-	Seq, RequesterSeq uint32
+	Seq, RequesterSeq uint32 // sequence numbers of this probe and of the request
 	Requester, Target int
-	Acked, NackSent   bool // its end was told
+	Acked, NackSent   bool
 }
 
-// suspicion of a member. By are who suspects it, each by an observation of its own.
+// suspicion is a running suspicion of a member.
 type suspicion struct {
 	StartedAt Time
-	Observers []int
+	Observers []int // members that suspect it, each by its own observation
 }
 
-// pending is an update that is being passed on.
+// queuedUpdate is an update to be sent with the next datagrams.
 type queuedUpdate struct {
 	update
 	Transmissions int
-	Seq           uint64
+	Seq           uint64 // order in which updates were queued
 }
 
-// Reducer is one member's part in the protocol. It is not safe for concurrent use.
+// Reducer runs the protocol for one member. It is not safe for concurrent use.
 type Reducer struct {
 	cfg              Config
 	now              Time
 	rng              *rand.Rand
 	effects          []Effect
-	members          []Member // the own entry is what this member says of itself
-	suspicions       []*suspicion
+	members          []Member     // by index; the entry of this member is what it announces of itself
+	suspicions       []*suspicion // by index; nil: not suspected
 	updateQueue      []queuedUpdate
 	lastUpdateSeq    uint64
-	health           int // the local health multiplier, 0 the best
+	health           int // local health multiplier; 0 is the best
 	lastSeq          uint32
-	probeOrder       []int // still to be probed, in a random order
-	nextPeriodAt     Time  // when the next period begins
+	probeOrder       []int // members still to be probed in this round, in a random order
+	nextPeriodAt     Time
 	periodCount      uint32
 	probe            *probe
 	relayedProbes    []relayedProbe
-	synced           bool // has the list of another since the start, or the last doubt
-	lastSyncPeriod   uint32
-	syncCursor       int // where the next list told begins
+	synced           bool   // has received another member's list since the start, the last pause or the last sign of a healed partition
+	lastSyncPeriod   uint32 // period of the last kindSyncRequest; 0: none was sent
+	syncCursor       int    // index at which the next list sent begins
 	hasLeft          bool
 	counters         Counters
-	maxTransmissions int
+	maxTransmissions int // of each update
 }
 
-// New begins a member's part. Its incarnation is the time, in milliseconds since the Unix epoch: a member has no disk,
-// and what it was before it started anew must be older. Effects begin the first period, at a random moment of it, so
-// that a tier that starts at once does not probe at once.
+// New returns the reducer of a member and its first effects. The incarnation of the member is the time in
+// milliseconds since the Unix epoch: a member has no disk, and its earlier incarnations must have lower numbers. The
+// first period begins at a random time within one period, so that a tier whose members start together does not probe
+// in step.
 func New(cfg Config, now Time) (*Reducer, []Effect, error) {
 	switch {
 	case cfg.TierSize < 1 || cfg.TierSize > math.MaxUint16:
@@ -107,8 +109,8 @@
 	return r, r.takeEffects(), nil
 }
 
-// Step takes in one event. The effects are to be carried out in their order. A time before that of the last Step counts
-// as the last one's.
+// Step handles one event and returns the effects, to be carried out in their order. A time before that of the
+// previous Step counts as the time of the previous Step.
 func (r *Reducer) Step(now Time, ev Event) []Effect {
 	r.now = max(now, r.now)
 	if stall := r.cfg.Limits.StallThreshold; stall > 0 && r.now > r.nextPeriodAt+stall && !r.hasLeft {
@@ -127,6 +129,7 @@
 	return r.takeEffects()
 }
 
+// takeEffects returns the effects collected so far and clears them.
 func (r *Reducer) takeEffects() []Effect {
 	effects := r.effects
 	r.effects = nil
@@ -137,22 +140,23 @@
 func (r *Reducer) self() *Member   { return &r.members[r.cfg.Self] }
 func (r *Reducer) nextSeq() uint32 { r.lastSeq++; return r.lastSeq }
 
-// scaled is a time stretched by the local health multiplier: a member that does badly itself gives others longer
-// (Lifeguard, LHA-Probe).
+// scaleByHealth multiplies a time by the local health multiplier plus one: a member in bad health gives other members
+// more time (Lifeguard, LHA-Probe).
 func (r *Reducer) scaleByHealth(d time.Duration) time.Duration { return d * time.Duration(r.health+1) }
 
-// feel moves the local health multiplier: up for the worse.
+// adjustHealth changes the local health multiplier by delta; a positive delta means worse health.
 func (r *Reducer) adjustHealth(delta int) {
 	r.health = min(max(r.health+delta, 0), r.cfg.Limits.MaxHealth)
 }
 
-// begin asks for the next period.
+// schedulePeriod requests the timer of the next period.
 func (r *Reducer) schedulePeriod(delay time.Duration) {
 	r.periodCount++
 	r.nextPeriodAt = r.now + delay
 	r.emit(Timer{At: r.nextPeriodAt, Token: Token{kind: tokenPeriod, seq: r.periodCount}})
 }
 
+// handleTimer handles a timer that fired. Outdated timers are ignored.
 func (r *Reducer) handleTimer(token Token) {
 	switch token.kind {
 	case tokenPeriod:
@@ -175,7 +179,7 @@
 	}
 }
 
-// period ends the last probe and begins the next.
+// runPeriod concludes the probe of the last period and starts the next one.
 func (r *Reducer) runPeriod() {
 	if p := r.probe; p != nil {
 		r.probe = nil
@@ -194,8 +198,8 @@
 	r.schedulePeriod(r.scaleByHealth(r.cfg.Limits.Period))
 }
 
-// next is the member to be probed: each once a round, in an order drawn anew for each, so that a failure is seen by
-// somebody soon and by each within two rounds (SWIM 4.3).
+// nextTarget returns the member to be probed next. Each member is probed once a round, in an order that is shuffled
+// anew for each round, so that some member detects a failure soon and every member does within two rounds (SWIM 4.3).
 func (r *Reducer) nextTarget() (int, bool) {
 	for range 2 {
 		for len(r.probeOrder) > 0 {
@@ -215,9 +219,9 @@
 	return 0, false
 }
 
-// indirect asks others to probe: the way from here may be at fault (SWIM 3.1). The direct probe goes out once more as
-// well: where datagrams are lost, that halves what is held failed, for the price of one (memberlist tries TCP then; there is
-// none between softswitches).
+// probeIndirectly asks other members to probe the target, as the path from this member to it may be at fault (SWIM
+// 3.1). The direct probe is sent once more too: under datagram loss that halves the number of probes that fail, at
+// the price of one datagram. (memberlist tries TCP at this point; there is no TCP between softswitches.)
 func (r *Reducer) probeIndirectly(p *probe) {
 	r.send(p.Target, message{Kind: kindPing, Seq: p.Seq})
 	p.Intermediaries = r.randomAvailable(r.cfg.Limits.Indirect, p.Target)
@@ -227,7 +231,7 @@
 	}
 }
 
-// some are so many members that are there, drawn at random, without one of them.
+// randomAvailable returns up to count randomly chosen available members, without this member and without excluded.
 func (r *Reducer) randomAvailable(count, excluded int) []int {
 	var candidates []int
 	for m := range r.members {
@@ -239,8 +243,8 @@
 	return candidates[:min(count, len(candidates))]
 }
 
-// judge takes in how a probe ended. Where those that were asked are silent as well, the fault is likely here
-// (Lifeguard, LHA-Probe).
+// concludeProbe evaluates a probe at the end of its period. If the intermediaries did not answer either, the fault is
+// likely on this member's side, and its health gets worse (Lifeguard, LHA-Probe).
 func (r *Reducer) concludeProbe(p *probe) {
 	if p.Acked {
 		r.adjustHealth(-1)
@@ -257,8 +261,9 @@
 	}
 }
 
-// insist probes again, once a period, those whom this member suspects by what it saw itself, a few at a time. Each goes
-// with the suspicion, so that one answer refutes it; no more than the first K+1 who suspect a member do so.
+// reprobeSuspects probes again, once a period, a few of the members that this member suspects by its own observation.
+// The probe carries the suspicion, so one answer refutes it. At most the first K+1 members that suspect a member do
+// this.
 func (r *Reducer) reprobeSuspects() {
 	var suspects []int
 	for index, s := range r.suspicions {
@@ -272,11 +277,11 @@
 	}
 }
 
-// insisted are how many suspects are probed again in a period.
+// maxReprobes is the maximum number of suspects that are probed again in one period.
 const maxReprobes = 3
 
-// reclaim probes a member that is held dead: it may be there and not know what is said of it, as after a partition.
-// What is held of it goes with the probe, so that it refutes before it answers.
+// probeDead probes one of the members held dead: that member may be alive and not know that it was declared dead, as
+// after a partition. The probe carries the state that this member holds of it, so that it refutes before it answers.
 func (r *Reducer) probeDead() {
 	var dead []int
 	for m := range r.members {
@@ -289,9 +294,10 @@
 	}
 }
 
-// woke notices that this member itself stood still: its own timer is late. What it waited for meanwhile it could not
-// hear, so no probe is held failed for it and every suspicion gets its whole time again, and it asks for the news.
-// Lifeguard learns that only by a refutation of its own, when the damage to others is done.
+// handleStall handles a pause of this process, which shows as a late period timer. During the pause this member could
+// not receive anything, so the current probe does not count as failed, every suspicion starts again with its full
+// time-out, and the next member that answers is asked for its list. Lifeguard detects a pause only when the member
+// has to refute a suspicion of itself, after it has already suspected others falsely.
 func (r *Reducer) handleStall() {
 	r.counters.Stalls++
 	r.adjustHealth(1)
@@ -305,7 +311,8 @@
 	r.schedulePeriod(0)
 }
 
-// drain tells that this member sends its callers away, or takes them back: news of its own needs a new incarnation.
+// setDraining changes the own state to draining or back to alive, with a new incarnation, as other members accept a
+// change only with a higher one.
 func (r *Reducer) setDraining(on bool) {
 	self := r.self()
 	state := Alive
@@ -320,7 +327,7 @@
 	r.emit(StateChanged{Member: r.cfg.Self, Old: Alive + Draining - state, New: state, Incarnation: self.Incarnation})
 }
 
-// leave tells some members that this one ends in order.
+// leave announces to some members that this member shuts down in order.
 func (r *Reducer) leave() {
 	if r.hasLeft {
 		return
@@ -330,20 +337,20 @@
 	r.announceSelf(r.maxTransmissions)
 }
 
-// announce tells some members at once what this one says of itself; they pass it on.
+// announceSelf sends the own state to count members at once; they send it on.
 func (r *Reducer) announceSelf(count int) {
 	for _, m := range r.randomAvailable(count, r.cfg.Self) {
 		r.send(m, message{Kind: kindUpdates})
 	}
 }
 
-// datagram takes one in.
+// handleDatagram handles a received datagram: checks it, merges the sender's state and its updates, and responds.
 func (r *Reducer) handleDatagram(d Datagram) {
 	if d.From < 0 || d.From >= r.cfg.TierSize {
 		r.counters.UnknownSenders++
 		return
 	}
-	if d.From == r.cfg.Self { // by peers_all
+	if d.From == r.cfg.Self { // sent through peers_all, which reaches the sender too
 		return
 	}
 	msg, updates, err := decode(d.Data, r.cfg.TierSize, r.cfg.Limits.MaxDatagram)
@@ -374,12 +381,13 @@
 	r.respond(d.From, msg)
 }
 
-// beyond says whether an incarnation is further in the future than clocks differ: taken in, it could never be refuted.
+// tooFarAhead reports whether an incarnation is further in the future than clocks may differ. Such an incarnation,
+// once accepted, could never be refuted.
 func (r *Reducer) tooFarAhead(incarnation uint64) bool {
 	return incarnation > uint64((r.now+r.cfg.Limits.MaxSkew)/time.Millisecond)
 }
 
-// answer does what a datagram asks for.
+// respond does what a datagram requests.
 func (r *Reducer) respond(from int, msg message) {
 	target := int(msg.Target)
 	switch msg.Kind {
@@ -408,7 +416,7 @@
 	}
 }
 
-// acked takes in that a member answered: to a probe of ours, or to one made for another.
+// handleAck handles an answer to a probe of this member, or to a probe on behalf of another member.
 func (r *Reducer) handleAck(from int, msg message) {
 	if p := r.probe; p != nil && p.Seq == msg.Seq && int(msg.Target) == p.Target && (from == p.Target || slices.Contains(p.Intermediaries, from)) {
 		if !p.Acked {
@@ -429,7 +437,8 @@
 	}
 }
 
-// learn asks a member that is known to answer for its list, after a start or a doubt, and not again at once.
+// requestSync asks a member that has just answered for its list, if this member is not synced and has not asked in
+// the last 2·ReclaimPeriods periods.
 func (r *Reducer) requestSync(from int) {
 	if minPeriods := uint32(2 * r.cfg.Limits.ReclaimPeriods); r.synced || r.lastSyncPeriod > 0 && r.periodCount < r.lastSyncPeriod+minPeriods {
 		return
@@ -438,10 +447,11 @@
 	r.send(from, message{Kind: kindSyncRequest})
 }
 
-// parts are how many datagrams a list told may take at once. The next one asked for goes on from there.
+// maxSyncParts is the maximum number of datagrams sent for one kindSyncRequest. The answer to the next request
+// continues where the last one stopped.
 const maxSyncParts = 16
 
-// list tells a member all that is held, in parts that are each of use alone.
+// sendSync sends the states of all members to a member, in parts that are each usable alone.
 func (r *Reducer) sendSync(to int) {
 	var updates []update
 	for i := range r.members {
@@ -459,16 +469,16 @@
 	}
 }
 
-// Members are what is held of all, by number. What is returned is the caller's.
+// Members returns what this member knows of all members, by index. The caller owns the slice.
 func (r *Reducer) Members() []Member { return slices.Clone(r.members) }
 
-// Counters are the figures of now.
+// Counters returns the current counters.
 func (r *Reducer) Counters() Counters { return r.counters }
 
-// Health is the local health multiplier: 0 is the best.
+// Health returns the local health multiplier; 0 is the best.
 func (r *Reducer) Health() int { return r.health }
 
-// View sums up what is held.
+// View returns a summary of the states of all members.
 func (r *Reducer) View() View {
 	v := View{TierSize: r.cfg.TierSize}
 	for _, m := range r.members {
--- a/internal/membership/types.go
+++ b/internal/membership/types.go
@@ -1,11 +1,13 @@
-// Package membership decides who of a tier of softswitches is there, who has failed, and what to do while views
-// disagree. It is SWIM (Das, Gupta, Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group
-// Membership Protocol", DSN 2002) with Lifeguard (Dadgar, Phillips, Currey, "Lifeguard: Local Health Awareness for
-// More Accurate Failure Detection", DSN-W 2018), over datagrams of at most 256 bytes, for a tier whose members are
-// known from the start; what is kept and what is left out of both is in docs/MEMBERSHIP.md.
+// Package membership detects which softswitches of a tier are available and which have failed, and says what a member
+// may do while the members' views disagree. It implements SWIM (Das, Gupta, Motivala, "SWIM: Scalable
+// Weakly-consistent Infection-style Process Group Membership Protocol", DSN 2002) with the extensions of Lifeguard
+// (Dadgar, Phillips, Currey, "Lifeguard: Local Health Awareness for More Accurate Failure Detection", DSN-W 2018),
+// over datagrams of at most 256 bytes, for a tier whose members are configured from the start. docs/MEMBERSHIP.md
+// lists what is kept and what is left out of both.
 //
-// It is a reducer: it does no I/O, starts no goroutine and reads no clock. The same events at the same times have the
-// same effects, so it runs under the core, under a discrete-event harness and under the explorer alike.
+// The package is a reducer: it does no I/O, starts no goroutine and reads no clock. The same events at the same times
+// give the same effects, so the reducer runs under the core, under a discrete-event simulation and under the
+// state-space explorer alike.
 package membership
 
 import (
@@ -18,22 +20,23 @@
 // Time is an instant of the core's clock, counted from the Unix epoch. It never runs backwards.
 type Time = time.Duration
 
-// State is what one member holds of another.
+// State is the state of a member in the view of another member, or of the member itself.
 type State uint8
 
-// The states. A member that drains is there; one that has left said so itself.
+// The states of a member. Draining counts as available.
 const (
-	Unknown State = iota // not heard of since this start
+	Unknown State = iota // nothing is known of the member since this member's start
 	Alive
-	Draining // alive, and sends callers away
-	Suspect
-	Dead
-	Left
+	Draining // alive, and sending its callers away
+	Suspect  // did not answer a probe; declared dead when the suspicion times out
+	Dead     // declared failed
+	Left     // shut down in order, and announced that itself
 	numStates
 )
 
 var stateNames = [numStates]string{"unknown", "alive", "draining", "suspect", "dead", "left"}
 
+// String returns the name of the state, as /ops/members prints it.
 func (s State) String() string {
 	if s < numStates {
 		return stateNames[s]
@@ -41,30 +44,30 @@
 	return fmt.Sprintf("State(%d)", uint8(s))
 }
 
-// Available says whether a member in this state takes part.
+// Available reports whether a member in this state takes part in the tier: it is alive or draining.
 func (s State) Available() bool { return s == Alive || s == Draining }
 
-// Down says whether a member in this state is taken for out of work: it is not probed in turn.
+// Down reports whether a member in this state is dead or has left. Such a member is excluded from the regular probes.
 func (s State) Down() bool { return s == Dead || s == Left }
 
-// Limits are the protocol's times and counts. Check says which make no sense.
+// Limits are the times and counts of the protocol. Check reports an invalid value.
 type Limits struct {
-	Period         time.Duration // the protocol period T' (SWIM 3.1), one probe each
-	Timeout        time.Duration // of a direct probe, under Period
-	Indirect       int           // members k that are asked to probe for us
-	SuspicionMin   float64       // α: the least suspicion lasts α·max(1, log10 n) periods
-	SuspicionMax   float64       // β: and one that nobody confirms β times that; 1: no dynamic time-out
-	Confirm        int           // K: independent confirmations that bring it to the least
-	Retransmit     int           // λ: an update goes out λ·⌈log10(n+1)⌉ times
-	MaxHealth      int           // S: most of the local health multiplier; 0: no local health awareness
-	StallThreshold time.Duration // an own timer that is later than this tells of an own pause; 0: never
-	ReclaimPeriods int           // periods between probes of a member that is held dead
-	MaxDatagram    int           // bytes, at most
-	MaxRelays      int           // probes made for others at once
-	MaxSkew        time.Duration // an incarnation further ahead of the own clock than this is nonsense
+	Period         time.Duration // protocol period T' (SWIM 3.1); one probe starts in each
+	Timeout        time.Duration // time-out of a direct probe; shorter than Period
+	Indirect       int           // k, the number of members asked to probe on this member's behalf
+	SuspicionMin   float64       // α: the shortest suspicion time-out is α·max(1, log10 n) periods
+	SuspicionMax   float64       // β: the time-out without confirmations is β times the shortest; 1 makes it constant
+	Confirm        int           // K, the number of independent confirmations that bring the time-out to its minimum
+	Retransmit     int           // λ: each update is sent λ·⌈log10(n+1)⌉ times
+	MaxHealth      int           // S, the maximum of the local health multiplier; 0 disables local health awareness
+	StallThreshold time.Duration // a period timer that fires this much late shows that the process was paused; 0: never
+	ReclaimPeriods int           // periods between two probes of members held dead
+	MaxDatagram    int           // maximum size of a datagram, in bytes
+	MaxRelays      int           // maximum number of concurrent probes on behalf of other members
+	MaxSkew        time.Duration // an incarnation further ahead of this member's clock is rejected as malformed
 }
 
-// Defaults are limits for a tier of n members on the platform.
+// Defaults returns the limits for a tier on the platform.
 func Defaults() Limits {
 	return Limits{
 		Period: 500 * time.Millisecond, Timeout: 150 * time.Millisecond, Indirect: 3,
@@ -73,13 +76,13 @@
 	}
 }
 
-// Check names the first limit that makes no sense.
+// Check returns an error that names the first invalid limit, or nil.
 func (l Limits) Check() error {
 	switch {
 	case l.Period < 10*time.Millisecond || l.Period > time.Minute:
 		return fmt.Errorf("period: %v, not in [10ms, 1m]", l.Period)
 	case l.Timeout <= 0 || l.Timeout >= l.Period:
-		return fmt.Errorf("timeout: %v, not over 0 and under the period", l.Timeout)
+		return fmt.Errorf("timeout: %v, not over 0 and less than the period", l.Timeout)
 	case l.Indirect < 0 || l.Indirect > 16:
 		return fmt.Errorf("indirect: %d, not in [0, 16]", l.Indirect)
 	case !(l.SuspicionMin >= 1 && l.SuspicionMin <= 100):
@@ -99,27 +102,28 @@
 	case l.MaxDatagram < 64 || l.MaxDatagram > datagram.MaxSize:
 		return fmt.Errorf("datagram: %d, not in [64, %d]", l.MaxDatagram, datagram.MaxSize)
 	case l.MaxRelays < 1:
-		return fmt.Errorf("relays: %d, not over 0", l.MaxRelays)
+		return fmt.Errorf("relays: %d, not positive", l.MaxRelays)
 	case l.MaxSkew < time.Second:
-		return fmt.Errorf("skew: %v, under 1s", l.MaxSkew)
+		return fmt.Errorf("skew: %v, less than 1s", l.MaxSkew)
 	}
 	return nil
 }
 
-// Event is something that has happened; see the types below.
+// Event is an input of the reducer: one of the types below.
 type Event interface{ event() }
 
 type (
-	// Datagram came from a member, by its number in the tier. The bytes are not kept.
+	// Datagram was received from the member with index From. The reducer does not keep Data.
 	Datagram struct {
 		From int
 		Data []byte
 	}
-	// TimerFired is a timer that has come due.
+	// TimerFired reports that a timer requested by a Timer effect has fired.
 	TimerFired struct{ Token Token }
-	// Drain says that this member begins or ends a drain.
+	// Drain reports that this member starts (On) or ends a drain.
 	Drain struct{ On bool }
-	// Leave says that this member ends in order. Nothing but refusals of its own death follows.
+	// Leave reports that this member shuts down in order. After it the reducer starts no probe; its answers carry the state
+	// left, which overrides a death at the same incarnation.
 	Leave struct{}
 )
 
@@ -128,21 +132,21 @@
 func (Drain) event()      {}
 func (Leave) event()      {}
 
-// Effect is something to be carried out; see the types below.
+// Effect is an output of the reducer that the caller carries out: one of the types below.
 type Effect interface{ effect() }
 
 type (
-	// Send is a datagram to a member, by its number in the tier.
+	// Send sends a datagram to the member with index To.
 	Send struct {
 		To   int
 		Data []byte
 	}
-	// Timer asks for a Due. None is ever unset.
+	// Timer requests a TimerFired event with this token at a time. Timers are never cancelled.
 	Timer struct {
 		At    Time
 		Token Token
 	}
-	// StateChanged says that a member's state is another one now.
+	// StateChanged reports that the state of a member, possibly of this member itself, changed from Old to New.
 	StateChanged struct {
 		Member      int
 		Old, New    State
@@ -154,55 +158,46 @@
 func (Timer) effect()        {}
 func (StateChanged) effect() {}
 
-// Token says what a timer is for.
+// Token identifies the purpose of a timer.
 type Token struct {
 	kind   tokenKind
-	seq    uint32
-	member int
+	seq    uint32 // of the period, the probe or the relayed probe
+	member int    // index of the suspected member
 }
 
+// tokenKind is the purpose of a timer.
 type tokenKind uint8
 
 const (
-	tokenPeriod       tokenKind = iota // a protocol period begins
-	tokenProbeTimeout                  // the direct probe has had its time
-	tokenSuspicion                     // a suspicion may be over
-	tokenRelayTimeout                  // a probe made for another has had most of its time
+	tokenPeriod       tokenKind = iota // the next protocol period begins
+	tokenProbeTimeout                  // the direct probe timed out
+	tokenSuspicion                     // a suspicion may have timed out
+	tokenRelayTimeout                  // a probe on behalf of another member timed out: a nack is due
 )
 
-// Member is what is held of a member.
+// Member is what this member knows of a member.
 type Member struct {
 	State        State
 	Incarnation  uint64
-	LastReceived Time // of its last datagram; 0: none came
-	Since        Time // of its state
+	LastReceived Time // time of the last datagram from the member; 0: none was received
+	Since        Time // time since which the member is in State
 }
 
 // Counters count what the protocol has done since the start.
 type Counters struct {
-	Probes            uint64 // direct
-	Indirect          uint64 // members asked to probe for us
-	Acks              uint64 // answers to probes of ours
-	Nacks             uint64 // and words that a member asked has had none
-	Failed            uint64 // probes that nobody answered
-	Suspicions        uint64 // begun here or heard of
-	Deaths            uint64 // members that came to be held dead
-	Refutations       uint64 // of what was said of this member
-	Stalls            uint64 // own pauses that were noticed
-	Sent              uint64 // datagrams
+	Probes            uint64 // direct probes sent
+	Indirect          uint64 // requests to other members to probe on this member's behalf
+	Acks              uint64 // probes of this member that were answered
+	Nacks             uint64 // negative answers of members asked to probe: the target did not answer them either
+	Failed            uint64 // probes without any answer
+	Suspicions        uint64 // suspicions started here or learned from other members
+	Deaths            uint64 // transitions of members to Dead
+	Refutations       uint64 // refutations of false information about this member
+	Stalls            uint64 // pauses of this process that were detected
+	Sent              uint64 // datagrams sent
 	SentBytes         uint64
-	Received          uint64 // datagrams taken in
-	Malformed         uint64 // dropped: damaged, cut short, too long, or nonsense
-	VersionMismatches uint64 // dropped: of another version
-	UnknownSenders    uint64 // dropped: from nobody of the tier, or of another tier
-}
-
-// View sums up what a member holds of its tier, itself included.
-type View struct {
-	TierSize  int // members in all
-	Available int // alive or draining
-	Draining  int // of those
-	Suspects  int
-	Down      int // dead or left
-	Unknown   int
+	Received          uint64 // datagrams accepted
+	Malformed         uint64 // datagrams dropped as damaged, truncated, too long or invalid, and updates with an incarnation too far ahead
+	VersionMismatches uint64 // datagrams dropped for another protocol version
+	UnknownSenders    uint64 // datagrams dropped because the sender is no member of the tier, or is of another tier
 }
