--- a/internal/maintenance/codec.go
+++ b/internal/maintenance/codec.go
@@ -4,44 +4,46 @@
 	"elmseam/internal/datagram"
 )
 
-// kind is what a datagram is for.
+// messageKind is the purpose of a datagram.
 type messageKind uint8
 
 const (
-	kindSlotRequest messageKind = iota // grant me a slot, or go on granting it
-	kindGrant                          // granted
-	kindRefusal                        // not granted: Items say who holds it, for how long, and the highest epoch seen
-	kindRelease                        // I hold it no more
-	kindQuery                          // what have you granted?
-	kindState                          // this: Items are slot, holder, time left, epoch, of each that counts
-	kindRecords                        // Items are records
+	kindSlotRequest messageKind = iota // requests a grant of Slot, or its renewal
+	kindGrant                          // grants the request with the same sequence number
+	kindRefusal                        // refuses the request; Items are the holder, the remaining time in milliseconds and the highest epoch known
+	kindRelease                        // the sender releases Slot up to Epoch
+	kindQuery                          // asks for the grants that the receiver knows
+	kindState                          // answers a kindQuery; Items are slot, holder, remaining milliseconds and highest epoch, for each slot in use so far
+	kindRecords                        // carries records in Items
 	numKinds
 )
 
-// message is what a datagram holds.
+// message is the content of a datagram.
 type message struct {
 	_           struct{} `cbor:",toarray"`
 	Kind        messageKind
-	Tier        uint16
-	Zone        int8 // of the sender; -1: not known
-	Seq         uint32
+	Tier        uint16 // number of members of the sender's tier
+	Zone        int8   // of the sender; -1: not known
+	Seq         uint32 // of the round, or the nonce of a query
 	Slot        uint8
 	Epoch       uint64
 	Lease       uint32 // milliseconds
 	Recovered   bool   // the sender knows what it may have granted
-	RecordsHash uint32 // of the records that it has
-	Name        string // its name
+	RecordsHash uint32 // of the records that the sender has
+	Name        string // of the sender
 	Items       []int64
 }
 
-// nameMost is the longest name that is told, in bytes.
+// maxNameLength is the maximum length in bytes of a name in a datagram; longer names are cut.
 const maxNameLength = 24
 
+// Number of items for one entry of a kindState or kindRecords message.
 const (
 	itemsPerGrant  = 4
 	itemsPerRecord = 7
 )
 
+// encode encodes a message with the tier size, zone and name of this member.
 func (r *Reducer) encode(msg message) []byte {
 	msg.Tier, msg.Zone, msg.Name = uint16(r.cfg.TierSize), int8(r.cfg.Zone), r.cfg.Name
 	if msg.Items == nil {
@@ -50,12 +52,12 @@
 	return datagram.Encode(Version, msg)
 }
 
-// items write a record down.
+// recordItems returns the items of a record in a kindRecords message.
 func recordItems(member int, record Record) []int64 {
 	return []int64{int64(member), int64(record.Generation), int64(record.RequestedAt), int64(record.Restarts), int64(record.Stage), int64(record.Slot), int64(record.Epoch)}
 }
 
-// decode reads a datagram. What makes no sense in it makes all of it garbled.
+// decode decodes a datagram. One invalid value makes the whole datagram malformed.
 func (r *Reducer) decode(data []byte) (msg message, records map[int]Record, err error) {
 	if err := datagram.Decode(data, Version, datagram.MaxSize, &msg); err != nil {
 		return msg, nil, err
--- /dev/null
+++ b/internal/maintenance/lease.go
@@ -0,0 +1,286 @@
+package maintenance
+
+import (
+	"slices"
+	"time"
+)
+
+// round is one attempt to get the votes of the tier for a slot, or for the renewal of its lease.
+type round struct {
+	Seq       uint32
+	Slot      int
+	Epoch     uint64
+	StartedAt Time
+	Lease     time.Duration // requested
+	Voters    []int         // other members that are asked
+	Granters  []int         // members that granted the request, this one included
+	Refusals  int
+}
+
+// lease is the lease that this member holds.
+type lease struct {
+	Slot     int
+	Epoch    uint64
+	Seq      uint32 // of the last round that renewed it, or failed to
+	Expiry   Time
+	Granters []int // members that granted the last renewal; nil: ask all members for the next one
+}
+
+// releaseNotice is the release of a slot, which is sent several times: a member that misses it would hold the slot
+// granted for the rest of the lease.
+type releaseNotice struct {
+	Slot      int
+	Epoch     uint64
+	Remaining int // transmissions
+}
+
+// unknownHolder is the holder of a slot on which the answers to a query differ. The slot is granted to no member
+// until that grant has expired.
+const unknownHolder = -2
+
+// expireLease ends a lease that has expired. Step calls it before it handles the event, so that a holder that was
+// paused beyond the expiry no longer relies on the lease when it resumes.
+func (r *Reducer) expireLease() {
+	if r.lease == nil || r.now < r.lease.Expiry || !r.guardEnabled(GuardExpiry) {
+		return
+	}
+	r.counters.Expired++
+	r.dropSlot()
+	r.restartRequest()
+}
+
+// dropSlot forgets the lease and the current round, and stops the drain.
+func (r *Reducer) dropSlot() {
+	r.lease, r.round, r.drained = nil, nil, false
+	if r.guardEnabled(GuardStopDrain) {
+		r.emit(Drain{})
+	}
+}
+
+// advanceOwnRequest requests a slot if it is this member's turn, and ends or restarts a request that an earlier
+// incarnation of this member left. The epoch of a new grant is above all epochs known here and at least the time in
+// milliseconds; its low 16 bits are the index of this member, so that no two members use the same epoch.
+func (r *Reducer) advanceOwnRequest() {
+	record := r.records[r.cfg.Self]
+	if !r.recovered || r.lease != nil || r.round != nil || r.now < r.retryAt || record.Stage.Ended() {
+		return
+	}
+	if record.Stage != Waiting { // left by an earlier incarnation
+		if !r.serving {
+			return
+		}
+		r.releaseSlot(int(record.Slot), record.Epoch)
+		if record.Stage == Ready {
+			record.Stage = Done
+			r.setRecord(r.cfg.Self, record)
+			return
+		}
+		r.restartRequest()
+	}
+	ahead := 0
+	for _, m := range r.Queue() {
+		if m == r.cfg.Self {
+			break
+		}
+		if r.available[m] {
+			ahead++
+		}
+	}
+	for slot := range r.usableSlots() {
+		if r.isGranted(slot) || r.now < r.refusedUntil[slot] {
+			continue
+		}
+		if ahead == 0 {
+			r.drained = false
+			r.startRound(slot, max(slices.Max(r.highestEpochs[:]), uint64(r.now/time.Millisecond)<<16)&^0xffff+1<<16|uint64(r.cfg.Self), r.cfg.Limits.Lease, nil)
+			return
+		}
+		ahead--
+	}
+}
+
+// isGranted reports whether a slot is granted at present, as far as this member knows.
+func (r *Reducer) isGranted(slot int) bool {
+	grant := r.grants[slot]
+	return grant.Holder != -1 && r.now < grant.Expiry
+}
+
+// usableSlots returns how many slots, counted from slot 0, may be granted newly: the budget, minus the slots beyond
+// it that are still granted since the budget was higher.
+func (r *Reducer) usableSlots() int {
+	usable := r.cfg.Limits.Budget
+	for slot := r.cfg.Limits.Budget; slot < Slots; slot++ {
+		if r.isGranted(slot) {
+			usable--
+		}
+	}
+	return max(usable, 0)
+}
+
+// startRound starts a round with these voters, or with all members if voters is nil.
+func (r *Reducer) startRound(slot int, epoch uint64, lease time.Duration, voters []int) {
+	r.round = &round{Seq: r.nextSeq(), Slot: slot, Epoch: epoch, StartedAt: r.now, Lease: lease}
+	r.counters.Rounds++
+	for member := range r.cfg.TierSize {
+		if member != r.cfg.Self && (voters == nil || slices.Contains(voters, member)) {
+			r.round.Voters = append(r.round.Voters, member)
+		}
+	}
+	r.sendSlotRequests()
+	r.emit(Timer{At: r.now + r.cfg.Limits.Round/2, Token: Token{kind: tokenResend, seq: r.round.Seq}})
+	r.emit(Timer{At: r.now + r.cfg.Limits.Round, Token: Token{kind: tokenRoundTimeout, seq: r.round.Seq}})
+	if granted, _ := r.vote(r.cfg.Self, slot, epoch, lease); granted {
+		r.countGrant(r.cfg.Self, r.round.Seq)
+	} else {
+		r.countRefusal(r.round.Seq)
+	}
+}
+
+// sendSlotRequests sends the request of the current round to the voters that have not granted it yet.
+func (r *Reducer) sendSlotRequests() {
+	round := r.round
+	for _, member := range round.Voters {
+		if !slices.Contains(round.Granters, member) {
+			r.send(member, message{Kind: kindSlotRequest, Seq: round.Seq, Slot: uint8(round.Slot), Epoch: round.Epoch, Lease: uint32(round.Lease / time.Millisecond)})
+		}
+	}
+}
+
+// renewLease starts a round with the members that granted the lease, or with all members if they are no quorum. It
+// requests Lease, and WorkLease, the longest absence of a machine, once this member is drained.
+func (r *Reducer) renewLease() {
+	lease := r.lease
+	voters := lease.Granters
+	if len(voters) < r.quorum() {
+		voters = nil
+	}
+	duration := r.cfg.Limits.Lease
+	if r.drained {
+		duration = r.cfg.Limits.WorkLease
+	}
+	r.startRound(lease.Slot, lease.Epoch, duration, voters)
+}
+
+// vote returns the vote of this member on a request for a slot. A refusal has the items of a kindRefusal message: the
+// holder, the remaining time in milliseconds and the highest epoch.
+func (r *Reducer) vote(from, slot int, epoch uint64, lease time.Duration) (granted bool, refusal []int64) {
+	grant := &r.grants[slot]
+	sameGrant := grant.Holder == from && epoch == grant.Epoch
+	switch {
+	case !r.recovered, lease <= 0 || lease > r.cfg.Limits.WorkLease:
+	case r.isGranted(slot) && sameGrant:
+		granted = true
+	case r.isGranted(slot) && grant.Holder != from: // granted to another member; a holder's own request with a new epoch ends its earlier grant
+	case epoch <= r.highestEpochs[slot]:
+	case !r.isGranted(slot) && slot >= r.usableSlots():
+	default:
+		granted = true
+	}
+	if granted {
+		expiry := r.now + lease
+		if sameGrant {
+			expiry = max(expiry, grant.Expiry)
+		}
+		*grant = Grant{Holder: from, Epoch: epoch, Expiry: expiry}
+		r.highestEpochs[slot] = max(r.highestEpochs[slot], epoch)
+		r.counters.VotesGranted++
+		return true, nil
+	}
+	r.counters.VotesRefused++
+	return false, []int64{int64(max(grant.Holder, -1)), int64(max(grant.Expiry-r.now, 0) / time.Millisecond), int64(r.highestEpochs[slot])}
+}
+
+// countGrant counts a granted vote. With a majority this member holds the slot; its lease counts from the start of
+// the round.
+func (r *Reducer) countGrant(from int, seq uint32) {
+	if held := r.lease; held != nil && held.Seq == seq && !slices.Contains(held.Granters, from) {
+		held.Granters = append(held.Granters, from)
+	}
+	round := r.round
+	if round == nil || round.Seq != seq || slices.Contains(round.Granters, from) {
+		return
+	}
+	round.Granters = append(round.Granters, from)
+	expiry := round.StartedAt + r.cfg.Limits.safeDuration(round.Lease)
+	if len(round.Granters) < r.quorum() || r.now >= expiry {
+		return
+	}
+	r.round = nil
+	record := r.records[r.cfg.Self]
+	if r.lease == nil {
+		r.counters.Granted++
+		r.lease = &lease{Slot: round.Slot, Epoch: round.Epoch}
+		record.Stage, record.Slot, record.Epoch = Draining, uint8(round.Slot), round.Epoch
+		r.emit(Drain{On: true})
+	} else {
+		r.counters.Renewed++
+		if r.drained && round.Lease == r.cfg.Limits.WorkLease {
+			record.Stage = Ready
+		}
+	}
+	r.lease.Seq, r.lease.Expiry, r.lease.Granters = seq, max(r.lease.Expiry, expiry), round.Granters
+	r.emit(Timer{At: round.StartedAt + round.Lease/3, Token: Token{kind: tokenRenew, seq: seq}})
+	r.emit(Timer{At: r.lease.Expiry, Token: Token{kind: tokenExpiry}})
+	r.setRecord(r.cfg.Self, record)
+}
+
+// countRefusal counts a refused vote, and ends the round when a majority is no longer possible.
+func (r *Reducer) countRefusal(seq uint32) {
+	if round := r.round; round != nil && round.Seq == seq {
+		if round.Refusals++; round.Refusals > r.cfg.TierSize-r.quorum() {
+			r.failRound()
+		}
+	}
+}
+
+// failRound ends a round without a majority. A new slot is released at the members that granted it, and requested
+// again after a random wait of 1 to 3 rounds. For the renewal of a lease all members are asked half a round later.
+func (r *Reducer) failRound() {
+	round := r.round
+	r.round = nil
+	if r.lease != nil {
+		r.lease.Granters = nil
+		r.lease.Seq = round.Seq
+		r.emit(Timer{At: r.now + r.cfg.Limits.Round/2, Token: Token{kind: tokenRenew, seq: round.Seq}})
+		return
+	}
+	r.releaseSlot(round.Slot, round.Epoch)
+	r.retryAt = r.now + r.cfg.Limits.Round + time.Duration(r.rng.Int64N(int64(2*r.cfg.Limits.Round)))
+}
+
+// releaseSlot announces to all members that this member no longer holds a slot by this epoch, now and at the next
+// ticks.
+func (r *Reducer) releaseSlot(slot int, epoch uint64) {
+	r.releaseNotices = append(r.releaseNotices, releaseNotice{slot, epoch, r.cfg.Limits.Transmissions})
+	r.sendRelease(slot, epoch)
+	r.handleRelease(r.cfg.Self, slot, epoch)
+}
+
+// sendRelease sends the release of a slot to all other members.
+func (r *Reducer) sendRelease(slot int, epoch uint64) {
+	for member := range r.cfg.TierSize {
+		if member != r.cfg.Self {
+			r.send(member, message{Kind: kindRelease, Slot: uint8(slot), Epoch: epoch})
+		}
+	}
+}
+
+// repeatReleases sends the pending release notices again.
+func (r *Reducer) repeatReleases() {
+	for i := range r.releaseNotices {
+		r.releaseNotices[i].Remaining--
+		r.sendRelease(r.releaseNotices[i].Slot, r.releaseNotices[i].Epoch)
+	}
+	r.releaseNotices = slices.DeleteFunc(r.releaseNotices, func(g releaseNotice) bool { return g.Remaining <= 0 })
+}
+
+// handleRelease ends the grant of a slot that its holder has released.
+func (r *Reducer) handleRelease(from, slot int, epoch uint64) {
+	if g := &r.grants[slot]; g.Holder == from && g.Epoch <= epoch {
+		g.Holder = -1
+	}
+	if from != r.cfg.Self {
+		r.refusedUntil[slot] = 0
+	}
+	r.highestEpochs[slot] = max(r.highestEpochs[slot], epoch)
+}
--- a/internal/maintenance/maintenance_test.go
+++ b/internal/maintenance/maintenance_test.go
@@ -12,25 +12,28 @@
 
 const second = time.Second
 
-// world is a tier in its own time: datagrams take a millisecond, and those that cut names are lost.
+// testTier is a tier in simulated time. Datagrams take 1 ms; those between members for which cut returns true are
+// lost.
 type testTier struct {
 	*testing.T
 	limits         Limits
 	zones          []int
 	disabledGuards Guard
 	now            Time
-	reducers       []*Reducer // nil: killed
+	reducers       []*Reducer // by index; nil: killed
 	draining       []bool
 	queue          []scheduledEvent
 	seq            int
-	loss           float64
+	loss           float64 // share of datagrams that are lost
 	rng            *rand.Rand
 	cut            func(from, to int) bool
-	stages         [][]Stage // of each one's own requests, as they came
-	lastDrainAt    []Time    // when each went out last
-	maxOut         int       // out at once
+	stages         [][]Stage // by index: the stages of the member's own requests, in their order
+	lastDrainAt    []Time    // by index: when the member last started to drain
+	maxOut         int       // maximum number of members that were out of service at once
 }
 
+// scheduledEvent is an event for the member with index to. A timer is delivered only to the reducer that requested
+// it.
 type scheduledEvent struct {
 	at      Time
 	seq     int
@@ -39,6 +42,7 @@
 	ev      Event
 }
 
+// startTier starts a tier of n members without zones.
 func startTier(t *testing.T, n int, limits Limits) *testTier {
 	t.Helper()
 	tier := &testTier{T: t, limits: limits, now: 1_000_000 * second, reducers: make([]*Reducer, n), draining: make([]bool, n), stages: make([][]Stage, n),
@@ -50,12 +54,14 @@
 	return tier
 }
 
+// shortLimits returns limits with short leases and rounds.
 func shortLimits() Limits {
 	limits := Defaults()
 	limits.Lease, limits.WorkLease, limits.Round = 2*second, 4*second, 200*time.Millisecond
 	return limits
 }
 
+// start starts or restarts a member and announces its availability to all members.
 func (tier *testTier) start(member int) {
 	reducer, effects, err := New(Config{Self: member, TierSize: len(tier.reducers), Zone: tier.zones[member], Name: fmt.Sprint("n", member), Limits: tier.limits, Seed: uint64(tier.seq), DisabledGuards: tier.disabledGuards}, tier.now)
 	if err != nil {
@@ -70,6 +76,7 @@
 	tier.step(member, Serving{Serving: true})
 }
 
+// kill removes a member and announces to all others that it is not available.
 func (tier *testTier) kill(member int) {
 	tier.reducers[member], tier.draining[member] = nil, false
 	for other := range tier.reducers {
@@ -77,23 +84,26 @@
 	}
 }
 
+// step passes an event to a member that runs.
 func (tier *testTier) step(member int, ev Event) {
 	if reducer := tier.reducers[member]; reducer != nil {
 		tier.handleEffects(member, reducer.Step(tier.now, ev))
 	}
 }
 
+// schedule schedules an event for a member.
 func (tier *testTier) schedule(delay time.Duration, to int, ev Event) {
 	tier.seq++
 	tier.queue = append(tier.queue, scheduledEvent{tier.now + delay, tier.seq, to, tier.reducers[to], ev})
 }
 
+// handleEffects carries out the effects of a member and updates maxOut. A draining member is drained after 300 ms.
 func (tier *testTier) handleEffects(member int, effects []Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
 		case Send:
 			if len(e.Data) > datagram.MaxSize {
-				tier.Errorf("a datagram of %d bytes", len(e.Data))
+				tier.Errorf("datagram of %d bytes", len(e.Data))
 			}
 			if tier.cut != nil && tier.cut(member, e.To) || tier.rng.Float64() < tier.loss {
 				continue
@@ -113,14 +123,15 @@
 		}
 	}
 	count := 0
-	for _, effects := range tier.draining {
-		if effects {
+	for _, draining := range tier.draining {
+		if draining {
 			count++
 		}
 	}
 	tier.maxOut = max(tier.maxOut, count)
 }
 
+// advance runs the tier for d of simulated time.
 func (tier *testTier) advance(d time.Duration) {
 	for end := tier.now + d; ; {
 		slices.SortFunc(tier.queue, func(a, b scheduledEvent) int {
@@ -142,7 +153,7 @@
 	}
 }
 
-// out are those that drain or are ready now.
+// membersOut returns the members that are draining or ready for work now.
 func (tier *testTier) membersOut() (out []int) {
 	for m, draining := range tier.draining {
 		if draining {
@@ -152,7 +163,7 @@
 	return out
 }
 
-// finish has operators release whoever is ready, until time is up.
+// completeWork runs the tier for d, and reports the work as done for every member that becomes ready.
 func (tier *testTier) completeWork(d time.Duration) {
 	for end := tier.now + d; tier.now < end; {
 		tier.advance(100 * time.Millisecond)
@@ -164,12 +175,13 @@
 	}
 }
 
-// once fails unless each of these was ready for work once, and nobody else ever was out.
+// expectMaintainedOnce fails the test unless each of these members was ready for work exactly once, and no other
+// member was.
 func (tier *testTier) expectMaintainedOnce(members ...int) {
 	tier.Helper()
 	for m, stages := range tier.stages {
 		ready := 0
-		for _, s := range slices.Compact(slices.Clone(stages)) { // a new life hears of its stage again
+		for _, s := range slices.Compact(slices.Clone(stages)) { // a restarted member receives its stage again
 			if s == Ready {
 				ready++
 			}
@@ -180,8 +192,9 @@
 	}
 }
 
-// Two operators ask at two members in the same second, for some machines both: each goes once, B at a time, and all agree
-// on the order, also where three in ten datagrams are lost.
+// Two operators send requests to two members in the same second, some of them for the same machines. Each machine is
+// maintained once, at most B at a time, and all members agree on the order. The test runs without loss and with a
+// loss of 30% of the datagrams.
 func TestTwoOperators(t *testing.T) {
 	for _, loss := range []float64{0, 0.3} {
 		limits := shortLimits()
@@ -194,7 +207,7 @@
 		tier.advance(100 * time.Millisecond)
 		if loss == 0 {
 			if a, b := tier.reducers[0].Queue(), tier.reducers[4].Queue(); !slices.Equal(a, b) || len(a) == 0 {
-				t.Errorf("the order is %v, and %v elsewhere", a, b)
+				t.Errorf("queue %v at member 0, %v at member 4", a, b)
 			}
 		}
 		tier.completeWork(40 * second)
@@ -204,19 +217,19 @@
 			tier.expectMaintainedOnce(0, 1, 2, 3)
 		}
 		if tier.maxOut != 2 {
-			t.Errorf("%d were out at once", tier.maxOut)
+			t.Errorf("%d members were out at once", tier.maxOut)
 		}
 		for _, reducer := range tier.reducers {
 			for m, record := range reducer.Status().Records {
 				if !record.Stage.Ended() {
-					t.Errorf("member %d is %v in the end", m, record.Stage)
+					t.Errorf("member %d: request still %v at the end", m, record.Stage)
 				}
 			}
 		}
 	}
 }
 
-// Of those asked for at once zones take turns; those asked for earlier go before.
+// Among members requested at the same time the zones take turns. Members requested earlier come first.
 func TestQueueAlternatesZones(t *testing.T) {
 	tier := startTier(t, 6, shortLimits())
 	tier.zones = []int{0, 0, 0, 1, 1, 2}
@@ -227,35 +240,36 @@
 	tier.step(0, Request{Members: []int{2}})
 	tier.advance(5 * time.Millisecond)
 	tier.step(0, Request{Members: []int{0, 1, 3, 4, 5}})
-	if got := fmt.Sprint(tier.reducers[0].Queue()); got != "[2 3 5 0 4 1]" && got != "[3 5 0 4 1]" { // 2 may be out by now
-		t.Errorf("the order is %s", got)
+	if got := fmt.Sprint(tier.reducers[0].Queue()); got != "[2 3 5 0 4 1]" && got != "[3 5 0 4 1]" { // member 2 may have left the queue for a slot by now
+		t.Errorf("queue %s", got)
 	}
 }
 
-// A member cut off from the majority starts no drain, and what it holds ends by its own clock before anybody else goes;
-// when the cut has healed all are served.
+// A member cut off from the majority starts no drain, and a lease that it holds expires by its own clock before
+// another member starts. After the partition all requests are served.
 func TestMinorityStartsNoDrain(t *testing.T) {
 	tier := startTier(t, 5, shortLimits())
 	tier.advance(2 * second)
 	tier.step(3, Request{Members: []int{3, 0}})
 	tier.advance(250 * time.Millisecond)
 	if got := tier.membersOut(); len(got) != 1 {
-		t.Fatalf("out: %v", got)
+		t.Fatalf("members out: %v", got)
 	}
 	tier.cut = func(from, to int) bool { return (from < 3) != (to < 3) }
 	tier.completeWork(8 * second)
 	if tier.lastDrainAt[3] > tier.lastDrainAt[0] {
-		t.Errorf("member 3 went out at %v, cut off", tier.lastDrainAt[3])
+		t.Errorf("member 3 started to drain at %v while it was cut off", tier.lastDrainAt[3])
 	}
 	tier.cut = nil
 	tier.completeWork(15 * second)
 	if tier.maxOut != 1 {
-		t.Errorf("%d were out at once", tier.maxOut)
+		t.Errorf("%d members were out at once", tier.maxOut)
 	}
 	tier.expectMaintainedOnce(0, 3)
 }
 
-// A holder that dies frees its slot within its lease; the request for it waits until it is back, and it goes then.
+// The death of a holder frees its slot within the lease. Its own request waits until it has restarted, and is served
+// then.
 func TestHolderDeathFreesSlot(t *testing.T) {
 	tier := startTier(t, 3, shortLimits())
 	tier.advance(2 * second)
@@ -265,15 +279,15 @@
 	diedAt := tier.now
 	tier.completeWork(6 * second)
 	if delay := tier.lastDrainAt[1] - diedAt; delay <= 0 || delay > tier.limits.Lease+2*tier.limits.Round {
-		t.Errorf("the next went %v after the death", delay)
+		t.Errorf("the next member started to drain %v after the death", delay)
 	}
 	tier.start(0)
 	tier.completeWork(10 * second)
 	tier.expectMaintainedOnce(0, 1)
 }
 
-// Amnesia: while one holds a slot, the two others that granted it start anew. They grant it to nobody else before they
-// know; without that rule two are out.
+// While a member holds a slot, the two others that granted it restart and forget the grant. They grant the slot to no
+// other member before they know of that grant. Without this guard two members are out at once.
 func TestNewlyStartedMemberGrantsNothing(t *testing.T) {
 	for _, disabledGuards := range []Guard{0, GuardRecover} {
 		tier := startTier(t, 3, shortLimits())
@@ -282,9 +296,9 @@
 		tier.step(0, Request{Members: []int{0, 1}})
 		tier.advance(250 * time.Millisecond)
 		if got := tier.membersOut(); !slices.Equal(got, []int{0}) {
-			t.Fatalf("out: %v", got)
+			t.Fatalf("members out: %v", got)
 		}
-		tier.cut = func(from, _ int) bool { return from == 0 } // its word of the lease is lost, its word of the requests was heard
+		tier.cut = func(from, _ int) bool { return from == 0 } // the requests were received before; datagrams about the lease are lost
 		tier.kill(2)
 		tier.start(2)
 		tier.advance(100 * time.Millisecond)
@@ -294,25 +308,26 @@
 		tier.step(2, Request{Members: []int{1}})
 		tier.advance(1500 * time.Millisecond)
 		if (tier.maxOut > 1) != (disabledGuards != 0) {
-			t.Errorf("without %d: %d were out at once", disabledGuards, tier.maxOut)
+			t.Errorf("disabled guards %d: %d members were out at once", disabledGuards, tier.maxOut)
 		}
 	}
 }
 
-// A budget that is lowered while more are out throws none back and lets none more out until few enough are.
+// A budget that is reduced while more members are out calls none back and starts no further one until few enough are
+// out.
 func TestLoweredBudget(t *testing.T) {
 	limits := shortLimits()
 	limits.Budget = 3
 	tier := startTier(t, 5, limits)
 	tier.advance(2 * second)
 	tier.step(0, Request{Members: []int{0, 1, 2, 3, 4}})
-	for range 30 { // two may want one slot at first
+	for range 30 { // two members may compete for one slot at first
 		if tier.advance(100 * time.Millisecond); len(tier.membersOut()) == 3 {
 			break
 		}
 	}
 	if got := tier.membersOut(); len(got) != 3 {
-		t.Fatalf("out: %v", got)
+		t.Fatalf("members out: %v", got)
 	}
 	for m := range tier.reducers {
 		tier.step(m, SetBudget{Budget: 1})
@@ -324,14 +339,15 @@
 		tier.step(m, Cancel{Members: []int{m}})
 		tier.advance(second)
 		if got := tier.membersOut(); !slices.Equal(got, out) {
-			t.Errorf("out: %v, want %v", got, out)
+			t.Errorf("members out: %v, want %v", got, out)
 		}
 	}
 	tier.completeWork(20 * second)
 	tier.expectMaintainedOnce(0, 1, 2, 3, 4)
 }
 
-// A member ready for work that ends keeps its slot while it is away, gives it back when it serves again, and is done.
+// A member that is ready for work and stops keeps its slot while it is away, releases it when it serves again, and
+// its request is done.
 func TestSlotKeptDuringWork(t *testing.T) {
 	tier := startTier(t, 3, shortLimits())
 	tier.advance(2 * second)
@@ -342,17 +358,17 @@
 		t.Fatalf("member %d is %v", first, stage)
 	}
 	tier.kill(first)
-	tier.advance(2500 * time.Millisecond) // past its first lease
+	tier.advance(2500 * time.Millisecond) // longer than the lease of a draining member
 	if got := tier.membersOut(); len(got) > 0 {
-		t.Errorf("out while one is away: %v", got)
+		t.Errorf("members out while one is away: %v", got)
 	}
 	tier.start(first)
 	tier.completeWork(8 * second)
 	tier.expectMaintainedOnce(0, 1)
 }
 
-// A slot given back is free for the next although all heard of it too late the first time: who granted it for as long as a
-// machine may be away would else hold it that long.
+// A released slot is free for the next member although the first release was lost everywhere: otherwise the members
+// that granted the slot would hold it granted for the whole work lease.
 func TestLostRelease(t *testing.T) {
 	limits := shortLimits()
 	limits.WorkLease = time.Hour
@@ -361,7 +377,7 @@
 	tier.step(0, Request{Members: []int{0, 1}})
 	tier.advance(800 * time.Millisecond)
 	if got := tier.membersOut(); !slices.Equal(got, []int{0}) || tier.reducers[0].Status().Records[0].Stage != Ready {
-		t.Fatalf("out: %v", got)
+		t.Fatalf("members out: %v", got)
 	}
 	tier.cut = func(from, to int) bool { return from == 0 }
 	tier.step(0, Cancel{Members: []int{0}})
@@ -369,43 +385,44 @@
 	tier.completeWork(5 * second)
 	tier.expectMaintainedOnce(0, 1)
 
-	// So it is where who gives it back dies at once, as soon as it is back.
+	// The same holds if the holder dies right after a release that was lost: the slot is free once the holder has restarted.
 	tier.step(0, Request{Members: []int{0, 1}})
 	tier.advance(1500 * time.Millisecond)
 	tier.cut = func(from, to int) bool { return from == 0 }
 	tier.step(0, Cancel{Members: []int{0}})
 	tier.cut = nil
-	tier.step(1, Cancel{Members: []int{0}}) // known elsewhere, but not from who held it
+	tier.step(1, Cancel{Members: []int{0}}) // the end of the request is known, but not from the holder
 	tier.kill(0)
 	tier.advance(second)
 	if got := tier.membersOut(); len(got) > 0 {
-		t.Errorf("out: %v", got)
+		t.Errorf("members out: %v", got)
 	}
 	tier.start(0)
 	tier.advance(2 * second)
 	if got := tier.membersOut(); !slices.Equal(got, []int{1}) {
-		t.Errorf("out: %v, want the next", got)
+		t.Errorf("members out: %v, want member 1", got)
 	}
 }
 
-// A great tier that starts at once causes no storm of queries, and settles.
+// A large tier whose members start together causes no storm of queries, and all members recover.
 func TestSimultaneousStartCausesNoStorm(t *testing.T) {
 	tier := startTier(t, 60, shortLimits())
 	tier.advance(20 * second)
 	maxSent := uint64(0)
 	for m, reducer := range tier.reducers {
 		if status := reducer.Status(); !status.Recovered {
-			t.Errorf("member %d is not settled", m)
+			t.Errorf("member %d has not recovered", m)
 		} else {
 			maxSent = max(maxSent, status.Counters.Sent)
 		}
 	}
-	if maxSent > 250 { // 59 queries, some again, and as many answers to others'
-		t.Errorf("a member sent %d datagrams", maxSent)
+	if maxSent > 250 { // 59 queries, some repeated, and as many answers to other members
+		t.Errorf("one member sent %d datagrams", maxSent)
 	}
 }
 
-// Merge comes to the same in every order, however often, and two requests made at once for one member are one.
+// Merge reaches the same result in every order and with any repetition. Two independent requests for one member
+// become one.
 func TestMerge(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	randomRecord := func() Record {
@@ -414,15 +431,15 @@
 	for range 20000 {
 		a, b, c := randomRecord(), randomRecord(), randomRecord()
 		if Merge(a, b) != Merge(b, a) || Merge(a, a) != a || Merge(Merge(a, b), c) != Merge(a, Merge(b, c)) || Merge(Merge(a, b), b) != Merge(a, b) {
-			t.Fatalf("%+v, %+v, %+v", a, b, c)
+			t.Fatalf("Merge is not a semilattice on %+v, %+v, %+v", a, b, c)
 		}
 	}
 	if got := Merge(Record{Generation: 1, RequestedAt: 5, Stage: Draining, Epoch: 9}, Record{Generation: 1, RequestedAt: 4, Stage: Waiting}); got != (Record{Generation: 1, RequestedAt: 4, Stage: Draining, Epoch: 9}) {
-		t.Errorf("%+v", got)
+		t.Errorf("merged record %+v", got)
 	}
 }
 
-// Datagrams that are damaged, of another version or tier, or from nobody are counted and change nothing.
+// Datagrams that are damaged, of another version or tier, or from an unknown sender are counted and change no state.
 func TestInvalidDatagramsDropped(t *testing.T) {
 	tier := startTier(t, 3, shortLimits())
 	tier.advance(second)
@@ -444,15 +461,15 @@
 	reducer.Step(tier.now, Datagram{From: 1, Data: reducer.encode(message{Kind: kindRecords, Items: []int64{0, 1, 1, 0, 99, 0, 0}})})
 	counters := reducer.Status().Counters
 	if counters.Malformed != uint64(2*len(valid)+1) || counters.VersionMismatches != 1 || counters.UnknownSenders != 2 || !slices.Equal(reducer.Status().Grants, grantsBefore) {
-		t.Errorf("%+v, grants %v", counters, reducer.Status().Grants)
+		t.Errorf("counters %+v, grants %v", counters, reducer.Status().Grants)
 	}
 	reducer.Step(tier.now, Datagram{From: 1, Data: valid})
 	if reducer.Status().Grants[0].Holder != 1 {
-		t.Error("a good one is not taken")
+		t.Error("a valid datagram is not accepted")
 	}
 }
 
-// FuzzDatagram: whatever comes, the reducer stands, and no effect breaks the size.
+// FuzzDatagram checks that no datagram makes the reducer panic or send a datagram over the maximum size.
 func FuzzDatagram(f *testing.F) {
 	f.Add([]byte{Version, 0x8a, 0, 5, 0, 1, 0, 1, 0x19, 3, 0xe8, 0xf5, 0, 0x60, 0x80})
 	f.Fuzz(func(t *testing.T, data []byte) {
@@ -463,7 +480,7 @@
 		for _, d := range [][]byte{data, datagram.FixChecksum(append(slices.Clone(data), 0, 0, 0, 0))} {
 			for _, e := range reducer.Step(2*second, Datagram{From: 1, Data: d}) {
 				if s, ok := e.(Send); ok && len(s.Data) > datagram.MaxSize {
-					t.Errorf("a datagram of %d bytes", len(s.Data))
+					t.Errorf("datagram of %d bytes", len(s.Data))
 				}
 			}
 		}
--- a/internal/maintenance/recover.go
+++ b/internal/maintenance/recover.go
@@ -2,21 +2,26 @@
 
 import "time"
 
-// A member that starts anew may have granted slots in its life before, and does not know. Until it does it grants none:
+// Recovery of grants after a restart.
 //
-//   - it waits until every round that its earlier life may have said yes in is over (two rounds), then asks all;
-//   - a majority of the tier that is settled itself knows of every lease that is held: a majority granted it, and two
-//     majorities meet in a member that has not forgotten;
-//   - or every other member answers: then any holder that believes in a lease has told of it itself;
-//   - or all that may ever have been granted has run out.
+// A member that restarts may have granted slots in an earlier incarnation, and does not know them. Until it does, it
+// grants none. It waits for two rounds, until every round in which its earlier incarnation may have voted has ended, and
+// then queries all other members. It has recovered on the first of these:
 //
-// The first of these settles it. What it hears on the way binds it at once, as that is the careful side. Answers count
-// however far apart they came: a lease granted after one has a majority without this member, which meets any other majority
-// in one that knows.
+//   - A majority of the tier that has recovered itself has answered. It knows every lease in force: a majority granted
+//     the lease, and two majorities share a member that has not forgotten.
+//   - Every other member has answered. Then every holder that relies on a lease has reported it itself.
+//   - The longest time that a grant may be in force has passed since the start.
 //
-// It asks a few a round, so that a great tier that starts at once causes no storm, and after it has asked all, one.
+// A grant that an answer reports binds the member at once, which is the safe side. The answers may be far apart in time: a
+// lease granted after one of them has a majority without this member, and that majority shares with any other majority a
+// member that knows the lease.
+//
+// The member queries only a few members a round, so that a large tier whose members start together causes no storm of
+// datagrams, and one a round once every member has been queried.
 
-// recover asks all what they have granted.
+// recoverGrants sends the next queries to members that have not answered as recovered members, or ends the recovery
+// when all grants of earlier incarnations have expired.
 func (r *Reducer) recoverGrants() {
 	if r.now >= r.startedAt+r.cfg.Limits.maxGrantDuration() {
 		r.finishRecovery()
@@ -43,10 +48,11 @@
 	}
 }
 
-// askedAtOnce are how many members are asked in a round.
+// queriesPerRound is the number of members queried in one round.
 const queriesPerRound = 8
 
-// settle begins to grant. What an earlier life held and had no more use for is given back.
+// finishRecovery lets this member grant slots. A slot that an earlier incarnation of this member held, and that no
+// request needs any more, is released.
 func (r *Reducer) finishRecovery() {
 	r.recovered = true
 	for slot, g := range r.grants {
@@ -57,7 +63,8 @@
 	r.advanceOwnRequest()
 }
 
-// tell answers a query: with the records, if the asker's are others, then with what is granted and held here.
+// answerQuery answers a kindQuery: first with the records, if the sender's records differ, then with the grants and
+// the lease that this member knows.
 func (r *Reducer) answerQuery(to int, msg message) {
 	if msg.RecordsHash != r.recordsHash() {
 		var members []int
@@ -86,7 +93,8 @@
 	r.send(to, message{Kind: kindState, Seq: msg.Seq, Items: items})
 }
 
-// answered takes in an answer.
+// handleQueryAnswer merges the grants of an answer. The answer counts towards the recovery only if the sender's
+// records equal those of this member.
 func (r *Reducer) handleQueryAnswer(from int, msg message) {
 	if r.recovered || msg.Seq != r.queryNonce {
 		return
@@ -127,29 +135,3 @@
 		r.finishRecovery()
 	}
 }
-
-// Status is what operators are shown. What it holds is the caller's.
-func (r *Reducer) Status() Status {
-	status := Status{Recovered: r.recovered, Budget: r.cfg.Limits.Budget, Slot: -1, Queue: r.Queue(), Counters: r.counters}
-	status.Records = append(status.Records, r.records...)
-	if r.lease != nil {
-		status.Slot, status.Epoch, status.Expiry = r.lease.Slot, r.lease.Epoch, r.lease.Expiry
-	}
-	for slot := range r.grants {
-		grant := r.grants[slot]
-		if !r.isGranted(slot) {
-			grant.Holder = -1
-		}
-		status.Grants = append(status.Grants, grant)
-	}
-	return status
-}
-
-// Names are those of the tier's members, by number, where they have told them.
-func (r *Reducer) Names() []string { return r.names }
-
-// HoldsSlot says whether this member believes that it holds a slot.
-func (r *Reducer) HoldsSlot() bool { return r.lease != nil }
-
-// AwaitsDrained says whether a Drained is of use.
-func (r *Reducer) AwaitsDrained() bool { return r.lease != nil && !r.drained }
--- a/internal/maintenance/types.go
+++ b/internal/maintenance/types.go
@@ -1,14 +1,15 @@
-// Package maintenance takes softswitches of a tier out for work in an order that they settle among themselves: at most B
-// at once, whatever is lost, cut, stopped or started anew.
+// Package maintenance takes softswitches of a tier out of service for maintenance, in an order that the members agree
+// on: at most B at once, under any loss, partition, pause or restart.
 //
-// Who may be out is a lease on one of B slots, granted by a majority of the tier, in the manner of Gray and Cheriton,
-// "Leases: An Efficient Fault-Tolerant Mechanism for Distributed File Cache Consistency" (SOSP 1989), and of Trencséni,
-// Gazsó and Reinhardt, "PaxosLease: Diskless Paxos for Leases" (2009): nobody has a disk, so who starts anew grants nothing
-// until it has learned what it may have granted, or until that has run out. Requests are a record for each member,
-// merged like a join semilattice (Shapiro et al., "Conflict-free Replicated Data Types", 2011) and passed on by gossip: they
-// survive whoever was asked. docs/MAINTENANCE.md has the whole.
+// The right to be out of service is a lease on one of B slots, granted by a majority of the tier, as in Gray and
+// Cheriton, "Leases: An Efficient Fault-Tolerant Mechanism for Distributed File Cache Consistency" (SOSP 1989), and
+// in Trencséni, Gazsó and Reinhardt, "PaxosLease: Diskless Paxos for Leases" (2009). No member has a disk, so a
+// member that restarts grants nothing until it knows what its earlier process may have granted, or until those grants
+// have expired. Requests are one record per member, merged as a join semilattice (Shapiro et al., "Conflict-free
+// Replicated Data Types", 2011) and spread by gossip, so that they survive the loss of the member that accepted them.
+// docs/MAINTENANCE.md describes the whole protocol.
 //
-// It is a reducer like internal/membership: no I/O, no goroutine, no clock.
+// The package is a reducer like internal/membership: no I/O, no goroutine, no clock.
 package maintenance
 
 import (
@@ -19,28 +20,30 @@
 // Time is an instant of the core's clock. It never runs backwards.
 type Time = time.Duration
 
-// Version is the first byte of maintenance's datagrams.
+// Version is the first byte of the datagrams of the maintenance protocol. Datagrams with another first byte are
+// counted and dropped.
 const Version = 0x41
 
-// Slots are the most that can be out at once.
+// Slots is the number of slots, and the maximum of the budget B.
 const Slots = 8
 
-// Stage is how far a request is.
+// Stage is the progress of a maintenance request.
 type Stage uint8
 
-// The stages. The last two end a request.
+// The stages of a request. The last two end it.
 const (
-	None     Stage = iota
-	Waiting        // for its turn
-	Draining       // it sends its callers away
-	Ready          // for work: nothing is left on it
-	Withdrawn
-	Done
+	None      Stage = iota // no request was made
+	Waiting                // in the queue
+	Draining               // holds a slot, and sends its callers away
+	Ready                  // holds a slot and has no calls left: the work may begin
+	Withdrawn              // cancelled before the member was ready for work
+	Done                   // the work is finished
 	numStages
 )
 
 var stageNames = [numStages]string{"none", "waiting", "draining", "ready for work", "withdrawn", "done"}
 
+// String returns the name of the stage, as /ops/maintenance prints it.
 func (s Stage) String() string {
 	if s < numStages {
 		return stageNames[s]
@@ -48,67 +51,25 @@
 	return fmt.Sprintf("Stage(%d)", uint8(s))
 }
 
-// Ended says whether a request in this stage has ended, or was never made.
+// Ended reports whether a request in this stage has ended, or was never made.
 func (s Stage) Ended() bool { return s == None || s >= Withdrawn }
 
-// Record is the last request for a member.
-type Record struct {
-	Generation  uint32 // how many there have been
-	RequestedAt uint64 // when, by the clock of who was asked, in milliseconds since the Unix epoch
-	Restarts    uint32 // times that it had to begin again
-	Stage       Stage
-	Slot        uint8  // that it is out by
-	Epoch       uint64 // of that grant: a later grant of any slot has a higher one
-}
-
-// Merge is what is known after both have been heard. It is commutative, associative and idempotent: whatever order news
-// comes in, and however often, all come to the same. Two requests made for one member before either was heard of are one,
-// asked at the earlier time.
-func Merge(a, b Record) Record {
-	if less(a, b) {
-		a, b = b, a
-	}
-	if a.Generation == b.Generation && b.RequestedAt > 0 {
-		a.RequestedAt = min(a.RequestedAt, b.RequestedAt)
-	}
-	return a
-}
-
-// less orders records: an end stands over all else of its generation, then a later try, then a later stage.
-func less(a, b Record) bool {
-	switch {
-	case a.Generation != b.Generation:
-		return a.Generation < b.Generation
-	case a.Stage.Ended() != b.Stage.Ended():
-		return b.Stage.Ended()
-	case a.Stage.Ended() && a.Stage != b.Stage:
-		return a.Stage < b.Stage
-	case a.Restarts != b.Restarts:
-		return a.Restarts < b.Restarts
-	case a.Stage != b.Stage:
-		return a.Stage < b.Stage
-	case a.Epoch != b.Epoch:
-		return a.Epoch < b.Epoch
-	}
-	return a.Slot < b.Slot
-}
-
-// Limits are the times and counts. Check says which make no sense.
+// Limits are the times and counts of the protocol. Check reports an invalid value.
 type Limits struct {
-	Budget        int           // B: members that may be out at once
-	Lease         time.Duration // of a member that sends its callers away
-	WorkLease     time.Duration // of one that is ready for work: the longest that a machine may stay away and keep its slot
-	Round         time.Duration // in which a majority has to answer, and between looks at the queue
-	MaxDrift      float64       // share by which clocks may differ in their pace
-	Transmissions int           // times that news is passed on
+	Budget        int           // B, the maximum number of members out of service at once
+	Lease         time.Duration // lease of a draining member
+	WorkLease     time.Duration // lease of a member that is ready for work: the longest absence during which it keeps its slot
+	Round         time.Duration // time for a majority to answer, and interval between two looks at the queue
+	MaxDrift      float64       // maximum difference between the rates of two clocks, as a share
+	Transmissions int           // number of times that a change of a record or a release is sent on
 }
 
-// Defaults are limits for the platform.
+// Defaults returns the limits for a tier on the platform.
 func Defaults() Limits {
 	return Limits{Budget: 1, Lease: 6 * time.Second, WorkLease: 5 * time.Minute, Round: 500 * time.Millisecond, MaxDrift: 0.01, Transmissions: 6}
 }
 
-// Check names the first limit that makes no sense.
+// Check returns an error that names the first invalid limit, or nil.
 func (l Limits) Check() error {
 	switch {
 	case l.Budget < 1 || l.Budget > Slots:
@@ -122,45 +83,50 @@
 	case !(l.MaxDrift >= 0 && l.MaxDrift <= 0.2):
 		return fmt.Errorf("drift: %v, not in [0, 0.2]", l.MaxDrift)
 	case l.Transmissions < 1 || l.Transmissions > 64:
-		return fmt.Errorf("passes: %d, not in [1, 64]", l.Transmissions)
+		return fmt.Errorf("transmissions: %d, not in [1, 64]", l.Transmissions)
 	}
 	return nil
 }
 
-// longest is the longest that a grant may still count anywhere, by any clock.
+// maxGrantDuration returns the longest time for which any grant may be in force by any clock: the work lease
+// lengthened by the clock drift, plus two rounds.
 func (l Limits) maxGrantDuration() time.Duration {
 	return time.Duration(float64(l.WorkLease)*(1+2*l.MaxDrift)) + 2*l.Round
 }
 
-// sure is for how long a holder believes in a lease, from the moment at which it first asked for it.
+// safeDuration returns how long a holder relies on a lease, counted from its first request for the lease: the
+// duration shortened by the clock drift.
 func (l Limits) safeDuration(duration time.Duration) time.Duration {
 	return time.Duration(float64(duration) * (1 - 2*l.MaxDrift))
 }
 
-// Event is something that has happened; see the types below.
+// Event is an input of the reducer: one of the types below.
 type Event interface{ event() }
 
 type (
-	// Datagram came from a member, by its number in the tier. The bytes are not kept.
+	// Datagram was received from the member with index From. The reducer does not keep Data.
 	Datagram struct {
 		From int
 		Data []byte
 	}
-	// TimerFired is a timer that has come due.
+	// TimerFired reports that a timer requested by a Timer effect has fired.
 	TimerFired struct{ Token Token }
-	// Request asks for maintenance of members, by their numbers; Cancel withdraws it, or, of one that is out, ends it.
+	// Request requests maintenance of the members with these indexes.
 	Request struct{ Members []int }
-	Cancel  struct{ Members []int }
-	// MemberAvailability says whether a member is held to be there (membership).
+	// Cancel withdraws the requests for the members with these indexes. For a member that is ready for work it reports that
+	// the work is done.
+	Cancel struct{ Members []int }
+	// MemberAvailability reports whether a member is available, as detected by internal/membership.
 	MemberAvailability struct {
 		Member    int
 		Available bool
 	}
-	// Drained says that this member, which sends its callers away, has nothing left.
+	// Drained reports that this member, which is draining, has no calls left.
 	Drained struct{}
-	// Serving says whether this member takes calls: one that is back from work gives its slot back then.
+	// Serving reports whether this member accepts calls. A member that is back from work releases its slot then.
 	Serving struct{ Serving bool }
-	// SetBudget is another B from now on: where it is lower, no more go out than that, and none is thrown back.
+	// SetBudget changes the budget B. After a reduction the members that are out of service stay out, and no other one
+	// starts until fewer than the new budget are out.
 	SetBudget struct{ Budget int }
 )
 
@@ -173,23 +139,23 @@
 func (Serving) event()            {}
 func (SetBudget) event()          {}
 
-// Effect is something to be carried out; see the types below.
+// Effect is an output of the reducer that the caller carries out: one of the types below.
 type Effect interface{ effect() }
 
 type (
-	// Send is a datagram to a member, by its number in the tier.
+	// Send sends a datagram to the member with index To.
 	Send struct {
 		To   int
 		Data []byte
 	}
-	// Timer asks for a Due. None is ever unset.
+	// Timer requests a TimerFired event with this token at a time. Timers are never cancelled.
 	Timer struct {
 		At    Time
 		Token Token
 	}
-	// Drain has this member send its callers away, or take them back.
+	// Drain makes this member start (On) or stop draining.
 	Drain struct{ On bool }
-	// RequestChanged says that a member's request is in another stage now.
+	// RequestChanged reports that the record of a member changed.
 	RequestChanged struct {
 		Member int
 		Record Record
@@ -201,52 +167,53 @@
 func (Drain) effect()          {}
 func (RequestChanged) effect() {}
 
-// Token says what a timer is for.
+// Token identifies the purpose of a timer.
 type Token struct {
 	kind tokenKind
-	seq  uint32
+	seq  uint32 // of the tick, or of the round
 }
 
+// tokenKind is the purpose of a timer.
 type tokenKind uint8
 
 const (
-	tokenTick         tokenKind = iota // a look at the queue, and gossip
-	tokenResend                        // a round has had half of its time
-	tokenRoundTimeout                  // or all of it
-	tokenRenew                         // the lease is to be renewed
-	tokenExpiry                        // it is over by this member's clock
+	tokenTick         tokenKind = iota // look at the queue, and gossip
+	tokenResend                        // half of the round has passed: send unanswered requests once more
+	tokenRoundTimeout                  // the round has timed out
+	tokenRenew                         // the lease is due for renewal
+	tokenExpiry                        // the lease expires by the clock of this member
 )
 
-// Counters count what has been done since the start.
+// Counters count what the protocol has done since the start.
 type Counters struct {
-	Rounds                     uint64 // rounds begun for a slot
-	Granted                    uint64 // and won
-	Renewed                    uint64
-	Expired                    uint64 // leases that ran out here
-	VotesGranted, VotesRefused uint64 // answers given as one of the tier
-	Sent                       uint64 // datagrams
+	Rounds                     uint64 // rounds started to get or renew a slot
+	Granted                    uint64 // slots obtained
+	Renewed                    uint64 // renewals of leases
+	Expired                    uint64 // leases of this member that expired
+	VotesGranted, VotesRefused uint64 // votes of this member on requests for slots
+	Sent                       uint64 // datagrams sent
 	SentBytes                  uint64
-	Malformed                  uint64 // dropped
-	VersionMismatches          uint64
-	UnknownSenders             uint64
+	Malformed                  uint64 // datagrams dropped as damaged, truncated, too long or invalid
+	VersionMismatches          uint64 // datagrams dropped for another protocol version
+	UnknownSenders             uint64 // datagrams dropped because the sender is no member of the tier, or is of another tier
 }
 
-// Grant is what this member, as one of the tier, has granted of a slot.
+// Grant is what this member, as a voter, has granted of one slot.
 type Grant struct {
-	Holder int // -1: nobody
+	Holder int // index of the holder; -1: none; -2: not known which member
 	Epoch  uint64
 	Expiry Time
 }
 
-// Status is what operators are shown.
+// Status is the state of the protocol as shown to operators.
 type Status struct {
-	Recovered bool // this member knows what it may have granted; until then it grants nothing and takes no request
+	Recovered bool // this member knows what it may have granted; until then it grants nothing and accepts no request
 	Budget    int
-	Slot      int // held by this member; -1: none
+	Slot      int // slot held by this member; -1: none
 	Epoch     uint64
-	Expiry    Time // by its own clock
-	Queue     []int
-	Records   []Record
-	Grants    []Grant // by slot
+	Expiry    Time     // of the lease, by the clock of this member
+	Queue     []int    // indexes of the waiting members, in their order
+	Records   []Record // by index of the member
+	Grants    []Grant  // by slot
 	Counters  Counters
 }
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -381,7 +381,7 @@
 }
 
 // A member in bad health does not cause others to be declared dead: 8 of 32 members are paused for 4 s of every 5 s.
-// The variant that disables the protection has false deaths.
+// Plain SWIM, without Lifeguard and without pause detection, has false deaths there.
 func TestPausedMembersCauseNoFalseDeaths(t *testing.T) {
 	limits := membership.Defaults()
 	for _, variant := range []struct {
--- a/internal/membership/reducer.go
+++ b/internal/membership/reducer.go
@@ -94,7 +94,7 @@
 	case cfg.TierSize < 1 || cfg.TierSize > math.MaxUint16:
 		return nil, nil, fmt.Errorf("tier: %d members, not in [1, %d]", cfg.TierSize, math.MaxUint16)
 	case cfg.Self < 0 || cfg.Self >= cfg.TierSize:
-		return nil, nil, fmt.Errorf("self: %d is none of %d members", cfg.Self, cfg.TierSize)
+		return nil, nil, fmt.Errorf("self: %d, not in [0, %d)", cfg.Self, cfg.TierSize)
 	}
 	if err := cfg.Limits.Check(); err != nil {
 		return nil, nil, err
@@ -136,6 +136,7 @@
 	return effects
 }
 
+// emit appends an effect to those that Step returns.
 func (r *Reducer) emit(e Effect)   { r.effects = append(r.effects, e) }
 func (r *Reducer) self() *Member   { return &r.members[r.cfg.Self] }
 func (r *Reducer) nextSeq() uint32 { r.lastSeq++; return r.lastSeq }
