--- a/internal/maintenance/lease.go
+++ b/internal/maintenance/lease.go
@@ -58,8 +58,9 @@
 }
 
 // advanceOwnRequest requests a slot if it is this member's turn, and ends or restarts a request that an earlier
-// incarnation of this member left. The epoch of a new grant is above all epochs known here and at least the time in
-// milliseconds; its low 16 bits are the index of this member, so that no two members use the same epoch.
+// incarnation of this member left. The epoch of a new grant is above all epochs known here. Its upper 48 bits are at
+// least the time in milliseconds, and its low 16 bits are the index of this member, so that no two members use the
+// same epoch.
 func (r *Reducer) advanceOwnRequest() {
 	record := r.records[r.cfg.Self]
 	if !r.recovered || r.lease != nil || r.round != nil || r.now < r.retryAt || record.Stage.Ended() {
