--- a/internal/budget/loans.go
+++ b/internal/budget/loans.go
@@ -11,33 +11,33 @@
 // uses the units again. So it takes no third: neither a lost word nor the death of either leaves a unit with two.
 
 const (
-	hungryAt = 0.8 // share of what a member has that it uses, from which on it asks for more
-	keep     = 1   // movable units that a lender keeps beyond what it uses
+	borrowThreshold = 0.8 // share of what a member has that it uses, from which on it asks for more
+	lenderReserve   = 1   // movable units that a lender keeps beyond what it uses
 )
 
 // idle are the own movable units that this member could lend.
-func (r *Reducer) idle() (units Mask) {
-	if r.use < 0 {
+func (r *Reducer) lendableUnits() (units Mask) {
+	if r.demand < 0 {
 		return 0
 	}
-	keeps := int(math.Ceil(r.use*Units)) - 1 + keep // the sure one is kept in any case
-	out := r.lentOut(r.now)
-	for u := Units - 1; u >= 1; u-- {
-		if bit := Mask(1) << u; r.now < r.held[r.cfg.Self][u] && out&bit == 0 {
+	reserve := int(math.Ceil(r.demand*Units)) - 1 + lenderReserve // the sure one is kept in any case
+	lent := r.lentUnits(r.now)
+	for unit := Units - 1; unit >= 1; unit-- {
+		if bit := Mask(1) << unit; r.now < r.heldExpiry[r.cfg.Self][unit] && lent&bit == 0 {
 			units |= bit
 		}
 	}
-	for ; keeps > 0 && units != 0; keeps-- {
+	for ; reserve > 0 && units != 0; reserve-- {
 		units &= units - 1
 	}
 	return units
 }
 
 // lentOut are the own units that are lent.
-func (r *Reducer) lentOut(now Time) (units Mask) {
-	for u, l := range r.lent {
-		if now < l.Until {
-			units |= 1 << u
+func (r *Reducer) lentUnits(now Time) (units Mask) {
+	for unit, l := range r.loans {
+		if now < l.Expiry {
+			units |= 1 << unit
 		}
 	}
 	return units
@@ -45,104 +45,104 @@
 
 // ask asks for loans where this member uses nearly all that it has by leases: first for those that it has already, as far as
 // they are needed, then of the member that has most to spare.
-func (r *Reducer) ask() {
-	needs := int(math.Ceil(r.use / hungryAt * Units))
-	again := make([]Mask, r.cfg.TierSize)
-	best := -1
-	for p := range r.held {
-		own := r.Usable(r.now, p)
-		for u, until := range r.borrowed[p] {
-			if r.now < until {
-				again[p] |= 1 << u
+func (r *Reducer) requestLoans() {
+	missing := int(math.Ceil(r.demand / borrowThreshold * Units))
+	renewals := make([]Mask, r.cfg.TierSize)
+	lender := -1
+	for owner := range r.heldExpiry {
+		usable := r.Usable(r.now, owner)
+		for unit, expiry := range r.borrowedExpiry[owner] {
+			if r.now < expiry {
+				renewals[owner] |= 1 << unit
 			}
 		}
-		needs -= (own &^ again[p]).Count()
-		if n := r.spare[p]; p != r.cfg.Self && r.there[p] && n > 0 && (best < 0 || n > r.spare[best]) {
-			best = p
+		missing -= (usable &^ renewals[owner]).Count()
+		if lendable := r.lendable[owner]; owner != r.cfg.Self && r.available[owner] && lendable > 0 && (lender < 0 || lendable > r.lendable[lender]) {
+			lender = owner
 		}
 	}
-	r.want++
-	r.wantAt = r.now
-	for m, units := range again {
-		for ; units.Count() > max(needs, 0); units &= units - 1 {
+	r.loanSeq++
+	r.loanRequestedAt = r.now
+	for owner, units := range renewals {
+		for ; units.Count() > max(missing, 0); units &= units - 1 {
 		}
-		needs -= units.Count()
-		again[m] = units
+		missing -= units.Count()
+		renewals[owner] = units
 	}
-	for m, units := range again {
-		switch more := min(max(needs, 0), Units); {
-		case m == best && more > 0:
-			r.send(m, message{Kind: borrow, Seq: r.want, Items: []int64{int64(more), int64(units)}})
+	for owner, units := range renewals {
+		switch additional := min(max(missing, 0), Units); {
+		case owner == lender && additional > 0:
+			r.send(owner, message{Kind: kindBorrow, Seq: r.loanSeq, Items: []int64{int64(additional), int64(units)}})
 		case units != 0:
-			r.send(m, message{Kind: borrow, Seq: r.want, Items: []int64{0, int64(units)}})
+			r.send(owner, message{Kind: kindBorrow, Seq: r.loanSeq, Items: []int64{0, int64(units)}})
 		}
 	}
 }
 
 // borrow answers one that asks for a loan: with what it has already, as long as this member can spare it, and with more.
-func (r *Reducer) borrow(to int, m message) {
-	n, again := int(m.Items[0]), Mask(m.Items[1])
+func (r *Reducer) handleBorrow(borrower int, m message) {
+	additional, renewals := int(m.Items[0]), Mask(m.Items[1])
 	var units Mask
-	for u, l := range r.lent {
-		if l.To == to && r.now < l.Until && r.use >= 0 && r.use <= hungryAt {
-			units |= again & (1 << u)
+	for unit, l := range r.loans {
+		if l.Borrower == borrower && r.now < l.Expiry && r.demand >= 0 && r.demand <= borrowThreshold {
+			units |= renewals & (1 << unit)
 		}
 	}
-	for free := r.idle(); n > 0 && free != 0; n-- {
-		top := Mask(1) << (bits.Len8(uint8(free)) - 1)
-		units, free = units|top, free&^top
+	for lendable := r.lendableUnits(); additional > 0 && lendable != 0; additional-- {
+		highest := Mask(1) << (bits.Len8(uint8(lendable)) - 1)
+		units, lendable = units|highest, lendable&^highest
 	}
-	left := r.cfg.Limits.Lease
-	for u := 1; u < Units; u++ {
-		if units&(1<<u) != 0 {
-			left = min(left, r.held[r.cfg.Self][u]-r.now)
+	duration := r.cfg.Limits.Lease
+	for unit := 1; unit < Units; unit++ {
+		if units&(1<<unit) != 0 {
+			duration = min(duration, r.heldExpiry[r.cfg.Self][unit]-r.now)
 		}
 	}
-	if left = left.Truncate(time.Millisecond); units == 0 || left <= 0 {
+	if duration = duration.Truncate(time.Millisecond); units == 0 || duration <= 0 {
 		return
 	}
-	until := r.now + time.Duration(float64(left)*(1+2*r.cfg.Limits.MaxDrift))
-	for u := range r.lent {
-		if units&(1<<u) != 0 {
-			r.lent[u] = loan{to, max(until, r.lent[u].Until)}
+	expiry := r.now + time.Duration(float64(duration)*(1+2*r.cfg.Limits.MaxDrift))
+	for unit := range r.loans {
+		if units&(1<<unit) != 0 {
+			r.loans[unit] = loan{borrower, max(expiry, r.loans[unit].Expiry)}
 		}
 	}
-	r.figures.Lent += uint64(units.Count())
-	r.send(to, message{Kind: lend, Seq: m.Seq, Items: []int64{int64(units), int64(left / time.Millisecond)}, Rates: r.rates()})
+	r.counters.Lent += uint64(units.Count())
+	r.send(borrower, message{Kind: kindLend, Seq: m.Seq, Items: []int64{int64(units), int64(duration / time.Millisecond)}, Rates: r.encodeRates()})
 }
 
 // took takes a loan in, counted from when it was asked for.
-func (r *Reducer) took(from int, m message) {
-	if m.Seq != r.want || m.Items[0] == 0 {
+func (r *Reducer) handleLoan(from int, m message) {
+	if m.Seq != r.loanSeq || m.Items[0] == 0 {
 		return
 	}
-	until := r.wantAt + r.cfg.Limits.sure(time.Duration(m.Items[1])*time.Millisecond)
-	if !r.has(GuardExpiry) {
-		until = r.now + 2*r.cfg.Limits.Lease
+	expiry := r.loanRequestedAt + r.cfg.Limits.safeDuration(time.Duration(m.Items[1])*time.Millisecond)
+	if !r.guardEnabled(GuardExpiry) {
+		expiry = r.now + 2*r.cfg.Limits.Lease
 	}
-	if until > r.now {
-		for u := range Units {
-			if Mask(m.Items[0])&(1<<u) != 0 {
-				r.borrowed[from][u] = max(r.borrowed[from][u], until)
+	if expiry > r.now {
+		for unit := range Units {
+			if Mask(m.Items[0])&(1<<unit) != 0 {
+				r.borrowedExpiry[from][unit] = max(r.borrowedExpiry[from][unit], expiry)
 			}
 		}
-		r.figures.Borrowed += uint64(Mask(m.Items[0]).Count())
+		r.counters.Borrowed += uint64(Mask(m.Items[0]).Count())
 	}
 }
 
 // Usable are the units of a member's part that this one may use at a time.
-func (r *Reducer) Usable(now Time, part int) (units Mask) {
+func (r *Reducer) Usable(now Time, owner int) (units Mask) {
 	now = max(now, r.now)
-	if part == r.cfg.Self {
-		units = sure
+	if owner == r.cfg.Self {
+		units = reservedUnit
 	}
-	for u := 1; u < Units; u++ {
-		if now < r.held[part][u] || now < r.borrowed[part][u] {
-			units |= 1 << u
+	for unit := 1; unit < Units; unit++ {
+		if now < r.heldExpiry[owner][unit] || now < r.borrowedExpiry[owner][unit] {
+			units |= 1 << unit
 		}
 	}
-	if part == r.cfg.Self && r.has(GuardLoan) {
-		units &^= r.lentOut(now)
+	if owner == r.cfg.Self && r.guardEnabled(GuardLoan) {
+		units &^= r.lentUnits(now)
 	}
 	return units
 }
@@ -150,37 +150,37 @@
 // Rate is what this member may send to a cold server, in set-ups a second of a warm one, at a time. It says no of a server
 // that it was not told of, or where parts do not move.
 func (r *Reducer) Rate(now Time, server uint32) (rate float64, known bool) {
-	c := r.known(server)
-	if c == nil || max(now, r.now) >= c.Until || !r.Transferable() {
+	c := r.findServer(server)
+	if c == nil || max(now, r.now) >= c.ColdUntil || !r.Transferable() {
 		return 0, false
 	}
-	for p, own := range c.Rates {
-		if own > 0 {
-			rate += own * float64(r.Usable(now, p).Count()) / Units
+	for owner, quotaRate := range c.Rates {
+		if quotaRate > 0 {
+			rate += quotaRate * float64(r.Usable(now, owner).Count()) / Units
 		}
 	}
 	return rate, true
 }
 
 // Quotas are what is known of each member's part. What is returned is the caller's.
-func (r *Reducer) Quotas() (all []Quota) {
-	for p := range r.held {
-		e := Quota{Usable: r.Usable(r.now, p), Grants: r.grants[p]}
-		for u := range e.Grants {
-			if r.now >= e.Grants[u].Expiry {
-				e.Grants[u].Holder = -1
+func (r *Reducer) Quotas() (quotas []Quota) {
+	for owner := range r.heldExpiry {
+		quota := Quota{Usable: r.Usable(r.now, owner), Grants: r.grants[owner]}
+		for unit := range quota.Grants {
+			if r.now >= quota.Grants[unit].Expiry {
+				quota.Grants[unit].Holder = -1
 			}
 		}
-		if p == r.cfg.Self {
-			e.Lent = r.lentOut(r.now)
+		if owner == r.cfg.Self {
+			quota.Lent = r.lentUnits(r.now)
 		}
-		all = append(all, e)
+		quotas = append(quotas, quota)
 	}
-	return all
+	return quotas
 }
 
 // AnyCold says whether a server is cold now.
-func (r *Reducer) AnyCold() bool { return r.ticking }
+func (r *Reducer) AnyCold() bool { return r.active }
 
 // Counters are the figures of now.
-func (r *Reducer) Counters() Counters { return r.figures }
+func (r *Reducer) Counters() Counters { return r.counters }
--- a/internal/budget/types.go
+++ b/internal/budget/types.go
@@ -36,8 +36,8 @@
 func (m Mask) Count() int { return bits.OnesCount8(uint8(m)) }
 
 const (
-	sure    Mask = 1
-	movable Mask = 1<<Units - 1 - sure
+	reservedUnit      Mask = 1
+	transferableUnits Mask = 1<<Units - 1 - reservedUnit
 )
 
 // Limits are the times and counts. Check says which make no sense.
@@ -69,16 +69,16 @@
 }
 
 // round is the time between claims: three of them may be lost within a lease.
-func (l Limits) round() time.Duration { return l.Lease / 4 }
+func (l Limits) roundInterval() time.Duration { return l.Lease / 4 }
 
 // sure is for how long a holder believes in a lease, from the moment at which it asked for it.
-func (l Limits) sure(lease time.Duration) time.Duration {
+func (l Limits) safeDuration(lease time.Duration) time.Duration {
 	return time.Duration(float64(lease) * (1 - 2*l.MaxDrift))
 }
 
 // longest is the longest that a grant of an earlier life may count anywhere, by any clock.
-func (l Limits) longest() time.Duration {
-	return time.Duration(float64(l.Lease)*(1+2*l.MaxDrift)) + l.round()
+func (l Limits) recoveryTime() time.Duration {
+	return time.Duration(float64(l.Lease)*(1+2*l.MaxDrift)) + l.roundInterval()
 }
 
 // Config is what a member is told.
@@ -193,7 +193,7 @@
 	Tier        uint16
 	Seq         uint32 // of the claim, or of the loan asked for
 	Incarnation uint64 // of the sender
-	Spare       uint8  // units of its own that the sender could lend
+	Lendable    uint8  // units of its own that the sender could lend
 	Items       []int64
 	Rates       []int64 // of the sender's part: server, thousandths of a set-up a second
 }
@@ -201,34 +201,34 @@
 type kind uint8
 
 const (
-	claim  kind = iota // Items: part<<Units | units
-	grant              // those of a claim that are granted
-	back               // those of a claim that are not wanted after all
-	borrow             // Items: how many units, those that are to be prolonged
-	lend               // Items: units, for how many milliseconds
-	kinds
+	kindClaim  kind = iota // Items: part<<Units | units
+	kindGrant              // those of a claim that are granted
+	kindReturn             // those of a claim that are not wanted after all
+	kindBorrow             // Items: how many units, those that are to be prolonged
+	kindLend               // Items: units, for how many milliseconds
+	kindCount
 )
 
-const itemsOfLoan = 2
+const loanItems = 2
 
 // decode reads a datagram of a tier of n members. What makes no sense in it makes all of it garbled.
-func decode(data []byte, n int) (m message, err error) {
+func decode(data []byte, tierSize int) (m message, err error) {
 	if err := datagram.Decode(data, Version, datagram.MaxSize, &m); err != nil {
 		return m, err
 	}
-	bad := m.Kind >= kinds || m.Incarnation == 0 || len(m.Rates)%2 != 0 || m.Kind >= borrow && len(m.Items) != itemsOfLoan
-	for i, w := range m.Items {
+	malformed := m.Kind >= kindCount || m.Incarnation == 0 || len(m.Rates)%2 != 0 || m.Kind >= kindBorrow && len(m.Items) != loanItems
+	for i, item := range m.Items {
 		switch m.Kind {
-		case claim, grant, back:
-			bad = bad || w < 0 || w>>Units >= int64(n) || Mask(w)&sure != 0
+		case kindClaim, kindGrant, kindReturn:
+			malformed = malformed || item < 0 || item>>Units >= int64(tierSize) || Mask(item)&reservedUnit != 0
 		default:
-			bad = bad || w < 0 || w > int64(time.Hour/time.Millisecond) || m.Kind == lend && i == 0 && Mask(w)&^movable != 0
+			malformed = malformed || item < 0 || item > int64(time.Hour/time.Millisecond) || m.Kind == kindLend && i == 0 && Mask(item)&^transferableUnits != 0
 		}
 	}
 	for i := 0; i+1 < len(m.Rates); i += 2 {
-		bad = bad || m.Rates[i] < 0 || m.Rates[i] > 1<<32-1 || m.Rates[i+1] < 0 || m.Rates[i+1] > 1e9
+		malformed = malformed || m.Rates[i] < 0 || m.Rates[i] > 1<<32-1 || m.Rates[i+1] < 0 || m.Rates[i+1] > 1e9
 	}
-	if bad {
+	if malformed {
 		return m, datagram.ErrMalformed
 	}
 	return m, nil
--- a/internal/circuits/circuits.go
+++ b/internal/circuits/circuits.go
@@ -11,33 +11,33 @@
 )
 
 // use is what a circuit is used for.
-type use uint8
+type state uint8
 
 const (
-	free use = iota
-	calling
-	standing
-	releasing // until the server's RLC
-	settling  // that has come, but a REL went out more than once: another RLC may be on its way
+	stateFree state = iota
+	stateSettingUp
+	stateEstablished
+	stateReleasing        // until the server's RLC
+	stateAwaitingExtraRLC // that has come, but a REL went out more than once: another RLC may be on its way
 )
 
 // circuit is one of them.
 type circuit struct {
-	id    core.ID
-	use   use
-	rels  int       // RLCs that may still come: one for each REL, unless the server has lost it
-	doubt bool      // freed by an RLC of ours, and nothing has shown that the server has heard it
-	since time.Time // of the last REL, or of the RLC that left it settling
+	call              core.ID
+	state             state
+	pendingRLCs       int       // RLCs that may still come: one for each REL, unless the server has lost it
+	ownRLCUnconfirmed bool      // freed by an RLC of ours, and nothing has shown that the server has heard it
+	stateSince        time.Time // of the last REL, or of the RLC that left it settling
 }
 
 // Circuits are all to one server. They outlive its connections: a call that stands keeps its circuit, and one that was
 // released is not used again before the server has said so.
 type Circuits struct {
-	all   []circuit
-	of    map[core.ID]uint16
-	next  int
-	swept time.Time // when overdue ones were last looked for
-	lacks Guard
+	circuits       []circuit
+	byCall         map[core.ID]uint16
+	nextIndex      int
+	lastSweep      time.Time // when overdue ones were last looked for
+	disabledGuards Guard
 }
 
 // Guard names what keeps calls on circuits apart. Checks take one out, to see that its absence shows.
@@ -51,22 +51,24 @@
 )
 
 // DisableGuards takes guards out. No program does.
-func (c *Circuits) DisableGuards(g Guard) { c.lacks = g }
+func (c *Circuits) DisableGuards(g Guard) { c.disabledGuards = g }
 
-func (c *Circuits) has(g Guard) bool { return c.lacks&g == 0 }
+func (c *Circuits) guardEnabled(g Guard) bool { return c.disabledGuards&g == 0 }
 
 // New makes so many circuits, all free.
-func New(n int) *Circuits { return &Circuits{all: make([]circuit, n), of: make(map[core.ID]uint16)} }
+func New(n int) *Circuits {
+	return &Circuits{circuits: make([]circuit, n), byCall: make(map[core.ID]uint16)}
+}
 
 // Allocate finds a free circuit for a call whose IAM goes out. Those that settle are the last resort of none.
-func (c *Circuits) Allocate(id core.ID) (cic uint16, ok bool) {
-	for range c.all {
-		i := c.next
-		if c.next++; c.next == len(c.all) {
-			c.next = 0
+func (c *Circuits) Allocate(call core.ID) (cic uint16, ok bool) {
+	for range c.circuits {
+		i := c.nextIndex
+		if c.nextIndex++; c.nextIndex == len(c.circuits) {
+			c.nextIndex = 0
 		}
-		if c.all[i].use == free {
-			c.all[i].use, c.all[i].id, c.of[id] = calling, id, uint16(i)
+		if c.circuits[i].state == stateFree {
+			c.circuits[i].state, c.circuits[i].call, c.byCall[call] = stateSettingUp, call, uint16(i)
 			return uint16(i), true
 		}
 	}
@@ -74,82 +76,82 @@
 }
 
 // NotSent frees the circuit of a call whose IAM never left.
-func (c *Circuits) NotSent(id core.ID) {
-	if cic, there := c.of[id]; there && c.all[cic].use == calling {
-		c.leave(cic, free)
+func (c *Circuits) NotSent(call core.ID) {
+	if cic, found := c.byCall[call]; found && c.circuits[cic].state == stateSettingUp {
+		c.detach(cic, stateFree)
 	}
 }
 
 // Release takes in that a call is released here, and says on which circuit a REL has to go out.
-func (c *Circuits) Release(id core.ID, now time.Time) (cic uint16, ok bool) {
-	cic, there := c.of[id]
-	if !there || c.all[cic].use != calling && c.all[cic].use != standing {
+func (c *Circuits) Release(call core.ID, now time.Time) (cic uint16, ok bool) {
+	cic, found := c.byCall[call]
+	if !found || c.circuits[cic].state != stateSettingUp && c.circuits[cic].state != stateEstablished {
 		return 0, false
 	}
-	c.release(cic, now)
+	c.markReleasing(cic, now)
 	return cic, true
 }
 
 // Answered takes in an ANM, and says which call stands.
 func (c *Circuits) Answered(cic uint16) (core.ID, bool) {
-	if int(cic) >= len(c.all) || c.all[cic].use != calling {
+	if int(cic) >= len(c.circuits) || c.circuits[cic].state != stateSettingUp {
 		return 0, false
 	}
-	k := &c.all[cic]
-	k.use, k.rels, k.doubt = standing, 0, false // an RLC of before would have come first
-	return k.id, true
+	circuit := &c.circuits[cic]
+	circuit.state, circuit.pendingRLCs, circuit.ownRLCUnconfirmed = stateEstablished, 0, false // an RLC of before would have come first
+	return circuit.call, true
 }
 
 // Released takes in a REL or an RSC of the server, and says which call that ends. One that crosses ours leaves the circuit
 // in use until the server has heard of ours too. An RLC goes out in any case.
 func (c *Circuits) Released(cic uint16) (core.ID, bool) {
-	if int(cic) >= len(c.all) || c.all[cic].use != calling && c.all[cic].use != standing {
+	if int(cic) >= len(c.circuits) || c.circuits[cic].state != stateSettingUp && c.circuits[cic].state != stateEstablished {
 		return 0, false
 	}
-	id := c.all[cic].id
-	c.leave(cic, free)
-	c.all[cic].rels, c.all[cic].doubt = 0, true
-	return id, true
+	call := c.circuits[cic].call
+	c.detach(cic, stateFree)
+	c.circuits[cic].pendingRLCs, c.circuits[cic].ownRLCUnconfirmed = 0, true
+	return call, true
 }
 
 // Confirmed takes in an RLC. Where a REL went out more than once, so may RLCs come, and one that is late would pass for
 // that of the circuit's next release; what the server said of the call before would then pass for news of the next.
 func (c *Circuits) Confirmed(cic uint16, now time.Time) {
-	if int(cic) >= len(c.all) {
+	if int(cic) >= len(c.circuits) {
 		return
 	}
-	k := &c.all[cic]
-	k.rels = max(k.rels-1, 0)
+	circuit := &c.circuits[cic]
+	circuit.pendingRLCs = max(circuit.pendingRLCs-1, 0)
 	switch {
-	case k.use != releasing && k.use != settling:
-	case k.rels == 0 || !c.has(GuardReleaseCount):
-		k.use, k.doubt = free, false
+	case circuit.state != stateReleasing && circuit.state != stateAwaitingExtraRLC:
+	case circuit.pendingRLCs == 0 || !c.guardEnabled(GuardReleaseCount):
+		circuit.state, circuit.ownRLCUnconfirmed = stateFree, false
 	default:
-		k.use, k.since = settling, now
+		circuit.state, circuit.stateSince = stateAwaitingExtraRLC, now
 	}
 }
 
 // ConnLost gives up the set-ups that were open on a connection that has ended. What was on its way is lost with it, and an
 // RLC of ours may have been: a server that waits for it holds the circuit.
 func (c *Circuits) ConnLost(now time.Time) {
-	for i := range c.all {
-		switch k := &c.all[i]; {
-		case k.use == free && k.doubt:
-			k.use, k.rels = releasing, 0
-		case k.use == calling:
-			c.leave(uint16(i), releasing)
-			k.since, k.rels = now, 0
-		case k.use == releasing || k.use == settling:
-			k.use, k.rels = releasing, 0
+	for i := range c.circuits {
+		switch circuit := &c.circuits[i]; {
+		case circuit.state == stateFree && circuit.ownRLCUnconfirmed:
+			circuit.state, circuit.pendingRLCs = stateReleasing, 0
+		case circuit.state == stateSettingUp:
+			c.detach(uint16(i), stateReleasing)
+			circuit.stateSince, circuit.pendingRLCs = now, 0
+		case circuit.state == stateReleasing || circuit.state == stateAwaitingExtraRLC:
+			circuit.state, circuit.pendingRLCs = stateReleasing, 0
 		}
 	}
 }
 
 // Unconfirmed are the circuits that a REL has to go out on when a connection has come up.
 func (c *Circuits) Unconfirmed(now time.Time) (cics []uint16) {
-	for i := range c.all {
-		if c.all[i].use == releasing {
-			c.release(uint16(i), now)
+	for i := range c.circuits {
+		if c.circuits[i].state == stateReleasing {
+			c.markReleasing(uint16(i), now)
 			cics = append(cics, uint16(i))
 		}
 	}
@@ -159,18 +161,18 @@
 // Overdue are the circuits whose release the server has not confirmed for so long: it may have lost that, or never answered,
 // and a circuit would be lost for good with each. A REL has to go out on each again. One that has settled for so long is
 // free.
-func (c *Circuits) Overdue(now time.Time, after time.Duration) (cics []uint16) {
-	if now.Sub(c.swept) < after || !c.has(GuardOverdue) {
+func (c *Circuits) Overdue(now time.Time, timeout time.Duration) (cics []uint16) {
+	if now.Sub(c.lastSweep) < timeout || !c.guardEnabled(GuardOverdue) {
 		return nil
 	}
-	c.swept = now
-	for i := range c.all {
-		switch k := &c.all[i]; {
-		case now.Sub(k.since) < after:
-		case k.use == settling: // and should the other RLC come after all, it is still counted
-			k.use = free
-		case k.use == releasing:
-			c.release(uint16(i), now)
+	c.lastSweep = now
+	for i := range c.circuits {
+		switch circuit := &c.circuits[i]; {
+		case now.Sub(circuit.stateSince) < timeout:
+		case circuit.state == stateAwaitingExtraRLC: // and should the other RLC come after all, it is still counted
+			circuit.state = stateFree
+		case circuit.state == stateReleasing:
+			c.markReleasing(uint16(i), now)
 			cics = append(cics, uint16(i))
 		}
 	}
@@ -179,19 +181,19 @@
 
 // Free is how many circuits are free.
 func (c *Circuits) Free() int {
-	n := 0
-	for i := range c.all {
-		if c.all[i].use == free {
-			n++
+	count := 0
+	for i := range c.circuits {
+		if c.circuits[i].state == stateFree {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
 // Calls are those that are on a circuit, in order.
 func (c *Circuits) Calls() []core.ID {
-	ids := make([]core.ID, 0, len(c.of))
-	for id := range c.of {
+	ids := make([]core.ID, 0, len(c.byCall))
+	for id := range c.byCall {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
@@ -199,20 +201,20 @@
 }
 
 // release counts a REL.
-func (c *Circuits) release(cic uint16, now time.Time) {
-	c.leave(cic, releasing)
-	c.all[cic].since = now
-	c.all[cic].rels++
-	if !c.has(GuardConfirm) {
-		c.all[cic].use = free
+func (c *Circuits) markReleasing(cic uint16, now time.Time) {
+	c.detach(cic, stateReleasing)
+	c.circuits[cic].stateSince = now
+	c.circuits[cic].pendingRLCs++
+	if !c.guardEnabled(GuardConfirm) {
+		c.circuits[cic].state = stateFree
 	}
 }
 
 // leave takes a circuit's call off it.
-func (c *Circuits) leave(cic uint16, to use) {
-	k := &c.all[cic]
-	if k.use == calling || k.use == standing {
-		delete(c.of, k.id)
+func (c *Circuits) detach(cic uint16, next state) {
+	circuit := &c.circuits[cic]
+	if circuit.state == stateSettingUp || circuit.state == stateEstablished {
+		delete(c.byCall, circuit.call)
 	}
-	k.use = to
+	circuit.state = next
 }
--- a/internal/circuits/circuits_test.go
+++ b/internal/circuits/circuits_test.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-const confirm = 15 * time.Second
+const confirmTimeout = 15 * time.Second
 
 // A server's release crosses ours: the circuit is free when ours is confirmed, not before, and a late RLC frees no
 // circuit that a new call has taken.
-func TestReleasesCross(t *testing.T) {
+func TestCrossingReleases(t *testing.T) {
 	c, now := New(1), time.Unix(1000, 0)
 	c.Allocate(1)
 	c.Release(1, now)
-	if _, there := c.Released(0); there {
+	if _, ended := c.Released(0); ended {
 		t.Error("the server's release frees a circuit whose release by us is on its way")
 	}
 	if _, ok := c.Allocate(2); ok {
@@ -31,12 +31,12 @@
 // A REL that was overdue has gone out twice: after one RLC the other may be on its way, and a call that took the circuit
 // between the two would lose it to the second while the server's answer to it is under way; that would pass for the
 // answer to the next call. A server that confirms only one doesn't cost the circuit either.
-func TestReleasedTwice(t *testing.T) {
+func TestRepeatedReleaseAwaitsBothRLCs(t *testing.T) {
 	c, now := New(1), time.Unix(1000, 0)
 	c.Allocate(1)
 	c.Release(1, now)
-	now = now.Add(confirm)
-	if cics := c.Overdue(now, confirm); len(cics) != 1 {
+	now = now.Add(confirmTimeout)
+	if cics := c.Overdue(now, confirmTimeout); len(cics) != 1 {
 		t.Fatalf("overdue: %v", cics)
 	}
 	c.Confirmed(0, now)
@@ -48,11 +48,11 @@
 		t.Error("the circuit is not free after both")
 	}
 	c.Release(3, now)
-	now = now.Add(confirm)
-	c.Overdue(now, confirm)
+	now = now.Add(confirmTimeout)
+	c.Overdue(now, confirmTimeout)
 	c.Confirmed(0, now)
-	now = now.Add(confirm)
-	c.Overdue(now, confirm)
+	now = now.Add(confirmTimeout)
+	c.Overdue(now, confirmTimeout)
 	if c.Free() != 1 {
 		t.Error("a server that confirms once costs the circuit")
 	}
@@ -60,7 +60,7 @@
 
 // What a connection that has ended had on its way is lost with it: set-ups are given up, their circuits are released
 // on the next connection, and calls that stand keep theirs. Numbers that no circuit has change nothing.
-func TestConnectionLost(t *testing.T) {
+func TestConnLost(t *testing.T) {
 	c, now := New(3), time.Unix(1000, 0)
 	c.Allocate(1)
 	c.Allocate(2)
@@ -76,7 +76,7 @@
 		c.Answered(cic)
 		c.Released(cic)
 	}
-	if id, there := c.Released(1); !there || id != 2 || c.Free() != 3 {
-		t.Errorf("the call that stood: %d, %v; %d free", id, there, c.Free())
+	if call, ended := c.Released(1); !ended || call != 2 || c.Free() != 3 {
+		t.Errorf("the call that stood: %d, %v; %d free", call, ended, c.Free())
 	}
 }
--- a/internal/knowledge/types.go
+++ b/internal/knowledge/types.go
@@ -83,8 +83,8 @@
 }
 
 // any says whether there is anything in it that is worth telling.
-func (s Observation) any() bool {
-	return s.HoldBackShareAt > 0 || s.Rate > 0 || s.FailureWeight > 0 || s.DrainingSince > 0
+func (o Observation) hasData() bool {
+	return o.HoldBackShareAt > 0 || o.Rate > 0 || o.FailureWeight > 0 || o.DrainingSince > 0
 }
 
 // Event is something that has happened; see the types below.
@@ -169,108 +169,108 @@
 type kind uint8
 
 const (
-	ask kind = iota
-	tell
-	kinds
+	kindQuery kind = iota
+	kindEntries
+	kindCount
 )
 
 // An entry stands as three to six integers: the server; the report's age and share; rate, bad endings and which of these
 // follow; lines; how long it has drained; the shortest set-up time.
 const (
-	agePer    = 10 * time.Millisecond
-	ageMost   = 1<<14 - 1
-	shareBits = 7
-	noShare   = 1<<shareBits - 1
-	shareMost = noShare - 1
-	rateMost  = 1<<24 - 1 // tenths
-	badBits   = 4
-	hasLines  = 1
-	hasDrain  = 2
-	hasFloor  = 4
-	flagBits  = 3
-	floorPer  = 100 * time.Microsecond
+	ageUnit           = 10 * time.Millisecond
+	maxEncodedAge     = 1<<14 - 1
+	shareBits         = 7
+	shareUnknown      = 1<<shareBits - 1
+	maxEncodedShare   = shareUnknown - 1
+	maxEncodedRate    = 1<<24 - 1 // tenths
+	failureWeightBits = 4
+	hasLines          = 1
+	hasDrainingSince  = 2
+	hasMinSetUpTime   = 4
+	flagBits          = 3
+	setUpTimeUnit     = 100 * time.Microsecond
 )
 
 // words are an entry at a time.
-func (s Observation) words(server uint32, now Time) []int64 {
-	age, share := int64(0), int64(noShare)
-	if s.HoldBackShareAt > 0 {
-		age, share = min(int64((now-s.HoldBackShareAt)/agePer), ageMost), int64(math.Round(min(max(s.HoldBackShare, 0), 1)*shareMost))
+func (o Observation) encode(server uint32, now Time) []int64 {
+	age, share := int64(0), int64(shareUnknown)
+	if o.HoldBackShareAt > 0 {
+		age, share = min(int64((now-o.HoldBackShareAt)/ageUnit), maxEncodedAge), int64(math.Round(min(max(o.HoldBackShare, 0), 1)*maxEncodedShare))
 	}
 	flags := int64(0)
-	if s.Lines > 0 {
+	if o.Lines > 0 {
 		flags |= hasLines
 	}
-	if s.DrainingSince > 0 {
-		flags |= hasDrain
+	if o.DrainingSince > 0 {
+		flags |= hasDrainingSince
 	}
-	if s.MinSetUpTime > 0 {
-		flags |= hasFloor
+	if o.MinSetUpTime > 0 {
+		flags |= hasMinSetUpTime
 	}
-	rate := int64(min(max(s.Rate, 0)*10, rateMost))
-	w := []int64{int64(server), age<<shareBits | share, rate<<(badBits+flagBits) | int64(min(s.FailureWeight, 1<<badBits-1))<<flagBits | flags}
-	if s.Lines > 0 {
-		w = append(w, int64(min(s.Lines, 1<<31)))
+	rate := int64(min(max(o.Rate, 0)*10, maxEncodedRate))
+	items := []int64{int64(server), age<<shareBits | share, rate<<(failureWeightBits+flagBits) | int64(min(o.FailureWeight, 1<<failureWeightBits-1))<<flagBits | flags}
+	if o.Lines > 0 {
+		items = append(items, int64(min(o.Lines, 1<<31)))
 	}
-	if s.DrainingSince > 0 {
-		w = append(w, int64((now-s.DrainingSince)/agePer))
+	if o.DrainingSince > 0 {
+		items = append(items, int64((now-o.DrainingSince)/ageUnit))
 	}
-	if s.MinSetUpTime > 0 {
-		w = append(w, int64((s.MinSetUpTime+floorPer-1)/floorPer))
+	if o.MinSetUpTime > 0 {
+		items = append(items, int64((o.MinSetUpTime+setUpTimeUnit-1)/setUpTimeUnit))
 	}
-	return w
+	return items
 }
 
 // readSeen reads one entry, that was so old by then, and says how many integers it took; 0: it makes no sense.
-func readSeen(w []int64, now Time) (server uint32, s Observation, n int) {
-	const most = int64(1) << 40
-	if len(w) < 3 || w[0] < 0 || w[0] > math.MaxUint32 || w[1] < 0 || w[1]>>shareBits > ageMost || w[2] < 0 || w[2] > most {
-		return 0, s, 0
+func decodeObservation(items []int64, now Time) (server uint32, obs Observation, n int) {
+	const maxValue = int64(1) << 40
+	if len(items) < 3 || items[0] < 0 || items[0] > math.MaxUint32 || items[1] < 0 || items[1]>>shareBits > maxEncodedAge || items[2] < 0 || items[2] > maxValue {
+		return 0, obs, 0
 	}
-	server, n = uint32(w[0]), 3
-	if share := w[1] & noShare; share != noShare {
-		s.HoldBackShare, s.HoldBackShareAt = float64(share)/shareMost, now-time.Duration(w[1]>>shareBits)*agePer
+	server, n = uint32(items[0]), 3
+	if share := items[1] & shareUnknown; share != shareUnknown {
+		obs.HoldBackShare, obs.HoldBackShareAt = float64(share)/maxEncodedShare, now-time.Duration(items[1]>>shareBits)*ageUnit
 	}
-	s.Rate, s.FailureWeight = float64(w[2]>>(badBits+flagBits))/10, int(w[2]>>flagBits&(1<<badBits-1))
+	obs.Rate, obs.FailureWeight = float64(items[2]>>(failureWeightBits+flagBits))/10, int(items[2]>>flagBits&(1<<failureWeightBits-1))
 	next := func() (v int64, ok bool) {
-		if n >= len(w) || w[n] < 0 || w[n] > most {
+		if n >= len(items) || items[n] < 0 || items[n] > maxValue {
 			return 0, false
 		}
 		n++
-		return w[n-1], true
+		return items[n-1], true
 	}
-	if w[2]&hasLines != 0 {
+	if items[2]&hasLines != 0 {
 		v, ok := next()
-		if s.Lines = float64(v); !ok {
-			return 0, s, 0
+		if obs.Lines = float64(v); !ok {
+			return 0, obs, 0
 		}
 	}
-	if w[2]&hasDrain != 0 {
+	if items[2]&hasDrainingSince != 0 {
 		v, ok := next()
-		if s.DrainingSince = max(now-time.Duration(v)*agePer, 1); !ok {
-			return 0, s, 0
+		if obs.DrainingSince = max(now-time.Duration(v)*ageUnit, 1); !ok {
+			return 0, obs, 0
 		}
 	}
-	if w[2]&hasFloor != 0 {
+	if items[2]&hasMinSetUpTime != 0 {
 		v, ok := next()
-		if s.MinSetUpTime = time.Duration(min(v, int64(time.Minute/floorPer))) * floorPer; !ok {
-			return 0, s, 0
+		if obs.MinSetUpTime = time.Duration(min(v, int64(time.Minute/setUpTimeUnit))) * setUpTimeUnit; !ok {
+			return 0, obs, 0
 		}
 	}
-	return server, s, n
+	return server, obs, n
 }
 
 // decode checks what a datagram or a rider of a tier of n members holds.
-func (m message) check(n int) error {
-	if m.Kind >= kinds || int(m.Tier) != n {
-		return errTier
+func (m message) check(tierSize int) error {
+	if m.Kind >= kindCount || int(m.Tier) != tierSize {
+		return errTierSize
 	}
-	for w := m.Items; len(w) > 0; {
-		_, _, took := readSeen(w, time.Hour)
-		if took == 0 {
+	for items := m.Items; len(items) > 0; {
+		_, _, n := decodeObservation(items, time.Hour)
+		if n == 0 {
 			return datagram.ErrMalformed
 		}
-		w = w[took:]
+		items = items[n:]
 	}
 	return nil
 }
--- a/internal/knowledge/weigh.go
+++ b/internal/knowledge/weigh.go
@@ -19,81 +19,81 @@
 }
 
 // badAt is the weight of bad endings in a row from which on a member holds a server for failing.
-const badAt = 8
+const failingThreshold = 8
 
-func weight(age, half time.Duration) float64 {
-	return math.Exp2(-float64(max(age, 0)) / float64(half))
+func weight(age, halfLife time.Duration) float64 {
+	return math.Exp2(-float64(max(age, 0)) / float64(halfLife))
 }
 
 // View weighs what is known of a server: each entry halves its weight with each half-life of its age, so a stale peer, or
 // two that contradict each other, are outweighed by whoever has heard of it later; the own entry counts beside the rest.
 func (r *Reducer) View(now Time, server uint32) (v View) {
 	now = max(now, r.now)
-	share, shares, rate, rates, bad, all := 0.0, 0.0, 0.0, 0.0, 0.0, 0.0
-	there := 1.0
-	for _, yes := range r.there {
-		if yes {
-			there++
+	shareSum, shareWeight, rateSum, rateWeight, failingWeight, totalWeight := 0.0, 0.0, 0.0, 0.0, 0.0, 0.0
+	members := 1.0
+	for _, available := range r.available {
+		if available {
+			members++
 		}
 	}
-	l := r.cfg.Limits
-	report := func(s Observation) {
-		if s.HoldBackShareAt > 0 && now-s.HoldBackShareAt < l.MaxAge {
-			w := weight(now-s.HoldBackShareAt, l.HalfLife)
-			share, shares = share+w*s.HoldBackShare, shares+w
+	limits := r.cfg.Limits
+	addReport := func(obs Observation) {
+		if obs.HoldBackShareAt > 0 && now-obs.HoldBackShareAt < limits.MaxAge {
+			w := weight(now-obs.HoldBackShareAt, limits.HalfLife)
+			shareSum, shareWeight = shareSum+w*obs.HoldBackShare, shareWeight+w
 		}
 	}
 	for _, o := range r.observers {
 		e, known := o.Entries[server]
-		if !known || now-e.At >= l.MaxAge {
+		if !known || now-e.ObservedAt >= limits.MaxAge {
 			continue
 		}
 		v.Observers++
 		v.MinSetUpTime = max(v.MinSetUpTime, e.MinSetUpTime)
-		report(e.Observation)
+		addReport(e.Observation)
 		v.HoldBackShareAt, v.DrainingSince = max(v.HoldBackShareAt, e.HoldBackShareAt), max(v.DrainingSince, e.DrainingSince)
-		w := weight(now-e.At, l.SlowHalfLife)
+		w := weight(now-e.ObservedAt, limits.SlowHalfLife)
 		if e.Rate > 0 {
-			rate, rates = rate+w*e.Rate, rates+w
+			rateSum, rateWeight = rateSum+w*e.Rate, rateWeight+w
 		}
-		if all += w; e.FailureWeight >= badAt {
-			bad += w
+		if totalWeight += w; e.FailureWeight >= failingThreshold {
+			failingWeight += w
 		}
 	}
-	if report(r.own[server]); shares > 0 {
-		v.HoldBackShare = share / shares
+	if addReport(r.local[server]); shareWeight > 0 {
+		v.HoldBackShare = shareSum / shareWeight
 	}
-	if rates > 0 {
-		v.Rate = rate / rates
-		v.FairRate = v.Rate * max(there-1, 1) / there
+	if rateWeight > 0 {
+		v.Rate = rateSum / rateWeight
+		v.FairRate = v.Rate * max(members-1, 1) / members
 	}
-	if all > 0 {
-		v.FailingShare = bad / all
+	if totalWeight > 0 {
+		v.FailingShare = failingWeight / totalWeight
 	}
 	return v
 }
 
 // TakeoverFactor is by how much the rates of this member grow when some others have died: those leave their callers to all that
 // are there, each as many, as far as anybody knows. Where too little is known each is held to have had as many.
-func (r *Reducer) TakeoverFactor(died []int, there int) float64 {
-	own, left, known := 0.0, 0.0, true
-	for _, s := range r.own {
-		own += s.Rate
+func (r *Reducer) TakeoverFactor(dead []int, available int) float64 {
+	localRate, deadRate, allKnown := 0.0, 0.0, true
+	for _, obs := range r.local {
+		localRate += obs.Rate
 	}
-	for _, m := range died {
-		rate, any := 0.0, false
-		for _, e := range r.observers[m].Entries {
-			if r.now-e.At < r.cfg.Limits.MaxAge {
-				rate, any = rate+e.Rate, any || e.Rate > 0
+	for _, member := range dead {
+		rate, reported := 0.0, false
+		for _, e := range r.observers[member].Entries {
+			if r.now-e.ObservedAt < r.cfg.Limits.MaxAge {
+				rate, reported = rate+e.Rate, reported || e.Rate > 0
 			}
 		}
-		left, known = left+rate, known && any
+		deadRate, allKnown = deadRate+rate, allKnown && reported
 	}
-	there = max(there, 1)
-	if !known || own <= 0 {
-		return float64(there+len(died)) / float64(there)
+	available = max(available, 1)
+	if !allKnown || localRate <= 0 {
+		return float64(available+len(dead)) / float64(available)
 	}
-	return 1 + min(left/float64(there)/own, float64(len(died)))
+	return 1 + min(deadRate/float64(available)/localRate, float64(len(dead)))
 }
 
 // ObserverEntry is an observer's entry, for operators.
@@ -104,18 +104,18 @@
 }
 
 // Entries is all that is known of a server, by observer, the own entry included.
-func (r *Reducer) Entries(server uint32) (all []ObserverEntry) {
-	for m, o := range r.observers {
+func (r *Reducer) Entries(server uint32) (entries []ObserverEntry) {
+	for member, o := range r.observers {
 		if e, known := o.Entries[server]; known {
-			all = append(all, ObserverEntry{m, e.Observation, e.At})
+			entries = append(entries, ObserverEntry{member, e.Observation, e.ObservedAt})
 		}
 	}
-	if s, listed := r.own[server]; listed {
-		all = append(all, ObserverEntry{r.cfg.Self, s, r.now})
+	if obs, listed := r.local[server]; listed {
+		entries = append(entries, ObserverEntry{r.cfg.Self, obs, r.now})
 	}
-	slices.SortFunc(all, func(a, b ObserverEntry) int { return a.Observer - b.Observer })
-	return all
+	slices.SortFunc(entries, func(a, b ObserverEntry) int { return a.Observer - b.Observer })
+	return entries
 }
 
 // Counters are the figures of now.
-func (r *Reducer) Counters() Counters { return r.figures }
+func (r *Reducer) Counters() Counters { return r.counters }
--- a/internal/probe/probe.go
+++ b/internal/probe/probe.go
@@ -27,22 +27,24 @@
 
 // Prober keeps the probes that are out, at most one to a connection.
 type Prober struct {
-	limits  Limits
-	figures Counters
-	tokens  float64
-	at      time.Duration // when they were last counted
-	last    ID
-	out     map[ID]uint64 // by the connection
+	limits      Limits
+	counters    Counters
+	tokens      float64
+	refilledAt  time.Duration // when they were last counted
+	lastID      ID
+	outstanding map[ID]uint64 // by the connection
 }
 
 // New makes a prober that may begin with a burst.
-func New(l Limits) *Prober { return &Prober{limits: l, tokens: l.Burst, out: make(map[ID]uint64)} }
+func New(l Limits) *Prober {
+	return &Prober{limits: l, tokens: l.Burst, outstanding: make(map[ID]uint64)}
+}
 
 // Configure replaces the limits. A probe that is out stays out.
 func (p *Prober) Configure(l Limits) { p.limits = l }
 
 // Counters are the figures of now.
-func (p *Prober) Counters() Counters { return p.figures }
+func (p *Prober) Counters() Counters { return p.counters }
 
 // Verdict is what may be done about a connection in doubt.
 type Verdict uint8
@@ -55,52 +57,52 @@
 )
 
 // Request says whether a connection may be probed, and if so, under which name and until when an answer is waited for.
-func (p *Prober) Request(now time.Duration, link uint64) (v Verdict, id ID, until time.Duration) {
+func (p *Prober) Request(now time.Duration, conn uint64) (v Verdict, id ID, deadline time.Duration) {
 	if !p.limits.Permitted {
 		return Forbidden, 0, 0
 	}
-	for _, l := range p.out {
-		if l == link {
+	for _, probed := range p.outstanding {
+		if probed == conn {
 			return Wait, 0, 0
 		}
 	}
-	p.tokens = min(p.tokens+p.limits.Rate*max(now-p.at, 0).Seconds(), p.limits.Burst)
-	if p.at = now; p.tokens < 1 {
-		p.figures.RateLimited++
+	p.tokens = min(p.tokens+p.limits.Rate*max(now-p.refilledAt, 0).Seconds(), p.limits.Burst)
+	if p.refilledAt = now; p.tokens < 1 {
+		p.counters.RateLimited++
 		return Wait, 0, 0
 	}
 	p.tokens--
-	p.last++
-	p.out[p.last] = link
-	p.figures.Sent++
-	return Send, p.last, now + p.limits.Timeout
+	p.lastID++
+	p.outstanding[p.lastID] = conn
+	p.counters.Sent++
+	return Send, p.lastID, now + p.limits.Timeout
 }
 
 // Answered takes in an answer, which counts once and on the connection that was asked.
-func (p *Prober) Answered(id ID, link uint64) bool {
-	if l, out := p.out[id]; !out || l != link {
-		p.figures.Late++
+func (p *Prober) Answered(id ID, conn uint64) bool {
+	if probed, outstanding := p.outstanding[id]; !outstanding || probed != conn {
+		p.counters.Late++
 		return false
 	}
-	delete(p.out, id)
-	p.figures.Answered++
+	delete(p.outstanding, id)
+	p.counters.Answered++
 	return true
 }
 
 // Expire ends a probe whose time is up, and says whether it was still out.
 func (p *Prober) Expire(id ID) bool {
-	if _, out := p.out[id]; !out {
+	if _, outstanding := p.outstanding[id]; !outstanding {
 		return false
 	}
-	delete(p.out, id)
-	p.figures.Failed++
+	delete(p.outstanding, id)
+	p.counters.Failed++
 	return true
 }
 
 // ConnClosed takes in that a connection is no more: nobody waits for what was asked there.
-func (p *Prober) ConnClosed(link uint64) {
-	for id, l := range p.out {
-		if l == link {
+func (p *Prober) ConnClosed(conn uint64) {
+	for id, probed := range p.outstanding {
+		if probed == conn {
 			p.Expire(id)
 		}
 	}
