--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -9,7 +9,7 @@
 	"elmseam/internal/datagram"
 )
 
-// world is a tier of members with clocks of their own, and a network that a story spoils.
+// simTier simulates a tier of members with clocks of their own, and a network that a test impairs.
 type simTier struct {
 	t        *testing.T
 	rng      *rand.Rand
@@ -23,18 +23,20 @@
 	demand   []float64
 }
 
+// simMember is a member of the simulated tier; r is nil while the member is dead.
 type simMember struct {
 	r           *Reducer
-	clockRate   float64 // of its clock
+	clockRate   float64 // pace of its clock, relative to the simulation's time
 	incarnation int
 	paused      bool
 	deferred    []pendingEvent
 }
 
+// pendingEvent is an event to be delivered at a time.
 type pendingEvent struct {
 	at          time.Duration
 	to          int
-	incarnation int // of the member a timer is of; 0: a datagram
+	incarnation int // incarnation of the member that set the timer; 0: a datagram
 	ev          Event
 }
 
@@ -73,7 +75,7 @@
 	w.setAvailable(member, false)
 }
 
-// tell has all hold a member to be there, or not.
+// setAvailable tells all members whether a member is available.
 func (w *simTier) setAvailable(member int, available bool) {
 	for observer := range w.members {
 		w.step(observer, MemberAvailability{member, available})
@@ -89,7 +91,7 @@
 		switch effect := effect.(type) {
 		case Send:
 			if len(effect.Data) > datagram.MaxSize {
-				w.t.Fatalf("a datagram of %d bytes", len(effect.Data))
+				w.t.Fatalf("a datagram of %d bytes is too long", len(effect.Data))
 			}
 			if !w.drops(member, effect.To) {
 				w.queue = append(w.queue, pendingEvent{w.now + w.delay(), effect.To, 0, Datagram{member, effect.Data}})
@@ -101,7 +103,7 @@
 	w.checkExclusive()
 }
 
-// whole is the rule: no unit of a part is used by two who run.
+// checkExclusive checks the invariant that no unit of a quota is used by two running members.
 func (w *simTier) checkExclusive() {
 	for owner := range w.members {
 		var inUse Mask
@@ -111,7 +113,7 @@
 			}
 			usable := sim.r.Usable(w.memberClock(member), owner)
 			if inUse&usable != 0 {
-				w.t.Fatalf("at %v units %08b of part %d are used by member %d and another", w.now, inUse&usable, owner, member)
+				w.t.Fatalf("at %v units %08b of the quota of member %d are used by member %d and by another one", w.now, inUse&usable, owner, member)
 			}
 			inUse |= usable
 		}
@@ -152,7 +154,7 @@
 	sim.deferred = nil
 }
 
-// units are how many units of a part are used, by whom most.
+// unitsInUse returns how many units of an owner's quota are used by running members.
 func (w *simTier) unitsInUse(owner int) (n int) {
 	for member, sim := range w.members {
 		if sim.r != nil && !sim.paused {
@@ -164,14 +166,15 @@
 	return n
 }
 
-// What two dead leave goes to those who are there, when the leases of the dead have run out and not before; the sure unit of
-// each goes to nobody. One that only stood still wakes with its sure unit alone, and has the rest back within two leases.
+// Units of two dead members go to the available members once the leases of the dead have expired, and not before;
+// nobody uses the reserved unit of a dead member. A member that was only paused resumes with its reserved unit alone,
+// and has the other units back within two leases.
 func TestSuccessorsUseUnitsOfDeadMembers(t *testing.T) {
 	w := newSimTier(t, 5, 0, 1)
 	w.run(6 * time.Second)
 	for owner := range w.members {
 		if n := w.unitsInUse(owner); n != Units {
-			t.Fatalf("%d units of part %d are used, want %d", n, owner, Units)
+			t.Fatalf("%d units of the quota of member %d are used, want %d", n, owner, Units)
 		}
 	}
 	w.killMember(1)
@@ -179,29 +182,30 @@
 	w.setAvailable(3, false)
 	w.run(7 * time.Second)
 	if n := w.unitsInUse(1) + w.unitsInUse(3); n != 0 {
-		t.Errorf("%d units of the two are used a second after, within their leases", n)
+		t.Errorf("%d units of the two members are used a second after, within their leases", n)
 	}
 	w.run(11 * time.Second)
 	for _, owner := range []int{1, 3} {
 		if n := w.unitsInUse(owner); n != Units-1 {
-			t.Errorf("%d units of part %d are used, want %d", n, owner, Units-1)
+			t.Errorf("%d units of the quota of member %d are used, want %d", n, owner, Units-1)
 		}
 	}
 	if rate, known := w.members[0].r.Rate(w.memberClock(0), 7); !known || rate <= 10 {
-		t.Errorf("one who is there may use %v a second, %t; its own part is 10", rate, known)
+		t.Errorf("an available member may use %v set-ups/s, known: %t; want more than its own quota of 10", rate, known)
 	}
 	w.resumeMember(3)
 	if usable := w.members[3].r.Usable(w.memberClock(3), 3); usable != reservedUnit {
-		t.Errorf("who stood still uses units %08b when it wakes, want the sure one", usable)
+		t.Errorf("the paused member uses units %08b when it resumes, want the reserved unit", usable)
 	}
 	w.setAvailable(3, true)
 	w.run(16 * time.Second)
 	if usable := w.members[3].r.Usable(w.memberClock(3), 3); usable != reservedUnit|transferableUnits {
-		t.Errorf("and then %08b, want all", usable)
+		t.Errorf("the resumed member uses units %08b after two leases, want all", usable)
 	}
 }
 
-// A busy one borrows from an idle one at once; what is lent is not used by its owner, and comes back when the borrower dies.
+// A busy member borrows from an idle one at once. The owner does not use units that it has lent, and gets them back
+// when the borrower dies.
 func TestLoan(t *testing.T) {
 	for _, disabled := range []Guard{0, GuardLoan} {
 		w := newSimTier(t, 2, disabled, 1)
@@ -210,29 +214,29 @@
 		}
 		w.run(4 * time.Second)
 		w.demand[0] = 3
-		if disabled != 0 { // the rule is seen broken
+		if disabled != 0 { // without the guard the violation shows
 			w.drops = func(from, _ int) bool { return false }
 			w.members[1].r.loans[3] = loan{0, w.memberClock(1) + time.Second}
 			if usable := w.members[1].r.Usable(w.memberClock(1), 1); usable&(1<<3) == 0 {
-				t.Error("without its guard a member does not use what it has lent")
+				t.Error("without GuardLoan a member does not use the units that it has lent")
 			}
 			continue
 		}
 		w.step(0, Demand{3})
 		w.run(6 * time.Second)
 		if n := w.unitsInUse(1); usedByBoth() != 0 || n != Units || w.members[0].r.Usable(w.memberClock(0), 1) == 0 {
-			t.Errorf("%d units of the idle one's part are used, %08b by both; the busy one uses %08b", n, usedByBoth(), w.members[0].r.Usable(w.memberClock(0), 1))
+			t.Errorf("%d units of the idle member's quota are used, %08b by both; the busy member uses %08b", n, usedByBoth(), w.members[0].r.Usable(w.memberClock(0), 1))
 		}
 		w.killMember(0)
 		w.run(6*time.Second + 2*w.limits.Lease)
 		if usable := w.members[1].r.Usable(w.memberClock(1), 1) &^ reservedUnit; usable != 0 {
-			t.Errorf("one of two sees no majority and uses units %08b", usable)
+			t.Errorf("a member without a majority uses units %08b", usable)
 		}
 	}
 }
 
-// When all start anew at once nobody knows anything: nobody uses more than its sure unit until all that may have been held
-// is over.
+// When all members restart at once, no member knows the earlier grants: each uses only its reserved unit until all
+// units that may have been held have expired.
 func TestAllMembersRestart(t *testing.T) {
 	w := newSimTier(t, 5, 0, 1)
 	w.run(5 * time.Second)
@@ -246,18 +250,19 @@
 		w.run(w.now + 100*time.Millisecond)
 		for owner := range w.members {
 			if n := w.unitsInUse(owner); n > 1 {
-				t.Fatalf("%d units of part %d are used %v after the start", n, owner, w.now-5*time.Second)
+				t.Fatalf("%d units of the quota of member %d are used %v after the start", n, owner, w.now-5*time.Second)
 			}
 		}
 	}
 	w.run(10 * time.Second)
 	if n := w.unitsInUse(2); n != Units {
-		t.Errorf("%d units of a part are used 5 s after, want all", n)
+		t.Errorf("%d units of a quota are used 5 s after the start, want all", n)
 	}
 }
 
-// Whatever is lost, late, doubled, cut, killed, started anew or stopped, with clocks a hundredth apart, no unit is used by
-// two; when it is over, each one that is there has its own part and those of the dead are used.
+// Under datagrams lost and delayed, and members isolated, killed, restarted and paused, with clock pace differing by
+// a hundredth, no unit is used by two members. After the faults have ended, each available member uses its own quota,
+// and the units of the dead are used.
 func TestRandomFaults(t *testing.T) {
 	for seed := range uint64(40) {
 		w := newSimTier(t, 5, 0, seed)
@@ -288,7 +293,7 @@
 					sim.paused = true
 				}
 			case 3:
-				w.setAvailable(member, w.rng.IntN(2) == 0) // views may be wrong
+				w.setAvailable(member, w.rng.IntN(2) == 0) // the members' views may be wrong
 			case 4:
 				isolated[member] = !isolated[member]
 			case 5:
@@ -319,20 +324,20 @@
 				want--
 			}
 			if got := w.unitsInUse(owner); got != want {
-				t.Errorf("seed %d: %d units of part %d are used in the end, want %d", seed, got, owner, want)
+				t.Errorf("seed %d: %d units of the quota of member %d are used in the end, want %d", seed, got, owner, want)
 			}
 		}
 	}
 }
 
-// A tier too great for it keeps fixed parts, and garbage is counted.
+// A tier larger than MaxMembers keeps fixed quotas, and malformed input is counted.
 func TestLargeTiersAndMalformedInput(t *testing.T) {
 	r, _, err := New(Config{TierSize: 300, Limits: Defaults()}, epoch)
 	if err != nil || r.Transferable() || len(r.Step(epoch, ColdServer{7, 1, epoch + time.Hour})) > 0 {
-		t.Errorf("%v: parts move among 300", err)
+		t.Errorf("%v: units move in a tier of 300 members", err)
 	}
 	if _, known := r.Rate(epoch, 7); known {
-		t.Error("a rate where parts don't move")
+		t.Error("a rate is known though units do not move")
 	}
 	r, _, _ = New(Config{TierSize: 5, Limits: Defaults()}, epoch)
 	rng := rand.New(rand.NewPCG(1, 1))
--- a/internal/budget/loans.go
+++ b/internal/budget/loans.go
@@ -6,21 +6,22 @@
 	"time"
 )
 
-// A loan is between two. The lender holds the units by a lease of the majority, counts them as lent from the moment at
-// which it says so, and goes on renewing them; the loan ends, by any clock, before that lease does and before the lender
-// uses the units again. So it takes no third: neither a lost word nor the death of either leaves a unit with two.
+// A loan involves only two members. The lender holds the units by leases of a majority, counts them as lent from the
+// moment it says so, and goes on renewing the leases. The loan ends, by any clock, before the lease ends and before
+// the lender uses the units again. So a loan needs no third member: neither a lost message nor the death of either
+// member leaves a unit with two users.
 
 const (
-	borrowThreshold = 0.8 // share of what a member has that it uses, from which on it asks for more
-	lenderReserve   = 1   // movable units that a lender keeps beyond what it uses
+	borrowThreshold = 0.8 // a member that uses this share of its units requests loans
+	lenderReserve   = 1   // transferable units that a lender keeps beyond those that it uses
 )
 
-// idle are the own movable units that this member could lend.
+// lendableUnits returns the transferable units of its own quota that this member could lend.
 func (r *Reducer) lendableUnits() (units Mask) {
 	if r.demand < 0 {
 		return 0
 	}
-	reserve := int(math.Ceil(r.demand*Units)) - 1 + lenderReserve // the sure one is kept in any case
+	reserve := int(math.Ceil(r.demand*Units)) - 1 + lenderReserve // the reserved unit is never lent
 	lent := r.lentUnits(r.now)
 	for unit := Units - 1; unit >= 1; unit-- {
 		if bit := Mask(1) << unit; r.now < r.heldExpiry[r.cfg.Self][unit] && lent&bit == 0 {
@@ -33,7 +34,7 @@
 	return units
 }
 
-// lentOut are the own units that are lent.
+// lentUnits returns the units of its own quota that this member has lent.
 func (r *Reducer) lentUnits(now Time) (units Mask) {
 	for unit, l := range r.loans {
 		if now < l.Expiry {
@@ -43,8 +44,8 @@
 	return units
 }
 
-// ask asks for loans where this member uses nearly all that it has by leases: first for those that it has already, as far as
-// they are needed, then of the member that has most to spare.
+// requestLoans requests loans if this member uses nearly all units that it holds: first the renewal of existing
+// loans, as far as they are needed, then additional units from the member with the most lendable units.
 func (r *Reducer) requestLoans() {
 	missing := int(math.Ceil(r.demand / borrowThreshold * Units))
 	renewals := make([]Mask, r.cfg.TierSize)
@@ -79,7 +80,8 @@
 	}
 }
 
-// borrow answers one that asks for a loan: with what it has already, as long as this member can spare it, and with more.
+// handleBorrow answers a loan request: it renews existing loans while this member can spare the units, and lends
+// additional units.
 func (r *Reducer) handleBorrow(borrower int, m message) {
 	additional, renewals := int(m.Items[0]), Mask(m.Items[1])
 	var units Mask
@@ -111,7 +113,7 @@
 	r.send(borrower, message{Kind: kindLend, Seq: m.Seq, Items: []int64{int64(units), int64(duration / time.Millisecond)}, Rates: r.encodeRates()})
 }
 
-// took takes a loan in, counted from when it was asked for.
+// handleLoan records the units of a loan received from a lender. The loan counts from when it was requested.
 func (r *Reducer) handleLoan(from int, m message) {
 	if m.Seq != r.loanSeq || m.Items[0] == 0 {
 		return
@@ -130,7 +132,7 @@
 	}
 }
 
-// Usable are the units of a member's part that this one may use at a time.
+// Usable returns the units of an owner's quota that this member may use at a time.
 func (r *Reducer) Usable(now Time, owner int) (units Mask) {
 	now = max(now, r.now)
 	if owner == r.cfg.Self {
@@ -147,8 +149,8 @@
 	return units
 }
 
-// Rate is what this member may send to a cold server, in set-ups a second of a warm one, at a time. It says no of a server
-// that it was not told of, or where parts do not move.
+// Rate returns the rate that this member may send to a cold server at a time, in set-ups a second of a warm server.
+// It returns false for a server that is not known to be cold, or if units do not move.
 func (r *Reducer) Rate(now Time, server uint32) (rate float64, known bool) {
 	c := r.findServer(server)
 	if c == nil || max(now, r.now) >= c.ColdUntil || !r.Transferable() {
@@ -162,7 +164,7 @@
 	return rate, true
 }
 
-// Quotas are what is known of each member's part. What is returned is the caller's.
+// Quotas returns what is known of each member's quota. The result is a copy.
 func (r *Reducer) Quotas() (quotas []Quota) {
 	for owner := range r.heldExpiry {
 		quota := Quota{Usable: r.Usable(r.now, owner), Grants: r.grants[owner]}
@@ -179,8 +181,8 @@
 	return quotas
 }
 
-// AnyCold says whether a server is cold now.
+// AnyCold reports whether a server is cold now.
 func (r *Reducer) AnyCold() bool { return r.active }
 
-// Counters are the figures of now.
+// Counters returns the current counters.
 func (r *Reducer) Counters() Counters { return r.counters }
--- a/internal/budget/reducer.go
+++ b/internal/budget/reducer.go
@@ -12,61 +12,61 @@
 	"elmseam/internal/datagram"
 )
 
-// claiming is a round of claims under way: what was asked for, when, and who has granted which units.
+// claimRound is one round of claims: the units requested, when, and the votes so far.
 type claimRound struct {
-	Seq         uint32
-	RequestedAt Time
-	Units       []Mask // by part
-	Votes       [][Units]int
-	Voters      []int
+	Seq         uint32       // number of the claims
+	RequestedAt Time         // when the claims were sent
+	Units       []Mask       // units claimed, by owner
+	Votes       [][Units]int // members that granted the unit, by owner and unit
+	Voters      []int        // members that have answered
 }
 
-// loan is an own unit that is lent.
+// loan is a loan of one of this member's own units.
 type loan struct {
 	Borrower int
-	Expiry   Time
+	Expiry   Time // from then on the lender may use the unit again
 }
 
-// cold is a server that is cold, and whose part of it is which rate.
+// coldServer is a cold server with the members' quotas of its budget.
 type coldServer struct {
-	Server    uint32
+	Server    uint32 // hash of the name and the start
 	ColdUntil Time
-	Rates     []float64 // by member; negative: not told
+	Rates     []float64 // whole quota in set-ups a second, by member; negative: not reported
 }
 
-// Reducer is one member's part. It is not safe for concurrent use.
+// Reducer is one member's state of the protocol. It is not safe for concurrent use.
 type Reducer struct {
 	cfg             Config
 	now             Time
-	incarnation     uint64
-	recoveredAt     Time // from then on it grants
+	incarnation     uint64 // start time of this member, in milliseconds
+	recoveredAt     Time   // earliest time at which this member grants units
 	rng             *rand.Rand
 	effects         []Effect
-	available       []bool
-	lendable        []uint8 // that members have told
-	grants          [][Units]Grant
-	ownerRefusedAt  []Time // when a part's owner last claimed it in vain
-	heldExpiry      [][Units]Time
-	claimSeq        uint32 // the last claim's number
-	rounds          []claimRound
-	loans           [Units]loan
-	borrowedExpiry  [][Units]Time // by lender
-	loanSeq         uint32        // the last loan's number that was asked for
-	loanRequestedAt Time
+	available       []bool         // by member, as membership reports it
+	lendable        []uint8        // units that each member last reported as lendable
+	grants          [][Units]Grant // by owner and unit: granted by this member
+	ownerRefusedAt  []Time         // by owner: when the owner last claimed a unit of its quota in vain
+	heldExpiry      [][Units]Time  // by owner and unit: expiry of the lease that this member holds; 0: none
+	claimSeq        uint32         // number of the last claim
+	rounds          []claimRound   // last rounds of claims
+	loans           [Units]loan    // own units lent, by unit
+	borrowedExpiry  [][Units]Time  // by lender and unit: expiry of the loan to this member
+	loanSeq         uint32         // number of the last loan request
+	loanRequestedAt Time           // when that request was sent
 	coldServers     []coldServer
-	demand          float64 // negative: not known
-	timerSeq        uint32
-	active          bool
+	demand          float64 // in multiples of this member's quota; negative: not known
+	timerSeq        uint32  // token of the only valid timer
+	active          bool    // a server is cold and rounds run
 	counters        Counters
 }
 
-// New begins a member's part.
+// New returns the reducer of a member and its first effects.
 func New(cfg Config, now Time) (*Reducer, []Effect, error) {
 	switch {
 	case cfg.TierSize < 1 || cfg.TierSize > math.MaxUint16:
 		return nil, nil, fmt.Errorf("tier: %d members, not in [1, %d]", cfg.TierSize, math.MaxUint16)
 	case cfg.Self < 0 || cfg.Self >= cfg.TierSize:
-		return nil, nil, fmt.Errorf("self: %d is none of %d members", cfg.Self, cfg.TierSize)
+		return nil, nil, fmt.Errorf("self: index %d of %d members does not exist", cfg.Self, cfg.TierSize)
 	}
 	if err := cfg.Limits.Check(); err != nil {
 		return nil, nil, err
@@ -75,7 +75,7 @@
 		cfg: cfg, now: now, incarnation: max(uint64(now/time.Millisecond), 1), recoveredAt: now + cfg.Limits.recoveryTime(), demand: -1,
 		rng: rand.New(rand.NewPCG(cfg.Seed, 0x62756467)),
 	}
-	r.claimSeq, r.loanSeq = uint32(r.incarnation), uint32(r.incarnation) // what answers an earlier life's is passed over
+	r.claimSeq, r.loanSeq = uint32(r.incarnation), uint32(r.incarnation) // start at the incarnation, so that answers to requests of an earlier incarnation do not match
 	if !r.guardEnabled(GuardRecover) || cfg.TierSize == 1 {
 		r.recoveredAt = 0
 	}
@@ -92,11 +92,12 @@
 	return r, nil, nil
 }
 
-// Transferable says whether parts move at all: in a tier too great for it each keeps its own.
+// Transferable reports whether units move between members. In a tier larger than MaxMembers each member keeps its own
+// quota.
 func (r *Reducer) Transferable() bool { return r.cfg.TierSize <= r.cfg.Limits.MaxMembers }
 
-// Step takes in one event. The effects are to be carried out in their order. A time before that of the last Step counts
-// as the last one's.
+// Step handles one event and returns the effects, which have to be carried out in their order. A time before that of
+// the last Step counts as the last one's.
 func (r *Reducer) Step(now Time, ev Event) []Effect {
 	r.now = max(now, r.now)
 	if !r.Transferable() {
@@ -127,13 +128,18 @@
 	return effects
 }
 
-func (r *Reducer) emit(e Effect)             { r.effects = append(r.effects, e) }
+// emit adds an effect to the result of the current Step.
+func (r *Reducer) emit(e Effect) { r.effects = append(r.effects, e) }
+
+// guardEnabled reports whether the guard is on.
 func (r *Reducer) guardEnabled(g Guard) bool { return r.cfg.DisabledGuards&g == 0 }
-func (r *Reducer) quorum() int               { return r.cfg.TierSize/2 + 1 }
 
-// cold takes in that a server is cold. The own rate of one never falls while it is: parts of the others that are used here
-// are counted in theirs, and nobody's should grow with the callers of those who are dead. It is for who tells it to say
-// until when it may grow.
+// quorum is the number of members in a majority of the tier.
+func (r *Reducer) quorum() int { return r.cfg.TierSize/2 + 1 }
+
+// markCold handles a ColdServer event. This member's own rate for a server never falls while the server is cold.
+// Units of other members' quotas that are used here count at their owners' rates, so no rate should grow with the
+// callers of dead members; the sender of the event decides until when a rate may grow.
 func (r *Reducer) markCold(ev ColdServer) {
 	if ev.Until <= r.now || !(ev.Rate >= 0) {
 		return
@@ -150,7 +156,7 @@
 	}
 }
 
-// server is what is kept of a cold server; nil: there are too many.
+// findOrAddServer returns the state of a cold server; nil if too many servers are cold.
 func (r *Reducer) findOrAddServer(hash uint32) *coldServer {
 	r.coldServers = slices.DeleteFunc(r.coldServers, func(c coldServer) bool { return r.now >= c.ColdUntil })
 	for i := range r.coldServers {
@@ -169,7 +175,8 @@
 	return &r.coldServers[len(r.coldServers)-1]
 }
 
-// tick claims what is to be held, and asks for a loan where that is not enough; while a server is cold.
+// runRound claims the units that this member should hold, and requests loans if these units are not enough. Rounds
+// repeat while a server is cold.
 func (r *Reducer) runRound() {
 	r.coldServers = slices.DeleteFunc(r.coldServers, func(c coldServer) bool { return r.now >= c.ColdUntil })
 	if r.active = len(r.coldServers) > 0; !r.active {
@@ -177,12 +184,13 @@
 	}
 	r.sendClaims()
 	r.requestLoans()
-	r.timerSeq++ // a little random, so that two heirs do not claim at once for ever
+	r.timerSeq++ // random jitter, so that two successors do not keep claiming at the same time
 	delay := r.cfg.Limits.roundInterval()*7/8 + time.Duration(r.rng.Int64N(int64(r.cfg.Limits.roundInterval()/4)))
 	r.emit(Timer{At: r.now + delay, Token: Token{r.timerSeq}})
 }
 
-// claim asks all for the own units, and for those of the absent whose heir this member is.
+// sendClaims claims from all members this member's own units, and the units of unavailable members whose successor
+// this member is or which it still holds.
 func (r *Reducer) sendClaims() {
 	round := claimRound{RequestedAt: r.now, Units: make([]Mask, r.cfg.TierSize), Votes: make([][Units]int, r.cfg.TierSize), Voters: []int{r.cfg.Self}}
 	r.claimSeq++
@@ -200,7 +208,7 @@
 	}
 	r.counters.Claims++
 	r.rounds = append(r.rounds, round)
-	r.rounds = r.rounds[max(len(r.rounds)-4, 0):] // answers come for so long
+	r.rounds = r.rounds[max(len(r.rounds)-4, 0):] // answers to the last four rounds still count
 	for owner, units := range round.Units {
 		r.countVotes(&r.rounds[len(r.rounds)-1], owner, r.vote(r.cfg.Self, r.incarnation, round.Seq, owner, units))
 	}
@@ -211,9 +219,10 @@
 	}
 }
 
-// heir is who is to have a unit that its owner has left: of those that are there, the one that hashes highest (Thaler and
-// Ravishankar, "Using Name-Based Mappings to Increase Hit Rates", 1998), so that all who see the same agree, and a change
-// of who is there moves little.
+// successor returns the member that should have a unit of an unavailable owner: of the available members the one with
+// the highest hash (rendezvous hashing: Thaler and Ravishankar, "Using Name-Based Mappings to Increase Hit Rates",
+// 1998). So all members that consider the same members available agree, and a change of availability moves few units.
+// It returns -1 if no member is available.
 func (r *Reducer) successor(owner, unit int) (successor int) {
 	var maxHash uint64
 	successor = -1
@@ -225,7 +234,7 @@
 	return successor
 }
 
-// rates are those of the own part, as they are told.
+// encodeRates returns this member's own quotas in the form of message.Rates.
 func (r *Reducer) encodeRates() (items []int64) {
 	for _, c := range r.coldServers {
 		if rate := c.Rates[r.cfg.Self]; rate >= 0 {
@@ -235,14 +244,14 @@
 	return items
 }
 
-// vote says which units of a part this member grants to one that claims them, and remembers it.
+// vote returns the units of an owner's quota that this member grants to a claimant, and records the grants.
 func (r *Reducer) vote(claimant int, incarnation uint64, seq uint32, owner int, units Mask) (granted Mask) {
 	if r.now < r.recoveredAt {
 		return 0
 	}
 	byOwner := owner == claimant
 	if !byOwner && (owner == r.cfg.Self || r.available[owner] || r.now < r.ownerRefusedAt[owner]+r.cfg.Limits.Lease) {
-		return 0 // it is there and wants it, or will have it back
+		return 0 // the owner is available and claims its units, or has claimed them within the last lease
 	}
 	for unit := 1; unit < Units; unit++ {
 		if units&(1<<unit) == 0 {
@@ -262,7 +271,8 @@
 	return granted
 }
 
-// tally counts a vote. At a majority a unit is held, from when it was asked for.
+// countVotes counts a vote for units of an owner's quota. A unit with a majority of votes is held, counted from when
+// it was claimed.
 func (r *Reducer) countVotes(round *claimRound, owner int, units Mask) {
 	for unit := 1; unit < Units; unit++ {
 		if units&round.Units[owner]&(1<<unit) == 0 {
@@ -287,7 +297,7 @@
 	}
 }
 
-// expire ends what has run out, before anything else.
+// expire drops leases and loans that have expired. Step calls it before it handles an event.
 func (r *Reducer) expire() {
 	for owner := range r.heldExpiry {
 		for unit := range Units {
@@ -307,7 +317,7 @@
 	}
 }
 
-// datagram takes one in.
+// handleDatagram handles a datagram from another member.
 func (r *Reducer) handleDatagram(d Datagram) {
 	if d.From < 0 || d.From >= r.cfg.TierSize {
 		r.counters.UnknownSenders++
@@ -324,7 +334,7 @@
 	}
 	r.lendable[d.From] = m.Lendable
 	for i := 0; i+1 < len(m.Rates); i += 2 {
-		if c := r.findServer(uint32(m.Rates[i])); c != nil { // a server that the own list has not named stays unknown
+		if c := r.findServer(uint32(m.Rates[i])); c != nil { // ignore servers that this member does not know to be cold
 			c.Rates[d.From] = float64(m.Rates[i+1]) / 1000
 		}
 	}
@@ -342,7 +352,7 @@
 	}
 }
 
-// known is a cold server of the own list; nil: it is none.
+// findServer returns the state of a cold server that this member was told of; nil if there is none.
 func (r *Reducer) findServer(hash uint32) *coldServer {
 	for i := range r.coldServers {
 		if c := &r.coldServers[i]; c.Server == hash && c.Rates[r.cfg.Self] >= 0 {
@@ -352,6 +362,7 @@
 	return nil
 }
 
+// handleClaim answers a claim with the units granted, if any.
 func (r *Reducer) handleClaim(from int, m message) {
 	var items []int64
 	for _, item := range m.Items {
@@ -368,8 +379,8 @@
 	}
 }
 
-// granted takes in an answer. When all could have answered, what is out of reach is given back, so that of two heirs who
-// split the votes one has all of them the next time.
+// handleGrant counts the votes in an answer to a claim. After a majority has answered, units that were not won are
+// given back, so that of two successors that split the votes one wins them all in the next round.
 func (r *Reducer) handleGrant(from int, m message) {
 	for i := range r.rounds {
 		round := &r.rounds[i]
@@ -384,7 +395,8 @@
 	}
 }
 
-// yield gives back, once a majority has answered a claim, the units of others that came to none.
+// returnUnwon gives back, once a majority has answered the last claim, units of other members' quotas that did not
+// get a majority of votes, each with a probability of one half.
 func (r *Reducer) returnUnwon(round *claimRound) {
 	if len(round.Voters) != r.quorum() || round.Seq != r.claimSeq {
 		return
@@ -399,7 +411,7 @@
 		}
 		if unwon != 0 {
 			items = append(items, int64(owner)<<Units|int64(unwon))
-			round.Units[owner] &^= unwon // a later answer is too late for these
+			round.Units[owner] &^= unwon // later votes for these units do not count
 		}
 	}
 	if len(items) == 0 {
@@ -415,7 +427,7 @@
 	}
 }
 
-// givenBack frees units of that claim; a later claim's grant stands.
+// handleReturn removes the grants of units that the holder gives back. A grant of a later claim remains.
 func (r *Reducer) handleReturn(from int, m message) {
 	for _, item := range m.Items {
 		for unit := 1; unit < Units; unit++ {
@@ -426,6 +438,7 @@
 	}
 }
 
+// send sends a message to a member, with tier size, incarnation and lendable units filled in.
 func (r *Reducer) send(member int, m message) {
 	m.Tier, m.Incarnation, m.Lendable = uint16(r.cfg.TierSize), r.incarnation, uint8(r.lendableUnits().Count())
 	if m.Items == nil {
@@ -435,7 +448,7 @@
 		m.Rates = []int64{}
 	}
 	data := datagram.Encode(Version, m)
-	for len(data) > datagram.MaxSize { // rates come again
+	for len(data) > datagram.MaxSize { // drop rates until the datagram fits: rates are sent with every round
 		m.Rates = m.Rates[:len(m.Rates)-2]
 		data = datagram.Encode(Version, m)
 	}
--- a/internal/budget/types.go
+++ b/internal/budget/types.go
@@ -1,15 +1,18 @@
-// Package budget moves parts of a just-started server's budget between the softswitches of a tier, so that those who are
-// there may use what the dead leave and the busy what the idle don't need, and all together never use more than the whole.
+// Package budget moves units of the budgets of cold servers between the softswitches of a tier. A cold server has
+// just started and ramps up (slow start), so the tier as a whole may send it only a limited rate of set-ups; each
+// member's portion of that budget is its quota. Available members use the units that dead members leave, busy members
+// use units that idle members do not need, and all members together never use more than the whole budget.
 //
-// Each member's part is cut into Units. The first is sure: it is the owner's, always, and nobody else's ever. Each other
-// one is a lease that a majority of the tier grants, in the manner of Gray and Cheriton, "Leases: An Efficient
-// Fault-Tolerant Mechanism for Distributed File Cache Consistency" (SOSP 1989), without a disk as in Trencséni, Gazsó and
-// Reinhardt, "PaxosLease" (2009): to its owner, or, when that one's lease has run out and it is not there, to an heir. What
-// an owner holds by such a lease it may lend for a shorter time: escrow between two (O'Neil, "The Escrow Transactional
-// Method", TODS 1986; Barbará and Garcia-Molina, "The Demarcation Protocol", 1992), which needs no third.
-// docs/BUDGET.md has the whole.
+// Each member's quota is cut into Units units. The first unit is reserved: only its owner ever uses it. Each other
+// unit is a lease that a majority of the tier grants, in the manner of Gray and Cheriton, "Leases: An Efficient
+// Fault-Tolerant Mechanism for Distributed File Cache Consistency" (SOSP 1989), without a disk as in Trencséni, Gazsó
+// and Reinhardt, "PaxosLease" (2009). The majority grants a unit to its owner or, when the owner's lease has expired
+// and the owner is not available, to a successor. A unit that its owner holds by such a lease may be lent for a
+// shorter time. A loan is escrow between two members (O'Neil, "The Escrow Transactional Method", TODS 1986; Barbará
+// and Garcia-Molina, "The Demarcation Protocol", 1992) and needs no third one. docs/BUDGET.md describes the whole
+// protocol.
 //
-// It is a reducer like internal/maintenance: no I/O, no goroutine, no clock.
+// The package is a reducer like internal/maintenance: a state machine without I/O, goroutines or a clock.
 package budget
 
 import (
@@ -20,40 +23,45 @@
 	"elmseam/internal/datagram"
 )
 
-// Time is an instant of the core's clock. It never runs backwards.
+// Time is an instant on the core's clock. It never runs backwards.
 type Time = time.Duration
 
-// Version is the first byte of the datagrams.
+// Version is the first byte of the datagrams. It names the protocol and its version.
 const Version = 0x42
 
-// Units are the pieces of a member's part. The first never moves.
+// Units is the number of units in a member's quota. The first unit never moves.
 const Units = 8
 
-// Mask names units of one part, the first by its lowest bit.
+// Mask is a set of units of one quota; the lowest bit is the first unit.
 type Mask uint8
 
-// Count is how many units are named.
+// Count returns the number of units in the set.
 func (m Mask) Count() int { return bits.OnesCount8(uint8(m)) }
 
 const (
-	reservedUnit      Mask = 1
-	transferableUnits Mask = 1<<Units - 1 - reservedUnit
+	reservedUnit      Mask = 1                           // used only by the owner of the quota
+	transferableUnits Mask = 1<<Units - 1 - reservedUnit // leased, may move to other members
 )
 
-// Limits are the times and counts. Check says which make no sense.
+// Limits holds the times and counts of the protocol. Check reports invalid ones.
 type Limits struct {
-	Lease      time.Duration // of a unit: what a dead member leaves can be had after it
-	MaxDrift   float64       // share by which clocks may differ in their pace
-	MaxMembers int           // tiers of more keep fixed parts: each is a fraction of a set-up there
-	MaxServers int           // cold ones at once
+	// Lease is the duration of a grant of a unit. Units of a dead member become available to others after it.
+	Lease time.Duration
+	// MaxDrift is the max share by which the pace of two clocks may differ.
+	MaxDrift float64
+	// MaxMembers is the max size of a tier in which units move. In a larger tier a unit would be a small fraction of
+	// a set-up, so its quotas stay fixed.
+	MaxMembers int
+	// MaxServers is the max number of servers that are cold at the same time.
+	MaxServers int
 }
 
-// Defaults are limits for the platform.
+// Defaults returns the limits for the platform.
 func Defaults() Limits {
 	return Limits{Lease: 2 * time.Second, MaxDrift: 0.01, MaxMembers: 32, MaxServers: 12}
 }
 
-// Check names the first limit that makes no sense.
+// Check returns an error that names the first invalid limit.
 func (l Limits) Check() error {
 	switch {
 	case l.Lease < 200*time.Millisecond || l.Lease > time.Minute:
@@ -61,70 +69,75 @@
 	case !(l.MaxDrift >= 0 && l.MaxDrift <= 0.2):
 		return fmt.Errorf("drift: %v, not in [0, 0.2]", l.MaxDrift)
 	case l.MaxMembers < 1 || l.MaxMembers > 32:
-		return fmt.Errorf("members: %d, not in [1, 32]", l.MaxMembers) // a claim of all parts fits a datagram
+		return fmt.Errorf("members: %d, not in [1, 32]", l.MaxMembers) // a claim for units of all quotas has to fit in one datagram
 	case l.MaxServers < 1 || l.MaxServers > 12:
 		return fmt.Errorf("servers: %d, not in [1, 12]", l.MaxServers)
 	}
 	return nil
 }
 
-// round is the time between claims: three of them may be lost within a lease.
+// roundInterval is the time between rounds of claims: three rounds may be lost within a lease.
 func (l Limits) roundInterval() time.Duration { return l.Lease / 4 }
 
-// sure is for how long a holder believes in a lease, from the moment at which it asked for it.
+// safeDuration is how long a holder relies on a lease, counted from its request.
 func (l Limits) safeDuration(lease time.Duration) time.Duration {
 	return time.Duration(float64(lease) * (1 - 2*l.MaxDrift))
 }
 
-// longest is the longest that a grant of an earlier life may count anywhere, by any clock.
+// recoveryTime is the max time for which a grant of an earlier incarnation may count at any member, by any clock.
 func (l Limits) recoveryTime() time.Duration {
 	return time.Duration(float64(l.Lease)*(1+2*l.MaxDrift)) + l.roundInterval()
 }
 
-// Config is what a member is told.
+// Config configures a Reducer.
 type Config struct {
-	Self, TierSize int // the own number, and how many members there are
+	Self, TierSize int // index of this member in the tier; number of members
 	Limits         Limits
-	Seed           uint64
-	DisabledGuards Guard // taken out, for checks that have to see a rule broken; no program sets it
+	// Seed seeds the random jitter of the rounds.
+	Seed uint64
+	// DisabledGuards are switched off, for tests that have to see a violation; no program sets it.
+	DisabledGuards Guard
 }
 
-// Guard names a part of the protocol that a check can take out.
+// Guard is a set of parts of the protocol that a test can switch off.
 type Guard uint8
 
-// The guards.
+// The guards. Each describes the protocol with the guard on.
 const (
-	GuardExpiry      Guard = 1 << iota // what is held ends by the own clock, from when it was asked for
-	GuardExclusive                     // a unit granted to one is refused to others
-	GuardIncarnation                   // a member that starts anew is another than the one before
-	GuardRecover                       // who starts anew grants nothing until what it may have granted is over
-	GuardLoan                          // what is lent is not used
+	GuardExpiry      Guard = 1 << iota // a lease or loan ends on the holder's clock, counted from its request
+	GuardExclusive                     // a unit granted to one member is refused to all others
+	GuardIncarnation                   // a restarted member does not count as the holder of grants to its earlier incarnation
+	GuardRecover                       // a restarted member grants nothing until the grants of its earlier incarnation have expired
+	GuardLoan                          // a lender does not use the units that it has lent
 )
 
-// Event is something that has happened; see the types below.
+// Event is an input of the reducer. The types below implement it.
 type Event interface{ event() }
 
 type (
-	// Datagram came from a member, by its number in the tier. The bytes are not kept.
+	// Datagram is a datagram of this protocol from the member with the index From. The reducer keeps no reference to
+	// Data.
 	Datagram struct {
 		From int
 		Data []byte
 	}
-	// TimerFired is a timer that has come due.
+	// TimerFired says that a timer fires.
 	TimerFired struct{ Token Token }
-	// MemberAvailability says whether a member is held to be there (membership).
+	// MemberAvailability says whether membership considers a member available.
 	MemberAvailability struct {
 		Member    int
 		Available bool
 	}
-	// ColdServer says that a server, by the hash of its name and its start, is cold until a time, and what rate, in set-ups a
-	// second, this member's own whole part of it is: it holds for all of that time, unless a greater one is told.
+	// ColdServer says that a server, identified by the hash of its name and its start, is cold until the time Until.
+	// Rate, in set-ups a second, is this member's whole quota of the server's budget. It applies for all of that time
+	// unless a later event gives a greater rate.
 	ColdServer struct {
 		Server uint32
 		Rate   float64
 		Until  Time
 	}
-	// Demand says how much of its own part this member could use now: 1, all of it; 2, twice as much.
+	// Demand says how much of the budgets this member could use now, in multiples of its own quota: 1 is all of its
+	// quota, 2 twice as much.
 	Demand struct{ Quotas float64 }
 )
 
@@ -134,16 +147,16 @@
 func (ColdServer) event()         {}
 func (Demand) event()             {}
 
-// Effect is something to be carried out; see the types below.
+// Effect is an output of the reducer, to be carried out by the caller. The types below implement it.
 type Effect interface{ effect() }
 
 type (
-	// Send is a datagram to a member, by its number in the tier.
+	// Send sends a datagram to the member with the index To.
 	Send struct {
 		To   int
 		Data []byte
 	}
-	// Timer asks for a Due. None is ever unset.
+	// Timer requests a TimerFired event with the token at the time At. Timers are never cancelled.
 	Timer struct {
 		At    Time
 		Token Token
@@ -153,65 +166,69 @@
 func (Send) effect()  {}
 func (Timer) effect() {}
 
-// Token says what a timer is for.
+// Token identifies a timer.
 type Token struct{ seq uint32 }
 
-// Counters count what has been done since the start.
+// Counters counts events since the start.
 type Counters struct {
-	Claims                     uint64 // rounds
-	Granted                    uint64 // units that a majority granted anew
-	TakenOver                  uint64 // of those, units of others' parts
-	Expired                    uint64 // units whose lease ran out here
-	Borrowed                   uint64
-	Lent                       uint64
-	VotesGranted, VotesRefused uint64 // units in answers to others' claims
-	Sent                       uint64 // datagrams
-	SentBytes                  uint64
-	Malformed                  uint64 // dropped
-	UnknownSenders             uint64 // dropped: of a tier of another size, or from nobody of it
+	Claims                     uint64 // rounds of claims sent
+	Granted                    uint64 // units held anew because a majority granted them
+	TakenOver                  uint64 // those among them of other members' quotas
+	Expired                    uint64 // held units whose lease expired
+	Borrowed                   uint64 // units received in loans, renewals included
+	Lent                       uint64 // units given in loans, renewals included
+	VotesGranted, VotesRefused uint64 // units granted and refused in answers to claims of other members
+	Sent                       uint64 // datagrams sent
+	SentBytes                  uint64 // bytes of these datagrams
+	Malformed                  uint64 // datagrams dropped as malformed
+	UnknownSenders             uint64 // datagrams dropped because the sender is no member or its tier has another size
 }
 
-// Quota is what is known here of one member's part.
+// Quota is this member's knowledge of one member's quota.
 type Quota struct {
 	Usable Mask // units that this member may use now
-	Lent   Mask // of its own, to others
+	Lent   Mask // units of its own quota that this member has lent
+	// Grants holds what this member, as one of the granting tier, has granted, by unit.
 	Grants [Units]Grant
 }
 
-// Grant is what this member, as one of the tier, has granted of a unit.
+// Grant is the grant of a unit that this member, as one of the tier, has made.
 type Grant struct {
-	Holder      int // -1: nobody
-	Incarnation uint64
-	Seq         uint32
-	Expiry      Time
+	Holder      int    // index of the member; -1: none
+	Incarnation uint64 // of the holder
+	Seq         uint32 // number of the claim that was granted
+	Expiry      Time   // end of the grant on this member's clock
 }
 
-// message is what a datagram holds.
+// message is the content of a datagram. It is sent as a CBOR array.
 type message struct {
 	_           struct{} `cbor:",toarray"`
 	Kind        kind
-	Tier        uint16
-	Seq         uint32 // of the claim, or of the loan asked for
-	Incarnation uint64 // of the sender
-	Lendable    uint8  // units of its own that the sender could lend
-	Items       []int64
-	Rates       []int64 // of the sender's part: server, thousandths of a set-up a second
+	Tier        uint16  // number of members in the sender's tier
+	Seq         uint32  // number of the claim or loan request, repeated in answers
+	Incarnation uint64  // of the sender
+	Lendable    uint8   // number of units of its own quota that the sender could lend
+	Items       []int64 // depends on the kind
+	Rates       []int64 // sender's whole quotas, in pairs: hash of the server, rate in thousandths of a set-up a second
 }
 
+// kind is the kind of a message. Its values are part of the format.
 type kind uint8
 
 const (
-	kindClaim  kind = iota // Items: part<<Units | units
-	kindGrant              // those of a claim that are granted
-	kindReturn             // those of a claim that are not wanted after all
-	kindBorrow             // Items: how many units, those that are to be prolonged
-	kindLend               // Items: units, for how many milliseconds
-	kindCount
+	kindClaim  kind = iota // claims units; Items: owner<<Units | units, for each quota
+	kindGrant              // answers a claim; Items: the granted units in the same form
+	kindReturn             // gives back units of a claim; Items: in the same form
+	kindBorrow             // requests a loan; Items: number of additional units, mask of borrowed units to renew
+	kindLend               // grants a loan; Items: mask of units, duration in milliseconds
+	kindCount              // number of kinds
 )
 
+// loanItems is the number of items of kindBorrow and kindLend.
 const loanItems = 2
 
-// decode reads a datagram of a tier of n members. What makes no sense in it makes all of it garbled.
+// decode decodes a datagram received in a tier of tierSize members. An invalid field makes the whole datagram
+// malformed.
 func decode(data []byte, tierSize int) (m message, err error) {
 	if err := datagram.Decode(data, Version, datagram.MaxSize, &m); err != nil {
 		return m, err
--- a/internal/knowledge/knowledge_test.go
+++ b/internal/knowledge/knowledge_test.go
@@ -14,6 +14,7 @@
 	epoch = 1_700_000_000 * time.Second
 )
 
+// newReducer makes the reducer of a member that lists the given servers without observations.
 func newReducer(t *testing.T, self, tierSize int, now Time, servers ...uint32) (*Reducer, []Effect) {
 	t.Helper()
 	r, effects, err := New(Config{Self: self, TierSize: tierSize, Limits: Defaults(), Seed: uint64(self)}, now)
@@ -27,7 +28,7 @@
 	return r, append(effects, r.Step(now, LocalObservations{local})...)
 }
 
-// rider is what a member says of one server.
+// piggybackOf returns the piggybacked data with which a member reports one server.
 func piggybackOf(r *Reducer, now Time, server uint32, obs Observation) []byte {
 	r.Step(now, LocalObservations{map[uint32]Observation{server: obs}})
 	bare := datagram.Encode(1, []int{1})
@@ -38,10 +39,10 @@
 	return piggyback
 }
 
-// A word that was long on its way, comes twice, or comes behind a later one makes old news no younger, whatever the
-// clocks say; nor does a life before the present one.
+// Messages that were delayed, duplicated or reordered must not make an old report look recent, whatever the clocks
+// show, and messages of an earlier incarnation must not count at all.
 func TestAgeSurvivesDelayAndReordering(t *testing.T) {
-	const clockOffset = 3 * time.Second // the writer's clock
+	const clockOffset = 3 * time.Second // how far the writer's clock is behind
 	a, _ := newReducer(t, 0, 2, epoch)
 	b, _ := newReducer(t, 1, 2, epoch-clockOffset)
 	report := func(now Time, share float64) []byte {
@@ -52,31 +53,31 @@
 	now := epoch + time.Second + 10*ms
 	a.Step(now, Piggyback{1, first})
 	if v := a.View(now, 7); math.Abs(v.HoldBackShare-0.25) > 0.01 || now-v.HoldBackShareAt < 100*ms || now-v.HoldBackShareAt > 120*ms {
-		t.Errorf("%+v: a report of 0.25 that is 100 ms old", v)
+		t.Errorf("%+v, want a share of 0.25 that is about 100 ms old", v)
 	}
-	now = epoch + 9*time.Second // the second was six seconds longer on its way
+	now = epoch + 9*time.Second // the second message was under way six seconds longer
 	a.Step(now, Piggyback{1, second})
 	v := a.View(now, 7)
 	if age := now - v.HoldBackShareAt; age < 6900*ms || age > 7300*ms {
-		t.Errorf("a report that is 7.1 s old is held to be %v old", age)
+		t.Errorf("a report that is 7.1 s old has the age %v", age)
 	}
 	a.Step(now, Piggyback{1, third})
 	a.Step(now, Piggyback{1, second})
 	a.Step(now, Piggyback{1, third})
 	if v := a.View(now, 7); math.Abs(v.HoldBackShare-0.75) > 0.01 || a.Counters().Stale != 2 {
-		t.Errorf("%+v, %+v: the third stands, what came twice or late is passed over", v, a.Counters())
+		t.Errorf("%+v, %+v: want the third report to count, duplicate and reordered messages to be stale", v, a.Counters())
 	}
 	restarted, _ := newReducer(t, 1, 2, epoch+10*time.Second-clockOffset)
 	a.Step(epoch+11*time.Second, Piggyback{1, piggybackOf(restarted, epoch+11*time.Second-clockOffset, 7, Observation{HoldBackShare: 1, HoldBackShareAt: epoch + 11*time.Second - clockOffset})})
 	late := report(epoch+12*time.Second, 0)
 	a.Step(epoch+12*time.Second, Piggyback{1, late})
 	if v := a.View(epoch+12*time.Second, 7); v.HoldBackShare < 0.99 {
-		t.Errorf("%+v: a life before the present one speaks", v)
+		t.Errorf("%+v: a report of an earlier incarnation was accepted", v)
 	}
 }
 
-// Of two who contradict each other the later one weighs more, by half for each half-life; a stale one hardly counts, and
-// what is past all use does not.
+// Of two contradicting reports the newer one weighs more, by a factor of two for each half-life; a stale one hardly
+// counts, and entries older than MaxAge do not count at all.
 func TestNewerEntriesWeighMore(t *testing.T) {
 	a, _ := newReducer(t, 0, 3, epoch, 7)
 	now := epoch + time.Minute
@@ -86,15 +87,15 @@
 	}
 	v := a.View(now, 7)
 	if math.Abs(v.HoldBackShare-1.0/3) > 0.01 || math.Abs(v.Rate-6) > 0.1 || math.Abs(v.FailingShare-0.5) > 0.01 || v.Observers != 2 {
-		t.Errorf("%+v, want a share of a third, a rate of 6, half for failing", v)
+		t.Errorf("%+v, want a hold-back share of 1/3, a rate of 6, a failing share of 1/2", v)
 	}
 	if v := a.View(now+a.cfg.Limits.MaxAge, 7); v.Observers != 0 || v.Rate != 0 {
-		t.Errorf("%+v of what is past all use", v)
+		t.Errorf("%+v from entries older than MaxAge", v)
 	}
 }
 
-// Who has just started asks a few, and others until one has answered; later answers still count. What is told of a server
-// that the own list does not name is passed over.
+// A newly started member queries a few members, and others until one has answered; later answers still count. Entries
+// for a server that the own list does not contain are ignored.
 func TestNewlyStartedMemberQueries(t *testing.T) {
 	const tierSize = 9
 	now := epoch
@@ -117,10 +118,10 @@
 		apply(r.Step(now, TimerFired{timer.Token}))
 	}
 	if len(queried) != 2*r.cfg.Limits.Fanout {
-		t.Fatalf("asked %v, want %d others, each once", queried, 2*r.cfg.Limits.Fanout)
+		t.Fatalf("queried %v, want %d other members, each once", queried, 2*r.cfg.Limits.Fanout)
 	}
 	var answer []byte
-	for member := range queried { // one answer was lost, two come
+	for member := range queried { // the answers arrive late, after the second round of queries
 		peer, _ := newReducer(t, member, tierSize, epoch)
 		peer.Step(now, LocalObservations{map[uint32]Observation{7: {Rate: 5}, 8: {Rate: 9}}})
 		for _, e := range peer.Step(now, Datagram{0, datagram.Encode(Version, message{Kind: kindQuery, Tier: tierSize, Items: []int64{}})}) {
@@ -128,31 +129,32 @@
 			r.Step(now, Datagram{member, answer})
 		}
 		if len(r.observers[member].Entries) != 1 {
-			t.Fatalf("of member %d's two servers %d are known, one is listed", member, len(r.observers[member].Entries))
+			t.Fatalf("of the two servers that member %d reports %d are known, want only the listed one", member, len(r.observers[member].Entries))
 		}
 	}
 	if v := r.View(now, 7); v.Rate != 5 || v.Observers != len(queried) || r.Counters().Unlisted == 0 {
 		t.Errorf("%+v, %+v", v, r.Counters())
 	}
 	if effects := r.Step(timer.At, TimerFired{timer.Token}); len(effects) != 0 {
-		t.Errorf("answered, it asks on: %v", effects)
+		t.Errorf("the member queries on after an answer: %v", effects)
 	}
-	// Where all have just started nobody has anything to tell: each says so in one datagram, and the asking ends.
+	// Where all members are newly started none has entries: each answers with one empty message, and the queries end.
 	peer, _ := newReducer(t, 1, tierSize, epoch, 7, 8, 9)
 	answers := peer.Step(now, Datagram{0, datagram.Encode(Version, message{Kind: kindQuery, Tier: tierSize, Items: []int64{}})})
 	if len(answers) != 1 || len(answers[0].(Send).Data) > 40 {
-		t.Errorf("who has seen nothing answers %v", answers)
+		t.Errorf("a member without observations answers %v, want one datagram of at most 40 bytes", answers)
 	}
 	newlyStarted, _ := newReducer(t, 0, tierSize, epoch, 7)
 	for member := range r.cfg.Limits.Fanout {
 		newlyStarted.Step(now, Datagram{member + 1, answers[0].(Send).Data})
 	}
 	if !newlyStarted.answered {
-		t.Error("among those who have seen nothing it asks on")
+		t.Error("the member queries on after enough empty answers")
 	}
 }
 
-// Entries ride where there is room, those told longest ago first, and no datagram grows over 256 bytes; garbage is counted.
+// Entries are piggybacked where there is room, those sent longest ago first, and no datagram grows over 256 bytes;
+// malformed input is counted.
 func TestPiggybackAndMalformedInput(t *testing.T) {
 	r, _ := newReducer(t, 0, 2, epoch)
 	observations := make(map[uint32]Observation)
@@ -170,14 +172,14 @@
 		}
 		carrier, piggyback, err := datagram.SplitPiggyback(data)
 		if err != nil || string(carrier) != string(bare) {
-			t.Fatalf("%v: what it rode on has changed", err)
+			t.Fatalf("%v: the datagram changed under its piggybacked data", err)
 		}
 		if len(piggyback) > 0 {
 			peer.Step(epoch+time.Second, Piggyback{0, piggyback})
 		}
 	}
 	if n := len(peer.observers[0].Entries); n != len(observations) {
-		t.Errorf("%d of %d servers told", n, len(observations))
+		t.Errorf("entries of %d of %d servers arrived", n, len(observations))
 	}
 	if e := peer.observers[0].Entries[1<<27]; e.HoldBackShare < 0.49 || e.Rate != 100 || e.Lines != 1e5 || e.FailureWeight != 15 || e.MinSetUpTime != time.Second || e.DrainingSince < epoch-20*ms {
 		t.Errorf("%+v", e)
@@ -199,16 +201,17 @@
 	}
 }
 
-// Who dies leaves its callers to those who are there: by what it has told of its rates, or as many as each has.
+// The callers of a dead member move to the available ones: as many as its reported rates say, or else as many as each
+// member has.
 func TestTakeoverFactor(t *testing.T) {
 	r, _ := newReducer(t, 0, 5, epoch)
 	r.Step(epoch, LocalObservations{map[uint32]Observation{7: {Rate: 10}, 8: {Rate: 10}}})
 	if factor := r.TakeoverFactor([]int{1}, 4); factor != 1.25 {
-		t.Errorf("a fifth's callers for four: times %v", factor)
+		t.Errorf("one of five members died, four remain, rates unknown: factor %v, want 1.25", factor)
 	}
 	b, _ := newReducer(t, 1, 5, epoch)
 	r.Step(epoch, Piggyback{1, piggybackOf(b, epoch, 7, Observation{Rate: 40})})
 	if factor := r.TakeoverFactor([]int{1}, 4); math.Abs(factor-1.5) > 1e-9 {
-		t.Errorf("40 a second for four that have 20 each: times %v", factor)
+		t.Errorf("40 set-ups/s taken over by four members, this one with 20/s: factor %v, want 1.5", factor)
 	}
 }
--- a/internal/knowledge/reducer.go
+++ b/internal/knowledge/reducer.go
@@ -12,62 +12,69 @@
 	"elmseam/internal/datagram"
 )
 
-var errTierSize = errors.New("of another tier")
+// errTierSize says that a message comes from a tier with another number of members.
+var errTierSize = errors.New("datagram from a tier of another size")
 
-// entry is what an observer has told of a server, in this member's time.
+// entry is an observer's latest observation of a server, with times on this member's clock.
 type entry struct {
 	Observation
-	Stamp      uint32
-	ObservedAt Time // it was so then
+	// Stamp is the message's stamp, at least 1; 0: the entry is of an earlier incarnation, any message is newer.
+	Stamp uint32
+	// ObservedAt is the time at which the observation was sent, corrected for the delay of its datagram.
+	ObservedAt Time
 }
 
-// observer is another member, as far as it tells of servers.
+// observer is the state kept for another member as a source of entries.
 type observer struct {
+	// Seen says that a message of this member was received; the fields below are valid only then.
 	Seen        bool
 	Incarnation uint32
-	MinLag      int64 // least that its stamps have lagged behind this member's clock, in milliseconds
-	MinLagAt    Time
-	Entries     map[uint32]entry
+	// MinLag is the min lag of its stamps behind this member's clock, in milliseconds, measured at MinLagAt.
+	MinLag   int64
+	MinLagAt Time
+	// Entries holds the latest entries by the hash of the server's name.
+	Entries map[uint32]entry
 }
 
-// Reducer is one member's part. It is not safe for concurrent use.
+// Reducer is one member's state of the protocol. It is not safe for concurrent use.
 type Reducer struct {
-	cfg          Config
-	now          Time
-	startedAt    Time
-	rng          *rand.Rand
-	effects      []Effect
-	local        map[uint32]Observation
-	sendOrder    []uint32 // the own servers, that told last the longest ago first
-	observers    []observer
-	available    []bool
-	queried      map[int]bool
-	tries        int
-	answered     bool
-	emptyAnswers int // answers of members that had nothing to tell
-	timerSeq     uint32
+	cfg       Config
+	now       Time
+	startedAt Time
+	rng       *rand.Rand
+	effects   []Effect
+	local     map[uint32]Observation // own observations, by the hash of the server's name
+	// sendOrder holds the local servers, those whose entries were sent longest ago first.
+	sendOrder    []uint32
+	observers    []observer   // by member
+	available    []bool       // by member, as membership reports it
+	queried      map[int]bool // members queried since the start
+	tries        int          // rounds of queries sent
+	answered     bool         // no more queries are needed
+	emptyAnswers int          // number of answers from members without any entries
+	timerSeq     uint32       // token of the only valid timer
 	counters     Counters
 }
 
-// New begins a member's part.
+// New returns the reducer of a member and its first effects.
 func New(cfg Config, now Time) (*Reducer, []Effect, error) {
 	switch {
 	case cfg.TierSize < 1 || cfg.TierSize > math.MaxUint16:
 		return nil, nil, fmt.Errorf("tier: %d members, not in [1, %d]", cfg.TierSize, math.MaxUint16)
 	case cfg.Self < 0 || cfg.Self >= cfg.TierSize:
-		return nil, nil, fmt.Errorf("self: %d is none of %d members", cfg.Self, cfg.TierSize)
+		return nil, nil, fmt.Errorf("self: index %d of %d members does not exist", cfg.Self, cfg.TierSize)
 	}
 	if err := cfg.Limits.Check(); err != nil {
 		return nil, nil, err
 	}
 	r := &Reducer{cfg: cfg, now: now, startedAt: now, rng: rand.New(rand.NewPCG(cfg.Seed, 0x6b6e6f77)), local: make(map[uint32]Observation),
 		observers: make([]observer, cfg.TierSize), available: make([]bool, cfg.TierSize), queried: make(map[int]bool)}
-	r.setTimer(cfg.Limits.RetryInterval / 8) // when the list is known
+	r.setTimer(cfg.Limits.RetryInterval / 8) // by then the server list is known
 	return r, r.takeEffects(), nil
 }
 
-// Step takes in one event. The effects are to be carried out in their order. A time before that of the last Step counts
-// as the last one's.
+// Step handles one event and returns the effects, which have to be carried out in their order. A time before that of
+// the last Step counts as the last one's.
 func (r *Reducer) Step(now Time, ev Event) []Effect {
 	r.now = max(now, r.now)
 	switch ev := ev.(type) {
@@ -99,20 +106,24 @@
 	return r.takeEffects()
 }
 
+// takeEffects returns the collected effects and clears them.
 func (r *Reducer) takeEffects() []Effect {
 	effects := r.effects
 	r.effects = nil
 	return effects
 }
 
+// emit adds an effect to the result of the current Step.
 func (r *Reducer) emit(e Effect) { r.effects = append(r.effects, e) }
 
+// setTimer requests a timer. Earlier timers are ignored when they fire.
 func (r *Reducer) setTimer(delay time.Duration) {
 	r.timerSeq++
 	r.emit(Timer{At: r.now + delay, Token: Token{r.timerSeq}})
 }
 
-// list takes over what this member has seen. What others told of servers that are not listed any more is forgotten.
+// setLocal replaces this member's own observations. It drops the entries of other members for servers that are no
+// longer listed, and entries older than MaxAge.
 func (r *Reducer) setLocal(servers map[uint32]Observation) {
 	r.local = maps.Clone(servers)
 	r.sendOrder = slices.DeleteFunc(r.sendOrder, func(s uint32) bool { _, listed := r.local[s]; return !listed })
@@ -129,8 +140,8 @@
 	}
 }
 
-// ask asks a few members what they know, after the start, until one has answered: others each time, as long as there are
-// some, the ones that are there first.
+// query sends queries to a few members after the start, until one has answered. Each time it prefers members that
+// were not queried before, and among those the available ones.
 func (r *Reducer) query() {
 	if r.answered || r.tries >= r.cfg.Limits.MaxTries || r.cfg.TierSize == 1 {
 		return
@@ -138,6 +149,7 @@
 	if len(r.local) > 0 {
 		r.tries++
 		candidates := r.rng.Perm(r.cfg.TierSize)
+		// rank orders the candidates: available before unavailable members, members already queried last.
 		rank := func(member int) (sent int) {
 			if r.queried[member] {
 				sent = 2
@@ -161,7 +173,7 @@
 	r.setTimer(r.cfg.Limits.RetryInterval)
 }
 
-// message takes in one that has been read.
+// handleMessage processes a decoded message from the member with the index from.
 func (r *Reducer) handleMessage(from int, m message) {
 	if from < 0 || from >= r.cfg.TierSize || from == r.cfg.Self {
 		r.counters.UnknownSenders++
@@ -176,7 +188,7 @@
 		return
 	}
 	delay := r.extraDelay(&r.observers[from], m)
-	if delay < 0 { // of an earlier life
+	if delay < 0 { // the message is of an earlier incarnation of the sender
 		r.counters.Stale++
 		return
 	}
@@ -191,8 +203,9 @@
 	r.applyEntries(&r.observers[from], m, delay)
 }
 
-// late is how much longer a message was on its way than the quickest of its sender, as far as the clocks tell; negative: it
-// is of a life before. The quickest is held to be slower by and by, as clocks differ in their pace by up to two hundredths.
+// extraDelay returns how much longer a message was under way than the quickest message of its sender, as far as the
+// clocks show. It is negative if the message is of an earlier incarnation of the sender. The minimum grows with time,
+// because the pace of two clocks may differ by up to two hundredths.
 func (r *Reducer) extraDelay(o *observer, m message) time.Duration {
 	const maxDrift = 0.02
 	lag := int64(r.now/time.Millisecond) - int64(m.Stamp)
@@ -201,7 +214,8 @@
 	}
 	if !o.Seen || m.Incarnation != o.Incarnation {
 		o.Seen, o.Incarnation, o.MinLag, o.MinLagAt = true, m.Incarnation, lag, r.now
-		for s, e := range o.Entries { // the new life's first word of each is newer
+		// Any entry of the new incarnation is newer than the stored ones.
+		for s, e := range o.Entries {
 			e.Stamp = 0
 			o.Entries[s] = e
 		}
@@ -215,7 +229,7 @@
 	}
 }
 
-// learn takes in what an observer tells of servers.
+// applyEntries stores the entries of a message from an observer that was delayed by delay.
 func (r *Reducer) applyEntries(o *observer, m message, delay time.Duration) {
 	var updated []uint32
 	for items := m.Items; len(items) > 0; {
@@ -245,7 +259,7 @@
 	}
 }
 
-// answer tells one that asks all that this member has seen.
+// sendAnswer sends all own entries to a member that queried them.
 func (r *Reducer) sendAnswer(member int) {
 	r.counters.QueriesAnswered++
 	remaining := 0
@@ -254,18 +268,18 @@
 			remaining++
 		}
 	}
-	for first := true; first || remaining > 0; first = false { // one in any case: nothing has been seen
+	for first := true; first || remaining > 0; first = false { // at least one message, even if nothing has been observed
 		m, n := r.nextEntries(datagram.MaxSize-datagram.Overhead, len(r.sendOrder))
 		r.send(member, m)
 		remaining -= max(n, 1)
 	}
 }
 
-// tell is a message with as many of the own entries as fit, those that were told longest ago first: the fresh ones, and of
-// the others no more than so many.
+// nextEntries returns a message with as many own entries as fit into space bytes, and their number. Entries sent
+// longest ago come first. All fresh entries may be included, and at most maxOlder others.
 func (r *Reducer) nextEntries(space, maxOlder int) (m message, n int) {
 	m = r.stamped(message{Kind: kindEntries, Items: []int64{}})
-	space -= datagram.Size(m) + 2 // two more for the count of the items
+	space -= datagram.Size(m) + 2 // two more bytes for the count of the items
 	var sent, unsent []uint32
 	for _, server := range r.sendOrder {
 		obs := r.local[server]
@@ -294,18 +308,23 @@
 	return m, len(sent)
 }
 
-// freshLives are the half-lives for which a report is worth its bytes; othersRide is how many entries ride that have none
-// so fresh, for what lasts longer.
+// freshHalfLives is the age, in half-lives, up to which a load report is worth its bytes; a draining server's entry
+// always is.
+//
+// maxOlderPiggybacked is the max number of entries without a fresh report in one datagram's piggybacked data. They
+// carry the observations that change slowly.
 const (
 	freshHalfLives      = 4
 	maxOlderPiggybacked = 1
 )
 
+// stamped returns the message with tier size, incarnation and stamp filled in.
 func (r *Reducer) stamped(m message) message {
 	m.Tier, m.Incarnation, m.Stamp = uint16(r.cfg.TierSize), uint32(r.startedAt/time.Millisecond), uint32((r.now-r.startedAt)/time.Millisecond)
 	return m
 }
 
+// send sends a message to a member in a separate datagram.
 func (r *Reducer) send(member int, m message) {
 	data := datagram.Encode(Version, r.stamped(m))
 	r.counters.Sent++
@@ -313,7 +332,8 @@
 	r.emit(Send{To: member, Data: data})
 }
 
-// AppendPiggyback has what this member has seen ride on a datagram, as far as there is room.
+// AppendPiggyback appends own entries to a datagram of another protocol, as far as there is room, and returns the
+// datagram.
 func (r *Reducer) AppendPiggyback(now Time, data []byte) []byte {
 	r.now = max(now, r.now)
 	m, n := r.nextEntries(datagram.MaxSize-len(data), maxOlderPiggybacked)
--- a/internal/knowledge/types.go
+++ b/internal/knowledge/types.go
@@ -1,15 +1,18 @@
-// Package knowledge shares between the softswitches of a tier what each has seen of the servers: the last load report, what
-// a server takes a second, how set-ups end there, that it drains. A softswitch with much traffic of its own hardly needs
-// it; one that has just started, or sees a call a second, leans on what the others hear.
+// Package knowledge exchanges between the softswitches of a tier what each of them has observed of the servers: the
+// last load report, the rate of set-ups that a server takes, how set-ups end there, and whether it drains. A
+// softswitch with much traffic of its own hardly needs these reports. A newly started softswitch, or one that handles
+// about one call a second, relies on the reports of the others.
 //
-// There is one entry for each server and observer, written by the observer alone and replaced by its next one (a
-// last-writer-wins register each, ordered by the writer's own clock: Johnson and Thomas, RFC 677), so loss, order and
-// doubling do not matter. An age travels with each, not a time, and what a datagram took longer on its way than others of
-// its sender is added, so that neither clocks that differ nor a late datagram make old news young. Entries ride on
-// membership's probes and answers (internal/datagram.Ride); only who has just started sends datagrams of its own.
-// docs/KNOWLEDGE.md has the whole.
+// There is one entry for each pair of server and observer. Only the observer writes the entry, and each new version
+// replaces the one before (a last-writer-wins register for each entry, ordered by the writer's own clock: Johnson and
+// Thomas, RFC 677), so datagrams that are lost, reordered or duplicated do no harm. An entry carries ages instead of
+// times. The receiver adds to them how much longer the datagram was under way than the quickest datagram of the same
+// sender, so neither clocks that differ nor a late datagram make an old observation look recent. Entries are
+// piggybacked on the probes and answers of membership (internal/datagram.AppendPiggyback); only a newly started
+// member, and the members that answer its queries, send separate datagrams. docs/KNOWLEDGE.md describes the whole
+// protocol.
 //
-// It is a reducer like internal/membership: no I/O, no goroutine, no clock.
+// The package is a reducer like internal/membership: a state machine without I/O, goroutines or a clock.
 package knowledge
 
 import (
@@ -20,30 +23,38 @@
 	"elmseam/internal/datagram"
 )
 
-// Time is an instant of the core's clock. It never runs backwards.
+// Time is an instant on the core's clock. It never runs backwards.
 type Time = time.Duration
 
-// Version is the first byte of the datagrams that a start asks and answers by.
+// Version is the first byte of the datagrams with which a newly started member queries others and they answer. It
+// names the protocol and its version.
 const Version = 0x4b
 
-// Limits are the times and counts. Check says which make no sense.
+// Limits holds the times and counts of the protocol. Check reports invalid ones.
 type Limits struct {
-	HalfLife      time.Duration // of a load report: it weighs half as much when so much older
-	SlowHalfLife  time.Duration // the same for what changes slowly: rates, bad endings
-	MaxAge        time.Duration // an entry that is older counts for nothing
-	Fanout        int           // members that who has just started asks
-	RetryInterval time.Duration // and asks others, where none has answered
-	MaxTries      int           // so often in all
-	MaxServers    int           // entries kept of an observer
+	// HalfLife is the age by which the weight of a load report halves.
+	HalfLife time.Duration
+	// SlowHalfLife is the same for observations that change slowly: rates and failures.
+	SlowHalfLife time.Duration
+	// MaxAge is the age from which on an entry is ignored.
+	MaxAge time.Duration
+	// Fanout is the number of members that a newly started member queries at a time.
+	Fanout int
+	// RetryInterval is the wait before it queries other members if none has answered.
+	RetryInterval time.Duration
+	// MaxTries is the max number of times that it sends queries.
+	MaxTries int
+	// MaxServers is the max number of entries kept for each observer.
+	MaxServers int
 }
 
-// Defaults are limits for the platform.
+// Defaults returns the limits for the platform.
 func Defaults() Limits {
 	return Limits{HalfLife: 500 * time.Millisecond, SlowHalfLife: 10 * time.Second, MaxAge: 30 * time.Second, Fanout: 3,
 		RetryInterval: 250 * time.Millisecond, MaxTries: 4, MaxServers: 64}
 }
 
-// Check names the first limit that makes no sense.
+// Check returns an error that names the first invalid limit.
 func (l Limits) Check() error {
 	switch {
 	case l.HalfLife < 10*time.Millisecond || l.HalfLife > time.Minute:
@@ -55,56 +66,66 @@
 	case l.Fanout < 1 || l.Fanout > 8:
 		return fmt.Errorf("ask: %d, not in [1, 8]", l.Fanout)
 	case l.RetryInterval < 50*time.Millisecond || l.RetryInterval > 10*time.Second:
-		return fmt.Errorf("again: %v, not in [50ms, 10s]", l.RetryInterval)
+		return fmt.Errorf("retry interval: %v, not in [50ms, 10s]", l.RetryInterval)
 	case l.MaxTries < 1 || l.MaxTries > 16:
-		return fmt.Errorf("tries: %d, not in [1, 16]", l.MaxTries)
+		return fmt.Errorf("max tries: %d, not in [1, 16]", l.MaxTries)
 	case l.MaxServers < 1 || l.MaxServers > 1024:
-		return fmt.Errorf("servers: %d, not in [1, 1024]", l.MaxServers)
+		return fmt.Errorf("max servers: %d, not in [1, 1024]", l.MaxServers)
 	}
 	return nil
 }
 
-// Config is what a member is told.
+// Config configures a Reducer.
 type Config struct {
-	Self, TierSize int // the own number, and how many members there are
+	Self, TierSize int // index of this member in the tier; number of members
 	Limits         Limits
-	Seed           uint64
+	// Seed seeds the random choice of the members to query.
+	Seed uint64
 }
 
-// Observation is what a member has seen of a server itself.
+// Observation is what one member has observed of a server.
 type Observation struct {
-	HoldBackShare   float64       // of new set-ups that it last asked to hold back, 0 to 1
-	HoldBackShareAt Time          // when that came; 0: it has told none
-	Rate            float64       // set-ups a second that it takes from there when warm; 0: not known
-	Lines           float64       // 0: not told
-	FailureWeight   int           // weight of the bad endings in a row, at most 15
-	MinSetUpTime    time.Duration // shortest set-up time; 0: none stood yet
-	DrainingSince   Time          // since when the list says that it drains; 0: it doesn't
+	// HoldBackShare is the share of new set-ups that the server last asked to hold back, from 0 to 1.
+	HoldBackShare float64
+	// HoldBackShareAt is the time at which the server asked for that share; 0: the server has asked for none.
+	HoldBackShareAt Time
+	// Rate is the rate, in set-ups a second, that the server takes from the member when warm; 0: not known.
+	Rate float64
+	// Lines is the server's number of lines; 0: not reported.
+	Lines float64
+	// FailureWeight is the weight of the failed set-ups in a row. Values above 15 are sent as 15.
+	FailureWeight int
+	// MinSetUpTime is the shortest set-up time; 0: no call was established yet.
+	MinSetUpTime time.Duration
+	// DrainingSince is the time since which the server list marks the server as draining; 0: not draining.
+	DrainingSince Time
 }
 
-// any says whether there is anything in it that is worth telling.
+// hasData reports whether the observation holds anything worth sending.
 func (o Observation) hasData() bool {
 	return o.HoldBackShareAt > 0 || o.Rate > 0 || o.FailureWeight > 0 || o.DrainingSince > 0
 }
 
-// Event is something that has happened; see the types below.
+// Event is an input of the reducer. The types below implement it.
 type Event interface{ event() }
 
 type (
-	// LocalObservations is all that this member has seen, by the hash of the servers' names: its whole list.
+	// LocalObservations holds all observations of this member for its whole server list, keyed by the hash of the
+	// server's name. Servers that it does not contain are no longer listed.
 	LocalObservations struct{ Servers map[uint32]Observation }
-	// Datagram came from a member, by its number in the tier. Rider is what rode on one of membership's.
+	// Datagram is a datagram of this protocol from the member with the index From.
 	Datagram struct {
 		From int
 		Data []byte
 	}
+	// Piggyback is data that was piggybacked on a membership datagram of the member with the index From.
 	Piggyback struct {
 		From int
 		Data []byte
 	}
-	// TimerFired is a timer that has come due.
+	// TimerFired says that a timer fires.
 	TimerFired struct{ Token Token }
-	// MemberAvailability says whether a member is held to be there (membership).
+	// MemberAvailability says whether membership considers a member available.
 	MemberAvailability struct {
 		Member    int
 		Available bool
@@ -117,21 +138,21 @@
 func (TimerFired) event()         {}
 func (MemberAvailability) event() {}
 
-// Effect is something to be carried out; see the types below.
+// Effect is an output of the reducer, to be carried out by the caller. The types below implement it.
 type Effect interface{ effect() }
 
 type (
-	// Send is a datagram to a member, by its number in the tier.
+	// Send sends a datagram to the member with the index To.
 	Send struct {
 		To   int
 		Data []byte
 	}
-	// Timer asks for a Due. None is ever unset.
+	// Timer requests a TimerFired event with the token at the time At. Timers are never cancelled.
 	Timer struct {
 		At    Time
 		Token Token
 	}
-	// ServersUpdated says of which servers there is news.
+	// ServersUpdated lists the servers, by hash of their names, for which entries of other members were updated.
 	ServersUpdated struct{ Servers []uint32 }
 )
 
@@ -139,59 +160,67 @@
 func (Timer) effect()          {}
 func (ServersUpdated) effect() {}
 
-// Token says what a timer is for.
+// Token identifies a timer.
 type Token struct{ seq uint32 }
 
-// Counters count what has been done since the start.
+// Counters counts events since the start.
 type Counters struct {
-	EntriesSent     uint64 // entries sent
-	EntriesReceived uint64 // entries taken in
-	Stale           uint64 // passed over: not newer than what is known
-	Unlisted        uint64 // passed over: of a server that the own list has not named
-	QueriesSent     uint64 // members asked after the start
-	QueriesAnswered uint64 // answers to that
-	Sent            uint64 // datagrams of its own
-	SentBytes       uint64 // of these, and of riders
-	Malformed       uint64 // dropped
-	UnknownSenders  uint64 // dropped: from nobody of the tier, or of a tier of another size
+	EntriesSent     uint64 // own entries sent
+	EntriesReceived uint64 // entries of other members stored
+	Stale           uint64 // entries and messages ignored because they were not newer than what was known
+	Unlisted        uint64 // entries ignored because this member's server list does not contain the server
+	QueriesSent     uint64 // queries sent after the start
+	QueriesAnswered uint64 // queries of other members answered
+	Sent            uint64 // separate datagrams sent
+	SentBytes       uint64 // bytes of these datagrams and of piggybacked data
+	Malformed       uint64 // datagrams and piggybacked data dropped as malformed
+	UnknownSenders  uint64 // datagrams dropped because the sender is no member or its tier has another size
 }
 
-// message is what a datagram, or a rider (a tell), holds.
+// message is the content of a datagram, or of piggybacked data (always of kindEntries). It is sent as a CBOR array.
 type message struct {
-	_           struct{} `cbor:",toarray"`
-	Kind        kind
-	Tier        uint16
-	Incarnation uint32 // of the sender: the start, the low bits of its milliseconds
-	Stamp       uint32 // milliseconds since that
-	Items       []int64
+	_    struct{} `cbor:",toarray"`
+	Kind kind
+	// Tier is the number of members in the sender's tier.
+	Tier uint16
+	// Incarnation identifies the sender's incarnation: its start time in milliseconds, the low 32 bits.
+	Incarnation uint32
+	// Stamp is the time at which the message was sent, in milliseconds since the sender's start.
+	Stamp uint32
+	// Items holds the encoded entries one after another; empty in a query.
+	Items []int64
 }
 
+// kind is the kind of a message. Its values are part of the format.
 type kind uint8
 
 const (
-	kindQuery kind = iota
-	kindEntries
-	kindCount
+	kindQuery   kind = iota // asks for all entries of the receiver
+	kindEntries             // carries entries of the sender
+	kindCount               // number of kinds
 )
 
-// An entry stands as three to six integers: the server; the report's age and share; rate, bad endings and which of these
-// follow; lines; how long it has drained; the shortest set-up time.
+// Bit layout and units of an entry, which is encoded as three to six integers:
+//
+// (1) the hash of the server's name; (2) age and value of the hold-back share; (3) the rate, the failure weight, and
+// flags for which optional integers follow; then the optional integers: the number of lines, for how long the server
+// has been draining, and the shortest set-up time.
 const (
-	ageUnit           = 10 * time.Millisecond
-	maxEncodedAge     = 1<<14 - 1
-	shareBits         = 7
-	shareUnknown      = 1<<shareBits - 1
-	maxEncodedShare   = shareUnknown - 1
-	maxEncodedRate    = 1<<24 - 1 // tenths
-	failureWeightBits = 4
-	hasLines          = 1
-	hasDrainingSince  = 2
-	hasMinSetUpTime   = 4
-	flagBits          = 3
-	setUpTimeUnit     = 100 * time.Microsecond
+	ageUnit           = 10 * time.Millisecond  // unit of an encoded age
+	maxEncodedAge     = 1<<14 - 1              // in units of ageUnit
+	shareBits         = 7                      // bits of the hold-back share
+	shareUnknown      = 1<<shareBits - 1       // no hold-back share was reported
+	maxEncodedShare   = shareUnknown - 1       // encodes a share of 1
+	maxEncodedRate    = 1<<24 - 1              // in tenths of a set-up a second
+	failureWeightBits = 4                      // bits of the failure weight
+	hasLines          = 1                      // flag: the number of lines follows
+	hasDrainingSince  = 2                      // flag: the draining time follows
+	hasMinSetUpTime   = 4                      // flag: the shortest set-up time follows
+	flagBits          = 3                      // number of flag bits
+	setUpTimeUnit     = 100 * time.Microsecond // unit of the shortest set-up time
 )
 
-// words are an entry at a time.
+// encode returns the integers of an entry for the server, with ages as of now.
 func (o Observation) encode(server uint32, now Time) []int64 {
 	age, share := int64(0), int64(shareUnknown)
 	if o.HoldBackShareAt > 0 {
@@ -221,7 +250,8 @@
 	return items
 }
 
-// readSeen reads one entry, that was so old by then, and says how many integers it took; 0: it makes no sense.
+// decodeObservation decodes the first entry of items, whose ages count back from now, and returns the number of
+// integers consumed. The number is 0 if the entry is malformed.
 func decodeObservation(items []int64, now Time) (server uint32, obs Observation, n int) {
 	const maxValue = int64(1) << 40
 	if len(items) < 3 || items[0] < 0 || items[0] > math.MaxUint32 || items[1] < 0 || items[1]>>shareBits > maxEncodedAge || items[2] < 0 || items[2] > maxValue {
@@ -260,7 +290,8 @@
 	return server, obs, n
 }
 
-// decode checks what a datagram or a rider of a tier of n members holds.
+// check validates a message received in a tier of tierSize members. It returns errTierSize for a message from a tier
+// of another size, and datagram.ErrMalformed for an undecodable one.
 func (m message) check(tierSize int) error {
 	if m.Kind >= kindCount || int(m.Tier) != tierSize {
 		return errTierSize
--- a/internal/knowledge/weigh.go
+++ b/internal/knowledge/weigh.go
@@ -6,27 +6,40 @@
 	"time"
 )
 
-// View is what the tier knows of a server at a time.
+// View is the tier's combined knowledge of a server at one time.
 type View struct {
-	HoldBackShare   float64       // to be held back, of all that is known: the newest reports weigh most
-	HoldBackShareAt Time          // of the newest that another has heard; 0: none
-	Rate            float64       // set-ups a second that a server takes from another member when warm, on the mean; 0: not known
-	FairRate        float64       // the same, when this member has its part of the callers again
-	FailingShare    float64       // share of the others' weight that holds it for failing
-	DrainingSince   Time          // since when another's list says that it drains; 0: none does
-	Observers       int           // observers that have told of it
-	MinSetUpTime    time.Duration // the longest of the others' shortest set-up times: ways differ; 0: not known
+	// HoldBackShare is the share of new set-ups to hold back, weighted over the reports of all members; the newest
+	// reports weigh most.
+	HoldBackShare float64
+	// HoldBackShareAt is the time of the newest report that another member received; 0: none.
+	HoldBackShareAt Time
+	// Rate is the mean rate, in set-ups a second, that the server takes from another member when warm; 0: not known.
+	Rate float64
+	// FairRate is the same once this member again handles its fair share of the callers.
+	FairRate float64
+	// FailingShare is the share of the other members' weight that considers the server failing.
+	FailingShare float64
+	// DrainingSince is the latest time since which another member's server list marks the server as draining; 0: none
+	// does.
+	DrainingSince Time
+	// Observers is the number of other members with an entry for the server.
+	Observers int
+	// MinSetUpTime is the longest of the other members' shortest set-up times, as their network paths to the server
+	// differ; 0: not known.
+	MinSetUpTime time.Duration
 }
 
-// badAt is the weight of bad endings in a row from which on a member holds a server for failing.
+// failingThreshold is the weight of failed set-ups in a row from which on a member considers a server failing.
 const failingThreshold = 8
 
+// weight returns the weight of an observation of that age: 1 when new, halved with each half-life.
 func weight(age, halfLife time.Duration) float64 {
 	return math.Exp2(-float64(max(age, 0)) / float64(halfLife))
 }
 
-// View weighs what is known of a server: each entry halves its weight with each half-life of its age, so a stale peer, or
-// two that contradict each other, are outweighed by whoever has heard of it later; the own entry counts beside the rest.
+// View combines what is known of a server. The weight of each entry halves with each half-life of its age, so a
+// member with stale reports, or two members that contradict each other, are outweighed by a member with a newer
+// report. This member's own last report counts beside the others'.
 func (r *Reducer) View(now Time, server uint32) (v View) {
 	now = max(now, r.now)
 	shareSum, shareWeight, rateSum, rateWeight, failingWeight, totalWeight := 0.0, 0.0, 0.0, 0.0, 0.0, 0.0
@@ -73,8 +86,9 @@
 	return v
 }
 
-// TakeoverFactor is by how much the rates of this member grow when some others have died: those leave their callers to all that
-// are there, each as many, as far as anybody knows. Where too little is known each is held to have had as many.
+// TakeoverFactor returns the factor by which this member's rates grow when the given members have died. Their callers
+// move to all available members in equal numbers, as far as is known. If the rates of a dead member or of this one
+// are not known, each member is assumed to have had equally many callers.
 func (r *Reducer) TakeoverFactor(dead []int, available int) float64 {
 	localRate, deadRate, allKnown := 0.0, 0.0, true
 	for _, obs := range r.local {
@@ -96,14 +110,14 @@
 	return 1 + min(deadRate/float64(available)/localRate, float64(len(dead)))
 }
 
-// ObserverEntry is an observer's entry, for operators.
+// ObserverEntry is an observer's entry for a server, as shown to operators.
 type ObserverEntry struct {
 	Observer int
 	Observation
 	At Time
 }
 
-// Entries is all that is known of a server, by observer, the own entry included.
+// Entries returns all entries for a server, ordered by observer, this member's own included.
 func (r *Reducer) Entries(server uint32) (entries []ObserverEntry) {
 	for member, o := range r.observers {
 		if e, known := o.Entries[server]; known {
@@ -117,5 +131,5 @@
 	return entries
 }
 
-// Counters are the figures of now.
+// Counters returns the current counters.
 func (r *Reducer) Counters() Counters { return r.counters }
