--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -42,123 +42,130 @@
 
 const epoch = 1_700_000_000 * time.Second
 
+// newSimTier starts a tier of the given size with a fault-free network.
 func newSimTier(t *testing.T, size int, disabled Guard, seed uint64) *simTier {
-	w := &simTier{t: t, rng: rand.New(rand.NewPCG(seed, 1)), limits: Defaults(), disabled: disabled, demand: make([]float64, size),
+	tier := &simTier{t: t, rng: rand.New(rand.NewPCG(seed, 1)), limits: Defaults(), disabled: disabled, demand: make([]float64, size),
 		drops: func(int, int) bool { return false }, delay: func() time.Duration { return 5 * time.Millisecond }}
 	for range size {
-		w.members = append(w.members, &simMember{clockRate: 1})
+		tier.members = append(tier.members, &simMember{clockRate: 1})
 	}
 	for member := range size {
-		w.startMember(member)
+		tier.startMember(member)
 	}
-	return w
+	return tier
 }
 
-func (w *simTier) memberClock(member int) Time {
-	return epoch + time.Duration(float64(w.now)*w.members[member].clockRate)
+// memberClock returns the present time by a member's clock.
+func (tier *simTier) memberClock(member int) Time {
+	return epoch + time.Duration(float64(tier.now)*tier.members[member].clockRate)
 }
 
-func (w *simTier) startMember(member int) {
-	sim := w.members[member]
+// startMember starts a member, or restarts a dead one, and reports a cold server to it.
+func (tier *simTier) startMember(member int) {
+	sim := tier.members[member]
 	sim.incarnation++
-	sim.r, _, _ = New(Config{Self: member, TierSize: len(w.members), Limits: w.limits, Seed: w.rng.Uint64(), DisabledGuards: w.disabled}, w.memberClock(member))
-	for other := range w.members {
-		w.step(member, MemberAvailability{other, w.members[other].r != nil || w.members[other].incarnation == 0})
-		w.step(other, MemberAvailability{member, true})
+	sim.r, _, _ = New(Config{Self: member, TierSize: len(tier.members), Limits: tier.limits, Seed: tier.rng.Uint64(), DisabledGuards: tier.disabled}, tier.memberClock(member))
+	for other := range tier.members {
+		tier.step(member, MemberAvailability{other, tier.members[other].r != nil || tier.members[other].incarnation == 0})
+		tier.step(other, MemberAvailability{member, true})
 	}
-	w.step(member, Demand{w.demand[member]})
-	w.step(member, ColdServer{Server: 7, Rate: 10, Until: w.memberClock(member) + time.Hour})
+	tier.step(member, Demand{tier.demand[member]})
+	tier.step(member, ColdServer{Server: 7, Rate: 10, Until: tier.memberClock(member) + time.Hour})
 }
 
-func (w *simTier) killMember(member int) {
-	w.members[member].r, w.members[member].paused, w.members[member].deferred = nil, false, nil
-	w.setAvailable(member, false)
+// killMember kills a member and tells the others.
+func (tier *simTier) killMember(member int) {
+	tier.members[member].r, tier.members[member].paused, tier.members[member].deferred = nil, false, nil
+	tier.setAvailable(member, false)
 }
 
 // setAvailable tells all members whether a member is available.
-func (w *simTier) setAvailable(member int, available bool) {
-	for observer := range w.members {
-		w.step(observer, MemberAvailability{member, available})
+func (tier *simTier) setAvailable(member int, available bool) {
+	for observer := range tier.members {
+		tier.step(observer, MemberAvailability{member, available})
 	}
 }
 
-func (w *simTier) step(member int, ev Event) {
-	sim := w.members[member]
+// step gives an event to a member, carries out the effects, and checks the invariant.
+func (tier *simTier) step(member int, ev Event) {
+	sim := tier.members[member]
 	if sim.r == nil || sim.paused {
 		return
 	}
-	for _, effect := range sim.r.Step(w.memberClock(member), ev) {
+	for _, effect := range sim.r.Step(tier.memberClock(member), ev) {
 		switch effect := effect.(type) {
 		case Send:
 			if len(effect.Data) > datagram.MaxSize {
-				w.t.Fatalf("a datagram of %d bytes is too long", len(effect.Data))
+				tier.t.Fatalf("a datagram of %d bytes is too long", len(effect.Data))
 			}
-			if !w.drops(member, effect.To) {
-				w.queue = append(w.queue, pendingEvent{w.now + w.delay(), effect.To, 0, Datagram{member, effect.Data}})
+			if !tier.drops(member, effect.To) {
+				tier.queue = append(tier.queue, pendingEvent{tier.now + tier.delay(), effect.To, 0, Datagram{member, effect.Data}})
 			}
 		case Timer:
-			w.queue = append(w.queue, pendingEvent{time.Duration(float64(effect.At-epoch) / sim.clockRate), member, sim.incarnation, TimerFired{effect.Token}})
+			tier.queue = append(tier.queue, pendingEvent{time.Duration(float64(effect.At-epoch) / sim.clockRate), member, sim.incarnation, TimerFired{effect.Token}})
 		}
 	}
-	w.checkExclusive()
+	tier.checkExclusive()
 }
 
 // checkExclusive checks the invariant that no unit of a quota is used by two running members.
-func (w *simTier) checkExclusive() {
-	for owner := range w.members {
+func (tier *simTier) checkExclusive() {
+	for owner := range tier.members {
 		var inUse Mask
-		for member, sim := range w.members {
+		for member, sim := range tier.members {
 			if sim.r == nil || sim.paused {
 				continue
 			}
-			usable := sim.r.Usable(w.memberClock(member), owner)
+			usable := sim.r.Usable(tier.memberClock(member), owner)
 			if inUse&usable != 0 {
-				w.t.Fatalf("at %v units %08b of the quota of member %d are used by member %d and by another one", w.now, inUse&usable, owner, member)
+				tier.t.Fatalf("at %v units %08b of the quota of member %d are used by member %d and by another one", tier.now, inUse&usable, owner, member)
 			}
 			inUse |= usable
 		}
 	}
 }
 
-func (w *simTier) run(until time.Duration) {
+// run delivers the pending events up to a time.
+func (tier *simTier) run(until time.Duration) {
 	for {
 		next := -1
-		for i, pending := range w.queue {
-			if pending.at <= until && (next < 0 || pending.at < w.queue[next].at) {
+		for i, pending := range tier.queue {
+			if pending.at <= until && (next < 0 || pending.at < tier.queue[next].at) {
 				next = i
 			}
 		}
 		if next < 0 {
-			w.now = max(w.now, until)
-			w.checkExclusive()
+			tier.now = max(tier.now, until)
+			tier.checkExclusive()
 			return
 		}
-		pending := w.queue[next]
-		w.queue = slices.Delete(w.queue, next, next+1)
-		w.now = max(w.now, pending.at)
-		switch sim := w.members[pending.to]; {
+		pending := tier.queue[next]
+		tier.queue = slices.Delete(tier.queue, next, next+1)
+		tier.now = max(tier.now, pending.at)
+		switch sim := tier.members[pending.to]; {
 		case sim.r == nil || pending.incarnation != 0 && pending.incarnation != sim.incarnation:
 		case sim.paused:
 			sim.deferred = append(sim.deferred, pending)
 		default:
-			w.step(pending.to, pending.ev)
+			tier.step(pending.to, pending.ev)
 		}
 	}
 }
 
-func (w *simTier) resumeMember(member int) {
-	sim := w.members[member]
+// resumeMember resumes a paused member and delivers the events that arrived in the meantime.
+func (tier *simTier) resumeMember(member int) {
+	sim := tier.members[member]
 	sim.paused = false
-	w.checkExclusive()
-	w.queue = append(w.queue, sim.deferred...)
+	tier.checkExclusive()
+	tier.queue = append(tier.queue, sim.deferred...)
 	sim.deferred = nil
 }
 
 // unitsInUse returns how many units of an owner's quota are used by running members.
-func (w *simTier) unitsInUse(owner int) (n int) {
-	for member, sim := range w.members {
+func (tier *simTier) unitsInUse(owner int) (n int) {
+	for member, sim := range tier.members {
 		if sim.r != nil && !sim.paused {
-			for usable := sim.r.Usable(w.memberClock(member), owner); usable != 0; usable &= usable - 1 {
+			for usable := sim.r.Usable(tier.memberClock(member), owner); usable != 0; usable &= usable - 1 {
 				n++
 			}
 		}
@@ -170,36 +177,36 @@
 // nobody uses the reserved unit of a dead member. A member that was only paused resumes with its reserved unit alone,
 // and has the other units back within two leases.
 func TestSuccessorsUseUnitsOfDeadMembers(t *testing.T) {
-	w := newSimTier(t, 5, 0, 1)
-	w.run(6 * time.Second)
-	for owner := range w.members {
-		if n := w.unitsInUse(owner); n != Units {
+	tier := newSimTier(t, 5, 0, 1)
+	tier.run(6 * time.Second)
+	for owner := range tier.members {
+		if n := tier.unitsInUse(owner); n != Units {
 			t.Fatalf("%d units of the quota of member %d are used, want %d", n, owner, Units)
 		}
 	}
-	w.killMember(1)
-	w.members[3].paused = true
-	w.setAvailable(3, false)
-	w.run(7 * time.Second)
-	if n := w.unitsInUse(1) + w.unitsInUse(3); n != 0 {
+	tier.killMember(1)
+	tier.members[3].paused = true
+	tier.setAvailable(3, false)
+	tier.run(7 * time.Second)
+	if n := tier.unitsInUse(1) + tier.unitsInUse(3); n != 0 {
 		t.Errorf("%d units of the two members are used a second after, within their leases", n)
 	}
-	w.run(11 * time.Second)
+	tier.run(11 * time.Second)
 	for _, owner := range []int{1, 3} {
-		if n := w.unitsInUse(owner); n != Units-1 {
+		if n := tier.unitsInUse(owner); n != Units-1 {
 			t.Errorf("%d units of the quota of member %d are used, want %d", n, owner, Units-1)
 		}
 	}
-	if rate, known := w.members[0].r.Rate(w.memberClock(0), 7); !known || rate <= 10 {
+	if rate, known := tier.members[0].r.Rate(tier.memberClock(0), 7); !known || rate <= 10 {
 		t.Errorf("an available member may use %v set-ups/s, known: %t; want more than its own quota of 10", rate, known)
 	}
-	w.resumeMember(3)
-	if usable := w.members[3].r.Usable(w.memberClock(3), 3); usable != reservedUnit {
+	tier.resumeMember(3)
+	if usable := tier.members[3].r.Usable(tier.memberClock(3), 3); usable != reservedUnit {
 		t.Errorf("the paused member uses units %08b when it resumes, want the reserved unit", usable)
 	}
-	w.setAvailable(3, true)
-	w.run(16 * time.Second)
-	if usable := w.members[3].r.Usable(w.memberClock(3), 3); usable != reservedUnit|transferableUnits {
+	tier.setAvailable(3, true)
+	tier.run(16 * time.Second)
+	if usable := tier.members[3].r.Usable(tier.memberClock(3), 3); usable != reservedUnit|transferableUnits {
 		t.Errorf("the resumed member uses units %08b after two leases, want all", usable)
 	}
 }
@@ -208,28 +215,28 @@
 // when the borrower dies.
 func TestLoan(t *testing.T) {
 	for _, disabled := range []Guard{0, GuardLoan} {
-		w := newSimTier(t, 2, disabled, 1)
+		tier := newSimTier(t, 2, disabled, 1)
 		usedByBoth := func() (n Mask) {
-			return w.members[0].r.Usable(w.memberClock(0), 1) & w.members[1].r.Usable(w.memberClock(1), 1)
+			return tier.members[0].r.Usable(tier.memberClock(0), 1) & tier.members[1].r.Usable(tier.memberClock(1), 1)
 		}
-		w.run(4 * time.Second)
-		w.demand[0] = 3
+		tier.run(4 * time.Second)
+		tier.demand[0] = 3
 		if disabled != 0 { // without the guard the violation shows
-			w.drops = func(from, _ int) bool { return false }
-			w.members[1].r.loans[3] = loan{0, w.memberClock(1) + time.Second}
-			if usable := w.members[1].r.Usable(w.memberClock(1), 1); usable&(1<<3) == 0 {
+			tier.drops = func(from, _ int) bool { return false }
+			tier.members[1].r.loans[3] = loan{0, tier.memberClock(1) + time.Second}
+			if usable := tier.members[1].r.Usable(tier.memberClock(1), 1); usable&(1<<3) == 0 {
 				t.Error("without GuardLoan a member does not use the units that it has lent")
 			}
 			continue
 		}
-		w.step(0, Demand{3})
-		w.run(6 * time.Second)
-		if n := w.unitsInUse(1); usedByBoth() != 0 || n != Units || w.members[0].r.Usable(w.memberClock(0), 1) == 0 {
-			t.Errorf("%d units of the idle member's quota are used, %08b by both; the busy member uses %08b", n, usedByBoth(), w.members[0].r.Usable(w.memberClock(0), 1))
+		tier.step(0, Demand{3})
+		tier.run(6 * time.Second)
+		if n := tier.unitsInUse(1); usedByBoth() != 0 || n != Units || tier.members[0].r.Usable(tier.memberClock(0), 1) == 0 {
+			t.Errorf("%d units of the idle member's quota are used, %08b by both; the busy member uses %08b", n, usedByBoth(), tier.members[0].r.Usable(tier.memberClock(0), 1))
 		}
-		w.killMember(0)
-		w.run(6*time.Second + 2*w.limits.Lease)
-		if usable := w.members[1].r.Usable(w.memberClock(1), 1) &^ reservedUnit; usable != 0 {
+		tier.killMember(0)
+		tier.run(6*time.Second + 2*tier.limits.Lease)
+		if usable := tier.members[1].r.Usable(tier.memberClock(1), 1) &^ reservedUnit; usable != 0 {
 			t.Errorf("a member without a majority uses units %08b", usable)
 		}
 	}
@@ -238,24 +245,24 @@
 // When all members restart at once, no member knows the earlier grants: each uses only its reserved unit until all
 // units that may have been held have expired.
 func TestAllMembersRestart(t *testing.T) {
-	w := newSimTier(t, 5, 0, 1)
-	w.run(5 * time.Second)
-	for member := range w.members {
-		w.killMember(member)
+	tier := newSimTier(t, 5, 0, 1)
+	tier.run(5 * time.Second)
+	for member := range tier.members {
+		tier.killMember(member)
 	}
-	for member := range w.members {
-		w.startMember(member)
+	for member := range tier.members {
+		tier.startMember(member)
 	}
-	for w.now < 5*time.Second+w.limits.Lease {
-		w.run(w.now + 100*time.Millisecond)
-		for owner := range w.members {
-			if n := w.unitsInUse(owner); n > 1 {
-				t.Fatalf("%d units of the quota of member %d are used %v after the start", n, owner, w.now-5*time.Second)
+	for tier.now < 5*time.Second+tier.limits.Lease {
+		tier.run(tier.now + 100*time.Millisecond)
+		for owner := range tier.members {
+			if n := tier.unitsInUse(owner); n > 1 {
+				t.Fatalf("%d units of the quota of member %d are used %v after the start", n, owner, tier.now-5*time.Second)
 			}
 		}
 	}
-	w.run(10 * time.Second)
-	if n := w.unitsInUse(2); n != Units {
+	tier.run(10 * time.Second)
+	if n := tier.unitsInUse(2); n != Units {
 		t.Errorf("%d units of a quota are used 5 s after the start, want all", n)
 	}
 }
@@ -265,65 +272,65 @@
 // and the units of the dead are used.
 func TestRandomFaults(t *testing.T) {
 	for seed := range uint64(40) {
-		w := newSimTier(t, 5, 0, seed)
-		for member, sim := range w.members {
+		tier := newSimTier(t, 5, 0, seed)
+		for member, sim := range tier.members {
 			sim.clockRate = 1 + 0.01*float64(member-2)/2
 		}
 		isolated := [5]bool{}
-		w.drops = func(from, to int) bool { return isolated[from] != isolated[to] || w.rng.IntN(5) == 0 }
-		w.delay = func() time.Duration {
-			if w.rng.IntN(10) == 0 {
-				return time.Duration(w.rng.IntN(3000)) * time.Millisecond
+		tier.drops = func(from, to int) bool { return isolated[from] != isolated[to] || tier.rng.IntN(5) == 0 }
+		tier.delay = func() time.Duration {
+			if tier.rng.IntN(10) == 0 {
+				return time.Duration(tier.rng.IntN(3000)) * time.Millisecond
 			}
-			return time.Duration(w.rng.IntN(30)) * time.Millisecond
+			return time.Duration(tier.rng.IntN(30)) * time.Millisecond
 		}
 		for range 40 {
-			member := w.rng.IntN(5)
-			switch sim := w.members[member]; w.rng.IntN(8) {
+			member := tier.rng.IntN(5)
+			switch sim := tier.members[member]; tier.rng.IntN(8) {
 			case 0:
 				if sim.r != nil {
-					w.killMember(member)
+					tier.killMember(member)
 				}
 			case 1:
 				if sim.r == nil {
-					w.startMember(member)
+					tier.startMember(member)
 				}
 			case 2:
 				if sim.r != nil {
 					sim.paused = true
 				}
 			case 3:
-				w.setAvailable(member, w.rng.IntN(2) == 0) // the members' views may be wrong
+				tier.setAvailable(member, tier.rng.IntN(2) == 0) // the members' views may be wrong
 			case 4:
 				isolated[member] = !isolated[member]
 			case 5:
-				w.demand[member] = 3 * w.rng.Float64()
-				w.step(member, Demand{w.demand[member]})
+				tier.demand[member] = 3 * tier.rng.Float64()
+				tier.step(member, Demand{tier.demand[member]})
 			}
-			for member, sim := range w.members {
-				if sim.paused && w.rng.IntN(3) == 0 {
-					w.resumeMember(member)
+			for member, sim := range tier.members {
+				if sim.paused && tier.rng.IntN(3) == 0 {
+					tier.resumeMember(member)
 				}
 			}
-			w.run(w.now + time.Duration(w.rng.IntN(700))*time.Millisecond)
+			tier.run(tier.now + time.Duration(tier.rng.IntN(700))*time.Millisecond)
 		}
-		w.drops, w.delay = func(int, int) bool { return false }, func() time.Duration { return 5 * time.Millisecond }
-		for member, sim := range w.members {
+		tier.drops, tier.delay = func(int, int) bool { return false }, func() time.Duration { return 5 * time.Millisecond }
+		for member, sim := range tier.members {
 			if sim.paused {
-				w.resumeMember(member)
+				tier.resumeMember(member)
 			}
 			if sim.r == nil && member < 4 {
-				w.startMember(member)
+				tier.startMember(member)
 			}
-			w.setAvailable(member, w.members[member].r != nil)
+			tier.setAvailable(member, tier.members[member].r != nil)
 		}
-		w.run(w.now + 15*time.Second)
-		for owner, sim := range w.members {
+		tier.run(tier.now + 15*time.Second)
+		for owner, sim := range tier.members {
 			want := Units
 			if sim.r == nil {
 				want--
 			}
-			if got := w.unitsInUse(owner); got != want {
+			if got := tier.unitsInUse(owner); got != want {
 				t.Errorf("seed %d: %d units of the quota of member %d are used in the end, want %d", seed, got, owner, want)
 			}
 		}
--- a/internal/budget/reducer.go
+++ b/internal/budget/reducer.go
@@ -29,8 +29,8 @@
 
 // coldServer is a cold server with the members' quotas of its budget.
 type coldServer struct {
-	Server    uint32 // hash of the name and the start
-	ColdUntil Time
+	Server    uint32    // hash of the name and the start
+	ColdUntil Time      // when the server is warm
 	Rates     []float64 // whole quota in set-ups a second, by member; negative: not reported
 }
 
@@ -334,7 +334,7 @@
 	}
 	r.lendable[d.From] = m.Lendable
 	for i := 0; i+1 < len(m.Rates); i += 2 {
-		if c := r.findServer(uint32(m.Rates[i])); c != nil { // ignore servers that this member does not know to be cold
+		if c := r.findServer(uint32(m.Rates[i])); c != nil { // ignore servers that no ColdServer event has reported here
 			c.Rates[d.From] = float64(m.Rates[i+1]) / 1000
 		}
 	}
@@ -352,7 +352,7 @@
 	}
 }
 
-// findServer returns the state of a cold server that this member was told of; nil if there is none.
+// findServer returns the state of a server that a ColdServer event has reported; nil if there is none.
 func (r *Reducer) findServer(hash uint32) *coldServer {
 	for i := range r.coldServers {
 		if c := &r.coldServers[i]; c.Server == hash && c.Rates[r.cfg.Self] >= 0 {
--- a/internal/circuits/circuits.go
+++ b/internal/circuits/circuits.go
@@ -1,6 +1,6 @@
-// Package circuits keeps account of the circuits to one server: which call is on which, and which may be used. It is the
-// ISUP side of an association (Q.764) without messages, connections, clocks and locks: what arrives is told, and what
-// is to be written is returned.
+// Package circuits keeps account of the ISUP circuits to one server: which call is on which circuit, and which
+// circuits may be used. It is the ISUP side of an association (Q.764) without messages, connections, clocks and
+// locks: the caller reports the messages that arrive, and the methods return what has to be sent.
 package circuits
 
 import (
@@ -10,57 +10,60 @@
 	"elmseam/internal/core"
 )
 
-// use is what a circuit is used for.
+// state is the state of a circuit.
 type state uint8
 
 const (
-	stateFree state = iota
-	stateSettingUp
-	stateEstablished
-	stateReleasing        // until the server's RLC
-	stateAwaitingExtraRLC // that has come, but a REL went out more than once: another RLC may be on its way
+	stateFree             state = iota
+	stateSettingUp              // an IAM was sent, no ANM has arrived
+	stateEstablished            // the server has answered the call
+	stateReleasing              // a REL was sent, or has to be sent on the next connection; waits for the RLC
+	stateAwaitingExtraRLC       // an RLC has arrived, but the REL was sent more than once: another RLC may be on its way
 )
 
-// circuit is one of them.
+// circuit is one circuit and the call on it.
 type circuit struct {
 	call              core.ID
 	state             state
-	pendingRLCs       int       // RLCs that may still come: one for each REL, unless the server has lost it
-	ownRLCUnconfirmed bool      // freed by an RLC of ours, and nothing has shown that the server has heard it
-	stateSince        time.Time // of the last REL, or of the RLC that left it settling
+	pendingRLCs       int       // RLCs that may still arrive: one for each REL, unless the server has lost it
+	ownRLCUnconfirmed bool      // the circuit was freed by an RLC sent here, and no message has shown that the server received it
+	stateSince        time.Time // time of the last REL, or of the RLC that began stateAwaitingExtraRLC
 }
 
-// Circuits are all to one server. They outlive its connections: a call that stands keeps its circuit, and one that was
-// released is not used again before the server has said so.
+// Circuits holds all circuits to one server. They outlive the server's connections: an established call keeps its
+// circuit, and the circuit of a released call is not used again before the server has confirmed the release.
 type Circuits struct {
-	circuits       []circuit
-	byCall         map[core.ID]uint16
-	nextIndex      int
-	lastSweep      time.Time // when overdue ones were last looked for
+	circuits       []circuit          // by circuit identification code (CIC)
+	byCall         map[core.ID]uint16 // CIC of each call
+	nextIndex      int                // where the search for a free circuit begins
+	lastSweep      time.Time          // when Overdue last searched
 	disabledGuards Guard
 }
 
-// Guard names what keeps calls on circuits apart. Checks take one out, to see that its absence shows.
+// Guard is a set of the rules that keep calls on circuits apart. A test can switch guards off, to see that the
+// violation shows.
 type Guard uint8
 
-// The guards.
+// The guards. Each describes the behaviour with the guard on.
 const (
 	GuardConfirm      Guard = 1 << iota // a circuit that was released here waits for the server's RLC
-	GuardReleaseCount                   // and for as many as there were RELs
-	GuardOverdue                        // a release that is not confirmed goes out again
+	GuardReleaseCount                   // the circuit waits for as many RLCs as RELs were sent
+	GuardOverdue                        // a REL that is not confirmed is sent again
 )
 
-// DisableGuards takes guards out. No program does.
+// DisableGuards switches guards off. No program does.
 func (c *Circuits) DisableGuards(g Guard) { c.disabledGuards = g }
 
+// guardEnabled reports whether the guard is on.
 func (c *Circuits) guardEnabled(g Guard) bool { return c.disabledGuards&g == 0 }
 
-// New makes so many circuits, all free.
+// New returns n circuits, all free.
 func New(n int) *Circuits {
 	return &Circuits{circuits: make([]circuit, n), byCall: make(map[core.ID]uint16)}
 }
 
-// Allocate finds a free circuit for a call whose IAM goes out. Those that settle are the last resort of none.
+// Allocate assigns a free circuit to a call whose IAM is about to be sent. Circuits that still await an RLC are not
+// used, even if no other circuit is free.
 func (c *Circuits) Allocate(call core.ID) (cic uint16, ok bool) {
 	for range c.circuits {
 		i := c.nextIndex
@@ -75,14 +78,14 @@
 	return 0, false
 }
 
-// NotSent frees the circuit of a call whose IAM never left.
+// NotSent frees the circuit of a call whose IAM was not sent.
 func (c *Circuits) NotSent(call core.ID) {
 	if cic, found := c.byCall[call]; found && c.circuits[cic].state == stateSettingUp {
 		c.detach(cic, stateFree)
 	}
 }
 
-// Release takes in that a call is released here, and says on which circuit a REL has to go out.
+// Release handles the release of a call by this side. It returns the circuit on which a REL has to be sent.
 func (c *Circuits) Release(call core.ID, now time.Time) (cic uint16, ok bool) {
 	cic, found := c.byCall[call]
 	if !found || c.circuits[cic].state != stateSettingUp && c.circuits[cic].state != stateEstablished {
@@ -92,18 +95,18 @@
 	return cic, true
 }
 
-// Answered takes in an ANM, and says which call stands.
+// Answered handles an ANM and returns the call that is now established.
 func (c *Circuits) Answered(cic uint16) (core.ID, bool) {
 	if int(cic) >= len(c.circuits) || c.circuits[cic].state != stateSettingUp {
 		return 0, false
 	}
 	circuit := &c.circuits[cic]
-	circuit.state, circuit.pendingRLCs, circuit.ownRLCUnconfirmed = stateEstablished, 0, false // an RLC of before would have come first
+	circuit.state, circuit.pendingRLCs, circuit.ownRLCUnconfirmed = stateEstablished, 0, false // an RLC for an earlier release would have arrived before the ANM
 	return circuit.call, true
 }
 
-// Released takes in a REL or an RSC of the server, and says which call that ends. One that crosses ours leaves the circuit
-// in use until the server has heard of ours too. An RLC goes out in any case.
+// Released handles a REL or RSC of the server and returns the call that it ends. If it crosses a REL sent here, the
+// circuit stays in use until the server has confirmed that REL too. An RLC has to be sent in any case.
 func (c *Circuits) Released(cic uint16) (core.ID, bool) {
 	if int(cic) >= len(c.circuits) || c.circuits[cic].state != stateSettingUp && c.circuits[cic].state != stateEstablished {
 		return 0, false
@@ -114,8 +117,9 @@
 	return call, true
 }
 
-// Confirmed takes in an RLC. Where a REL went out more than once, so may RLCs come, and one that is late would pass for
-// that of the circuit's next release; what the server said of the call before would then pass for news of the next.
+// Confirmed handles an RLC. If the REL was sent more than once, as many RLCs may arrive. A late RLC would be taken
+// for the confirmation of the circuit's next release, and then messages of the server about the earlier call for
+// messages about the next one.
 func (c *Circuits) Confirmed(cic uint16, now time.Time) {
 	if int(cic) >= len(c.circuits) {
 		return
@@ -131,8 +135,9 @@
 	}
 }
 
-// ConnLost gives up the set-ups that were open on a connection that has ended. What was on its way is lost with it, and an
-// RLC of ours may have been: a server that waits for it holds the circuit.
+// ConnLost handles the end of a connection. It gives up the set-ups that were outstanding on the connection. Messages
+// that were on their way are lost. An RLC sent here may be one of them, and a server that waits for it holds the
+// circuit, so such circuits are released again.
 func (c *Circuits) ConnLost(now time.Time) {
 	for i := range c.circuits {
 		switch circuit := &c.circuits[i]; {
@@ -147,7 +152,7 @@
 	}
 }
 
-// Unconfirmed are the circuits that a REL has to go out on when a connection has come up.
+// Unconfirmed returns the circuits on which a REL has to be sent when a connection has come up.
 func (c *Circuits) Unconfirmed(now time.Time) (cics []uint16) {
 	for i := range c.circuits {
 		if c.circuits[i].state == stateReleasing {
@@ -158,9 +163,9 @@
 	return cics
 }
 
-// Overdue are the circuits whose release the server has not confirmed for so long: it may have lost that, or never answered,
-// and a circuit would be lost for good with each. A REL has to go out on each again. One that has settled for so long is
-// free.
+// Overdue returns the circuits whose release the server has not confirmed for the timeout. The REL or the RLC may
+// have been lost, or the server does not answer; each such case would otherwise cost a circuit for good. The REL has
+// to be sent again on each of them. A circuit that has awaited an extra RLC for the timeout is free.
 func (c *Circuits) Overdue(now time.Time, timeout time.Duration) (cics []uint16) {
 	if now.Sub(c.lastSweep) < timeout || !c.guardEnabled(GuardOverdue) {
 		return nil
@@ -169,7 +174,7 @@
 	for i := range c.circuits {
 		switch circuit := &c.circuits[i]; {
 		case now.Sub(circuit.stateSince) < timeout:
-		case circuit.state == stateAwaitingExtraRLC: // and should the other RLC come after all, it is still counted
+		case circuit.state == stateAwaitingExtraRLC: // the extra RLC still counts if it arrives later
 			circuit.state = stateFree
 		case circuit.state == stateReleasing:
 			c.markReleasing(uint16(i), now)
@@ -179,7 +184,7 @@
 	return cics
 }
 
-// Free is how many circuits are free.
+// Free returns the number of free circuits.
 func (c *Circuits) Free() int {
 	count := 0
 	for i := range c.circuits {
@@ -190,7 +195,7 @@
 	return count
 }
 
-// Calls are those that are on a circuit, in order.
+// Calls returns the calls that are on a circuit, in ascending order.
 func (c *Circuits) Calls() []core.ID {
 	ids := make([]core.ID, 0, len(c.byCall))
 	for id := range c.byCall {
@@ -200,7 +205,7 @@
 	return ids
 }
 
-// release counts a REL.
+// markReleasing records that a REL is sent on a circuit.
 func (c *Circuits) markReleasing(cic uint16, now time.Time) {
 	c.detach(cic, stateReleasing)
 	c.circuits[cic].stateSince = now
@@ -210,7 +215,7 @@
 	}
 }
 
-// leave takes a circuit's call off it.
+// detach removes the call from a circuit and sets the circuit's next state.
 func (c *Circuits) detach(cic uint16, next state) {
 	circuit := &c.circuits[cic]
 	if circuit.state == stateSettingUp || circuit.state == stateEstablished {
--- a/internal/circuits/circuits_test.go
+++ b/internal/circuits/circuits_test.go
@@ -7,17 +7,17 @@
 
 const confirmTimeout = 15 * time.Second
 
-// A server's release crosses ours: the circuit is free when ours is confirmed, not before, and a late RLC frees no
-// circuit that a new call has taken.
+// The server's release crosses the one sent here: the circuit becomes free when the server confirms, not before, and
+// a late RLC does not free a circuit that a new call uses.
 func TestCrossingReleases(t *testing.T) {
 	c, now := New(1), time.Unix(1000, 0)
 	c.Allocate(1)
 	c.Release(1, now)
 	if _, ended := c.Released(0); ended {
-		t.Error("the server's release frees a circuit whose release by us is on its way")
+		t.Error("the server's release ended a call that was already released here")
 	}
 	if _, ok := c.Allocate(2); ok {
-		t.Error("the circuit is taken before the server has confirmed")
+		t.Error("the circuit was allocated before the server confirmed the release")
 	}
 	c.Confirmed(0, now)
 	if _, ok := c.Allocate(2); !ok {
@@ -28,9 +28,9 @@
 	}
 }
 
-// A REL that was overdue has gone out twice: after one RLC the other may be on its way, and a call that took the circuit
-// between the two would lose it to the second while the server's answer to it is under way; that would pass for the
-// answer to the next call. A server that confirms only one doesn't cost the circuit either.
+// An overdue REL was sent twice: after one RLC the other may be on its way. A call that took the circuit between the
+// two RLCs would lose it to the second one while the server's answer to this call is under way, and the answer would
+// be taken for the answer to the next call. A server that confirms only once must not cost the circuit either.
 func TestRepeatedReleaseAwaitsBothRLCs(t *testing.T) {
 	c, now := New(1), time.Unix(1000, 0)
 	c.Allocate(1)
@@ -41,11 +41,11 @@
 	}
 	c.Confirmed(0, now)
 	if _, ok := c.Allocate(2); ok {
-		t.Error("the circuit is taken while a second RLC may be on its way")
+		t.Error("the circuit was allocated while a second RLC may be on its way")
 	}
 	c.Confirmed(0, now)
 	if _, ok := c.Allocate(3); !ok {
-		t.Error("the circuit is not free after both")
+		t.Error("the circuit is not free after both RLCs")
 	}
 	c.Release(3, now)
 	now = now.Add(confirmTimeout)
@@ -54,12 +54,13 @@
 	now = now.Add(confirmTimeout)
 	c.Overdue(now, confirmTimeout)
 	if c.Free() != 1 {
-		t.Error("a server that confirms once costs the circuit")
+		t.Error("the circuit stays unusable if the server confirms only once")
 	}
 }
 
-// What a connection that has ended had on its way is lost with it: set-ups are given up, their circuits are released
-// on the next connection, and calls that stand keep theirs. Numbers that no circuit has change nothing.
+// When a connection ends, messages on their way are lost: outstanding set-ups are given up, their circuits are
+// released on the next connection, and established calls keep their circuits. Circuit numbers out of range change
+// nothing.
 func TestConnLost(t *testing.T) {
 	c, now := New(3), time.Unix(1000, 0)
 	c.Allocate(1)
@@ -77,6 +78,6 @@
 		c.Released(cic)
 	}
 	if call, ended := c.Released(1); !ended || call != 2 || c.Free() != 3 {
-		t.Errorf("the call that stood: %d, %v; %d free", call, ended, c.Free())
+		t.Errorf("the established call: %d, %v; %d free", call, ended, c.Free())
 	}
 }
--- a/internal/datagram/datagram.go
+++ b/internal/datagram/datagram.go
@@ -1,6 +1,6 @@
-// Package datagram is the outer form of all datagrams between softswitches: a byte that says which protocol and version,
-// a CBOR array (RFC 8949), and the low 32 bits of XXH3 over all before, big-endian. The checksum tells of damage, not of
-// malice.
+// Package datagram implements the common format of all datagrams between softswitches: a byte for protocol and
+// version, a CBOR array (RFC 8949), and the low 32 bits of the XXH3 hash of all bytes before, big-endian. The
+// checksum detects damage, not forgery.
 package datagram
 
 import (
@@ -11,18 +11,21 @@
 	"github.com/zeebo/xxh3"
 )
 
-// MaxSize is the most that a datagram between softswitches may hold, in bytes (PROTOCOL, "Between softswitches").
+// MaxSize is the max size of a datagram between softswitches, in bytes (PROTOCOL, "Between softswitches").
 const MaxSize = 256
 
-// Overhead is what the form takes beside the array, in bytes.
+// Overhead is the number of bytes that the format adds to the array.
 const Overhead = 1 + checksumSize
 
+// checksumSize is the size of the checksum in bytes.
 const checksumSize = 4
 
-// Errors of a datagram that is passed over.
+// Errors that say why a datagram is dropped.
 var (
+	// ErrMalformed is returned for input that is damaged or cannot be decoded.
 	ErrMalformed = errors.New("garbled")
-	ErrVersion   = errors.New("of another version")
+	// ErrVersion is returned for another protocol or version.
+	ErrVersion = errors.New("protocol version not supported")
 )
 
 var (
@@ -43,19 +46,20 @@
 	}()
 )
 
+// checksum returns the low 32 bits of the XXH3 hash.
 func checksum(b []byte) uint32 { return uint32(xxh3.Hash(b)) }
 
-// Encode writes v, a struct that stands as an array, under this version byte.
+// Encode encodes v, a struct that CBOR encodes as an array, as a datagram with the given version byte.
 func Encode(version byte, v any) []byte {
 	body := EncodeItem(v)
 	data := append(append(make([]byte, 0, len(body)+Overhead), version), body...)
 	return binary.BigEndian.AppendUint32(data, checksum(data))
 }
 
-// Size is what an array takes by itself, in bytes.
+// Size returns the size of the encoded array v in bytes.
 func Size(v any) int { return len(EncodeItem(v)) }
 
-// IntSize is what an integer takes in an array, in bytes.
+// IntSize returns the size of an encoded integer in bytes.
 func IntSize(value int64) int {
 	if value < 0 {
 		value = ^value
@@ -73,7 +77,8 @@
 	return 9
 }
 
-// Decode reads a datagram of this version, of most bytes at most, into v. The error is ErrGarbled or ErrVersion.
+// Decode decodes a datagram of the given version and of at most maxSize bytes into v. The error is ErrMalformed or
+// ErrVersion.
 func Decode(data []byte, version byte, maxSize int, v any) error {
 	if len(data) < Overhead || len(data) > maxSize {
 		return ErrMalformed
@@ -91,15 +96,17 @@
 	return nil
 }
 
-// AppendPiggyback has something else ride on a datagram, behind its array and within the checksum, so that no more datagrams are sent
-// for it. Who does not look for a rider takes the datagram for garbled; so all of a tier must.
+// AppendPiggyback appends an encoded item of another protocol to a datagram, between its array and the checksum, so
+// that the item needs no datagram of its own. A receiver that does not call SplitPiggyback finds the datagram
+// malformed, so all members of a tier have to call it.
 func AppendPiggyback(data, piggyback []byte) []byte {
 	body := data[:len(data)-checksumSize]
 	content := append(append(make([]byte, 0, len(data)+len(piggyback)), body...), piggyback...)
 	return binary.BigEndian.AppendUint32(content, checksum(content))
 }
 
-// SplitPiggyback takes a datagram and what rides on it apart: what it was without a rider, and the rider, empty if there is none.
+// SplitPiggyback splits a datagram into the datagram without piggybacked data and the piggybacked data, which is
+// empty if there is none.
 func SplitPiggyback(data []byte) (bare, piggyback []byte, err error) {
 	if len(data) < Overhead || len(data) > MaxSize {
 		return nil, nil, ErrMalformed
@@ -120,7 +127,7 @@
 	return binary.BigEndian.AppendUint32(append(make([]byte, 0, len(bare)+checksumSize), bare...), checksum(bare)), piggyback, nil
 }
 
-// DecodeItem reads one array by itself, such as a rider, into v. The error is ErrGarbled.
+// DecodeItem decodes a single array, such as piggybacked data, into v. The error is ErrMalformed.
 func DecodeItem(data []byte, v any) error {
 	if decMode.Unmarshal(data, v) != nil {
 		return ErrMalformed
@@ -128,16 +135,16 @@
 	return nil
 }
 
-// EncodeItem writes one array by itself.
+// EncodeItem encodes v, a single array.
 func EncodeItem(v any) []byte {
 	body, err := encMode.Marshal(v)
 	if err != nil {
-		panic(err) // no field of ours has no form
+		panic(err) // all types encoded here have a CBOR form
 	}
 	return body
 }
 
-// FixChecksum gives a datagram, whose last four bytes don't matter, the checksum that it should have.
+// FixChecksum returns the datagram with its last four bytes replaced by the correct checksum.
 func FixChecksum(data []byte) []byte {
 	if len(data) < checksumSize {
 		return data
--- a/internal/knowledge/knowledge_test.go
+++ b/internal/knowledge/knowledge_test.go
@@ -122,9 +122,9 @@
 	}
 	var answer []byte
 	for member := range queried { // the answers arrive late, after the second round of queries
-		peer, _ := newReducer(t, member, tierSize, epoch)
-		peer.Step(now, LocalObservations{map[uint32]Observation{7: {Rate: 5}, 8: {Rate: 9}}})
-		for _, e := range peer.Step(now, Datagram{0, datagram.Encode(Version, message{Kind: kindQuery, Tier: tierSize, Items: []int64{}})}) {
+		other, _ := newReducer(t, member, tierSize, epoch)
+		other.Step(now, LocalObservations{map[uint32]Observation{7: {Rate: 5}, 8: {Rate: 9}}})
+		for _, e := range other.Step(now, Datagram{0, datagram.Encode(Version, message{Kind: kindQuery, Tier: tierSize, Items: []int64{}})}) {
 			answer = e.(Send).Data
 			r.Step(now, Datagram{member, answer})
 		}
@@ -139,8 +139,8 @@
 		t.Errorf("the member queries on after an answer: %v", effects)
 	}
 	// Where all members are newly started none has entries: each answers with one empty message, and the queries end.
-	peer, _ := newReducer(t, 1, tierSize, epoch, 7, 8, 9)
-	answers := peer.Step(now, Datagram{0, datagram.Encode(Version, message{Kind: kindQuery, Tier: tierSize, Items: []int64{}})})
+	other, _ := newReducer(t, 1, tierSize, epoch, 7, 8, 9)
+	answers := other.Step(now, Datagram{0, datagram.Encode(Version, message{Kind: kindQuery, Tier: tierSize, Items: []int64{}})})
 	if len(answers) != 1 || len(answers[0].(Send).Data) > 40 {
 		t.Errorf("a member without observations answers %v, want one datagram of at most 40 bytes", answers)
 	}
@@ -162,8 +162,8 @@
 		observations[s<<27] = Observation{HoldBackShare: 0.5, HoldBackShareAt: epoch, Rate: 100, Lines: 1e5, FailureWeight: 20, DrainingSince: epoch, MinSetUpTime: time.Second}
 	}
 	r.Step(epoch+time.Second, LocalObservations{observations})
-	peer, _ := newReducer(t, 1, 2, epoch)
-	peer.Step(epoch, LocalObservations{observations})
+	other, _ := newReducer(t, 1, 2, epoch)
+	other.Step(epoch, LocalObservations{observations})
 	for i := range 6 {
 		bare := datagram.Encode(1, make([]int, 20*i))
 		data := r.AppendPiggyback(epoch+time.Second+time.Duration(i)*ms, bare)
@@ -175,13 +175,13 @@
 			t.Fatalf("%v: the datagram changed under its piggybacked data", err)
 		}
 		if len(piggyback) > 0 {
-			peer.Step(epoch+time.Second, Piggyback{0, piggyback})
+			other.Step(epoch+time.Second, Piggyback{0, piggyback})
 		}
 	}
-	if n := len(peer.observers[0].Entries); n != len(observations) {
+	if n := len(other.observers[0].Entries); n != len(observations) {
 		t.Errorf("entries of %d of %d servers arrived", n, len(observations))
 	}
-	if e := peer.observers[0].Entries[1<<27]; e.HoldBackShare < 0.49 || e.Rate != 100 || e.Lines != 1e5 || e.FailureWeight != 15 || e.MinSetUpTime != time.Second || e.DrainingSince < epoch-20*ms {
+	if e := other.observers[0].Entries[1<<27]; e.HoldBackShare < 0.49 || e.Rate != 100 || e.Lines != 1e5 || e.FailureWeight != 15 || e.MinSetUpTime != time.Second || e.DrainingSince < epoch-20*ms {
 		t.Errorf("%+v", e)
 	}
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -194,9 +194,9 @@
 		if rng.IntN(4) == 0 {
 			data = data[:rng.IntN(len(data))]
 		}
-		peer.Step(epoch+time.Second, Datagram{rng.IntN(4) - 1, data})
+		other.Step(epoch+time.Second, Datagram{rng.IntN(4) - 1, data})
 	}
-	if counters := peer.Counters(); counters.Malformed < 500 || counters.UnknownSenders == 0 {
+	if counters := other.Counters(); counters.Malformed < 500 || counters.UnknownSenders == 0 {
 		t.Errorf("%+v", counters)
 	}
 }
--- a/internal/knowledge/reducer.go
+++ b/internal/knowledge/reducer.go
@@ -308,13 +308,12 @@
 	return m, len(sent)
 }
 
-// freshHalfLives is the age, in half-lives, up to which a load report is worth its bytes; a draining server's entry
-// always is.
-//
-// maxOlderPiggybacked is the max number of entries without a fresh report in one datagram's piggybacked data. They
-// carry the observations that change slowly.
 const (
-	freshHalfLives      = 4
+	// freshHalfLives is the age, in half-lives, up to which a load report is worth its bytes. The entry of a draining
+	// server always is.
+	freshHalfLives = 4
+	// maxOlderPiggybacked is the max number of entries without a fresh report that are piggybacked on one datagram.
+	// They carry the observations that change slowly.
 	maxOlderPiggybacked = 1
 )
 
--- a/internal/knowledge/types.go
+++ b/internal/knowledge/types.go
@@ -54,7 +54,7 @@
 		RetryInterval: 250 * time.Millisecond, MaxTries: 4, MaxServers: 64}
 }
 
-// Check returns an error that names the first invalid limit.
+// Check returns an error that names the first invalid limit, by its key in the settings if it has one.
 func (l Limits) Check() error {
 	switch {
 	case l.HalfLife < 10*time.Millisecond || l.HalfLife > time.Minute:
--- a/internal/probe/probe.go
+++ b/internal/probe/probe.go
@@ -1,62 +1,63 @@
-// Package probe decides which connection to a server may be asked whether it still carries anything, and counts what came of
-// it. A probe costs the server work and may have a price, so all together are bounded in rate. It does no I/O and reads
-// no clock.
+// Package probe decides which connections to servers may be probed, that is, asked whether they still carry data, and
+// counts the results. A probe costs the server work and may have a price, so the total rate of probes is limited. The
+// package does no I/O and reads no clock.
 package probe
 
 import "time"
 
-// Limits bound the probes.
+// Limits limits the probes.
 type Limits struct {
-	Permitted bool          // by the settings
-	Rate      float64       // probes a second, to all servers together
-	Burst     float64       // and so many at once
-	Timeout   time.Duration // without an answer by then a probe has failed
+	Permitted bool          // whether the settings allow probes at all
+	Rate      float64       // max rate, in probes a second, to all servers together
+	Burst     float64       // max number of probes at once
+	Timeout   time.Duration // a probe without an answer for that time has failed
 }
 
-// Counters count probes from the start of the process.
+// Counters counts probes since the start of the process.
 type Counters struct {
-	Sent        uint64
-	Answered    uint64
-	Failed      uint64 // no answer came in time, or the connection ended first
-	RateLimited uint64 // not sent, as the rate is bounded
-	Late        uint64 // answers to none that is out: a second one, or one that comes too late
+	Sent        uint64 // probes sent
+	Answered    uint64 // answers accepted
+	Failed      uint64 // probes without an answer in time, or whose connection was closed first
+	RateLimited uint64 // requests refused because of the limited rate
+	Late        uint64 // answers to no outstanding probe: repeated or too late
 }
 
-// ID names a probe.
+// ID identifies a probe.
 type ID uint64
 
-// Prober keeps the probes that are out, at most one to a connection.
+// Prober keeps the outstanding probes, at most one for each connection.
 type Prober struct {
 	limits      Limits
 	counters    Counters
-	tokens      float64
-	refilledAt  time.Duration // when they were last counted
-	lastID      ID
-	outstanding map[ID]uint64 // by the connection
+	tokens      float64       // probes that may be sent now (token bucket)
+	refilledAt  time.Duration // when tokens was last updated
+	lastID      ID            // of the last probe sent
+	outstanding map[ID]uint64 // connections of the outstanding probes
 }
 
-// New makes a prober that may begin with a burst.
+// New returns a prober that may begin with a burst.
 func New(l Limits) *Prober {
 	return &Prober{limits: l, tokens: l.Burst, outstanding: make(map[ID]uint64)}
 }
 
-// Configure replaces the limits. A probe that is out stays out.
+// Configure replaces the limits. Outstanding probes stay outstanding.
 func (p *Prober) Configure(l Limits) { p.limits = l }
 
-// Counters are the figures of now.
+// Counters returns the current counters.
 func (p *Prober) Counters() Counters { return p.counters }
 
-// Verdict is what may be done about a connection in doubt.
+// Verdict says what may be done about a connection that may be dead.
 type Verdict uint8
 
 // The verdicts.
 const (
 	Forbidden Verdict = iota // no probe may be sent: the connection has to be judged without one
-	Wait                     // one is out there, or there is no budget: it is looked at again
-	Send
+	Wait                     // a probe is outstanding on the connection, or the rate is used up: try again later
+	Send                     // the probe has to be sent now
 )
 
-// Request says whether a connection may be probed, and if so, under which name and until when an answer is waited for.
+// Request reports whether a connection may be probed. For Send it also returns the id of the probe and the deadline
+// for the answer.
 func (p *Prober) Request(now time.Duration, conn uint64) (v Verdict, id ID, deadline time.Duration) {
 	if !p.limits.Permitted {
 		return Forbidden, 0, 0
@@ -78,7 +79,8 @@
 	return Send, p.lastID, now + p.limits.Timeout
 }
 
-// Answered takes in an answer, which counts once and on the connection that was asked.
+// Answered handles an answer and reports whether it counts: once for each probe, and only on the connection that was
+// probed.
 func (p *Prober) Answered(id ID, conn uint64) bool {
 	if probed, outstanding := p.outstanding[id]; !outstanding || probed != conn {
 		p.counters.Late++
@@ -89,7 +91,7 @@
 	return true
 }
 
-// Expire ends a probe whose time is up, and says whether it was still out.
+// Expire ends a probe at its deadline and reports whether the probe was still outstanding.
 func (p *Prober) Expire(id ID) bool {
 	if _, outstanding := p.outstanding[id]; !outstanding {
 		return false
@@ -99,7 +101,7 @@
 	return true
 }
 
-// ConnClosed takes in that a connection is no more: nobody waits for what was asked there.
+// ConnClosed ends the probe that is outstanding on a closed connection.
 func (p *Prober) ConnClosed(conn uint64) {
 	for id, probed := range p.outstanding {
 		if probed == conn {
--- a/internal/shares/shares.go
+++ b/internal/shares/shares.go
@@ -1,4 +1,4 @@
-// Package shares tells which calls a tenant makes beyond its share. It does no I/O and reads no clock.
+// Package shares determines which calls of a tenant exceed the tenant's share. It does no I/O and reads no clock.
 package shares
 
 import (
@@ -6,30 +6,32 @@
 	"time"
 )
 
-// Tenant is one customer: what it may ask for, in calls a second.
+// Tenant is a customer. Allowance is the rate of calls that it may ask for, in calls a second.
 type Tenant struct {
 	Name      string
 	Allowance float64
 }
 
-// Tracker is what each tenant's calls make of one sender's. How many come to the other senders isn't known here, so it is the
-// mix that is held against the allowances, not a rate.
+// Tracker counts each tenant's calls from one sender. The calls that the tenants send through other senders are not
+// known here, so the tracker compares each tenant's fraction of this sender's calls, and not its rate, with the
+// allowances.
 type Tracker struct {
 	tenants      []tenant
-	timeConstant time.Duration
-	lastCallAt   time.Duration // of the last call
+	timeConstant time.Duration // of the decaying counters
+	lastCallAt   time.Duration // time of the last call
 }
 
+// tenant is a tenant and its state in the tracker.
 type tenant struct {
 	Tenant
-	calls  float64 // decayed count
-	excess float64 // remainder: one marks a call
+	calls  float64 // decaying counter of calls
+	excess float64 // calls beyond the share that have not been marked yet; a call is marked at 1
 }
 
-// New makes a mix that forgets what is longer ago than its memory.
+// New returns a tracker without tenants whose counters decay with the given time constant.
 func New(timeConstant time.Duration) *Tracker { return &Tracker{timeConstant: timeConstant} }
 
-// Configure replaces the tenants. What those that stay have asked for, known by their names, is kept.
+// Configure replaces the tenants. Tenants that remain, identified by their names, keep their counters.
 func (tracker *Tracker) Configure(tenants []Tenant) {
 	old := tracker.tenants
 	tracker.tenants = make([]tenant, len(tenants))
@@ -43,9 +45,10 @@
 	}
 }
 
-// ExceedsShare takes in a call of a tenant, by its place, and says whether it is one of those beyond its share: of a tenant that
-// makes a fifth more of the mix than its share, a sixth of the calls are. A call of no tenant that is known is in nobody's
-// share, or one could have more than its own by leaving its name out. Where there are no tenants there are no shares.
+// ExceedsShare counts a call of the tenant with the given index and reports whether the call exceeds the tenant's
+// share: if a tenant makes a fifth more of the calls than its share, a sixth of its calls exceed it. A call of an
+// unknown tenant always exceeds its share, or else a tenant could get more than its share by leaving out its name.
+// Without any tenants no call does.
 func (tracker *Tracker) ExceedsShare(now time.Duration, index int) bool {
 	if len(tracker.tenants) == 0 {
 		return false
--- a/internal/shares/shares_test.go
+++ b/internal/shares/shares_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// New settings replace the tenants, in any order; what those that stay have asked for is kept. With a count begun anew the
-// first calls after each SIGHUP were held for in nobody's way.
+// New settings replace the tenants in any order; tenants that remain keep their counters. If the counters started
+// again, the first calls after each SIGHUP would not be counted as exceeding any share.
 func TestConfigureKeepsCountsOfRemainingTenants(t *testing.T) {
 	tracker := New(15 * time.Second)
 	now := time.Duration(0)
@@ -20,18 +20,18 @@
 		return exceeding
 	}
 	if tracker.ExceedsShare(now, 0) || tracker.ExceedsShare(now, -1) {
-		t.Error("there are shares where there is no tenant")
+		t.Error("a call exceeds a share though there are no tenants")
 	}
 	tracker.Configure([]Tenant{{"a", 30}, {"b", 10}})
-	countExceeding(2000, 0, 1) // half each: every second call of b is beyond its quarter
+	countExceeding(2000, 0, 1) // half of the calls each: every second call of b exceeds its quarter
 	tracker.Configure([]Tenant{{"b", 10}, {"c", 10}, {"a", 30}})
 	if got := countExceeding(40, 0, 2); got < 8 || got > 12 {
-		t.Errorf("%d of 20 calls beyond the share at once after new settings, want 10 or so", got)
+		t.Errorf("%d of 20 calls exceed the share directly after new settings, want about 10", got)
 	}
 	if tracker.ExceedsShare(now, 1) {
-		t.Error("the first call of a new tenant is beyond its share")
+		t.Error("the first call of a new tenant exceeds its share")
 	}
 	if !tracker.ExceedsShare(now, 3) || !tracker.ExceedsShare(now, -1) {
-		t.Error("a call of no known tenant is within somebody's share")
+		t.Error("a call of an unknown tenant does not exceed the share")
 	}
 }
