--- a/internal/budget/loans.go
+++ b/internal/budget/loans.go
@@ -21,7 +21,7 @@
 	if r.demand < 0 {
 		return 0
 	}
-	reserve := int(math.Ceil(r.demand*Units)) - 1 + lenderReserve // the reserved unit is never lent
+	reserve := int(math.Ceil(r.demand*Units)) - 1 + lenderReserve // less one: the reserved unit is kept in any case
 	lent := r.lentUnits(r.now)
 	for unit := Units - 1; unit >= 1; unit-- {
 		if bit := Mask(1) << unit; r.now < r.heldExpiry[r.cfg.Self][unit] && lent&bit == 0 {
--- a/internal/circuits/circuits.go
+++ b/internal/circuits/circuits.go
@@ -117,9 +117,9 @@
 	return call, true
 }
 
-// Confirmed handles an RLC. If the REL was sent more than once, as many RLCs may arrive. A late RLC would be taken
-// for the confirmation of the circuit's next release, and then messages of the server about the earlier call for
-// messages about the next one.
+// Confirmed handles an RLC. If the REL was sent more than once, as many RLCs may arrive, and the circuit becomes free
+// with the last of them. Otherwise a late RLC would be taken for the confirmation of the circuit's next release, and
+// then messages of the server about the earlier call for messages about the next one.
 func (c *Circuits) Confirmed(cic uint16, now time.Time) {
 	if int(cic) >= len(c.circuits) {
 		return
