--- a/internal/shares/shares.go
+++ b/internal/shares/shares.go
@@ -1,4 +1,4 @@
-// Package shares tells which calls a tenant makes beyond its share. It does no I/O and reads no clock.
+// Package shares determines which calls of a tenant exceed the tenant's share. It does no I/O and reads no clock.
 package shares
 
 import (
@@ -6,69 +6,72 @@
 	"time"
 )
 
-// Tenant is one customer: what it may ask for, in calls a second.
+// Tenant is a customer. Allowance is the rate of calls that it may ask for, in calls a second.
 type Tenant struct {
 	Name      string
 	Allowance float64
 }
 
-// Tracker is what each tenant's calls make of one sender's. How many come to the other senders isn't known here, so it is the
-// mix that is held against the allowances, not a rate.
+// Tracker counts each tenant's calls from one sender. The calls that the tenants send through other senders are not
+// known here, so the tracker compares each tenant's fraction of this sender's calls, and not its rate, with the
+// allowances.
 type Tracker struct {
-	tenants []tenant
-	memory  time.Duration
-	at      time.Duration // of the last call
+	tenants      []tenant
+	timeConstant time.Duration // of the decaying counters
+	lastCallAt   time.Duration // time of the last call
 }
 
+// tenant is a tenant and its state in the tracker.
 type tenant struct {
 	Tenant
-	calls float64 // decayed count
-	over  float64 // remainder: one marks a call
+	calls  float64 // decaying counter of calls
+	excess float64 // calls beyond the share that have not been marked yet; a call is marked at 1
 }
 
-// New makes a mix that forgets what is longer ago than its memory.
-func New(memory time.Duration) *Tracker { return &Tracker{memory: memory} }
+// New returns a tracker without tenants whose counters decay with the given time constant.
+func New(timeConstant time.Duration) *Tracker { return &Tracker{timeConstant: timeConstant} }
 
-// Configure replaces the tenants. What those that stay have asked for, known by their names, is kept.
-func (m *Tracker) Configure(set []Tenant) {
-	old := m.tenants
-	m.tenants = make([]tenant, len(set))
-	for i, t := range set {
-		m.tenants[i].Tenant = t
+// Configure replaces the tenants. Tenants that remain, identified by their names, keep their counters.
+func (tracker *Tracker) Configure(tenants []Tenant) {
+	old := tracker.tenants
+	tracker.tenants = make([]tenant, len(tenants))
+	for i, t := range tenants {
+		tracker.tenants[i].Tenant = t
 		for _, o := range old {
 			if o.Name == t.Name {
-				m.tenants[i].calls, m.tenants[i].over = o.calls, o.over
+				tracker.tenants[i].calls, tracker.tenants[i].excess = o.calls, o.excess
 			}
 		}
 	}
 }
 
-// ExceedsShare takes in a call of a tenant, by its place, and says whether it is one of those beyond its share: of a tenant that
-// makes a fifth more of the mix than its share, a sixth of the calls are. A call of no tenant that is known is in nobody's
-// share, or one could have more than its own by leaving its name out. Where there are no tenants there are no shares.
-func (m *Tracker) ExceedsShare(now time.Duration, place int) bool {
-	if len(m.tenants) == 0 {
+// ExceedsShare counts a call of the tenant with the given index and reports whether the call exceeds the tenant's
+// share: if a tenant makes a fifth more of the calls than its share, a sixth of its calls exceed it. A call of an
+// unknown tenant always exceeds its share, or else a tenant could get more than its share by leaving out its name.
+// Without any tenants no call does.
+func (tracker *Tracker) ExceedsShare(now time.Duration, index int) bool {
+	if len(tracker.tenants) == 0 {
 		return false
 	}
-	if place < 0 || place >= len(m.tenants) {
+	if index < 0 || index >= len(tracker.tenants) {
 		return true
 	}
 	calls, allowed := 0.0, 0.0
-	fade := math.Exp(-float64(now-m.at) / float64(m.memory))
-	m.at = now
-	m.tenants[place].calls++
-	for i := range m.tenants {
-		m.tenants[i].calls *= fade
-		calls += m.tenants[i].calls
-		allowed += m.tenants[i].Allowance
+	decay := math.Exp(-float64(now-tracker.lastCallAt) / float64(tracker.timeConstant))
+	tracker.lastCallAt = now
+	tracker.tenants[index].calls++
+	for i := range tracker.tenants {
+		tracker.tenants[i].calls *= decay
+		calls += tracker.tenants[i].calls
+		allowed += tracker.tenants[i].Allowance
 	}
-	t := &m.tenants[place]
+	t := &tracker.tenants[index]
 	if share := t.Allowance / max(allowed, 1e-9); t.calls > 0 {
-		t.over = max(t.over+1-share*calls/t.calls, 0)
+		t.excess = max(t.excess+1-share*calls/t.calls, 0)
 	}
-	if t.over < 1 {
+	if t.excess < 1 {
 		return false
 	}
-	t.over--
+	t.excess--
 	return true
 }
