--- a/internal/leak/leak.go
+++ b/internal/leak/leak.go
@@ -18,20 +18,20 @@
 		fmt.Println(err)
 		code = 1
 	}
-	if left := OpenDescriptors(); left > before && code == 0 {
-		fmt.Printf("%d descriptors before the tests, %d after\n", before, left)
+	if after := OpenDescriptors(); after > before && code == 0 {
+		fmt.Printf("%d descriptors before the tests, %d after\n", before, after)
 		code = 1
 	}
 	os.Exit(code)
 }
 
 // OpenDescriptors is how many are open, but for the poller's own.
-func OpenDescriptors() (n int) {
-	open, _ := os.ReadDir("/proc/self/fd")
-	for _, f := range open {
-		if to, err := os.Readlink("/proc/self/fd/" + f.Name()); err == nil && !strings.HasPrefix(to, "anon_") {
-			n++
+func OpenDescriptors() (count int) {
+	entries, _ := os.ReadDir("/proc/self/fd")
+	for _, entry := range entries {
+		if target, err := os.Readlink("/proc/self/fd/" + entry.Name()); err == nil && !strings.HasPrefix(target, "anon_") {
+			count++
 		}
 	}
-	return n
+	return count
 }
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -27,19 +27,19 @@
 
 // Loop is the owner of a core.
 type Loop struct {
-	core     *core.Core
-	in       chan item
-	done     chan struct{}
-	links    atomic.Uint64
-	start    time.Time
-	epoch    time.Duration // of start, since the Unix epoch
-	carriers map[core.ConnID]EffectHandler
-	dialers  map[core.Protocol]Dialer
-	timers   timers
-	notify   func(core.Effect)
-	log      zerolog.Logger
-	publish  time.Duration // between snapshots of the figures; 0: none
-	figures  atomic.Pointer[Snapshot]
+	core            *core.Core
+	inbox           chan inboxItem
+	done            chan struct{}
+	lastConn        atomic.Uint64
+	start           time.Time
+	epoch           time.Duration // of start, since the Unix epoch
+	handlers        map[core.ConnID]EffectHandler
+	dialers         map[core.Protocol]Dialer
+	timers          timerHeap
+	notify          func(core.Effect)
+	log             zerolog.Logger
+	publishInterval time.Duration // between snapshots of the figures; 0: none
+	snapshot        atomic.Pointer[Snapshot]
 }
 
 // Snapshot are the figures as they were at a time.
@@ -49,21 +49,21 @@
 }
 
 // item is an event with the time it happened at and, where it begins a connection, its carrier.
-type item struct {
+type inboxItem struct {
 	at      core.Time
 	ev      core.Event
-	link    core.ConnID
-	carrier EffectHandler
+	conn    core.ConnID
+	handler EffectHandler
 }
 
 // New makes a loop whose inbox holds so many events. notify is handed the effects that concern no
 // connection, Serving and Dropped. It must not block.
-func New(c *core.Core, inbox int, notify func(core.Effect), log zerolog.Logger) *Loop {
+func New(c *core.Core, inboxSize int, notify func(core.Effect), log zerolog.Logger) *Loop {
 	start := time.Now()
 	return &Loop{
-		core: c, in: make(chan item, inbox), done: make(chan struct{}),
+		core: c, inbox: make(chan inboxItem, inboxSize), done: make(chan struct{}),
 		start: start, epoch: time.Duration(start.UnixNano()),
-		carriers: make(map[core.ConnID]EffectHandler), dialers: make(map[core.Protocol]Dialer),
+		handlers: make(map[core.ConnID]EffectHandler), dialers: make(map[core.Protocol]Dialer),
 		notify: notify, log: log,
 	}
 }
@@ -78,57 +78,57 @@
 func (l *Loop) Done() <-chan struct{} { return l.done }
 
 // NewConnID names a connection.
-func (l *Loop) NewConnID() core.ConnID { return core.ConnID(l.links.Add(1)) }
+func (l *Loop) NewConnID() core.ConnID { return core.ConnID(l.lastConn.Add(1)) }
 
 // SetDialer sets how servers of a front are reached. It must be called before Run.
-func (l *Loop) SetDialer(f core.Protocol, d Dialer) { l.dialers[f] = d }
+func (l *Loop) SetDialer(protocol core.Protocol, dial Dialer) { l.dialers[protocol] = dial }
 
 // PublishEvery has the figures published at this interval. It must be called before Run.
-func (l *Loop) PublishEvery(every time.Duration) { l.publish = every }
+func (l *Loop) PublishEvery(interval time.Duration) { l.publishInterval = interval }
 
 // Snapshot are those last published. It never waits for the loop.
 func (l *Loop) Snapshot() Snapshot {
-	if s := l.figures.Load(); s != nil {
+	if s := l.snapshot.Load(); s != nil {
 		return *s
 	}
 	return Snapshot{}
 }
 
 // Post hands in an event; it waits while the inbox is full.
-func (l *Loop) Post(ev core.Event) { l.post(item{at: l.Now(), ev: ev}) }
+func (l *Loop) Post(ev core.Event) { l.post(inboxItem{at: l.Now(), ev: ev}) }
 
 // Attach hands in the event that begins a connection, with what carries its effects out.
-func (l *Loop) Attach(link core.ConnID, c EffectHandler, ev core.Event) {
-	l.post(item{at: l.Now(), ev: ev, link: link, carrier: c})
+func (l *Loop) Attach(conn core.ConnID, handler EffectHandler, ev core.Event) {
+	l.post(inboxItem{at: l.Now(), ev: ev, conn: conn, handler: handler})
 }
 
-func (l *Loop) post(it item) {
+func (l *Loop) post(item inboxItem) {
 	select {
-	case l.in <- it:
+	case l.inbox <- item:
 	case <-l.done:
-		it.late()
+		item.reject()
 		return
 	}
 	select {
 	case <-l.done: // it may have come too late to be taken
-		l.leave()
+		l.rejectQueued()
 	default:
 	}
 }
 
 // late ends a connection that has come too late: the peer is told that there is no more.
-func (it item) late() {
-	if it.carrier != nil {
-		it.carrier.HandleEffect(core.GracefulClose{To: it.link})
+func (item inboxItem) reject() {
+	if item.handler != nil {
+		item.handler.HandleEffect(core.GracefulClose{To: item.conn})
 	}
 }
 
 // leave empties the inbox when the loop has ended.
-func (l *Loop) leave() {
+func (l *Loop) rejectQueued() {
 	for {
 		select {
-		case it := <-l.in:
-			it.late()
+		case item := <-l.inbox:
+			item.reject()
 		default:
 			return
 		}
@@ -137,15 +137,15 @@
 
 // Run owns the core until all is answered after a Stop, or until the context ends.
 func (l *Loop) Run(ctx context.Context) {
-	defer l.leave()
+	defer l.rejectQueued()
 	defer close(l.done)
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
-	var publish <-chan time.Time
-	if l.publish > 0 {
-		ticker := time.NewTicker(l.publish)
+	var publishTick <-chan time.Time
+	if l.publishInterval > 0 {
+		ticker := time.NewTicker(l.publishInterval)
 		defer ticker.Stop()
-		publish = ticker.C
+		publishTick = ticker.C
 	}
 	for {
 		wait := time.Hour
@@ -153,48 +153,48 @@
 			wait = max(l.timers[0].At-l.Now(), 0)
 		}
 		timer.Reset(wait)
-		var it item
+		var item inboxItem
 		select {
 		case <-ctx.Done():
 			return
-		case <-publish:
-			l.figures.Store(&Snapshot{l.core.Stats(l.Now()), time.Now()})
+		case <-publishTick:
+			l.snapshot.Store(&Snapshot{l.core.Stats(l.Now()), time.Now()})
 			continue
-		case it = <-l.in:
+		case item = <-l.inbox:
 		case <-timer.C:
 			if len(l.timers) == 0 || l.timers[0].At > l.Now() {
 				continue
 			}
-			due := heap.Pop(&l.timers).(core.Timer)
-			it = item{at: l.Now(), ev: core.TimerFired{Token: due.Token}}
+			fired := heap.Pop(&l.timers).(core.Timer)
+			item = inboxItem{at: l.Now(), ev: core.TimerFired{Token: fired.Token}}
 		}
-		if l.take(it) {
-			var flushed sync.WaitGroup // one that is stalled doesn't hold up the others
-			for _, c := range l.carriers {
-				flushed.Go(c.Flush)
+		if l.process(item) {
+			var flushes sync.WaitGroup // one that is stalled doesn't hold up the others
+			for _, handler := range l.handlers {
+				flushes.Go(handler.Flush)
 			}
-			flushed.Wait()
+			flushes.Wait()
 			return
 		}
 	}
 }
 
 // take steps the core through an event and what follows from it at once. It says whether all is over.
-func (l *Loop) take(it item) (stopped bool) {
-	if it.carrier != nil {
-		l.carriers[it.link] = it.carrier
+func (l *Loop) process(item inboxItem) (stopped bool) {
+	if item.handler != nil {
+		l.handlers[item.conn] = item.handler
 	}
-	events := []core.Event{it.ev}
+	events := []core.Event{item.ev}
 	for len(events) > 0 {
 		ev := events[0]
 		events = events[1:]
 		switch ev := ev.(type) {
 		case core.CallerDown:
-			delete(l.carriers, ev.Conn)
+			delete(l.handlers, ev.Conn)
 		case core.ServerDown:
-			delete(l.carriers, ev.Conn)
+			delete(l.handlers, ev.Conn)
 		}
-		for _, e := range l.core.Step(it.at, ev) {
+		for _, e := range l.core.Step(item.at, ev) {
 			switch e := e.(type) {
 			case core.Timer:
 				heap.Push(&l.timers, e)
@@ -206,13 +206,13 @@
 					events = append(events, core.ServerDown{Server: e.Server, Address: e.Address})
 				}
 			case core.CloseConn:
-				if c := l.carriers[e.To]; c != nil {
-					delete(l.carriers, e.To)
+				if c := l.handlers[e.To]; c != nil {
+					delete(l.handlers, e.To)
 					c.Close()
 				}
 			case core.GracefulClose:
-				if c := l.carriers[e.To]; c != nil {
-					delete(l.carriers, e.To)
+				if c := l.handlers[e.To]; c != nil {
+					delete(l.handlers, e.To)
 					c.HandleEffect(e)
 				}
 			case core.Serving:
@@ -226,7 +226,7 @@
 			case core.Violation:
 				l.log.Error().Uint64("call", uint64(e.ID)).Str("rule", e.Rule).Msg("a guard held")
 			default:
-				if c := l.carriers[target(e)]; c != nil {
+				if c := l.handlers[target(e)]; c != nil {
 					events = append(events, c.HandleEffect(e)...)
 				}
 			}
@@ -261,13 +261,13 @@
 }
 
 // timers is a heap, the earliest first.
-type timers []core.Timer
+type timerHeap []core.Timer
 
-func (t timers) Len() int           { return len(t) }
-func (t timers) Less(i, j int) bool { return t[i].At < t[j].At }
-func (t timers) Swap(i, j int)      { t[i], t[j] = t[j], t[i] }
-func (t *timers) Push(x any)        { *t = append(*t, x.(core.Timer)) }
-func (t *timers) Pop() any {
+func (t timerHeap) Len() int           { return len(t) }
+func (t timerHeap) Less(i, j int) bool { return t[i].At < t[j].At }
+func (t timerHeap) Swap(i, j int)      { t[i], t[j] = t[j], t[i] }
+func (t *timerHeap) Push(x any)        { *t = append(*t, x.(core.Timer)) }
+func (t *timerHeap) Pop() any {
 	old := *t
 	last := old[len(old)-1]
 	*t = old[:len(old)-1]
--- a/internal/loop/loop_test.go
+++ b/internal/loop/loop_test.go
@@ -16,19 +16,19 @@
 func TestMain(m *testing.M) { leak.Main(m) }
 
 // carrier writes down what it is to carry.
-type carrier struct{ told []core.Effect }
+type recordingHandler struct{ effects []core.Effect }
 
-func (c *carrier) HandleEffect(e core.Effect) []core.Event {
-	c.told = append(c.told, e)
+func (c *recordingHandler) HandleEffect(e core.Effect) []core.Event {
+	c.effects = append(c.effects, e)
 	return nil
 }
 
-func (c *carrier) Close() {}
-func (c *carrier) Flush() {}
+func (c *recordingHandler) Close() {}
+func (c *recordingHandler) Flush() {}
 
 // Connections come while the loop ends, and after it has ended: each is either the core's, or is told that there is no more.
 // Those that still stood in the inbox were left open with nobody to serve them, and those after it cut off unread.
-func TestConnectionsThatComeTooLate(t *testing.T) {
+func TestConnectionsAttachedAtShutdown(t *testing.T) {
 	for range 50 { // what the loop takes at its end is chance
 		c, err := core.New(elmseam.Settings{
 			Classes: []elmseam.Class{{Deadline: time.Second, Worth: 1}}, MaxAttempts: 1, OwnCell: -1,
@@ -37,11 +37,11 @@
 			t.Fatal(err)
 		}
 		l := New(c, 8, func(core.Effect) {}, zerolog.Nop())
-		come := make(map[core.ConnID]*carrier)
+		handlers := make(map[core.ConnID]*recordingHandler)
 		attach := func() {
-			link := l.NewConnID()
-			come[link] = &carrier{}
-			l.Attach(link, come[link], core.CallerUp{Conn: link})
+			conn := l.NewConnID()
+			handlers[conn] = &recordingHandler{}
+			l.Attach(conn, handlers[conn], core.CallerUp{Conn: conn})
 		}
 		for range 8 {
 			attach()
@@ -52,18 +52,18 @@
 		for range 20 { // more than the inbox holds
 			attach()
 		}
-		for link, c := range come {
-			_, taken := l.carriers[link]
-			if _, closed := last(c.told).(core.GracefulClose); closed == taken {
-				t.Fatalf("connection %d: taken %v, told %v", link, taken, c.told)
+		for conn, c := range handlers {
+			_, accepted := l.handlers[conn]
+			if _, closed := lastEffect(c.effects).(core.GracefulClose); closed == accepted {
+				t.Fatalf("connection %d: taken %v, told %v", conn, accepted, c.effects)
 			}
 		}
 	}
 }
 
-func last(told []core.Effect) core.Effect {
-	if len(told) == 0 {
+func lastEffect(effects []core.Effect) core.Effect {
+	if len(effects) == 0 {
 		return nil
 	}
-	return told[len(told)-1]
+	return effects[len(effects)-1]
 }
--- a/internal/platform/json.go
+++ b/internal/platform/json.go
@@ -8,66 +8,66 @@
 )
 
 // line is one JSON line of a server.
-type line struct {
-	op, call, desc string
-	why            int
-	load, note     string
+type serverMessage struct {
+	op, call, desc   string
+	cause            int
+	loadReport, note string
 }
 
 var errJSON = errors.New("broken JSON")
 
 // maxDepth is how deep values may nest; the protocol needs two.
-const maxDepth = 16
+const maxNesting = 16
 
 // parseLine reads a line. Keys it doesn't know are passed over.
-func parseLine(b []byte) (l line, err error) {
-	s := scanner{b: b}
-	l.why = -1
-	err = s.object(func(key string) error {
+func parseServerMessage(b []byte) (msg serverMessage, err error) {
+	s := jsonScanner{data: b}
+	msg.cause = -1
+	err = s.readObject(func(key string) error {
 		switch key {
 		case "op":
-			return s.text(&l.op)
+			return s.readText(&msg.op)
 		case "call":
-			return s.text(&l.call)
+			return s.readText(&msg.call)
 		case "desc":
-			return s.text(&l.desc)
+			return s.readText(&msg.desc)
 		case "why":
 			var text string
-			if err := s.text(&text); err != nil {
+			if err := s.readText(&text); err != nil {
 				return err
 			}
 			n, err := strconv.Atoi(text)
-			l.why = n
+			msg.cause = n
 			return err
 		case "with":
-			return s.object(func(key string) error {
+			return s.readObject(func(key string) error {
 				switch key {
 				case "load":
-					return s.text(&l.load)
+					return s.readText(&msg.loadReport)
 				case "note":
-					return s.text(&l.note)
+					return s.readText(&msg.note)
 				}
-				return s.pass(0)
+				return s.skipValue(0)
 			})
 		}
-		return s.pass(0)
+		return s.skipValue(0)
 	})
 	if err == nil && s.peek() != 0 {
 		err = errJSON
 	}
-	return l, err
+	return msg, err
 }
 
 // scanner reads JSON from its front.
-type scanner struct {
-	b []byte
-	i int
+type jsonScanner struct {
+	data []byte
+	pos  int
 }
 
 // peek is the next byte after white space; 0 at the end.
-func (s *scanner) peek() byte {
-	for ; s.i < len(s.b); s.i++ {
-		switch c := s.b[s.i]; c {
+func (s *jsonScanner) peek() byte {
+	for ; s.pos < len(s.data); s.pos++ {
+		switch c := s.data[s.pos]; c {
 		case ' ', '\t', '\r', '\n':
 		default:
 			return c
@@ -77,65 +77,65 @@
 }
 
 // eat consumes a byte if it comes next.
-func (s *scanner) eat(c byte) bool {
+func (s *jsonScanner) consume(c byte) bool {
 	if s.peek() != c {
 		return false
 	}
-	s.i++
+	s.pos++
 	return true
 }
 
 // object reads an object; each is called with a key and reads its value.
-func (s *scanner) object(each func(key string) error) error {
-	if !s.eat('{') {
+func (s *jsonScanner) readObject(readValue func(key string) error) error {
+	if !s.consume('{') {
 		return errJSON
 	}
-	if s.eat('}') {
+	if s.consume('}') {
 		return nil
 	}
 	for {
-		key, err := s.str()
+		key, err := s.readString()
 		if err != nil {
 			return err
 		}
-		if !s.eat(':') {
+		if !s.consume(':') {
 			return errJSON
 		}
-		if err := each(key); err != nil {
+		if err := readValue(key); err != nil {
 			return err
 		}
-		if s.eat('}') {
+		if s.consume('}') {
 			return nil
 		}
-		if !s.eat(',') {
+		if !s.consume(',') {
 			return errJSON
 		}
 	}
 }
 
 // text reads a string, or a number as it is written.
-func (s *scanner) text(into *string) (err error) {
+func (s *jsonScanner) readText(into *string) (err error) {
 	if s.peek() == '"' {
-		*into, err = s.str()
+		*into, err = s.readString()
 		return err
 	}
-	start := s.i
-	if err := s.pass(0); err != nil {
+	start := s.pos
+	if err := s.skipValue(0); err != nil {
 		return err
 	}
-	*into = string(s.b[start:s.i])
+	*into = string(s.data[start:s.pos])
 	return nil
 }
 
 // str reads a string.
-func (s *scanner) str() (string, error) {
-	if !s.eat('"') {
+func (s *jsonScanner) readString() (string, error) {
+	if !s.consume('"') {
 		return "", errJSON
 	}
 	var out []byte
-	for s.i < len(s.b) {
-		c := s.b[s.i]
-		s.i++
+	for s.pos < len(s.data) {
+		c := s.data[s.pos]
+		s.pos++
 		switch {
 		case c == '"':
 			return string(out), nil
@@ -144,11 +144,11 @@
 		case c != '\\':
 			out = append(out, c)
 			continue
-		case s.i == len(s.b):
+		case s.pos == len(s.data):
 			return "", errJSON
 		}
-		c = s.b[s.i]
-		s.i++
+		c = s.data[s.pos]
+		s.pos++
 		switch c {
 		case '"', '\\', '/':
 			out = append(out, c)
@@ -163,13 +163,13 @@
 		case 't':
 			out = append(out, '\t')
 		case 'u':
-			r, ok := s.hex4()
+			r, ok := s.readHex4()
 			if !ok {
 				return "", errJSON
 			}
-			if utf16.IsSurrogate(r) && s.i+1 < len(s.b) && s.b[s.i] == '\\' && s.b[s.i+1] == 'u' {
-				s.i += 2
-				low, ok := s.hex4()
+			if utf16.IsSurrogate(r) && s.pos+1 < len(s.data) && s.data[s.pos] == '\\' && s.data[s.pos+1] == 'u' {
+				s.pos += 2
+				low, ok := s.readHex4()
 				if !ok {
 					return "", errJSON
 				}
@@ -183,50 +183,50 @@
 	return "", errJSON
 }
 
-func (s *scanner) hex4() (rune, bool) {
-	if s.i+4 > len(s.b) {
+func (s *jsonScanner) readHex4() (rune, bool) {
+	if s.pos+4 > len(s.data) {
 		return 0, false
 	}
-	n, err := strconv.ParseUint(string(s.b[s.i:s.i+4]), 16, 32)
-	s.i += 4
+	n, err := strconv.ParseUint(string(s.data[s.pos:s.pos+4]), 16, 32)
+	s.pos += 4
 	return rune(n), err == nil
 }
 
 // pass passes over a value.
-func (s *scanner) pass(depth int) error {
-	if depth > maxDepth {
+func (s *jsonScanner) skipValue(depth int) error {
+	if depth > maxNesting {
 		return errJSON
 	}
 	switch c := s.peek(); {
 	case c == '"':
-		_, err := s.str()
+		_, err := s.readString()
 		return err
 	case c == '{':
-		return s.object(func(string) error { return s.pass(depth + 1) })
+		return s.readObject(func(string) error { return s.skipValue(depth + 1) })
 	case c == '[':
-		s.i++
-		if s.eat(']') {
+		s.pos++
+		if s.consume(']') {
 			return nil
 		}
 		for {
-			if err := s.pass(depth + 1); err != nil {
+			if err := s.skipValue(depth + 1); err != nil {
 				return err
 			}
-			if s.eat(']') {
+			if s.consume(']') {
 				return nil
 			}
-			if !s.eat(',') {
+			if !s.consume(',') {
 				return errJSON
 			}
 		}
 	}
-	start := s.i
-	for s.i < len(s.b) && (s.b[s.i] >= '0' && s.b[s.i] <= '9' || s.b[s.i] >= 'a' && s.b[s.i] <= 'z' ||
-		s.b[s.i] == '-' || s.b[s.i] == '+' || s.b[s.i] == '.' || s.b[s.i] == 'E') {
-		s.i++
+	start := s.pos
+	for s.pos < len(s.data) && (s.data[s.pos] >= '0' && s.data[s.pos] <= '9' || s.data[s.pos] >= 'a' && s.data[s.pos] <= 'z' ||
+		s.data[s.pos] == '-' || s.data[s.pos] == '+' || s.data[s.pos] == '.' || s.data[s.pos] == 'E') {
+		s.pos++
 	}
-	word := string(s.b[start:s.i])
-	if _, err := strconv.ParseFloat(word, 64); err != nil && word != "true" && word != "false" && word != "null" {
+	literal := string(s.data[start:s.pos])
+	if _, err := strconv.ParseFloat(literal, 64); err != nil && literal != "true" && literal != "false" && literal != "null" {
 		return errJSON
 	}
 	return nil
@@ -235,7 +235,7 @@
 const hexDigits = "0123456789abcdef"
 
 // appendText writes a JSON string.
-func appendText[T string | []byte](b []byte, text T) []byte {
+func appendString[T string | []byte](b []byte, text T) []byte {
 	b = append(b, '"')
 	for i := range len(text) {
 		switch c := text[i]; {
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -25,33 +25,33 @@
 	"elmseam/internal/settings"
 )
 
-const patience = 20 * time.Second // for what must come; tests don't wait it out
+const testTimeout = 20 * time.Second // for what must come; tests don't wait it out
 
 // story is a softswitch with this front, a scripted server and a caller.
-type story struct {
+type scenario struct {
 	*testing.T
-	loop     *loop.Loop
-	front    *Platform
-	listener net.Listener
-	server   net.Listener
-	caller   net.Conn
-	lines    *bufio.Scanner // of the server's connection
-	srv      net.Conn
-	core     *core.Core
-	limits   core.Limits
-	hook     core.Hook
-	told     chan core.Effect // what concerns no connection
-	tenants  []elmseam.Tenant
-	hold     atomic.Pointer[chan struct{}] // a dial waits for it
-	dials    atomic.Int64
+	loop           *loop.Loop
+	platform       *Platform
+	callerListener net.Listener
+	serverListener net.Listener
+	callerConn     net.Conn
+	serverLines    *bufio.Scanner // of the server's connection
+	serverConn     net.Conn
+	core           *core.Core
+	limits         core.Limits
+	hook           core.Hook
+	effects        chan core.Effect // what concerns no connection
+	tenants        []elmseam.Tenant
+	dialGate       atomic.Pointer[chan struct{}] // a dial waits for it
+	dialCount      atomic.Int64
 }
 
-func newStory(t *testing.T, with ...func(*story)) *story {
+func newScenario(t *testing.T, options ...func(*scenario)) *scenario {
 	t.Helper()
-	s := &story{T: t, told: make(chan core.Effect, 100), limits: core.Limits{Rebind: 100 * time.Millisecond, MinRedial: time.Millisecond,
+	s := &scenario{T: t, effects: make(chan core.Effect, 100), limits: core.Limits{Rebind: 100 * time.Millisecond, MinRedial: time.Millisecond,
 		MaxRedial: time.Millisecond, ServerLostAfter: time.Minute, MaxCallerConns: 100, MaxOpen: 100, MaxCallBytes: 1 << 20, EndedCallTTL: time.Minute,
 		Transient: map[core.Protocol]bool{Protocol: true}}}
-	for _, f := range with {
+	for _, f := range options {
 		f(s)
 	}
 	c, err := core.New(elmseam.Settings{
@@ -65,35 +65,35 @@
 	c.SetHook(s.hook)
 	l := loop.New(c, 64, func(e core.Effect) {
 		select {
-		case s.told <- e:
+		case s.effects <- e:
 		default:
 		}
 	}, zerolog.Nop())
 	limits := link.Limits{InitialBufferSize: 64, MaxMessageSize: 16 << 10, MaxQueuedBytes: 1 << 20, WriteTimeout: time.Second, FlushTimeout: 50 * time.Millisecond,
 		LineTimeout: 50 * time.Millisecond, MaxSilence: 100 * time.Millisecond,
-		MessageTimeout: patience, IdleTimeout: patience, LingerTimeout: 100 * time.Millisecond, MaxLingerBytes: 1 << 16}
+		MessageTimeout: testTimeout, IdleTimeout: testTimeout, LingerTimeout: 100 * time.Millisecond, MaxLingerBytes: 1 << 16}
 	p := New(Config{
 		Deployment: settings.Deployment{Classes: []settings.Class{{Name: "voice", Cells: []int{0, 1}, Lines: 1}}, ReportMetrics: []string{"spare", "cut_by"}}, DialTimeout: time.Second, MaxCallers: 8,
 		CallerConn: limits, ServerConn: limits,
 	}, l, zerolog.Nop())
 	l.SetDialer(Protocol, func(d core.Dial) {
-		s.dials.Add(1)
-		if hold := s.hold.Load(); hold != nil {
+		s.dialCount.Add(1)
+		if hold := s.dialGate.Load(); hold != nil {
 			<-*hold
 		}
 		p.Dial(d)
 	})
-	front := listen(t)
-	s.core, s.loop, s.front, s.listener, s.server = c, l, p, front, listen(t)
+	callers := listen(t)
+	s.core, s.loop, s.platform, s.callerListener, s.serverListener = c, l, p, callers, listen(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go l.Run(ctx)
-	go p.Serve(front)
+	go p.Serve(callers)
 	l.Post(core.List{Full: true, Servers: []core.Server{
-		{Name: "s", Address: s.server.Addr().String(), Protocol: Protocol, Phase: elmseam.Ready},
+		{Name: "s", Address: s.serverListener.Addr().String(), Protocol: Protocol, Phase: elmseam.Ready},
 	}})
-	s.accept()
-	s.caller = s.dial(front)
+	s.acceptServerConn()
+	s.callerConn = s.dial(callers)
 	return s
 }
 
@@ -106,150 +106,152 @@
 	return l
 }
 
-func (s *story) dial(l net.Listener) net.Conn {
+func (s *scenario) dial(l net.Listener) net.Conn {
 	c, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		s.Fatal(err)
 	}
 	s.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	return c
 }
 
-func (s *story) accept() {
-	c, err := s.server.Accept()
+func (s *scenario) acceptServerConn() {
+	c, err := s.serverListener.Accept()
 	if err != nil {
 		s.Fatal(err)
 	}
 	s.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
-	s.srv, s.lines = c, bufio.NewScanner(c)
+	c.SetDeadline(time.Now().Add(testTimeout))
+	s.serverConn, s.serverLines = c, bufio.NewScanner(c)
 }
 
 // wantLine reads the server's next line, which must hold all parts.
-func (s *story) wantLine(parts ...string) {
+func (s *scenario) wantLine(parts ...string) {
 	s.Helper()
-	if !s.lines.Scan() {
-		s.Fatalf("no line where %q was due: %v", parts, s.lines.Err())
+	if !s.serverLines.Scan() {
+		s.Fatalf("no line where %q was due: %v", parts, s.serverLines.Err())
 	}
 	for _, p := range parts {
-		if !strings.Contains(s.lines.Text(), p) {
-			s.Fatalf("line %s, want %s in it", s.lines.Text(), p)
+		if !strings.Contains(s.serverLines.Text(), p) {
+			s.Fatalf("line %s, want %s in it", s.serverLines.Text(), p)
 		}
 	}
 }
 
-func (s *story) say(format string, args ...any) { fmt.Fprintf(s.srv, format+"\n", args...) }
+func (s *scenario) sendLine(format string, args ...any) {
+	fmt.Fprintf(s.serverConn, format+"\n", args...)
+}
 
 // wantFrame reads the caller's next message.
-func (s *story) wantFrame(kind byte, id core.ID, cause int) frame {
+func (s *scenario) wantFrame(kind byte, id core.ID, cause int) frame {
 	s.Helper()
-	head := make([]byte, frameHead)
-	_, err := io.ReadFull(s.caller, head)
+	head := make([]byte, lengthSize)
+	_, err := io.ReadFull(s.callerConn, head)
 	body := make([]byte, binary.BigEndian.Uint16(head))
 	if err == nil {
-		_, err = io.ReadFull(s.caller, body)
+		_, err = io.ReadFull(s.callerConn, body)
 	}
 	f, _, perr := parseFrame(append(head, body...), 16<<10)
-	if err != nil || perr != nil || f.kind != kind || f.id != id || f.cause != cause {
+	if err != nil || perr != nil || f.msgType != kind || f.callID != id || f.cause != cause {
 		s.Fatalf("message %+v (%v, %v), want type %d, call %x, cause %d", f, err, perr, kind, id, cause)
 	}
 	return f
 }
 
-func setUp(id core.ID, class, left, desc string) []byte {
-	p := appendParam(nil, paramClass, []byte(class)...)
-	p = appendParam(p, paramLeft, []byte(left)...)
-	p = appendParam(p, paramNumber, []byte("7f3a9c21e0b4d655")...)
-	p = appendParam(p, paramExtras, []byte("dest:0;width:1;via:-1")...)
-	return appendFrame(nil, typeSetUp, id, appendParam(p, paramDesc, []byte(desc)...))
+func setUpFrame(id core.ID, class, timeLeft, desc string) []byte {
+	params := appendParam(nil, paramClass, []byte(class)...)
+	params = appendParam(params, paramTimeLeft, []byte(timeLeft)...)
+	params = appendParam(params, paramNumber, []byte("7f3a9c21e0b4d655")...)
+	params = appendParam(params, paramExtras, []byte("dest:0;width:1;via:-1")...)
+	return appendFrame(nil, typeSetUp, id, appendParam(params, paramDesc, []byte(desc)...))
 }
 
-func release(id core.ID, cause byte) []byte {
+func releaseFrame(id core.ID, cause byte) []byte {
 	return appendFrame(nil, typeRelease, id, appendParam(nil, paramCause, cause))
 }
 
 // The life of a call, with everything that must pass unchanged, and bytes that arrive one by one.
 func TestCallFromRequestToRelease(t *testing.T) {
-	s := newStory(t)
-	for _, b := range setUp(0x9b1f, "voice", "1500", "line\r\n\"q\\\" é\x01") {
-		s.caller.Write([]byte{b})
+	s := newScenario(t)
+	for _, b := range setUpFrame(0x9b1f, "voice", "1500", "line\r\n\"q\\\" é\x01") {
+		s.callerConn.Write([]byte{b})
 	}
 	s.wantLine(`"op":"offer"`, `"call":"0000000000009b1f"`, `"class":"voice"`, `"key":"7f3a9c21e0b4d655"`, `"left":"1`,
 		`"desc":"line\r\n\"q\\\" é\u0001"`)
-	s.say(`{"op":"ringing","call":"0000000000009b1f","with":{}}`)
-	s.say(`{"op":"accept","call":"0000000000009b1f","with":{"load":"spare:3;new:1"},"x":[1,{"y":null}],"desc":"\u00e9\ud83d\ude00\n"}`)
+	s.sendLine(`{"op":"ringing","call":"0000000000009b1f","with":{}}`)
+	s.sendLine(`{"op":"accept","call":"0000000000009b1f","with":{"load":"spare:3;new:1"},"x":[1,{"y":null}],"desc":"\u00e9\ud83d\ude00\n"}`)
 	if f := s.wantFrame(typeAnswer, 0x9b1f, -1); string(f.desc) != "é😀\n" {
 		t.Errorf("description %q", f.desc)
 	}
-	s.say(`{"op":"end","call":"0000000000009b1f","with":{},"why":41}`)
+	s.sendLine(`{"op":"end","call":"0000000000009b1f","with":{},"why":41}`)
 	s.wantFrame(typeRelease, 0x9b1f, 41)
-	s.caller.Write(appendFrame(nil, typeTest, 5, appendParam(nil, paramCause, 0)))
+	s.callerConn.Write(appendFrame(nil, typeTest, 5, appendParam(nil, paramCause, 0)))
 	s.wantFrame(typeTested, 5, 1)
 }
 
 // A server's connection is reset with a set-up open and a call standing on it: the set-up gets one answer
 // here, refused as there is no other server, and the release of the standing call comes over the next.
 func TestServerConnectionReset(t *testing.T) {
-	s := newStory(t)
-	s.caller.Write(append(setUp(1, "voice", "5000", ""), setUp(2, "voice", "5000", "")...))
+	s := newScenario(t)
+	s.callerConn.Write(append(setUpFrame(1, "voice", "5000", ""), setUpFrame(2, "voice", "5000", "")...))
 	s.wantLine(`"offer"`, `0001"`)
 	s.wantLine(`"offer"`, `0002"`)
-	s.say(`{"op":"accept","call":"0000000000000001","with":{},"desc":""}`)
+	s.sendLine(`{"op":"accept","call":"0000000000000001","with":{},"desc":""}`)
 	s.wantFrame(typeAnswer, 1, -1)
-	s.srv.(*net.TCPConn).SetLinger(0)
-	s.srv.Close()
-	s.accept()
+	s.serverConn.(*net.TCPConn).SetLinger(0)
+	s.serverConn.Close()
+	s.acceptServerConn()
 	s.wantFrame(typeRelease, 2, 42)
-	s.say(`{"op":"end","call":"0000000000000001","with":{},"why":16}`)
+	s.sendLine(`{"op":"end","call":"0000000000000001","with":{},"why":16}`)
 	s.wantFrame(typeRelease, 1, 16)
 }
 
 // A server's connection stays open and is of no use: it stops within a line, or is silent where the server used to
 // tell its state. Set-ups waited there till their callers gave up, and releases of standing calls were never heard.
-func TestServerFallsSilent(t *testing.T) {
-	s := newStory(t)
-	s.caller.Write(setUp(1, "voice", "5000", ""))
+func TestSilentServerConnection(t *testing.T) {
+	s := newScenario(t)
+	s.callerConn.Write(setUpFrame(1, "voice", "5000", ""))
 	s.wantLine(`"offer"`)
-	s.say(`{"op":"accept","call":"0000000000000001","with":{},"desc":""}`)
+	s.sendLine(`{"op":"accept","call":"0000000000000001","with":{},"desc":""}`)
 	s.wantFrame(typeAnswer, 1, -1)
-	fmt.Fprint(s.srv, `{"op":"end","ca`)
-	s.accept()
-	s.say(`{"op":"end","call":"0000000000000001","with":{},"why":16}`) // told again on the next one
+	fmt.Fprint(s.serverConn, `{"op":"end","ca`)
+	s.acceptServerConn()
+	s.sendLine(`{"op":"end","call":"0000000000000001","with":{},"why":16}`) // told again on the next one
 	s.wantFrame(typeRelease, 1, 16)
-	for range pulseSeen + 1 {
-		s.say(`{"op":"group","with":{"load":"spare:3"}}`)
+	for range minIntervals + 1 {
+		s.sendLine(`{"op":"group","with":{"load":"spare:3"}}`)
 		time.Sleep(20 * time.Millisecond)
 	}
-	s.caller.Write(setUp(2, "voice", "5000", ""))
+	s.callerConn.Write(setUpFrame(2, "voice", "5000", ""))
 	s.wantLine(`"offer"`, `0002"`)
-	s.accept()
+	s.acceptServerConn()
 	s.wantFrame(typeRelease, 2, 42) // there is no other server
-	s.say(`{"op":"group","with":{"load":"spare:3"}}`)
-	s.caller.Write(setUp(3, "voice", "5000", ""))
+	s.sendLine(`{"op":"group","with":{"load":"spare:3"}}`)
+	s.callerConn.Write(setUpFrame(3, "voice", "5000", ""))
 	s.wantLine(`"offer"`, `0003"`)
-	s.accept() // what the first has taught holds for the next
+	s.acceptServerConn() // what the first has taught holds for the next
 	s.wantFrame(typeRelease, 3, 42)
 }
 
 // A server that has nothing to tell is silent, and nothing is wrong: one of few calls had its connections closed over and
 // over, and with them set-ups that had just gone out. A test on the connection says that this one is still there.
-func TestQuietServerKeepsItsConnection(t *testing.T) {
-	s := newStory(t)
-	for range pulseSeen + 1 {
-		s.say(`{"op":"group","with":{"load":"spare:3"}}`)
+func TestQuietServerKeepsConnection(t *testing.T) {
+	s := newScenario(t)
+	for range minIntervals + 1 {
+		s.sendLine(`{"op":"group","with":{"load":"spare:3"}}`)
 		time.Sleep(5 * time.Millisecond)
 	}
-	s.srv.SetReadDeadline(time.Now().Add(200 * time.Millisecond)) // many times what makes a silence here
-	if _, err := s.srv.Read(make([]byte, 1)); !isTimeout(err) {
+	s.serverConn.SetReadDeadline(time.Now().Add(200 * time.Millisecond)) // many times what makes a silence here
+	if _, err := s.serverConn.Read(make([]byte, 1)); !isTimeout(err) {
 		t.Fatalf("a connection on which nothing is owed: %v", err)
 	}
-	s.srv.SetReadDeadline(time.Now().Add(patience))
-	s.say(`{"op":"test","call":"0000000000000009","with":{},"why":0}`)
+	s.serverConn.SetReadDeadline(time.Now().Add(testTimeout))
+	s.sendLine(`{"op":"test","call":"0000000000000009","with":{},"why":0}`)
 	s.wantLine(`"tested"`)
-	s.caller.Write(setUp(1, "voice", "5000", ""))
+	s.callerConn.Write(setUpFrame(1, "voice", "5000", ""))
 	s.wantLine(`"offer"`, `0001"`)
-	s.say(`{"op":"accept","call":"0000000000000001","with":{},"desc":""}`)
+	s.sendLine(`{"op":"accept","call":"0000000000000001","with":{},"desc":""}`)
 	s.wantFrame(typeAnswer, 1, -1)
 }
 
@@ -259,7 +261,7 @@
 func TestSilentServerIsProbed(t *testing.T) {
 	for _, permitted := range []bool{true, false} {
 		reports := make(chan float64, 100)
-		s := newStory(t, func(s *story) {
+		s := newScenario(t, func(s *scenario) {
 			s.limits.Probe = probe.Limits{Permitted: permitted, Rate: 1000, Burst: 1, Timeout: 50 * time.Millisecond}
 			s.hook.SuppressEvent = func(ev elmseam.Event) bool {
 				if h, ok := ev.(elmseam.Health); ok && len(h.Report) > 0 {
@@ -268,27 +270,27 @@
 				return false
 			}
 		})
-		s.caller.Write(setUp(1, "voice", "5000", ""))
+		s.callerConn.Write(setUpFrame(1, "voice", "5000", ""))
 		s.wantLine(`"offer"`)
-		s.say(`{"op":"accept","call":"0000000000000001","with":{},"desc":""}`)
+		s.sendLine(`{"op":"accept","call":"0000000000000001","with":{},"desc":""}`)
 		s.wantFrame(typeAnswer, 1, -1)
-		for range pulseSeen + 1 {
-			s.say(`{"op":"group","with":{"load":"recent_ms:1"}}`)
+		for range minIntervals + 1 {
+			s.sendLine(`{"op":"group","with":{"load":"recent_ms:1"}}`)
 			time.Sleep(5 * time.Millisecond)
 		}
 		if permitted {
 			s.wantLine(`"test"`, `"why":1`)
-			var asked struct{ Call string }
-			json.Unmarshal(s.lines.Bytes(), &asked)
+			var probeMsg struct{ Call string }
+			json.Unmarshal(s.serverLines.Bytes(), &probeMsg)
 			for range 2 {
-				s.say(`{"op":"tested","call":%q,"with":{"load":"recent_ms:7"},"why":1}`, asked.Call)
+				s.sendLine(`{"op":"tested","call":%q,"with":{"load":"recent_ms:7"},"why":1}`, probeMsg.Call)
 			}
 			s.wantLine(`"test"`) // it is silent again, and says nothing to this one
-			for got := 0.0; got != 7; got = <-reports {
+			for load := 0.0; load != 7; load = <-reports {
 			}
 		}
-		s.accept()
-		s.say(`{"op":"end","call":"0000000000000001","with":{},"why":16}`)
+		s.acceptServerConn()
+		s.sendLine(`{"op":"end","call":"0000000000000001","with":{},"why":16}`)
 		s.wantFrame(typeRelease, 1, 16)
 		for len(reports) > 0 {
 			if <-reports == 7 {
@@ -300,24 +302,24 @@
 
 // A caller gives up: the server is told, and its crossing answer is not passed on.
 func TestCallerGivesUp(t *testing.T) {
-	s := newStory(t)
-	s.caller.Write(setUp(1, "voice", "5000", ""))
+	s := newScenario(t)
+	s.callerConn.Write(setUpFrame(1, "voice", "5000", ""))
 	s.wantLine(`"offer"`)
-	s.caller.Write(release(1, 16))
-	s.wantFrame(typeHeard, 1, -1)
+	s.callerConn.Write(releaseFrame(1, 16))
+	s.wantFrame(typeReleaseAck, 1, -1)
 	s.wantLine(`"end"`, `"why":16`)
-	s.say(`{"op":"accept","call":"0000000000000001","with":{},"desc":""}`)
-	s.say(`{"op":"test","call":"0000000000000009","with":{},"why":0}`)
-	for s.lines.Scan() && !strings.Contains(s.lines.Text(), `"tested"`) { // what it said before has been taken in
+	s.sendLine(`{"op":"accept","call":"0000000000000001","with":{},"desc":""}`)
+	s.sendLine(`{"op":"test","call":"0000000000000009","with":{},"why":0}`)
+	for s.serverLines.Scan() && !strings.Contains(s.serverLines.Text(), `"tested"`) { // what it said before has been taken in
 	}
-	s.caller.Write(setUp(2, "video", "5000", "")) // a class nobody knows: that call alone is refused
+	s.callerConn.Write(setUpFrame(2, "video", "5000", "")) // a class nobody knows: that call alone is refused
 	s.wantFrame(typeRelease, 2, 100)
 }
 
 // What is malformed costs its own connection and nothing else.
 func TestMalformedCallers(t *testing.T) {
-	s := newStory(t)
-	front := s.caller.RemoteAddr().String()
+	s := newScenario(t)
+	address := s.callerConn.RemoteAddr().String()
 	for name, bad := range map[string][]byte{
 		"too short":    {0, 3, 1, 2, 3},
 		"too long":     {0xff, 0xff, 1},
@@ -325,77 +327,77 @@
 		"cut short":    appendFrame(nil, typeSetUp, 1, []byte{paramClass, 0, 9, 'v'}),
 		"long cause":   appendFrame(nil, typeRelease, 1, appendParam(nil, paramCause, 1, 2)),
 	} {
-		c, err := net.Dial("tcp", front)
+		c, err := net.Dial("tcp", address)
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.SetDeadline(time.Now().Add(patience))
+		c.SetDeadline(time.Now().Add(testTimeout))
 		c.Write(append(bad, make([]byte, 32<<10)...)) // unread, it would reset the connection over what was told
-		if told, err := io.ReadAll(c); err != nil || (len(told) > 0) != (name == "cut short") {
-			t.Errorf("%s: told %x, and then %v", name, told, err)
+		if received, err := io.ReadAll(c); err != nil || (len(received) > 0) != (name == "cut short") {
+			t.Errorf("%s: told %x, and then %v", name, received, err)
 		}
 		c.Close()
 	}
-	s.say(`{"op":"group","with":{"load":`) // a server that speaks nonsense is left, and sought again
-	s.accept()
-	s.caller.Write(setUp(1, "voice", "5000", ""))
+	s.sendLine(`{"op":"group","with":{"load":`) // a server that speaks nonsense is left, and sought again
+	s.acceptServerConn()
+	s.callerConn.Write(setUpFrame(1, "voice", "5000", ""))
 	s.wantLine(`"offer"`)
 }
 
 // Figures out of their range, a class or a first choice that nobody has, no id: such a set-up is refused here.
 // Servers answered with an error, and closed the connection on a call without an id with all that was open on it.
-func TestUnsoundSetUps(t *testing.T) {
-	s := newStory(t)
-	with := func(id core.ID, class, left, extras string) []byte {
-		p := appendParam(appendParam(nil, paramClass, []byte(class)...), paramLeft, []byte(left)...)
+func TestInvalidSetUps(t *testing.T) {
+	s := newScenario(t)
+	setUp := func(id core.ID, class, left, extras string) []byte {
+		p := appendParam(appendParam(nil, paramClass, []byte(class)...), paramTimeLeft, []byte(left)...)
 		return appendFrame(nil, typeSetUp, id, appendParam(p, paramExtras, []byte(extras)...))
 	}
 	for i, bad := range [][]byte{
-		with(1, "voice_x", "500", "dest:0;width:1"), with(2, "voice", "-5", "dest:0;width:1"), with(3, "voice", "soon", "dest:0"),
-		with(4, "voice", "", "dest:0"), with(5, "voice", "1e99", "dest:0"), with(6, "voice", "nan", "dest:0"),
-		with(7, "voice", "500", "dest:-3"), with(8, "voice", "500", "dest:99"), with(9, "voice", "500", "dest:nan"),
-		with(10, "voice", "500", "dest:0.5"), with(11, "voice", "500", "x"), with(12, "voice", "500", "dest:0;width:0"),
-		with(13, "voice", "500", "dest:0;width:400"),
+		setUp(1, "voice_x", "500", "dest:0;width:1"), setUp(2, "voice", "-5", "dest:0;width:1"), setUp(3, "voice", "soon", "dest:0"),
+		setUp(4, "voice", "", "dest:0"), setUp(5, "voice", "1e99", "dest:0"), setUp(6, "voice", "nan", "dest:0"),
+		setUp(7, "voice", "500", "dest:-3"), setUp(8, "voice", "500", "dest:99"), setUp(9, "voice", "500", "dest:nan"),
+		setUp(10, "voice", "500", "dest:0.5"), setUp(11, "voice", "500", "x"), setUp(12, "voice", "500", "dest:0;width:0"),
+		setUp(13, "voice", "500", "dest:0;width:400"),
 	} {
-		s.caller.Write(bad)
+		s.callerConn.Write(bad)
 		s.wantFrame(typeRelease, core.ID(i+1), 100)
 	}
-	s.caller.Write(with(0, "voice", "500", "dest:0;width:1"))
+	s.callerConn.Write(setUp(0, "voice", "500", "dest:0;width:1"))
 	s.wantFrame(typeRelease, 0, 100)
 	// Nobody waits for longer than the class allows: a timer of days would be kept for days.
-	told := *s.front.told.Load()
-	told.Deployment.Classes = []settings.Class{{Name: "voice", Cells: []int{0, 1}, Lines: 1, MaxWait: 200 * time.Millisecond}}
-	s.front.Configure(told.Config)
-	s.caller.Write(with(14, "voice", "99999999", "dest:1;width:1;via:-1"))
+	cfg := *s.platform.config.Load()
+	cfg.Deployment.Classes = []settings.Class{{Name: "voice", Cells: []int{0, 1}, Lines: 1, MaxWait: 200 * time.Millisecond}}
+	s.platform.Configure(cfg.Config)
+	s.callerConn.Write(setUp(14, "voice", "99999999", "dest:1;width:1;via:-1"))
 	s.wantLine(`"offer"`, `00000e"`) // the first that the server sees
 	s.wantFrame(typeRelease, 14, 41)
 }
 
 // A connection that brings no whole message in time is closed, and so is one that stops within a message, or trickles it:
 // each byte began the time anew, and one message could hold a place for hours. One that has asked is kept for longer.
-func TestSilentCallers(t *testing.T) {
-	s := newStory(t)
-	told := *s.front.told.Load()
-	told.CallerConn.MessageTimeout, told.CallerConn.IdleTimeout = 50*time.Millisecond, time.Hour
-	s.front.Configure(told.Config)
+func TestCallerMessageTimeout(t *testing.T) {
+	s := newScenario(t)
+	cfg := *s.platform.config.Load()
+	cfg.CallerConn.MessageTimeout, cfg.CallerConn.IdleTimeout = 50*time.Millisecond, time.Hour
+	s.platform.Configure(cfg.Config)
 	test := appendFrame(nil, typeTest, 5, appendParam(nil, paramCause, 0))
 	for name, sent := range map[string][]byte{"nothing": nil, "a half": test[:5], "one and a half": append(test, test[:5]...)} {
-		c := s.dial(s.listener)
+		c := s.dial(s.callerListener)
 		c.Write(sent)
 		if _, err := io.ReadAll(c); err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	trickle := s.dial(s.listener)
+	trickle := s.dial(s.callerListener)
 	trickle.Write(test)
 	trickle.Read(make([]byte, 64))
 	_, err := trickle.Write([]byte{0x30, 0}) // a message of 12 KiB
-	for late := time.Now().Add(patience); err == nil; time.Sleep(20 * time.Millisecond) {
-		if _, err = trickle.Write([]byte{0}); time.Now().After(late) {
+	for deadline := time.Now().Add(testTimeout); err == nil; time.Sleep(20 * time.Millisecond) {
+		if _, err = trickle.Write([]byte{0}); time.Now().After(deadline) {
 			t.Fatal("a message that trickles in for ever is waited for")
 		}
 	}
-	c := s.dial(s.listener)
+	c := s.dial(s.callerListener)
 	c.Write(test)
 	c.Read(make([]byte, 64))
 	c.SetDeadline(time.Now().Add(200 * time.Millisecond))
@@ -410,9 +412,9 @@
 }
 
 // The tenant that a set-up names, parameter 22, reaches the decisions; one that names none has none.
-func TestTenantOfASetUp(t *testing.T) {
+func TestSetUpTenant(t *testing.T) {
 	tenants := make(chan int, 10)
-	s := newStory(t, func(s *story) {
+	s := newScenario(t, func(s *scenario) {
 		s.tenants = []elmseam.Tenant{{Name: "x", Allowance: 1}, {Name: "acme", Allowance: 1}}
 		s.hook.SuppressEvent = func(ev elmseam.Event) bool {
 			if a, ok := ev.(elmseam.Arrival); ok {
@@ -422,11 +424,11 @@
 		}
 	})
 	for id, name := range []string{"acme", "nobody", ""} {
-		p := appendParam(appendParam(nil, paramClass, []byte("voice")...), paramLeft, []byte("5000")...)
+		p := appendParam(appendParam(nil, paramClass, []byte("voice")...), paramTimeLeft, []byte("5000")...)
 		if p = appendParam(p, paramTenant, []byte(name)...); name == "" {
-			p = p[:len(p)-paramHead]
+			p = p[:len(p)-paramHeaderSize]
 		}
-		s.caller.Write(appendFrame(nil, typeSetUp, core.ID(id+1), p))
+		s.callerConn.Write(appendFrame(nil, typeSetUp, core.ID(id+1), p))
 	}
 	for i, want := range []int{1, -1, -1} {
 		if got := <-tenants; got != want {
@@ -438,52 +440,52 @@
 // A caller that reads nothing costs its own connection: others are served meanwhile. The kernel's buffers are kept small:
 // to fill those it grows by itself took as long as the machine pleased.
 func TestStalledCaller(t *testing.T) {
-	s := newStory(t)
-	raw, err := s.listener.(*net.TCPListener).SyscallConn()
+	s := newScenario(t)
+	raw, err := s.callerListener.(*net.TCPListener).SyscallConn()
 	if err != nil {
 		t.Fatal(err)
 	}
 	raw.Control(func(fd uintptr) { err = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_SNDBUF, 8<<10) })
-	told := *s.front.told.Load()
-	told.CallerConn.MaxQueuedBytes = 64 << 10
-	s.front.Configure(told.Config)
-	small := net.Dialer{Control: func(_, _ string, c syscall.RawConn) error {
+	cfg := *s.platform.config.Load()
+	cfg.CallerConn.MaxQueuedBytes = 64 << 10
+	s.platform.Configure(cfg.Config)
+	dialer := net.Dialer{Control: func(_, _ string, c syscall.RawConn) error {
 		return c.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 8<<10) })
 	}}
-	stalled, dialErr := small.Dial("tcp", s.caller.RemoteAddr().String())
+	stalled, dialErr := dialer.Dial("tcp", s.callerConn.RemoteAddr().String())
 	if err != nil || dialErr != nil {
 		t.Fatal(err, dialErr)
 	}
 	defer stalled.Close()
 	test := appendFrame(nil, typeTest, 5, appendParam(nil, paramCause, 0))
-	stalled.SetDeadline(time.Now().Add(patience))
-	many := bytes.Repeat(test, 1000)
+	stalled.SetDeadline(time.Now().Add(testTimeout))
+	messages := bytes.Repeat(test, 1000)
 	for {
-		if _, err := stalled.Write(many); err != nil {
+		if _, err := stalled.Write(messages); err != nil {
 			if isTimeout(err) {
 				t.Error("a peer that takes nothing is not given up")
 			}
 			break
 		}
 	}
-	s.caller.Write(test)
+	s.callerConn.Write(test)
 	s.wantFrame(typeTested, 5, 1)
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add(setUp(1, "voice", "5", "x"))
+	f.Add(setUpFrame(1, "voice", "5", "x"))
 	f.Add([]byte(`{"op":"end","call":"9b","with":{"load":"x0:1","note":"swamped"},"why":34,"d":[1,{}]}`))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if _, n, err := parseFrame(b, 1<<10); err == nil && (n < frameHead+callHead || n > min(len(b), 1<<10)) {
-			t.Errorf("a message of %d bytes out of %d", n, len(b))
+		if _, size, err := parseFrame(b, 1<<10); err == nil && (size < lengthSize+headerSize || size > min(len(b), 1<<10)) {
+			t.Errorf("a message of %d bytes out of %d", size, len(b))
 		}
-		l, err := parseLine(b)
+		msg, err := parseServerMessage(b)
 		if err != nil {
 			return
 		}
-		again, err := parseLine([]byte(`{"desc":` + string(appendText(nil, l.desc)) + "}"))
-		if err != nil || again.desc != l.desc {
-			t.Errorf("%q came back as %q: %v", l.desc, again.desc, err)
+		decoded, err := parseServerMessage([]byte(`{"desc":` + string(appendString(nil, msg.desc)) + "}"))
+		if err != nil || decoded.desc != msg.desc {
+			t.Errorf("%q came back as %q: %v", msg.desc, decoded.desc, err)
 		}
 	})
 }
