--- a/internal/leak/leak.go
+++ b/internal/leak/leak.go
@@ -1,4 +1,5 @@
-// Package leak runs the tests of a package and fails them if they leave a goroutine or a descriptor behind. Only tests use it.
+// Package leak runs the tests of a package and fails the run if the tests leave a goroutine or a file descriptor behind. Only
+// tests import it.
 package leak
 
 import (
@@ -10,7 +11,8 @@
 	"go.uber.org/goleak"
 )
 
-// Main runs the tests, and ends the process.
+// Main runs the tests of m and exits the process. The exit status is 1 if the tests passed but left a goroutine or a file
+// descriptor behind. A package calls Main from its TestMain.
 func Main(m *testing.M) {
 	before := OpenDescriptors()
 	code := m.Run()
@@ -25,7 +27,8 @@
 	os.Exit(code)
 }
 
-// OpenDescriptors is how many are open, but for the poller's own.
+// OpenDescriptors returns the number of open file descriptors of this process, without the anonymous ones (epoll, eventfd)
+// that the Go runtime's poller opens.
 func OpenDescriptors() (count int) {
 	entries, _ := os.ReadDir("/proc/self/fd")
 	for _, entry := range entries {
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -1,5 +1,5 @@
-// Package loop runs the core: one goroutine owns it, takes events from a bounded inbox, keeps the
-// timers and carries out the effects.
+// Package loop runs the core, the softswitch's state machine without I/O. A single goroutine owns the core: it takes events
+// from a bounded inbox, fires the timers, and hands the core's effects to the connections they are for.
 package loop
 
 import (
@@ -14,41 +14,46 @@
 	"elmseam/internal/core"
 )
 
-// EffectHandler carries effects out on one connection. It must not block; what it knows at once it returns.
+// EffectHandler executes effects on one connection.
 type EffectHandler interface {
+	// HandleEffect executes an effect and returns the events that follow from it at once. It must not block.
 	HandleEffect(core.Effect) []core.Event
+	// Close closes the connection immediately. It must not block.
 	Close()
-	Flush() // waits, not for long, until what was carried is written
+	// Flush waits for a short, bounded time until the messages of earlier effects are written. It is called once, as the
+	// loop ends, in a goroutine of its own.
+	Flush()
 }
 
-// Dialer makes a connection to a server and posts ServerUp or ServerDown. It runs in a goroutine of
-// its own.
+// Dialer connects to a server and posts core.ServerUp, or core.ServerDown if the connection fails. Each call runs in its own
+// goroutine and may serve the connection until its end.
 type Dialer func(core.Dial)
 
-// Loop is the owner of a core.
+// Loop owns a core and runs it. Its methods may be called from any goroutine, except for those that must be called before Run.
 type Loop struct {
 	core            *core.Core
 	inbox           chan inboxItem
-	done            chan struct{}
-	lastConn        atomic.Uint64
+	done            chan struct{} // closed when Run returns
+	lastConn        atomic.Uint64 // connection id that was given out last
 	start           time.Time
-	epoch           time.Duration // of start, since the Unix epoch
+	epoch           time.Duration // start as the time since the Unix epoch
 	handlers        map[core.ConnID]EffectHandler
 	dialers         map[core.Protocol]Dialer
-	timers          timerHeap
-	notify          func(core.Effect)
+	timers          timerHeap         // pending timers
+	notify          func(core.Effect) // receives the effects that are for no single connection
 	log             zerolog.Logger
-	publishInterval time.Duration // between snapshots of the figures; 0: none
+	publishInterval time.Duration // between snapshots of the counters; 0: no snapshots
 	snapshot        atomic.Pointer[Snapshot]
 }
 
-// Snapshot are the figures as they were at a time.
+// Snapshot holds the core's counters and state for operators at one moment.
 type Snapshot struct {
 	core.Stats
-	At time.Time
+	At time.Time // when the snapshot was taken
 }
 
-// item is an event with the time it happened at and, where it begins a connection, its carrier.
+// inboxItem is an event in the inbox, with the time at which the event happened. If the event begins a connection, conn and
+// handler name the connection and its effect handler; otherwise they are zero.
 type inboxItem struct {
 	at      core.Time
 	ev      core.Event
@@ -56,8 +61,8 @@
 	handler EffectHandler
 }
 
-// New makes a loop whose inbox holds so many events. notify is handed the effects that concern no
-// connection, Serving and Dropped. It must not block.
+// New returns a loop for c whose inbox holds inboxSize events. notify receives the effects that are for no single connection,
+// such as core.Serving, core.ForgetCall and core.SendToMember; it must not block.
 func New(c *core.Core, inboxSize int, notify func(core.Effect), log zerolog.Logger) *Loop {
 	start := time.Now()
 	return &Loop{
@@ -68,25 +73,25 @@
 	}
 }
 
-// Now is the time since the Unix epoch. It never runs backwards.
+// Now returns the time since the Unix epoch. The value never decreases, even if the wall clock is set back.
 func (l *Loop) Now() core.Time { return l.epoch + time.Since(l.start) }
 
-// WallTime turns a time of the core into one of the clock.
+// WallTime converts a time of the core into a time.Time.
 func (l *Loop) WallTime(t core.Time) time.Time { return l.start.Add(t - l.epoch) }
 
-// Done is closed when the loop has ended.
+// Done returns a channel that is closed when the loop has ended.
 func (l *Loop) Done() <-chan struct{} { return l.done }
 
-// NewConnID names a connection.
+// NewConnID returns an unused connection id, unique in this process.
 func (l *Loop) NewConnID() core.ConnID { return core.ConnID(l.lastConn.Add(1)) }
 
-// SetDialer sets how servers of a front are reached. It must be called before Run.
+// SetDialer sets the function that connects to servers of the given protocol. It must be called before Run.
 func (l *Loop) SetDialer(protocol core.Protocol, dial Dialer) { l.dialers[protocol] = dial }
 
-// PublishEvery has the figures published at this interval. It must be called before Run.
+// PublishEvery sets the interval at which Run takes a new Snapshot. It must be called before Run.
 func (l *Loop) PublishEvery(interval time.Duration) { l.publishInterval = interval }
 
-// Snapshot are those last published. It never waits for the loop.
+// Snapshot returns the snapshot that was taken last, or the zero Snapshot if there is none. It never waits for the loop.
 func (l *Loop) Snapshot() Snapshot {
 	if s := l.snapshot.Load(); s != nil {
 		return *s
@@ -94,14 +99,16 @@
 	return Snapshot{}
 }
 
-// Post hands in an event; it waits while the inbox is full.
+// Post puts an event into the inbox. It waits while the inbox is full; after the loop has ended, it drops the event.
 func (l *Loop) Post(ev core.Event) { l.post(inboxItem{at: l.Now(), ev: ev}) }
 
-// Attach hands in the event that begins a connection, with what carries its effects out.
+// Attach puts the event that begins a connection into the inbox, together with the handler of the connection's effects. It
+// waits while the inbox is full; after the loop has ended, it makes the handler close the connection gracefully.
 func (l *Loop) Attach(conn core.ConnID, handler EffectHandler, ev core.Event) {
 	l.post(inboxItem{at: l.Now(), ev: ev, conn: conn, handler: handler})
 }
 
+// post puts an item into the inbox, or rejects the item if the loop has ended.
 func (l *Loop) post(item inboxItem) {
 	select {
 	case l.inbox <- item:
@@ -110,20 +117,20 @@
 		return
 	}
 	select {
-	case <-l.done: // it may have come too late to be taken
+	case <-l.done: // the loop may have ended before it took the item
 		l.rejectQueued()
 	default:
 	}
 }
 
-// late ends a connection that has come too late: the peer is told that there is no more.
+// reject gracefully closes the connection that an item begins, for an item that arrives after the loop has ended.
 func (item inboxItem) reject() {
 	if item.handler != nil {
 		item.handler.HandleEffect(core.GracefulClose{To: item.conn})
 	}
 }
 
-// leave empties the inbox when the loop has ended.
+// rejectQueued rejects all items left in the inbox after the loop has ended.
 func (l *Loop) rejectQueued() {
 	for {
 		select {
@@ -135,7 +142,8 @@
 	}
 }
 
-// Run owns the core until all is answered after a Stop, or until the context ends.
+// Run runs the core until it emits core.Stopped, once every caller has its answer after a core.Stop, or until the context ends.
+// After core.Stopped, Run flushes all connections before it returns.
 func (l *Loop) Run(ctx context.Context) {
 	defer l.rejectQueued()
 	defer close(l.done)
@@ -169,7 +177,7 @@
 			item = inboxItem{at: l.Now(), ev: core.TimerFired{Token: fired.Token}}
 		}
 		if l.process(item) {
-			var flushes sync.WaitGroup // one that is stalled doesn't hold up the others
+			var flushes sync.WaitGroup // in parallel: a stalled connection must not delay the others
 			for _, handler := range l.handlers {
 				flushes.Go(handler.Flush)
 			}
@@ -179,7 +187,8 @@
 	}
 }
 
-// take steps the core through an event and what follows from it at once. It says whether all is over.
+// process steps the core with an item's event and with the events that effect handlers return for the resulting effects. It
+// reports whether the core has stopped.
 func (l *Loop) process(item inboxItem) (stopped bool) {
 	if item.handler != nil {
 		l.handlers[item.conn] = item.handler
@@ -202,7 +211,7 @@
 				if dial := l.dialers[e.Protocol]; dial != nil {
 					go dial(e)
 				} else {
-					l.log.Error().Str("server", e.Server).Str("front", string(e.Protocol)).Msg("no front reaches this server")
+					l.log.Error().Str("server", e.Server).Str("front", string(e.Protocol)).Msg("no dialer for the server's protocol")
 					events = append(events, core.ServerDown{Server: e.Server, Address: e.Address})
 				}
 			case core.CloseConn:
@@ -224,7 +233,7 @@
 			case core.Stopped:
 				stopped = true
 			case core.Violation:
-				l.log.Error().Uint64("call", uint64(e.ID)).Str("rule", e.Rule).Msg("a guard held")
+				l.log.Error().Uint64("call", uint64(e.ID)).Str("rule", e.Rule).Msg("guard prevented a rule violation")
 			default:
 				if c := l.handlers[target(e)]; c != nil {
 					events = append(events, c.HandleEffect(e)...)
@@ -235,7 +244,7 @@
 	return stopped
 }
 
-// target is the connection that an effect is for.
+// target returns the connection that an effect is for, or 0 if the effect is for no connection.
 func target(e core.Effect) core.ConnID {
 	switch e := e.(type) {
 	case core.Answered:
@@ -260,7 +269,7 @@
 	return 0
 }
 
-// timers is a heap, the earliest first.
+// timerHeap implements heap.Interface; the timer that fires first is at index 0.
 type timerHeap []core.Timer
 
 func (t timerHeap) Len() int           { return len(t) }
--- a/internal/loop/loop_test.go
+++ b/internal/loop/loop_test.go
@@ -12,10 +12,10 @@
 	"elmseam/internal/leak"
 )
 
-// No goroutine and no descriptor may be left over.
+// TestMain fails the run if the tests leave a goroutine or a file descriptor behind.
 func TestMain(m *testing.M) { leak.Main(m) }
 
-// carrier writes down what it is to carry.
+// recordingHandler is an EffectHandler that records the effects it receives.
 type recordingHandler struct{ effects []core.Effect }
 
 func (c *recordingHandler) HandleEffect(e core.Effect) []core.Event {
@@ -26,10 +26,11 @@
 func (c *recordingHandler) Close() {}
 func (c *recordingHandler) Flush() {}
 
-// Connections come while the loop ends, and after it has ended: each is either the core's, or is told that there is no more.
-// Those that still stood in the inbox were left open with nobody to serve them, and those after it cut off unread.
+// Connections are attached while the loop ends and after it has ended. Each of them must either be accepted by the loop or be
+// closed gracefully. Connections still in the inbox used to stay open with nothing to serve them; later ones were closed at
+// once, with the caller's data unread.
 func TestConnectionsAttachedAtShutdown(t *testing.T) {
-	for range 50 { // what the loop takes at its end is chance
+	for range 50 { // how many items the loop takes before it ends is random
 		c, err := core.New(elmseam.Settings{
 			Classes: []elmseam.Class{{Deadline: time.Second, Worth: 1}}, MaxAttempts: 1, OwnCell: -1,
 		}, 1, core.Limits{MaxCallerConns: 100, MaxOpen: 1})
@@ -49,18 +50,19 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
 		l.Run(ctx)
-		for range 20 { // more than the inbox holds
+		for range 20 { // more than the inbox can hold
 			attach()
 		}
 		for conn, c := range handlers {
 			_, accepted := l.handlers[conn]
 			if _, closed := lastEffect(c.effects).(core.GracefulClose); closed == accepted {
-				t.Fatalf("connection %d: taken %v, told %v", conn, accepted, c.effects)
+				t.Fatalf("connection %d: accepted %v, effects %v", conn, accepted, c.effects)
 			}
 		}
 	}
 }
 
+// lastEffect returns the last of effects, or nil if there are none.
 func lastEffect(effects []core.Effect) core.Effect {
 	if len(effects) == 0 {
 		return nil
--- a/internal/platform/caller.go
+++ b/internal/platform/caller.go
@@ -1,5 +1,6 @@
-// Package platform is the front for the platform's own protocol: binary messages from callers, JSON
-// lines to servers. It translates, and leaves every decision to the core.
+// Package platform implements the platform's own signalling protocol: binary messages between callers and the softswitch, JSON
+// lines between the softswitch and servers. It translates messages into events of the core and effects of the core into
+// messages; every decision is the core's.
 package platform
 
 import (
@@ -28,35 +29,36 @@
 	"elmseam/internal/settings"
 )
 
-// Protocol is the name of this front.
+// Protocol is the name of the platform's protocol in the core and the logs.
 const Protocol core.Protocol = "platform"
 
-// Message types and parameter codes of the callers' protocol.
+// Message types, parameter codes and sizes of the callers' protocol.
 const (
 	typeSetUp      = 1
 	typeProgress   = 6
 	typeAnswer     = 9
-	typeRelease    = 12
-	typeReleaseAck = 16
+	typeRelease    = 12 // from a caller: give-up or release; to a caller: refusal or release
+	typeReleaseAck = 16 // answer to a caller's typeRelease
 	typeGroup      = 43
-	typeTest       = 52
-	typeTested     = 53
+	typeTest       = 52 // asks whether the softswitch takes new calls
+	typeTested     = 53 // answer to typeTest; paramCause is 1 if it does, else 0
 
 	paramClass        = 16
-	paramTimeLeft     = 19
+	paramTimeLeft     = 19 // milliseconds until the caller gives up, in decimal
 	paramTenant       = 22
-	paramNumber       = 28
-	paramExtras       = 31
-	paramRetry        = 34
+	paramNumber       = 28 // called number
+	paramExtras       = 31 // "name:value" pairs, separated by semicolons
+	paramRetry        = 34 // milliseconds to wait before a retry, in decimal
 	paramCause        = 58
-	paramDesc         = 61
-	lengthSize        = 2
-	headerSize        = 9 // type and call
-	paramHeaderSize   = 3
-	rejectionCapacity = 32
+	paramDesc         = 61 // description of the call, passed on unchanged
+	lengthSize        = 2  // bytes of the length before a message
+	headerSize        = 9  // bytes of a message's type and call id
+	paramHeaderSize   = 3  // bytes of a parameter's code and length
+	rejectionCapacity = 32 // bytes that the parameters of a rejection usually fit in
 )
 
-// frame is one message of a caller.
+// frame is a decoded message from a caller, with its parameters in the protocol's own text form. A parameter that is absent
+// leaves its field empty.
 type frame struct {
 	msgType  byte
 	callID   core.ID
@@ -67,14 +69,15 @@
 
 	numberText string
 	extras     string
-	cause      int
+	cause      int // -1 if the message has no cause
 	desc       []byte
 }
 
-// errShort says that a frame is not whole yet.
-var errIncomplete = errors.New("not whole")
+// errIncomplete is returned by parseFrame when the rest of the message has yet to be read.
+var errIncomplete = errors.New("incomplete message")
 
-// parseFrame reads the first frame of b, which may hold most bytes, and says how long it is.
+// parseFrame decodes the message at the start of b and returns it with its size in bytes, including the length field. A message
+// of more than maxSize bytes is an error.
 func parseFrame(b []byte, maxSize int) (f frame, size int, err error) {
 	if len(b) < lengthSize {
 		return f, 0, errIncomplete
@@ -82,14 +85,14 @@
 	size = lengthSize + int(binary.BigEndian.Uint16(b))
 	switch {
 	case size < lengthSize+headerSize || size > maxSize:
-		return f, 0, fmt.Errorf("a message of %d bytes", size)
+		return f, 0, fmt.Errorf("invalid message size of %d bytes", size)
 	case len(b) < size:
 		return f, 0, errIncomplete
 	}
 	f.msgType, f.callID, f.cause = b[2], core.ID(binary.BigEndian.Uint64(b[3:])), -1
 	for params := b[lengthSize+headerSize : size]; len(params) > 0; {
 		if len(params) < paramHeaderSize || len(params) < paramHeaderSize+int(binary.BigEndian.Uint16(params[1:])) {
-			return f, 0, errors.New("a parameter is cut short")
+			return f, 0, errors.New("truncated parameter")
 		}
 		code, value := params[0], params[paramHeaderSize:paramHeaderSize+int(binary.BigEndian.Uint16(params[1:]))]
 		params = params[paramHeaderSize+len(value):]
@@ -106,7 +109,7 @@
 			f.extras = string(value)
 		case paramCause:
 			if len(value) != 1 {
-				return f, 0, errors.New("a cause is one byte")
+				return f, 0, errors.New("cause parameter is not one byte long")
 			}
 			f.cause = int(value[0])
 		case paramDesc:
@@ -116,7 +119,7 @@
 	return f, size, nil
 }
 
-// appendFrame writes a message; its parameters come as they are written by appendParam.
+// appendFrame appends an encoded message to b. params are parameters encoded by appendParam.
 func appendFrame(b []byte, msgType byte, id core.ID, params []byte) []byte {
 	b = binary.BigEndian.AppendUint16(b, uint16(headerSize+len(params)))
 	b = append(b, msgType)
@@ -124,43 +127,44 @@
 	return append(b, params...)
 }
 
+// appendParam appends an encoded parameter to b.
 func appendParam(b []byte, code byte, value ...byte) []byte {
 	b = append(b, code)
 	b = binary.BigEndian.AppendUint16(b, uint16(len(value)))
 	return append(b, value...)
 }
 
-// Config is what the front is told. A new one may come at any time.
+// Config holds the settings of a Platform. Configure can replace them at any time.
 type Config struct {
 	Deployment  settings.Deployment
-	CallerConn  link.Limits   // of a caller's connection
+	CallerConn  link.Limits   // limits of a caller's connection
 	DialTimeout time.Duration // longest time to make a connection to a server
 
-	ServerConn link.Limits
-	MaxCallers int // connections of callers at once
+	ServerConn link.Limits // limits of a connection to a server
+	MaxCallers int         // maximum number of simultaneous caller connections
 }
 
-// told is a configuration with what is looked up in it.
+// activeConfig is a Config with an index over its classes: the index of each class by its name.
 type activeConfig struct {
 	Config
 	classIndexes map[string]int
 }
 
-// Platform is the front.
+// Platform serves callers and servers that use the platform's protocol.
 type Platform struct {
 	config     atomic.Pointer[activeConfig]
 	loop       *loop.Loop
 	log        zerolog.Logger
-	sampledLog zerolog.Logger // of what callers can cause as often as they like
+	sampledLog zerolog.Logger // for messages that callers or servers can provoke without limit
 	stopping   atomic.Bool
 	draining   atomic.Bool
 	successor  atomic.Pointer[Successor]
-	silence    silenceDetector
-	openConns  atomic.Int64 // connections, but for those that have been accepted here
+	silence    silenceDetector // shared by all connections to servers
+	openConns  atomic.Int64    // open connections to servers and of adopted callers, which acceptor doesn't count
 	acceptor   *link.Acceptor
 }
 
-// New makes the front.
+// New returns a Platform that exchanges events and effects with l.
 func New(cfg Config, l *loop.Loop, log zerolog.Logger) *Platform {
 	p := &Platform{loop: l, log: log, sampledLog: link.SampledLogger(log)}
 	p.Configure(cfg)
@@ -168,12 +172,12 @@
 	return p
 }
 
-// Configure replaces what the front was told. Connections that are open keep their limits.
+// Configure replaces the settings. Open connections keep the limits that they were opened with.
 func (p *Platform) Configure(cfg Config) {
 	p.config.Store(&activeConfig{cfg, cfg.Deployment.ClassIndexes()})
 }
 
-// Classes are the names of the classes, by place.
+// Classes returns the names of the request classes, by class index.
 func (p *Platform) Classes() []string {
 	var names []string
 	for _, c := range p.config.Load().Deployment.Classes {
@@ -182,16 +186,16 @@
 	return names
 }
 
-// MarkStopping makes the front fail tests, so that nobody new is sent here.
+// MarkStopping makes all later test messages of callers fail, so that no new callers are sent to this softswitch.
 func (p *Platform) MarkStopping() { p.stopping.Store(true) }
 
-// SetDraining makes the front fail tests while it lasts.
+// SetDraining makes test messages of callers fail while on is true.
 func (p *Platform) SetDraining(on bool) { p.draining.Store(on) }
 
-// SetSuccessor names the process that callers are handed to.
+// SetSuccessor sets the newer process that callers' connections are transferred to.
 func (p *Platform) SetSuccessor(s Successor) { p.successor.Store(&s) }
 
-// Wait waits until the connections that are being closed have ended, not for long.
+// Wait waits until all connections have ended, at most for twice the linger timeout of a caller's connection.
 func (p *Platform) Wait() {
 	ended := make(chan struct{})
 	timeout := time.After(2 * p.config.Load().CallerConn.LingerTimeout)
@@ -201,7 +205,7 @@
 	case <-timeout:
 		return
 	}
-	for p.openConns.Load() > 0 { // one may still begin: it is told that it is too late
+	for p.openConns.Load() > 0 { // a connection may still be starting; the loop rejects it
 		select {
 		case <-timeout:
 			return
@@ -210,56 +214,58 @@
 	}
 }
 
-// Serve serves callers until the listener is closed.
+// Serve accepts and serves callers until l is closed.
 func (p *Platform) Serve(l net.Listener) { p.acceptor.Serve(l) }
 
-// CloseListener has the listener closed when who has connected by now is served. It does not wait.
+// CloseListener makes the listener close once all callers that have connected so far are accepted. It does not wait.
 func (p *Platform) CloseListener() { p.acceptor.Drain() }
 
-// Successor is the process that callers are handed to.
+// Successor is the newer process of a hand-over, which callers' connections are transferred to.
 type Successor interface {
-	// Transfer is handed a connection, with what was read of it and not yet taken. It may wait. An error says that the
-	// successor never got it.
+	// Transfer passes a connection to the successor, with the bytes that were read from it and not yet parsed. It may
+	// wait. An error means that the successor did not receive the connection.
 	Transfer(pass core.Transfer, rest []byte, conn syscall.Conn) error
-	// ForwardEffect passes on what is for a caller whose connection it has. It must not wait.
+	// ForwardEffect passes an effect for a caller on to the successor, which has the caller's connection. It must not wait.
 	ForwardEffect(link core.ConnID, e core.Effect)
 }
 
-// caller is the sending side of a caller's connection.
+// caller is a connection of a caller. It is the loop.EffectHandler of that connection; readCaller is its receiving side.
 type caller struct {
 	platform      *Platform
 	connID        core.ConnID
 	conn          net.Conn
 	outbox        *link.Outbox
 	lingerTimeout time.Duration
-	writeTimeout  time.Duration // that a write may take
-	closing       atomic.Bool
-	transferring  atomic.Bool
-	transfer      chan core.Transfer
-	done          chan struct{} // closed when it is being closed
+	writeTimeout  time.Duration      // longest time that one write may take
+	closing       atomic.Bool        // the connection is being closed gracefully
+	transferring  atomic.Bool        // the connection is to be read no further, so that it can be transferred
+	transfer      chan core.Transfer // receives the core's order to transfer the connection
+	done          chan struct{}      // closed when the connection begins to close
 
 	mu            sync.Mutex
-	closeDeadline time.Time     // the connection ends by then; zero: it isn't to
-	redirected    bool          // what is for the caller is the successor's to say
-	transferred   bool          // and it has the connection
-	heldEffects   []core.Effect // until then
-	doneClosed    bool
+	closeDeadline time.Time     // when the connection ends at the latest; zero: it is not being closed
+	redirected    bool          // effects are held for the successor, or forwarded to it
+	transferred   bool          // the successor has the connection
+	heldEffects   []core.Effect // effects held while redirected is true and transferred is not
+	doneClosed    bool          // done is closed
 }
 
+// newCaller returns the caller for an open connection.
 func (p *Platform) newCaller(id core.ConnID, conn net.Conn, limits link.Limits) *caller {
 	return &caller{
-		platform: p, connID: id, conn: conn, outbox: link.NewOutbox(conn, limits), lingerTimeout: limits.LingerTimeout, writeTimeout: limits.WriteTimeout,
+		platform: p, connID: id, conn: conn, outbox: link.NewOutbox(conn, limits),
+		lingerTimeout: limits.LingerTimeout, writeTimeout: limits.WriteTimeout,
 		transfer: make(chan core.Transfer, 1), done: make(chan struct{}),
 	}
 }
 
-// Close closes the connection at once.
+// Close closes the connection immediately.
 func (c *caller) Close() {
 	c.signalDone()
 	c.outbox.Close()
 }
 
-// end says that the connection is being closed, to whoever waits for more of it.
+// signalDone closes the done channel, so that transferToSuccessor stops waiting.
 func (c *caller) signalDone() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -269,7 +275,8 @@
 	}
 }
 
-// Flush waits, not for long, until all is with the caller or the successor.
+// Flush waits for a short, bounded time until all queued messages are written. It does not wait while the transfer of the
+// connection to the successor is under way.
 func (c *caller) Flush() {
 	c.mu.Lock()
 	awaitingTransfer := c.redirected && !c.transferred && !c.doneClosed
@@ -279,16 +286,16 @@
 	}
 }
 
-// closeGracefully ends the connection: the caller is told what is left, then that there is no more, and what it sends until it has
-// heard that is read, as a connection closed with something unread is reset and takes with it what the caller has not
-// read. Neither is waited for without an end.
+// closeGracefully writes all queued messages, half-closes the connection, and lets the reading side drop what the caller still
+// sends until the caller closes its side. Closing with unread data would reset the connection, and the reset would discard
+// messages that the caller has not read yet. Both the writing and the reading have a time limit.
 func (c *caller) closeGracefully() {
 	c.closeWithin(c.writeTimeout + c.lingerTimeout)
 	c.signalDone()
 	c.outbox.Finish(func() { c.closeWithin(c.lingerTimeout) })
 }
 
-// endBy sets when the connection ends, whatever the caller does.
+// closeWithin makes the connection end after timeout at the latest, whatever the caller does.
 func (c *caller) closeWithin(timeout time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -297,7 +304,7 @@
 	c.conn.SetReadDeadline(c.closeDeadline)
 }
 
-// until sets when the next bytes must be here.
+// setReadDeadline sets when the next bytes must have arrived. The close deadline and a transfer take precedence.
 func (c *caller) setReadDeadline(deadline time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -310,12 +317,12 @@
 	c.conn.SetReadDeadline(deadline)
 }
 
-// discard reads and drops what comes, until the connection ends.
+// discard reads and drops all data until the connection ends.
 func (c *caller) discard(buf *link.Buffer) {
 	for {
 		buf.Skip(len(buf.Bytes()))
 		c.mu.Lock()
-		deadline := c.closeDeadline // zero: until it is closed, which is the core's to say
+		deadline := c.closeDeadline // zero: no deadline until the core closes the connection
 		c.conn.SetReadDeadline(deadline)
 		c.mu.Unlock()
 		if err := buf.Fill(c.conn); err != nil && (!deadline.IsZero() || !errors.Is(err, os.ErrDeadlineExceeded)) {
@@ -324,10 +331,12 @@
 	}
 }
 
-var errCallerStalled = errors.New("the caller reads nothing")
+// errCallerStalled means that a connection can't be transferred because the caller does not read the messages queued for it.
+var errCallerStalled = errors.New("caller does not read")
 
-// hand passes the connection, of which nothing is read here any more, to the successor. It says whether it did, and if
-// not, whether it goes on here: a successor that dies half way costs no caller its connection.
+// transferToSuccessor transfers a connection that is read no further to the successor, with the bytes that were read and not yet
+// parsed. It reports whether the successor has the connection and, if not, whether this process keeps serving the connection:
+// a successor that dies during the transfer must not cost callers their connections.
 func (c *caller) transferToSuccessor(unparsed []byte) (transferred, kept bool) {
 	c.platform.loop.Post(core.ReadingStopped{Conn: c.connID})
 	var transfer core.Transfer
@@ -348,13 +357,13 @@
 		err = (*successor).Transfer(transfer, unparsed, conn)
 	}
 	if err != nil {
-		c.platform.sampledLog.Warn().Err(err).Msg("a caller's connection can't be handed over")
+		c.platform.sampledLog.Warn().Err(err).Msg("transfer of a caller's connection failed")
 		c.transferring.Store(false)
 	}
 	for {
 		c.mu.Lock()
 		effects := c.heldEffects
-		if c.heldEffects = nil; len(effects) == 0 { // what comes from now on needs not be held
+		if c.heldEffects = nil; len(effects) == 0 { // later effects need not be held
 			c.transferred, c.redirected = err == nil, err == nil
 			c.mu.Unlock()
 			return err == nil, err != nil
@@ -370,7 +379,8 @@
 	}
 }
 
-// toSuccessor says whether an effect is the successor's to carry out.
+// redirect forwards an effect to the successor, or holds the effect while the transfer is under way. It reports false if this
+// process has to execute the effect.
 func (c *caller) redirect(e core.Effect) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -382,7 +392,7 @@
 	return c.redirected
 }
 
-// HandleEffect writes an effect for a caller.
+// HandleEffect sends the message for an effect to the caller, directly or through the successor.
 func (c *caller) HandleEffect(e core.Effect) []core.Event {
 	if !c.redirect(e) {
 		c.writeEffect(e)
@@ -390,7 +400,7 @@
 	return nil
 }
 
-// write carries out what is the caller's here.
+// writeEffect executes an effect on the connection in this process.
 func (c *caller) writeEffect(e core.Effect) {
 	switch e := e.(type) {
 	case core.Answered:
@@ -412,7 +422,7 @@
 	}
 }
 
-// rejection is a final answer other than that the call stands.
+// rejectionFrame encodes the final answer to a set-up that did not lead to an established call. A retryAfter of 0 is left out.
 func rejectionFrame(id core.ID, cause byte, retryAfter time.Duration) []byte {
 	params := appendParam(make([]byte, 0, rejectionCapacity), paramCause, cause)
 	if retryAfter > 0 {
@@ -421,7 +431,7 @@
 	return appendFrame(nil, typeRelease, id, params)
 }
 
-// caller serves a new connection of a caller.
+// serveCaller serves a new connection of a caller until it ends.
 func (p *Platform) serveCaller(conn net.Conn) {
 	limits := p.config.Load().CallerConn
 	c := p.newCaller(p.loop.NewConnID(), conn, limits)
@@ -429,8 +439,8 @@
 	p.readCaller(c, limits, nil, false)
 }
 
-// Adopt serves a connection that a predecessor has handed on, with what that has read and not taken. It posts its
-// CallerUp before it returns, and calls gone when the connection has ended.
+// Adopt serves a connection that the predecessor has transferred, with the bytes that the predecessor has read and not yet
+// parsed. It posts up before it returns, and calls onClosed when the connection has ended.
 func (p *Platform) Adopt(conn net.Conn, unparsed []byte, up core.CallerUp, onClosed func()) {
 	limits := p.config.Load().CallerConn
 	c := p.newCaller(up.Conn, conn, limits)
@@ -444,9 +454,12 @@
 	}()
 }
 
-// read takes in a caller's messages until the connection ends. One that brings no whole message in time, or stops
-// within one or trickles it, is to be closed, and so is one that is idle for long: it holds a descriptor that others
-// need. When, is the core's to say, as a set-up may be open on it; what comes until then is dropped.
+// readCaller reads a caller's messages until the connection ends. unparsed holds bytes that a predecessor has read; hadSetUp
+// says whether a set-up has already come on the connection.
+//
+// A connection on which a message is not complete within the message timeout, or which is idle for the idle timeout, has to be
+// closed, as it holds a file descriptor that others need. The core decides when to close it, since a set-up may still be
+// pending on the connection; data that arrives before the close is dropped.
 func (p *Platform) readCaller(c *caller, limits link.Limits, unparsed []byte, hadSetUp bool) {
 	transferred := false
 	defer func() {
@@ -460,11 +473,11 @@
 			return
 		}
 	}
-	var messageDeadline time.Time // when the message under way must be, however it trickles in; zero: there is none
+	var messageDeadline time.Time // when the message being read must be complete, however slowly it arrives; zero: none is being read
 	if !hadSetUp || len(unparsed) > 0 {
 		messageDeadline = time.Now().Add(limits.MessageTimeout)
 	}
-	var discardedSetUps map[core.ID]bool // set-ups that were given up before they were taken
+	var discardedSetUps map[core.ID]bool // set-ups that were given up before they were posted
 	firstRead, peerClosed := true, false
 	closeMalformed := func() {
 		p.loop.Post(core.CallerMalformed{Conn: c.connID})
@@ -505,7 +518,7 @@
 		case err != nil:
 			return
 		}
-		if firstRead { // for its turn to be accepted, or for the process that has it now
+		if firstRead { // the caller may have left while the connection waited in the backlog or for its transfer
 			firstRead, peerClosed = false, link.PeerClosed(c.conn)
 		}
 		receivedAt := p.loop.Now()
@@ -516,7 +529,7 @@
 			}
 			switch {
 			case err != nil:
-			case f.msgType == typeSetUp && (peerClosed || containsGiveUp(buf.Bytes()[size:], f.callID)): // nobody waits for it any more
+			case f.msgType == typeSetUp && (peerClosed || containsGiveUp(buf.Bytes()[size:], f.callID)): // the caller no longer waits for an answer
 				if discardedSetUps == nil {
 					discardedSetUps = make(map[core.ID]bool)
 				}
@@ -526,8 +539,8 @@
 				delete(discardedSetUps, f.callID)
 			}
 			if err != nil {
-				p.sampledLog.Warn().Err(err).Stringer("caller", c.conn.RemoteAddr()).Msg("what a caller sends can't be read")
-				if f.msgType == typeSetUp { // refused
+				p.sampledLog.Warn().Err(err).Stringer("caller", c.conn.RemoteAddr()).Msg("malformed message from a caller")
+				if f.msgType == typeSetUp { // the core refuses a set-up of class -1
 					p.loop.Post(core.SetUp{ID: f.callID, From: c.connID, Class: -1, At: receivedAt})
 				}
 				closeMalformed()
@@ -542,7 +555,7 @@
 	}
 }
 
-// givesUp says whether what was read behind a set-up gives it up.
+// containsGiveUp reports whether b, the bytes read after a set-up, contains the release message that gives the set-up up.
 func containsGiveUp(b []byte, id core.ID) bool {
 	for len(b) >= lengthSize+headerSize {
 		if b[lengthSize] == typeRelease && binary.BigEndian.Uint64(b[lengthSize+1:]) == uint64(id) {
@@ -553,7 +566,8 @@
 	return false
 }
 
-// take passes a caller's message on. Moot: the set-up that it ends has not been.
+// handleFrame posts the event for a caller's message and answers the message if the protocol requires that. setUpDiscarded
+// means that the set-up which a release message ends was never posted.
 func (p *Platform) handleFrame(conn core.ConnID, outbox *link.Outbox, f frame, receivedAt core.Time, setUpDiscarded bool) error {
 	switch f.msgType {
 	case typeSetUp:
@@ -569,15 +583,16 @@
 		outbox.Post(link.Item{Data: appendFrame(nil, typeTested, f.callID, appendParam(nil, paramCause, passed))})
 	case typeProgress, typeReleaseAck, typeGroup, typeTested:
 	default:
-		return fmt.Errorf("a message of the unknown type %d", f.msgType)
+		return fmt.Errorf("unknown message type %d", f.msgType)
 	}
 	return nil
 }
 
-// setUp translates a set-up. One that makes no sense gets a Class of -1, and the core refuses it: servers close
-// on a call without an id, whatever else is open there, and an error of theirs costs them work.
+// setUpEvent translates a set-up message. An invalid set-up gets class -1, and the core refuses it. It must not reach a server:
+// on a call without an id, servers close the connection with all other calls on it, and other errors cost them work.
 func (p *Platform) setUpEvent(conn core.ConnID, f frame, receivedAt core.Time) core.SetUp {
-	ev := core.SetUp{ID: f.callID, From: conn, Name: f.class, Tenant: f.tenant, NumberText: f.numberText, Number: numberValue(f.numberText), Desc: f.desc, Cell: -1, At: receivedAt}
+	ev := core.SetUp{ID: f.callID, From: conn, Name: f.class, Tenant: f.tenant, NumberText: f.numberText, Number: numberValue(f.numberText),
+		Desc: f.desc, Cell: -1, At: receivedAt}
 	timeLeft, err := strconv.ParseFloat(f.timeLeft, 64)
 	cfg := p.config.Load()
 	index, known := cfg.classIndexes[f.class]
@@ -605,24 +620,25 @@
 		}
 	}
 	if ev.Class = index; !valid {
-		p.sampledLog.Warn().Str("class", f.class).Str("left", f.timeLeft).Str("extras", f.extras).Msg("set-up refused")
+		p.sampledLog.Warn().Str("class", f.class).Str("left", f.timeLeft).Str("extras", f.extras).Msg("invalid set-up refused")
 		ev.Class = -1
 		return ev
 	}
 	ev.TimeLeft = time.Duration(timeLeft * float64(time.Millisecond))
-	if class.MaxWait > 0 { // nobody waits for longer; a timer of days would be kept for days
+	if class.MaxWait > 0 { // no caller waits longer; a claim of days would keep a timer for days
 		ev.TimeLeft = min(ev.TimeLeft, class.MaxWait)
 	}
 	return ev
 }
 
-// What a sound set-up stays under.
+// Exclusive upper limits of values in a valid set-up.
 const (
-	maxTimeLeft = 1e9
-	maxCells    = 1 << 16
+	maxTimeLeft = 1e9     // milliseconds
+	maxCells    = 1 << 16 // cell index
 )
 
-// number is a called number as the module compares it: 0 is none.
+// numberValue converts a called number to the value that the controller compares: hexadecimal digits to their value, other
+// text to a hash. 0 means no number.
 func numberValue(text string) uint64 {
 	if text == "" {
 		return 0
--- a/internal/platform/crossings_test.go
+++ b/internal/platform/crossings_test.go
@@ -82,7 +82,7 @@
 			if name == "a set-up cut short" {
 				a.wantFrame(typeRelease, 3, 100)
 			}
-			s.sendLine(acceptLine, 1)
+			s.send(acceptLine, 1)
 			a.wantFrame(typeAnswer, 1, -1)
 			a.wantEOF()
 		})
@@ -106,7 +106,7 @@
 		for s.serverLines.Scan() {
 			var id core.ID
 			if n, _ := fmt.Sscanf(s.serverLines.Text(), `{"op":"offer","call":"%x"`, &id); n == 1 {
-				s.sendLine(acceptLine, id)
+				s.send(acceptLine, id)
 			}
 		}
 	}()
@@ -115,7 +115,7 @@
 			t.Errorf("a final answer for %x, %v, want %x", id, err, i+2)
 		}
 	}
-	s.sendLine(acceptLine, 1)
+	s.send(acceptLine, 1)
 	s.wantFrame(typeAnswer, 1, -1)
 }
 
@@ -147,7 +147,7 @@
 			s.callerConn.Write(append(setUpFrame(1, "voice", "9000", ""), setUpFrame(2, "voice", "9000", "")...))
 			s.wantLine(`"offer"`, `0001"`)
 			s.wantLine(`"offer"`, `0002"`)
-			s.sendLine("%s", line)
+			s.send("%s", line)
 			s.wantLine(`"end"`, `0001"`)
 			firstConn, firstLines := s.serverConn, s.serverLines
 			s.acceptServerConn()
@@ -157,7 +157,7 @@
 			if firstLines.Scan() || firstLines.Err() != nil {
 				t.Errorf("%q, %v on a connection that has to end", firstLines.Text(), firstLines.Err())
 			}
-			s.sendLine(`{"op":"end","call":"0000000000000002","with":{},"why":16}`)
+			s.send(`{"op":"end","call":"0000000000000002","with":{},"why":16}`)
 			s.wantFrame(typeRelease, 2, 16)
 		})
 	}
@@ -169,15 +169,15 @@
 	s := newScenario(t)
 	s.callerConn.Write(setUpFrame(1, "voice", "9000", ""))
 	s.wantLine(`"offer"`)
-	s.sendLine(acceptLine, 1)
+	s.send(acceptLine, 1)
 	s.wantFrame(typeAnswer, 1, -1)
 	for _, why := range []int{34, 17, 47, 102} {
-		s.sendLine(`{"op":"end","call":"0000000000000001","with":{},"why":%d}`, why)
+		s.send(`{"op":"end","call":"0000000000000001","with":{},"why":%d}`, why)
 	}
-	s.sendLine(acceptLine, 1)
-	s.sendLine(`{"op":"end","call":"0000000000000001","with":{},"why":41}`)
+	s.send(acceptLine, 1)
+	s.send(`{"op":"end","call":"0000000000000001","with":{},"why":41}`)
 	s.wantFrame(typeRelease, 1, 41)
-	s.sendLine(`{"op":"end","call":"0000000000000001","with":{},"why":16}`)
+	s.send(`{"op":"end","call":"0000000000000001","with":{},"why":16}`)
 	s.callerConn.Write(appendFrame(nil, typeTest, 5, appendParam(nil, paramCause, 0)))
 	s.wantFrame(typeTested, 5, 1) // and nothing before it
 }
@@ -231,7 +231,7 @@
 			s.wantLine(`"offer"`, `0001"`)
 			q.conn.Write(setUpFrame(2, "voice", "9000", ""))
 			s.wantLine(`"offer"`, `0002"`)
-			s.sendLine(`{"op":"end","call":"0000000000000002","with":{},"why":41}`)
+			s.send(`{"op":"end","call":"0000000000000002","with":{},"why":41}`)
 			leave(p, 1)
 			s.wantLine(`"end"`, `0001"`)
 			other.wantLine(`"offer"`, `0002"`) // after the gap
@@ -288,7 +288,7 @@
 			t.Errorf("the server is told %s", s.serverLines.Text())
 		}
 	}
-	s.sendLine(acceptLine, 3)
+	s.send(acceptLine, 3)
 	stays.wantFrame(typeAnswer, 3, -1)
 	stays.conn.Write(setUpFrame(4, "voice", "9000", ""))
 	s.wantLine(`"offer"`, `0004"`)
@@ -317,7 +317,7 @@
 		c.Deployment.Classes = append(c.Deployment.Classes[:0:0], c.Deployment.Classes...)
 		c.Deployment.Classes[0].Name = "video"
 	})
-	s.sendLine(`{"op":"end","call":"0000000000000001","with":{"note":"swamped"},"why":34}`)
+	s.send(`{"op":"end","call":"0000000000000001","with":{"note":"swamped"},"why":34}`)
 	other.wantLine(`"offer"`, `"class":"voice"`)
 }
 
@@ -350,9 +350,9 @@
 		if pass := <-next.transfers; len(pass.Open) != 2 {
 			t.Errorf("%d set-ups are passed on as open, want 2", len(pass.Open))
 		}
-		s.sendLine(acceptLine, 1) // while it is held
-		s.sendLine(`{"op":"end","call":"0000000000000001","with":{},"why":16}`)
-		s.sendLine(`{"op":"test","call":"0000000000000009","with":{},"why":0}`)
+		s.send(acceptLine, 1) // while it is held
+		s.send(`{"op":"end","call":"0000000000000001","with":{},"why":16}`)
+		s.send(`{"op":"test","call":"0000000000000009","with":{},"why":0}`)
 		s.wantLine(`"tested"`) // all that has been taken in
 		if !dies {
 			next.results <- nil
@@ -366,7 +366,7 @@
 		next.results <- io.ErrClosedPipe
 		s.wantFrame(typeAnswer, 1, -1)
 		s.wantFrame(typeRelease, 1, 16)
-		s.sendLine(acceptLine, 2)
+		s.send(acceptLine, 2)
 		s.wantFrame(typeAnswer, 2, -1)
 		s.callerConn.Write(setUpFrame(3, "voice", "9000", ""))
 		s.wantLine(`"offer"`, `0003"`)
@@ -380,12 +380,8 @@
 func TestEventsDuringTransfer(t *testing.T) {
 	for name, causeEvent := range map[string]func(s *scenario){
 		"reset": func(s *scenario) { s.serverConn.(*net.TCPConn).SetLinger(0); s.serverConn.Close() },
-		"drain": func(s *scenario) {
-			s.loop.Post(core.Drain{On: true})
-			s.loop.Post(core.Drain{})
-			s.sendLine(acceptLine, 1)
-		},
-		"stop": func(s *scenario) { s.loop.Post(core.Stop{}); s.loop.Post(core.HandOver{}); s.sendLine(acceptLine, 1) },
+		"drain": func(s *scenario) { s.loop.Post(core.Drain{On: true}); s.loop.Post(core.Drain{}); s.send(acceptLine, 1) },
+		"stop":  func(s *scenario) { s.loop.Post(core.Stop{}); s.loop.Post(core.HandOver{}); s.send(acceptLine, 1) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newScenario(t, func(s *scenario) { s.limits.MaxStopWait, s.limits.DrainCheckInterval = time.Minute, time.Millisecond })
@@ -400,9 +396,9 @@
 				s.loop.Post(core.List{Servers: []core.Server{{Name: "s", Address: s.serverListener.Addr().String(), Protocol: Protocol, Phase: elmseam.Gone}}})
 				other := s.acceptFrom(s.addServer())
 				other.wantLine(`"offer"`, `0001"`)
-				other.sendLine(acceptLine, 1)
+				other.send(acceptLine, 1)
 			} else {
-				s.sendLine(`{"op":"test","call":"0000000000000009","with":{},"why":0}`)
+				s.send(`{"op":"test","call":"0000000000000009","with":{},"why":0}`)
 				s.wantLine(`"tested"`)
 			}
 			next.results <- nil
@@ -450,7 +446,7 @@
 	for c.transferring.Load() {
 		time.Sleep(time.Millisecond)
 	}
-	s.sendLine(acceptLine, 1)
+	s.send(acceptLine, 1)
 	if _, err := io.CopyN(io.Discard, p.callerConn, queuedBytes); err != nil {
 		t.Fatal(err)
 	}
@@ -492,11 +488,11 @@
 		s.limits.StopGrace, s.limits.StopLinger, s.limits.MaxStopWait = 20*time.Millisecond, 20*time.Millisecond, 300*time.Millisecond
 	})
 	stalled, _, queuedBytes := s.addStalledCaller(1)
-	s.sendLine(acceptLine, 1)
+	s.send(acceptLine, 1)
 	s.callerConn.Write(append(setUpFrame(2, "voice", "9000", ""), setUpFrame(3, "voice", "9000", "")...))
 	s.wantLine(`"offer"`, `0002"`)
 	s.wantLine(`"offer"`, `0003"`)
-	s.sendLine(`{"op":"end","call":"0000000000000002","with":{},"why":41}`) // within the gap
+	s.send(`{"op":"end","call":"0000000000000002","with":{},"why":41}`) // within the gap
 	gate := make(chan struct{})
 	s.dialGate.Store(&gate)
 	s.loop.Post(core.List{Full: true, Servers: []core.Server{
@@ -547,7 +543,7 @@
 	for id := core.ID(1); s.dialCount.Load() < 50; id++ {
 		s.callerConn.Write(setUpFrame(id, "voice", "9000", ""))
 		s.wantLine(`"offer"`, fmt.Sprintf(`%x"`, uint64(id)))
-		s.sendLine(acceptLine, id)
+		s.send(acceptLine, id)
 		s.wantFrame(typeAnswer, id, -1)
 	}
 	if n := leak.OpenDescriptors(); n > before+1 {
@@ -588,7 +584,7 @@
 		for s.serverLines.Scan() {
 			var id core.ID
 			if n, _ := fmt.Sscanf(s.serverLines.Text(), `{"op":"offer","call":"%x"`, &id); n == 1 {
-				s.sendLine(`{"op":"end","call":"%016x","with":{},"why":47}`, id)
+				s.send(`{"op":"end","call":"%016x","with":{},"why":47}`, id)
 			}
 		}
 	}()
@@ -660,7 +656,7 @@
 	s := newScenario(t)
 	s.callerConn.Write(setUpFrame(1, "voice", "9000", ""))
 	s.wantLine(`"offer"`, `0001"`)
-	s.sendLine(acceptLine, 1)
+	s.send(acceptLine, 1)
 	s.wantFrame(typeAnswer, 1, -1)
 	address := s.serverListener.Addr().String()
 	s.loop.Post(core.List{Servers: []core.Server{
@@ -681,15 +677,15 @@
 	for _, id := range []core.ID{1, 2} { // the second is remembered, the first is not
 		s.callerConn.Write(setUpFrame(id, "voice", "2000", ""))
 		s.wantLine(`"offer"`)
-		s.sendLine(acceptLine, id)
+		s.send(acceptLine, id)
 		s.wantFrame(typeAnswer, id, -1)
-		s.sendLine(`{"op":"end","call":"%016x","with":{},"why":16}`, id)
+		s.send(`{"op":"end","call":"%016x","with":{},"why":16}`, id)
 		s.wantFrame(typeRelease, id, 16) // it is over by then
 	}
 	s.callerConn.Write(setUpFrame(1, "voice", "9000", ""))
 	s.wantLine(`"offer"`, `0001"`)
 	time.Sleep(2100 * time.Millisecond) // past the first one's deadline
-	s.sendLine(acceptLine, 1)
+	s.send(acceptLine, 1)
 	s.wantFrame(typeAnswer, 1, -1)
 }
 
@@ -698,9 +694,9 @@
 	s := newScenario(t, func(s *scenario) { s.limits.MaxServerConns = 1 })
 	s.callerConn.Write(setUpFrame(9, "voice", "9000", ""))
 	s.wantLine(`"offer"`) // the connection to the first is up
-	s.sendLine(acceptLine, 9)
+	s.send(acceptLine, 9)
 	s.wantFrame(typeAnswer, 9, -1)
-	s.sendLine(`{"op":"end","call":"%016x","with":{},"why":16}`, 9)
+	s.send(`{"op":"end","call":"%016x","with":{},"why":16}`, 9)
 	s.wantFrame(typeRelease, 9, 16)
 	l := s.addServer()
 	s.loop.Post(core.List{Servers: []core.Server{{Name: "s", Address: s.serverListener.Addr().String(), Protocol: Protocol, Phase: elmseam.Draining}}})
@@ -734,7 +730,7 @@
 		}})
 		s.callerConn.Write(appendFrame(nil, typeTest, 5, appendParam(nil, paramCause, 0)))
 		s.wantFrame(typeTested, 5, 1)
-		s.sendLine(`{"op":"group","call":"","with":{"load":"spare:8;cut_by:0.5"},"why":0}`)
+		s.send(`{"op":"group","call":"","with":{"load":"spare:8;cut_by:0.5"},"why":0}`)
 		got := <-reports
 		for i, f := range tt.columns {
 			if want := map[elmseam.LoadMetric]float64{elmseam.LoadMetricFreeLines: 8, elmseam.LoadMetricHoldBackShare: 0.5}[f]; got[i] != want {
--- a/internal/platform/json.go
+++ b/internal/platform/json.go
@@ -7,19 +7,20 @@
 	"unicode/utf8"
 )
 
-// line is one JSON line of a server.
+// serverMessage is a message from a server, which is one line of JSON. Numbers are kept as the text in which they were written.
 type serverMessage struct {
 	op, call, desc   string
-	cause            int
+	cause            int // the key "why"; -1 if the message has none
 	loadReport, note string
 }
 
-var errJSON = errors.New("broken JSON")
+// errJSON is the error for input that is not valid JSON or not of the expected type.
+var errJSON = errors.New("malformed JSON")
 
-// maxDepth is how deep values may nest; the protocol needs two.
+// maxNesting is the maximum nesting of values under unknown keys; the protocol needs two levels.
 const maxNesting = 16
 
-// parseLine reads a line. Keys it doesn't know are passed over.
+// parseServerMessage decodes a line. It skips unknown keys.
 func parseServerMessage(b []byte) (msg serverMessage, err error) {
 	s := jsonScanner{data: b}
 	msg.cause = -1
@@ -58,13 +59,13 @@
 	return msg, err
 }
 
-// scanner reads JSON from its front.
+// jsonScanner reads JSON values one after another.
 type jsonScanner struct {
 	data []byte
-	pos  int
+	pos  int // index of the next byte in data
 }
 
-// peek is the next byte after white space; 0 at the end.
+// peek skips white space and returns the next byte without consuming it, or 0 at the end of the data.
 func (s *jsonScanner) peek() byte {
 	for ; s.pos < len(s.data); s.pos++ {
 		switch c := s.data[s.pos]; c {
@@ -76,7 +77,7 @@
 	return 0
 }
 
-// eat consumes a byte if it comes next.
+// consume consumes c if it is the next byte after white space, and reports whether it was.
 func (s *jsonScanner) consume(c byte) bool {
 	if s.peek() != c {
 		return false
@@ -85,7 +86,7 @@
 	return true
 }
 
-// object reads an object; each is called with a key and reads its value.
+// readObject reads an object. It calls readValue after each key, to read the key's value.
 func (s *jsonScanner) readObject(readValue func(key string) error) error {
 	if !s.consume('{') {
 		return errJSON
@@ -113,21 +114,21 @@
 	}
 }
 
-// text reads a string, or a number as it is written.
-func (s *jsonScanner) readText(into *string) (err error) {
+// readText reads a value into target: a string without its quotes, any other value as it is written.
+func (s *jsonScanner) readText(target *string) (err error) {
 	if s.peek() == '"' {
-		*into, err = s.readString()
+		*target, err = s.readString()
 		return err
 	}
 	start := s.pos
 	if err := s.skipValue(0); err != nil {
 		return err
 	}
-	*into = string(s.data[start:s.pos])
+	*target = string(s.data[start:s.pos])
 	return nil
 }
 
-// str reads a string.
+// readString reads a string and decodes its escapes.
 func (s *jsonScanner) readString() (string, error) {
 	if !s.consume('"') {
 		return "", errJSON
@@ -183,6 +184,7 @@
 	return "", errJSON
 }
 
+// readHex4 reads the four hexadecimal digits of a \u escape.
 func (s *jsonScanner) readHex4() (rune, bool) {
 	if s.pos+4 > len(s.data) {
 		return 0, false
@@ -192,7 +194,7 @@
 	return rune(n), err == nil
 }
 
-// pass passes over a value.
+// skipValue reads a value at the given nesting depth and drops it.
 func (s *jsonScanner) skipValue(depth int) error {
 	if depth > maxNesting {
 		return errJSON
@@ -232,9 +234,10 @@
 	return nil
 }
 
+// hexDigits are the digits of \u escapes that appendString writes.
 const hexDigits = "0123456789abcdef"
 
-// appendText writes a JSON string.
+// appendString appends text to b as a JSON string.
 func appendString[T string | []byte](b []byte, text T) []byte {
 	b = append(b, '"')
 	for i := range len(text) {
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -139,7 +139,7 @@
 	}
 }
 
-func (s *scenario) sendLine(format string, args ...any) {
+func (s *scenario) send(format string, args ...any) {
 	fmt.Fprintf(s.serverConn, format+"\n", args...)
 }
 
@@ -179,12 +179,12 @@
 	}
 	s.wantLine(`"op":"offer"`, `"call":"0000000000009b1f"`, `"class":"voice"`, `"key":"7f3a9c21e0b4d655"`, `"left":"1`,
 		`"desc":"line\r\n\"q\\\" é\u0001"`)
-	s.sendLine(`{"op":"ringing","call":"0000000000009b1f","with":{}}`)
-	s.sendLine(`{"op":"accept","call":"0000000000009b1f","with":{"load":"spare:3;new:1"},"x":[1,{"y":null}],"desc":"\u00e9\ud83d\ude00\n"}`)
+	s.send(`{"op":"ringing","call":"0000000000009b1f","with":{}}`)
+	s.send(`{"op":"accept","call":"0000000000009b1f","with":{"load":"spare:3;new:1"},"x":[1,{"y":null}],"desc":"\u00e9\ud83d\ude00\n"}`)
 	if f := s.wantFrame(typeAnswer, 0x9b1f, -1); string(f.desc) != "é😀\n" {
 		t.Errorf("description %q", f.desc)
 	}
-	s.sendLine(`{"op":"end","call":"0000000000009b1f","with":{},"why":41}`)
+	s.send(`{"op":"end","call":"0000000000009b1f","with":{},"why":41}`)
 	s.wantFrame(typeRelease, 0x9b1f, 41)
 	s.callerConn.Write(appendFrame(nil, typeTest, 5, appendParam(nil, paramCause, 0)))
 	s.wantFrame(typeTested, 5, 1)
@@ -197,13 +197,13 @@
 	s.callerConn.Write(append(setUpFrame(1, "voice", "5000", ""), setUpFrame(2, "voice", "5000", "")...))
 	s.wantLine(`"offer"`, `0001"`)
 	s.wantLine(`"offer"`, `0002"`)
-	s.sendLine(`{"op":"accept","call":"0000000000000001","with":{},"desc":""}`)
+	s.send(`{"op":"accept","call":"0000000000000001","with":{},"desc":""}`)
 	s.wantFrame(typeAnswer, 1, -1)
 	s.serverConn.(*net.TCPConn).SetLinger(0)
 	s.serverConn.Close()
 	s.acceptServerConn()
 	s.wantFrame(typeRelease, 2, 42)
-	s.sendLine(`{"op":"end","call":"0000000000000001","with":{},"why":16}`)
+	s.send(`{"op":"end","call":"0000000000000001","with":{},"why":16}`)
 	s.wantFrame(typeRelease, 1, 16)
 }
 
@@ -213,21 +213,21 @@
 	s := newScenario(t)
 	s.callerConn.Write(setUpFrame(1, "voice", "5000", ""))
 	s.wantLine(`"offer"`)
-	s.sendLine(`{"op":"accept","call":"0000000000000001","with":{},"desc":""}`)
+	s.send(`{"op":"accept","call":"0000000000000001","with":{},"desc":""}`)
 	s.wantFrame(typeAnswer, 1, -1)
 	fmt.Fprint(s.serverConn, `{"op":"end","ca`)
 	s.acceptServerConn()
-	s.sendLine(`{"op":"end","call":"0000000000000001","with":{},"why":16}`) // told again on the next one
+	s.send(`{"op":"end","call":"0000000000000001","with":{},"why":16}`) // told again on the next one
 	s.wantFrame(typeRelease, 1, 16)
 	for range minIntervals + 1 {
-		s.sendLine(`{"op":"group","with":{"load":"spare:3"}}`)
+		s.send(`{"op":"group","with":{"load":"spare:3"}}`)
 		time.Sleep(20 * time.Millisecond)
 	}
 	s.callerConn.Write(setUpFrame(2, "voice", "5000", ""))
 	s.wantLine(`"offer"`, `0002"`)
 	s.acceptServerConn()
 	s.wantFrame(typeRelease, 2, 42) // there is no other server
-	s.sendLine(`{"op":"group","with":{"load":"spare:3"}}`)
+	s.send(`{"op":"group","with":{"load":"spare:3"}}`)
 	s.callerConn.Write(setUpFrame(3, "voice", "5000", ""))
 	s.wantLine(`"offer"`, `0003"`)
 	s.acceptServerConn() // what the first has taught holds for the next
@@ -239,7 +239,7 @@
 func TestQuietServerKeepsConnection(t *testing.T) {
 	s := newScenario(t)
 	for range minIntervals + 1 {
-		s.sendLine(`{"op":"group","with":{"load":"spare:3"}}`)
+		s.send(`{"op":"group","with":{"load":"spare:3"}}`)
 		time.Sleep(5 * time.Millisecond)
 	}
 	s.serverConn.SetReadDeadline(time.Now().Add(200 * time.Millisecond)) // many times what makes a silence here
@@ -247,11 +247,11 @@
 		t.Fatalf("a connection on which nothing is owed: %v", err)
 	}
 	s.serverConn.SetReadDeadline(time.Now().Add(testTimeout))
-	s.sendLine(`{"op":"test","call":"0000000000000009","with":{},"why":0}`)
+	s.send(`{"op":"test","call":"0000000000000009","with":{},"why":0}`)
 	s.wantLine(`"tested"`)
 	s.callerConn.Write(setUpFrame(1, "voice", "5000", ""))
 	s.wantLine(`"offer"`, `0001"`)
-	s.sendLine(`{"op":"accept","call":"0000000000000001","with":{},"desc":""}`)
+	s.send(`{"op":"accept","call":"0000000000000001","with":{},"desc":""}`)
 	s.wantFrame(typeAnswer, 1, -1)
 }
 
@@ -272,10 +272,10 @@
 		})
 		s.callerConn.Write(setUpFrame(1, "voice", "5000", ""))
 		s.wantLine(`"offer"`)
-		s.sendLine(`{"op":"accept","call":"0000000000000001","with":{},"desc":""}`)
+		s.send(`{"op":"accept","call":"0000000000000001","with":{},"desc":""}`)
 		s.wantFrame(typeAnswer, 1, -1)
 		for range minIntervals + 1 {
-			s.sendLine(`{"op":"group","with":{"load":"recent_ms:1"}}`)
+			s.send(`{"op":"group","with":{"load":"recent_ms:1"}}`)
 			time.Sleep(5 * time.Millisecond)
 		}
 		if permitted {
@@ -283,14 +283,14 @@
 			var probeMsg struct{ Call string }
 			json.Unmarshal(s.serverLines.Bytes(), &probeMsg)
 			for range 2 {
-				s.sendLine(`{"op":"tested","call":%q,"with":{"load":"recent_ms:7"},"why":1}`, probeMsg.Call)
+				s.send(`{"op":"tested","call":%q,"with":{"load":"recent_ms:7"},"why":1}`, probeMsg.Call)
 			}
 			s.wantLine(`"test"`) // it is silent again, and says nothing to this one
 			for load := 0.0; load != 7; load = <-reports {
 			}
 		}
 		s.acceptServerConn()
-		s.sendLine(`{"op":"end","call":"0000000000000001","with":{},"why":16}`)
+		s.send(`{"op":"end","call":"0000000000000001","with":{},"why":16}`)
 		s.wantFrame(typeRelease, 1, 16)
 		for len(reports) > 0 {
 			if <-reports == 7 {
@@ -308,8 +308,8 @@
 	s.callerConn.Write(releaseFrame(1, 16))
 	s.wantFrame(typeReleaseAck, 1, -1)
 	s.wantLine(`"end"`, `"why":16`)
-	s.sendLine(`{"op":"accept","call":"0000000000000001","with":{},"desc":""}`)
-	s.sendLine(`{"op":"test","call":"0000000000000009","with":{},"why":0}`)
+	s.send(`{"op":"accept","call":"0000000000000001","with":{},"desc":""}`)
+	s.send(`{"op":"test","call":"0000000000000009","with":{},"why":0}`)
 	for s.serverLines.Scan() && !strings.Contains(s.serverLines.Text(), `"tested"`) { // what it said before has been taken in
 	}
 	s.callerConn.Write(setUpFrame(2, "video", "5000", "")) // a class nobody knows: that call alone is refused
@@ -338,7 +338,7 @@
 		}
 		c.Close()
 	}
-	s.sendLine(`{"op":"group","with":{"load":`) // a server that speaks nonsense is left, and sought again
+	s.send(`{"op":"group","with":{"load":`) // a server that speaks nonsense is left, and sought again
 	s.acceptServerConn()
 	s.callerConn.Write(setUpFrame(1, "voice", "5000", ""))
 	s.wantLine(`"offer"`)
--- a/internal/platform/server.go
+++ b/internal/platform/server.go
@@ -19,21 +19,23 @@
 	"elmseam/internal/settings"
 )
 
-// server is the sending side of a connection to a server.
+// server is a connection to a server. It is the loop.EffectHandler of that connection; readLines is its receiving side.
 type server struct {
 	platform *Platform
-	name     string
+	name     string // of the server
 	connID   core.ConnID
 	outbox   *link.Outbox
 
-	lingerTimeout time.Duration
+	lingerTimeout time.Duration // between a graceful close and the end of the connection
 }
 
+// Close closes the connection immediately.
 func (s *server) Close() { s.outbox.Close() }
 
+// Flush waits for a short, bounded time until all queued messages are written.
 func (s *server) Flush() { s.outbox.Flush() }
 
-// HandleEffect writes an effect for a server.
+// HandleEffect sends the message for an effect to the server. It returns core.NotSent for offers that it could retract.
 func (s *server) HandleEffect(e core.Effect) []core.Event {
 	switch e := e.(type) {
 	case core.Offer:
@@ -53,7 +55,7 @@
 		s.outbox.Post(item)
 	case core.Probe:
 		s.outbox.Post(link.Item{Data: fmt.Appendf(nil, `{"op":"test","call":"%016x","with":{},"why":%d}`+"\n", uint64(e.ID), testCauseReport)})
-	case core.GracefulClose: // what was written last can still be read
+	case core.GracefulClose: // the server gets lingerTimeout to read the last messages
 		s.outbox.Finish(func() { time.AfterFunc(s.lingerTimeout, s.outbox.Close) })
 	case core.Withdraw:
 		var notSent []core.Event
@@ -65,10 +67,10 @@
 	return nil
 }
 
-// askReport is the cause of a test that is answered with a report.
+// testCauseReport is the cause of a test message that asks the server for a load report in its answer.
 const testCauseReport = 1
 
-// appendOffer writes a set-up.
+// appendOffer appends the message that offers a set-up to a server. The time left in it is at least 1 ms.
 func appendOffer(b []byte, e core.Offer, now core.Time) []byte {
 	b = fmt.Appendf(b, `{"op":"offer","call":"%016x","with":{"class":`, uint64(e.ID))
 	b = appendString(b, e.Class)
@@ -80,46 +82,47 @@
 	return append(appendString(b, e.Desc), '}', '\n')
 }
 
-// appendEnd writes a give-up or a release.
+// appendEnd appends the message that gives an attempt up or releases a call.
 func appendEnd(b []byte, id core.ID, cause int) []byte {
 	return fmt.Appendf(b, `{"op":"end","call":"%016x","with":{},"why":%d}`+"\n", uint64(id), cause)
 }
 
-// Dial makes a connection to a server and reads it to its end. It is a loop.Dialer.
+// Dial connects to a server and reads the connection until it ends. It is a loop.Dialer.
 func (p *Platform) Dial(e core.Dial) {
 	cfg := p.config.Load()
 	conn, err := net.DialTimeout("tcp", e.Address, cfg.DialTimeout)
 	if err != nil {
-		p.log.Debug().Err(err).Str("server", e.Server).Msg("server out of reach")
+		p.log.Debug().Err(err).Str("server", e.Server).Msg("server unreachable")
 		p.loop.Post(core.ServerDown{Server: e.Server, Address: e.Address})
 		return
 	}
 	p.openConns.Add(1)
 	defer p.openConns.Add(-1)
 	defer conn.Close()
-	s := &server{platform: p, name: e.Server, connID: p.loop.NewConnID(), outbox: link.NewOutbox(conn, cfg.ServerConn), lingerTimeout: cfg.ServerConn.LingerTimeout}
+	s := &server{platform: p, name: e.Server, connID: p.loop.NewConnID(), outbox: link.NewOutbox(conn, cfg.ServerConn),
+		lingerTimeout: cfg.ServerConn.LingerTimeout}
 	p.loop.Attach(s.connID, s, core.ServerUp{Server: e.Server, Address: e.Address, Conn: s.connID})
 	err = s.readLines(conn, cfg.ServerConn)
 	p.log.Info().Err(err).Str("server", e.Server).Msg("connection to server ended")
 	p.loop.Post(core.ServerDown{Server: e.Server, Conn: s.connID})
 }
 
-// read takes in a server's lines.
+// readLines reads a server's messages until the connection ends, and returns the error that ended it.
 func (s *server) readLines(conn net.Conn, limits link.Limits) error {
 	buf := link.NewBuffer(limits.InitialBufferSize, limits.MaxMessageSize)
-	var lastReport time.Time // its state, last
+	var lastReport time.Time // when the server's last state report arrived; zero: none yet
 	partial := false
 	silent := false
 	for {
 		silenceTimeout := s.platform.silence.timeout(limits.MaxSilence)
 		switch now := time.Now(); {
-		case len(buf.Bytes()) > 0 && !partial: // the line must be whole by then
+		case len(buf.Bytes()) > 0 && !partial: // the rest of the line must arrive within the line timeout
 			partial = true
 			conn.SetReadDeadline(now.Add(limits.LineTimeout))
 		case partial:
 		case lastReport.IsZero() || silenceTimeout == 0:
 			conn.SetReadDeadline(time.Time{})
-		case silent: // an interval later it is looked at again
+		case silent: // reported as silent: check again after the longest report interval
 			conn.SetReadDeadline(now.Add(silenceTimeout / silenceIntervals))
 		default:
 			conn.SetReadDeadline(now.Add(silenceTimeout))
@@ -145,8 +148,8 @@
 			if err == nil {
 				err = s.handleMessage(msg)
 			}
-			if err != nil { // the end of the attempt it was for, and of no other
-				s.platform.sampledLog.Warn().Err(err).Str("server", s.name).Int("bytes", lineEnd).Msg("a server's message can't be read")
+			if err != nil { // ends only the attempt that the message was for
+				s.platform.sampledLog.Warn().Err(err).Str("server", s.name).Int("bytes", lineEnd).Msg("malformed message from a server")
 				s.platform.loop.Post(core.ServerMalformed{Server: s.name, Conn: s.connID, ID: callIDIn(b[:lineEnd])})
 			} else if now := time.Now(); msg.op == "group" {
 				if !lastReport.IsZero() {
@@ -160,10 +163,10 @@
 	}
 }
 
-// callNamed is how a line names the call it is for.
+// callField matches the field of a line that names the line's call.
 var callField = regexp.MustCompile(`"call"\s*:\s*"([0-9a-fA-F]{16})"`)
 
-// callIn is the call that a line names which can't be read; 0: none, or more than one.
+// callIDIn returns the id of the call that a malformed line names, or 0 if the line names no call or more than one.
 func callIDIn(b []byte) core.ID {
 	matches := callField.FindAllSubmatch(b, 2)
 	if len(matches) != 1 {
@@ -173,23 +176,23 @@
 	return core.ID(id)
 }
 
-// pulse tells when a connection has died that stays open. Servers tell the state of their group at intervals of
-// their own; when a few of them have passed without a line, nothing that is out there will be answered either.
-// What one connection has taught holds for the next.
+// silenceDetector detects connections that are open but dead. Servers send reports of their group's state at intervals of their
+// own choice. When several such intervals have passed without a line from a server, the set-ups outstanding on the connection
+// will not be answered either. One detector serves all connections, so a new connection uses the intervals seen before it.
 type silenceDetector struct {
 	mu          sync.Mutex
-	maxInterval time.Duration // the longest of late
-	intervals   int
+	maxInterval time.Duration // recent maximum of the time between two reports
+	intervals   int           // number of intervals observed
 }
 
-// Intervals that must have been seen, how many of the longest make a silence, and how slowly that one fades.
+// Parameters of silenceDetector.
 const (
-	minIntervals     = 3
-	silenceIntervals = 3
-	maxIntervalDecay = 32
+	minIntervals     = 3  // intervals that must be observed before any connection counts as silent
+	silenceIntervals = 3  // maximum intervals without a line after which a connection counts as silent
+	maxIntervalDecay = 32 // each interval moves the maximum by 1/32 of the difference towards that interval, if it is shorter
 )
 
-// told takes in the time between two states.
+// observe records the time between two state reports on one connection.
 func (d *silenceDetector) observe(interval time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -197,7 +200,7 @@
 	d.maxInterval = max(interval, d.maxInterval+(interval-d.maxInterval)/maxIntervalDecay)
 }
 
-// silence is how long a connection may bring nothing; 0: for ever.
+// timeout returns how long a connection may stay without a line, at most maxSilence. 0 means without limit.
 func (d *silenceDetector) timeout(maxSilence time.Duration) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -207,7 +210,7 @@
 	return min(silenceIntervals*d.maxInterval, maxSilence)
 }
 
-// take passes a server's message on.
+// handleMessage posts the event for a server's message and answers the message if the protocol requires that.
 func (s *server) handleMessage(msg serverMessage) error {
 	var id core.ID
 	if msg.op != "group" {
@@ -236,12 +239,12 @@
 		s.platform.loop.Post(core.ServerProbeAnswer{Server: s.name, Conn: s.connID, ID: probe.ID(id), Report: report})
 	case "ringing", "ended":
 	default:
-		return fmt.Errorf("a message of the unknown type %q", msg.op)
+		return fmt.Errorf("unknown message type %q", msg.op)
 	}
 	return nil
 }
 
-// refuses says whether a cause is the answer to a set-up, and never the end of a call that stands.
+// isRefusalCause reports whether a cause can only refuse a set-up, never release an established call.
 func isRefusalCause(cause int) bool {
 	switch q850.ReasonFromCause(cause) {
 	case core.Normal, core.Reset:
@@ -250,7 +253,8 @@
 	return true
 }
 
-// report reads a load report: each value by its name, whatever the order.
+// parseReport decodes a load report, "name:value" pairs in any order, separated by semicolons. It skips unknown and malformed
+// values, and values beyond maxReportValues.
 func parseReport(text string) (values core.Report) {
 	if text == "" {
 		return nil
@@ -265,5 +269,5 @@
 	return values
 }
 
-// mostTold is more than the values that a report has.
+// maxReportValues is the maximum number of values taken from a report, more than the protocol defines.
 const maxReportValues = 16
