--- a/internal/platform/caller.go
+++ b/internal/platform/caller.go
@@ -1,6 +1,3 @@
-// Package platform implements the platform's own signalling protocol: binary messages between callers and the softswitch, JSON
-// lines between the softswitch and servers. It translates messages into events of the core and effects of the core into
-// messages; every decision is the core's.
 package platform
 
 import (
@@ -8,227 +5,18 @@
 	"encoding/binary"
 	"errors"
 	"fmt"
-	"hash/fnv"
-	"math"
 	"net"
 	"os"
-	"slices"
-	"strconv"
-	"strings"
 	"sync"
 	"sync/atomic"
 	"syscall"
 	"time"
 
-	"github.com/rs/zerolog"
-
 	"elmseam/internal/core"
 	"elmseam/internal/link"
-	"elmseam/internal/loop"
 	"elmseam/internal/q850"
-	"elmseam/internal/settings"
-)
-
-// Protocol is the name of the platform's protocol in the core and the logs.
-const Protocol core.Protocol = "platform"
-
-// Message types, parameter codes and sizes of the callers' protocol.
-const (
-	typeSetUp      = 1
-	typeProgress   = 6
-	typeAnswer     = 9
-	typeRelease    = 12 // from a caller: give-up or release; to a caller: refusal or release
-	typeReleaseAck = 16 // answer to a caller's typeRelease
-	typeGroup      = 43
-	typeTest       = 52 // asks whether the softswitch takes new calls
-	typeTested     = 53 // answer to typeTest; paramCause is 1 if it does, else 0
-
-	paramClass        = 16
-	paramTimeLeft     = 19 // milliseconds until the caller gives up, in decimal
-	paramTenant       = 22
-	paramNumber       = 28 // called number
-	paramExtras       = 31 // "name:value" pairs, separated by semicolons
-	paramRetry        = 34 // milliseconds to wait before a retry, in decimal
-	paramCause        = 58
-	paramDesc         = 61 // description of the call, passed on unchanged
-	lengthSize        = 2  // bytes of the length before a message
-	headerSize        = 9  // bytes of a message's type and call id
-	paramHeaderSize   = 3  // bytes of a parameter's code and length
-	rejectionCapacity = 32 // bytes that the parameters of a rejection usually fit in
 )
 
-// frame is a decoded message from a caller, with its parameters in the protocol's own text form. A parameter that is absent
-// leaves its field empty.
-type frame struct {
-	msgType  byte
-	callID   core.ID
-	class    string
-	timeLeft string
-
-	tenant string
-
-	numberText string
-	extras     string
-	cause      int // -1 if the message has no cause
-	desc       []byte
-}
-
-// errIncomplete is returned by parseFrame when the rest of the message has yet to be read.
-var errIncomplete = errors.New("incomplete message")
-
-// parseFrame decodes the message at the start of b and returns it with its size in bytes, including the length field. A message
-// of more than maxSize bytes is an error.
-func parseFrame(b []byte, maxSize int) (f frame, size int, err error) {
-	if len(b) < lengthSize {
-		return f, 0, errIncomplete
-	}
-	size = lengthSize + int(binary.BigEndian.Uint16(b))
-	switch {
-	case size < lengthSize+headerSize || size > maxSize:
-		return f, 0, fmt.Errorf("invalid message size of %d bytes", size)
-	case len(b) < size:
-		return f, 0, errIncomplete
-	}
-	f.msgType, f.callID, f.cause = b[2], core.ID(binary.BigEndian.Uint64(b[3:])), -1
-	for params := b[lengthSize+headerSize : size]; len(params) > 0; {
-		if len(params) < paramHeaderSize || len(params) < paramHeaderSize+int(binary.BigEndian.Uint16(params[1:])) {
-			return f, 0, errors.New("truncated parameter")
-		}
-		code, value := params[0], params[paramHeaderSize:paramHeaderSize+int(binary.BigEndian.Uint16(params[1:]))]
-		params = params[paramHeaderSize+len(value):]
-		switch code {
-		case paramClass:
-			f.class = string(value)
-		case paramTimeLeft:
-			f.timeLeft = string(value)
-		case paramTenant:
-			f.tenant = string(value)
-		case paramNumber:
-			f.numberText = string(value)
-		case paramExtras:
-			f.extras = string(value)
-		case paramCause:
-			if len(value) != 1 {
-				return f, 0, errors.New("cause parameter is not one byte long")
-			}
-			f.cause = int(value[0])
-		case paramDesc:
-			f.desc = append([]byte(nil), value...)
-		}
-	}
-	return f, size, nil
-}
-
-// appendFrame appends an encoded message to b. params are parameters encoded by appendParam.
-func appendFrame(b []byte, msgType byte, id core.ID, params []byte) []byte {
-	b = binary.BigEndian.AppendUint16(b, uint16(headerSize+len(params)))
-	b = append(b, msgType)
-	b = binary.BigEndian.AppendUint64(b, uint64(id))
-	return append(b, params...)
-}
-
-// appendParam appends an encoded parameter to b.
-func appendParam(b []byte, code byte, value ...byte) []byte {
-	b = append(b, code)
-	b = binary.BigEndian.AppendUint16(b, uint16(len(value)))
-	return append(b, value...)
-}
-
-// Config holds the settings of a Platform. Configure can replace them at any time.
-type Config struct {
-	Deployment  settings.Deployment
-	CallerConn  link.Limits   // limits of a caller's connection
-	DialTimeout time.Duration // longest time to make a connection to a server
-
-	ServerConn link.Limits // limits of a connection to a server
-	MaxCallers int         // maximum number of simultaneous caller connections
-}
-
-// activeConfig is a Config with an index over its classes: the index of each class by its name.
-type activeConfig struct {
-	Config
-	classIndexes map[string]int
-}
-
-// Platform serves callers and servers that use the platform's protocol.
-type Platform struct {
-	config     atomic.Pointer[activeConfig]
-	loop       *loop.Loop
-	log        zerolog.Logger
-	sampledLog zerolog.Logger // for messages that callers or servers can provoke without limit
-	stopping   atomic.Bool
-	draining   atomic.Bool
-	successor  atomic.Pointer[Successor]
-	silence    silenceDetector // shared by all connections to servers
-	openConns  atomic.Int64    // open connections to servers and of adopted callers, which acceptor doesn't count
-	acceptor   *link.Acceptor
-}
-
-// New returns a Platform that exchanges events and effects with l.
-func New(cfg Config, l *loop.Loop, log zerolog.Logger) *Platform {
-	p := &Platform{loop: l, log: log, sampledLog: link.SampledLogger(log)}
-	p.Configure(cfg)
-	p.acceptor = link.NewAcceptor(func() int { return p.config.Load().MaxCallers }, p.serveCaller)
-	return p
-}
-
-// Configure replaces the settings. Open connections keep the limits that they were opened with.
-func (p *Platform) Configure(cfg Config) {
-	p.config.Store(&activeConfig{cfg, cfg.Deployment.ClassIndexes()})
-}
-
-// Classes returns the names of the request classes, by class index.
-func (p *Platform) Classes() []string {
-	var names []string
-	for _, c := range p.config.Load().Deployment.Classes {
-		names = append(names, c.Name)
-	}
-	return names
-}
-
-// MarkStopping makes all later test messages of callers fail, so that no new callers are sent to this softswitch.
-func (p *Platform) MarkStopping() { p.stopping.Store(true) }
-
-// SetDraining makes test messages of callers fail while on is true.
-func (p *Platform) SetDraining(on bool) { p.draining.Store(on) }
-
-// SetSuccessor sets the newer process that callers' connections are transferred to.
-func (p *Platform) SetSuccessor(s Successor) { p.successor.Store(&s) }
-
-// Wait waits until all connections have ended, at most for twice the linger timeout of a caller's connection.
-func (p *Platform) Wait() {
-	ended := make(chan struct{})
-	timeout := time.After(2 * p.config.Load().CallerConn.LingerTimeout)
-	go func() { p.acceptor.Wait(); close(ended) }()
-	select {
-	case <-ended:
-	case <-timeout:
-		return
-	}
-	for p.openConns.Load() > 0 { // a connection may still be starting; the loop rejects it
-		select {
-		case <-timeout:
-			return
-		case <-time.After(time.Millisecond):
-		}
-	}
-}
-
-// Serve accepts and serves callers until l is closed.
-func (p *Platform) Serve(l net.Listener) { p.acceptor.Serve(l) }
-
-// CloseListener makes the listener close once all callers that have connected so far are accepted. It does not wait.
-func (p *Platform) CloseListener() { p.acceptor.Drain() }
-
-// Successor is the newer process of a hand-over, which callers' connections are transferred to.
-type Successor interface {
-	// Transfer passes a connection to the successor, with the bytes that were read from it and not yet parsed. It may
-	// wait. An error means that the successor did not receive the connection.
-	Transfer(pass core.Transfer, rest []byte, conn syscall.Conn) error
-	// ForwardEffect passes an effect for a caller on to the successor, which has the caller's connection. It must not wait.
-	ForwardEffect(link core.ConnID, e core.Effect)
-}
-
 // caller is a connection of a caller. It is the loop.EffectHandler of that connection; readCaller is its receiving side.
 type caller struct {
 	platform      *Platform
@@ -422,15 +210,6 @@
 	}
 }
 
-// rejectionFrame encodes the final answer to a set-up that did not lead to an established call. A retryAfter of 0 is left out.
-func rejectionFrame(id core.ID, cause byte, retryAfter time.Duration) []byte {
-	params := appendParam(make([]byte, 0, rejectionCapacity), paramCause, cause)
-	if retryAfter > 0 {
-		params = appendParam(params, paramRetry, strconv.AppendInt(nil, retryAfter.Milliseconds(), 10)...)
-	}
-	return appendFrame(nil, typeRelease, id, params)
-}
-
 // serveCaller serves a new connection of a caller until it ends.
 func (p *Platform) serveCaller(conn net.Conn) {
 	limits := p.config.Load().CallerConn
@@ -587,66 +366,3 @@
 	}
 	return nil
 }
-
-// setUpEvent translates a set-up message. An invalid set-up gets class -1, and the core refuses it. It must not reach a server:
-// on a call without an id, servers close the connection with all other calls on it, and other errors cost them work.
-func (p *Platform) setUpEvent(conn core.ConnID, f frame, receivedAt core.Time) core.SetUp {
-	ev := core.SetUp{ID: f.callID, From: conn, Name: f.class, Tenant: f.tenant, NumberText: f.numberText, Number: numberValue(f.numberText),
-		Desc: f.desc, Cell: -1, At: receivedAt}
-	timeLeft, err := strconv.ParseFloat(f.timeLeft, 64)
-	cfg := p.config.Load()
-	index, known := cfg.classIndexes[f.class]
-	var class settings.Class
-	if known {
-		class = cfg.Deployment.Classes[index]
-	}
-	valid := f.callID != 0 && known && err == nil && timeLeft >= 0 && timeLeft < maxTimeLeft
-	for pair := range strings.SplitSeq(f.extras, ";") {
-		if pair == "" {
-			continue
-		}
-		name, text, _ := strings.Cut(pair, ":")
-		value, err := strconv.ParseFloat(text, 64)
-		valid = valid && err == nil
-		switch name {
-		case "dest":
-			valid = valid && value == math.Trunc(value) && value >= 0 && value < maxCells
-			ev.Cell = int(value)
-			valid = valid && (len(class.Cells) == 0 || slices.Contains(class.Cells, ev.Cell))
-		case "width":
-			valid = valid && value > 0 && (class.Lines == 0 || value == class.Lines)
-		case "again":
-			ev.Interrupted = value == 1
-		}
-	}
-	if ev.Class = index; !valid {
-		p.sampledLog.Warn().Str("class", f.class).Str("left", f.timeLeft).Str("extras", f.extras).Msg("invalid set-up refused")
-		ev.Class = -1
-		return ev
-	}
-	ev.TimeLeft = time.Duration(timeLeft * float64(time.Millisecond))
-	if class.MaxWait > 0 { // no caller waits longer; a claim of days would keep a timer for days
-		ev.TimeLeft = min(ev.TimeLeft, class.MaxWait)
-	}
-	return ev
-}
-
-// Exclusive upper limits of values in a valid set-up.
-const (
-	maxTimeLeft = 1e9     // milliseconds
-	maxCells    = 1 << 16 // cell index
-)
-
-// numberValue converts a called number to the value that the controller compares: hexadecimal digits to their value, other
-// text to a hash. 0 means no number.
-func numberValue(text string) uint64 {
-	if text == "" {
-		return 0
-	}
-	if n, err := strconv.ParseUint(text, 16, 64); err == nil {
-		return n
-	}
-	hash := fnv.New64a()
-	hash.Write([]byte(text))
-	return hash.Sum64()
-}
--- /dev/null
+++ b/internal/platform/platform.go
@@ -0,0 +1,116 @@
+// Package platform implements the platform's own signalling protocol: binary messages between callers and the softswitch, JSON
+// lines between the softswitch and servers. It translates messages into events of the core and effects of the core into
+// messages; every decision is the core's.
+package platform
+
+import (
+	"net"
+	"sync/atomic"
+	"syscall"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"elmseam/internal/core"
+	"elmseam/internal/link"
+	"elmseam/internal/loop"
+	"elmseam/internal/settings"
+)
+
+// Protocol is the name of the platform's protocol in the core and the logs.
+const Protocol core.Protocol = "platform"
+
+// Config holds the settings of a Platform. Configure can replace them at any time.
+type Config struct {
+	Deployment  settings.Deployment
+	CallerConn  link.Limits   // limits of a caller's connection
+	DialTimeout time.Duration // longest time to make a connection to a server
+
+	ServerConn link.Limits // limits of a connection to a server
+	MaxCallers int         // maximum number of simultaneous caller connections
+}
+
+// activeConfig is a Config with an index over its classes: the index of each class by its name.
+type activeConfig struct {
+	Config
+	classIndexes map[string]int
+}
+
+// Platform serves callers and servers that use the platform's protocol.
+type Platform struct {
+	config     atomic.Pointer[activeConfig]
+	loop       *loop.Loop
+	log        zerolog.Logger
+	sampledLog zerolog.Logger // for messages that callers or servers can provoke without limit
+	stopping   atomic.Bool
+	draining   atomic.Bool
+	successor  atomic.Pointer[Successor]
+	silence    silenceDetector // shared by all connections to servers
+	openConns  atomic.Int64    // open connections to servers and of adopted callers, which acceptor doesn't count
+	acceptor   *link.Acceptor
+}
+
+// New returns a Platform that exchanges events and effects with l.
+func New(cfg Config, l *loop.Loop, log zerolog.Logger) *Platform {
+	p := &Platform{loop: l, log: log, sampledLog: link.SampledLogger(log)}
+	p.Configure(cfg)
+	p.acceptor = link.NewAcceptor(func() int { return p.config.Load().MaxCallers }, p.serveCaller)
+	return p
+}
+
+// Configure replaces the settings. Open connections keep the limits that they were opened with.
+func (p *Platform) Configure(cfg Config) {
+	p.config.Store(&activeConfig{cfg, cfg.Deployment.ClassIndexes()})
+}
+
+// Classes returns the names of the request classes, by class index.
+func (p *Platform) Classes() []string {
+	var names []string
+	for _, c := range p.config.Load().Deployment.Classes {
+		names = append(names, c.Name)
+	}
+	return names
+}
+
+// MarkStopping makes all later test messages of callers fail, so that no new callers are sent to this softswitch.
+func (p *Platform) MarkStopping() { p.stopping.Store(true) }
+
+// SetDraining makes test messages of callers fail while on is true.
+func (p *Platform) SetDraining(on bool) { p.draining.Store(on) }
+
+// SetSuccessor sets the newer process that callers' connections are transferred to.
+func (p *Platform) SetSuccessor(s Successor) { p.successor.Store(&s) }
+
+// Wait waits until all connections have ended, at most for twice the linger timeout of a caller's connection.
+func (p *Platform) Wait() {
+	ended := make(chan struct{})
+	timeout := time.After(2 * p.config.Load().CallerConn.LingerTimeout)
+	go func() { p.acceptor.Wait(); close(ended) }()
+	select {
+	case <-ended:
+	case <-timeout:
+		return
+	}
+	for p.openConns.Load() > 0 { // a connection may still be starting; the loop rejects it
+		select {
+		case <-timeout:
+			return
+		case <-time.After(time.Millisecond):
+		}
+	}
+}
+
+// Serve accepts and serves callers until l is closed.
+func (p *Platform) Serve(l net.Listener) { p.acceptor.Serve(l) }
+
+// CloseListener makes the listener close once all callers that have connected so far are accepted. It does not wait.
+func (p *Platform) CloseListener() { p.acceptor.Drain() }
+
+// Successor is the newer process of a hand-over, which callers' connections are transferred to.
+type Successor interface {
+	// Transfer passes a connection to the successor, with the bytes that were read from it and not yet parsed. It may
+	// wait. An error means that the successor did not receive the connection.
+	Transfer(transfer core.Transfer, unparsed []byte, conn syscall.Conn) error
+	// ForwardEffect passes an effect for a caller on to the successor, which has the caller's connection. It must not wait.
+	ForwardEffect(conn core.ConnID, e core.Effect)
+}
--- /dev/null
+++ b/internal/platform/setup.go
@@ -0,0 +1,76 @@
+package platform
+
+import (
+	"hash/fnv"
+	"math"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"elmseam/internal/core"
+	"elmseam/internal/settings"
+)
+
+// setUpEvent translates a set-up message. An invalid set-up gets class -1, and the core refuses it. It must not reach a server:
+// on a call without an id, servers close the connection with all other calls on it, and other errors cost them work.
+func (p *Platform) setUpEvent(conn core.ConnID, f frame, receivedAt core.Time) core.SetUp {
+	ev := core.SetUp{ID: f.callID, From: conn, Name: f.class, Tenant: f.tenant, NumberText: f.numberText, Number: numberValue(f.numberText),
+		Desc: f.desc, Cell: -1, At: receivedAt}
+	timeLeft, err := strconv.ParseFloat(f.timeLeft, 64)
+	cfg := p.config.Load()
+	index, known := cfg.classIndexes[f.class]
+	var class settings.Class
+	if known {
+		class = cfg.Deployment.Classes[index]
+	}
+	valid := f.callID != 0 && known && err == nil && timeLeft >= 0 && timeLeft < maxTimeLeft
+	for pair := range strings.SplitSeq(f.extras, ";") {
+		if pair == "" {
+			continue
+		}
+		name, text, _ := strings.Cut(pair, ":")
+		value, err := strconv.ParseFloat(text, 64)
+		valid = valid && err == nil
+		switch name {
+		case "dest":
+			valid = valid && value == math.Trunc(value) && value >= 0 && value < maxCells
+			ev.Cell = int(value)
+			valid = valid && (len(class.Cells) == 0 || slices.Contains(class.Cells, ev.Cell))
+		case "width":
+			valid = valid && value > 0 && (class.Lines == 0 || value == class.Lines)
+		case "again":
+			ev.Interrupted = value == 1
+		}
+	}
+	if ev.Class = index; !valid {
+		p.sampledLog.Warn().Str("class", f.class).Str("left", f.timeLeft).Str("extras", f.extras).Msg("invalid set-up refused")
+		ev.Class = -1
+		return ev
+	}
+	ev.TimeLeft = time.Duration(timeLeft * float64(time.Millisecond))
+	if class.MaxWait > 0 { // no caller waits longer; a claim of days would keep a timer for days
+		ev.TimeLeft = min(ev.TimeLeft, class.MaxWait)
+	}
+	return ev
+}
+
+// Exclusive upper limits of values in a valid set-up.
+const (
+	maxTimeLeft = 1e9     // milliseconds
+	maxCells    = 1 << 16 // cell index
+)
+
+// numberValue converts a called number to the value that the controller compares: hexadecimal digits to their value, other
+// text to a hash. 0 means no number.
+func numberValue(text string) uint64 {
+	if text == "" {
+		return 0
+	}
+	if n, err := strconv.ParseUint(text, 16, 64); err == nil {
+		return n
+	}
+	hash := fnv.New64a()
+	hash.Write([]byte(text))
+	return hash.Sum64()
+}
