--- a/internal/platform/binary.go
+++ b/internal/platform/binary.go
@@ -51,9 +51,6 @@
 	desc       []byte
 }
 
-// errIncomplete is returned by parseFrame when the rest of the message has yet to be read.
-var errIncomplete = errors.New("incomplete message")
-
 // parseFrame decodes the message at the start of b and returns it with its size in bytes, including the length field. A message
 // of more than maxSize bytes is an error.
 func parseFrame(b []byte, maxSize int) (f frame, size int, err error) {
--- a/internal/platform/caller.go
+++ b/internal/platform/caller.go
@@ -119,9 +119,6 @@
 	}
 }
 
-// errCallerStalled means that a connection can't be transferred because the caller does not read the messages queued for it.
-var errCallerStalled = errors.New("caller does not read")
-
 // transferToSuccessor transfers a connection that is read no further to the successor, with the bytes that were read and not yet
 // parsed. It reports whether the successor has the connection and, if not, whether this process keeps serving the connection:
 // a successor that dies during the transfer must not cost callers their connections.
--- /dev/null
+++ b/internal/platform/errors.go
@@ -0,0 +1,12 @@
+package platform
+
+import "errors"
+
+// errIncomplete is returned by parseFrame when the rest of the message has yet to be read.
+var errIncomplete = errors.New("incomplete message")
+
+// errCallerStalled means that a connection can't be transferred because the caller does not read the messages queued for it.
+var errCallerStalled = errors.New("caller does not read")
+
+// errJSON is the error for input that is not valid JSON or not of the expected type.
+var errJSON = errors.New("malformed JSON")
--- a/internal/platform/json.go
+++ b/internal/platform/json.go
@@ -1,7 +1,6 @@
 package platform
 
 import (
-	"errors"
 	"strconv"
 	"unicode/utf16"
 	"unicode/utf8"
@@ -14,9 +13,6 @@
 	loadReport, note string
 }
 
-// errJSON is the error for input that is not valid JSON or not of the expected type.
-var errJSON = errors.New("malformed JSON")
-
 // maxNesting is the maximum nesting of values under unknown keys; the protocol needs two levels.
 const maxNesting = 16
 
