--- a/internal/platform/crossings_test.go
+++ b/internal/platform/crossings_test.go
@@ -20,49 +20,50 @@
 	"elmseam/internal/link"
 )
 
-// The stories here force what docs/CROSSINGS.md lists, over sockets.
+// The tests in this file force the crossings of messages and events that docs/CROSSINGS.md lists, over sockets.
 
-// TestMain also holds that no goroutine and no descriptor is left over.
+// TestMain fails the run if the tests leave a goroutine or a file descriptor behind.
 func TestMain(m *testing.M) { leak.Main(m) }
 
-// peer is another caller.
+// extraCaller is a scenario seen from an additional caller: callerConn and conn are that caller's connection.
 type extraCaller struct {
 	*scenario
 	conn net.Conn
 }
 
-// another connects a caller of its own.
+// connectCaller connects an additional caller.
 func (s *scenario) connectCaller() *extraCaller {
-	other := s.clone()
-	other.callerConn = s.dial(s.callerListener)
-	return &extraCaller{other, other.callerConn}
+	clone := s.clone()
+	clone.callerConn = s.dial(s.callerListener)
+	return &extraCaller{clone, clone.callerConn}
 }
 
-// wantEnd reads on: there must be nothing more, and an end that is no reset.
+// wantEOF fails the test unless the caller's connection ends without another message and without a reset.
 func (s *scenario) wantEOF() {
 	s.Helper()
 	if rest, err := io.ReadAll(s.callerConn); err != nil || len(rest) > 0 {
-		s.Fatalf("%x and %v, where the connection has to end", rest, err)
+		s.Fatalf("read %x and %v, want the end of the connection", rest, err)
 	}
 }
 
-// limit changes the limits of connections that come from now on.
+// changeConfig changes the configuration. Connections that are already open keep their limits.
 func (s *scenario) changeConfig(change func(*Config)) {
 	cfg := *s.platform.config.Load()
 	change(&cfg.Config)
 	s.platform.Configure(cfg.Config)
 }
 
+// acceptLine is the server's message that accepts a call; its argument is the call id.
 const acceptLine = `{"op":"accept","call":"%016x","with":{},"desc":"x"}`
 
-// A connection has been idle for too long, or stops within a message, or brings nonsense, while a set-up is open on it:
-// the set-up is answered first, then the connection ends. Each was closed at once, and the answer lost. Another one, that
-// came later and carries nothing, shows that its time is over.
+// While a set-up is pending on a caller's connection, the connection is idle for too long, stops within a message or carries a
+// malformed message. The set-up must be answered before the connection is closed; it used to be closed at once, and the answer
+// was lost. A later connection without a set-up shows by its end that the first connection's time has run out.
 func TestCloseWaitsForOpenSetUp(t *testing.T) {
-	test := appendFrame(nil, typeTest, 5, appendParam(nil, paramCause, 0))
-	half := setUpFrame(9, "voice", "5000", "")[:20]
+	testFrame := appendFrame(nil, typeTest, 5, appendParam(nil, paramCause, 0))
+	partial := setUpFrame(9, "voice", "5000", "")[:20]
 	for name, trailing := range map[string][]byte{
-		"nothing": nil, "half a message": half, "too long": {0xff, 0xff, 1}, "no message": appendFrame(nil, 99, 1, nil),
+		"nothing": nil, "half a message": partial, "too long": {0xff, 0xff, 1}, "unknown type": appendFrame(nil, 99, 1, nil),
 		"a set-up cut short": appendFrame(nil, typeSetUp, 3, []byte{paramClass, 0, 9, 'v'}),
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -70,39 +71,39 @@
 			s.changeConfig(func(c *Config) {
 				c.CallerConn.MessageTimeout, c.CallerConn.IdleTimeout = 20*time.Millisecond, 20*time.Millisecond
 			})
-			a := s.connectCaller()
-			a.conn.Write(append(setUpFrame(1, "voice", "9000", ""), trailing...))
+			pending := s.connectCaller()
+			pending.conn.Write(append(setUpFrame(1, "voice", "9000", ""), trailing...))
 			s.wantLine(`"offer"`)
-			b := s.connectCaller()
-			if b.conn.Write(test); name == "half a message" {
-				b.conn.Write(half)
+			idle := s.connectCaller()
+			if idle.conn.Write(testFrame); name == "half a message" {
+				idle.conn.Write(partial)
 			}
-			b.wantFrame(typeTested, 5, 1)
-			b.wantEOF()
+			idle.wantFrame(typeTested, 5, 1)
+			idle.wantEOF()
 			if name == "a set-up cut short" {
-				a.wantFrame(typeRelease, 3, 100)
+				pending.wantFrame(typeRelease, 3, 100)
 			}
 			s.send(acceptLine, 1)
-			a.wantFrame(typeAnswer, 1, -1)
-			a.wantEOF()
+			pending.wantFrame(typeAnswer, 1, -1)
+			pending.wantEOF()
 		})
 	}
 }
 
-// Connections beyond what there are descriptors for wait in the backlog, with what they ask, and are served when there is
-// room; those beyond what callers are to hold make room where one can be missed, and are served where none can. They were
-// closed with their set-ups unread.
+// Connections above MaxCallers, the limit set by the available file descriptors, must wait in the listener's backlog with their
+// set-ups and be served when there is room. A connection above MaxCallerConns must displace one that can be closed, and be
+// served even if there is none. Connections above the limits used to be closed with their set-ups unread.
 func TestConnectionsAboveLimit(t *testing.T) {
-	s := newScenario(t, func(s *scenario) { s.limits.MaxCallerConns, s.limits.NewConnGrace = 2, time.Minute }) // one of them is the story's own caller
+	s := newScenario(t, func(s *scenario) { s.limits.MaxCallerConns, s.limits.NewConnGrace = 2, time.Minute }) // MaxCallerConns includes the scenario's own caller
 	s.callerConn.Write(setUpFrame(1, "voice", "9000", ""))
 	s.wantLine(`"offer"`, `0001"`)
 	var callers []*extraCaller
-	for id := core.ID(2); id <= 12; id++ { // 8 are served at once
-		p := s.connectCaller()
-		p.conn.Write(setUpFrame(id, "voice", "9000", ""))
-		callers = append(callers, p)
+	for id := core.ID(2); id <= 12; id++ { // MaxCallers is 8
+		caller := s.connectCaller()
+		caller.conn.Write(setUpFrame(id, "voice", "9000", ""))
+		callers = append(callers, caller)
 	}
-	go func() { // a server that answers all but the first
+	go func() { // a server that accepts all set-ups but the first
 		for s.serverLines.Scan() {
 			var id core.ID
 			if n, _ := fmt.Sscanf(s.serverLines.Text(), `{"op":"offer","call":"%x"`, &id); n == 1 {
@@ -110,37 +111,37 @@
 			}
 		}
 	}()
-	for i, p := range callers { // the module may refuse it
-		if id, err := p.readFinalAnswer(); id != core.ID(i+2) || err != nil {
-			t.Errorf("a final answer for %x, %v, want %x", id, err, i+2)
+	for i, caller := range callers { // the controller may refuse a set-up, so the final answer may be a refusal
+		if id, err := caller.readFinalAnswer(); id != core.ID(i+2) || err != nil {
+			t.Errorf("final answer for call %x, error %v, want call %x", id, err, i+2)
 		}
 	}
 	s.send(acceptLine, 1)
 	s.wantFrame(typeAnswer, 1, -1)
 }
 
-// final reads a final answer.
+// readFinalAnswer reads the caller's next message, which must be a final answer, and returns its call id.
 func (s *scenario) readFinalAnswer() (core.ID, error) {
-	var head [lengthSize]byte
-	_, err := io.ReadFull(s.callerConn, head[:])
-	body := make([]byte, binary.BigEndian.Uint16(head[:]))
+	var header [lengthSize]byte
+	_, err := io.ReadFull(s.callerConn, header[:])
+	body := make([]byte, binary.BigEndian.Uint16(header[:]))
 	if err == nil {
 		_, err = io.ReadFull(s.callerConn, body)
 	}
-	f, _, bad := parseFrame(append(head[:], body...), 16<<10)
-	if err == nil && bad == nil && f.msgType != typeAnswer && f.msgType != typeRelease {
-		bad = fmt.Errorf("message of type %d", f.msgType)
+	f, _, parseErr := parseFrame(append(header[:], body...), 16<<10)
+	if err == nil && parseErr == nil && f.msgType != typeAnswer && f.msgType != typeRelease {
+		parseErr = fmt.Errorf("message type %d is no final answer", f.msgType)
 	}
-	return f.callID, errors.Join(err, bad)
+	return f.callID, errors.Join(err, parseErr)
 }
 
-// A server's message that can't be read ends the attempt it is for, as reset, and no other call: what else is out on that
-// connection is answered there, and new ones go over another. All of them ended as reset.
+// A malformed message from a server must end, as reset, the attempt that it is for, and no other call. Other outstanding set-ups
+// must be answered on the same connection, and new ones go over another. All of them used to end as reset.
 func TestMalformedServerMessage(t *testing.T) {
 	for name, line := range map[string]string{
-		"cut short":   `{"op":"accept","call":"0000000000000001","with":{},"de`,
-		"an odd type": `{"op":"nonsense","call":"0000000000000001","with":{}}`,
-		"no cause":    `{"op":"end","call":"0000000000000001","with":{},"why":"x"}`,
+		"cut short":     `{"op":"accept","call":"0000000000000001","with":{},"de`,
+		"unknown type":  `{"op":"nonsense","call":"0000000000000001","with":{}}`,
+		"invalid cause": `{"op":"end","call":"0000000000000001","with":{},"why":"x"}`,
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newScenario(t)
@@ -151,11 +152,11 @@
 			s.wantLine(`"end"`, `0001"`)
 			firstConn, firstLines := s.serverConn, s.serverLines
 			s.acceptServerConn()
-			s.wantFrame(typeRelease, 1, 42) // there is no other server
+			s.wantFrame(typeRelease, 1, 42) // refused, as there is no other server
 			fmt.Fprintf(firstConn, acceptLine+"\n", 2)
 			s.wantFrame(typeAnswer, 2, -1)
 			if firstLines.Scan() || firstLines.Err() != nil {
-				t.Errorf("%q, %v on a connection that has to end", firstLines.Text(), firstLines.Err())
+				t.Errorf("read %q, error %v, want the end of the connection", firstLines.Text(), firstLines.Err())
 			}
 			s.send(`{"op":"end","call":"0000000000000002","with":{},"why":16}`)
 			s.wantFrame(typeRelease, 2, 16)
@@ -163,8 +164,8 @@
 	}
 }
 
-// A second answer comes behind the first: a refusal ended the call that stood. It changes nothing, nor does one that says
-// again that it stands; the release is told once.
+// A server sends further answers after it has accepted a call. They must change nothing, and the release must be sent to the
+// caller once. A refusal after the first answer used to end the established call.
 func TestSecondAnswer(t *testing.T) {
 	s := newScenario(t)
 	s.callerConn.Write(setUpFrame(1, "voice", "9000", ""))
@@ -179,76 +180,78 @@
 	s.wantFrame(typeRelease, 1, 41)
 	s.send(`{"op":"end","call":"0000000000000001","with":{},"why":16}`)
 	s.callerConn.Write(appendFrame(nil, typeTest, 5, appendParam(nil, paramCause, 0)))
-	s.wantFrame(typeTested, 5, 1) // and nothing before it
+	s.wantFrame(typeTested, 5, 1) // and no message before it
 }
 
-// second brings a second server.
+// addServer adds a second server, t, to the list of servers and returns its listener.
 func (s *scenario) addServer() net.Listener {
-	t := listen(s.T)
-	s.loop.Post(core.List{Servers: []core.Server{{Name: "t", Address: t.Addr().String(), Protocol: Protocol, Cell: 1, Phase: elmseam.Ready}}})
-	return t
+	listener := listen(s.T)
+	s.loop.Post(core.List{Servers: []core.Server{{Name: "t", Address: listener.Addr().String(), Protocol: Protocol, Cell: 1, Phase: elmseam.Ready}}})
+	return listener
 }
 
-func (s *scenario) acceptFrom(l net.Listener) *scenario {
+// acceptFrom accepts the connection to another server and returns a scenario whose server that is.
+func (s *scenario) acceptFrom(listener net.Listener) *scenario {
 	s.Helper()
-	other := s.clone()
-	other.serverListener = l
-	other.acceptServerConn()
-	return other
+	clone := s.clone()
+	clone.serverListener = listener
+	clone.acceptServerConn()
+	return clone
 }
 
+// clone returns a scenario with the same softswitch, caller and server.
 func (s *scenario) clone() *scenario {
 	return &scenario{T: s.T, loop: s.loop, platform: s.platform, callerListener: s.callerListener, serverListener: s.serverListener, callerConn: s.callerConn,
 		serverLines: s.serverLines, serverConn: s.serverConn, effects: s.effects}
 }
 
-// A caller leaves, by a give-up or by closing its connection, while its set-up waits for the release gap, and while it
-// waits for a connection: it is not sent on later. The next set-up is the first that the server sees.
+// A caller gives up, closes or resets its connection while the release guard delays a set-up, or while its own set-up waits for
+// a connection to a server. Its set-up must not be sent later: the next offer to a server is for another caller's set-up.
 func TestCallerLeavesWhileSetUpWaits(t *testing.T) {
 	for _, how := range []string{"gives up", "closes", "resets"} {
-		leave := func(p *extraCaller, id core.ID) {
+		leave := func(leaving *extraCaller, id core.ID) {
 			switch how {
 			case "gives up":
-				p.conn.Write(releaseFrame(id, 16))
-				p.wantFrame(typeReleaseAck, id, -1)
+				leaving.conn.Write(releaseFrame(id, 16))
+				leaving.wantFrame(typeReleaseAck, id, -1)
 			case "resets":
-				p.conn.(*net.TCPConn).SetLinger(0)
+				leaving.conn.(*net.TCPConn).SetLinger(0)
 				fallthrough
 			default:
-				p.conn.Close()
-				for e := range p.effects { // when it has been noticed
+				leaving.conn.Close()
+				for e := range leaving.effects { // until the core has noticed the end of the connection
 					if e == core.Effect(core.ForgetCall{Protocol: Protocol, ID: id}) {
 						return
 					}
 				}
 			}
 		}
-		t.Run(how+" in the gap", func(t *testing.T) {
+		t.Run(how+" during the release guard", func(t *testing.T) {
 			s := newScenario(t, func(s *scenario) { s.limits.Rebind = time.Millisecond })
 			other := s.acceptFrom(s.addServer())
-			p, q := s.connectCaller(), s.connectCaller()
-			p.conn.Write(setUpFrame(1, "voice", "9000", ""))
+			leaving, staying := s.connectCaller(), s.connectCaller()
+			leaving.conn.Write(setUpFrame(1, "voice", "9000", ""))
 			s.wantLine(`"offer"`, `0001"`)
-			q.conn.Write(setUpFrame(2, "voice", "9000", ""))
+			staying.conn.Write(setUpFrame(2, "voice", "9000", ""))
 			s.wantLine(`"offer"`, `0002"`)
 			s.send(`{"op":"end","call":"0000000000000002","with":{},"why":41}`)
-			leave(p, 1)
+			leave(leaving, 1)
 			s.wantLine(`"end"`, `0001"`)
-			other.wantLine(`"offer"`, `0002"`) // after the gap
+			other.wantLine(`"offer"`, `0002"`) // after the release guard
 		})
-		t.Run(how+" in the queue for a connection", func(t *testing.T) {
+		t.Run(how+" while waiting for a connection", func(t *testing.T) {
 			s := newScenario(t, func(s *scenario) { s.limits.Rebind = time.Millisecond })
 			s.serverConn.(*net.TCPConn).SetLinger(0)
 			gate := make(chan struct{})
-			s.dialGate.Store(&gate) // the dial comes up when it is let go
+			s.dialGate.Store(&gate) // the dial continues when gate is closed
 			s.serverConn.Close()
-			for s.dialCount.Load() < 2 { // until it has been noticed: nothing is offered on the old one
+			for s.dialCount.Load() < 2 { // until the core has noticed and offers nothing on the old connection
 				time.Sleep(time.Millisecond)
 			}
-			p := s.connectCaller()
-			p.conn.Write(append(setUpFrame(1, "voice", "9000", ""), appendFrame(nil, typeTest, 5, appendParam(nil, paramCause, 0))...))
-			p.wantFrame(typeTested, 5, 1) // it has been taken
-			leave(p, 1)
+			leaving := s.connectCaller()
+			leaving.conn.Write(append(setUpFrame(1, "voice", "9000", ""), appendFrame(nil, typeTest, 5, appendParam(nil, paramCause, 0))...))
+			leaving.wantFrame(typeTested, 5, 1) // the set-up has been processed
+			leave(leaving, 1)
 			close(gate)
 			s.acceptServerConn()
 			s.callerConn.Write(setUpFrame(2, "voice", "9000", ""))
@@ -257,14 +260,14 @@
 	}
 }
 
-// A set-up waits in the backlog, as there is no room, and its caller leaves meanwhile, by a give-up or by closing its
-// connection: it is not sent on when its turn comes. What comes with it and still means something is taken.
+// A set-up waits in the listener's backlog, and its caller gives up or closes its connection meanwhile. The set-up must not be
+// sent to a server when the connection is accepted, but a release of another call on that connection must be processed.
 func TestCallerLeavesInBacklog(t *testing.T) {
 	s := newScenario(t)
 	s.callerListener = listen(t)
-	s.changeConfig(func(c *Config) { c.CallerConn.InitialBufferSize = 16 << 10 }) // so much is read at once
-	room := make(chan struct{})
-	go link.NewAcceptor(func() int { <-room; return 100 }, s.platform.serveCaller).Serve(s.callerListener)
+	s.changeConfig(func(c *Config) { c.CallerConn.InitialBufferSize = 16 << 10 }) // large enough to read all messages at once
+	hasRoom := make(chan struct{})
+	go link.NewAcceptor(func() int { <-hasRoom; return 100 }, s.platform.serveCaller).Serve(s.callerListener)
 	givesUp, closes, stays := s.connectCaller(), s.connectCaller(), s.connectCaller()
 	const setUps = 100
 	var messages []byte
@@ -272,20 +275,20 @@
 		messages = append(append(messages, setUpFrame(id, "voice", "9000", "")...), releaseFrame(id, 16)...)
 	}
 	givesUp.conn.Write(messages)
-	closes.conn.Write(append(setUpFrame(2, "voice", "9000", ""), releaseFrame(9, 16)...)) // and a call that stood before this start
+	closes.conn.Write(append(setUpFrame(2, "voice", "9000", ""), releaseFrame(9, 16)...)) // the release is for a call established before this process started
 	closes.conn.(*net.TCPConn).CloseWrite()
 	stays.conn.Write(setUpFrame(3, "voice", "9000", ""))
-	for tcpInfo(t, closes.conn).State != unix.BPF_TCP_FIN_WAIT2 { // the other side's machine knows that nothing more comes
+	for tcpInfo(t, closes.conn).State != unix.BPF_TCP_FIN_WAIT2 { // until the accepting side's kernel has seen the close
 		time.Sleep(time.Millisecond)
 	}
-	close(room)
+	close(hasRoom)
 	for id := core.ID(100); id < 100+setUps; id++ {
 		givesUp.wantFrame(typeReleaseAck, id, -1)
 	}
 	io.Copy(io.Discard, closes.conn)
-	for range 2 { // in either order
+	for range 2 { // the offer and the end come in either order
 		if s.wantLine(`"0`); !strings.Contains(s.serverLines.Text(), `"offer","call":"0000000000000003"`) && !strings.Contains(s.serverLines.Text(), `"end","call":"0000000000000009"`) {
-			t.Errorf("the server is told %s", s.serverLines.Text())
+			t.Errorf("the server got %s", s.serverLines.Text())
 		}
 	}
 	s.send(acceptLine, 3)
@@ -294,7 +297,7 @@
 	s.wantLine(`"offer"`, `0004"`)
 }
 
-// tcp is what the machine says of a connection or a listener.
+// tcpInfo returns the kernel's state of a TCP connection or listener.
 func tcpInfo(t *testing.T, socket any) (info *unix.TCPInfo) {
 	raw, err := socket.(syscall.Conn).SyscallConn()
 	if err == nil {
@@ -306,8 +309,8 @@
 	return info
 }
 
-// The settings change while a call is on its way: it goes to the next server with the class that its caller sent, though
-// that one is no more and others stand in its place.
+// The settings change while an attempt is outstanding. The next attempt must carry the class that the caller sent, though that
+// class no longer exists and another class has its index.
 func TestCallKeepsClassWhenSettingsChange(t *testing.T) {
 	s := newScenario(t)
 	other := s.acceptFrom(s.addServer())
@@ -321,11 +324,11 @@
 	other.wantLine(`"offer"`, `"class":"voice"`)
 }
 
-// successor is the process that callers are handed to, as a test wants it.
+// stubSuccessor is a Successor that a test controls.
 type stubSuccessor struct {
-	transfers chan core.Transfer
-	results   chan error
-	effects   chan core.Effect
+	transfers chan core.Transfer // receives each transfer that begins
+	results   chan error         // supplies the result of each transfer
+	effects   chan core.Effect   // receives the forwarded effects
 }
 
 func (s *stubSuccessor) Transfer(transfer core.Transfer, _ []byte, _ syscall.Conn) error {
@@ -335,35 +338,35 @@
 
 func (s *stubSuccessor) ForwardEffect(_ core.ConnID, e core.Effect) { s.effects <- e }
 
-// A connection is handed to a newer process: what comes for its caller meanwhile is held. If the newer one dies before it
-// has the connection, the older one goes on with it: what was held is said, and what the caller asks is served. The caller
-// lost its connection and its answers.
+// Effects for a caller are held while the caller's connection is transferred to a newer process. If that process dies before it
+// has the connection, the older process must send the held messages and keep serving the caller. The caller used to lose its
+// connection and its answers.
 func TestSuccessorDiesDuringTransfer(t *testing.T) {
 	for _, dies := range []bool{true, false} {
 		s := newScenario(t, func(s *scenario) { s.limits.MaxStopWait = time.Minute })
-		next := &stubSuccessor{make(chan core.Transfer, 1), make(chan error), make(chan core.Effect, 9)}
-		s.platform.SetSuccessor(next)
+		successor := &stubSuccessor{make(chan core.Transfer, 1), make(chan error), make(chan core.Effect, 9)}
+		s.platform.SetSuccessor(successor)
 		s.callerConn.Write(append(setUpFrame(1, "voice", "9000", ""), setUpFrame(2, "voice", "9000", "")...))
 		s.wantLine(`"offer"`, `0001"`)
 		s.wantLine(`"offer"`, `0002"`)
 		s.loop.Post(core.HandOver{})
-		if pass := <-next.transfers; len(pass.Open) != 2 {
-			t.Errorf("%d set-ups are passed on as open, want 2", len(pass.Open))
+		if transfer := <-successor.transfers; len(transfer.Open) != 2 {
+			t.Errorf("%d open set-ups in the transfer, want 2", len(transfer.Open))
 		}
-		s.send(acceptLine, 1) // while it is held
+		s.send(acceptLine, 1) // while effects are held
 		s.send(`{"op":"end","call":"0000000000000001","with":{},"why":16}`)
 		s.send(`{"op":"test","call":"0000000000000009","with":{},"why":0}`)
-		s.wantLine(`"tested"`) // all that has been taken in
+		s.wantLine(`"tested"`) // all earlier messages have been processed
 		if !dies {
-			next.results <- nil
+			successor.results <- nil
 			for _, want := range []core.Effect{core.Answered{}, core.Released{}} {
-				if e := <-next.effects; fmt.Sprintf("%T", e) != fmt.Sprintf("%T", want) {
-					t.Errorf("the newer one is told %T, want %T", e, want)
+				if e := <-successor.effects; fmt.Sprintf("%T", e) != fmt.Sprintf("%T", want) {
+					t.Errorf("the successor got %T, want %T", e, want)
 				}
 			}
 			continue
 		}
-		next.results <- io.ErrClosedPipe
+		successor.results <- io.ErrClosedPipe
 		s.wantFrame(typeAnswer, 1, -1)
 		s.wantFrame(typeRelease, 1, 16)
 		s.send(acceptLine, 2)
@@ -375,8 +378,8 @@
 	}
 }
 
-// While a connection is held for a newer process its server resets, operators drain this process and take that back, and
-// SIGTERM comes again: what the caller is owed is said to it through the newer one, once, and the connection isn't closed here.
+// During the transfer of a caller's connection, a server's connection is reset, or a drain is begun and cancelled, or SIGTERM
+// comes again. The caller must get its answer once, through the newer process, and this process must not close the connection.
 func TestEventsDuringTransfer(t *testing.T) {
 	for name, causeEvent := range map[string]func(s *scenario){
 		"reset": func(s *scenario) { s.serverConn.(*net.TCPConn).SetLinger(0); s.serverConn.Close() },
@@ -385,14 +388,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newScenario(t, func(s *scenario) { s.limits.MaxStopWait, s.limits.DrainCheckInterval = time.Minute, time.Millisecond })
-			next := &stubSuccessor{make(chan core.Transfer, 1), make(chan error), make(chan core.Effect, 9)}
-			s.platform.SetSuccessor(next)
+			successor := &stubSuccessor{make(chan core.Transfer, 1), make(chan error), make(chan core.Effect, 9)}
+			s.platform.SetSuccessor(successor)
 			s.callerConn.Write(setUpFrame(1, "voice", "9000", ""))
 			s.wantLine(`"offer"`, `0001"`)
 			s.loop.Post(core.HandOver{})
-			<-next.transfers
+			<-successor.transfers
 			causeEvent(s)
-			if name == "reset" { // it is tried again there, or refused: the module's choice
+			if name == "reset" { // the controller may refuse a set-up after a reset; here it tries the second server
 				s.loop.Post(core.List{Servers: []core.Server{{Name: "s", Address: s.serverListener.Addr().String(), Protocol: Protocol, Phase: elmseam.Gone}}})
 				other := s.acceptFrom(s.addServer())
 				other.wantLine(`"offer"`, `0001"`)
@@ -401,66 +404,67 @@
 				s.send(`{"op":"test","call":"0000000000000009","with":{},"why":0}`)
 				s.wantLine(`"tested"`)
 			}
-			next.results <- nil
-			if e, ok := (<-next.effects).(core.Answered); !ok || e.ID != 1 {
-				t.Errorf("the newer process is told %T %+v", e, e)
+			successor.results <- nil
+			if e, ok := (<-successor.effects).(core.Answered); !ok || e.ID != 1 {
+				t.Errorf("the successor got %T %+v, want the answer to call 1", e, e)
 			}
-			s.loop.Post(core.CallerEnd{ID: 1}) // as the newer one hears it
+			s.loop.Post(core.CallerEnd{ID: 1}) // as the successor reports the end of the call
 			<-s.loop.Done()
 			select {
-			case e := <-next.effects:
-				t.Errorf("and %T", e)
+			case e := <-successor.effects:
+				t.Errorf("the successor also got %T", e)
 			default:
 			}
 		})
 	}
 }
 
-// A connection is on its way to a newer process while nothing else is owed: the older one lives until it is there. It ended,
-// and the connection with it, if it was quicker.
+// A connection is being transferred to a newer process, and no answer is pending. The older process must run until the transfer
+// is complete; it used to end first, and the connection with it.
 func TestStopWaitsForTransfer(t *testing.T) {
 	s := newScenario(t, func(s *scenario) { s.limits.MaxStopWait = time.Minute })
-	next := &stubSuccessor{make(chan core.Transfer, 1), make(chan error), make(chan core.Effect, 9)}
-	s.platform.SetSuccessor(next)
+	successor := &stubSuccessor{make(chan core.Transfer, 1), make(chan error), make(chan core.Effect, 9)}
+	s.platform.SetSuccessor(successor)
 	s.callerConn.Write(appendFrame(nil, typeTest, 5, appendParam(nil, paramCause, 0)))
-	s.wantFrame(typeTested, 5, 1) // it has come
-	s.loop.Post(core.HandOver{})  // the grace is over at once
-	<-next.transfers
+	s.wantFrame(typeTested, 5, 1) // the connection has been accepted
+	s.loop.Post(core.HandOver{})  // the hand-over grace is zero
+	<-successor.transfers
 	for range 3 {
-		s.acceptFrom(s.addServer()) // and it goes on
+		s.acceptFrom(s.addServer()) // the older process still connects to servers
 	}
-	next.results <- nil
+	successor.results <- nil
 	<-s.loop.Done()
 }
 
-// A caller reads nothing while its connection is to be handed on: it stays with the older process, and is told there, when
-// it reads, what it is owed. It lost its connection if it was 50 ms late.
+// A caller reads nothing while its connection is due for transfer. The connection must stay with the older process, and the
+// caller must get its answer from there once it reads. A caller that was 50 ms late used to lose its connection.
 func TestStalledCallerIsNotTransferred(t *testing.T) {
 	s := newScenario(t, func(s *scenario) { s.limits.MaxStopWait = time.Minute })
-	next := &stubSuccessor{make(chan core.Transfer, 1), make(chan error), make(chan core.Effect, 9)}
-	s.platform.SetSuccessor(next)
-	p, c, queuedBytes := s.addStalledCaller(1)
+	successor := &stubSuccessor{make(chan core.Transfer, 1), make(chan error), make(chan core.Effect, 9)}
+	s.platform.SetSuccessor(successor)
+	client, c, queuedBytes := s.addStalledCaller(1)
 	s.loop.Post(core.HandOver{})
-	<-next.transfers // the story's own caller; the other is to move, too
-	next.results <- nil
+	<-successor.transfers // of the scenario's own caller; the stalled caller's connection is due for transfer, too
+	successor.results <- nil
 	for c.transferring.Load() {
 		time.Sleep(time.Millisecond)
 	}
 	s.send(acceptLine, 1)
-	if _, err := io.CopyN(io.Discard, p.callerConn, queuedBytes); err != nil {
+	if _, err := io.CopyN(io.Discard, client.callerConn, queuedBytes); err != nil {
 		t.Fatal(err)
 	}
-	p.wantFrame(typeAnswer, 1, -1)
+	client.wantFrame(typeAnswer, 1, -1)
 	c.Close()
 }
 
-// stall takes in a caller that has a set-up open and reads nothing of what it is told; the bytes are those it has to read first.
-func (s *scenario) addStalledCaller(id core.ID) (p *scenario, c *caller, queuedBytes int64) {
+// addStalledCaller connects a caller that has a set-up pending and reads nothing. queuedBytes is the number of filler bytes
+// queued for that caller, which it has to read before any message.
+func (s *scenario) addStalledCaller(id core.ID) (client *scenario, c *caller, queuedBytes int64) {
 	limits := s.platform.config.Load().CallerConn
 	limits.MaxQueuedBytes, limits.FlushTimeout, limits.WriteTimeout = 64<<20, time.Millisecond, testTimeout
 	listener := listen(s.T)
-	p = s.clone()
-	p.callerConn = s.dial(listener)
+	client = s.clone()
+	client.callerConn = s.dial(listener)
 	conn, err := listener.Accept()
 	if err != nil {
 		s.Fatal(err)
@@ -471,18 +475,18 @@
 		defer conn.Close()
 		s.platform.readCaller(c, limits, nil, false)
 	}()
-	p.callerConn.Write(setUpFrame(id, "voice", "9000", ""))
+	client.callerConn.Write(setUpFrame(id, "voice", "9000", ""))
 	s.wantLine(`"offer"`)
-	const piece = 64 << 10
-	for ; queuedBytes < 16<<20; queuedBytes += piece { // more than the machine buffers
-		c.outbox.Post(link.Item{Data: make([]byte, piece)})
+	const chunk = 64 << 10
+	for ; queuedBytes < 16<<20; queuedBytes += chunk { // more than the kernel buffers
+		c.outbox.Post(link.Item{Data: make([]byte, chunk)})
 	}
-	return p, c, queuedBytes
+	return client, c, queuedBytes
 }
 
-// A process stops and finds set-ups that are out, within the gap, and wait for a connection, one answered but not yet
-// written as its caller reads nothing, and a call that stands. Each gets one final answer, the one that reads late too, and
-// no connection is reset.
+// A process stops while one set-up is outstanding at a server, one waits out the release guard, and one waits for a connection. A
+// further call is established, but its caller, which reads nothing yet, has not received the answer. Each caller must get one
+// final answer, the late reader too, and no connection may be reset.
 func TestStopWithPendingSetUps(t *testing.T) {
 	s := newScenario(t, func(s *scenario) {
 		s.limits.StopGrace, s.limits.StopLinger, s.limits.MaxStopWait = 20*time.Millisecond, 20*time.Millisecond, 300*time.Millisecond
@@ -492,21 +496,21 @@
 	s.callerConn.Write(append(setUpFrame(2, "voice", "9000", ""), setUpFrame(3, "voice", "9000", "")...))
 	s.wantLine(`"offer"`, `0002"`)
 	s.wantLine(`"offer"`, `0003"`)
-	s.send(`{"op":"end","call":"0000000000000002","with":{},"why":41}`) // within the gap
+	s.send(`{"op":"end","call":"0000000000000002","with":{},"why":41}`) // the set-up waits out the release guard
 	gate := make(chan struct{})
 	s.dialGate.Store(&gate)
 	s.loop.Post(core.List{Full: true, Servers: []core.Server{
 		{Name: "s", Address: s.serverListener.Addr().String(), Protocol: Protocol, Phase: elmseam.Draining},
 		{Name: "t", Address: s.serverListener.Addr().String(), Protocol: Protocol, Cell: 1, Phase: elmseam.Ready},
 	}})
-	s.callerConn.Write(setUpFrame(4, "voice", "9000", "")) // waits for a connection
+	s.callerConn.Write(setUpFrame(4, "voice", "9000", "")) // the set-up waits for a connection
 	s.loop.Post(core.Stop{})
 	s.loop.Post(core.Stop{})
 	pending := map[core.ID]bool{2: true, 3: true, 4: true}
 	for len(pending) > 0 {
 		id, err := s.readFinalAnswer()
 		if err != nil || !pending[id] {
-			t.Fatalf("an answer for %x, %v, with %v owed", id, err, pending)
+			t.Fatalf("final answer for call %x, error %v, want one of %v", id, err, pending)
 		}
 		delete(pending, id)
 	}
@@ -520,12 +524,12 @@
 	close(gate)
 }
 
-// Connects to a server never come up, over and over: set-ups are served by the other server meanwhile, and nothing is left
-// over of the attempts.
+// Connection attempts to one server time out again and again. The other server must serve the set-ups meanwhile, and the
+// attempts must leave no file descriptors open.
 func TestConnectsThatNeverComeUp(t *testing.T) {
 	s := newScenario(t)
 	s.changeConfig(func(c *Config) { c.DialTimeout = time.Millisecond })
-	deaf := listen(t) // its backlog is full: nobody answers a connect
+	deaf := listen(t) // with its backlog full, connects are not answered
 	raw, err := deaf.(*net.TCPListener).SyscallConn()
 	if err != nil {
 		t.Fatal(err)
@@ -535,7 +539,7 @@
 		t.Fatal(err)
 	}
 	s.dial(deaf)
-	for tcpInfo(t, deaf).Unacked == 0 { // the handshake may lag behind the connect
+	for tcpInfo(t, deaf).Unacked == 0 { // the handshake may complete after the connect returns
 		time.Sleep(time.Millisecond)
 	}
 	before := leak.OpenDescriptors()
@@ -551,18 +555,18 @@
 	}
 }
 
-// A process stops while callers go on asking, on old connections and on new ones. Each set-up is answered or crosses the
-// close of its connection, which is no reset.
+// A process stops while callers keep sending set-ups on old and new connections. Each set-up must be answered, or cross the
+// close of its connection, which must not be a reset.
 func TestSetUpsDuringStop(t *testing.T) {
 	s := newScenario(t, func(s *scenario) {
 		s.limits.StopGrace, s.limits.StopLinger, s.limits.MaxStopWait = time.Millisecond, 60*time.Millisecond, time.Minute
 	})
 	s.changeConfig(func(c *Config) { c.MaxCallers = 1000 })
-	type end struct {
-		owed int
-		err  error
+	type connEnd struct {
+		pending int
+		err     error
 	}
-	ends := make(chan end)
+	ends := make(chan connEnd)
 	sendSetUps := func(c net.Conn, id core.ID) {
 		r := bufio.NewReader(c)
 		pending := 0
@@ -573,14 +577,14 @@
 			var head [2]byte
 			if _, err := io.ReadFull(r, head[:]); err != nil {
 				c.Close()
-				ends <- end{pending, err}
+				ends <- connEnd{pending, err}
 				return
 			}
 			io.CopyN(io.Discard, r, int64(binary.BigEndian.Uint16(head[:])))
 			pending--
 		}
 	}
-	go func() { // a server that refuses all
+	go func() { // a server that refuses all set-ups
 		for s.serverLines.Scan() {
 			var id core.ID
 			if n, _ := fmt.Sscanf(s.serverLines.Text(), `{"op":"offer","call":"%x"`, &id); n == 1 {
@@ -596,7 +600,7 @@
 	newConns := 0
 	go func() {
 		for e := range s.effects {
-			if _, ends := e.(core.CloseListener); ends {
+			if _, ok := e.(core.CloseListener); ok {
 				s.platform.CloseListener()
 				return
 			}
@@ -605,7 +609,7 @@
 	for {
 		c, err := net.Dial("tcp", s.callerListener.Addr().String())
 		if err != nil {
-			break // it isn't listened any more
+			break // the listener is closed
 		}
 		c.SetDeadline(time.Now().Add(testTimeout))
 		newConns++
@@ -613,16 +617,16 @@
 		time.Sleep(time.Millisecond)
 	}
 	for range callers + newConns {
-		if e := <-ends; e.err != io.EOF || e.owed > 1 {
-			t.Errorf("a connection ends with %v and %d set-ups unanswered", e.err, e.owed)
+		if e := <-ends; e.err != io.EOF || e.pending > 1 {
+			t.Errorf("connection ended with %v and %d unanswered set-ups", e.err, e.pending)
 		}
 	}
 	<-s.loop.Done()
 	s.platform.Wait()
 }
 
-// A connection comes up late: its set-up has been given up and its server told draining. Nothing is sent on it, it is closed,
-// and when the server is back in service it gets another, with the next set-up.
+// A connection to a server comes up late: its set-up has been given up and the server is draining. The connection must be closed
+// with nothing sent on it. When the server is in service again, it must get a new connection with the next set-up.
 func TestLateServerConnection(t *testing.T) {
 	s := newScenario(t)
 	gate := make(chan struct{})
@@ -642,7 +646,7 @@
 	close(gate)
 	s.acceptServerConn()
 	if s.serverLines.Scan() || s.serverLines.Err() != nil {
-		t.Errorf("%q, %v on a connection that came too late", s.serverLines.Text(), s.serverLines.Err())
+		t.Errorf("read %q, error %v, want the end of the late connection", s.serverLines.Text(), s.serverLines.Err())
 	}
 	setPhase(elmseam.Ready)
 	s.acceptServerConn()
@@ -650,8 +654,8 @@
 	s.wantLine(`"offer"`, `0002"`)
 }
 
-// One event says that a server is gone and that another is at its address: the first one's connection is closed, what stood
-// there is released, and the next set-up goes over a connection of the other's own.
+// One event removes a server and adds another at the same address. The first server's connection must be closed and its
+// established calls released, and the next set-up must go over a new connection for the second server.
 func TestServerReplacedAtSameAddress(t *testing.T) {
 	s := newScenario(t)
 	s.callerConn.Write(setUpFrame(1, "voice", "9000", ""))
@@ -664,51 +668,51 @@
 	}})
 	s.wantFrame(typeRelease, 1, 41)
 	if s.serverLines.Scan() || s.serverLines.Err() != nil {
-		t.Errorf("%q, %v on the connection of a server that is gone", s.serverLines.Text(), s.serverLines.Err())
+		t.Errorf("read %q, error %v, want the end of the removed server's connection", s.serverLines.Text(), s.serverLines.Err())
 	}
 	s.acceptServerConn()
 	s.callerConn.Write(setUpFrame(2, "voice", "9000", ""))
 	s.wantLine(`"offer"`, `0002"`)
 }
 
-// An id comes again when the call that had it is over and forgotten: the deadline of the first means nothing to the second.
+// A caller reuses the id of a call that has ended and been forgotten. The first call's deadline must not affect the second call.
 func TestReusedCallID(t *testing.T) {
 	s := newScenario(t, func(s *scenario) { s.limits.MaxEndedCalls = 1 })
-	for _, id := range []core.ID{1, 2} { // the second is remembered, the first is not
+	for _, id := range []core.ID{1, 2} { // MaxEndedCalls is 1: the first call is forgotten, the second remembered
 		s.callerConn.Write(setUpFrame(id, "voice", "2000", ""))
 		s.wantLine(`"offer"`)
 		s.send(acceptLine, id)
 		s.wantFrame(typeAnswer, id, -1)
 		s.send(`{"op":"end","call":"%016x","with":{},"why":16}`, id)
-		s.wantFrame(typeRelease, id, 16) // it is over by then
+		s.wantFrame(typeRelease, id, 16) // the call has ended
 	}
 	s.callerConn.Write(setUpFrame(1, "voice", "9000", ""))
 	s.wantLine(`"offer"`, `0001"`)
-	time.Sleep(2100 * time.Millisecond) // past the first one's deadline
+	time.Sleep(2100 * time.Millisecond) // past the first call's deadline
 	s.send(acceptLine, 1)
 	s.wantFrame(typeAnswer, 1, -1)
 }
 
-// Descriptors for one connection to servers, and two servers: the one that is needed takes the place of the other's.
+// With a limit of one connection to servers and two servers, a needed connection must replace the other server's connection.
 func TestServerConnectionLimit(t *testing.T) {
 	s := newScenario(t, func(s *scenario) { s.limits.MaxServerConns = 1 })
 	s.callerConn.Write(setUpFrame(9, "voice", "9000", ""))
-	s.wantLine(`"offer"`) // the connection to the first is up
+	s.wantLine(`"offer"`) // the connection to the first server is up
 	s.send(acceptLine, 9)
 	s.wantFrame(typeAnswer, 9, -1)
 	s.send(`{"op":"end","call":"%016x","with":{},"why":16}`, 9)
 	s.wantFrame(typeRelease, 9, 16)
-	l := s.addServer()
+	listener := s.addServer()
 	s.loop.Post(core.List{Servers: []core.Server{{Name: "s", Address: s.serverListener.Addr().String(), Protocol: Protocol, Phase: elmseam.Draining}}})
 	s.callerConn.Write(setUpFrame(1, "voice", "9000", ""))
-	other := s.acceptFrom(l)
+	other := s.acceptFrom(listener)
 	other.wantLine(`"offer"`, `0001"`)
 	if s.serverLines.Scan() || s.serverLines.Err() != nil {
-		t.Errorf("%q, %v on the connection that makes room", s.serverLines.Text(), s.serverLines.Err())
+		t.Errorf("read %q, error %v, want the end of the replaced connection", s.serverLines.Text(), s.serverLines.Err())
 	}
 }
 
-// The settings change the order of a report's columns, or leave one out: values that a server tells keep what they mean.
+// The settings reorder the metrics of a load report, or omit one. The values that a server reports must keep their meaning.
 func TestReportMetricsChange(t *testing.T) {
 	reports := make(chan elmseam.Report, 9)
 	s := newScenario(t, func(s *scenario) {
@@ -732,9 +736,9 @@
 		s.wantFrame(typeTested, 5, 1)
 		s.send(`{"op":"group","call":"","with":{"load":"spare:8;cut_by:0.5"},"why":0}`)
 		got := <-reports
-		for i, f := range tt.columns {
-			if want := map[elmseam.LoadMetric]float64{elmseam.LoadMetricFreeLines: 8, elmseam.LoadMetricHoldBackShare: 0.5}[f]; got[i] != want {
-				t.Errorf("columns %v: %v", tt.columns, got)
+		for i, metric := range tt.columns {
+			if want := map[elmseam.LoadMetric]float64{elmseam.LoadMetricFreeLines: 8, elmseam.LoadMetricHoldBackShare: 0.5}[metric]; got[i] != want {
+				t.Errorf("report metrics %v: got values %v", tt.columns, got)
 			}
 		}
 	}
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -25,34 +25,36 @@
 	"elmseam/internal/settings"
 )
 
-const testTimeout = 20 * time.Second // for what must come; tests don't wait it out
+// testTimeout is the longest wait for an expected event; a test that passes does not wait that long.
+const testTimeout = 20 * time.Second
 
-// story is a softswitch with this front, a scripted server and a caller.
+// scenario is a softswitch that speaks the platform's protocol, with a scripted server and a caller.
 type scenario struct {
 	*testing.T
 	loop           *loop.Loop
 	platform       *Platform
 	callerListener net.Listener
 	serverListener net.Listener
-	callerConn     net.Conn
-	serverLines    *bufio.Scanner // of the server's connection
-	serverConn     net.Conn
+	callerConn     net.Conn       // the caller's end of its connection
+	serverLines    *bufio.Scanner // reads from serverConn
+	serverConn     net.Conn       // the server's end of its connection
 	core           *core.Core
 	limits         core.Limits
 	hook           core.Hook
-	effects        chan core.Effect // what concerns no connection
+	effects        chan core.Effect // effects that are for no single connection
 	tenants        []elmseam.Tenant
-	dialGate       atomic.Pointer[chan struct{}] // a dial waits for it
-	dialCount      atomic.Int64
+	dialGate       atomic.Pointer[chan struct{}] // if set, a dial waits until the channel is closed
+	dialCount      atomic.Int64                  // connections to servers begun so far
 }
 
+// newScenario returns a scenario whose server and caller are connected. options change it before the softswitch starts.
 func newScenario(t *testing.T, options ...func(*scenario)) *scenario {
 	t.Helper()
 	s := &scenario{T: t, effects: make(chan core.Effect, 100), limits: core.Limits{Rebind: 100 * time.Millisecond, MinRedial: time.Millisecond,
 		MaxRedial: time.Millisecond, ServerLostAfter: time.Minute, MaxCallerConns: 100, MaxOpen: 100, MaxCallBytes: 1 << 20, EndedCallTTL: time.Minute,
 		Transient: map[core.Protocol]bool{Protocol: true}}}
-	for _, f := range options {
-		f(s)
+	for _, option := range options {
+		option(s)
 	}
 	c, err := core.New(elmseam.Settings{
 		Classes: []elmseam.Class{{Deadline: 9 * time.Second, Worth: 1}}, MaxAttempts: 4, OwnCell: -1,
@@ -63,7 +65,7 @@
 		t.Fatal(err)
 	}
 	c.SetHook(s.hook)
-	l := loop.New(c, 64, func(e core.Effect) {
+	eventLoop := loop.New(c, 64, func(e core.Effect) {
 		select {
 		case s.effects <- e:
 		default:
@@ -72,24 +74,24 @@
 	limits := link.Limits{InitialBufferSize: 64, MaxMessageSize: 16 << 10, MaxQueuedBytes: 1 << 20, WriteTimeout: time.Second, FlushTimeout: 50 * time.Millisecond,
 		LineTimeout: 50 * time.Millisecond, MaxSilence: 100 * time.Millisecond,
 		MessageTimeout: testTimeout, IdleTimeout: testTimeout, LingerTimeout: 100 * time.Millisecond, MaxLingerBytes: 1 << 16}
-	p := New(Config{
+	platform := New(Config{
 		Deployment: settings.Deployment{Classes: []settings.Class{{Name: "voice", Cells: []int{0, 1}, Lines: 1}}, ReportMetrics: []string{"spare", "cut_by"}}, DialTimeout: time.Second, MaxCallers: 8,
 		CallerConn: limits, ServerConn: limits,
-	}, l, zerolog.Nop())
-	l.SetDialer(Protocol, func(d core.Dial) {
+	}, eventLoop, zerolog.Nop())
+	eventLoop.SetDialer(Protocol, func(d core.Dial) {
 		s.dialCount.Add(1)
 		if hold := s.dialGate.Load(); hold != nil {
 			<-*hold
 		}
-		p.Dial(d)
+		platform.Dial(d)
 	})
 	callers := listen(t)
-	s.core, s.loop, s.platform, s.callerListener, s.serverListener = c, l, p, callers, listen(t)
+	s.core, s.loop, s.platform, s.callerListener, s.serverListener = c, eventLoop, platform, callers, listen(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	go l.Run(ctx)
-	go p.Serve(callers)
-	l.Post(core.List{Full: true, Servers: []core.Server{
+	go eventLoop.Run(ctx)
+	go platform.Serve(callers)
+	eventLoop.Post(core.List{Full: true, Servers: []core.Server{
 		{Name: "s", Address: s.serverListener.Addr().String(), Protocol: Protocol, Phase: elmseam.Ready},
 	}})
 	s.acceptServerConn()
@@ -97,6 +99,7 @@
 	return s
 }
 
+// listen returns a listener on a free local port, closed when the test ends.
 func listen(t *testing.T) net.Listener {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -106,6 +109,7 @@
 	return l
 }
 
+// dial connects to l; the connection is closed when the test ends.
 func (s *scenario) dial(l net.Listener) net.Conn {
 	c, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
@@ -116,6 +120,7 @@
 	return c
 }
 
+// acceptServerConn accepts the next connection to the server, and makes it the one that the other methods use.
 func (s *scenario) acceptServerConn() {
 	c, err := s.serverListener.Accept()
 	if err != nil {
@@ -126,39 +131,41 @@
 	s.serverConn, s.serverLines = c, bufio.NewScanner(c)
 }
 
-// wantLine reads the server's next line, which must hold all parts.
-func (s *scenario) wantLine(parts ...string) {
+// wantLine reads the server's next line, which must contain all substrings.
+func (s *scenario) wantLine(substrings ...string) {
 	s.Helper()
 	if !s.serverLines.Scan() {
-		s.Fatalf("no line where %q was due: %v", parts, s.serverLines.Err())
+		s.Fatalf("no line, want one with %q: %v", substrings, s.serverLines.Err())
 	}
-	for _, p := range parts {
-		if !strings.Contains(s.serverLines.Text(), p) {
-			s.Fatalf("line %s, want %s in it", s.serverLines.Text(), p)
+	for _, substring := range substrings {
+		if !strings.Contains(s.serverLines.Text(), substring) {
+			s.Fatalf("line %s, want %s in it", s.serverLines.Text(), substring)
 		}
 	}
 }
 
+// send writes a line to the softswitch as the server.
 func (s *scenario) send(format string, args ...any) {
 	fmt.Fprintf(s.serverConn, format+"\n", args...)
 }
 
-// wantFrame reads the caller's next message.
+// wantFrame reads the caller's next message, which must have the given type, call id and cause (-1: no cause).
 func (s *scenario) wantFrame(kind byte, id core.ID, cause int) frame {
 	s.Helper()
-	head := make([]byte, lengthSize)
-	_, err := io.ReadFull(s.callerConn, head)
-	body := make([]byte, binary.BigEndian.Uint16(head))
+	header := make([]byte, lengthSize)
+	_, err := io.ReadFull(s.callerConn, header)
+	body := make([]byte, binary.BigEndian.Uint16(header))
 	if err == nil {
 		_, err = io.ReadFull(s.callerConn, body)
 	}
-	f, _, perr := parseFrame(append(head, body...), 16<<10)
-	if err != nil || perr != nil || f.msgType != kind || f.callID != id || f.cause != cause {
-		s.Fatalf("message %+v (%v, %v), want type %d, call %x, cause %d", f, err, perr, kind, id, cause)
+	f, _, parseErr := parseFrame(append(header, body...), 16<<10)
+	if err != nil || parseErr != nil || f.msgType != kind || f.callID != id || f.cause != cause {
+		s.Fatalf("message %+v (%v, %v), want type %d, call %x, cause %d", f, err, parseErr, kind, id, cause)
 	}
 	return f
 }
 
+// setUpFrame encodes a set-up message. timeLeft is in milliseconds.
 func setUpFrame(id core.ID, class, timeLeft, desc string) []byte {
 	params := appendParam(nil, paramClass, []byte(class)...)
 	params = appendParam(params, paramTimeLeft, []byte(timeLeft)...)
@@ -167,11 +174,12 @@
 	return appendFrame(nil, typeSetUp, id, appendParam(params, paramDesc, []byte(desc)...))
 }
 
+// releaseFrame encodes a caller's give-up or release.
 func releaseFrame(id core.ID, cause byte) []byte {
 	return appendFrame(nil, typeRelease, id, appendParam(nil, paramCause, cause))
 }
 
-// The life of a call, with everything that must pass unchanged, and bytes that arrive one by one.
+// A call from set-up to release: texts must be passed on unchanged, and messages must be understood when they arrive byte by byte.
 func TestCallFromRequestToRelease(t *testing.T) {
 	s := newScenario(t)
 	for _, b := range setUpFrame(0x9b1f, "voice", "1500", "line\r\n\"q\\\" é\x01") {
@@ -190,8 +198,8 @@
 	s.wantFrame(typeTested, 5, 1)
 }
 
-// A server's connection is reset with a set-up open and a call standing on it: the set-up gets one answer
-// here, refused as there is no other server, and the release of the standing call comes over the next.
+// A server's connection is reset with a pending set-up and an established call on it. The set-up must get one final answer, a
+// refusal, as there is no other server, and the release of the established call must arrive over the next connection.
 func TestServerConnectionReset(t *testing.T) {
 	s := newScenario(t)
 	s.callerConn.Write(append(setUpFrame(1, "voice", "5000", ""), setUpFrame(2, "voice", "5000", "")...))
@@ -207,8 +215,9 @@
 	s.wantFrame(typeRelease, 1, 16)
 }
 
-// A server's connection stays open and is of no use: it stops within a line, or is silent where the server used to
-// tell its state. Set-ups waited there till their callers gave up, and releases of standing calls were never heard.
+// A server's connection stays open but is dead: it stops within a line, or carries nothing where the server used to report its
+// state. The connection must be replaced. Set-ups used to wait on it until their callers gave up, and releases of established
+// calls never arrived.
 func TestSilentServerConnection(t *testing.T) {
 	s := newScenario(t)
 	s.callerConn.Write(setUpFrame(1, "voice", "5000", ""))
@@ -217,7 +226,7 @@
 	s.wantFrame(typeAnswer, 1, -1)
 	fmt.Fprint(s.serverConn, `{"op":"end","ca`)
 	s.acceptServerConn()
-	s.send(`{"op":"end","call":"0000000000000001","with":{},"why":16}`) // told again on the next one
+	s.send(`{"op":"end","call":"0000000000000001","with":{},"why":16}`) // the server repeats the release on the new connection
 	s.wantFrame(typeRelease, 1, 16)
 	for range minIntervals + 1 {
 		s.send(`{"op":"group","with":{"load":"spare:3"}}`)
@@ -226,25 +235,25 @@
 	s.callerConn.Write(setUpFrame(2, "voice", "5000", ""))
 	s.wantLine(`"offer"`, `0002"`)
 	s.acceptServerConn()
-	s.wantFrame(typeRelease, 2, 42) // there is no other server
+	s.wantFrame(typeRelease, 2, 42) // refused, as there is no other server
 	s.send(`{"op":"group","with":{"load":"spare:3"}}`)
 	s.callerConn.Write(setUpFrame(3, "voice", "5000", ""))
 	s.wantLine(`"offer"`, `0003"`)
-	s.acceptServerConn() // what the first has taught holds for the next
+	s.acceptServerConn() // the report intervals seen on the first connection apply to the new one
 	s.wantFrame(typeRelease, 3, 42)
 }
 
-// A server that has nothing to tell is silent, and nothing is wrong: one of few calls had its connections closed over and
-// over, and with them set-ups that had just gone out. A test on the connection says that this one is still there.
+// A server with nothing to report may be silent, and its connection must stay open. A server with few calls used to have its
+// connections closed again and again, along with set-ups sent a moment before. A test message shows that the connection works.
 func TestQuietServerKeepsConnection(t *testing.T) {
 	s := newScenario(t)
 	for range minIntervals + 1 {
 		s.send(`{"op":"group","with":{"load":"spare:3"}}`)
 		time.Sleep(5 * time.Millisecond)
 	}
-	s.serverConn.SetReadDeadline(time.Now().Add(200 * time.Millisecond)) // many times what makes a silence here
+	s.serverConn.SetReadDeadline(time.Now().Add(200 * time.Millisecond)) // many times the silence timeout of this scenario
 	if _, err := s.serverConn.Read(make([]byte, 1)); !isTimeout(err) {
-		t.Fatalf("a connection on which nothing is owed: %v", err)
+		t.Fatalf("silent connection without pending calls: %v, want a read timeout", err)
 	}
 	s.serverConn.SetReadDeadline(time.Now().Add(testTimeout))
 	s.send(`{"op":"test","call":"0000000000000009","with":{},"why":0}`)
@@ -255,9 +264,9 @@
 	s.wantFrame(typeAnswer, 1, -1)
 }
 
-// Where a call stands at a server that says nothing, the connection is probed: by a test that asks for a report, and no
-// set-up. The report is taken in once, however often it comes. Without an answer the connection is replaced; where no
-// probe is permitted, at once.
+// While a call is established at a silent server, the connection must be probed, by a test message that asks for a load report
+// and not by a set-up. The report must be used once, however often it arrives. Without an answer the connection must be replaced;
+// if probes are not permitted, it must be replaced at once.
 func TestSilentServerIsProbed(t *testing.T) {
 	for _, permitted := range []bool{true, false} {
 		reports := make(chan float64, 100)
@@ -285,7 +294,7 @@
 			for range 2 {
 				s.send(`{"op":"tested","call":%q,"with":{"load":"recent_ms:7"},"why":1}`, probeMsg.Call)
 			}
-			s.wantLine(`"test"`) // it is silent again, and says nothing to this one
+			s.wantLine(`"test"`) // the server is silent again and doesn't answer this probe
 			for load := 0.0; load != 7; load = <-reports {
 			}
 		}
@@ -294,13 +303,13 @@
 		s.wantFrame(typeRelease, 1, 16)
 		for len(reports) > 0 {
 			if <-reports == 7 {
-				t.Error("the answer to a probe was taken in twice")
+				t.Error("the answer to a probe was used twice")
 			}
 		}
 	}
 }
 
-// A caller gives up: the server is told, and its crossing answer is not passed on.
+// A caller gives up. The server must be told, and an answer that crosses the give-up must not be passed on.
 func TestCallerGivesUp(t *testing.T) {
 	s := newScenario(t)
 	s.callerConn.Write(setUpFrame(1, "voice", "5000", ""))
@@ -310,13 +319,13 @@
 	s.wantLine(`"end"`, `"why":16`)
 	s.send(`{"op":"accept","call":"0000000000000001","with":{},"desc":""}`)
 	s.send(`{"op":"test","call":"0000000000000009","with":{},"why":0}`)
-	for s.serverLines.Scan() && !strings.Contains(s.serverLines.Text(), `"tested"`) { // what it said before has been taken in
+	for s.serverLines.Scan() && !strings.Contains(s.serverLines.Text(), `"tested"`) { // until all earlier messages have been processed
 	}
-	s.callerConn.Write(setUpFrame(2, "video", "5000", "")) // a class nobody knows: that call alone is refused
+	s.callerConn.Write(setUpFrame(2, "video", "5000", "")) // an unknown class: only that set-up is refused
 	s.wantFrame(typeRelease, 2, 100)
 }
 
-// What is malformed costs its own connection and nothing else.
+// Malformed data must end only the connection that it arrives on.
 func TestMalformedCallers(t *testing.T) {
 	s := newScenario(t)
 	address := s.callerConn.RemoteAddr().String()
@@ -332,25 +341,25 @@
 			t.Fatal(err)
 		}
 		c.SetDeadline(time.Now().Add(testTimeout))
-		c.Write(append(bad, make([]byte, 32<<10)...)) // unread, it would reset the connection over what was told
+		c.Write(append(bad, make([]byte, 32<<10)...)) // if it stayed unread, a reset would discard the answer
 		if received, err := io.ReadAll(c); err != nil || (len(received) > 0) != (name == "cut short") {
-			t.Errorf("%s: told %x, and then %v", name, received, err)
+			t.Errorf("%s: read %x and %v", name, received, err)
 		}
 		c.Close()
 	}
-	s.send(`{"op":"group","with":{"load":`) // a server that speaks nonsense is left, and sought again
+	s.send(`{"op":"group","with":{"load":`) // an incomplete line ends the connection to the server, and a new one is made
 	s.acceptServerConn()
 	s.callerConn.Write(setUpFrame(1, "voice", "5000", ""))
 	s.wantLine(`"offer"`)
 }
 
-// Figures out of their range, a class or a first choice that nobody has, no id: such a set-up is refused here.
-// Servers answered with an error, and closed the connection on a call without an id with all that was open on it.
+// A set-up with a value out of range, an unknown class or first-choice server, or no id must be refused here. Servers used to
+// get such set-ups: they answered with an error, and on a call without an id closed the connection with all calls on it.
 func TestInvalidSetUps(t *testing.T) {
 	s := newScenario(t)
 	setUp := func(id core.ID, class, left, extras string) []byte {
-		p := appendParam(appendParam(nil, paramClass, []byte(class)...), paramTimeLeft, []byte(left)...)
-		return appendFrame(nil, typeSetUp, id, appendParam(p, paramExtras, []byte(extras)...))
+		params := appendParam(appendParam(nil, paramClass, []byte(class)...), paramTimeLeft, []byte(left)...)
+		return appendFrame(nil, typeSetUp, id, appendParam(params, paramExtras, []byte(extras)...))
 	}
 	for i, bad := range [][]byte{
 		setUp(1, "voice_x", "500", "dest:0;width:1"), setUp(2, "voice", "-5", "dest:0;width:1"), setUp(3, "voice", "soon", "dest:0"),
@@ -364,24 +373,25 @@
 	}
 	s.callerConn.Write(setUp(0, "voice", "500", "dest:0;width:1"))
 	s.wantFrame(typeRelease, 0, 100)
-	// Nobody waits for longer than the class allows: a timer of days would be kept for days.
+	// The wait is limited to the maximum of the class, as a timer of days would be kept for days.
 	cfg := *s.platform.config.Load()
 	cfg.Deployment.Classes = []settings.Class{{Name: "voice", Cells: []int{0, 1}, Lines: 1, MaxWait: 200 * time.Millisecond}}
 	s.platform.Configure(cfg.Config)
 	s.callerConn.Write(setUp(14, "voice", "99999999", "dest:1;width:1;via:-1"))
-	s.wantLine(`"offer"`, `00000e"`) // the first that the server sees
+	s.wantLine(`"offer"`, `00000e"`) // the first set-up that reaches the server
 	s.wantFrame(typeRelease, 14, 41)
 }
 
-// A connection that brings no whole message in time is closed, and so is one that stops within a message, or trickles it:
-// each byte began the time anew, and one message could hold a place for hours. One that has asked is kept for longer.
+// A connection on which no complete message arrives within the message timeout must be closed, also if a message stops half-way
+// or arrives byte by byte. Each byte used to restart the timeout, so that one message could hold a connection for hours. A
+// connection that has carried a message must stay open for the longer idle timeout.
 func TestCallerMessageTimeout(t *testing.T) {
 	s := newScenario(t)
 	cfg := *s.platform.config.Load()
 	cfg.CallerConn.MessageTimeout, cfg.CallerConn.IdleTimeout = 50*time.Millisecond, time.Hour
 	s.platform.Configure(cfg.Config)
-	test := appendFrame(nil, typeTest, 5, appendParam(nil, paramCause, 0))
-	for name, sent := range map[string][]byte{"nothing": nil, "a half": test[:5], "one and a half": append(test, test[:5]...)} {
+	testFrame := appendFrame(nil, typeTest, 5, appendParam(nil, paramCause, 0))
+	for name, sent := range map[string][]byte{"nothing": nil, "half a message": testFrame[:5], "one and a half messages": append(testFrame, testFrame[:5]...)} {
 		c := s.dial(s.callerListener)
 		c.Write(sent)
 		if _, err := io.ReadAll(c); err != nil {
@@ -389,20 +399,20 @@
 		}
 	}
 	trickle := s.dial(s.callerListener)
-	trickle.Write(test)
+	trickle.Write(testFrame)
 	trickle.Read(make([]byte, 64))
-	_, err := trickle.Write([]byte{0x30, 0}) // a message of 12 KiB
+	_, err := trickle.Write([]byte{0x30, 0}) // the length field of a 12 KiB message
 	for deadline := time.Now().Add(testTimeout); err == nil; time.Sleep(20 * time.Millisecond) {
 		if _, err = trickle.Write([]byte{0}); time.Now().After(deadline) {
-			t.Fatal("a message that trickles in for ever is waited for")
+			t.Fatal("a connection on which a message arrives byte by byte stays open")
 		}
 	}
 	c := s.dial(s.callerListener)
-	c.Write(test)
+	c.Write(testFrame)
 	c.Read(make([]byte, 64))
 	c.SetDeadline(time.Now().Add(200 * time.Millisecond))
 	if _, err := c.Read(make([]byte, 1)); !isTimeout(err) {
-		t.Errorf("a connection that has asked: %v", err)
+		t.Errorf("idle connection after a message: %v, want a read timeout", err)
 	}
 }
 
@@ -411,7 +421,8 @@
 	return ok && ne.Timeout()
 }
 
-// The tenant that a set-up names, parameter 22, reaches the decisions; one that names none has none.
+// The tenant named by parameter 22 of a set-up must reach the controller. A set-up without it, or with an unknown name, has no
+// tenant (index -1).
 func TestSetUpTenant(t *testing.T) {
 	tenants := make(chan int, 10)
 	s := newScenario(t, func(s *scenario) {
@@ -424,28 +435,28 @@
 		}
 	})
 	for id, name := range []string{"acme", "nobody", ""} {
-		p := appendParam(appendParam(nil, paramClass, []byte("voice")...), paramTimeLeft, []byte("5000")...)
-		if p = appendParam(p, paramTenant, []byte(name)...); name == "" {
-			p = p[:len(p)-paramHeaderSize]
+		params := appendParam(appendParam(nil, paramClass, []byte("voice")...), paramTimeLeft, []byte("5000")...)
+		if params = appendParam(params, paramTenant, []byte(name)...); name == "" {
+			params = params[:len(params)-paramHeaderSize]
 		}
-		s.callerConn.Write(appendFrame(nil, typeSetUp, core.ID(id+1), p))
+		s.callerConn.Write(appendFrame(nil, typeSetUp, core.ID(id+1), params))
 	}
 	for i, want := range []int{1, -1, -1} {
 		if got := <-tenants; got != want {
-			t.Errorf("call %d comes as tenant %d, want %d", i+1, got, want)
+			t.Errorf("call %d has tenant %d, want %d", i+1, got, want)
 		}
 	}
 }
 
-// A caller that reads nothing costs its own connection: others are served meanwhile. The kernel's buffers are kept small:
-// to fill those it grows by itself took as long as the machine pleased.
+// A caller that reads nothing must lose only its own connection, and other callers must be served meanwhile. The kernel's buffers
+// are kept small, as the time to fill buffers that the kernel enlarges by itself is unpredictable.
 func TestStalledCaller(t *testing.T) {
 	s := newScenario(t)
-	raw, err := s.callerListener.(*net.TCPListener).SyscallConn()
+	rawListener, err := s.callerListener.(*net.TCPListener).SyscallConn()
 	if err != nil {
 		t.Fatal(err)
 	}
-	raw.Control(func(fd uintptr) { err = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_SNDBUF, 8<<10) })
+	rawListener.Control(func(fd uintptr) { err = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_SNDBUF, 8<<10) })
 	cfg := *s.platform.config.Load()
 	cfg.CallerConn.MaxQueuedBytes = 64 << 10
 	s.platform.Configure(cfg.Config)
@@ -457,27 +468,29 @@
 		t.Fatal(err, dialErr)
 	}
 	defer stalled.Close()
-	test := appendFrame(nil, typeTest, 5, appendParam(nil, paramCause, 0))
+	testFrame := appendFrame(nil, typeTest, 5, appendParam(nil, paramCause, 0))
 	stalled.SetDeadline(time.Now().Add(testTimeout))
-	messages := bytes.Repeat(test, 1000)
+	messages := bytes.Repeat(testFrame, 1000)
 	for {
 		if _, err := stalled.Write(messages); err != nil {
 			if isTimeout(err) {
-				t.Error("a peer that takes nothing is not given up")
+				t.Error("the connection of a caller that reads nothing stays open")
 			}
 			break
 		}
 	}
-	s.callerConn.Write(test)
+	s.callerConn.Write(testFrame)
 	s.wantFrame(typeTested, 5, 1)
 }
 
+// FuzzParse checks that the parsers of callers' and servers' messages survive any input, that parseFrame returns a valid size,
+// and that a description is unchanged after encoding and decoding.
 func FuzzParse(f *testing.F) {
 	f.Add(setUpFrame(1, "voice", "5", "x"))
 	f.Add([]byte(`{"op":"end","call":"9b","with":{"load":"x0:1","note":"swamped"},"why":34,"d":[1,{}]}`))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if _, size, err := parseFrame(b, 1<<10); err == nil && (size < lengthSize+headerSize || size > min(len(b), 1<<10)) {
-			t.Errorf("a message of %d bytes out of %d", size, len(b))
+			t.Errorf("message of %d bytes in an input of %d bytes", size, len(b))
 		}
 		msg, err := parseServerMessage(b)
 		if err != nil {
@@ -485,7 +498,7 @@
 		}
 		decoded, err := parseServerMessage([]byte(`{"desc":` + string(appendString(nil, msg.desc)) + "}"))
 		if err != nil || decoded.desc != msg.desc {
-			t.Errorf("%q came back as %q: %v", msg.desc, decoded.desc, err)
+			t.Errorf("%q decoded as %q: %v", msg.desc, decoded.desc, err)
 		}
 	})
 }
