--- a/internal/leak/leak.go
+++ b/internal/leak/leak.go
@@ -1,4 +1,5 @@
-// Package leak runs the tests of a package and fails them if they leave a goroutine or a descriptor behind. Only tests use it.
+// Package leak runs the tests of a package and fails the run if the tests leave a goroutine or a file descriptor behind. Only
+// tests import it.
 package leak
 
 import (
@@ -10,7 +11,8 @@
 	"go.uber.org/goleak"
 )
 
-// Main runs the tests, and ends the process.
+// Main runs the tests of m and exits the process. The exit status is 1 if the tests passed but left a goroutine or a file
+// descriptor behind. A package calls Main from its TestMain.
 func Main(m *testing.M) {
 	before := OpenDescriptors()
 	code := m.Run()
@@ -18,20 +20,21 @@
 		fmt.Println(err)
 		code = 1
 	}
-	if left := OpenDescriptors(); left > before && code == 0 {
-		fmt.Printf("%d descriptors before the tests, %d after\n", before, left)
+	if after := OpenDescriptors(); after > before && code == 0 {
+		fmt.Printf("%d descriptors before the tests, %d after\n", before, after)
 		code = 1
 	}
 	os.Exit(code)
 }
 
-// OpenDescriptors is how many are open, but for the poller's own.
-func OpenDescriptors() (n int) {
-	open, _ := os.ReadDir("/proc/self/fd")
-	for _, f := range open {
-		if to, err := os.Readlink("/proc/self/fd/" + f.Name()); err == nil && !strings.HasPrefix(to, "anon_") {
-			n++
+// OpenDescriptors returns the number of open file descriptors of this process, without the anonymous ones (epoll, eventfd)
+// that the Go runtime's poller opens.
+func OpenDescriptors() (count int) {
+	entries, _ := os.ReadDir("/proc/self/fd")
+	for _, entry := range entries {
+		if target, err := os.Readlink("/proc/self/fd/" + entry.Name()); err == nil && !strings.HasPrefix(target, "anon_") {
+			count++
 		}
 	}
-	return n
+	return count
 }
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -1,5 +1,5 @@
-// Package loop runs the core: one goroutine owns it, takes events from a bounded inbox, keeps the
-// timers and carries out the effects.
+// Package loop runs the core, the softswitch's state machine without I/O. A single goroutine owns the core: it takes events
+// from a bounded inbox, fires the timers, and hands the core's effects to the connections they are for.
 package loop
 
 import (
@@ -14,138 +14,146 @@
 	"elmseam/internal/core"
 )
 
-// EffectHandler carries effects out on one connection. It must not block; what it knows at once it returns.
+// EffectHandler executes effects on one connection.
 type EffectHandler interface {
+	// HandleEffect executes an effect and returns the events that follow from it at once. It must not block.
 	HandleEffect(core.Effect) []core.Event
+	// Close closes the connection immediately. It must not block.
 	Close()
-	Flush() // waits, not for long, until what was carried is written
+	// Flush waits for a short, bounded time until the messages of earlier effects are written. It is called once, as the
+	// loop ends, in a goroutine of its own.
+	Flush()
 }
 
-// Dialer makes a connection to a server and posts ServerUp or ServerDown. It runs in a goroutine of
-// its own.
+// Dialer connects to a server and posts core.ServerUp, or core.ServerDown if the connection fails. Each call runs in its own
+// goroutine and may serve the connection until its end.
 type Dialer func(core.Dial)
 
-// Loop is the owner of a core.
+// Loop owns a core and runs it. Its methods may be called from any goroutine, except for those that must be called before Run.
 type Loop struct {
-	core     *core.Core
-	in       chan item
-	done     chan struct{}
-	links    atomic.Uint64
-	start    time.Time
-	epoch    time.Duration // of start, since the Unix epoch
-	carriers map[core.ConnID]EffectHandler
-	dialers  map[core.Protocol]Dialer
-	timers   timers
-	notify   func(core.Effect)
-	log      zerolog.Logger
-	publish  time.Duration // between snapshots of the figures; 0: none
-	figures  atomic.Pointer[Snapshot]
+	core            *core.Core
+	inbox           chan inboxItem
+	done            chan struct{} // closed when Run returns
+	lastConn        atomic.Uint64 // connection id that was given out last
+	start           time.Time
+	epoch           time.Duration // start as the time since the Unix epoch
+	handlers        map[core.ConnID]EffectHandler
+	dialers         map[core.Protocol]Dialer
+	timers          timerHeap         // pending timers
+	notify          func(core.Effect) // receives the effects that are for no single connection
+	log             zerolog.Logger
+	publishInterval time.Duration // between snapshots of the counters; 0: no snapshots
+	snapshot        atomic.Pointer[Snapshot]
 }
 
-// Snapshot are the figures as they were at a time.
+// Snapshot holds the core's counters and state for operators at one moment.
 type Snapshot struct {
 	core.Stats
-	At time.Time
+	At time.Time // when the snapshot was taken
 }
 
-// item is an event with the time it happened at and, where it begins a connection, its carrier.
-type item struct {
+// inboxItem is an event in the inbox, with the time at which the event happened. If the event begins a connection, conn and
+// handler name the connection and its effect handler; otherwise they are zero.
+type inboxItem struct {
 	at      core.Time
 	ev      core.Event
-	link    core.ConnID
-	carrier EffectHandler
+	conn    core.ConnID
+	handler EffectHandler
 }
 
-// New makes a loop whose inbox holds so many events. notify is handed the effects that concern no
-// connection, Serving and Dropped. It must not block.
-func New(c *core.Core, inbox int, notify func(core.Effect), log zerolog.Logger) *Loop {
+// New returns a loop for c whose inbox holds inboxSize events. notify receives the effects that are for no single connection,
+// such as core.Serving, core.ForgetCall and core.SendToMember; it must not block.
+func New(c *core.Core, inboxSize int, notify func(core.Effect), log zerolog.Logger) *Loop {
 	start := time.Now()
 	return &Loop{
-		core: c, in: make(chan item, inbox), done: make(chan struct{}),
+		core: c, inbox: make(chan inboxItem, inboxSize), done: make(chan struct{}),
 		start: start, epoch: time.Duration(start.UnixNano()),
-		carriers: make(map[core.ConnID]EffectHandler), dialers: make(map[core.Protocol]Dialer),
+		handlers: make(map[core.ConnID]EffectHandler), dialers: make(map[core.Protocol]Dialer),
 		notify: notify, log: log,
 	}
 }
 
-// Now is the time since the Unix epoch. It never runs backwards.
+// Now returns the time since the Unix epoch. The value never decreases, even if the wall clock is set back.
 func (l *Loop) Now() core.Time { return l.epoch + time.Since(l.start) }
 
-// WallTime turns a time of the core into one of the clock.
+// WallTime converts a time of the core into a time.Time.
 func (l *Loop) WallTime(t core.Time) time.Time { return l.start.Add(t - l.epoch) }
 
-// Done is closed when the loop has ended.
+// Done returns a channel that is closed when the loop has ended.
 func (l *Loop) Done() <-chan struct{} { return l.done }
 
-// NewConnID names a connection.
-func (l *Loop) NewConnID() core.ConnID { return core.ConnID(l.links.Add(1)) }
+// NewConnID returns an unused connection id, unique in this process.
+func (l *Loop) NewConnID() core.ConnID { return core.ConnID(l.lastConn.Add(1)) }
 
-// SetDialer sets how servers of a front are reached. It must be called before Run.
-func (l *Loop) SetDialer(f core.Protocol, d Dialer) { l.dialers[f] = d }
+// SetDialer sets the function that connects to servers of the given protocol. It must be called before Run.
+func (l *Loop) SetDialer(protocol core.Protocol, dial Dialer) { l.dialers[protocol] = dial }
 
-// PublishEvery has the figures published at this interval. It must be called before Run.
-func (l *Loop) PublishEvery(every time.Duration) { l.publish = every }
+// PublishEvery sets the interval at which Run takes a new Snapshot. It must be called before Run.
+func (l *Loop) PublishEvery(interval time.Duration) { l.publishInterval = interval }
 
-// Snapshot are those last published. It never waits for the loop.
+// Snapshot returns the snapshot that was taken last, or the zero Snapshot if there is none. It never waits for the loop.
 func (l *Loop) Snapshot() Snapshot {
-	if s := l.figures.Load(); s != nil {
+	if s := l.snapshot.Load(); s != nil {
 		return *s
 	}
 	return Snapshot{}
 }
 
-// Post hands in an event; it waits while the inbox is full.
-func (l *Loop) Post(ev core.Event) { l.post(item{at: l.Now(), ev: ev}) }
+// Post puts an event into the inbox. It waits while the inbox is full; after the loop has ended, it drops the event.
+func (l *Loop) Post(ev core.Event) { l.post(inboxItem{at: l.Now(), ev: ev}) }
 
-// Attach hands in the event that begins a connection, with what carries its effects out.
-func (l *Loop) Attach(link core.ConnID, c EffectHandler, ev core.Event) {
-	l.post(item{at: l.Now(), ev: ev, link: link, carrier: c})
+// Attach puts the event that begins a connection into the inbox, together with the handler of the connection's effects. It
+// waits while the inbox is full; after the loop has ended, it makes the handler close the connection gracefully.
+func (l *Loop) Attach(conn core.ConnID, handler EffectHandler, ev core.Event) {
+	l.post(inboxItem{at: l.Now(), ev: ev, conn: conn, handler: handler})
 }
 
-func (l *Loop) post(it item) {
+// post puts an item into the inbox, or rejects the item if the loop has ended.
+func (l *Loop) post(item inboxItem) {
 	select {
-	case l.in <- it:
+	case l.inbox <- item:
 	case <-l.done:
-		it.late()
+		item.reject()
 		return
 	}
 	select {
-	case <-l.done: // it may have come too late to be taken
-		l.leave()
+	case <-l.done: // the loop may have ended before it took the item
+		l.rejectQueued()
 	default:
 	}
 }
 
-// late ends a connection that has come too late: the peer is told that there is no more.
-func (it item) late() {
-	if it.carrier != nil {
-		it.carrier.HandleEffect(core.GracefulClose{To: it.link})
+// reject gracefully closes the connection that an item begins, for an item that arrives after the loop has ended.
+func (item inboxItem) reject() {
+	if item.handler != nil {
+		item.handler.HandleEffect(core.GracefulClose{To: item.conn})
 	}
 }
 
-// leave empties the inbox when the loop has ended.
-func (l *Loop) leave() {
+// rejectQueued rejects all items left in the inbox after the loop has ended.
+func (l *Loop) rejectQueued() {
 	for {
 		select {
-		case it := <-l.in:
-			it.late()
+		case item := <-l.inbox:
+			item.reject()
 		default:
 			return
 		}
 	}
 }
 
-// Run owns the core until all is answered after a Stop, or until the context ends.
+// Run runs the core until it emits core.Stopped, once every caller has its answer after a core.Stop, or until the context ends.
+// After core.Stopped, Run flushes all connections before it returns.
 func (l *Loop) Run(ctx context.Context) {
-	defer l.leave()
+	defer l.rejectQueued()
 	defer close(l.done)
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
-	var publish <-chan time.Time
-	if l.publish > 0 {
-		ticker := time.NewTicker(l.publish)
+	var publishTick <-chan time.Time
+	if l.publishInterval > 0 {
+		ticker := time.NewTicker(l.publishInterval)
 		defer ticker.Stop()
-		publish = ticker.C
+		publishTick = ticker.C
 	}
 	for {
 		wait := time.Hour
@@ -153,48 +161,49 @@
 			wait = max(l.timers[0].At-l.Now(), 0)
 		}
 		timer.Reset(wait)
-		var it item
+		var item inboxItem
 		select {
 		case <-ctx.Done():
 			return
-		case <-publish:
-			l.figures.Store(&Snapshot{l.core.Stats(l.Now()), time.Now()})
+		case <-publishTick:
+			l.snapshot.Store(&Snapshot{l.core.Stats(l.Now()), time.Now()})
 			continue
-		case it = <-l.in:
+		case item = <-l.inbox:
 		case <-timer.C:
 			if len(l.timers) == 0 || l.timers[0].At > l.Now() {
 				continue
 			}
-			due := heap.Pop(&l.timers).(core.Timer)
-			it = item{at: l.Now(), ev: core.TimerFired{Token: due.Token}}
+			fired := heap.Pop(&l.timers).(core.Timer)
+			item = inboxItem{at: l.Now(), ev: core.TimerFired{Token: fired.Token}}
 		}
-		if l.take(it) {
-			var flushed sync.WaitGroup // one that is stalled doesn't hold up the others
-			for _, c := range l.carriers {
-				flushed.Go(c.Flush)
+		if l.process(item) {
+			var flushes sync.WaitGroup // in parallel: a stalled connection must not delay the others
+			for _, handler := range l.handlers {
+				flushes.Go(handler.Flush)
 			}
-			flushed.Wait()
+			flushes.Wait()
 			return
 		}
 	}
 }
 
-// take steps the core through an event and what follows from it at once. It says whether all is over.
-func (l *Loop) take(it item) (stopped bool) {
-	if it.carrier != nil {
-		l.carriers[it.link] = it.carrier
+// process steps the core with an item's event and with the events that effect handlers return for the resulting effects. It
+// reports whether the core has stopped.
+func (l *Loop) process(item inboxItem) (stopped bool) {
+	if item.handler != nil {
+		l.handlers[item.conn] = item.handler
 	}
-	events := []core.Event{it.ev}
+	events := []core.Event{item.ev}
 	for len(events) > 0 {
 		ev := events[0]
 		events = events[1:]
 		switch ev := ev.(type) {
 		case core.CallerDown:
-			delete(l.carriers, ev.Conn)
+			delete(l.handlers, ev.Conn)
 		case core.ServerDown:
-			delete(l.carriers, ev.Conn)
+			delete(l.handlers, ev.Conn)
 		}
-		for _, e := range l.core.Step(it.at, ev) {
+		for _, e := range l.core.Step(item.at, ev) {
 			switch e := e.(type) {
 			case core.Timer:
 				heap.Push(&l.timers, e)
@@ -202,17 +211,17 @@
 				if dial := l.dialers[e.Protocol]; dial != nil {
 					go dial(e)
 				} else {
-					l.log.Error().Str("server", e.Server).Str("front", string(e.Protocol)).Msg("no front reaches this server")
+					l.log.Error().Str("server", e.Server).Str("front", string(e.Protocol)).Msg("no dialer for the server's protocol")
 					events = append(events, core.ServerDown{Server: e.Server, Address: e.Address})
 				}
 			case core.CloseConn:
-				if c := l.carriers[e.To]; c != nil {
-					delete(l.carriers, e.To)
+				if c := l.handlers[e.To]; c != nil {
+					delete(l.handlers, e.To)
 					c.Close()
 				}
 			case core.GracefulClose:
-				if c := l.carriers[e.To]; c != nil {
-					delete(l.carriers, e.To)
+				if c := l.handlers[e.To]; c != nil {
+					delete(l.handlers, e.To)
 					c.HandleEffect(e)
 				}
 			case core.Serving:
@@ -224,9 +233,9 @@
 			case core.Stopped:
 				stopped = true
 			case core.Violation:
-				l.log.Error().Uint64("call", uint64(e.ID)).Str("rule", e.Rule).Msg("a guard held")
+				l.log.Error().Uint64("call", uint64(e.ID)).Str("rule", e.Rule).Msg("guard prevented a rule violation")
 			default:
-				if c := l.carriers[target(e)]; c != nil {
+				if c := l.handlers[target(e)]; c != nil {
 					events = append(events, c.HandleEffect(e)...)
 				}
 			}
@@ -235,7 +244,7 @@
 	return stopped
 }
 
-// target is the connection that an effect is for.
+// target returns the connection that an effect is for, or 0 if the effect is for no connection.
 func target(e core.Effect) core.ConnID {
 	switch e := e.(type) {
 	case core.Answered:
@@ -260,14 +269,14 @@
 	return 0
 }
 
-// timers is a heap, the earliest first.
-type timers []core.Timer
+// timerHeap implements heap.Interface; the timer that fires first is at index 0.
+type timerHeap []core.Timer
 
-func (t timers) Len() int           { return len(t) }
-func (t timers) Less(i, j int) bool { return t[i].At < t[j].At }
-func (t timers) Swap(i, j int)      { t[i], t[j] = t[j], t[i] }
-func (t *timers) Push(x any)        { *t = append(*t, x.(core.Timer)) }
-func (t *timers) Pop() any {
+func (t timerHeap) Len() int           { return len(t) }
+func (t timerHeap) Less(i, j int) bool { return t[i].At < t[j].At }
+func (t timerHeap) Swap(i, j int)      { t[i], t[j] = t[j], t[i] }
+func (t *timerHeap) Push(x any)        { *t = append(*t, x.(core.Timer)) }
+func (t *timerHeap) Pop() any {
 	old := *t
 	last := old[len(old)-1]
 	*t = old[:len(old)-1]
--- a/internal/loop/loop_test.go
+++ b/internal/loop/loop_test.go
@@ -12,24 +12,25 @@
 	"elmseam/internal/leak"
 )
 
-// No goroutine and no descriptor may be left over.
+// TestMain fails the run if the tests leave a goroutine or a file descriptor behind.
 func TestMain(m *testing.M) { leak.Main(m) }
 
-// carrier writes down what it is to carry.
-type carrier struct{ told []core.Effect }
+// recordingHandler is an EffectHandler that records the effects it receives.
+type recordingHandler struct{ effects []core.Effect }
 
-func (c *carrier) HandleEffect(e core.Effect) []core.Event {
-	c.told = append(c.told, e)
+func (c *recordingHandler) HandleEffect(e core.Effect) []core.Event {
+	c.effects = append(c.effects, e)
 	return nil
 }
 
-func (c *carrier) Close() {}
-func (c *carrier) Flush() {}
+func (c *recordingHandler) Close() {}
+func (c *recordingHandler) Flush() {}
 
-// Connections come while the loop ends, and after it has ended: each is either the core's, or is told that there is no more.
-// Those that still stood in the inbox were left open with nobody to serve them, and those after it cut off unread.
-func TestConnectionsThatComeTooLate(t *testing.T) {
-	for range 50 { // what the loop takes at its end is chance
+// Connections are attached while the loop ends and after it has ended. Each of them must either be accepted by the loop or be
+// closed gracefully. Connections still in the inbox used to stay open with nothing to serve them; later ones were closed at
+// once, with the caller's data unread.
+func TestConnectionsAttachedAtShutdown(t *testing.T) {
+	for range 50 { // how many items the loop takes before it ends is random
 		c, err := core.New(elmseam.Settings{
 			Classes: []elmseam.Class{{Deadline: time.Second, Worth: 1}}, MaxAttempts: 1, OwnCell: -1,
 		}, 1, core.Limits{MaxCallerConns: 100, MaxOpen: 1})
@@ -37,11 +38,11 @@
 			t.Fatal(err)
 		}
 		l := New(c, 8, func(core.Effect) {}, zerolog.Nop())
-		come := make(map[core.ConnID]*carrier)
+		handlers := make(map[core.ConnID]*recordingHandler)
 		attach := func() {
-			link := l.NewConnID()
-			come[link] = &carrier{}
-			l.Attach(link, come[link], core.CallerUp{Conn: link})
+			conn := l.NewConnID()
+			handlers[conn] = &recordingHandler{}
+			l.Attach(conn, handlers[conn], core.CallerUp{Conn: conn})
 		}
 		for range 8 {
 			attach()
@@ -49,21 +50,22 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
 		l.Run(ctx)
-		for range 20 { // more than the inbox holds
+		for range 20 { // more than the inbox can hold
 			attach()
 		}
-		for link, c := range come {
-			_, taken := l.carriers[link]
-			if _, closed := last(c.told).(core.GracefulClose); closed == taken {
-				t.Fatalf("connection %d: taken %v, told %v", link, taken, c.told)
+		for conn, c := range handlers {
+			_, accepted := l.handlers[conn]
+			if _, closed := lastEffect(c.effects).(core.GracefulClose); closed == accepted {
+				t.Fatalf("connection %d: accepted %v, effects %v", conn, accepted, c.effects)
 			}
 		}
 	}
 }
 
-func last(told []core.Effect) core.Effect {
-	if len(told) == 0 {
+// lastEffect returns the last of effects, or nil if there are none.
+func lastEffect(effects []core.Effect) core.Effect {
+	if len(effects) == 0 {
 		return nil
 	}
-	return told[len(told)-1]
+	return effects[len(effects)-1]
 }
