--- a/internal/bgp/bgp_test.go
+++ b/internal/bgp/bgp_test.go
@@ -16,73 +16,73 @@
 	"elmseam/internal/link"
 )
 
-const patience = 10 * time.Second // for what must come; tests don't wait it out
+const testTimeout = 10 * time.Second // for what must come; tests don't wait it out
 
 // neighbour is a stand-in peer's end of a session.
-type neighbour struct {
+type scriptedPeer struct {
 	*testing.T
 	net.Conn
-	in *link.Buffer
+	buf *link.Buffer
 }
 
 // next reads the next message that is not a KEEPALIVE, or that is if one is wanted.
-func (n *neighbour) next(kind byte) []byte {
-	n.Helper()
+func (p *scriptedPeer) next(kind byte) []byte {
+	p.Helper()
 	for {
-		got, body, size, err := parse(n.in.Bytes())
+		gotKind, body, size, err := parseMessage(p.buf.Bytes())
 		switch {
-		case err == errShort:
-			if err := n.in.Fill(n); err != nil {
-				n.Fatalf("no message of type %d: %v", kind, err)
+		case err == errIncomplete:
+			if err := p.buf.Fill(p); err != nil {
+				p.Fatalf("no message of type %d: %v", kind, err)
 			}
 			continue
 		case err != nil:
-			n.Fatal(err)
+			p.Fatal(err)
 		}
 		body = bytes.Clone(body)
-		n.in.Skip(size)
-		if got == kind {
+		p.buf.Skip(size)
+		if gotKind == kind {
 			return body
 		}
-		if got != msgKeepalive {
-			n.Fatalf("message type %d %x, want %d", got, body, kind)
+		if gotKind != msgKeepalive {
+			p.Fatalf("message type %d %x, want %d", gotKind, body, kind)
 		}
 	}
 }
 
 // accept takes a session in. An OPEN of the given hold time answers the speaker's.
-func accept(t *testing.T, l net.Listener, hold uint16) *neighbour {
+func acceptSession(t *testing.T, listener net.Listener, holdTime uint16) *scriptedPeer {
 	t.Helper()
-	c, err := l.Accept()
+	conn, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
-	n := &neighbour{t, c, link.NewBuffer(64, mostSize)}
-	o, wide, err := parseOpen(n.next(msgOpen))
-	if err != nil || o.as != 64512 || !wide {
-		t.Fatalf("OPEN %+v, %v", o, err)
-	}
-	n.Write(open{64513, hold, netip.MustParseAddr("127.0.0.2")}.build())
-	n.Write(build(msgKeepalive, nil))
-	n.next(msgKeepalive)
-	return n
+	t.Cleanup(func() { conn.Close() })
+	conn.SetDeadline(time.Now().Add(testTimeout))
+	peer := &scriptedPeer{t, conn, link.NewBuffer(64, maxMessageSize)}
+	open, fourByteAS, err := parseOpen(peer.next(msgOpen))
+	if err != nil || open.as != 64512 || !fourByteAS {
+		t.Fatalf("OPEN %+v, %v", open, err)
+	}
+	peer.Write(openMessage{64513, holdTime, netip.MustParseAddr("127.0.0.2")}.encode())
+	peer.Write(buildMessage(msgKeepalive, nil))
+	peer.next(msgKeepalive)
+	return peer
 }
 
-func speaker(t *testing.T, holdS int) (*Speaker, net.Listener, chan core.Event) {
+func startSpeaker(t *testing.T, holdS int) (*Speaker, net.Listener, chan core.Event) {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.Close() })
+	t.Cleanup(func() { listener.Close() })
 	events := make(chan core.Event, 16)
 	s, err := New(Config{
 		AS: 64512, RouterID: "127.0.0.1", Service: "127.0.9.1/32", NextHop: "127.0.0.1", HoldS: holdS,
-		Peers: []Peer{{l.Addr().String(), 64513}},
+		Peers: []Peer{{listener.Addr().String(), 64513}},
 	}, Limits{ConnectTimeout: time.Second, RetryMin: time.Millisecond, RetryMax: 4 * time.Millisecond, MaxRoutes: 100, Conn: link.Limits{
-		InitialBufferSize: 64, MaxMessageSize: mostSize, MaxQueuedBytes: 1 << 16, WriteTimeout: time.Second, FlushTimeout: 50 * time.Millisecond,
+		InitialBufferSize: 64, MaxMessageSize: maxMessageSize, MaxQueuedBytes: 1 << 16, WriteTimeout: time.Second, FlushTimeout: 50 * time.Millisecond,
 	}}, func(ev core.Event) { events <- ev }, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
@@ -90,56 +90,56 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go s.Run(ctx)
-	return s, l, events
+	return s, listener, events
 }
 
 // The service address is announced while calls are welcome, and again on each new session; withdrawn when not.
-func TestServiceAddress(t *testing.T) {
-	s, l, _ := speaker(t, 90)
-	n := accept(t, l, 90)
+func TestServicePrefixFollowsServing(t *testing.T) {
+	s, listener, _ := startSpeaker(t, 90)
+	peer := acceptSession(t, listener, 90)
 	s.SetServing(true)
 	// By hand from RFC 4271: no withdrawal, ORIGIN IGP, AS_PATH of one AS of four bytes, NEXT_HOP, the prefix.
 	want := "0000" + "0014" + "40010100" + "400206" + "0201" + "0000fc00" + "400304" + "7f000001" + "20" + "7f000901"
-	if got := hex.EncodeToString(n.next(msgUpdate)); got != want {
+	if got := hex.EncodeToString(peer.next(msgUpdate)); got != want {
 		t.Errorf("announced by %s, want %s", got, want)
 	}
-	n.Close()
-	n = accept(t, l, 90)
-	if u, err := parseUpdate(n.next(msgUpdate)); err != nil || len(u.announced) != 1 {
-		t.Errorf("on the new session: %+v, %v", u, err)
+	peer.Close()
+	peer = acceptSession(t, listener, 90)
+	if update, err := parseUpdate(peer.next(msgUpdate)); err != nil || len(update.announced) != 1 {
+		t.Errorf("on the new session: %+v, %v", update, err)
 	}
 	s.SetServing(false)
-	if got, want := hex.EncodeToString(n.next(msgUpdate)), "0005207f0009010000"; got != want {
+	if got, want := hex.EncodeToString(peer.next(msgUpdate)), "0005207f0009010000"; got != want {
 		t.Errorf("withdrawn by %s, want %s", got, want)
 	}
 }
 
 // A withdrawal by a peer that announced an address counts; of one it never spoke of, it is no news. The end of
 // a session alone takes no server away.
-func TestPeersRoutes(t *testing.T) {
-	_, l, events := speaker(t, 90)
-	n := accept(t, l, 90)
-	p := netip.MustParsePrefix("127.0.3.0/24")
-	next := netip.MustParseAddr("127.0.0.2")
-	n.Write(withdrawal(p))
-	n.Write(announcement(p, next, 64513, true, true))
+func TestPeerRouteEvents(t *testing.T) {
+	_, listener, events := startSpeaker(t, 90)
+	peer := acceptSession(t, listener, 90)
+	prefix := netip.MustParsePrefix("127.0.3.0/24")
+	nextHop := netip.MustParseAddr("127.0.0.2")
+	peer.Write(buildWithdrawal(prefix))
+	peer.Write(buildAnnouncement(prefix, nextHop, 64513, true, true))
 	if ev := (<-events).(core.Route); !ev.Up || !ev.Covers("127.0.3.7:2905") || ev.Covers("127.0.4.7:2905") {
 		t.Errorf("first event %+v", ev)
 	}
-	n.Close()
-	n = accept(t, l, 90)
-	n.Write(announcement(p, next, 64513, true, true))
-	n.Write(withdrawal(p))
+	peer.Close()
+	peer = acceptSession(t, listener, 90)
+	peer.Write(buildAnnouncement(prefix, nextHop, 64513, true, true))
+	peer.Write(buildWithdrawal(prefix))
 	if ev := (<-events).(core.Route); ev.Up {
 		t.Errorf("second event %+v, want the withdrawal", ev)
 	}
-	n.Write(announcement(p, next, 64513, true, true))
+	peer.Write(buildAnnouncement(prefix, nextHop, 64513, true, true))
 	if ev := (<-events).(core.Route); !ev.Up {
 		t.Errorf("third event %+v, want the route back", ev)
 	}
-	n.Close() // a peer that comes back without it, and says that this is all, has withdrawn it
-	n = accept(t, l, 90)
-	n.Write(build(msgUpdate, []byte{0, 0, 0, 0}))
+	peer.Close() // a peer that comes back without it, and says that this is all, has withdrawn it
+	peer = acceptSession(t, listener, 90)
+	peer.Write(buildMessage(msgUpdate, []byte{0, 0, 0, 0}))
 	if ev := (<-events).(core.Route); ev.Up {
 		t.Errorf("fourth event %+v, want the withdrawal", ev)
 	}
@@ -147,27 +147,27 @@
 
 // Routes that come and go leave nothing behind: each was counted for good, and after as many as a peer may announce
 // the session ended, and so did every later one.
-func TestRoutesThatGoAreForgotten(t *testing.T) {
-	s, l, events := speaker(t, 90)
-	n := accept(t, l, 90)
-	next := netip.MustParseAddr("127.0.0.2")
+func TestWithdrawnRoutesAreForgotten(t *testing.T) {
+	s, listener, events := startSpeaker(t, 90)
+	peer := acceptSession(t, listener, 90)
+	nextHop := netip.MustParseAddr("127.0.0.2")
 	for i := range 3 * s.limits.MaxRoutes {
-		p := netip.PrefixFrom(netip.AddrFrom4([4]byte{127, 1, byte(i >> 8), byte(i)}), 32)
-		n.Write(announcement(p, next, 64513, true, true))
-		n.Write(withdrawal(p))
+		prefix := netip.PrefixFrom(netip.AddrFrom4([4]byte{127, 1, byte(i >> 8), byte(i)}), 32)
+		peer.Write(buildAnnouncement(prefix, nextHop, 64513, true, true))
+		peer.Write(buildWithdrawal(prefix))
 		for _, up := range []bool{true, false} {
 			select {
 			case ev := <-events:
 				if ev.(core.Route).Up != up {
 					t.Fatalf("route %d: %+v, want up: %v", i, ev, up)
 				}
-			case <-time.After(patience):
+			case <-time.After(testTimeout):
 				t.Fatalf("route %d: nothing is told of it", i)
 			}
 		}
 	}
-	s.telling.Lock()
-	defer s.telling.Unlock()
+	s.routesMu.Lock()
+	defer s.routesMu.Unlock()
 	if len(s.routes) != 0 {
 		t.Errorf("%d routes kept", len(s.routes))
 	}
@@ -175,44 +175,44 @@
 
 // A silent peer is left when the hold timer expires, with a NOTIFICATION; KEEPALIVEs go out meanwhile. What is
 // malformed ends the session likewise, and the session is tried again.
-func TestSessionsEnd(t *testing.T) {
-	_, l, _ := speaker(t, 3)
-	n := accept(t, l, 3)
-	n.next(msgKeepalive)
-	if b := n.next(msgNotification); b[0] != errHoldExpired>>8 {
+func TestSessionErrors(t *testing.T) {
+	_, listener, _ := startSpeaker(t, 3)
+	peer := acceptSession(t, listener, 3)
+	peer.next(msgKeepalive)
+	if b := peer.next(msgNotification); b[0] != codeHoldTimerExpired>>8 {
 		t.Errorf("NOTIFICATION %x, want the hold timer's", b)
 	}
 	for name, tt := range map[string]struct {
 		b    []byte
 		code uint16
 	}{
-		"marker":    {make([]byte, headSize), errMarker},
-		"type":      {build(9, nil), errType},
-		"length":    {build(msgUpdate, nil), errLength},
-		"update":    {build(msgUpdate, []byte{0, 9, 0, 0}), errAttributes},
-		"prefix":    {build(msgUpdate, []byte{0, 0, 0, 0, 33, 1, 2, 3, 4, 5}), errNetwork},
-		"attribute": {build(msgUpdate, []byte{0, 0, 0, 3, 0x40, 1, 9}), errAttributes},
-		"state":     {open{64513, 90, netip.MustParseAddr("127.0.0.2")}.build(), errState},
+		"marker":    {make([]byte, headerSize), codeNotSynchronized},
+		"type":      {buildMessage(9, nil), codeBadType},
+		"length":    {buildMessage(msgUpdate, nil), codeBadLength},
+		"update":    {buildMessage(msgUpdate, []byte{0, 9, 0, 0}), codeMalformedAttributes},
+		"prefix":    {buildMessage(msgUpdate, []byte{0, 0, 0, 0, 33, 1, 2, 3, 4, 5}), codeInvalidNetwork},
+		"attribute": {buildMessage(msgUpdate, []byte{0, 0, 0, 3, 0x40, 1, 9}), codeMalformedAttributes},
+		"state":     {openMessage{64513, 90, netip.MustParseAddr("127.0.0.2")}.encode(), codeFSMError},
 	} {
-		n := accept(t, l, 90)
-		n.Write(tt.b)
-		if b := n.next(msgNotification); b[0] != byte(tt.code>>8) || b[1] != byte(tt.code) {
+		peer := acceptSession(t, listener, 90)
+		peer.Write(tt.b)
+		if b := peer.next(msgNotification); b[0] != byte(tt.code>>8) || b[1] != byte(tt.code) {
 			t.Errorf("%s: NOTIFICATION %x, want %04x", name, b, tt.code)
 		}
 	}
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add(open{64513, 90, netip.MustParseAddr("127.0.0.2")}.build())
-	f.Add(announcement(netip.MustParsePrefix("127.0.3.0/24"), netip.MustParseAddr("127.0.0.2"), 1, true, true))
-	f.Add(withdrawal(netip.MustParsePrefix("127.0.3.0/24")))
+	f.Add(openMessage{64513, 90, netip.MustParseAddr("127.0.0.2")}.encode())
+	f.Add(buildAnnouncement(netip.MustParsePrefix("127.0.3.0/24"), netip.MustParseAddr("127.0.0.2"), 1, true, true))
+	f.Add(buildWithdrawal(netip.MustParsePrefix("127.0.3.0/24")))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		kind, body, n, err := parse(b)
+		kind, body, size, err := parseMessage(b)
 		if err != nil {
 			return
 		}
-		if n > len(b) || n > mostSize {
-			t.Errorf("a message of %d bytes out of %d", n, len(b))
+		if size > len(b) || size > maxMessageSize {
+			t.Errorf("a message of %d bytes out of %d", size, len(b))
 		}
 		switch kind {
 		case msgOpen:
--- a/internal/bgp/message.go
+++ b/internal/bgp/message.go
@@ -19,27 +19,27 @@
 
 // Error codes of a NOTIFICATION, the subcode in the low byte.
 const (
-	errLength      = 1<<8 | 2
-	errType        = 1<<8 | 3
-	errMarker      = 1<<8 | 1
-	errVersion     = 2<<8 | 1
-	errPeerAS      = 2<<8 | 2
-	errHoldTime    = 2<<8 | 6
-	errAttributes  = 3<<8 | 1
-	errNetwork     = 3<<8 | 10
-	errHoldExpired = 4 << 8
-	errState       = 5 << 8
-	errPrefixes    = 6<<8 | 1 // too many of them
-	errCease       = 6<<8 | 2 // administrative shutdown
+	codeBadLength           = 1<<8 | 2
+	codeBadType             = 1<<8 | 3
+	codeNotSynchronized     = 1<<8 | 1
+	codeUnsupportedVersion  = 2<<8 | 1
+	codeBadPeerAS           = 2<<8 | 2
+	codeBadHoldTime         = 2<<8 | 6
+	codeMalformedAttributes = 3<<8 | 1
+	codeInvalidNetwork      = 3<<8 | 10
+	codeHoldTimerExpired    = 4 << 8
+	codeFSMError            = 5 << 8
+	codeTooManyPrefixes     = 6<<8 | 1 // too many of them
+	codeAdminShutdown       = 6<<8 | 2 // administrative shutdown
 )
 
 const (
-	headSize   = 19
-	markerSize = 16
-	mostSize   = 4096
-	openSize   = 10
-	version    = 4
-	asTrans    = 23456 // stands for an AS of four bytes (RFC 6793)
+	headerSize      = 19
+	markerSize      = 16
+	maxMessageSize  = 4096
+	minOpenBody     = 10
+	protocolVersion = 4
+	asTrans         = 23456 // stands for an AS of four bytes (RFC 6793)
 )
 
 // Attributes that an announcement carries.
@@ -51,205 +51,205 @@
 )
 
 // fault is a malformed message, with the code for a NOTIFICATION.
-type fault struct {
+type messageError struct {
 	code uint16
-	what string
+	text string
 }
 
-func (f *fault) Error() string { return f.what }
+func (e *messageError) Error() string { return e.text }
 
 // errShort says that a message is not whole yet.
-var errShort = errors.New("not whole")
+var errIncomplete = errors.New("not whole")
 
 // parse reads the first message of b and says how long it is.
-func parse(b []byte) (kind byte, body []byte, n int, err error) {
-	if len(b) < headSize {
-		return 0, nil, 0, errShort
+func parseMessage(b []byte) (kind byte, body []byte, size int, err error) {
+	if len(b) < headerSize {
+		return 0, nil, 0, errIncomplete
 	}
 	for _, c := range b[:markerSize] {
 		if c != 0xff {
-			return 0, nil, 0, &fault{errMarker, "no marker"}
+			return 0, nil, 0, &messageError{codeNotSynchronized, "no marker"}
 		}
 	}
-	n = int(binary.BigEndian.Uint16(b[markerSize:]))
+	size = int(binary.BigEndian.Uint16(b[markerSize:]))
 	kind = b[markerSize+2]
-	least, most := headSize, mostSize
+	minSize, maxSize := headerSize, maxMessageSize
 	switch kind {
 	case msgOpen:
-		least += openSize
+		minSize += minOpenBody
 	case msgUpdate:
-		least += 4
+		minSize += 4
 	case msgNotification:
-		least += 2
+		minSize += 2
 	case msgKeepalive:
-		most = headSize
+		maxSize = headerSize
 	default:
-		return kind, nil, n, &fault{errType, fmt.Sprintf("message type %d", kind)}
+		return kind, nil, size, &messageError{codeBadType, fmt.Sprintf("message type %d", kind)}
 	}
 	switch {
-	case n < least || n > most:
-		return kind, nil, n, &fault{errLength, fmt.Sprintf("a message of type %d with %d bytes", kind, n)}
-	case len(b) < n:
-		return kind, nil, n, errShort
+	case size < minSize || size > maxSize:
+		return kind, nil, size, &messageError{codeBadLength, fmt.Sprintf("a message of type %d with %d bytes", kind, size)}
+	case len(b) < size:
+		return kind, nil, size, errIncomplete
 	}
-	return kind, b[headSize:n], n, nil
+	return kind, b[headerSize:size], size, nil
 }
 
 // build writes a message.
-func build(kind byte, body []byte) []byte {
-	b := make([]byte, markerSize, headSize+len(body))
+func buildMessage(kind byte, body []byte) []byte {
+	b := make([]byte, markerSize, headerSize+len(body))
 	for i := range b {
 		b[i] = 0xff
 	}
-	b = binary.BigEndian.AppendUint16(b, uint16(headSize+len(body)))
+	b = binary.BigEndian.AppendUint16(b, uint16(headerSize+len(body)))
 	return append(append(b, kind), body...)
 }
 
 // open is an OPEN.
-type open struct {
-	as   uint32
-	hold uint16 // seconds
-	id   netip.Addr
+type openMessage struct {
+	as       uint32
+	holdTime uint16 // seconds
+	routerID netip.Addr
 }
 
-func (o open) build() []byte {
-	short := uint16(asTrans)
+func (o openMessage) encode() []byte {
+	twoByteAS := uint16(asTrans)
 	if o.as < 1<<16 {
-		short = uint16(o.as)
+		twoByteAS = uint16(o.as)
 	}
-	b := binary.BigEndian.AppendUint16([]byte{version}, short)
-	b = binary.BigEndian.AppendUint16(b, o.hold)
-	b = append(b, o.id.AsSlice()...)
+	b := binary.BigEndian.AppendUint16([]byte{protocolVersion}, twoByteAS)
+	b = binary.BigEndian.AppendUint16(b, o.holdTime)
+	b = append(b, o.routerID.AsSlice()...)
 	// One optional parameter, capabilities: IPv4 unicast, an AS of four bytes.
 	caps := []byte{1, 4, 0, 1, 0, 1, 65, 4}
 	caps = binary.BigEndian.AppendUint32(caps, o.as)
 	b = append(b, byte(2+len(caps)), 2, byte(len(caps)))
-	return build(msgOpen, append(b, caps...))
+	return buildMessage(msgOpen, append(b, caps...))
 }
 
 // parseOpen reads an OPEN.
-func parseOpen(b []byte) (o open, wide bool, err error) {
-	if b[0] != version {
-		return o, false, &fault{errVersion, fmt.Sprintf("version %d", b[0])}
-	}
-	o.as, o.hold = uint32(binary.BigEndian.Uint16(b[1:])), binary.BigEndian.Uint16(b[3:])
-	o.id = netip.AddrFrom4([4]byte(b[5:9]))
-	if o.hold == 1 || o.hold == 2 {
-		return o, false, &fault{errHoldTime, fmt.Sprintf("hold time %d", o.hold)}
-	}
-	short := &fault{2 << 8, "optional parameters are cut short"}
-	if int(b[9]) != len(b)-openSize {
-		return o, false, short
-	}
-	for p := b[openSize:]; len(p) > 0; {
-		if len(p) < 2 || len(p) < 2+int(p[1]) {
-			return o, false, short
+func parseOpen(b []byte) (msg openMessage, fourByteAS bool, err error) {
+	if b[0] != protocolVersion {
+		return msg, false, &messageError{codeUnsupportedVersion, fmt.Sprintf("version %d", b[0])}
+	}
+	msg.as, msg.holdTime = uint32(binary.BigEndian.Uint16(b[1:])), binary.BigEndian.Uint16(b[3:])
+	msg.routerID = netip.AddrFrom4([4]byte(b[5:9]))
+	if msg.holdTime == 1 || msg.holdTime == 2 {
+		return msg, false, &messageError{codeBadHoldTime, fmt.Sprintf("hold time %d", msg.holdTime)}
+	}
+	truncated := &messageError{2 << 8, "optional parameters are cut short"}
+	if int(b[9]) != len(b)-minOpenBody {
+		return msg, false, truncated
+	}
+	for params := b[minOpenBody:]; len(params) > 0; {
+		if len(params) < 2 || len(params) < 2+int(params[1]) {
+			return msg, false, truncated
 		}
-		caps := p[2 : 2+int(p[1])]
-		if p[0] != 2 {
+		caps := params[2 : 2+int(params[1])]
+		if params[0] != 2 {
 			caps = nil
 		}
-		p = p[2+int(p[1]):]
+		params = params[2+int(params[1]):]
 		for len(caps) > 0 {
 			if len(caps) < 2 || len(caps) < 2+int(caps[1]) {
-				return o, false, short
+				return msg, false, truncated
 			}
 			if caps[0] == 65 && caps[1] == 4 {
-				o.as, wide = binary.BigEndian.Uint32(caps[2:]), true
+				msg.as, fourByteAS = binary.BigEndian.Uint32(caps[2:]), true
 			}
 			caps = caps[2+int(caps[1]):]
 		}
 	}
-	return o, wide, nil
+	return msg, fourByteAS, nil
 }
 
 // update is an UPDATE, as far as it concerns this speaker.
-type update struct {
+type updateMessage struct {
 	withdrawn, announced []netip.Prefix
-	whole                bool // an End-of-RIB (RFC 4724): the peer has told all that it has
+	endOfRIB             bool // an End-of-RIB (RFC 4724): the peer has told all that it has
 }
 
 // parseUpdate reads an UPDATE.
-func parseUpdate(b []byte) (u update, err error) {
-	short := &fault{errAttributes, "an UPDATE is cut short"}
-	u.whole = len(b) == 4
-	n := int(binary.BigEndian.Uint16(b))
-	if len(b) < 2+n+2 {
-		return u, short
-	}
-	if u.withdrawn, err = parsePrefixes(b[2 : 2+n]); err != nil {
-		return u, err
-	}
-	b = b[2+n:]
-	attrs := int(binary.BigEndian.Uint16(b))
-	if len(b) < 2+attrs {
-		return u, short
-	}
-	for p := b[2 : 2+attrs]; len(p) > 0; {
-		size, head := 0, 3
+func parseUpdate(b []byte) (msg updateMessage, err error) {
+	truncated := &messageError{codeMalformedAttributes, "an UPDATE is cut short"}
+	msg.endOfRIB = len(b) == 4
+	withdrawnSize := int(binary.BigEndian.Uint16(b))
+	if len(b) < 2+withdrawnSize+2 {
+		return msg, truncated
+	}
+	if msg.withdrawn, err = parsePrefixes(b[2 : 2+withdrawnSize]); err != nil {
+		return msg, err
+	}
+	b = b[2+withdrawnSize:]
+	attrsSize := int(binary.BigEndian.Uint16(b))
+	if len(b) < 2+attrsSize {
+		return msg, truncated
+	}
+	for attrs := b[2 : 2+attrsSize]; len(attrs) > 0; {
+		size, headerSize := 0, 3
 		switch {
-		case len(p) < 3:
-			return u, short
-		case p[0]&0x10 == 0:
-			size = int(p[2])
-		case len(p) < 4:
-			return u, short
+		case len(attrs) < 3:
+			return msg, truncated
+		case attrs[0]&0x10 == 0:
+			size = int(attrs[2])
+		case len(attrs) < 4:
+			return msg, truncated
 		default:
-			size, head = int(binary.BigEndian.Uint16(p[2:])), 4
+			size, headerSize = int(binary.BigEndian.Uint16(attrs[2:])), 4
 		}
-		if len(p) < head+size {
-			return u, short
+		if len(attrs) < headerSize+size {
+			return msg, truncated
 		}
-		p = p[head+size:]
+		attrs = attrs[headerSize+size:]
 	}
-	u.announced, err = parsePrefixes(b[2+attrs:])
-	return u, err
+	msg.announced, err = parsePrefixes(b[2+attrsSize:])
+	return msg, err
 }
 
-func parsePrefixes(b []byte) (ps []netip.Prefix, err error) {
+func parsePrefixes(b []byte) (prefixes []netip.Prefix, err error) {
 	for len(b) > 0 {
 		bits := int(b[0])
-		n := (bits + 7) / 8
-		if bits > 32 || len(b) < 1+n {
-			return nil, &fault{errNetwork, "a prefix is cut short"}
+		size := (bits + 7) / 8
+		if bits > 32 || len(b) < 1+size {
+			return nil, &messageError{codeInvalidNetwork, "a prefix is cut short"}
 		}
-		var a [4]byte
-		copy(a[:], b[1:1+n])
-		ps = append(ps, netip.PrefixFrom(netip.AddrFrom4(a), bits).Masked())
-		b = b[1+n:]
+		var addr [4]byte
+		copy(addr[:], b[1:1+size])
+		prefixes = append(prefixes, netip.PrefixFrom(netip.AddrFrom4(addr), bits).Masked())
+		b = b[1+size:]
 	}
-	return ps, nil
+	return prefixes, nil
 }
 
-func appendPrefix(b []byte, p netip.Prefix) []byte {
-	a := p.Addr().As4()
-	return append(append(b, byte(p.Bits())), a[:(p.Bits()+7)/8]...)
+func appendPrefix(b []byte, prefix netip.Prefix) []byte {
+	addr := prefix.Addr().As4()
+	return append(append(b, byte(prefix.Bits())), addr[:(prefix.Bits()+7)/8]...)
 }
 
 // withdrawal is an UPDATE that takes a prefix back.
-func withdrawal(p netip.Prefix) []byte {
-	w := appendPrefix(nil, p)
-	b := binary.BigEndian.AppendUint16(nil, uint16(len(w)))
-	return build(msgUpdate, append(append(b, w...), 0, 0))
+func buildWithdrawal(prefix netip.Prefix) []byte {
+	withdrawn := appendPrefix(nil, prefix)
+	b := binary.BigEndian.AppendUint16(nil, uint16(len(withdrawn)))
+	return buildMessage(msgUpdate, append(append(b, withdrawn...), 0, 0))
 }
 
 // announcement is an UPDATE that announces a prefix. wide says that the peer knows an AS of four bytes.
-func announcement(p netip.Prefix, next netip.Addr, as uint32, external, wide bool) []byte {
+func buildAnnouncement(prefix netip.Prefix, nextHop netip.Addr, as uint32, external, fourByteAS bool) []byte {
 	attrs := []byte{0x40, attrOrigin, 1, 0}
 	switch {
 	case !external:
 		attrs = append(attrs, 0x40, attrASPath, 0)
-	case wide:
+	case fourByteAS:
 		attrs = append(attrs, 0x40, attrASPath, 6, 2, 1)
 		attrs = binary.BigEndian.AppendUint32(attrs, as)
 	default:
 		attrs = append(attrs, 0x40, attrASPath, 4, 2, 1)
 		attrs = binary.BigEndian.AppendUint16(attrs, uint16(min(as, asTrans)))
 	}
-	attrs = append(append(attrs, 0x40, attrNextHop, 4), next.AsSlice()...)
+	attrs = append(append(attrs, 0x40, attrNextHop, 4), nextHop.AsSlice()...)
 	if !external {
 		attrs = append(attrs, 0x40, attrLocalPref, 4, 0, 0, 0, 100)
 	}
 	b := binary.BigEndian.AppendUint16([]byte{0, 0}, uint16(len(attrs)))
-	return build(msgUpdate, appendPrefix(append(b, attrs...), p))
+	return buildMessage(msgUpdate, appendPrefix(append(b, attrs...), prefix))
 }
--- a/internal/bgp/speaker.go
+++ b/internal/bgp/speaker.go
@@ -44,48 +44,48 @@
 
 // Speaker holds a session with each peer.
 type Speaker struct {
-	as       uint32
-	id, next netip.Addr
-	service  netip.Prefix
-	hold     uint16
-	peers    []Peer
-	limits   Limits
-	post     func(core.Event)
-	log      zerolog.Logger
-	loud     zerolog.Logger // of what peers can cause as often as they like
+	as                uint32
+	routerID, nextHop netip.Addr
+	service           netip.Prefix
+	holdTime          uint16
+	peers             []Peer
+	limits            Limits
+	post              func(core.Event)
+	log               zerolog.Logger
+	sampledLog        zerolog.Logger // of what peers can cause as often as they like
 
-	telling sync.Mutex                       // keeps what is told of routes in order; never held by the loop, which may be waited for
-	routes  map[netip.Prefix]map[string]bool // by whom an address is announced; under telling
+	routesMu sync.Mutex                       // keeps what is told of routes in order; never held by the loop, which may be waited for
+	routes   map[netip.Prefix]map[string]bool // by whom an address is announced; under telling
 
 	mu       sync.Mutex
-	ready    bool
+	serving  bool
 	sessions map[*session]bool
 }
 
 // New checks the configuration. An error names the field.
-func New(c Config, limits Limits, post func(core.Event), log zerolog.Logger) (*Speaker, error) {
+func New(cfg Config, limits Limits, post func(core.Event), log zerolog.Logger) (*Speaker, error) {
 	s := &Speaker{
-		as: c.AS, hold: uint16(c.HoldS), peers: c.Peers, limits: limits, post: post, log: log, loud: link.SampledLogger(log),
+		as: cfg.AS, holdTime: uint16(cfg.HoldS), peers: cfg.Peers, limits: limits, post: post, log: log, sampledLog: link.SampledLogger(log),
 		sessions: make(map[*session]bool), routes: make(map[netip.Prefix]map[string]bool),
 	}
 	var err error
-	if s.id, err = netip.ParseAddr(c.RouterID); err != nil || !s.id.Is4() {
-		return nil, fmt.Errorf("bgp.router_id: %q is no IPv4 address", c.RouterID)
+	if s.routerID, err = netip.ParseAddr(cfg.RouterID); err != nil || !s.routerID.Is4() {
+		return nil, fmt.Errorf("bgp.router_id: %q is no IPv4 address", cfg.RouterID)
 	}
-	if s.next, err = netip.ParseAddr(c.NextHop); err != nil || !s.next.Is4() {
-		return nil, fmt.Errorf("bgp.next_hop: %q is no IPv4 address", c.NextHop)
+	if s.nextHop, err = netip.ParseAddr(cfg.NextHop); err != nil || !s.nextHop.Is4() {
+		return nil, fmt.Errorf("bgp.next_hop: %q is no IPv4 address", cfg.NextHop)
 	}
-	if s.service, err = netip.ParsePrefix(c.Service); err != nil || !s.service.Addr().Is4() {
-		return nil, fmt.Errorf("bgp.service: %q is no IPv4 prefix", c.Service)
+	if s.service, err = netip.ParsePrefix(cfg.Service); err != nil || !s.service.Addr().Is4() {
+		return nil, fmt.Errorf("bgp.service: %q is no IPv4 prefix", cfg.Service)
 	}
 	switch {
-	case c.AS == 0:
+	case cfg.AS == 0:
 		return nil, errors.New("bgp.as: missing")
-	case c.HoldS < 3 || c.HoldS > 1<<16-1:
-		return nil, fmt.Errorf("bgp.hold_s: %d, 3 is the least", c.HoldS)
+	case cfg.HoldS < 3 || cfg.HoldS > 1<<16-1:
+		return nil, fmt.Errorf("bgp.hold_s: %d, 3 is the least", cfg.HoldS)
 	}
-	for i, p := range c.Peers {
-		if _, _, err := net.SplitHostPort(p.Address); err != nil || p.AS == 0 {
+	for i, peer := range cfg.Peers {
+		if _, _, err := net.SplitHostPort(peer.Address); err != nil || peer.AS == 0 {
 			return nil, fmt.Errorf("bgp.peer[%d]: address or as missing", i)
 		}
 	}
@@ -94,179 +94,179 @@
 }
 
 // SetServing announces the service address, or withdraws it.
-func (s *Speaker) SetServing(yes bool) {
+func (s *Speaker) SetServing(serving bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ready = yes
+	s.serving = serving
 	for ses := range s.sessions {
-		ses.announce(yes)
+		ses.announce(serving)
 	}
 }
 
 // Run keeps a session with every peer until the context ends.
 func (s *Speaker) Run(ctx context.Context) {
 	var wg sync.WaitGroup
-	for _, p := range s.peers {
-		wg.Go(func() { s.keep(ctx, p) })
+	for _, peer := range s.peers {
+		wg.Go(func() { s.maintainSession(ctx, peer) })
 	}
 	wg.Wait()
 }
 
 // keep makes a session again whenever it ends, at doubling gaps while none comes up.
-func (s *Speaker) keep(ctx context.Context, p Peer) {
-	gap := s.limits.RetryMin
+func (s *Speaker) maintainSession(ctx context.Context, peer Peer) {
+	retryDelay := s.limits.RetryMin
 	for ctx.Err() == nil {
-		up, err := s.session(ctx, p)
+		established, err := s.runSession(ctx, peer)
 		if ctx.Err() != nil {
 			return
 		}
-		s.log.Info().Err(err).Str("peer", p.Address).Msg("BGP session ended")
-		if up {
-			gap = s.limits.RetryMin
+		s.log.Info().Err(err).Str("peer", peer.Address).Msg("BGP session ended")
+		if established {
+			retryDelay = s.limits.RetryMin
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(gap):
+		case <-time.After(retryDelay):
 		}
-		gap = min(2*gap, s.limits.RetryMax)
+		retryDelay = min(2*retryDelay, s.limits.RetryMax)
 	}
 }
 
 // session is an established session.
 type session struct {
-	s        *Speaker
-	peer     Peer
-	conn     net.Conn
-	out      *link.Outbox
-	external bool
-	wide     bool
-	heard    map[netip.Prefix]bool // announced in this session
+	speaker    *Speaker
+	peer       Peer
+	conn       net.Conn
+	outbox     *link.Outbox
+	external   bool
+	fourByteAS bool
+	announced  map[netip.Prefix]bool // announced in this session
 }
 
 // announce must be called with the speaker's lock held.
-func (ses *session) announce(yes bool) {
-	s := ses.s
-	b := withdrawal(s.service)
-	if yes {
-		b = announcement(s.service, s.next, s.as, ses.external, ses.wide)
+func (ses *session) announce(serving bool) {
+	speaker := ses.speaker
+	msg := buildWithdrawal(speaker.service)
+	if serving {
+		msg = buildAnnouncement(speaker.service, speaker.nextHop, speaker.as, ses.external, ses.fourByteAS)
 	}
-	ses.out.Post(link.Item{Data: b})
+	ses.outbox.Post(link.Item{Data: msg})
 }
 
 // session holds one session, and says whether it was established.
-func (s *Speaker) session(ctx context.Context, p Peer) (up bool, err error) {
-	d := net.Dialer{Timeout: s.limits.ConnectTimeout}
-	conn, err := d.DialContext(ctx, "tcp", p.Address)
+func (s *Speaker) runSession(ctx context.Context, peer Peer) (established bool, err error) {
+	dialer := net.Dialer{Timeout: s.limits.ConnectTimeout}
+	conn, err := dialer.DialContext(ctx, "tcp", peer.Address)
 	if err != nil {
 		return false, err
 	}
 	defer conn.Close()
 	ses := &session{
-		s: s, peer: p, conn: conn, out: link.NewOutbox(conn, s.limits.Conn), external: p.AS != s.as,
-		heard: make(map[netip.Prefix]bool)}
-	defer context.AfterFunc(ctx, func() { ses.notify(errCease) })()
-	ses.out.Post(link.Item{Data: open{s.as, s.hold, s.id}.build()})
-	up, err = ses.read()
+		speaker: s, peer: peer, conn: conn, outbox: link.NewOutbox(conn, s.limits.Conn), external: peer.AS != s.as,
+		announced: make(map[netip.Prefix]bool)}
+	defer context.AfterFunc(ctx, func() { ses.notify(codeAdminShutdown) })()
+	ses.outbox.Post(link.Item{Data: openMessage{s.as, s.holdTime, s.routerID}.encode()})
+	established, err = ses.run()
 	s.mu.Lock()
 	delete(s.sessions, ses)
 	s.mu.Unlock()
-	var bad *fault
-	if errors.As(err, &bad) {
-		ses.notify(bad.code)
+	var msgErr *messageError
+	if errors.As(err, &msgErr) {
+		ses.notify(msgErr.code)
 	}
-	return up, err
+	return established, err
 }
 
 // notify ends the session with a NOTIFICATION.
 func (ses *session) notify(code uint16) {
-	ses.out.Post(link.Item{Data: build(msgNotification, binary.BigEndian.AppendUint16(nil, code))})
-	ses.out.Flush()
+	ses.outbox.Post(link.Item{Data: buildMessage(msgNotification, binary.BigEndian.AppendUint16(nil, code))})
+	ses.outbox.Flush()
 	ses.conn.Close()
 }
 
 // read drives the session: OPEN, KEEPALIVE, then UPDATEs. A third of the hold time with nothing heard, or a
 // third gone by since the last, is when a KEEPALIVE goes out; the whole of it, and the session is over.
-func (ses *session) read() (up bool, err error) {
-	in := link.NewBuffer(headSize, mostSize)
-	hold := time.Duration(ses.s.hold) * time.Second
+func (ses *session) run() (established bool, err error) {
+	buf := link.NewBuffer(headerSize, maxMessageSize)
+	holdTime := time.Duration(ses.speaker.holdTime) * time.Second
 	opened := false
-	last, beat := time.Now(), time.Now()
+	lastReceived, lastKeepalive := time.Now(), time.Now()
 	for {
 		now := time.Now()
-		if opened && hold > 0 && now.Sub(beat) >= hold/3 {
-			ses.out.Post(link.Item{Data: build(msgKeepalive, nil)})
-			beat = now
+		if opened && holdTime > 0 && now.Sub(lastKeepalive) >= holdTime/3 {
+			ses.outbox.Post(link.Item{Data: buildMessage(msgKeepalive, nil)})
+			lastKeepalive = now
 		}
-		if hold > 0 {
-			ses.conn.SetReadDeadline(now.Add(min(hold/3-now.Sub(beat), hold-now.Sub(last))))
+		if holdTime > 0 {
+			ses.conn.SetReadDeadline(now.Add(min(holdTime/3-now.Sub(lastKeepalive), holdTime-now.Sub(lastReceived))))
 		} else {
 			ses.conn.SetReadDeadline(time.Time{})
 		}
-		switch err := in.Fill(ses.conn); {
+		switch err := buf.Fill(ses.conn); {
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			if time.Since(last) >= hold {
-				return up, &fault{errHoldExpired, "hold timer expired"}
+			if time.Since(lastReceived) >= holdTime {
+				return established, &messageError{codeHoldTimerExpired, "hold timer expired"}
 			}
 			if !opened {
-				beat = time.Now()
+				lastKeepalive = time.Now()
 			}
 			continue
 		case err != nil:
-			return up, err
+			return established, err
 		}
 		for {
-			kind, body, n, err := parse(in.Bytes())
-			if err == errShort {
+			kind, body, size, err := parseMessage(buf.Bytes())
+			if err == errIncomplete {
 				break
 			}
 			if err != nil {
-				return up, err
+				return established, err
 			}
-			last = time.Now()
+			lastReceived = time.Now()
 			switch {
 			case kind == msgNotification:
-				return up, fmt.Errorf("peer ends the session: code %d, subcode %d", body[0], body[1])
+				return established, fmt.Errorf("peer ends the session: code %d, subcode %d", body[0], body[1])
 			case kind == msgOpen && !opened:
-				o, wide, err := parseOpen(body)
+				open, fourByteAS, err := parseOpen(body)
 				if err != nil {
-					return up, err
+					return established, err
 				}
-				if o.as != ses.peer.AS {
-					return up, &fault{errPeerAS, fmt.Sprintf("peer is AS %d", o.as)}
+				if open.as != ses.peer.AS {
+					return established, &messageError{codeBadPeerAS, fmt.Sprintf("peer is AS %d", open.as)}
 				}
-				opened, ses.wide = true, wide
-				hold = min(hold, time.Duration(o.hold)*time.Second)
-				ses.out.Post(link.Item{Data: build(msgKeepalive, nil)})
-				beat = last
+				opened, ses.fourByteAS = true, fourByteAS
+				holdTime = min(holdTime, time.Duration(open.holdTime)*time.Second)
+				ses.outbox.Post(link.Item{Data: buildMessage(msgKeepalive, nil)})
+				lastKeepalive = lastReceived
 			case kind == msgKeepalive && opened:
-				if !up {
-					up = true
+				if !established {
+					established = true
 					ses.established()
 				}
-			case kind == msgUpdate && up:
-				u, err := parseUpdate(body)
+			case kind == msgUpdate && established:
+				update, err := parseUpdate(body)
 				if err != nil {
-					return up, err
+					return established, err
 				}
-				if err := ses.update(u); err != nil {
-					return up, err
+				if err := ses.handleUpdate(update); err != nil {
+					return established, err
 				}
 			default:
-				return up, &fault{errState, fmt.Sprintf("message type %d is not expected here", kind)}
+				return established, &messageError{codeFSMError, fmt.Sprintf("message type %d is not expected here", kind)}
 			}
-			in.Skip(n)
+			buf.Skip(size)
 		}
 	}
 }
 
 // established announces the service address if calls are welcome.
 func (ses *session) established() {
-	s := ses.s
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.sessions[ses] = true
-	s.log.Info().Str("peer", ses.peer.Address).Msg("BGP session established")
-	if s.ready {
+	speaker := ses.speaker
+	speaker.mu.Lock()
+	defer speaker.mu.Unlock()
+	speaker.sessions[ses] = true
+	speaker.log.Info().Str("peer", ses.peer.Address).Msg("BGP session established")
+	if speaker.serving {
 		ses.announce(true)
 	}
 }
@@ -274,61 +274,61 @@
 // update takes in what a peer says of addresses. One is gone when the last peer that announced it has
 // withdrawn it; one that no peer ever spoke of is none of BGP's business. What a peer told is kept when its
 // session ends: only its word counts as a withdrawal, or that it has told all and this was not among it.
-func (ses *session) update(u update) error {
-	s := ses.s
-	s.telling.Lock()
-	defer s.telling.Unlock()
-	if u.whole {
-		for p := range s.routes {
-			if !ses.heard[p] {
-				u.withdrawn = append(u.withdrawn, p)
+func (ses *session) handleUpdate(update updateMessage) error {
+	speaker := ses.speaker
+	speaker.routesMu.Lock()
+	defer speaker.routesMu.Unlock()
+	if update.endOfRIB {
+		for prefix := range speaker.routes {
+			if !ses.announced[prefix] {
+				update.withdrawn = append(update.withdrawn, prefix)
 			}
 		}
 	}
-	for _, p := range u.withdrawn {
-		delete(ses.heard, p)
-		if s.change(p, ses.peer.Address, false) {
-			s.tell(p, false)
+	for _, prefix := range update.withdrawn {
+		delete(ses.announced, prefix)
+		if speaker.updateRoute(prefix, ses.peer.Address, false) {
+			speaker.postRoute(prefix, false)
 		}
 	}
-	for _, p := range u.announced {
-		ses.heard[p] = true
-		if s.change(p, ses.peer.Address, true) {
-			s.tell(p, true)
+	for _, prefix := range update.announced {
+		ses.announced[prefix] = true
+		if speaker.updateRoute(prefix, ses.peer.Address, true) {
+			speaker.postRoute(prefix, true)
 		}
-		if len(s.routes) > s.limits.MaxRoutes {
-			return &fault{errPrefixes, fmt.Sprintf("more than %d routes", s.limits.MaxRoutes)}
+		if len(speaker.routes) > speaker.limits.MaxRoutes {
+			return &messageError{codeTooManyPrefixes, fmt.Sprintf("more than %d routes", speaker.limits.MaxRoutes)}
 		}
 	}
 	return nil
 }
 
 // change takes in one route and says whether it has come or gone with that.
-func (s *Speaker) change(p netip.Prefix, peer string, up bool) bool {
-	by := s.routes[p]
+func (s *Speaker) updateRoute(prefix netip.Prefix, peer string, reachable bool) bool {
+	announcers := s.routes[prefix]
 	switch {
-	case up == by[peer]:
+	case reachable == announcers[peer]:
 		return false
-	case up:
-		if by == nil {
-			by = make(map[string]bool)
-			s.routes[p] = by
+	case reachable:
+		if announcers == nil {
+			announcers = make(map[string]bool)
+			s.routes[prefix] = announcers
 		}
-		by[peer] = true
-		return len(by) == 1
+		announcers[peer] = true
+		return len(announcers) == 1
 	}
-	if delete(by, peer); len(by) > 0 {
+	if delete(announcers, peer); len(announcers) > 0 {
 		return false
 	}
-	delete(s.routes, p)
+	delete(s.routes, prefix)
 	return true
 }
 
 // tell hands the core a route's coming or going.
-func (s *Speaker) tell(p netip.Prefix, up bool) {
-	s.loud.Info().Stringer("prefix", p).Bool("up", up).Msg("route")
-	s.post(core.Route{Name: p.String(), Up: up, Covers: func(address string) bool {
-		a, err := netip.ParseAddrPort(address)
-		return err == nil && p.Contains(a.Addr())
+func (s *Speaker) postRoute(prefix netip.Prefix, reachable bool) {
+	s.sampledLog.Info().Stringer("prefix", prefix).Bool("up", reachable).Msg("route")
+	s.post(core.Route{Name: prefix.String(), Up: reachable, Covers: func(address string) bool {
+		addrPort, err := netip.ParseAddrPort(address)
+		return err == nil && prefix.Contains(addrPort.Addr())
 	}})
 }
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -34,7 +34,7 @@
 const Source = "channel"
 
 // states are the channel's words for the phases.
-var states = map[string]elmseam.Phase{
+var phases = map[string]elmseam.Phase{
 	"in_service":  elmseam.Ready,
 	"terminating": elmseam.Draining,
 	"terminated":  elmseam.Gone,
@@ -60,20 +60,20 @@
 
 // List translates a command. Cached says that it was held from before the start; front tells which front
 // reaches a server. An entry that makes no sense is left out, and an error names it.
-func (c Command) List(front func(name string) core.Protocol, cached bool) (l core.List, err error) {
-	l = core.List{Source: Source, Full: c.Servers.Snapshot, Cached: cached}
-	for _, e := range c.Servers.Endpoints {
-		phase, known := states[e.Status]
-		if !known || e.Name == "" {
-			err = fmt.Errorf("endpoint %q: unknown status %q", e.Name, e.Status)
+func (c Command) List(protocolFor func(name string) core.Protocol, cached bool) (list core.List, err error) {
+	list = core.List{Source: Source, Full: c.Servers.Snapshot, Cached: cached}
+	for _, endpoint := range c.Servers.Endpoints {
+		phase, known := phases[endpoint.Status]
+		if !known || endpoint.Name == "" {
+			err = fmt.Errorf("endpoint %q: unknown status %q", endpoint.Name, endpoint.Status)
 			continue
 		}
-		l.Servers = append(l.Servers, core.Server{
-			Name: e.Name, Address: e.Address, Protocol: front(e.Name), Cell: e.Group, Phase: phase,
-			Started: time.Duration(e.SinceMS) * time.Millisecond,
+		list.Servers = append(list.Servers, core.Server{
+			Name: endpoint.Name, Address: endpoint.Address, Protocol: protocolFor(endpoint.Name), Cell: endpoint.Group, Phase: phase,
+			Started: time.Duration(endpoint.SinceMS) * time.Millisecond,
 		})
 	}
-	return l, err
+	return list, err
 }
 
 // Feed follows one channel at a time.
@@ -84,13 +84,13 @@
 	Post        func(core.Event)
 	Log         zerolog.Logger
 
-	at   sync.Mutex     // guards Cursor
-	loud zerolog.Logger // of what the channel can cause as often as it likes
+	cursorMu   sync.Mutex     // guards Cursor
+	sampledLog zerolog.Logger // of what the channel can cause as often as it likes
 
-	mu      sync.Mutex
-	address string
-	known   []Command // that came with the address
-	leave   func()    // ends the connection there is
+	mu              sync.Mutex
+	address         string
+	initialCommands []Command // that came with the address
+	disconnect      func()    // ends the connection there is
 }
 
 // Follow names the channel, with events that are known already. What the feed has heard elsewhere stays: the
@@ -98,48 +98,48 @@
 func (f *Feed) Follow(address string, known []Command) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.address, f.known = address, known
-	if f.leave != nil {
-		f.leave()
+	f.address, f.initialCommands = address, known
+	if f.disconnect != nil {
+		f.disconnect()
 	}
 }
 
 // next is where to go, and a context that ends when that changes.
-func (f *Feed) next(ctx context.Context) (here context.Context, leave func(), address string) {
+func (f *Feed) nextTarget(ctx context.Context) (connCtx context.Context, disconnect func(), address string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, c := range f.known {
-		f.take(c)
+	for _, command := range f.initialCommands {
+		f.handleCommand(command)
 	}
-	f.known = nil
-	here, f.leave = context.WithCancel(ctx)
-	return here, f.leave, f.address
+	f.initialCommands = nil
+	connCtx, f.disconnect = context.WithCancel(ctx)
+	return connCtx, f.disconnect, f.address
 }
 
 // Run follows the channel until the context ends. A connection that ends is made again at once, from the
 // event after the last one.
 func (f *Feed) Run(ctx context.Context) {
-	f.loud = link.SampledLogger(f.Log)
+	f.sampledLog = link.SampledLogger(f.Log)
 	for ctx.Err() == nil {
-		before := time.Now()
-		here, leave, address := f.next(ctx)
-		err := f.follow(here, address)
+		started := time.Now()
+		connCtx, disconnect, address := f.nextTarget(ctx)
+		err := f.followAddress(connCtx, address)
 		if ctx.Err() == nil {
-			f.Log.Info().Err(err).Str("channel", address).Int64("cursor", f.cursor()).Msg("command channel ended")
+			f.Log.Info().Err(err).Str("channel", address).Int64("cursor", f.lastCursor()).Msg("command channel ended")
 		}
-		if wait := f.Limits.RetryDelay - time.Since(before); wait > 0 { // it brought nothing: don't spin
+		if wait := f.Limits.RetryDelay - time.Since(started); wait > 0 { // it brought nothing: don't spin
 			select {
-			case <-here.Done():
+			case <-connCtx.Done():
 			case <-time.After(wait):
 			}
 		}
-		leave()
+		disconnect()
 	}
 }
 
 // follow watches the channel at an address, over one connection after the other.
-func (f *Feed) follow(ctx context.Context, address string) error {
-	r, err := f.open(ctx, address)
+func (f *Feed) followAddress(ctx context.Context, address string) error {
+	r, err := f.connect(ctx, address)
 	for err == nil {
 		r, err = f.watch(ctx, address, r)
 	}
@@ -147,18 +147,18 @@
 }
 
 // open makes a connection and asks for what comes after the last event known.
-func (f *Feed) open(ctx context.Context, address string) (*reader, error) {
-	d := net.Dialer{Timeout: f.Limits.ConnectTimeout}
-	conn, err := d.DialContext(ctx, "tcp", address)
+func (f *Feed) connect(ctx context.Context, address string) (*reader, error) {
+	dialer := net.Dialer{Timeout: f.Limits.ConnectTimeout}
+	conn, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	r := &reader{conn: conn, in: link.NewBuffer(f.Limits.InitialBufferSize, f.Limits.MaxEventSize)}
-	r.detach = context.AfterFunc(ctx, func() { conn.Close() })
+	r := &reader{conn: conn, buf: link.NewBuffer(f.Limits.InitialBufferSize, f.Limits.MaxEventSize)}
+	r.stopAfterFunc = context.AfterFunc(ctx, func() { conn.Close() })
 	conn.SetDeadline(time.Now().Add(f.Limits.ReadTimeout)) // of the header as a whole
-	_, err = fmt.Fprintf(conn, "GET /cmd/next HTTP/1.1\r\nHost: %s\r\nAccept: text/event-stream\r\nLast-Event-ID: %d\r\n\r\n", address, f.cursor())
+	_, err = fmt.Fprintf(conn, "GET /cmd/next HTTP/1.1\r\nHost: %s\r\nAccept: text/event-stream\r\nLast-Event-ID: %d\r\n\r\n", address, f.lastCursor())
 	if err == nil {
-		err = r.head()
+		err = r.readHeader()
 	}
 	if err != nil {
 		r.close()
@@ -172,48 +172,48 @@
 // over when it is answered; what both bring is taken once, by its number.
 func (f *Feed) watch(ctx context.Context, address string, r *reader) (*reader, error) {
 	var mu sync.Mutex
-	var fresh *reader
+	var replacement *reader
 	ended := false
 	var timer *time.Timer
 	mu.Lock()
 	timer = time.AfterFunc(f.Limits.RenewAfter, func() {
-		next, err := f.open(ctx, address)
+		candidate, err := f.connect(ctx, address)
 		mu.Lock()
 		defer mu.Unlock()
 		switch {
 		case err != nil && !ended:
 			timer.Reset(f.Limits.RenewAfter)
-		case err == nil && (ended || fresh != nil):
-			next.close()
+		case err == nil && (ended || replacement != nil):
+			candidate.close()
 		case err == nil:
-			fresh = next
+			replacement = candidate
 			r.conn.Close()
 		}
 	})
 	mu.Unlock()
-	err := f.events(r, func() { timer.Reset(f.Limits.RenewAfter) })
+	err := f.readEvents(r, func() { timer.Reset(f.Limits.RenewAfter) })
 	r.close()
 	mu.Lock()
 	defer mu.Unlock()
 	ended = true
 	timer.Stop()
-	if fresh != nil {
-		return fresh, nil
+	if replacement != nil {
+		return replacement, nil
 	}
 	return nil, err
 }
 
 // events reads events until the connection ends. One that can't be read is passed over: it would come again with every
 // connection, and nothing behind it would ever be heard.
-func (f *Feed) events(r *reader, heard func()) error {
+func (f *Feed) readEvents(r *reader, onEvent func()) error {
 	var data []byte
 	var id int64
 	malformed := error(nil)
 	for {
 		r.conn.SetReadDeadline(time.Now().Add(f.Limits.ReadTimeout)) // of the line, however it trickles
-		line, err := r.line()
+		line, err := r.readLine()
 		switch {
-		case err == errLong:
+		case err == errTooLong:
 			malformed = err
 			continue
 		case err != nil:
@@ -223,23 +223,23 @@
 		value = bytes.TrimPrefix(value, []byte(" "))
 		switch {
 		case len(line) == 0 && (data != nil || malformed != nil):
-			var c Command
+			var command Command
 			if malformed == nil {
-				malformed = json.Unmarshal(data, &c)
+				malformed = json.Unmarshal(data, &command)
 			}
 			if malformed != nil {
-				f.loud.Warn().Err(malformed).Int64("id", id).Msg("event passed over")
-				f.pass(id)
+				f.sampledLog.Warn().Err(malformed).Int64("id", id).Msg("event passed over")
+				f.advanceCursor(id)
 			} else {
-				f.take(c)
+				f.handleCommand(command)
 			}
-			heard()
+			onEvent()
 			data, id, malformed = nil, 0, nil
 		case string(name) == "id":
 			id, _ = strconv.ParseInt(string(value), 10, 64)
 		case string(name) == "data" && malformed == nil:
 			if len(data)+len(value) > f.Limits.MaxEventSize {
-				data, malformed = nil, errLong
+				data, malformed = nil, errTooLong
 				continue
 			}
 			if data != nil {
@@ -251,16 +251,16 @@
 }
 
 // cursor is the number of the last event known.
-func (f *Feed) cursor() int64 {
-	f.at.Lock()
-	defer f.at.Unlock()
+func (f *Feed) lastCursor() int64 {
+	f.cursorMu.Lock()
+	defer f.cursorMu.Unlock()
 	return f.Cursor
 }
 
 // pass counts an event as known, and says whether it was news.
-func (f *Feed) pass(id int64) bool {
-	f.at.Lock()
-	defer f.at.Unlock()
+func (f *Feed) advanceCursor(id int64) bool {
+	f.cursorMu.Lock()
+	defer f.cursorMu.Unlock()
 	if id <= f.Cursor {
 		return false
 	}
@@ -269,62 +269,62 @@
 }
 
 // take hands an event on, unless it is known.
-func (f *Feed) take(c Command) {
-	if !f.pass(c.Cursor) {
+func (f *Feed) handleCommand(command Command) {
+	if !f.advanceCursor(command.Cursor) {
 		return
 	}
-	list, err := c.List(f.ProtocolFor, false)
+	list, err := command.List(f.ProtocolFor, false)
 	if err != nil {
-		f.loud.Warn().Err(err).Int64("cursor", c.Cursor).Msg("entry passed over")
+		f.sampledLog.Warn().Err(err).Int64("cursor", command.Cursor).Msg("entry passed over")
 	}
 	f.Post(list)
 }
 
 // reader reads an HTTP answer line by line, chunked or not.
 type reader struct {
-	conn    net.Conn
-	in      *link.Buffer
-	detach  func() bool // from the context that closes it
-	chunked bool
-	left    int    // of the chunk
-	body    []byte // of the line so far
+	conn           net.Conn
+	buf            *link.Buffer
+	stopAfterFunc  func() bool // from the context that closes it
+	chunked        bool
+	chunkRemaining int    // of the chunk
+	lineBuf        []byte // of the line so far
 }
 
 func (r *reader) close() {
-	r.detach()
+	r.stopAfterFunc()
 	r.conn.Close()
 }
 
 var (
-	errHTTP = errors.New("not an HTTP answer with events")
-	errLong = errors.New("too long")
+	errBadResponse = errors.New("not an HTTP answer with events")
+	errTooLong     = errors.New("too long")
 )
 
 // raw reads a line of the connection itself.
-func (r *reader) raw() (string, error) {
+func (r *reader) rawLine() (string, error) {
 	for {
-		if i := bytes.IndexByte(r.in.Bytes(), '\n'); i >= 0 {
-			line := string(bytes.TrimSuffix(r.in.Bytes()[:i], []byte("\r")))
-			r.in.Skip(i + 1)
+		if i := bytes.IndexByte(r.buf.Bytes(), '\n'); i >= 0 {
+			line := string(bytes.TrimSuffix(r.buf.Bytes()[:i], []byte("\r")))
+			r.buf.Skip(i + 1)
 			return line, nil
 		}
-		if err := r.in.Fill(r.conn); err != nil {
+		if err := r.buf.Fill(r.conn); err != nil {
 			return "", err
 		}
 	}
 }
 
 // head reads the status and the header.
-func (r *reader) head() error {
-	status, err := r.raw()
+func (r *reader) readHeader() error {
+	status, err := r.rawLine()
 	if err != nil {
 		return err
 	}
 	if len(status) < 12 || status[:5] != "HTTP/" || status[8:12] != " 200" {
-		return fmt.Errorf("%w: %.40q", errHTTP, status)
+		return fmt.Errorf("%w: %.40q", errBadResponse, status)
 	}
 	for {
-		line, err := r.raw()
+		line, err := r.rawLine()
 		if err != nil {
 			return err
 		}
@@ -339,41 +339,41 @@
 }
 
 // line reads a line of the body. One that is too long is read to its end all the same.
-func (r *reader) line() ([]byte, error) {
-	r.body = r.body[:0]
-	long := false
+func (r *reader) readLine() ([]byte, error) {
+	r.lineBuf = r.lineBuf[:0]
+	tooLong := false
 	for {
-		if r.chunked && r.left == 0 {
-			if err := r.chunk(); err != nil {
+		if r.chunked && r.chunkRemaining == 0 {
+			if err := r.readChunkSize(); err != nil {
 				return nil, err
 			}
 		}
-		part := r.in.Bytes()
-		if r.chunked && len(part) > r.left {
-			part = part[:r.left]
+		part := r.buf.Bytes()
+		if r.chunked && len(part) > r.chunkRemaining {
+			part = part[:r.chunkRemaining]
 		}
 		end := bytes.IndexByte(part, '\n')
 		n := end + 1
 		if end < 0 {
 			n = len(part)
 		}
-		if long = long || len(r.body)+n > r.in.MaxSize(); !long {
-			r.body = append(r.body, part[:n]...)
+		if tooLong = tooLong || len(r.lineBuf)+n > r.buf.MaxSize(); !tooLong {
+			r.lineBuf = append(r.lineBuf, part[:n]...)
 		}
-		r.in.Skip(n)
-		if r.left -= n; r.chunked && r.left == 0 {
-			if _, err := r.raw(); err != nil { // the line end behind a chunk
+		r.buf.Skip(n)
+		if r.chunkRemaining -= n; r.chunked && r.chunkRemaining == 0 {
+			if _, err := r.rawLine(); err != nil { // the line end behind a chunk
 				return nil, err
 			}
 		}
-		if end >= 0 && long {
-			return nil, errLong
+		if end >= 0 && tooLong {
+			return nil, errTooLong
 		}
 		if end >= 0 {
-			return bytes.TrimRight(r.body, "\r\n"), nil
+			return bytes.TrimRight(r.lineBuf, "\r\n"), nil
 		}
-		if len(r.in.Bytes()) == 0 {
-			if err := r.in.Fill(r.conn); err != nil {
+		if len(r.buf.Bytes()) == 0 {
+			if err := r.buf.Fill(r.conn); err != nil {
 				return nil, err
 			}
 		}
@@ -381,8 +381,8 @@
 }
 
 // chunk reads the size of the next chunk.
-func (r *reader) chunk() error {
-	text, err := r.raw()
+func (r *reader) readChunkSize() error {
+	text, err := r.rawLine()
 	if err != nil {
 		return err
 	}
@@ -394,8 +394,8 @@
 	}
 	n, err := strconv.ParseUint(text, 16, 31)
 	if err != nil || n == 0 {
-		return fmt.Errorf("%w: chunk %.20q", errHTTP, text)
+		return fmt.Errorf("%w: chunk %.20q", errBadResponse, text)
 	}
-	r.left = int(n)
+	r.chunkRemaining = int(n)
 	return nil
 }
--- a/internal/handover/effect.go
+++ b/internal/handover/effect.go
@@ -3,8 +3,8 @@
 import "elmseam/internal/core"
 
 // FromEffect is the message for what a caller is told. A Link of 0: on any connection.
-func FromEffect(front core.Protocol, link core.ConnID, e core.Effect) (m Message, ok bool) {
-	m = Message{Kind: Effect, Protocol: front, Conn: link}
+func FromEffect(protocol core.Protocol, conn core.ConnID, e core.Effect) (m Message, ok bool) {
+	m = Message{Kind: Effect, Protocol: protocol, Conn: conn}
 	switch e := e.(type) {
 	case core.Answered:
 		m.Effect, m.ID, m.Desc = "answered", e.ID, e.Desc
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -83,20 +83,20 @@
 
 // Peer is the other process.
 type Peer struct {
-	conn   *net.UnixConn
-	limits Limits
-	buf    []byte
-	write  sync.Mutex // held for each message
+	conn    *net.UnixConn
+	limits  Limits
+	readBuf []byte
+	writeMu sync.Mutex // held for each message
 
-	mu      sync.Mutex
-	queue   [][]byte
-	bytes   int
-	writing bool
-	closed  bool
+	mu          sync.Mutex
+	queue       [][]byte
+	queuedBytes int
+	writing     bool
+	closed      bool
 }
 
 func newPeer(conn *net.UnixConn, limits Limits) *Peer {
-	return &Peer{conn: conn, limits: limits, buf: make([]byte, limits.MaxMessageSize)}
+	return &Peer{conn: conn, limits: limits, readBuf: make([]byte, limits.MaxMessageSize)}
 }
 
 // Close ends the connection.
@@ -109,26 +109,26 @@
 
 // Send queues a message. It never waits; a peer that falls behind too far is given up.
 func (p *Peer) Send(m Message) {
-	text, err := json.Marshal(m)
+	payload, err := json.Marshal(m)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
 		return
 	}
-	if p.bytes += len(text); err != nil || len(text) > p.limits.MaxMessageSize || p.bytes > p.limits.MaxQueuedBytes {
+	if p.queuedBytes += len(payload); err != nil || len(payload) > p.limits.MaxMessageSize || p.queuedBytes > p.limits.MaxQueuedBytes {
 		p.closed, p.queue = true, nil
 		p.conn.Close()
 		return
 	}
-	p.queue = append(p.queue, text)
+	p.queue = append(p.queue, payload)
 	if !p.writing {
 		p.writing = true
-		go p.run()
+		go p.writeLoop()
 	}
 }
 
 // run writes what is queued.
-func (p *Peer) run() {
+func (p *Peer) writeLoop() {
 	for {
 		p.mu.Lock()
 		if p.closed || len(p.queue) == 0 {
@@ -136,49 +136,49 @@
 			p.mu.Unlock()
 			return
 		}
-		text := p.queue[0]
+		payload := p.queue[0]
 		p.queue = p.queue[1:]
-		p.bytes -= len(text)
+		p.queuedBytes -= len(payload)
 		p.mu.Unlock()
-		if p.packet(text, nil) != nil {
+		if p.writeMessage(payload, nil) != nil {
 			p.Close()
 		}
 	}
 }
 
 // packet writes one message whole.
-func (p *Peer) packet(text, rights []byte) error {
-	p.write.Lock()
-	defer p.write.Unlock()
+func (p *Peer) writeMessage(payload, rights []byte) error {
+	p.writeMu.Lock()
+	defer p.writeMu.Unlock()
 	p.conn.SetWriteDeadline(time.Now().Add(p.limits.WriteTimeout))
-	_, _, err := p.conn.WriteMsgUnix(text, rights, nil)
+	_, _, err := p.conn.WriteMsgUnix(payload, rights, nil)
 	return err
 }
 
 // SendFile sends a message with an open file, and waits until it is with the peer's machine.
-func (p *Peer) SendFile(m Message, of syscall.Conn) error {
-	text, err := json.Marshal(m)
+func (p *Peer) SendFile(m Message, source syscall.Conn) error {
+	payload, err := json.Marshal(m)
 	if err != nil {
 		return err
 	}
-	if len(text) > p.limits.MaxMessageSize {
-		return fmt.Errorf("a message of %d bytes", len(text))
+	if len(payload) > p.limits.MaxMessageSize {
+		return fmt.Errorf("a message of %d bytes", len(payload))
 	}
-	raw, err := of.SyscallConn()
+	raw, err := source.SyscallConn()
 	if err != nil {
 		return err
 	}
-	var sent error
+	var writeErr error
 	// Not by File and its Fd: that would make the file blocking for both processes.
-	if err := raw.Control(func(fd uintptr) { sent = p.packet(text, syscall.UnixRights(int(fd))) }); err != nil {
+	if err := raw.Control(func(fd uintptr) { writeErr = p.writeMessage(payload, syscall.UnixRights(int(fd))) }); err != nil {
 		return err
 	}
-	return sent
+	return writeErr
 }
 
 // Flush waits until what is queued is written, not for long.
 func (p *Peer) Flush() {
-	for until := time.Now().Add(p.limits.WriteTimeout); time.Now().Before(until); time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(p.limits.WriteTimeout); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 		p.mu.Lock()
 		idle := !p.writing
 		p.mu.Unlock()
@@ -188,25 +188,25 @@
 	}
 }
 
-var errCut = errors.New("a message was cut short")
+var errTruncated = errors.New("a message was cut short")
 
 // Receive waits for a message, and the file that comes with it.
 func (p *Peer) Receive() (m Message, file *os.File, err error) {
 	oob := make([]byte, syscall.CmsgSpace(4))
-	n, oobn, flags, _, err := p.conn.ReadMsgUnix(p.buf, oob)
+	n, oobn, flags, _, err := p.conn.ReadMsgUnix(p.readBuf, oob)
 	if err != nil {
 		return m, nil, err
 	}
-	if file, err = fileIn(oob[:oobn]); err != nil {
+	if file, err = parseFile(oob[:oobn]); err != nil {
 		return m, nil, err
 	}
 	switch {
 	case n == 0 && oobn == 0:
 		err = net.ErrClosed
 	case flags&(syscall.MSG_TRUNC|syscall.MSG_CTRUNC) != 0:
-		err = errCut
+		err = errTruncated
 	default:
-		err = json.Unmarshal(p.buf[:n], &m)
+		err = json.Unmarshal(p.readBuf[:n], &m)
 	}
 	if err != nil && file != nil {
 		file.Close()
@@ -216,17 +216,17 @@
 }
 
 // fileIn is the file that came beside a message, if one did.
-func fileIn(oob []byte) (*os.File, error) {
+func parseFile(oob []byte) (*os.File, error) {
 	if len(oob) == 0 {
 		return nil, nil
 	}
 	messages, err := syscall.ParseSocketControlMessage(oob)
 	if err != nil || len(messages) != 1 {
-		return nil, fmt.Errorf("%d control messages: %w", len(messages), errCut)
+		return nil, fmt.Errorf("%d control messages: %w", len(messages), errTruncated)
 	}
 	fds, err := syscall.ParseUnixRights(&messages[0])
 	if err != nil || len(fds) != 1 {
-		return nil, fmt.Errorf("%d files: %w", len(fds), errCut)
+		return nil, fmt.Errorf("%d files: %w", len(fds), errTruncated)
 	}
 	syscall.CloseOnExec(fds[0])
 	return os.NewFile(uintptr(fds[0]), "handed over"), nil
@@ -252,10 +252,10 @@
 	if err == nil && (m.Kind != Listener || file == nil) {
 		err = fmt.Errorf("%s: %s", m.Kind, m.RefusalReason)
 	}
-	var l net.Listener
+	var listener net.Listener
 	if file != nil {
 		if err == nil {
-			l, err = net.FileListener(file)
+			listener, err = net.FileListener(file)
 		}
 		file.Close()
 	}
@@ -264,31 +264,31 @@
 		return nil, nil, err
 	}
 	conn.SetReadDeadline(time.Time{})
-	return p, l, nil
+	return p, listener, nil
 }
 
 // Listen waits at the path for successors. Whatever has been left there is replaced at once.
 func Listen(path string) (*net.UnixListener, error) {
-	fresh := fmt.Sprintf("%s.%d", path, os.Getpid())
-	os.Remove(fresh)
-	l, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: fresh, Net: "unixpacket"})
+	tempPath := fmt.Sprintf("%s.%d", path, os.Getpid())
+	os.Remove(tempPath)
+	listener, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: tempPath, Net: "unixpacket"})
 	if err != nil {
 		return nil, err
 	}
-	l.SetUnlinkOnClose(false) // a successor's may stand there by then
-	if err = os.Chmod(fresh, 0o600); err == nil {
-		err = os.Rename(fresh, path)
+	listener.SetUnlinkOnClose(false) // a successor's may stand there by then
+	if err = os.Chmod(tempPath, 0o600); err == nil {
+		err = os.Rename(tempPath, path)
 	}
 	if err != nil {
-		os.Remove(fresh)
-		l.Close()
+		os.Remove(tempPath)
+		listener.Close()
 		return nil, err
 	}
-	return l, nil
+	return listener, nil
 }
 
 // AcceptSuccessor hears who has come, and gives the listener where that is what it wants. Why says that it can't be had.
-func AcceptSuccessor(conn *net.UnixConn, listen, why string, listener syscall.Conn, limits Limits) (*Peer, error) {
+func AcceptSuccessor(conn *net.UnixConn, listen, refusal string, listener syscall.Conn, limits Limits) (*Peer, error) {
 	p := newPeer(conn, limits)
 	conn.SetReadDeadline(time.Now().Add(limits.HelloTimeout))
 	m, file, err := p.Receive()
@@ -298,14 +298,14 @@
 	if err == nil {
 		switch {
 		case m.Kind != Hello || m.Version != Version:
-			why = fmt.Sprintf("version %d is spoken here", Version)
+			refusal = fmt.Sprintf("version %d is spoken here", Version)
 		case m.Listen != listen:
-			why = fmt.Sprintf("%s is served here", listen)
+			refusal = fmt.Sprintf("%s is served here", listen)
 		}
-		if why != "" {
-			p.Send(Message{Kind: Refused, Version: Version, RefusalReason: why})
+		if refusal != "" {
+			p.Send(Message{Kind: Refused, Version: Version, RefusalReason: refusal})
 			p.Flush()
-			err = errors.New(why)
+			err = errors.New(refusal)
 		} else {
 			err = p.SendFile(Message{Kind: Listener, Version: Version}, listener)
 		}
@@ -314,7 +314,7 @@
 	switch {
 	case err == nil:
 		return p, nil
-	case why == ReasonExiting: // the connection's end, with the process, tells that it has gone
+	case refusal == ReasonExiting: // the connection's end, with the process, tells that it has gone
 		go func() { p.Receive(); p.Close() }()
 	default:
 		p.Close()
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -17,43 +17,43 @@
 
 // A newer process comes while the older one is closing its listener: it waits until that one has gone, and listens itself. It
 // found the address taken, and didn't start.
-func TestOneThatComesAtTheEndWaits(t *testing.T) {
+func TestSuccessorWaitsForExitingProcess(t *testing.T) {
 	limits := Limits{HelloTimeout: 10 * time.Second, ExitTimeout: 10 * time.Second, WriteTimeout: time.Second, MaxMessageSize: 1 << 10, MaxQueuedBytes: 1 << 10}
 	path := filepath.Join(t.TempDir(), "x.sock")
-	host, err := Listen(path)
+	unixListener, err := Listen(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer host.Close()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	defer unixListener.Close()
+	tcpListener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
-	var gone atomic.Bool
-	took := make(chan error)
+	defer tcpListener.Close()
+	var exited atomic.Bool
+	result := make(chan error)
 	go func() {
-		_, _, err := RequestListener(path, l.Addr().String(), limits)
-		if !gone.Load() {
+		_, _, err := RequestListener(path, tcpListener.Addr().String(), limits)
+		if !exited.Load() {
 			t.Error("it doesn't wait")
 		}
-		took <- err
+		result <- err
 	}()
-	conn, err := host.AcceptUnix()
+	conn, err := unixListener.AcceptUnix()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := AcceptSuccessor(conn, l.Addr().String(), ReasonExiting, l.(syscall.Conn), limits); err == nil || !strings.Contains(err.Error(), ReasonExiting) {
+	if _, err := AcceptSuccessor(conn, tcpListener.Addr().String(), ReasonExiting, tcpListener.(syscall.Conn), limits); err == nil || !strings.Contains(err.Error(), ReasonExiting) {
 		t.Errorf("the older one: %v", err)
 	}
 	select {
-	case err := <-took:
+	case err := <-result:
 		t.Fatalf("the newer one: %v", err)
 	case <-time.After(50 * time.Millisecond):
 	}
-	gone.Store(true)
+	exited.Store(true)
 	conn.CloseRead() // as the process ends: its side hears no more, and closes
-	if err := <-took; err == nil || !strings.Contains(err.Error(), ReasonExiting) {
+	if err := <-result; err == nil || !strings.Contains(err.Error(), ReasonExiting) {
 		t.Errorf("the newer one: %v", err)
 	}
 }
--- a/internal/link/buffer.go
+++ b/internal/link/buffer.go
@@ -12,14 +12,14 @@
 
 // Buffer is the one read buffer of a connection. It grows as a message needs and is compacted in place.
 type Buffer struct {
-	data  []byte
-	start int // first byte not consumed
-	most  int
+	data    []byte
+	start   int // first byte not consumed
+	maxSize int
 }
 
 // NewBuffer makes a buffer that grows up to most bytes.
-func NewBuffer(first, most int) *Buffer {
-	return &Buffer{data: make([]byte, 0, min(first, most)), most: most}
+func NewBuffer(initialSize, maxSize int) *Buffer {
+	return &Buffer{data: make([]byte, 0, min(initialSize, maxSize)), maxSize: maxSize}
 }
 
 // Bytes are those read and not consumed. They are valid until the next Fill.
@@ -35,10 +35,10 @@
 		b.data, b.start = b.data[:n], 0
 	}
 	if len(b.data) == cap(b.data) {
-		if cap(b.data) >= b.most {
+		if cap(b.data) >= b.maxSize {
 			return ErrTooLong
 		}
-		grown := make([]byte, len(b.data), min(2*cap(b.data), b.most))
+		grown := make([]byte, len(b.data), min(2*cap(b.data), b.maxSize))
 		copy(grown, b.data)
 		b.data = grown
 	}
@@ -54,4 +54,4 @@
 }
 
 // MaxSize is the size up to which the buffer grows.
-func (b *Buffer) MaxSize() int { return b.most }
+func (b *Buffer) MaxSize() int { return b.maxSize }
--- a/internal/link/listen.go
+++ b/internal/link/listen.go
@@ -18,57 +18,57 @@
 // Acceptor accepts connections and gives each a goroutine, at most so many at once: those beyond wait in the listener's
 // backlog, where nothing is lost.
 type Acceptor struct {
-	most   func() int
-	handle func(net.Conn)
-	held   atomic.Int64
-	freed  chan struct{}
-	open   sync.WaitGroup // Serve, and each connection
-
-	mu       sync.Mutex
-	listener net.Listener
-	drain    chan struct{} // closed when it drains
-	drains   bool
+	maxConns    func() int
+	handle      func(net.Conn)
+	activeConns atomic.Int64
+	slotFreed   chan struct{}
+	wg          sync.WaitGroup // Serve, and each connection
+
+	mu           sync.Mutex
+	listener     net.Listener
+	drainStarted chan struct{} // closed when it drains
+	draining     bool
 }
 
 // NewAcceptor makes an acceptor for so many connections at once.
-func NewAcceptor(most func() int, handle func(net.Conn)) *Acceptor {
-	return &Acceptor{most: most, handle: handle, freed: make(chan struct{}, 1), drain: make(chan struct{})}
+func NewAcceptor(maxConns func() int, handle func(net.Conn)) *Acceptor {
+	return &Acceptor{maxConns: maxConns, handle: handle, slotFreed: make(chan struct{}, 1), drainStarted: make(chan struct{})}
 }
 
 // Serve accepts until the listener is closed, by Drain or otherwise.
-func (a *Acceptor) Serve(l net.Listener) {
-	a.open.Add(1)
-	defer a.open.Done()
+func (a *Acceptor) Serve(listener net.Listener) {
+	a.wg.Add(1)
+	defer a.wg.Done()
 	a.mu.Lock()
-	if a.listener = l; a.drains {
-		a.until(l)
+	if a.listener = listener; a.draining {
+		a.startDraining(listener)
 	}
 	a.mu.Unlock()
 	for {
-		a.room()
-		conn, err := l.Accept()
+		a.waitForSlot()
+		conn, err := listener.Accept()
 		switch {
 		case errors.Is(err, net.ErrClosed):
 			return
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			a.rest(l)
+			a.acceptBacklog(listener)
 			return
 		case err != nil: // out of descriptors, say: what is open goes on
 			time.Sleep(acceptRetry)
 			continue
 		}
-		a.take(conn)
+		a.startHandler(conn)
 	}
 }
 
 // take gives a connection its goroutine.
-func (a *Acceptor) take(conn net.Conn) {
-	a.held.Add(1)
-	a.open.Go(func() {
+func (a *Acceptor) startHandler(conn net.Conn) {
+	a.activeConns.Add(1)
+	a.wg.Go(func() {
 		defer func() {
-			a.held.Add(-1)
+			a.activeConns.Add(-1)
 			select {
-			case a.freed <- struct{}{}:
+			case a.slotFreed <- struct{}{}:
 			default:
 			}
 		}()
@@ -78,15 +78,15 @@
 }
 
 // Wait waits until the listener is closed, all it has accepted is served, and their connections have ended.
-func (a *Acceptor) Wait() { a.open.Wait() }
+func (a *Acceptor) Wait() { a.wg.Wait() }
 
 // room waits until one more connection can be had. While it drains there is no waiting: those in the backlog are to hear
 // that they are refused.
-func (a *Acceptor) room() {
-	for a.held.Load() >= int64(a.most()) {
+func (a *Acceptor) waitForSlot() {
+	for a.activeConns.Load() >= int64(a.maxConns()) {
 		select {
-		case <-a.freed:
-		case <-a.drain:
+		case <-a.slotFreed:
+		case <-a.drainStarted:
 			return
 		}
 	}
@@ -97,31 +97,31 @@
 func (a *Acceptor) Drain() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.drains {
+	if a.draining {
 		return
 	}
-	a.drains = true
-	close(a.drain)
+	a.draining = true
+	close(a.drainStarted)
 	if a.listener != nil {
-		a.until(a.listener)
+		a.startDraining(a.listener)
 	}
 }
 
 // until has new connections refused, so that the backlog only gets shorter, and sets the end of accepting: handshakes
 // under way are over by then.
-func (a *Acceptor) until(l net.Listener) {
-	if t, ok := l.(*net.TCPListener); ok {
-		refuse(t)
+func (a *Acceptor) startDraining(listener net.Listener) {
+	if tcpListener, ok := listener.(*net.TCPListener); ok {
+		refuseNewConns(tcpListener)
 	}
-	if d, ok := l.(interface{ SetDeadline(time.Time) error }); !ok || d.SetDeadline(time.Now().Add(drainTime)) != nil {
-		l.Close()
+	if deadliner, ok := listener.(interface{ SetDeadline(time.Time) error }); !ok || deadliner.SetDeadline(time.Now().Add(drainDuration)) != nil {
+		listener.Close()
 	}
 }
 
 // refuse has the kernel refuse whoever connects from now on, by looking for them on an interface that isn't there. What is
 // in the backlog stays. Where it can't, connections that come between the last accept and the close are reset.
-func refuse(l *net.TCPListener) {
-	if raw, err := l.SyscallConn(); err == nil {
+func refuseNewConns(listener *net.TCPListener) {
+	if raw, err := listener.SyscallConn(); err == nil {
 		raw.Control(func(fd uintptr) {
 			unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_BINDTOIFINDEX, math.MaxInt32)
 		})
@@ -130,32 +130,32 @@
 
 // rest accepts what is left in the backlog, to the last, and closes the listener: an Accept whose deadline is over does not
 // look there any more. Without descriptors it waits for some.
-func (a *Acceptor) rest(l net.Listener) {
-	defer l.Close()
-	t, ok := l.(*net.TCPListener)
+func (a *Acceptor) acceptBacklog(listener net.Listener) {
+	defer listener.Close()
+	tcpListener, ok := listener.(*net.TCPListener)
 	if !ok {
 		return
 	}
-	raw, err := t.SyscallConn()
+	raw, err := tcpListener.SyscallConn()
 	if err != nil {
 		return
 	}
 	for {
 		var conn net.Conn
-		closed := raw.Control(func(fd uintptr) { conn, err = accept(fd) })
+		controlErr := raw.Control(func(fd uintptr) { conn, err = acceptNonblocking(fd) })
 		switch {
-		case closed != nil, errors.Is(err, syscall.EAGAIN):
+		case controlErr != nil, errors.Is(err, syscall.EAGAIN):
 			return
 		case err != nil:
 			time.Sleep(acceptRetry)
 		default:
-			a.take(conn)
+			a.startHandler(conn)
 		}
 	}
 }
 
 // accept takes one connection off the backlog, without waiting for one.
-func accept(listener uintptr) (net.Conn, error) {
+func acceptNonblocking(listener uintptr) (net.Conn, error) {
 	fd, _, err := syscall.Accept4(int(listener), syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC)
 	if err != nil {
 		return nil, err
@@ -167,21 +167,21 @@
 
 // PeerClosed says whether the peer has closed its side of a connection, though something it sent before may be unread.
 func PeerClosed(conn net.Conn) bool {
-	c, ok := conn.(syscall.Conn)
+	sysConn, ok := conn.(syscall.Conn)
 	if !ok {
 		return false
 	}
-	raw, err := c.SyscallConn()
+	raw, err := sysConn.SyscallConn()
 	if err != nil {
 		return true
 	}
-	left := false
+	closed := false
 	raw.Control(func(fd uintptr) {
 		if info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
-			left = info.State == unix.BPF_TCP_CLOSE_WAIT || info.State == unix.BPF_TCP_CLOSE
+			closed = info.State == unix.BPF_TCP_CLOSE_WAIT || info.State == unix.BPF_TCP_CLOSE
 		}
 	})
-	return left
+	return closed
 }
 
 // Linger ends a connection so that the peer can read what it was told last: it is told that there is no more,
@@ -189,7 +189,7 @@
 // peer's machine would throw away what it has not read.
 func (o *Outbox) Linger(conn net.Conn) {
 	o.Flush()
-	if c, ok := conn.(interface{ CloseWrite() error }); ok && c.CloseWrite() == nil {
+	if halfCloser, ok := conn.(interface{ CloseWrite() error }); ok && halfCloser.CloseWrite() == nil {
 		conn.SetReadDeadline(time.Now().Add(o.limits.LingerTimeout))
 		io.CopyN(io.Discard, conn, int64(o.limits.MaxLingerBytes))
 	}
@@ -197,12 +197,12 @@
 
 // SampledLogger is a log that drops lines where they come in masses.
 func SampledLogger(log zerolog.Logger) zerolog.Logger {
-	return log.Sample(&zerolog.BurstSampler{Burst: sparseLines, Period: time.Second})
+	return log.Sample(&zerolog.BurstSampler{Burst: maxLogLinesPerSecond, Period: time.Second})
 }
 
 const (
-	drainTime   = 20 * time.Millisecond // a handshake takes less
-	acceptRetry = 10 * time.Millisecond
+	drainDuration = 20 * time.Millisecond // a handshake takes less
+	acceptRetry   = 10 * time.Millisecond
 )
 
-const sparseLines = 5 // a second
+const maxLogLinesPerSecond = 5 // a second
--- a/internal/link/outbox.go
+++ b/internal/link/outbox.go
@@ -37,37 +37,37 @@
 type Outbox struct {
 	conn   net.Conn
 	limits Limits
-	w      *bufio.Writer
+	writer *bufio.Writer
 
-	mu      sync.Mutex
-	queue   []Item
-	bytes   int
-	writing bool
-	began   time.Time // of the write under way; zero: none
-	closed  bool
-	finish  func() // what follows the last write; nil: it is not asked for
+	mu           sync.Mutex
+	queue        []Item
+	queuedBytes  int
+	writing      bool
+	writeStarted time.Time // of the write under way; zero: none
+	closed       bool
+	onFinished   func() // what follows the last write; nil: it is not asked for
 }
 
 // NewOutbox makes the outbox of a connection.
 func NewOutbox(conn net.Conn, limits Limits) *Outbox {
-	return &Outbox{conn: conn, limits: limits, w: bufio.NewWriterSize(conn, limits.InitialBufferSize)}
+	return &Outbox{conn: conn, limits: limits, writer: bufio.NewWriterSize(conn, limits.InitialBufferSize)}
 }
 
 // Post queues a message.
-func (o *Outbox) Post(it Item) {
+func (o *Outbox) Post(item Item) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.closed || o.finish != nil {
+	if o.closed || o.onFinished != nil {
 		return
 	}
-	if o.bytes += len(it.Data); o.bytes > o.limits.MaxQueuedBytes {
-		o.shut()
+	if o.queuedBytes += len(item.Data); o.queuedBytes > o.limits.MaxQueuedBytes {
+		o.closeLocked()
 		return
 	}
-	o.queue = append(o.queue, it)
+	o.queue = append(o.queue, item)
 	if !o.writing {
 		o.writing = true
-		go o.run()
+		go o.writeLoop()
 	}
 }
 
@@ -75,9 +75,9 @@
 func (o *Outbox) Retract(id uint64) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	for i, it := range o.queue {
-		if it.Retractable && it.ID == id {
-			o.bytes -= len(it.Data)
+	for i, item := range o.queue {
+		if item.Retractable && item.ID == id {
+			o.queuedBytes -= len(item.Data)
 			o.queue = append(o.queue[:i], o.queue[i+1:]...)
 			return true
 		}
@@ -90,18 +90,18 @@
 func (o *Outbox) RetractAll() (ids []uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	kept := o.queue[:0]
-	for _, it := range o.queue {
-		if it.Retractable {
-			ids = append(ids, it.ID)
-			o.bytes -= len(it.Data)
+	remaining := o.queue[:0]
+	for _, item := range o.queue {
+		if item.Retractable {
+			ids = append(ids, item.ID)
+			o.queuedBytes -= len(item.Data)
 		} else {
-			kept = append(kept, it)
+			remaining = append(remaining, item)
 		}
 	}
-	o.queue = kept
-	if !o.began.IsZero() && time.Since(o.began) > o.limits.FlushTimeout {
-		o.shut()
+	o.queue = remaining
+	if !o.writeStarted.IsZero() && time.Since(o.writeStarted) > o.limits.FlushTimeout {
+		o.closeLocked()
 	}
 	return ids
 }
@@ -111,13 +111,13 @@
 func (o *Outbox) Finish(done func()) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.closed || o.finish != nil {
+	if o.closed || o.onFinished != nil {
 		return
 	}
-	o.finish = done
+	o.onFinished = done
 	if !o.writing {
 		o.writing = true
-		go o.run()
+		go o.writeLoop()
 	}
 }
 
@@ -125,22 +125,22 @@
 func (o *Outbox) Close() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.shut()
+	o.closeLocked()
 }
 
-func (o *Outbox) shut() {
+func (o *Outbox) closeLocked() {
 	o.closed, o.queue = true, nil
 	o.conn.Close()
 }
 
 // run writes until nothing is left. What goes out in one write is limited, so that the rest can still
 // be taken back.
-func (o *Outbox) run() {
+func (o *Outbox) writeLoop() {
 	for {
-		batch, done := o.next()
+		batch, done := o.nextBatch()
 		if len(batch) == 0 {
 			if done != nil {
-				if c, ok := o.conn.(interface{ CloseWrite() error }); !ok || c.CloseWrite() != nil {
+				if halfCloser, ok := o.conn.(interface{ CloseWrite() error }); !ok || halfCloser.CloseWrite() != nil {
 					o.Close()
 				}
 				done()
@@ -150,58 +150,58 @@
 		now := time.Now()
 		o.conn.SetWriteDeadline(now.Add(o.limits.WriteTimeout))
 		var err error
-		kept := batch[:0]
-		for _, it := range batch {
-			if it.Retractable && now.After(it.Deadline) {
-				it.OnExpired()
+		written := batch[:0]
+		for _, item := range batch {
+			if item.Retractable && now.After(item.Deadline) {
+				item.OnExpired()
 				continue
 			}
-			if _, err = o.w.Write(it.Data); err != nil {
+			if _, err = o.writer.Write(item.Data); err != nil {
 				break
 			}
-			kept = append(kept, it)
+			written = append(written, item)
 		}
 		if err == nil {
-			err = o.w.Flush()
+			err = o.writer.Flush()
 		}
 		if err != nil {
 			o.Close()
 			return
 		}
-		for _, it := range kept {
-			if it.OnWritten != nil {
-				it.OnWritten()
+		for _, item := range written {
+			if item.OnWritten != nil {
+				item.OnWritten()
 			}
 		}
 	}
 }
 
 // next takes what the next write holds; when there is nothing left, what follows the last one.
-func (o *Outbox) next() (batch []Item, done func()) {
+func (o *Outbox) nextBatch() (batch []Item, done func()) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.began = (time.Time{}); o.closed || len(o.queue) == 0 {
+	if o.writeStarted = (time.Time{}); o.closed || len(o.queue) == 0 {
 		o.writing = false
 		if o.closed {
 			return nil, nil
 		}
-		return nil, o.finish
+		return nil, o.onFinished
 	}
-	n, size := 0, 0
-	for n < len(o.queue) && (n == 0 || size+len(o.queue[n].Data) <= o.limits.InitialBufferSize) {
-		size += len(o.queue[n].Data)
-		n++
+	count, size := 0, 0
+	for count < len(o.queue) && (count == 0 || size+len(o.queue[count].Data) <= o.limits.InitialBufferSize) {
+		size += len(o.queue[count].Data)
+		count++
 	}
-	batch = append([]Item(nil), o.queue[:n]...)
-	o.queue = append(o.queue[:0], o.queue[n:]...)
-	o.bytes -= size
-	o.began = time.Now()
+	batch = append([]Item(nil), o.queue[:count]...)
+	o.queue = append(o.queue[:0], o.queue[count:]...)
+	o.queuedBytes -= size
+	o.writeStarted = time.Now()
 	return batch, nil
 }
 
 // Flush waits, not for long, until what is queued has been written, and says whether it was.
 func (o *Outbox) Flush() bool {
-	for until := time.Now().Add(o.limits.FlushTimeout); time.Now().Before(until); time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(o.limits.FlushTimeout); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 		o.mu.Lock()
 		idle, closed := !o.writing, o.closed
 		o.mu.Unlock()
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -40,124 +40,126 @@
 
 // Socket is the socket.
 type Socket struct {
-	cfg    Config
-	listen netip.AddrPort
-	to     []netip.AddrPort
-	by     map[netip.AddrPort]int
-	queue  chan core.SendToMember
-	post   func(core.Event)
-	log    zerolog.Logger
-	wg     sync.WaitGroup
-
-	strangers, flooded, unwritten atomic.Uint64
+	cfg         Config
+	listen      netip.AddrPort
+	addresses   []netip.AddrPort
+	indexByAddr map[netip.AddrPort]int
+	queue       chan core.SendToMember
+	post        func(core.Event)
+	log         zerolog.Logger
+	wg          sync.WaitGroup
+
+	unknownSenders, rateLimited, sendDrops atomic.Uint64
 }
 
 // New checks the addresses. An error is one line that names the field.
 func New(cfg Config, post func(core.Event), log zerolog.Logger) (*Socket, error) {
-	p := &Socket{cfg: cfg, by: make(map[netip.AddrPort]int), queue: make(chan core.SendToMember, cfg.Limits.Queue), post: post, log: log}
+	s := &Socket{cfg: cfg, indexByAddr: make(map[netip.AddrPort]int), queue: make(chan core.SendToMember, cfg.Limits.Queue), post: post, log: log}
 	var err error
-	if p.listen, err = netip.ParseAddrPort(cfg.Listen); err != nil {
+	if s.listen, err = netip.ParseAddrPort(cfg.Listen); err != nil {
 		return nil, fmt.Errorf("peer_listen: %w", err)
 	}
 	for i, text := range cfg.Peers {
-		a, err := netip.ParseAddrPort(text)
+		addr, err := netip.ParseAddrPort(text)
 		if err != nil {
 			return nil, fmt.Errorf("peers[%d]: %w", i, err)
 		}
-		a = plain(a)
-		if at, twice := p.by[a]; twice {
-			return nil, fmt.Errorf("peers[%d]: %s is peers[%d] too", i, a, at)
+		addr = unmap(addr)
+		if first, duplicate := s.indexByAddr[addr]; duplicate {
+			return nil, fmt.Errorf("peers[%d]: %s is peers[%d] too", i, addr, first)
 		}
-		p.by[a], p.to = i, append(p.to, a)
+		s.indexByAddr[addr], s.addresses = i, append(s.addresses, addr)
 	}
-	if cfg.Self < 0 || cfg.Self >= len(p.to) {
-		return nil, fmt.Errorf("settings.me: %d is none of %d peers", cfg.Self, len(p.to))
+	if cfg.Self < 0 || cfg.Self >= len(s.addresses) {
+		return nil, fmt.Errorf("settings.me: %d is none of %d peers", cfg.Self, len(s.addresses))
 	}
-	return p, nil
+	return s, nil
 }
 
-func plain(a netip.AddrPort) netip.AddrPort { return netip.AddrPortFrom(a.Addr().Unmap(), a.Port()) }
+func unmap(addr netip.AddrPort) netip.AddrPort {
+	return netip.AddrPortFrom(addr.Addr().Unmap(), addr.Port())
+}
 
 // Run opens the socket, as soon as the address is free, has the core join, and serves until the context ends and what
 // was still to be sent is written.
-func (p *Socket) Run(ctx context.Context, join ...core.Event) {
-	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(p.listen))
+func (s *Socket) Run(ctx context.Context, join ...core.Event) {
+	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(s.listen))
 	for first := true; err != nil; first = false {
 		if first {
-			p.log.Info().Err(err).Msg("peers' address not free yet")
+			s.log.Info().Err(err).Msg("peers' address not free yet")
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(p.cfg.Limits.Retry):
+		case <-time.After(s.cfg.Limits.Retry):
 		}
-		conn, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(p.listen))
+		conn, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(s.listen))
 	}
-	p.log.Info().Str("peers", conn.LocalAddr().String()).Int("self", p.cfg.Self).Int("tier", len(p.to)).Msg("membership")
-	p.wg.Go(func() { p.read(conn) })
+	s.log.Info().Str("peers", conn.LocalAddr().String()).Int("self", s.cfg.Self).Int("tier", len(s.addresses)).Msg("membership")
+	s.wg.Go(func() { s.read(conn) })
 	for _, ev := range join {
-		p.post(ev)
+		s.post(ev)
 	}
 	for {
 		select {
-		case e := <-p.queue:
-			p.write(conn, e)
+		case msg := <-s.queue:
+			s.write(conn, msg)
 			continue
 		case <-ctx.Done():
 		}
 		break
 	}
-	for len(p.queue) > 0 {
-		p.write(conn, <-p.queue)
+	for len(s.queue) > 0 {
+		s.write(conn, <-s.queue)
 	}
 	conn.Close()
-	p.wg.Wait()
+	s.wg.Wait()
 }
 
-func (p *Socket) write(conn *net.UDPConn, e core.SendToMember) {
-	if _, err := conn.WriteToUDPAddrPort(e.Data, p.to[e.To]); err != nil {
-		p.unwritten.Add(1)
+func (s *Socket) write(conn *net.UDPConn, msg core.SendToMember) {
+	if _, err := conn.WriteToUDPAddrPort(msg.Data, s.addresses[msg.To]); err != nil {
+		s.sendDrops.Add(1)
 	}
 }
 
 // Send queues a datagram. It never waits: one that finds no room is lost, as any may be.
-func (p *Socket) Send(e core.SendToMember) {
+func (s *Socket) Send(msg core.SendToMember) {
 	select {
-	case p.queue <- e:
+	case s.queue <- msg:
 	default:
-		p.unwritten.Add(1)
+		s.sendDrops.Add(1)
 	}
 }
 
 // read takes datagrams in. One from nobody of the tier is counted and leaves nothing; one too long is handed on one byte
 // too long, which membership counts.
-func (p *Socket) read(conn *net.UDPConn) {
-	var b [datagram.MaxSize + 1]byte
-	pace := rate.NewLimiter(rate.Limit(p.cfg.Limits.Rate), max(int(p.cfg.Limits.Rate), 1))
+func (s *Socket) read(conn *net.UDPConn) {
+	var buf [datagram.MaxSize + 1]byte
+	limiter := rate.NewLimiter(rate.Limit(s.cfg.Limits.Rate), max(int(s.cfg.Limits.Rate), 1))
 	for {
-		n, src, err := conn.ReadFromUDPAddrPort(b[:])
+		n, src, err := conn.ReadFromUDPAddrPort(buf[:])
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil { // what an earlier datagram met
 			continue
 		}
-		from, known := p.by[plain(src)]
+		from, known := s.indexByAddr[unmap(src)]
 		switch {
 		case !known:
-			p.strangers.Add(1)
-		case !pace.Allow():
-			p.flooded.Add(1)
+			s.unknownSenders.Add(1)
+		case !limiter.Allow():
+			s.rateLimited.Add(1)
 		default:
-			p.post(core.MemberDatagram{From: from, Data: append([]byte(nil), b[:n]...)})
+			s.post(core.MemberDatagram{From: from, Data: append([]byte(nil), buf[:n]...)})
 		}
 	}
 }
 
 // Addresses are those of the tier, by number.
-func (p *Socket) Addresses() []string { return p.cfg.Peers }
+func (s *Socket) Addresses() []string { return s.cfg.Peers }
 
 // Counters are the figures of now.
-func (p *Socket) Counters() Counters {
-	return Counters{p.strangers.Load(), p.flooded.Load(), p.unwritten.Load()}
+func (s *Socket) Counters() Counters {
+	return Counters{s.unknownSenders.Load(), s.rateLimited.Load(), s.sendDrops.Load()}
 }
