--- a/internal/handover/effect.go
+++ b/internal/handover/effect.go
@@ -2,7 +2,8 @@
 
 import "elmseam/internal/core"
 
-// FromEffect is the message for what a caller is told. A Link of 0: on any connection.
+// FromEffect converts an effect for a caller to a message. A conn of 0 stands for any of the successor's connections. ok is
+// false for an effect that is not relayed.
 func FromEffect(protocol core.Protocol, conn core.ConnID, e core.Effect) (m Message, ok bool) {
 	m = Message{Kind: Effect, Protocol: protocol, Conn: conn}
 	switch e := e.(type) {
@@ -18,7 +19,7 @@
 	return m, true
 }
 
-// ToEffect is what such a message says.
+// ToEffect converts a message that FromEffect built back to its effect. It returns nil where the effect is unknown.
 func (m Message) ToEffect() core.Effect {
 	switch m.Effect {
 	case "answered":
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -1,5 +1,6 @@
-// Package handover connects two processes of the program on one machine while the newer takes over from the older:
-// messages, some with an open file, over a Unix socket. What they mean is decided elsewhere.
+// Package handover carries messages between two processes of the program on one machine while the successor takes over
+// from the predecessor. The messages, some with an open file attached, travel over a Unix socket. The package defines
+// their format; its users decide what to do with them.
 package handover
 
 import (
@@ -17,63 +18,63 @@
 	"elmseam/internal/core"
 )
 
-// Version is that of the messages. Processes of different versions hand nothing over.
+// Version is the version of the message format. Processes with different versions refuse the hand-over.
 const Version = 1
 
-// Limits are the sizes and times of a hand-over.
+// Limits are the timeouts and size limits of a hand-over.
 type Limits struct {
-	HelloTimeout   time.Duration // to be answered, or to say who one is
-	ExitTimeout    time.Duration // that a process which is ending is waited for
-	WriteTimeout   time.Duration // a message may take; a peer that takes none for so long is given up
-	MaxMessageSize int           // the longest message
-	MaxQueuedBytes int           // bytes that may wait for the peer
-	MaxEndedCalls  int           // ended calls that are named
+	HelloTimeout   time.Duration // time to connect, to receive Hello, or to receive the answer to it
+	ExitTimeout    time.Duration // how long a successor waits for an exiting predecessor to end
+	WriteTimeout   time.Duration // time to write one message; the connection is closed after it
+	MaxMessageSize int           // max size of an encoded message, in bytes
+	MaxQueuedBytes int           // max bytes queued for the peer
+	MaxEndedCalls  int           // max number of ids in a CallsEnded message
 }
 
-// ReasonExiting is why a process that closes its listener gives it to nobody. Who is told so waits until that process has gone, and
-// can then listen itself.
+// ReasonExiting is the refusal reason of a process that is exiting and closes its listener. The refused process waits until
+// the exiting one has ended, and then listens itself.
 const ReasonExiting = "this process is ending"
 
-// Kind says what a message is.
+// Kind is the type of a message.
 type Kind string
 
-// The kinds, and who sends them.
+// Kinds of messages. The comments name the sender.
 const (
-	Hello        Kind = "hello"       // new: who it is
-	Listener     Kind = "listener"    // old, with the callers' listener
-	Refused      Kind = "refused"     // old: why not
-	Serving      Kind = "serving"     // new: it serves
-	Transferring Kind = "moving"      // old: it hands its callers on from now on
-	CallerConn   Kind = "caller"      // old, with a caller's connection
-	Effect       Kind = "effect"      // old, for a caller
-	CallsEnded   Kind = "over"        // old: calls that have ended
-	CallerDown   Kind = "caller_down" // new: a caller's connection has ended
-	CallerEnd    Kind = "caller_end"  // new, of a call that it does not know
-	ServerEnd    Kind = "server_end"  // new, the same
+	Hello        Kind = "hello"       // successor: asks for the listener of an address
+	Listener     Kind = "listener"    // predecessor: carries the callers' listener
+	Refused      Kind = "refused"     // predecessor: refuses the hand-over, with a reason
+	Serving      Kind = "serving"     // successor: ready to serve callers
+	Transferring Kind = "moving"      // predecessor: starts to transfer its callers' connections
+	CallerConn   Kind = "caller"      // predecessor: carries a caller's connection
+	Effect       Kind = "effect"      // predecessor: an effect for a caller
+	CallsEnded   Kind = "over"        // predecessor: ids of calls that have ended
+	CallerDown   Kind = "caller_down" // successor: a transferred connection was closed
+	CallerEnd    Kind = "caller_end"  // successor: a caller released a call that the successor does not know
+	ServerEnd    Kind = "server_end"  // successor: a server ended a call that the successor does not know
 )
 
-// Message is what one process tells the other. A field that its kind has no use for is empty.
+// Message is one message between the two processes. Fields that its kind does not use are empty.
 type Message struct {
 	Kind          Kind          `json:"kind"`
-	Version       int           `json:"version,omitempty"`
-	Listen        string        `json:"listen,omitempty"`
+	Version       int           `json:"version,omitempty"` // format version, see [Version]
+	Listen        string        `json:"listen,omitempty"`  // the callers' address whose listener is requested
 	RefusalReason string        `json:"why,omitempty"`
-	Conn          core.ConnID   `json:"link,omitempty"` // by the old one's count
+	Conn          core.ConnID   `json:"link,omitempty"` // id of a connection in the predecessor
 	Protocol      core.Protocol `json:"front,omitempty"`
-	Unprocessed   []byte        `json:"rest,omitempty"` // read from the connection and not yet taken
-	Pending       []core.ID     `json:"open,omitempty"`
-	Established   []core.ID     `json:"stand,omitempty"`
-	Asked         bool          `json:"asked,omitempty"`
-	Effect        string        `json:"effect,omitempty"`
-	ID            core.ID       `json:"id,omitempty"`
-	Desc          []byte        `json:"desc,omitempty"`
+	Unprocessed   []byte        `json:"rest,omitempty"`   // bytes read from the connection and not yet processed
+	Pending       []core.ID     `json:"open,omitempty"`   // calls of the connection without a final answer
+	Established   []core.ID     `json:"stand,omitempty"`  // established calls of the connection
+	Asked         bool          `json:"asked,omitempty"`  // the connection has carried a set-up
+	Effect        string        `json:"effect,omitempty"` // "answered", "rejected" or "released"
+	ID            core.ID       `json:"id,omitempty"`     // the call that the message is about
+	Desc          []byte        `json:"desc,omitempty"`   // description in an answer
 	Reason        core.Reason   `json:"reason,omitempty"`
-	RetryAfter    time.Duration `json:"retry,omitempty"`
-	Server        string        `json:"server,omitempty"`
-	IDs           []core.ID     `json:"ids,omitempty"`
+	RetryAfter    time.Duration `json:"retry,omitempty"`  // when a rejected caller may try again, in nanoseconds
+	Server        string        `json:"server,omitempty"` // name of the server that ended the call
+	IDs           []core.ID     `json:"ids,omitempty"`    // the calls of a CallsEnded message
 }
 
-// SocketPath is where the process of a name is found; "" where there is no folder for it.
+// SocketPath returns the path of the hand-over socket of the process with the given name, or "" if dir is empty.
 func SocketPath(dir, name string) string {
 	if dir == "" {
 		return ""
@@ -81,17 +82,17 @@
 	return filepath.Join(dir, "elmseam-"+strings.ReplaceAll(name, "/", "_")+".sock")
 }
 
-// Peer is the other process.
+// Peer is the connection to the other process.
 type Peer struct {
 	conn    *net.UnixConn
 	limits  Limits
 	readBuf []byte
-	writeMu sync.Mutex // held for each message
+	writeMu sync.Mutex // serializes the writes of writeLoop and SendFile
 
 	mu          sync.Mutex
-	queue       [][]byte
-	queuedBytes int
-	writing     bool
+	queue       [][]byte // encoded messages
+	queuedBytes int      // total size of queue
+	writing     bool     // writeLoop is running
 	closed      bool
 }
 
@@ -99,7 +100,7 @@
 	return &Peer{conn: conn, limits: limits, readBuf: make([]byte, limits.MaxMessageSize)}
 }
 
-// Close ends the connection.
+// Close closes the connection and drops the queue.
 func (p *Peer) Close() {
 	p.mu.Lock()
 	p.closed, p.queue = true, nil
@@ -107,7 +108,7 @@
 	p.conn.Close()
 }
 
-// Send queues a message. It never waits; a peer that falls behind too far is given up.
+// Send queues a message. It never blocks. The connection is closed if the message is too large or the queue is full.
 func (p *Peer) Send(m Message) {
 	payload, err := json.Marshal(m)
 	p.mu.Lock()
@@ -127,7 +128,7 @@
 	}
 }
 
-// run writes what is queued.
+// writeLoop writes the queued messages and returns when the queue is empty or the connection is closed.
 func (p *Peer) writeLoop() {
 	for {
 		p.mu.Lock()
@@ -146,7 +147,7 @@
 	}
 }
 
-// packet writes one message whole.
+// writeMessage writes one encoded message, with the control data in rights if there is any.
 func (p *Peer) writeMessage(payload, rights []byte) error {
 	p.writeMu.Lock()
 	defer p.writeMu.Unlock()
@@ -155,28 +156,29 @@
 	return err
 }
 
-// SendFile sends a message with an open file, and waits until it is with the peer's machine.
+// SendFile sends a message with the file descriptor of source attached. It blocks until the message is in the socket's
+// buffer.
 func (p *Peer) SendFile(m Message, source syscall.Conn) error {
 	payload, err := json.Marshal(m)
 	if err != nil {
 		return err
 	}
 	if len(payload) > p.limits.MaxMessageSize {
-		return fmt.Errorf("a message of %d bytes", len(payload))
+		return fmt.Errorf("message of %d bytes exceeds the size limit", len(payload))
 	}
 	raw, err := source.SyscallConn()
 	if err != nil {
 		return err
 	}
 	var writeErr error
-	// Not by File and its Fd: that would make the file blocking for both processes.
+	// File().Fd() is not used here: it would put the file into blocking mode for both processes.
 	if err := raw.Control(func(fd uintptr) { writeErr = p.writeMessage(payload, syscall.UnixRights(int(fd))) }); err != nil {
 		return err
 	}
 	return writeErr
 }
 
-// Flush waits until what is queued is written, not for long.
+// Flush waits until the queue is written, for at most limits.WriteTimeout.
 func (p *Peer) Flush() {
 	for deadline := time.Now().Add(p.limits.WriteTimeout); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 		p.mu.Lock()
@@ -188,9 +190,9 @@
 	}
 }
 
-var errTruncated = errors.New("a message was cut short")
+var errTruncated = errors.New("message truncated")
 
-// Receive waits for a message, and the file that comes with it.
+// Receive waits for the next message and returns it with the file attached to it, or nil if there is none.
 func (p *Peer) Receive() (m Message, file *os.File, err error) {
 	oob := make([]byte, syscall.CmsgSpace(4))
 	n, oobn, flags, _, err := p.conn.ReadMsgUnix(p.readBuf, oob)
@@ -215,27 +217,28 @@
 	return m, file, err
 }
 
-// fileIn is the file that came beside a message, if one did.
+// parseFile extracts the file from a message's control data. It returns nil if oob is empty.
 func parseFile(oob []byte) (*os.File, error) {
 	if len(oob) == 0 {
 		return nil, nil
 	}
 	messages, err := syscall.ParseSocketControlMessage(oob)
 	if err != nil || len(messages) != 1 {
-		return nil, fmt.Errorf("%d control messages: %w", len(messages), errTruncated)
+		return nil, fmt.Errorf("%d control messages, want 1: %w", len(messages), errTruncated)
 	}
 	fds, err := syscall.ParseUnixRights(&messages[0])
 	if err != nil || len(fds) != 1 {
-		return nil, fmt.Errorf("%d files: %w", len(fds), errTruncated)
+		return nil, fmt.Errorf("%d files, want 1: %w", len(fds), errTruncated)
 	}
 	syscall.CloseOnExec(fds[0])
 	return os.NewFile(uintptr(fds[0]), "handed over"), nil
 }
 
-// RequestListener asks the process that serves an address for its listener. An error says why there is none to be had.
+// RequestListener asks the process behind the socket at path for its listener of the address listen. It fails if no process
+// answers or the process refuses.
 func RequestListener(path, listen string, limits Limits) (*Peer, net.Listener, error) {
 	if path == "" {
-		return nil, nil, errors.New("no folder for a socket")
+		return nil, nil, errors.New("no directory for the hand-over socket")
 	}
 	conn, err := net.DialTimeout("unixpacket", path, limits.HelloTimeout)
 	if err != nil {
@@ -267,7 +270,7 @@
 	return p, listener, nil
 }
 
-// Listen waits at the path for successors. Whatever has been left there is replaced at once.
+// Listen listens on a Unix socket at path for successors. A socket that exists there is replaced atomically.
 func Listen(path string) (*net.UnixListener, error) {
 	tempPath := fmt.Sprintf("%s.%d", path, os.Getpid())
 	os.Remove(tempPath)
@@ -275,7 +278,7 @@
 	if err != nil {
 		return nil, err
 	}
-	listener.SetUnlinkOnClose(false) // a successor's may stand there by then
+	listener.SetUnlinkOnClose(false) // path may be a successor's socket by the time of Close
 	if err = os.Chmod(tempPath, 0o600); err == nil {
 		err = os.Rename(tempPath, path)
 	}
@@ -287,7 +290,8 @@
 	return listener, nil
 }
 
-// AcceptSuccessor hears who has come, and gives the listener where that is what it wants. Why says that it can't be had.
+// AcceptSuccessor receives the Hello of a process that has connected, and sends it the listener if the process asks for the
+// address listen. A refusal that is not empty is sent instead, as the reason.
 func AcceptSuccessor(conn *net.UnixConn, listen, refusal string, listener syscall.Conn, limits Limits) (*Peer, error) {
 	p := newPeer(conn, limits)
 	conn.SetReadDeadline(time.Now().Add(limits.HelloTimeout))
@@ -314,7 +318,7 @@
 	switch {
 	case err == nil:
 		return p, nil
-	case refusal == ReasonExiting: // the connection's end, with the process, tells that it has gone
+	case refusal == ReasonExiting: // the connection stays open until this process ends, which the refused one waits for
 		go func() { p.Receive(); p.Close() }()
 	default:
 		p.Close()
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -12,11 +12,11 @@
 	"elmseam/internal/leak"
 )
 
-// No goroutine and no descriptor may be left over.
+// TestMain fails if a test leaks a goroutine or a file descriptor.
 func TestMain(m *testing.M) { leak.Main(m) }
 
-// A newer process comes while the older one is closing its listener: it waits until that one has gone, and listens itself. It
-// found the address taken, and didn't start.
+// TestSuccessorWaitsForExitingProcess guards against a process that fails to start because it asks for the listener while the
+// older process is closing it: the address was still in use. It must wait until the older process has ended.
 func TestSuccessorWaitsForExitingProcess(t *testing.T) {
 	limits := Limits{HelloTimeout: 10 * time.Second, ExitTimeout: 10 * time.Second, WriteTimeout: time.Second, MaxMessageSize: 1 << 10, MaxQueuedBytes: 1 << 10}
 	path := filepath.Join(t.TempDir(), "x.sock")
@@ -35,7 +35,7 @@
 	go func() {
 		_, _, err := RequestListener(path, tcpListener.Addr().String(), limits)
 		if !exited.Load() {
-			t.Error("it doesn't wait")
+			t.Error("the newer process did not wait for the older one to end")
 		}
 		result <- err
 	}()
@@ -44,16 +44,16 @@
 		t.Fatal(err)
 	}
 	if _, err := AcceptSuccessor(conn, tcpListener.Addr().String(), ReasonExiting, tcpListener.(syscall.Conn), limits); err == nil || !strings.Contains(err.Error(), ReasonExiting) {
-		t.Errorf("the older one: %v", err)
+		t.Errorf("older process: %v, want an error with the reason", err)
 	}
 	select {
 	case err := <-result:
-		t.Fatalf("the newer one: %v", err)
+		t.Fatalf("newer process returned before the older one ended: %v", err)
 	case <-time.After(50 * time.Millisecond):
 	}
 	exited.Store(true)
-	conn.CloseRead() // as the process ends: its side hears no more, and closes
+	conn.CloseRead() // stands for the end of the older process: its Receive fails and it closes
 	if err := <-result; err == nil || !strings.Contains(err.Error(), ReasonExiting) {
-		t.Errorf("the newer one: %v", err)
+		t.Errorf("newer process: %v, want an error with the reason", err)
 	}
 }
--- a/internal/link/buffer.go
+++ b/internal/link/buffer.go
@@ -1,5 +1,5 @@
-// Package link holds what every connection here needs, whatever it speaks: a read buffer, an outbox
-// that never blocks its user, and a listener that keeps within a number of connections.
+// Package link provides what the TCP connections of all protocols need: a read buffer, an outbox that never blocks its user,
+// and an acceptor that limits the number of open connections.
 package link
 
 import (
@@ -7,28 +7,28 @@
 	"io"
 )
 
-// ErrTooLong is returned by Fill when a message outgrows the buffer's limit.
+// ErrTooLong is returned by Buffer.Fill when the buffer is full at its maximum size.
 var ErrTooLong = errors.New("message too long")
 
-// Buffer is the one read buffer of a connection. It grows as a message needs and is compacted in place.
+// Buffer is the read buffer of a connection. It grows when a message needs more room and is compacted in place.
 type Buffer struct {
 	data    []byte
-	start   int // first byte not consumed
+	start   int // index in data of the first byte that is not consumed
 	maxSize int
 }
 
-// NewBuffer makes a buffer that grows up to most bytes.
+// NewBuffer returns a buffer of initialSize bytes that grows up to maxSize bytes.
 func NewBuffer(initialSize, maxSize int) *Buffer {
 	return &Buffer{data: make([]byte, 0, min(initialSize, maxSize)), maxSize: maxSize}
 }
 
-// Bytes are those read and not consumed. They are valid until the next Fill.
+// Bytes returns the bytes that were read and not consumed. They are valid until the next Fill.
 func (b *Buffer) Bytes() []byte { return b.data[b.start:] }
 
 // Skip consumes n bytes.
 func (b *Buffer) Skip(n int) { b.start += n }
 
-// Fill reads once, making room first.
+// Fill makes room in the buffer and reads from r once.
 func (b *Buffer) Fill(r io.Reader) error {
 	if b.start > 0 {
 		n := copy(b.data, b.data[b.start:])
@@ -53,5 +53,5 @@
 	return err
 }
 
-// MaxSize is the size up to which the buffer grows.
+// MaxSize returns the size up to which the buffer grows, in bytes.
 func (b *Buffer) MaxSize() int { return b.maxSize }
--- /dev/null
+++ b/internal/link/conn.go
@@ -0,0 +1,27 @@
+package link
+
+import (
+	"net"
+	"syscall"
+
+	"golang.org/x/sys/unix"
+)
+
+// PeerClosed reports whether the peer has closed its side of a TCP connection. Data that it sent before may still be unread.
+func PeerClosed(conn net.Conn) bool {
+	sysConn, ok := conn.(syscall.Conn)
+	if !ok {
+		return false
+	}
+	raw, err := sysConn.SyscallConn()
+	if err != nil {
+		return true
+	}
+	closed := false
+	raw.Control(func(fd uintptr) {
+		if info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
+			closed = info.State == unix.BPF_TCP_CLOSE_WAIT || info.State == unix.BPF_TCP_CLOSE
+		}
+	})
+	return closed
+}
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -14,7 +14,7 @@
 	"elmseam/internal/leak"
 )
 
-// pair is a connection over loopback, and its peer's end, for the length of a test.
+// tcpPair returns the two ends of a TCP connection over loopback. They are closed at the end of the test.
 func tcpPair(t *testing.T) (conn, peer net.Conn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -33,9 +33,9 @@
 	return conn, peer
 }
 
-// A peer reads nothing: whoever posts never waits. Offers that have not been begun can be taken back, one by one or
-// all where new work has to stop; and since some may be in the write that is stuck, the connection is closed then, so
-// that the peer doesn't get them late.
+// TestStalledPeerDoesNotBlockPost: with a peer that reads nothing, Post does not block. Queued items can be retracted one by
+// one or all at once. Since the write in progress may contain some of them, RetractAll closes the connection, so that the peer
+// does not receive them late.
 func TestStalledPeerDoesNotBlockPost(t *testing.T) {
 	conn, _ := tcpPair(t)
 	outbox := NewOutbox(conn, Limits{InitialBufferSize: 1 << 10, MaxQueuedBytes: 64 << 20, WriteTimeout: time.Minute, FlushTimeout: time.Millisecond})
@@ -44,7 +44,7 @@
 		defer outbox.mu.Unlock()
 		return !outbox.writeStarted.IsZero() && time.Since(outbox.writeStarted) > 100*time.Millisecond
 	}
-	for !stalled() { // fill what the machine buffers
+	for !stalled() { // fill the kernel's socket buffers
 		if outbox.queuedSize() < 32<<20 {
 			outbox.Post(Item{Data: make([]byte, 64<<10)})
 		}
@@ -54,17 +54,18 @@
 		outbox.Post(Item{Data: []byte("offer"), ID: id, Retractable: true, Deadline: time.Now().Add(time.Minute)})
 	}
 	if !outbox.Retract(2) || outbox.Retract(2) {
-		t.Error("an offer that has not begun is taken back once")
+		t.Error("a queued item can be retracted exactly once")
 	}
 	if ids := outbox.RetractAll(); len(ids) != 2 || ids[0] != 1 || ids[1] != 3 {
-		t.Errorf("withdrawn %v, want 1 and 3", ids)
+		t.Errorf("retracted %v, want 1 and 3", ids)
 	}
 	if err := conn.SetDeadline(time.Time{}); !errors.Is(err, net.ErrClosed) {
-		t.Error("the connection with a stuck write is still open")
+		t.Error("the connection with a stalled write is still open")
 	}
 }
 
-// An offer whose time is over when its turn comes is not written.
+// TestExpiredItemIsNotWritten checks that a retractable item whose deadline has passed is dropped, and that the read buffer
+// grows, is compacted and stops at its maximum size.
 func TestExpiredItemIsNotWritten(t *testing.T) {
 	conn, peer := net.Pipe()
 	defer peer.Close()
@@ -72,7 +73,7 @@
 	expired := make(chan bool, 1)
 	outbox.Post(Item{Data: []byte("late"), Retractable: true, Deadline: time.Now().Add(-time.Second), OnExpired: func() { expired <- true }})
 	outbox.Post(Item{Data: []byte("next")})
-	buf := NewBuffer(1, 8) // grows from one byte, is compacted in place
+	buf := NewBuffer(1, 8) // grows from one byte and is compacted in place
 	for !bytes.Equal(buf.Bytes(), []byte("next")) {
 		if err := buf.Fill(peer); err != nil {
 			t.Fatalf("%q: %v", buf.Bytes(), err)
@@ -87,42 +88,43 @@
 		}
 	}
 	if err := buf.Fill(peer); err != ErrTooLong {
-		t.Errorf("past the limit: %v", err)
+		t.Errorf("fill beyond the maximum size: %v", err)
 	}
 }
 
+// queuedSize returns the number of queued bytes.
 func (o *Outbox) queuedSize() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.queuedBytes
 }
 
-// A connection ends while its peer reads nothing for a while: all that was queued is written all the same, then the peer
-// hears that there is no more, and it is no reset, though it goes on sending. What had not been written within 50 ms was
-// cut off.
+// TestFinishWritesAllQueuedItems guards against data that is lost when a connection ends while its peer reads nothing for some
+// time: what was not written within 50 ms was cut off. All queued data must be written, followed by a half-close and not a
+// reset, even if the peer goes on sending.
 func TestFinishWritesAllQueuedItems(t *testing.T) {
 	conn, peer := tcpPair(t)
 	outbox := NewOutbox(conn, Limits{InitialBufferSize: 1 << 10, MaxQueuedBytes: 64 << 20, WriteTimeout: time.Minute, FlushTimeout: time.Millisecond})
 	total := 0
-	for n := 64 << 10; total < 16<<20; total += n { // more than the machine buffers
+	for n := 64 << 10; total < 16<<20; total += n { // more than the kernel's socket buffers hold
 		outbox.Post(Item{Data: make([]byte, n)})
 	}
 	done := make(chan struct{})
 	outbox.Finish(func() { close(done) })
-	outbox.Finish(func() { t.Error("it ends twice") })
+	outbox.Finish(func() { t.Error("the second Finish called its function") })
 	outbox.Post(Item{Data: []byte("too late")})
 	if outbox.Flush() {
-		t.Error("it has been written, and the test has not met its case")
+		t.Error("the queue was written at once: the test did not reach its case")
 	}
 	peer.Write([]byte("goes on"))
 	if received, err := io.ReadAll(peer); err != nil || len(received) != total {
-		t.Errorf("%d bytes of %d, then %v", len(received), total, err)
+		t.Errorf("received %d bytes of %d, then %v", len(received), total, err)
 	}
 	<-done
 }
 
-// Connections beyond the limit wait in the backlog, and none of those that have connected is reset when the listener is
-// closed: each is accepted, also where there was no room.
+// TestDrainAcceptsTheBacklog checks that connections beyond the limit wait in the backlog, and that Drain resets none of them:
+// each is accepted, even beyond the limit.
 func TestDrainAcceptsTheBacklog(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -151,7 +153,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	if n := acceptor.activeConns.Load(); n != 1 {
-		t.Errorf("%d served at once, want 1", n)
+		t.Errorf("%d connections served at once, want 1", n)
 	}
 	acceptor.Drain()
 	acceptor.Drain()
@@ -169,7 +171,7 @@
 	}
 }
 
-// backlog is how many connections wait to be accepted.
+// backlogSize returns the number of connections that wait to be accepted.
 func backlogSize(t *testing.T, listener net.Listener) (n int) {
 	raw, err := listener.(*net.TCPListener).SyscallConn()
 	if err != nil {
@@ -185,8 +187,9 @@
 	return n
 }
 
-// The time to accept the backlog is over before the first accept, as on a busy machine: those in it are accepted all the
-// same. They were reset, and so was whoever connected between the last accept and the close: nobody can any more.
+// TestDrainAcceptsTheBacklogAfterItsDeadline guards against resets on a busy machine, where the accept deadline passes before
+// the first accept. Connections in the backlog were reset, and so were those made between the last accept and the close. The
+// backlog must be accepted, and new connections refused as soon as draining starts.
 func TestDrainAcceptsTheBacklogAfterItsDeadline(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -208,7 +211,7 @@
 		defer conn.Close()
 		conns = append(conns, conn)
 	}
-	for backlogSize(t, listener) < len(conns) { // the machine may be behind with a handshake
+	for backlogSize(t, listener) < len(conns) { // the kernel may not have completed all handshakes yet
 		time.Sleep(time.Millisecond)
 	}
 	served := make(chan struct{})
@@ -217,7 +220,7 @@
 	acceptor.Drain()
 	if conn, err := net.Dial("tcp", listener.Addr().String()); err == nil {
 		conn.Close()
-		t.Error("one more is let in")
+		t.Error("a connection was accepted by the kernel after Drain")
 	}
 	listener.(*net.TCPListener).SetDeadline(time.Unix(1, 0))
 	close(proceed)
@@ -230,5 +233,5 @@
 	}
 }
 
-// No goroutine and no descriptor may be left over.
+// TestMain fails if a test leaks a goroutine or a file descriptor.
 func TestMain(m *testing.M) { leak.Main(m) }
--- a/internal/link/listen.go
+++ b/internal/link/listen.go
@@ -2,7 +2,6 @@
 
 import (
 	"errors"
-	"io"
 	"math"
 	"net"
 	"os"
@@ -11,31 +10,38 @@
 	"syscall"
 	"time"
 
-	"github.com/rs/zerolog"
 	"golang.org/x/sys/unix"
 )
 
-// Acceptor accepts connections and gives each a goroutine, at most so many at once: those beyond wait in the listener's
-// backlog, where nothing is lost.
+const (
+	// drainDuration is how long Accept goes on after Drain. TCP handshakes in progress complete within it.
+	drainDuration = 20 * time.Millisecond
+	// acceptRetry is the wait after an accept that failed, for example for lack of file descriptors.
+	acceptRetry = 10 * time.Millisecond
+)
+
+// Acceptor accepts connections up to a maximum number of open ones and serves each in a goroutine. Connections beyond the
+// maximum wait in the listener's backlog, where no data is lost.
 type Acceptor struct {
-	maxConns    func() int
-	handle      func(net.Conn)
+	maxConns    func() int     // the current maximum of open connections
+	handle      func(net.Conn) // serves a connection; the acceptor closes it afterwards
 	activeConns atomic.Int64
-	slotFreed   chan struct{}
-	wg          sync.WaitGroup // Serve, and each connection
+	slotFreed   chan struct{}  // receives a value when a connection has ended
+	wg          sync.WaitGroup // counts Serve and each connection's goroutine
 
 	mu           sync.Mutex
 	listener     net.Listener
-	drainStarted chan struct{} // closed when it drains
+	drainStarted chan struct{} // closed by the first Drain
 	draining     bool
 }
 
-// NewAcceptor makes an acceptor for so many connections at once.
+// NewAcceptor returns an acceptor that calls handle for each connection. maxConns returns the max number of open connections;
+// it is called before each accept.
 func NewAcceptor(maxConns func() int, handle func(net.Conn)) *Acceptor {
 	return &Acceptor{maxConns: maxConns, handle: handle, slotFreed: make(chan struct{}, 1), drainStarted: make(chan struct{})}
 }
 
-// Serve accepts until the listener is closed, by Drain or otherwise.
+// Serve accepts connections until the listener is closed, by Drain or otherwise.
 func (a *Acceptor) Serve(listener net.Listener) {
 	a.wg.Add(1)
 	defer a.wg.Done()
@@ -53,7 +59,7 @@
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			a.acceptBacklog(listener)
 			return
-		case err != nil: // out of descriptors, say: what is open goes on
+		case err != nil: // for example out of file descriptors; open connections are not affected
 			time.Sleep(acceptRetry)
 			continue
 		}
@@ -61,7 +67,7 @@
 	}
 }
 
-// take gives a connection its goroutine.
+// startHandler serves a connection in a goroutine of its own.
 func (a *Acceptor) startHandler(conn net.Conn) {
 	a.activeConns.Add(1)
 	a.wg.Go(func() {
@@ -77,11 +83,11 @@
 	})
 }
 
-// Wait waits until the listener is closed, all it has accepted is served, and their connections have ended.
+// Wait waits until Serve has returned and all connections it accepted have ended.
 func (a *Acceptor) Wait() { a.wg.Wait() }
 
-// room waits until one more connection can be had. While it drains there is no waiting: those in the backlog are to hear
-// that they are refused.
+// waitForSlot waits until one more connection may be opened. It does not wait while the acceptor drains: callers in the
+// backlog must be accepted so that they can be told that they are refused.
 func (a *Acceptor) waitForSlot() {
 	for a.activeConns.Load() >= int64(a.maxConns()) {
 		select {
@@ -92,8 +98,8 @@
 	}
 }
 
-// Drain has the listener closed when all who have connected by then have been accepted. To close it at once would reset
-// those in its backlog. It does not wait. The listener must be no other process's too.
+// Drain closes the listener once all connections in its backlog are accepted; closing it at once would reset them. Drain does
+// not wait. It must not be called while another process shares the listener.
 func (a *Acceptor) Drain() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -107,8 +113,8 @@
 	}
 }
 
-// until has new connections refused, so that the backlog only gets shorter, and sets the end of accepting: handshakes
-// under way are over by then.
+// startDraining has the kernel refuse new connections, so that the backlog only shrinks, and sets a deadline for Accept that
+// leaves time for TCP handshakes in progress. A listener without deadlines is closed.
 func (a *Acceptor) startDraining(listener net.Listener) {
 	if tcpListener, ok := listener.(*net.TCPListener); ok {
 		refuseNewConns(tcpListener)
@@ -118,8 +124,9 @@
 	}
 }
 
-// refuse has the kernel refuse whoever connects from now on, by looking for them on an interface that isn't there. What is
-// in the backlog stays. Where it can't, connections that come between the last accept and the close are reset.
+// refuseNewConns has the kernel refuse new connections, by binding the listener to a network interface that does not exist.
+// The backlog is not affected. If the kernel does not support this, connections that are made between the last accept and the
+// close are reset.
 func refuseNewConns(listener *net.TCPListener) {
 	if raw, err := listener.SyscallConn(); err == nil {
 		raw.Control(func(fd uintptr) {
@@ -128,8 +135,8 @@
 	}
 }
 
-// rest accepts what is left in the backlog, to the last, and closes the listener: an Accept whose deadline is over does not
-// look there any more. Without descriptors it waits for some.
+// acceptBacklog accepts all connections that remain in the backlog and closes the listener. It calls accept(2) directly, as
+// Accept fails after its deadline even if the backlog is not empty. When file descriptors run out it waits for some.
 func (a *Acceptor) acceptBacklog(listener net.Listener) {
 	defer listener.Close()
 	tcpListener, ok := listener.(*net.TCPListener)
@@ -154,7 +161,7 @@
 	}
 }
 
-// accept takes one connection off the backlog, without waiting for one.
+// acceptNonblocking accepts a connection from the backlog. It returns EAGAIN if the backlog is empty.
 func acceptNonblocking(listener uintptr) (net.Conn, error) {
 	fd, _, err := syscall.Accept4(int(listener), syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC)
 	if err != nil {
@@ -164,45 +171,3 @@
 	defer f.Close()
 	return net.FileConn(f)
 }
-
-// PeerClosed says whether the peer has closed its side of a connection, though something it sent before may be unread.
-func PeerClosed(conn net.Conn) bool {
-	sysConn, ok := conn.(syscall.Conn)
-	if !ok {
-		return false
-	}
-	raw, err := sysConn.SyscallConn()
-	if err != nil {
-		return true
-	}
-	closed := false
-	raw.Control(func(fd uintptr) {
-		if info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
-			closed = info.State == unix.BPF_TCP_CLOSE_WAIT || info.State == unix.BPF_TCP_CLOSE
-		}
-	})
-	return closed
-}
-
-// Linger ends a connection so that the peer can read what it was told last: it is told that there is no more,
-// and what it still sends is read and dropped, for a while. To close at once would reset the connection, and the
-// peer's machine would throw away what it has not read.
-func (o *Outbox) Linger(conn net.Conn) {
-	o.Flush()
-	if halfCloser, ok := conn.(interface{ CloseWrite() error }); ok && halfCloser.CloseWrite() == nil {
-		conn.SetReadDeadline(time.Now().Add(o.limits.LingerTimeout))
-		io.CopyN(io.Discard, conn, int64(o.limits.MaxLingerBytes))
-	}
-}
-
-// SampledLogger is a log that drops lines where they come in masses.
-func SampledLogger(log zerolog.Logger) zerolog.Logger {
-	return log.Sample(&zerolog.BurstSampler{Burst: maxLogLinesPerSecond, Period: time.Second})
-}
-
-const (
-	drainDuration = 20 * time.Millisecond // a handshake takes less
-	acceptRetry   = 10 * time.Millisecond
-)
-
-const maxLogLinesPerSecond = 5 // a second
--- a/internal/link/outbox.go
+++ b/internal/link/outbox.go
@@ -2,38 +2,39 @@
 
 import (
 	"bufio"
+	"io"
 	"net"
 	"sync"
 	"time"
 )
 
-// Limits are the sizes and times of a connection.
+// Limits are the size limits and timeouts of a connection.
 type Limits struct {
-	InitialBufferSize int           // the read buffer's first size
-	MaxMessageSize    int           // the longest message
-	MaxQueuedBytes    int           // bytes that may wait to be written before the peer counts as stalled
-	WriteTimeout      time.Duration // and the longest that one write may take
-	MessageTimeout    time.Duration // to the end of the first message, or of one that has begun
-	IdleTimeout       time.Duration // without a message
-	LineTimeout       time.Duration // from a line's first byte to its last
-	MaxSilence        time.Duration // the longest that a peer may be silent that speaks at intervals
-	LingerTimeout     time.Duration // that a connection's end may take, for the peer to read what it was told
-	MaxLingerBytes    int           // bytes that the peer may send in that time
-	FlushTimeout      time.Duration // a write that takes so long is broken off where new work has to stop
+	InitialBufferSize int           // initial size of the read buffer, size of the write buffer; bytes
+	MaxMessageSize    int           // max size of a received message, in bytes
+	MaxQueuedBytes    int           // max bytes queued for writing; beyond it the peer counts as stalled and the connection is closed
+	WriteTimeout      time.Duration // max duration of one write; beyond it the connection is closed
+	MessageTimeout    time.Duration // max time until the first message, or a message that has begun, is complete
+	IdleTimeout       time.Duration // max time between messages
+	LineTimeout       time.Duration // max time from the first byte of a line to its last
+	MaxSilence        time.Duration // max time without data from a peer that sends at regular intervals
+	LingerTimeout     time.Duration // max time between half-close and close, in which the peer reads the last messages
+	MaxLingerBytes    int           // max bytes read and dropped from the peer within LingerTimeout
+	FlushTimeout      time.Duration // max wait of Flush; RetractAll closes the connection if a write has taken longer
 }
 
 // Item is a message to be written.
 type Item struct {
 	Data        []byte
-	ID          uint64
-	Retractable bool      // it starts a set-up: it can be taken back, and is not begun
-	Deadline    time.Time // after this time
-	OnWritten   func()    // called when it is written
-	OnExpired   func()    // called when it was not, as its time was over
+	ID          uint64    // identifies a retractable item
+	Retractable bool      // Data starts a set-up: the item can be retracted while queued, and expires at Deadline
+	Deadline    time.Time // a retractable item is not written after this time
+	OnWritten   func()    // called when the item has been written; may be nil
+	OnExpired   func()    // called when the item was dropped because its deadline had passed
 }
 
-// Outbox writes messages to a connection in order. Its user never waits for the peer: a goroutine
-// writes while there is something to write. A peer that takes nothing costs its own connection.
+// Outbox writes messages to a connection in order. Its user never waits for the peer: a goroutine writes while the queue is
+// not empty. The connection of a peer that reads nothing is closed.
 type Outbox struct {
 	conn   net.Conn
 	limits Limits
@@ -41,19 +42,20 @@
 
 	mu           sync.Mutex
 	queue        []Item
-	queuedBytes  int
-	writing      bool
-	writeStarted time.Time // of the write under way; zero: none
+	queuedBytes  int       // total size of the items in queue
+	writing      bool      // writeLoop is running
+	writeStarted time.Time // start of the write in progress; zero if there is none
 	closed       bool
-	onFinished   func() // what follows the last write; nil: it is not asked for
+	onFinished   func() // called after the last write; nil until Finish is called
 }
 
-// NewOutbox makes the outbox of a connection.
+// NewOutbox returns the outbox of a connection.
 func NewOutbox(conn net.Conn, limits Limits) *Outbox {
 	return &Outbox{conn: conn, limits: limits, writer: bufio.NewWriterSize(conn, limits.InitialBufferSize)}
 }
 
-// Post queues a message.
+// Post queues a message. It closes the connection if more than limits.MaxQueuedBytes are queued. After Finish or Close the
+// message is dropped.
 func (o *Outbox) Post(item Item) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -71,7 +73,7 @@
 	}
 }
 
-// Retract removes an offer that has not been begun, and says whether it did.
+// Retract removes the retractable item with the given id from the queue. It reports whether the item was still there.
 func (o *Outbox) Retract(id uint64) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -85,8 +87,8 @@
 	return false
 }
 
-// RetractAll removes all offers that have not been begun and returns their ids. A write that is stuck may
-// hold some that the peer would get too late: the connection is closed.
+// RetractAll removes all retractable items from the queue and returns their ids. If a write has been in progress for more than
+// limits.FlushTimeout it closes the connection: the write may contain items that the peer would receive too late.
 func (o *Outbox) RetractAll() (ids []uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -106,8 +108,8 @@
 	return ids
 }
 
-// Finish half-closes the connection once all that is queued has been written, and then calls done: the peer reads what it
-// was told last, and that there is no more. Nothing is taken in from then on. It does not wait.
+// Finish half-closes the connection once the queue is written, and then calls done. The peer can thus read the last messages,
+// followed by the end of the stream. Messages posted after Finish are dropped. Finish does not wait.
 func (o *Outbox) Finish(done func()) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -128,13 +130,14 @@
 	o.closeLocked()
 }
 
+// closeLocked drops the queue and closes the connection. The caller holds o.mu.
 func (o *Outbox) closeLocked() {
 	o.closed, o.queue = true, nil
 	o.conn.Close()
 }
 
-// run writes until nothing is left. What goes out in one write is limited, so that the rest can still
-// be taken back.
+// writeLoop writes until the queue is empty or the connection is closed. The size of one write is limited so that the items
+// behind it can still be retracted.
 func (o *Outbox) writeLoop() {
 	for {
 		batch, done := o.nextBatch()
@@ -176,7 +179,8 @@
 	}
 }
 
-// next takes what the next write holds; when there is nothing left, what follows the last one.
+// nextBatch removes the items of the next write from the queue. When the queue is empty it returns the function passed to
+// Finish, if any.
 func (o *Outbox) nextBatch() (batch []Item, done func()) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -199,7 +203,7 @@
 	return batch, nil
 }
 
-// Flush waits, not for long, until what is queued has been written, and says whether it was.
+// Flush waits until the queue is written, for at most limits.FlushTimeout. It reports whether the queue was written.
 func (o *Outbox) Flush() bool {
 	for deadline := time.Now().Add(o.limits.FlushTimeout); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 		o.mu.Lock()
@@ -211,3 +215,14 @@
 	}
 	return false
 }
+
+// Linger flushes the outbox, half-closes the connection and drops what the peer still sends, within limits.LingerTimeout and
+// limits.MaxLingerBytes. The peer can thus read the last messages. Closing at once would reset the connection, and the peer's
+// kernel would discard the data that the peer has not read.
+func (o *Outbox) Linger(conn net.Conn) {
+	o.Flush()
+	if halfCloser, ok := conn.(interface{ CloseWrite() error }); ok && halfCloser.CloseWrite() == nil {
+		conn.SetReadDeadline(time.Now().Add(o.limits.LingerTimeout))
+		io.CopyN(io.Discard, conn, int64(o.limits.MaxLingerBytes))
+	}
+}
