--- a/internal/bgp/bgp_test.go
+++ b/internal/bgp/bgp_test.go
@@ -16,16 +16,18 @@
 	"elmseam/internal/link"
 )
 
-const testTimeout = 10 * time.Second // for what must come; tests don't wait it out
+// testTimeout limits the wait for expected messages. It only runs out when a test fails.
+const testTimeout = 10 * time.Second
 
-// neighbour is a stand-in peer's end of a session.
+// scriptedPeer is the test's end of a BGP session.
 type scriptedPeer struct {
 	*testing.T
 	net.Conn
 	buf *link.Buffer
 }
 
-// next reads the next message that is not a KEEPALIVE, or that is if one is wanted.
+// next returns the body of the next message of the given type. It skips KEEPALIVEs, unless they are asked for, and fails on any
+// other type.
 func (p *scriptedPeer) next(kind byte) []byte {
 	p.Helper()
 	for {
@@ -50,7 +52,7 @@
 	}
 }
 
-// accept takes a session in. An OPEN of the given hold time answers the speaker's.
+// acceptSession accepts a connection from the speaker and opens a session with a hold time of holdTime seconds.
 func acceptSession(t *testing.T, listener net.Listener, holdTime uint16) *scriptedPeer {
 	t.Helper()
 	conn, err := listener.Accept()
@@ -70,6 +72,7 @@
 	return peer
 }
 
+// startSpeaker runs a speaker with one peer, whose listener it returns along with the posted events.
 func startSpeaker(t *testing.T, holdS int) (*Speaker, net.Listener, chan core.Event) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -93,29 +96,30 @@
 	return s, listener, events
 }
 
-// The service address is announced while calls are welcome, and again on each new session; withdrawn when not.
+// TestServicePrefixFollowsServing checks that the service prefix is announced while the program accepts calls, announced again
+// in each new session, and withdrawn when the program stops accepting calls.
 func TestServicePrefixFollowsServing(t *testing.T) {
 	s, listener, _ := startSpeaker(t, 90)
 	peer := acceptSession(t, listener, 90)
 	s.SetServing(true)
-	// By hand from RFC 4271: no withdrawal, ORIGIN IGP, AS_PATH of one AS of four bytes, NEXT_HOP, the prefix.
+	// Encoded by hand from RFC 4271: no withdrawn routes, ORIGIN IGP, AS_PATH of one four-byte AS, NEXT_HOP, the prefix.
 	want := "0000" + "0014" + "40010100" + "400206" + "0201" + "0000fc00" + "400304" + "7f000001" + "20" + "7f000901"
 	if got := hex.EncodeToString(peer.next(msgUpdate)); got != want {
-		t.Errorf("announced by %s, want %s", got, want)
+		t.Errorf("announcement %s, want %s", got, want)
 	}
 	peer.Close()
 	peer = acceptSession(t, listener, 90)
 	if update, err := parseUpdate(peer.next(msgUpdate)); err != nil || len(update.announced) != 1 {
-		t.Errorf("on the new session: %+v, %v", update, err)
+		t.Errorf("UPDATE in the new session: %+v, %v, want one announced prefix", update, err)
 	}
 	s.SetServing(false)
 	if got, want := hex.EncodeToString(peer.next(msgUpdate)), "0005207f0009010000"; got != want {
-		t.Errorf("withdrawn by %s, want %s", got, want)
+		t.Errorf("withdrawal %s, want %s", got, want)
 	}
 }
 
-// A withdrawal by a peer that announced an address counts; of one it never spoke of, it is no news. The end of
-// a session alone takes no server away.
+// TestPeerRouteEvents checks that a withdrawal takes a route down only if the peer has announced it, and that the end of a
+// session alone takes no route down.
 func TestPeerRouteEvents(t *testing.T) {
 	_, listener, events := startSpeaker(t, 90)
 	peer := acceptSession(t, listener, 90)
@@ -137,7 +141,7 @@
 	if ev := (<-events).(core.Route); !ev.Up {
 		t.Errorf("third event %+v, want the route back", ev)
 	}
-	peer.Close() // a peer that comes back without it, and says that this is all, has withdrawn it
+	peer.Close() // an End-of-RIB marker in a session that did not announce the route withdraws it
 	peer = acceptSession(t, listener, 90)
 	peer.Write(buildMessage(msgUpdate, []byte{0, 0, 0, 0}))
 	if ev := (<-events).(core.Route); ev.Up {
@@ -145,8 +149,8 @@
 	}
 }
 
-// Routes that come and go leave nothing behind: each was counted for good, and after as many as a peer may announce
-// the session ended, and so did every later one.
+// TestWithdrawnRoutesAreForgotten guards against withdrawn routes that still count towards the limit: after MaxRoutes of them
+// the session ended, and so did every later session.
 func TestWithdrawnRoutesAreForgotten(t *testing.T) {
 	s, listener, events := startSpeaker(t, 90)
 	peer := acceptSession(t, listener, 90)
@@ -162,25 +166,26 @@
 					t.Fatalf("route %d: %+v, want up: %v", i, ev, up)
 				}
 			case <-time.After(testTimeout):
-				t.Fatalf("route %d: nothing is told of it", i)
+				t.Fatalf("route %d: no event", i)
 			}
 		}
 	}
 	s.routesMu.Lock()
 	defer s.routesMu.Unlock()
 	if len(s.routes) != 0 {
-		t.Errorf("%d routes kept", len(s.routes))
+		t.Errorf("%d routes kept after their withdrawal", len(s.routes))
 	}
 }
 
-// A silent peer is left when the hold timer expires, with a NOTIFICATION; KEEPALIVEs go out meanwhile. What is
-// malformed ends the session likewise, and the session is tried again.
+// TestSessionErrors checks that the session with a silent peer ends with a NOTIFICATION when the hold timer expires, with
+// KEEPALIVEs sent until then; and that a malformed message ends the session with a NOTIFICATION, after which the speaker
+// connects again.
 func TestSessionErrors(t *testing.T) {
 	_, listener, _ := startSpeaker(t, 3)
 	peer := acceptSession(t, listener, 3)
 	peer.next(msgKeepalive)
 	if b := peer.next(msgNotification); b[0] != codeHoldTimerExpired>>8 {
-		t.Errorf("NOTIFICATION %x, want the hold timer's", b)
+		t.Errorf("NOTIFICATION %x, want hold timer expired", b)
 	}
 	for name, tt := range map[string]struct {
 		b    []byte
@@ -202,6 +207,7 @@
 	}
 }
 
+// FuzzParse checks that the parsers neither panic nor read beyond their input.
 func FuzzParse(f *testing.F) {
 	f.Add(openMessage{64513, 90, netip.MustParseAddr("127.0.0.2")}.encode())
 	f.Add(buildAnnouncement(netip.MustParsePrefix("127.0.3.0/24"), netip.MustParseAddr("127.0.0.2"), 1, true, true))
@@ -212,7 +218,7 @@
 			return
 		}
 		if size > len(b) || size > maxMessageSize {
-			t.Errorf("a message of %d bytes out of %d", size, len(b))
+			t.Errorf("parsed a message of %d bytes from %d bytes", size, len(b))
 		}
 		switch kind {
 		case msgOpen:
@@ -223,5 +229,5 @@
 	})
 }
 
-// No goroutine and no descriptor may be left over.
+// TestMain fails if a test leaks a goroutine or a file descriptor.
 func TestMain(m *testing.M) { leak.Main(m) }
--- a/internal/bgp/message.go
+++ b/internal/bgp/message.go
@@ -1,5 +1,5 @@
-// Package bgp is a small speaker after RFC 4271 for IPv4 unicast. It announces the service address while
-// this program takes calls, and hears which servers' addresses its peers withdraw. It installs no routes.
+// Package bgp implements a small BGP speaker (RFC 4271) for IPv4 unicast. It announces the service address while the program
+// accepts calls, and reports which servers' addresses its peers announce and withdraw. It installs no routes.
 package bgp
 
 import (
@@ -17,7 +17,7 @@
 	msgKeepalive    = 4
 )
 
-// Error codes of a NOTIFICATION, the subcode in the low byte.
+// Errors of a NOTIFICATION (RFC 4271, section 4.5): the code in the high byte, the subcode in the low byte.
 const (
 	codeBadLength           = 1<<8 | 2
 	codeBadType             = 1<<8 | 3
@@ -29,20 +29,21 @@
 	codeInvalidNetwork      = 3<<8 | 10
 	codeHoldTimerExpired    = 4 << 8
 	codeFSMError            = 5 << 8
-	codeTooManyPrefixes     = 6<<8 | 1 // too many of them
-	codeAdminShutdown       = 6<<8 | 2 // administrative shutdown
+	codeTooManyPrefixes     = 6<<8 | 1 // maximum number of prefixes reached
+	codeAdminShutdown       = 6<<8 | 2
 )
 
+// Sizes in bytes, and other constants of the protocol.
 const (
 	headerSize      = 19
 	markerSize      = 16
 	maxMessageSize  = 4096
-	minOpenBody     = 10
+	minOpenBody     = 10 // size of an OPEN's body without optional parameters
 	protocolVersion = 4
-	asTrans         = 23456 // stands for an AS of four bytes (RFC 6793)
+	asTrans         = 23456 // AS_TRANS: replaces a four-byte AS number in a two-byte field (RFC 6793)
 )
 
-// Attributes that an announcement carries.
+// Types of the path attributes of an announcement.
 const (
 	attrOrigin    = 1
 	attrASPath    = 2
@@ -50,25 +51,26 @@
 	attrLocalPref = 5
 )
 
-// fault is a malformed message, with the code for a NOTIFICATION.
+// messageError is a protocol error of the peer.
 type messageError struct {
-	code uint16
+	code uint16 // for the NOTIFICATION, one of the code constants
 	text string
 }
 
+// Error returns the description of the error.
 func (e *messageError) Error() string { return e.text }
 
-// errShort says that a message is not whole yet.
-var errIncomplete = errors.New("not whole")
+// errIncomplete is returned by parseMessage when the message is not complete yet.
+var errIncomplete = errors.New("incomplete message")
 
-// parse reads the first message of b and says how long it is.
+// parseMessage parses the first message in b. body is the message without its header, size is the size of the whole message.
 func parseMessage(b []byte) (kind byte, body []byte, size int, err error) {
 	if len(b) < headerSize {
 		return 0, nil, 0, errIncomplete
 	}
 	for _, c := range b[:markerSize] {
 		if c != 0xff {
-			return 0, nil, 0, &messageError{codeNotSynchronized, "no marker"}
+			return 0, nil, 0, &messageError{codeNotSynchronized, "marker is not all ones"}
 		}
 	}
 	size = int(binary.BigEndian.Uint16(b[markerSize:]))
@@ -84,18 +86,18 @@
 	case msgKeepalive:
 		maxSize = headerSize
 	default:
-		return kind, nil, size, &messageError{codeBadType, fmt.Sprintf("message type %d", kind)}
+		return kind, nil, size, &messageError{codeBadType, fmt.Sprintf("unknown message type %d", kind)}
 	}
 	switch {
 	case size < minSize || size > maxSize:
-		return kind, nil, size, &messageError{codeBadLength, fmt.Sprintf("a message of type %d with %d bytes", kind, size)}
+		return kind, nil, size, &messageError{codeBadLength, fmt.Sprintf("message of type %d has the invalid length %d", kind, size)}
 	case len(b) < size:
 		return kind, nil, size, errIncomplete
 	}
 	return kind, b[headerSize:size], size, nil
 }
 
-// build writes a message.
+// buildMessage returns a message with its header.
 func buildMessage(kind byte, body []byte) []byte {
 	b := make([]byte, markerSize, headerSize+len(body))
 	for i := range b {
@@ -105,13 +107,14 @@
 	return append(append(b, kind), body...)
 }
 
-// open is an OPEN.
+// openMessage holds the fields of an OPEN message.
 type openMessage struct {
 	as       uint32
 	holdTime uint16 // seconds
 	routerID netip.Addr
 }
 
+// encode returns the OPEN message with its header.
 func (o openMessage) encode() []byte {
 	twoByteAS := uint16(asTrans)
 	if o.as < 1<<16 {
@@ -120,24 +123,24 @@
 	b := binary.BigEndian.AppendUint16([]byte{protocolVersion}, twoByteAS)
 	b = binary.BigEndian.AppendUint16(b, o.holdTime)
 	b = append(b, o.routerID.AsSlice()...)
-	// One optional parameter, capabilities: IPv4 unicast, an AS of four bytes.
+	// One optional parameter holds the capabilities: multiprotocol with IPv4 unicast, and four-byte AS numbers.
 	caps := []byte{1, 4, 0, 1, 0, 1, 65, 4}
 	caps = binary.BigEndian.AppendUint32(caps, o.as)
 	b = append(b, byte(2+len(caps)), 2, byte(len(caps)))
 	return buildMessage(msgOpen, append(b, caps...))
 }
 
-// parseOpen reads an OPEN.
+// parseOpen parses the body of an OPEN message. fourByteAS reports whether the peer supports four-byte AS numbers.
 func parseOpen(b []byte) (msg openMessage, fourByteAS bool, err error) {
 	if b[0] != protocolVersion {
-		return msg, false, &messageError{codeUnsupportedVersion, fmt.Sprintf("version %d", b[0])}
+		return msg, false, &messageError{codeUnsupportedVersion, fmt.Sprintf("unsupported BGP version %d", b[0])}
 	}
 	msg.as, msg.holdTime = uint32(binary.BigEndian.Uint16(b[1:])), binary.BigEndian.Uint16(b[3:])
 	msg.routerID = netip.AddrFrom4([4]byte(b[5:9]))
 	if msg.holdTime == 1 || msg.holdTime == 2 {
-		return msg, false, &messageError{codeBadHoldTime, fmt.Sprintf("hold time %d", msg.holdTime)}
+		return msg, false, &messageError{codeBadHoldTime, fmt.Sprintf("invalid hold time of %d s", msg.holdTime)}
 	}
-	truncated := &messageError{2 << 8, "optional parameters are cut short"}
+	truncated := &messageError{2 << 8, "truncated optional parameters"}
 	if int(b[9]) != len(b)-minOpenBody {
 		return msg, false, truncated
 	}
@@ -163,15 +166,15 @@
 	return msg, fourByteAS, nil
 }
 
-// update is an UPDATE, as far as it concerns this speaker.
+// updateMessage holds those fields of an UPDATE message that this speaker uses.
 type updateMessage struct {
 	withdrawn, announced []netip.Prefix
-	endOfRIB             bool // an End-of-RIB (RFC 4724): the peer has told all that it has
+	endOfRIB             bool // an End-of-RIB marker (RFC 4724): the peer has sent all its routes
 }
 
-// parseUpdate reads an UPDATE.
+// parseUpdate parses the body of an UPDATE message. It checks that the path attributes are complete and ignores their values.
 func parseUpdate(b []byte) (msg updateMessage, err error) {
-	truncated := &messageError{codeMalformedAttributes, "an UPDATE is cut short"}
+	truncated := &messageError{codeMalformedAttributes, "truncated UPDATE"}
 	msg.endOfRIB = len(b) == 4
 	withdrawnSize := int(binary.BigEndian.Uint16(b))
 	if len(b) < 2+withdrawnSize+2 {
@@ -206,12 +209,13 @@
 	return msg, err
 }
 
+// parsePrefixes parses a list of encoded IPv4 prefixes.
 func parsePrefixes(b []byte) (prefixes []netip.Prefix, err error) {
 	for len(b) > 0 {
 		bits := int(b[0])
 		size := (bits + 7) / 8
 		if bits > 32 || len(b) < 1+size {
-			return nil, &messageError{codeInvalidNetwork, "a prefix is cut short"}
+			return nil, &messageError{codeInvalidNetwork, "truncated or invalid prefix"}
 		}
 		var addr [4]byte
 		copy(addr[:], b[1:1+size])
@@ -221,19 +225,21 @@
 	return prefixes, nil
 }
 
+// appendPrefix appends an encoded IPv4 prefix to b.
 func appendPrefix(b []byte, prefix netip.Prefix) []byte {
 	addr := prefix.Addr().As4()
 	return append(append(b, byte(prefix.Bits())), addr[:(prefix.Bits()+7)/8]...)
 }
 
-// withdrawal is an UPDATE that takes a prefix back.
+// buildWithdrawal returns an UPDATE message that withdraws a prefix.
 func buildWithdrawal(prefix netip.Prefix) []byte {
 	withdrawn := appendPrefix(nil, prefix)
 	b := binary.BigEndian.AppendUint16(nil, uint16(len(withdrawn)))
 	return buildMessage(msgUpdate, append(append(b, withdrawn...), 0, 0))
 }
 
-// announcement is an UPDATE that announces a prefix. wide says that the peer knows an AS of four bytes.
+// buildAnnouncement returns an UPDATE message that announces a prefix. external says that the peer is in another AS,
+// fourByteAS that it supports four-byte AS numbers.
 func buildAnnouncement(prefix netip.Prefix, nextHop netip.Addr, as uint32, external, fourByteAS bool) []byte {
 	attrs := []byte{0x40, attrOrigin, 1, 0}
 	switch {
--- a/internal/bgp/speaker.go
+++ b/internal/bgp/speaker.go
@@ -17,52 +17,54 @@
 	"elmseam/internal/link"
 )
 
-// Config is what a speaker is told, in the front's file.
+// Config is the [bgp] table of the front's configuration file.
 type Config struct {
-	AS       uint32 `toml:"as"`
-	RouterID string `toml:"router_id"`
-	Service  string `toml:"service"`  // the prefix to announce
-	NextHop  string `toml:"next_hop"` // where it is served
-	HoldS    int    `toml:"hold_s"`
+	AS       uint32 `toml:"as"`        // own AS number
+	RouterID string `toml:"router_id"` // BGP identifier, an IPv4 address
+	Service  string `toml:"service"`   // the IPv4 prefix to announce
+	NextHop  string `toml:"next_hop"`  // IPv4 address at which Service is reached
+	HoldS    int    `toml:"hold_s"`    // proposed hold time in seconds, 3 to 65535
 	Peers    []Peer `toml:"peer"`
 }
 
-// Peer is one neighbour.
+// Peer is the configuration of a BGP peer.
 type Peer struct {
-	Address string `toml:"address"`
+	Address string `toml:"address"` // host:port
 	AS      uint32 `toml:"as"`
 }
 
-// Limits are a speaker's times and sizes.
+// Limits are a speaker's timeouts and size limits.
 type Limits struct {
 	ConnectTimeout time.Duration
-	RetryMin       time.Duration // before a session is tried again, doubling
-	RetryMax       time.Duration
-	MaxRoutes      int // that peers may announce in all
-	Conn           link.Limits
+	RetryMin       time.Duration // wait before the first attempt to open a session again; doubles with each attempt
+	RetryMax       time.Duration // max wait between two attempts
+	MaxRoutes      int           // max number of prefixes that all peers together may announce
+	Conn           link.Limits   // limits of a session's connection
 }
 
-// Speaker holds a session with each peer.
+// Speaker keeps a BGP session with each configured peer.
 type Speaker struct {
 	as                uint32
 	routerID, nextHop netip.Addr
-	service           netip.Prefix
-	holdTime          uint16
+	service           netip.Prefix // the prefix to announce
+	holdTime          uint16       // proposed hold time in seconds
 	peers             []Peer
 	limits            Limits
-	post              func(core.Event)
+	post              func(core.Event) // delivers events to the core; may block
 	log               zerolog.Logger
-	sampledLog        zerolog.Logger // of what peers can cause as often as they like
+	sampledLog        zerolog.Logger // for events that a peer can cause at any rate
 
-	routesMu sync.Mutex                       // keeps what is told of routes in order; never held by the loop, which may be waited for
-	routes   map[netip.Prefix]map[string]bool // by whom an address is announced; under telling
+	// routesMu guards routes and keeps the posted route events in order. It is held while post waits for the event loop, so
+	// the loop must never lock it.
+	routesMu sync.Mutex
+	routes   map[netip.Prefix]map[string]bool // prefix -> addresses of the peers that announce it
 
 	mu       sync.Mutex
-	serving  bool
-	sessions map[*session]bool
+	serving  bool              // the service prefix is to be announced
+	sessions map[*session]bool // the established sessions
 }
 
-// New checks the configuration. An error names the field.
+// New checks the configuration and returns a speaker. An error names the invalid field.
 func New(cfg Config, limits Limits, post func(core.Event), log zerolog.Logger) (*Speaker, error) {
 	s := &Speaker{
 		as: cfg.AS, holdTime: uint16(cfg.HoldS), peers: cfg.Peers, limits: limits, post: post, log: log, sampledLog: link.SampledLogger(log),
@@ -70,30 +72,30 @@
 	}
 	var err error
 	if s.routerID, err = netip.ParseAddr(cfg.RouterID); err != nil || !s.routerID.Is4() {
-		return nil, fmt.Errorf("bgp.router_id: %q is no IPv4 address", cfg.RouterID)
+		return nil, fmt.Errorf("bgp.router_id: %q is not an IPv4 address", cfg.RouterID)
 	}
 	if s.nextHop, err = netip.ParseAddr(cfg.NextHop); err != nil || !s.nextHop.Is4() {
-		return nil, fmt.Errorf("bgp.next_hop: %q is no IPv4 address", cfg.NextHop)
+		return nil, fmt.Errorf("bgp.next_hop: %q is not an IPv4 address", cfg.NextHop)
 	}
 	if s.service, err = netip.ParsePrefix(cfg.Service); err != nil || !s.service.Addr().Is4() {
-		return nil, fmt.Errorf("bgp.service: %q is no IPv4 prefix", cfg.Service)
+		return nil, fmt.Errorf("bgp.service: %q is not an IPv4 prefix", cfg.Service)
 	}
 	switch {
 	case cfg.AS == 0:
 		return nil, errors.New("bgp.as: missing")
 	case cfg.HoldS < 3 || cfg.HoldS > 1<<16-1:
-		return nil, fmt.Errorf("bgp.hold_s: %d, 3 is the least", cfg.HoldS)
+		return nil, fmt.Errorf("bgp.hold_s: %d is not within 3 to 65535", cfg.HoldS)
 	}
 	for i, peer := range cfg.Peers {
 		if _, _, err := net.SplitHostPort(peer.Address); err != nil || peer.AS == 0 {
-			return nil, fmt.Errorf("bgp.peer[%d]: address or as missing", i)
+			return nil, fmt.Errorf("bgp.peer[%d]: address is not host:port, or as is missing", i)
 		}
 	}
 	s.service = s.service.Masked()
 	return s, nil
 }
 
-// SetServing announces the service address, or withdraws it.
+// SetServing announces the service prefix to all peers, or withdraws it.
 func (s *Speaker) SetServing(serving bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -103,7 +105,7 @@
 	}
 }
 
-// Run keeps a session with every peer until the context ends.
+// Run keeps a session with every peer until ctx is done.
 func (s *Speaker) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	for _, peer := range s.peers {
@@ -112,7 +114,8 @@
 	wg.Wait()
 }
 
-// keep makes a session again whenever it ends, at doubling gaps while none comes up.
+// maintainSession opens the session with a peer again whenever it ends. The wait between attempts doubles until a session is
+// established.
 func (s *Speaker) maintainSession(ctx context.Context, peer Peer) {
 	retryDelay := s.limits.RetryMin
 	for ctx.Err() == nil {
@@ -132,18 +135,18 @@
 	}
 }
 
-// session is an established session.
+// session is one BGP session with a peer.
 type session struct {
 	speaker    *Speaker
 	peer       Peer
 	conn       net.Conn
 	outbox     *link.Outbox
-	external   bool
-	fourByteAS bool
-	announced  map[netip.Prefix]bool // announced in this session
+	external   bool                  // the peer is in another AS
+	fourByteAS bool                  // the peer supports four-byte AS numbers
+	announced  map[netip.Prefix]bool // prefixes that the peer has announced in this session and not withdrawn
 }
 
-// announce must be called with the speaker's lock held.
+// announce announces the service prefix to the peer, or withdraws it. The caller holds speaker.mu.
 func (ses *session) announce(serving bool) {
 	speaker := ses.speaker
 	msg := buildWithdrawal(speaker.service)
@@ -153,7 +156,7 @@
 	ses.outbox.Post(link.Item{Data: msg})
 }
 
-// session holds one session, and says whether it was established.
+// runSession connects to a peer and runs one session until it ends. It reports whether the session was established.
 func (s *Speaker) runSession(ctx context.Context, peer Peer) (established bool, err error) {
 	dialer := net.Dialer{Timeout: s.limits.ConnectTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", peer.Address)
@@ -177,15 +180,15 @@
 	return established, err
 }
 
-// notify ends the session with a NOTIFICATION.
+// notify sends a NOTIFICATION with the given error code and closes the connection.
 func (ses *session) notify(code uint16) {
 	ses.outbox.Post(link.Item{Data: buildMessage(msgNotification, binary.BigEndian.AppendUint16(nil, code))})
 	ses.outbox.Flush()
 	ses.conn.Close()
 }
 
-// read drives the session: OPEN, KEEPALIVE, then UPDATEs. A third of the hold time with nothing heard, or a
-// third gone by since the last, is when a KEEPALIVE goes out; the whole of it, and the session is over.
+// run reads and handles the peer's messages: OPEN, KEEPALIVE, then UPDATEs. It sends a KEEPALIVE when a third of the hold time
+// has passed since the last one, and ends the session when nothing was received for the whole hold time.
 func (ses *session) run() (established bool, err error) {
 	buf := link.NewBuffer(headerSize, maxMessageSize)
 	holdTime := time.Duration(ses.speaker.holdTime) * time.Second
@@ -225,14 +228,14 @@
 			lastReceived = time.Now()
 			switch {
 			case kind == msgNotification:
-				return established, fmt.Errorf("peer ends the session: code %d, subcode %d", body[0], body[1])
+				return established, fmt.Errorf("NOTIFICATION from peer: code %d, subcode %d", body[0], body[1])
 			case kind == msgOpen && !opened:
 				open, fourByteAS, err := parseOpen(body)
 				if err != nil {
 					return established, err
 				}
 				if open.as != ses.peer.AS {
-					return established, &messageError{codeBadPeerAS, fmt.Sprintf("peer is AS %d", open.as)}
+					return established, &messageError{codeBadPeerAS, fmt.Sprintf("peer sent AS %d, which is not the configured one", open.as)}
 				}
 				opened, ses.fourByteAS = true, fourByteAS
 				holdTime = min(holdTime, time.Duration(open.holdTime)*time.Second)
@@ -252,14 +255,14 @@
 					return established, err
 				}
 			default:
-				return established, &messageError{codeFSMError, fmt.Sprintf("message type %d is not expected here", kind)}
+				return established, &messageError{codeFSMError, fmt.Sprintf("message type %d is not expected in this state", kind)}
 			}
 			buf.Skip(size)
 		}
 	}
 }
 
-// established announces the service address if calls are welcome.
+// established registers the session and announces the service prefix if the program accepts calls.
 func (ses *session) established() {
 	speaker := ses.speaker
 	speaker.mu.Lock()
@@ -271,9 +274,9 @@
 	}
 }
 
-// update takes in what a peer says of addresses. One is gone when the last peer that announced it has
-// withdrawn it; one that no peer ever spoke of is none of BGP's business. What a peer told is kept when its
-// session ends: only its word counts as a withdrawal, or that it has told all and this was not among it.
+// handleUpdate applies an UPDATE to the routes. A route is down when the last peer that announced it has withdrawn it; the
+// withdrawal of a route that no peer has announced is ignored. A peer's routes are kept when its session ends: they are
+// withdrawn only by an explicit withdrawal, or by an End-of-RIB marker in a session that did not announce them.
 func (ses *session) handleUpdate(update updateMessage) error {
 	speaker := ses.speaker
 	speaker.routesMu.Lock()
@@ -297,13 +300,14 @@
 			speaker.postRoute(prefix, true)
 		}
 		if len(speaker.routes) > speaker.limits.MaxRoutes {
-			return &messageError{codeTooManyPrefixes, fmt.Sprintf("more than %d routes", speaker.limits.MaxRoutes)}
+			return &messageError{codeTooManyPrefixes, fmt.Sprintf("peers announce more than %d routes", speaker.limits.MaxRoutes)}
 		}
 	}
 	return nil
 }
 
-// change takes in one route and says whether it has come or gone with that.
+// updateRoute records that a peer announces or withdraws a prefix. It reports whether the prefix became reachable or
+// unreachable by that. The caller holds routesMu.
 func (s *Speaker) updateRoute(prefix netip.Prefix, peer string, reachable bool) bool {
 	announcers := s.routes[prefix]
 	switch {
@@ -324,7 +328,7 @@
 	return true
 }
 
-// tell hands the core a route's coming or going.
+// postRoute logs that a route came up or went down, and posts the event to the core. The caller holds routesMu.
 func (s *Speaker) postRoute(prefix netip.Prefix, reachable bool) {
 	s.sampledLog.Info().Stringer("prefix", prefix).Bool("up", reachable).Msg("route")
 	s.post(core.Route{Name: prefix.String(), Up: reachable, Covers: func(address string) bool {
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -1,6 +1,6 @@
-// Package peers carries the datagrams between the softswitches of a tier (PROTOCOL, "Between softswitches"): UDP, at
-// most 256 bytes, to the addresses of the configuration's peers and from those alone. It decides nothing; see
-// internal/membership.
+// Package peers sends and receives the datagrams between the softswitches of a tier (PROTOCOL, "Between softswitches"). They
+// are UDP datagrams of at most 256 bytes, exchanged only with the configured peer addresses. The datagrams are interpreted
+// elsewhere, see internal/membership.
 package peers
 
 import (
@@ -20,30 +20,31 @@
 	"elmseam/internal/datagram"
 )
 
-// Limits are the sizes, counts and times of the socket.
+// Limits are the size limits, rates and times of the socket.
 type Limits struct {
-	Queue int           // datagrams that may wait to be written; more are dropped
-	Rate  float64       // datagrams a second that are taken in, and as many at once
-	Retry time.Duration // until the address is free: a predecessor may have it
+	Queue int           // max number of datagrams queued for sending; more are dropped
+	Rate  float64       // max number of datagrams received per second, also the max burst; more are dropped
+	Retry time.Duration // wait before trying again to listen: a predecessor may still use the address
 }
 
-// Config is what the socket is told.
+// Config is the configuration of the socket.
 type Config struct {
-	Listen string   // host:port
-	Peers  []string // of the tier, by number, the own one included
-	Self   int
+	Listen string   // own address, IP:port
+	Peers  []string // address of each member of the tier by index, this member included; IP:port
+	Self   int      // index of this member in Peers
 	Limits Limits
 }
 
-// Counters are the datagrams that never reached the core, or were not written.
+// Counters counts dropped datagrams since the start: received from an address that is no member's, received beyond the rate
+// limit, and not sent because the queue was full or the write failed.
 type Counters struct{ UnknownSenders, RateLimited, SendDrops uint64 }
 
-// Socket is the socket.
+// Socket is the UDP socket for the datagrams between the members of the tier.
 type Socket struct {
 	cfg         Config
 	listen      netip.AddrPort
-	addresses   []netip.AddrPort
-	indexByAddr map[netip.AddrPort]int
+	addresses   []netip.AddrPort       // of the members, by index
+	indexByAddr map[netip.AddrPort]int // index of the member with an address
 	queue       chan core.SendToMember
 	post        func(core.Event)
 	log         zerolog.Logger
@@ -52,7 +53,8 @@
 	unknownSenders, rateLimited, sendDrops atomic.Uint64
 }
 
-// New checks the addresses. An error is one line that names the field.
+// New checks the configuration and returns a socket that posts received datagrams with post. An error is a single line that
+// names the invalid field.
 func New(cfg Config, post func(core.Event), log zerolog.Logger) (*Socket, error) {
 	s := &Socket{cfg: cfg, indexByAddr: make(map[netip.AddrPort]int), queue: make(chan core.SendToMember, cfg.Limits.Queue), post: post, log: log}
 	var err error
@@ -66,27 +68,28 @@
 		}
 		addr = unmap(addr)
 		if first, duplicate := s.indexByAddr[addr]; duplicate {
-			return nil, fmt.Errorf("peers[%d]: %s is peers[%d] too", i, addr, first)
+			return nil, fmt.Errorf("peers[%d]: %s is the address of peers[%d] too", i, addr, first)
 		}
 		s.indexByAddr[addr], s.addresses = i, append(s.addresses, addr)
 	}
 	if cfg.Self < 0 || cfg.Self >= len(s.addresses) {
-		return nil, fmt.Errorf("settings.me: %d is none of %d peers", cfg.Self, len(s.addresses))
+		return nil, fmt.Errorf("settings.me: %d is not the index of one of %d peers", cfg.Self, len(s.addresses))
 	}
 	return s, nil
 }
 
+// unmap converts an IPv4-mapped IPv6 address to IPv4, so that addresses can be compared.
 func unmap(addr netip.AddrPort) netip.AddrPort {
 	return netip.AddrPortFrom(addr.Addr().Unmap(), addr.Port())
 }
 
-// Run opens the socket, as soon as the address is free, has the core join, and serves until the context ends and what
-// was still to be sent is written.
+// Run opens the socket as soon as its address is free, posts the join events, and sends and receives until ctx is done and the
+// queue is written.
 func (s *Socket) Run(ctx context.Context, join ...core.Event) {
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(s.listen))
 	for first := true; err != nil; first = false {
 		if first {
-			s.log.Info().Err(err).Msg("peers' address not free yet")
+			s.log.Info().Err(err).Msg("cannot listen on the peer address yet, trying again")
 		}
 		select {
 		case <-ctx.Done():
@@ -116,13 +119,15 @@
 	s.wg.Wait()
 }
 
+// write sends one datagram. A failed write is counted.
 func (s *Socket) write(conn *net.UDPConn, msg core.SendToMember) {
 	if _, err := conn.WriteToUDPAddrPort(msg.Data, s.addresses[msg.To]); err != nil {
 		s.sendDrops.Add(1)
 	}
 }
 
-// Send queues a datagram. It never waits: one that finds no room is lost, as any may be.
+// Send queues a datagram. It never blocks: the datagram is dropped if the queue is full. Members have to cope with lost
+// datagrams anyway.
 func (s *Socket) Send(msg core.SendToMember) {
 	select {
 	case s.queue <- msg:
@@ -131,8 +136,8 @@
 	}
 }
 
-// read takes datagrams in. One from nobody of the tier is counted and leaves nothing; one too long is handed on one byte
-// too long, which membership counts.
+// read receives datagrams and posts those of members. A datagram from an unknown sender is only counted. One that exceeds
+// datagram.MaxSize is posted with MaxSize+1 bytes, and membership counts it as malformed.
 func (s *Socket) read(conn *net.UDPConn) {
 	var buf [datagram.MaxSize + 1]byte
 	limiter := rate.NewLimiter(rate.Limit(s.cfg.Limits.Rate), max(int(s.cfg.Limits.Rate), 1))
@@ -141,7 +146,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // what an earlier datagram met
+		if err != nil { // for example an ICMP error caused by a datagram sent earlier
 			continue
 		}
 		from, known := s.indexByAddr[unmap(src)]
@@ -156,10 +161,10 @@
 	}
 }
 
-// Addresses are those of the tier, by number.
+// Addresses returns the configured addresses of the tier's members, by index.
 func (s *Socket) Addresses() []string { return s.cfg.Peers }
 
-// Counters are the figures of now.
+// Counters returns the current counters.
 func (s *Socket) Counters() Counters {
 	return Counters{s.unknownSenders.Load(), s.rateLimited.Load(), s.sendDrops.Load()}
 }
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -14,6 +14,7 @@
 	"elmseam/internal/leak"
 )
 
+// listenUDP opens a UDP socket on a free port of the loopback address, for the duration of the test.
 func listenUDP(t *testing.T) *net.UDPConn {
 	t.Helper()
 	conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -24,8 +25,8 @@
 	return conn
 }
 
-// The socket waits for its address, hands on what members send and says from whom, passes over strangers and floods
-// without a word to the core, and writes what still waits before it ends.
+// TestSocket checks that the socket waits until its address is free, posts members' datagrams with the sender's index, drops
+// datagrams from unknown senders and beyond the rate limit, and writes its queue before it ends.
 func TestSocket(t *testing.T) {
 	occupied, member, outsider := listenUDP(t), listenUDP(t), listenUDP(t)
 	ownAddr := occupied.LocalAddr().String()
@@ -45,33 +46,33 @@
 		case ev := <-events:
 			return ev
 		case <-time.After(5 * time.Second):
-			t.Fatal("nothing came")
+			t.Fatal("no event")
 			return nil
 		}
 	}
 	time.Sleep(20 * time.Millisecond)
 	if len(events) > 0 {
-		t.Error("it joins without its address")
+		t.Error("the join event was posted before the socket had its address")
 	}
 	occupied.Close()
 	if _, ok := next().(core.StartMembership); !ok {
-		t.Fatal("it does not join first")
+		t.Fatal("the first event is not the join event")
 	}
 	to := net.UDPAddrFromAddrPort(sock.addresses[0])
 	outsider.WriteToUDP([]byte("who?"), to)
 	member.WriteToUDP(make([]byte, 1000), to)
 	if ev, ok := next().(core.MemberDatagram); !ok || ev.From != 1 || len(ev.Data) != datagram.MaxSize+1 {
-		t.Errorf("%+v, want the one too long from member 1, a byte too long", ev)
+		t.Errorf("%+v, want the oversized datagram from member 1, cut to MaxSize+1 bytes", ev)
 	}
 	for range 50 {
 		member.WriteToUDP([]byte("x"), to)
 	}
 	for deadline := time.Now().Add(5 * time.Second); sock.Counters().RateLimited == 0 || sock.Counters().UnknownSenders == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("%+v", sock.Counters())
+			t.Fatalf("counters %+v, want datagrams dropped for their sender and for their rate", sock.Counters())
 		}
 	}
-	for range 3 { // the last may find no room; what is in the queue goes out at the end
+	for range 3 { // the queue may be full at the last; the queued datagrams are written at the end
 		sock.Send(core.SendToMember{To: 1, Data: []byte("leaving")})
 	}
 	cancel()
@@ -79,11 +80,11 @@
 	member.SetReadDeadline(time.Now().Add(5 * time.Second))
 	buf := make([]byte, 300)
 	if n, _, err := member.ReadFromUDP(buf); err != nil || string(buf[:n]) != "leaving" {
-		t.Errorf("%q, %v", buf[:n], err)
+		t.Errorf("received %q, %v, want the datagram queued before the end", buf[:n], err)
 	}
 }
 
-// A configuration that makes no sense is refused by one line that names the field.
+// TestInvalidConfig checks that an invalid configuration is refused with a one-line error that names the field.
 func TestInvalidConfig(t *testing.T) {
 	for want, cfg := range map[string]Config{
 		"peer_listen: ": {Listen: "nowhere", Peers: []string{"127.0.0.1:1"}},
@@ -92,10 +93,10 @@
 		"settings.me: ": {Listen: "127.0.0.1:1", Peers: []string{"127.0.0.1:1"}, Self: 1},
 	} {
 		if _, err := New(cfg, nil, zerolog.Nop()); err == nil || !strings.HasPrefix(err.Error(), want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%v, want one line with %s", err, want)
+			t.Errorf("%v, want one line that starts with %s", err, want)
 		}
 	}
 }
 
-// No goroutine and no descriptor may be left over.
+// TestMain fails if a test leaks a goroutine or a file descriptor.
 func TestMain(m *testing.M) { leak.Main(m) }
