--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -1,5 +1,5 @@
-// Package feed follows the command channel: server-sent events over HTTP/1.1 that say how the list of
-// servers changes.
+// Package feed follows the command channel, a stream of server-sent events over HTTP/1.1 with the changes to the list of
+// servers.
 package feed
 
 import (
@@ -20,20 +20,20 @@
 	"elmseam/internal/link"
 )
 
-// Limits are the channel's sizes and times.
+// Limits are the timeouts and size limits of the channel's connections.
 type Limits struct {
-	ConnectTimeout    time.Duration // to make a connection
-	ReadTimeout       time.Duration // to the end of the answer's header, and between whole lines: past it the connection is dead
-	RenewAfter        time.Duration // a watch that has brought no event for so long is overtaken by a fresh one
-	RetryDelay        time.Duration // after a connection that brought nothing
-	MaxEventSize      int           // the longest line
-	InitialBufferSize int           // the read buffer's first size
+	ConnectTimeout    time.Duration // max time to connect
+	ReadTimeout       time.Duration // max time to the end of the response header, and between complete lines; beyond it the connection is closed
+	RenewAfter        time.Duration // time without an event after which a connection is replaced by a new one
+	RetryDelay        time.Duration // min time between two attempts to connect
+	MaxEventSize      int           // max size of a line, and of an event's data, in bytes
+	InitialBufferSize int           // initial size of the read buffer, in bytes
 }
 
-// Source names this list to the core.
+// Source is the core's name for the server list of this package.
 const Source = "channel"
 
-// states are the channel's words for the phases.
+// phases maps the channel's status values to server phases.
 var phases = map[string]elmseam.Phase{
 	"in_service":  elmseam.Ready,
 	"terminating": elmseam.Draining,
@@ -42,24 +42,25 @@
 
 // Command is one event of the channel.
 type Command struct {
-	Cursor  int64 `json:"cursor"`
+	Cursor  int64 `json:"cursor"` // the event's id; ids increase
 	Servers struct {
-		Snapshot  bool       `json:"snapshot"`
+		Snapshot  bool       `json:"snapshot"` // Endpoints is the complete list, not only changes
 		Endpoints []Endpoint `json:"endpoints"`
 	} `json:"nodes"`
 }
 
-// Endpoint is what the channel says of one server.
+// Endpoint is the entry of one server in a command.
 type Endpoint struct {
 	Name    string `json:"name"`
-	Address string `json:"address"`
-	Status  string `json:"status"`
-	Group   int    `json:"group"`
-	SinceMS int64  `json:"since_ms"`
+	Address string `json:"address"`  // host:port
+	Status  string `json:"status"`   // a key of phases
+	Group   int    `json:"group"`    // the server's cell
+	SinceMS int64  `json:"since_ms"` // start of the server, in milliseconds
 }
 
-// List translates a command. Cached says that it was held from before the start; front tells which front
-// reaches a server. An entry that makes no sense is left out, and an error names it.
+// List converts a command to a server list for the core. protocolFor returns the protocol of a server, cached says that the
+// command was stored before the start. Entries with an unknown status or without a name are left out; the error names the last
+// of them.
 func (c Command) List(protocolFor func(name string) core.Protocol, cached bool) (list core.List, err error) {
 	list = core.List{Source: Source, Full: c.Servers.Snapshot, Cached: cached}
 	for _, endpoint := range c.Servers.Endpoints {
@@ -76,25 +77,26 @@
 	return list, err
 }
 
-// Feed follows one channel at a time.
+// Feed follows one command channel at a time and posts the server lists that it receives.
 type Feed struct {
-	Cursor      int64                           // the last event known
-	ProtocolFor func(name string) core.Protocol // that reaches a server
+	Cursor      int64                           // id of the last event that was handled or skipped
+	ProtocolFor func(name string) core.Protocol // returns the protocol of a server
 	Limits      Limits
-	Post        func(core.Event)
+	Post        func(core.Event) // delivers a list to the core
 	Log         zerolog.Logger
 
 	cursorMu   sync.Mutex     // guards Cursor
-	sampledLog zerolog.Logger // of what the channel can cause as often as it likes
+	sampledLog zerolog.Logger // for events that the channel can cause at any rate
 
 	mu              sync.Mutex
 	address         string
-	initialCommands []Command // that came with the address
-	disconnect      func()    // ends the connection there is
+	initialCommands []Command // commands received along with address and not handled yet
+	disconnect      func()    // cancels the context of the current connection
 }
 
-// Follow names the channel, with events that are known already. What the feed has heard elsewhere stays: the
-// numbers go on. It may be called at any time, and the connection there is ends at once.
+// Follow switches to the channel at address. known are commands that were received along with the address. Event ids continue
+// across channels: events handled before are not handled again. Follow may be called at any time and ends the current
+// connection at once.
 func (f *Feed) Follow(address string, known []Command) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -104,7 +106,8 @@
 	}
 }
 
-// next is where to go, and a context that ends when that changes.
+// nextTarget handles the commands passed to Follow. It returns the address to connect to, with a context that is cancelled
+// when Follow changes the address, and the function that cancels it.
 func (f *Feed) nextTarget(ctx context.Context) (connCtx context.Context, disconnect func(), address string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -116,8 +119,8 @@
 	return connCtx, f.disconnect, f.address
 }
 
-// Run follows the channel until the context ends. A connection that ends is made again at once, from the
-// event after the last one.
+// Run follows the channel until ctx is done. When a connection ends it connects again, at most once in Limits.RetryDelay, and
+// continues after the last event.
 func (f *Feed) Run(ctx context.Context) {
 	f.sampledLog = link.SampledLogger(f.Log)
 	for ctx.Err() == nil {
@@ -125,9 +128,9 @@
 		connCtx, disconnect, address := f.nextTarget(ctx)
 		err := f.followAddress(connCtx, address)
 		if ctx.Err() == nil {
-			f.Log.Info().Err(err).Str("channel", address).Int64("cursor", f.lastCursor()).Msg("command channel ended")
+			f.Log.Info().Err(err).Str("channel", address).Int64("cursor", f.lastCursor()).Msg("command channel connection ended")
 		}
-		if wait := f.Limits.RetryDelay - time.Since(started); wait > 0 { // it brought nothing: don't spin
+		if wait := f.Limits.RetryDelay - time.Since(started); wait > 0 { // the connection ended early: don't reconnect in a busy loop
 			select {
 			case <-connCtx.Done():
 			case <-time.After(wait):
@@ -137,7 +140,7 @@
 	}
 }
 
-// follow watches the channel at an address, over one connection after the other.
+// followAddress reads events from the channel at an address until a connection ends that has no replacement.
 func (f *Feed) followAddress(ctx context.Context, address string) error {
 	r, err := f.connect(ctx, address)
 	for err == nil {
@@ -146,7 +149,7 @@
 	return err
 }
 
-// open makes a connection and asks for what comes after the last event known.
+// connect opens a connection and requests the events after the last one.
 func (f *Feed) connect(ctx context.Context, address string) (*reader, error) {
 	dialer := net.Dialer{Timeout: f.Limits.ConnectTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", address)
@@ -155,7 +158,7 @@
 	}
 	r := &reader{conn: conn, buf: link.NewBuffer(f.Limits.InitialBufferSize, f.Limits.MaxEventSize)}
 	r.stopAfterFunc = context.AfterFunc(ctx, func() { conn.Close() })
-	conn.SetDeadline(time.Now().Add(f.Limits.ReadTimeout)) // of the header as a whole
+	conn.SetDeadline(time.Now().Add(f.Limits.ReadTimeout)) // covers the request and the whole response header
 	_, err = fmt.Fprintf(conn, "GET /cmd/next HTTP/1.1\r\nHost: %s\r\nAccept: text/event-stream\r\nLast-Event-ID: %d\r\n\r\n", address, f.lastCursor())
 	if err == nil {
 		err = r.readHeader()
@@ -167,9 +170,11 @@
 	return r, nil
 }
 
-// watch takes in the events of a connection until it ends. On one that has brought none for long there may be none any
-// more, though its comments go on: what is told counts as heard all the same. A fresh one is made beside it and takes
-// over when it is answered; what both bring is taken once, by its number.
+// watch handles the events of a connection until the connection ends. It returns the connection that replaces it, if any.
+//
+// A connection may stop delivering events although its comments still arrive, while the channel counts the events as
+// delivered. So when no event has arrived for Limits.RenewAfter, watch opens a second connection, which replaces the first one
+// once its response header has arrived. Events that both deliver are handled once, by their id.
 func (f *Feed) watch(ctx context.Context, address string, r *reader) (*reader, error) {
 	var mu sync.Mutex
 	var replacement *reader
@@ -203,14 +208,15 @@
 	return nil, err
 }
 
-// events reads events until the connection ends. One that can't be read is passed over: it would come again with every
-// connection, and nothing behind it would ever be heard.
+// readEvents reads and handles events until the connection ends, and calls onEvent after each. A malformed event is skipped:
+// if the connection were closed instead, the channel would send the event again on each new connection, and no later event
+// would ever arrive.
 func (f *Feed) readEvents(r *reader, onEvent func()) error {
 	var data []byte
 	var id int64
 	malformed := error(nil)
 	for {
-		r.conn.SetReadDeadline(time.Now().Add(f.Limits.ReadTimeout)) // of the line, however it trickles
+		r.conn.SetReadDeadline(time.Now().Add(f.Limits.ReadTimeout)) // covers the whole line, even if its bytes arrive one by one
 		line, err := r.readLine()
 		switch {
 		case err == errTooLong:
@@ -228,7 +234,7 @@
 				malformed = json.Unmarshal(data, &command)
 			}
 			if malformed != nil {
-				f.sampledLog.Warn().Err(malformed).Int64("id", id).Msg("event passed over")
+				f.sampledLog.Warn().Err(malformed).Int64("id", id).Msg("malformed event skipped")
 				f.advanceCursor(id)
 			} else {
 				f.handleCommand(command)
@@ -250,14 +256,14 @@
 	}
 }
 
-// cursor is the number of the last event known.
+// lastCursor returns the id of the last event that was handled or skipped.
 func (f *Feed) lastCursor() int64 {
 	f.cursorMu.Lock()
 	defer f.cursorMu.Unlock()
 	return f.Cursor
 }
 
-// pass counts an event as known, and says whether it was news.
+// advanceCursor records an event's id and reports whether the event is new.
 func (f *Feed) advanceCursor(id int64) bool {
 	f.cursorMu.Lock()
 	defer f.cursorMu.Unlock()
@@ -268,39 +274,40 @@
 	return true
 }
 
-// take hands an event on, unless it is known.
+// handleCommand posts the server list of a command, unless the command was handled before.
 func (f *Feed) handleCommand(command Command) {
 	if !f.advanceCursor(command.Cursor) {
 		return
 	}
 	list, err := command.List(f.ProtocolFor, false)
 	if err != nil {
-		f.sampledLog.Warn().Err(err).Int64("cursor", command.Cursor).Msg("entry passed over")
+		f.sampledLog.Warn().Err(err).Int64("cursor", command.Cursor).Msg("invalid server entry skipped")
 	}
 	f.Post(list)
 }
 
-// reader reads an HTTP answer line by line, chunked or not.
+// reader reads the lines of an HTTP response, with or without chunked transfer encoding.
 type reader struct {
 	conn           net.Conn
 	buf            *link.Buffer
-	stopAfterFunc  func() bool // from the context that closes it
+	stopAfterFunc  func() bool // detaches the connection from the context whose end closes it
 	chunked        bool
-	chunkRemaining int    // of the chunk
-	lineBuf        []byte // of the line so far
+	chunkRemaining int    // unread bytes of the current chunk
+	lineBuf        []byte // the current line, as far as read
 }
 
+// close closes the connection.
 func (r *reader) close() {
 	r.stopAfterFunc()
 	r.conn.Close()
 }
 
 var (
-	errBadResponse = errors.New("not an HTTP answer with events")
-	errTooLong     = errors.New("too long")
+	errBadResponse = errors.New("unexpected HTTP response")
+	errTooLong     = errors.New("line or event too long")
 )
 
-// raw reads a line of the connection itself.
+// rawLine reads a line of the response as sent, without regard to chunks.
 func (r *reader) rawLine() (string, error) {
 	for {
 		if i := bytes.IndexByte(r.buf.Bytes(), '\n'); i >= 0 {
@@ -314,7 +321,7 @@
 	}
 }
 
-// head reads the status and the header.
+// readHeader reads the status line and the header.
 func (r *reader) readHeader() error {
 	status, err := r.rawLine()
 	if err != nil {
@@ -338,7 +345,7 @@
 	}
 }
 
-// line reads a line of the body. One that is too long is read to its end all the same.
+// readLine reads a line of the body. A line that is too long is read to its end before errTooLong is returned.
 func (r *reader) readLine() ([]byte, error) {
 	r.lineBuf = r.lineBuf[:0]
 	tooLong := false
@@ -362,7 +369,7 @@
 		}
 		r.buf.Skip(n)
 		if r.chunkRemaining -= n; r.chunked && r.chunkRemaining == 0 {
-			if _, err := r.rawLine(); err != nil { // the line end behind a chunk
+			if _, err := r.rawLine(); err != nil { // the line end after the chunk
 				return nil, err
 			}
 		}
@@ -380,7 +387,7 @@
 	}
 }
 
-// chunk reads the size of the next chunk.
+// readChunkSize reads the size line of the next chunk.
 func (r *reader) readChunkSize() error {
 	text, err := r.rawLine()
 	if err != nil {
@@ -394,7 +401,7 @@
 	}
 	n, err := strconv.ParseUint(text, 16, 31)
 	if err != nil || n == 0 {
-		return fmt.Errorf("%w: chunk %.20q", errBadResponse, text)
+		return fmt.Errorf("%w: invalid chunk size %.20q", errBadResponse, text)
 	}
 	r.chunkRemaining = int(n)
 	return nil
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -21,13 +21,15 @@
 	"elmseam/internal/link"
 )
 
-const testTimeout = 10 * time.Second // for what must come; tests don't wait it out
+// testTimeout limits the wait for expected events. It only runs out when a test fails.
+const testTimeout = 10 * time.Second
 
 var testLimits = Limits{ConnectTimeout: time.Second, ReadTimeout: time.Second, RenewAfter: time.Minute, RetryDelay: time.Millisecond, MaxEventSize: 4096, InitialBufferSize: 16}
 
 func protocolFor(string) core.Protocol { return "f" }
 
-// script serves one connection of the channel and returns the Last-Event-ID that was asked for.
+// serveAnswer accepts one connection from the feed and writes answer to it. It returns the Last-Event-ID of the request and a
+// function that closes the connection.
 func serveAnswer(t *testing.T, listener net.Listener, answer string) (lastEventID string, closeConn func()) {
 	t.Helper()
 	lastEventID, conn := acceptRequest(t, listener)
@@ -35,7 +37,7 @@
 	return lastEventID, func() { conn.Close() }
 }
 
-// asked takes one connection of the channel, and its request.
+// acceptRequest accepts one connection from the feed and reads its request. It returns the request's Last-Event-ID.
 func acceptRequest(t *testing.T, listener net.Listener) (lastEventID string, conn net.Conn) {
 	t.Helper()
 	listener.(*net.TCPListener).SetDeadline(time.Now().Add(testTimeout))
@@ -60,6 +62,7 @@
 	}
 }
 
+// listen opens a TCP listener on the loopback address for the duration of the test.
 func listen(t *testing.T) net.Listener {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -70,7 +73,7 @@
 	return listener
 }
 
-// run starts a feed; what it posts comes out of the channel.
+// startFeed runs a feed that has handled events up to id 4, and returns a Go channel with the lists it posts.
 func startFeed(t *testing.T, f *Feed, address string) chan core.List {
 	t.Helper()
 	lists := make(chan core.List, 16)
@@ -83,6 +86,7 @@
 	return lists
 }
 
+// expectServer waits for a list that has the named server as its only entry.
 func expectServer(t *testing.T, lists chan core.List, name string) {
 	t.Helper()
 	select {
@@ -91,34 +95,35 @@
 			t.Fatalf("%+v, want %s", got, name)
 		}
 	case <-time.After(testTimeout):
-		t.Fatalf("nothing heard of %s", name)
+		t.Fatalf("no list with %s", name)
 	}
 }
 
+// eventText returns a server-sent event, in two data lines, with one server entry.
 func eventText(cursor int, name, status string) string {
 	return fmt.Sprintf("id: %d\r\ndata: {\"cursor\":%d,\"new\":1,\"nodes\":{\"endpoints\":[{\"name\":%q,\r\ndata: \"address\":\"x:1\",\"status\":%q,\"group\":2,\"since_ms\":5}]}}\r\n\r\n",
 		cursor, cursor, name, status)
 }
 
-// The channel breaks in every way it can; each time it is sought again from the last event, and none is lost or
-// told twice. A channel that is silent past its comments is dead though its connection is open.
+// TestReconnectAfterBrokenChannel breaks the channel in many ways. The feed must connect again each time, continue after the
+// last event, and neither lose nor repeat an event. A connection without data ends after Limits.ReadTimeout though it is open.
 func TestReconnectAfterBrokenChannel(t *testing.T) {
 	listener := listen(t)
 	lists := startFeed(t, &Feed{Limits: testLimits}, listener.Addr().String())
 	const header = "HTTP/1.1 200 OK\r\n\r\n"
 	const chunkedHeader = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	partialEvent := eventText(6, "no", "in_service")
-	partialEvent = partialEvent[:len(partialEvent)-2] // all but the empty line
+	partialEvent = partialEvent[:len(partialEvent)-2] // without the empty line that ends the event
 	for i, tt := range []struct {
 		answer, last string
-		cut          bool // the connection is closed behind it
+		cut          bool // the connection is closed after the answer
 	}{
-		{header + eventText(4, "old", "in_service") + eventText(5, "a", "in_service"), "4", false}, // then silence
+		{header + eventText(4, "old", "in_service") + eventText(5, "a", "in_service"), "4", false}, // followed by silence
 		{"HTTP/1.1 503 Busy\r\n\r\n" + eventText(6, "no", "in_service"), "5", false},
 		{"SSH-2.0-x\r\n", "5", false},
-		{"HTTP/1.1 200 OK\r\nTransfer-Enc", "5", true},            // within the header
-		{header + partialEvent, "5", true},                        // within an event
-		{chunkedHeader + "20\r\nid: 6\r\ndata: {\"cu", "5", true}, // within a chunk
+		{"HTTP/1.1 200 OK\r\nTransfer-Enc", "5", true},            // ends within the header
+		{header + partialEvent, "5", true},                        // ends within an event
+		{chunkedHeader + "20\r\nid: 6\r\ndata: {\"cu", "5", true}, // ends within a chunk
 		{header + partialEvent, "5", false},
 		{header + "data: " + strings.Repeat("x", 5000), "5", true},
 		{chunkedHeader + "zz\r\n", "5", false},
@@ -132,7 +137,7 @@
 			closeConn()
 		}
 		if lastEventID != tt.last {
-			t.Errorf("connection %d asks from %s on, want %s", i, lastEventID, tt.last)
+			t.Errorf("connection %d: Last-Event-ID %s, want %s", i, lastEventID, tt.last)
 		}
 	}
 	for _, want := range []core.Server{
@@ -145,8 +150,8 @@
 	}
 }
 
-// A new channel is followed at once though the old one is still open, its numbers go on, and what came with the
-// new address is taken in if it is news.
+// TestFollowAnotherChannel checks that Follow switches to a new channel at once though the old connection is still open, that
+// event ids continue there, and that commands passed to Follow are handled if they are new.
 func TestFollowAnotherChannel(t *testing.T) {
 	listeners := []net.Listener{listen(t), listen(t)}
 	f := &Feed{Limits: testLimits}
@@ -162,7 +167,7 @@
 	lastEventID, closeConn := serveAnswer(t, listeners[1], header+eventText(6, "twice", "in_service")+eventText(7, "c", "terminating"))
 	defer closeConn()
 	if lastEventID != "6" {
-		t.Errorf("asks from %s on, want 6", lastEventID)
+		t.Errorf("Last-Event-ID %s, want 6", lastEventID)
 	}
 	for _, want := range []string{"b", "c"} {
 		if got := <-lists; len(got.Servers) != 1 || got.Servers[0].Name != want {
@@ -171,8 +176,9 @@
 	}
 }
 
-// An event that can't be read, or is too long, is passed over: the connection stays, what comes behind it is heard, and it
-// isn't asked for again. The watch broke off there each time, ten times a second, and nothing behind was ever heard.
+// TestMalformedEventIsSkipped guards against a malformed or oversized event that ends the connection: the feed reconnected ten
+// times a second, got the same event again, and never received the events behind it. The event must be skipped, the connection
+// stay open, and the event not be requested again.
 func TestMalformedEventIsSkipped(t *testing.T) {
 	listener := listen(t)
 	lists := startFeed(t, &Feed{Limits: testLimits}, listener.Addr().String())
@@ -186,12 +192,13 @@
 	}
 	closeConn()
 	if lastEventID, _ := serveAnswer(t, listener, ""); lastEventID != "11" {
-		t.Errorf("asks from %s on, want 11", lastEventID)
+		t.Errorf("Last-Event-ID %s, want 11", lastEventID)
 	}
 }
 
-// Bytes trickle and never make a line, in the answer's header or behind it: the watch is as good as dead. Each byte began
-// the time anew, and it was read for ever.
+// TestTricklingBytesTimeOut guards against a read timeout that restarts with each byte: a channel that sent single bytes and
+// never completed a line, in the response header or after it, was read for ever. The connection must end after
+// Limits.ReadTimeout.
 func TestTricklingBytesTimeOut(t *testing.T) {
 	for _, prefix := range []string{"", "HTTP/1.1 200 OK\r\n", "HTTP/1.1 200 OK\r\n\r\n"} {
 		listener := listen(t)
@@ -203,17 +210,18 @@
 		err := error(nil)
 		for deadline := time.Now().Add(testTimeout); err == nil; time.Sleep(time.Millisecond) {
 			if _, err = io.WriteString(conn, "x"); time.Now().After(deadline) {
-				t.Fatalf("behind %q it is read for ever", prefix)
+				t.Fatalf("after %q the connection is still read", prefix)
 			}
 		}
 		if lastEventID, _ := acceptRequest(t, listener); lastEventID != "4" {
-			t.Errorf("asks from %s on, want 4", lastEventID)
+			t.Errorf("Last-Event-ID %s, want 4", lastEventID)
 		}
 	}
 }
 
-// Comments go on and events don't come: what is told counts as heard after 7 s all the same. A fresh watch is made beside
-// it, and takes over when it is answered; until then the first is heard.
+// TestWatchRenewedWithoutEvents covers a connection that delivers comments but no events, while the channel counts an event as
+// delivered after 7 s. The feed must open a second connection, which replaces the first when its response arrives; events of
+// the first one are handled until then.
 func TestWatchRenewedWithoutEvents(t *testing.T) {
 	listener := listen(t)
 	f := &Feed{Limits: testLimits}
@@ -227,24 +235,25 @@
 	io.WriteString(renewed, "HTTP/1.1 200 OK\r\n\r\n"+eventText(5, "twice", "in_service")+eventText(6, "b", "in_service"))
 	expectServer(t, lists, "b")
 	if lastEventID != "4" {
-		t.Errorf("the fresh one asks from %s on, want 4", lastEventID)
+		t.Errorf("second connection: Last-Event-ID %s, want 4", lastEventID)
 	}
 	if _, err := stale.Read(make([]byte, 1)); err != io.EOF {
-		t.Errorf("the one overtaken ends with %v", err)
+		t.Errorf("first connection: %v, want EOF", err)
 	}
 	if lastEventID, _ := acceptRequest(t, listener); lastEventID != "6" {
-		t.Errorf("the next asks from %s on, want 6", lastEventID)
+		t.Errorf("third connection: Last-Event-ID %s, want 6", lastEventID)
 	}
 }
 
-// Another channel is named while a dial hangs, while a header is waited for, and within an event: it is followed at once.
+// TestFollowAnotherChannelWhileConnecting calls Follow while the feed waits for a response header, is in the middle of an event,
+// and while a dial hangs. The new channel must be followed at once.
 func TestFollowAnotherChannelWhileConnecting(t *testing.T) {
 	unreachable := hangingAddress(t)
 	listeners := []net.Listener{listen(t), listen(t), listen(t)}
 	f := &Feed{Limits: testLimits}
 	f.Limits.ReadTimeout, f.Limits.ConnectTimeout = time.Minute, time.Minute
 	lists := startFeed(t, f, listeners[0].Addr().String())
-	_, conn := acceptRequest(t, listeners[0]) // no header
+	_, conn := acceptRequest(t, listeners[0]) // sends no header
 	defer conn.Close()
 	f.Follow(listeners[1].Addr().String(), nil)
 	partialEvent := eventText(5, "no", "in_service")
@@ -253,7 +262,7 @@
 	f.Follow(unreachable, nil)
 	for deadline := time.Now().Add(testTimeout); !isDialing(unreachable); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("the dial that hangs isn't made")
+			t.Fatal("the feed does not dial the hanging address")
 		}
 	}
 	f.Follow(listeners[2].Addr().String(), nil)
@@ -262,7 +271,7 @@
 	expectServer(t, lists, "a")
 }
 
-// hang is an address at which connections never come up: its listener's backlog is full.
+// hangingAddress returns an address to which connections never complete, as its listener's backlog is full.
 func hangingAddress(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
@@ -289,7 +298,7 @@
 	return address
 }
 
-// dialled says whether the machine is trying to connect to an address.
+// isDialing reports whether a connection attempt to an address is in progress on this machine.
 func isDialing(address string) bool {
 	_, port, _ := strings.Cut(address, ":")
 	n, _ := strconv.Atoi(port)
@@ -297,7 +306,7 @@
 	return strings.Contains(string(table), fmt.Sprintf(":%04X 02 ", n)) // SYN sent
 }
 
-// once is a connection that brings some bytes and ends.
+// oneShotConn is a connection that delivers the bytes of r and ends.
 type oneShotConn struct {
 	net.Conn
 	r io.Reader
@@ -306,6 +315,7 @@
 func (c oneShotConn) Read(b []byte) (int, error)    { return c.r.Read(b) }
 func (oneShotConn) SetReadDeadline(time.Time) error { return nil }
 
+// FuzzReader checks that the reader does not panic, loop for ever or return lines beyond its size limit.
 func FuzzReader(f *testing.F) {
 	f.Add([]byte("HTTP/1.1 200 OK\r\n\r\n" + eventText(1, "a", "in_service")))
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3;x\r\na\nb\r\n1\r\n\n\r\n0\r\n\r\n"))
@@ -320,11 +330,11 @@
 				return
 			}
 			if len(line) > 256 || lines > len(b) {
-				t.Fatalf("line %d of %d bytes out of %d", lines, len(line), len(b))
+				t.Fatalf("line %d has %d bytes, the input %d bytes", lines, len(line), len(b))
 			}
 		}
 	})
 }
 
-// No goroutine and no descriptor may be left over.
+// TestMain fails if a test leaks a goroutine or a file descriptor.
 func TestMain(m *testing.M) { leak.Main(m) }
