--- a/internal/bgp/speaker.go
+++ b/internal/bgp/speaker.go
@@ -35,10 +35,10 @@
 
 // Limits are a speaker's timeouts and size limits.
 type Limits struct {
-	ConnectTimeout time.Duration
+	ConnectTimeout time.Duration // max time to connect to a peer
 	RetryMin       time.Duration // wait before the first attempt to open a session again; doubles with each attempt
 	RetryMax       time.Duration // max wait between two attempts
-	MaxRoutes      int           // max number of prefixes that all peers together may announce
+	MaxRoutes      int           // max number of distinct prefixes that all peers together may announce
 	Conn           link.Limits   // limits of a session's connection
 }
 
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -42,8 +42,8 @@
 
 // Command is one event of the channel.
 type Command struct {
-	Cursor  int64 `json:"cursor"` // the event's id; ids increase
-	Servers struct {
+	Cursor  int64    `json:"cursor"` // the event's id; ids increase
+	Servers struct { // the changed servers, or all servers
 		Snapshot  bool       `json:"snapshot"` // Endpoints is the complete list, not only changes
 		Endpoints []Endpoint `json:"endpoints"`
 	} `json:"nodes"`
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -26,6 +26,7 @@
 
 var testLimits = Limits{ConnectTimeout: time.Second, ReadTimeout: time.Second, RenewAfter: time.Minute, RetryDelay: time.Millisecond, MaxEventSize: 4096, InitialBufferSize: 16}
 
+// protocolFor is the ProtocolFor of the tested feeds.
 func protocolFor(string) core.Protocol { return "f" }
 
 // serveAnswer accepts one connection from the feed and writes answer to it. It returns the Last-Event-ID of the request and a
@@ -115,8 +116,8 @@
 	partialEvent := eventText(6, "no", "in_service")
 	partialEvent = partialEvent[:len(partialEvent)-2] // without the empty line that ends the event
 	for i, tt := range []struct {
-		answer, last string
-		cut          bool // the connection is closed after the answer
+		answer, last string // last is the Last-Event-ID expected in the request
+		cut          bool   // the connection is closed after the answer
 	}{
 		{header + eventText(4, "old", "in_service") + eventText(5, "a", "in_service"), "4", false}, // followed by silence
 		{"HTTP/1.1 503 Busy\r\n\r\n" + eventText(6, "no", "in_service"), "5", false},
@@ -197,7 +198,7 @@
 }
 
 // TestTricklingBytesTimeOut guards against a read timeout that restarts with each byte: a channel that sent single bytes and
-// never completed a line, in the response header or after it, was read for ever. The connection must end after
+// never completed a line, in the response header or after it, was read forever. The connection must end after
 // Limits.ReadTimeout.
 func TestTricklingBytesTimeOut(t *testing.T) {
 	for _, prefix := range []string{"", "HTTP/1.1 200 OK\r\n", "HTTP/1.1 200 OK\r\n\r\n"} {
@@ -315,7 +316,7 @@
 func (c oneShotConn) Read(b []byte) (int, error)    { return c.r.Read(b) }
 func (oneShotConn) SetReadDeadline(time.Time) error { return nil }
 
-// FuzzReader checks that the reader does not panic, loop for ever or return lines beyond its size limit.
+// FuzzReader checks that the reader does not panic, loop forever or return lines beyond its size limit.
 func FuzzReader(f *testing.F) {
 	f.Add([]byte("HTTP/1.1 200 OK\r\n\r\n" + eventText(1, "a", "in_service")))
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3;x\r\na\nb\r\n1\r\n\n\r\n0\r\n\r\n"))
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -23,11 +23,11 @@
 
 // Limits are the timeouts and size limits of a hand-over.
 type Limits struct {
-	HelloTimeout   time.Duration // time to connect, to receive Hello, or to receive the answer to it
+	HelloTimeout   time.Duration // max time to connect, to receive Hello, and to receive the answer to it
 	ExitTimeout    time.Duration // how long a successor waits for an exiting predecessor to end
-	WriteTimeout   time.Duration // time to write one message; the connection is closed after it
+	WriteTimeout   time.Duration // max time to write one message; beyond it the connection is closed
 	MaxMessageSize int           // max size of an encoded message, in bytes
-	MaxQueuedBytes int           // max bytes queued for the peer
+	MaxQueuedBytes int           // max bytes queued for the peer; beyond it the connection is closed
 	MaxEndedCalls  int           // max number of ids in a CallsEnded message
 }
 
@@ -58,20 +58,20 @@
 	Kind          Kind          `json:"kind"`
 	Version       int           `json:"version,omitempty"` // format version, see [Version]
 	Listen        string        `json:"listen,omitempty"`  // the callers' address whose listener is requested
-	RefusalReason string        `json:"why,omitempty"`
-	Conn          core.ConnID   `json:"link,omitempty"` // id of a connection in the predecessor
-	Protocol      core.Protocol `json:"front,omitempty"`
-	Unprocessed   []byte        `json:"rest,omitempty"`   // bytes read from the connection and not yet processed
-	Pending       []core.ID     `json:"open,omitempty"`   // calls of the connection without a final answer
-	Established   []core.ID     `json:"stand,omitempty"`  // established calls of the connection
-	Asked         bool          `json:"asked,omitempty"`  // the connection has carried a set-up
-	Effect        string        `json:"effect,omitempty"` // "answered", "rejected" or "released"
-	ID            core.ID       `json:"id,omitempty"`     // the call that the message is about
-	Desc          []byte        `json:"desc,omitempty"`   // description in an answer
-	Reason        core.Reason   `json:"reason,omitempty"`
-	RetryAfter    time.Duration `json:"retry,omitempty"`  // when a rejected caller may try again, in nanoseconds
-	Server        string        `json:"server,omitempty"` // name of the server that ended the call
-	IDs           []core.ID     `json:"ids,omitempty"`    // the calls of a CallsEnded message
+	RefusalReason string        `json:"why,omitempty"`     // reason of a Refused message
+	Conn          core.ConnID   `json:"link,omitempty"`    // id of a connection in the predecessor
+	Protocol      core.Protocol `json:"front,omitempty"`   // signalling protocol of the caller that an effect is for
+	Unprocessed   []byte        `json:"rest,omitempty"`    // bytes read from the connection and not yet processed
+	Pending       []core.ID     `json:"open,omitempty"`    // calls of the connection without a final answer
+	Established   []core.ID     `json:"stand,omitempty"`   // established calls of the connection
+	Asked         bool          `json:"asked,omitempty"`   // the connection has carried a set-up
+	Effect        string        `json:"effect,omitempty"`  // "answered", "rejected" or "released"
+	ID            core.ID       `json:"id,omitempty"`      // the call that the message is about
+	Desc          []byte        `json:"desc,omitempty"`    // description in an answer
+	Reason        core.Reason   `json:"reason,omitempty"`  // why a call was rejected, released or ended by a server
+	RetryAfter    time.Duration `json:"retry,omitempty"`   // when a rejected caller may try again, in nanoseconds
+	Server        string        `json:"server,omitempty"`  // name of the server that ended the call
+	IDs           []core.ID     `json:"ids,omitempty"`     // the calls of a CallsEnded message
 }
 
 // SocketPath returns the path of the hand-over socket of the process with the given name, or "" if dir is empty.
@@ -96,6 +96,7 @@
 	closed      bool
 }
 
+// newPeer returns the peer at the other end of conn.
 func newPeer(conn *net.UnixConn, limits Limits) *Peer {
 	return &Peer{conn: conn, limits: limits, readBuf: make([]byte, limits.MaxMessageSize)}
 }
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -33,9 +33,9 @@
 	return conn, peer
 }
 
-// TestStalledPeerDoesNotBlockPost: with a peer that reads nothing, Post does not block. Queued items can be retracted one by
-// one or all at once. Since the write in progress may contain some of them, RetractAll closes the connection, so that the peer
-// does not receive them late.
+// TestStalledPeerDoesNotBlockPost checks that Post does not block when the peer reads nothing, and that queued items can be
+// retracted one by one or all at once. Since the write in progress may contain further items, RetractAll must close the
+// connection, so that the peer does not receive them late.
 func TestStalledPeerDoesNotBlockPost(t *testing.T) {
 	conn, _ := tcpPair(t)
 	outbox := NewOutbox(conn, Limits{InitialBufferSize: 1 << 10, MaxQueuedBytes: 64 << 20, WriteTimeout: time.Minute, FlushTimeout: time.Millisecond})
--- a/internal/link/outbox.go
+++ b/internal/link/outbox.go
@@ -30,7 +30,7 @@
 	Retractable bool      // Data starts a set-up: the item can be retracted while queued, and expires at Deadline
 	Deadline    time.Time // a retractable item is not written after this time
 	OnWritten   func()    // called when the item has been written; may be nil
-	OnExpired   func()    // called when the item was dropped because its deadline had passed
+	OnExpired   func()    // called when the item was dropped because its deadline had passed; required for a retractable item
 }
 
 // Outbox writes messages to a connection in order. Its user never waits for the peer: a goroutine writes while the queue is
