--- a/internal/handover/effect.go
+++ b/internal/handover/effect.go
@@ -2,9 +2,10 @@
 
 import "elmseam/internal/core"
 
-// FromEffect is the message for what a caller is told. A Link of 0: on any connection.
-func FromEffect(front core.Protocol, link core.ConnID, e core.Effect) (m Message, ok bool) {
-	m = Message{Kind: Effect, Protocol: front, Conn: link}
+// FromEffect converts an effect for a caller to a message. A conn of 0 stands for any of the successor's connections. ok is
+// false for an effect that is not relayed.
+func FromEffect(protocol core.Protocol, conn core.ConnID, e core.Effect) (m Message, ok bool) {
+	m = Message{Kind: Effect, Protocol: protocol, Conn: conn}
 	switch e := e.(type) {
 	case core.Answered:
 		m.Effect, m.ID, m.Desc = "answered", e.ID, e.Desc
@@ -18,7 +19,7 @@
 	return m, true
 }
 
-// ToEffect is what such a message says.
+// ToEffect converts a message that FromEffect built back to its effect. It returns nil where the effect is unknown.
 func (m Message) ToEffect() core.Effect {
 	switch m.Effect {
 	case "answered":
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -1,6 +1,6 @@
-// Package peers carries the datagrams between the softswitches of a tier (PROTOCOL, "Between softswitches"): UDP, at
-// most 256 bytes, to the addresses of the configuration's peers and from those alone. It decides nothing; see
-// internal/membership.
+// Package peers sends and receives the datagrams between the softswitches of a tier (PROTOCOL, "Between softswitches"). They
+// are UDP datagrams of at most 256 bytes, exchanged only with the configured peer addresses. The datagrams are interpreted
+// elsewhere, see internal/membership.
 package peers
 
 import (
@@ -20,144 +20,151 @@
 	"elmseam/internal/datagram"
 )
 
-// Limits are the sizes, counts and times of the socket.
+// Limits are the size limits, rates and times of the socket.
 type Limits struct {
-	Queue int           // datagrams that may wait to be written; more are dropped
-	Rate  float64       // datagrams a second that are taken in, and as many at once
-	Retry time.Duration // until the address is free: a predecessor may have it
+	Queue int           // max number of datagrams queued for sending; more are dropped
+	Rate  float64       // max number of datagrams received per second, also the max burst; more are dropped
+	Retry time.Duration // wait before trying again to listen: a predecessor may still use the address
 }
 
-// Config is what the socket is told.
+// Config is the configuration of the socket.
 type Config struct {
-	Listen string   // host:port
-	Peers  []string // of the tier, by number, the own one included
-	Self   int
+	Listen string   // own address, IP:port
+	Peers  []string // address of each member of the tier by index, this member included; IP:port
+	Self   int      // index of this member in Peers
 	Limits Limits
 }
 
-// Counters are the datagrams that never reached the core, or were not written.
+// Counters counts dropped datagrams since the start: received from an address that is no member's, received beyond the rate
+// limit, and not sent because the queue was full or the write failed.
 type Counters struct{ UnknownSenders, RateLimited, SendDrops uint64 }
 
-// Socket is the socket.
+// Socket is the UDP socket for the datagrams between the members of the tier.
 type Socket struct {
-	cfg    Config
-	listen netip.AddrPort
-	to     []netip.AddrPort
-	by     map[netip.AddrPort]int
-	queue  chan core.SendToMember
-	post   func(core.Event)
-	log    zerolog.Logger
-	wg     sync.WaitGroup
-
-	strangers, flooded, unwritten atomic.Uint64
+	cfg         Config
+	listen      netip.AddrPort
+	addresses   []netip.AddrPort       // of the members, by index
+	indexByAddr map[netip.AddrPort]int // index of the member with an address
+	queue       chan core.SendToMember
+	post        func(core.Event)
+	log         zerolog.Logger
+	wg          sync.WaitGroup
+
+	unknownSenders, rateLimited, sendDrops atomic.Uint64
 }
 
-// New checks the addresses. An error is one line that names the field.
+// New checks the configuration and returns a socket that posts received datagrams with post. An error is a single line that
+// names the invalid field.
 func New(cfg Config, post func(core.Event), log zerolog.Logger) (*Socket, error) {
-	p := &Socket{cfg: cfg, by: make(map[netip.AddrPort]int), queue: make(chan core.SendToMember, cfg.Limits.Queue), post: post, log: log}
+	s := &Socket{cfg: cfg, indexByAddr: make(map[netip.AddrPort]int), queue: make(chan core.SendToMember, cfg.Limits.Queue), post: post, log: log}
 	var err error
-	if p.listen, err = netip.ParseAddrPort(cfg.Listen); err != nil {
+	if s.listen, err = netip.ParseAddrPort(cfg.Listen); err != nil {
 		return nil, fmt.Errorf("peer_listen: %w", err)
 	}
 	for i, text := range cfg.Peers {
-		a, err := netip.ParseAddrPort(text)
+		addr, err := netip.ParseAddrPort(text)
 		if err != nil {
 			return nil, fmt.Errorf("peers[%d]: %w", i, err)
 		}
-		a = plain(a)
-		if at, twice := p.by[a]; twice {
-			return nil, fmt.Errorf("peers[%d]: %s is peers[%d] too", i, a, at)
+		addr = unmap(addr)
+		if first, duplicate := s.indexByAddr[addr]; duplicate {
+			return nil, fmt.Errorf("peers[%d]: %s is the address of peers[%d] too", i, addr, first)
 		}
-		p.by[a], p.to = i, append(p.to, a)
+		s.indexByAddr[addr], s.addresses = i, append(s.addresses, addr)
 	}
-	if cfg.Self < 0 || cfg.Self >= len(p.to) {
-		return nil, fmt.Errorf("settings.me: %d is none of %d peers", cfg.Self, len(p.to))
+	if cfg.Self < 0 || cfg.Self >= len(s.addresses) {
+		return nil, fmt.Errorf("settings.me: %d is not the index of one of %d peers", cfg.Self, len(s.addresses))
 	}
-	return p, nil
+	return s, nil
 }
 
-func plain(a netip.AddrPort) netip.AddrPort { return netip.AddrPortFrom(a.Addr().Unmap(), a.Port()) }
+// unmap converts an IPv4-mapped IPv6 address to IPv4, so that addresses can be compared.
+func unmap(addr netip.AddrPort) netip.AddrPort {
+	return netip.AddrPortFrom(addr.Addr().Unmap(), addr.Port())
+}
 
-// Run opens the socket, as soon as the address is free, has the core join, and serves until the context ends and what
-// was still to be sent is written.
-func (p *Socket) Run(ctx context.Context, join ...core.Event) {
-	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(p.listen))
+// Run opens the socket as soon as its address is free, posts the join events, and sends and receives until ctx is done and the
+// queue is written.
+func (s *Socket) Run(ctx context.Context, join ...core.Event) {
+	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(s.listen))
 	for first := true; err != nil; first = false {
 		if first {
-			p.log.Info().Err(err).Msg("peers' address not free yet")
+			s.log.Info().Err(err).Msg("cannot listen on the peer address yet, trying again")
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(p.cfg.Limits.Retry):
+		case <-time.After(s.cfg.Limits.Retry):
 		}
-		conn, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(p.listen))
+		conn, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(s.listen))
 	}
-	p.log.Info().Str("peers", conn.LocalAddr().String()).Int("self", p.cfg.Self).Int("tier", len(p.to)).Msg("membership")
-	p.wg.Go(func() { p.read(conn) })
+	s.log.Info().Str("peers", conn.LocalAddr().String()).Int("self", s.cfg.Self).Int("tier", len(s.addresses)).Msg("membership")
+	s.wg.Go(func() { s.read(conn) })
 	for _, ev := range join {
-		p.post(ev)
+		s.post(ev)
 	}
 	for {
 		select {
-		case e := <-p.queue:
-			p.write(conn, e)
+		case msg := <-s.queue:
+			s.write(conn, msg)
 			continue
 		case <-ctx.Done():
 		}
 		break
 	}
-	for len(p.queue) > 0 {
-		p.write(conn, <-p.queue)
+	for len(s.queue) > 0 {
+		s.write(conn, <-s.queue)
 	}
 	conn.Close()
-	p.wg.Wait()
+	s.wg.Wait()
 }
 
-func (p *Socket) write(conn *net.UDPConn, e core.SendToMember) {
-	if _, err := conn.WriteToUDPAddrPort(e.Data, p.to[e.To]); err != nil {
-		p.unwritten.Add(1)
+// write sends one datagram. A failed write is counted.
+func (s *Socket) write(conn *net.UDPConn, msg core.SendToMember) {
+	if _, err := conn.WriteToUDPAddrPort(msg.Data, s.addresses[msg.To]); err != nil {
+		s.sendDrops.Add(1)
 	}
 }
 
-// Send queues a datagram. It never waits: one that finds no room is lost, as any may be.
-func (p *Socket) Send(e core.SendToMember) {
+// Send queues a datagram. It never blocks: the datagram is dropped if the queue is full. Members have to cope with lost
+// datagrams anyway.
+func (s *Socket) Send(msg core.SendToMember) {
 	select {
-	case p.queue <- e:
+	case s.queue <- msg:
 	default:
-		p.unwritten.Add(1)
+		s.sendDrops.Add(1)
 	}
 }
 
-// read takes datagrams in. One from nobody of the tier is counted and leaves nothing; one too long is handed on one byte
-// too long, which membership counts.
-func (p *Socket) read(conn *net.UDPConn) {
-	var b [datagram.MaxSize + 1]byte
-	pace := rate.NewLimiter(rate.Limit(p.cfg.Limits.Rate), max(int(p.cfg.Limits.Rate), 1))
+// read receives datagrams and posts those of members. A datagram from an unknown sender is only counted. One that exceeds
+// datagram.MaxSize is posted with MaxSize+1 bytes, and membership counts it as malformed.
+func (s *Socket) read(conn *net.UDPConn) {
+	var buf [datagram.MaxSize + 1]byte
+	limiter := rate.NewLimiter(rate.Limit(s.cfg.Limits.Rate), max(int(s.cfg.Limits.Rate), 1))
 	for {
-		n, src, err := conn.ReadFromUDPAddrPort(b[:])
+		n, src, err := conn.ReadFromUDPAddrPort(buf[:])
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // what an earlier datagram met
+		if err != nil { // for example an ICMP error caused by a datagram sent earlier
 			continue
 		}
-		from, known := p.by[plain(src)]
+		from, known := s.indexByAddr[unmap(src)]
 		switch {
 		case !known:
-			p.strangers.Add(1)
-		case !pace.Allow():
-			p.flooded.Add(1)
+			s.unknownSenders.Add(1)
+		case !limiter.Allow():
+			s.rateLimited.Add(1)
 		default:
-			p.post(core.MemberDatagram{From: from, Data: append([]byte(nil), b[:n]...)})
+			s.post(core.MemberDatagram{From: from, Data: append([]byte(nil), buf[:n]...)})
 		}
 	}
 }
 
-// Addresses are those of the tier, by number.
-func (p *Socket) Addresses() []string { return p.cfg.Peers }
+// Addresses returns the configured addresses of the tier's members, by index.
+func (s *Socket) Addresses() []string { return s.cfg.Peers }
 
-// Counters are the figures of now.
-func (p *Socket) Counters() Counters {
-	return Counters{p.strangers.Load(), p.flooded.Load(), p.unwritten.Load()}
+// Counters returns the current counters.
+func (s *Socket) Counters() Counters {
+	return Counters{s.unknownSenders.Load(), s.rateLimited.Load(), s.sendDrops.Load()}
 }
