--- a/cmd/elmseam/main.go
+++ b/cmd/elmseam/main.go
@@ -53,63 +53,63 @@
 	if err != nil {
 		return err
 	}
-	sig, err := signalling()
+	signallingConf, err := signalling()
 	if err != nil {
 		return err
 	}
-	path, named := os.LookupEnv("ELMSEAM_MEMBERS")
-	if !named {
-		path = membersFile
+	membersPath, membersNamed := os.LookupEnv("ELMSEAM_MEMBERS")
+	if !membersNamed {
+		membersPath = membersFile
 	}
-	members, err := config.LoadMembers(path, named)
+	members, err := config.LoadMembers(membersPath, membersNamed)
 	if err != nil {
 		return err
 	}
 	log := zerolog.New(os.Stderr).Level(zerolog.InfoLevel).With().Timestamp().Str("node", cfg.Name).Logger()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	memory := &memory{}
-	memory.configure(cfg.Limits)
+	memory := &memoryShare{}
+	memory.setLimits(cfg.Limits)
 
-	c, err := core.New(cfg.Settings, cfg.Seed, cfg.Limits.Core)
+	reducer, err := core.New(cfg.Settings, cfg.Seed, cfg.Limits.Core)
 	if err != nil {
 		return err
 	}
-	var second *m3ua.M3UA
+	var m3uaProtocol *m3ua.M3UA
 	var speaker *bgp.Speaker
-	up := &upgrade{path: handover.SocketPath(os.Getenv("TMPDIR"), cfg.Name), limits: cfg.Limits.HandOver, memory: memory, log: log, loud: link.SampledLogger(log)}
-	able := make(chan struct{})
-	var tier *peers.Socket
-	var front atomic.Pointer[platform.Platform] // before anything is posted
-	sparse := link.SampledLogger(log)
-	l := loop.New(c, cfg.Limits.EventQueue, func(e core.Effect) {
+	upgrades := &upgrader{socketPath: handover.SocketPath(os.Getenv("TMPDIR"), cfg.Name), limits: cfg.Limits.HandOver, memory: memory, log: log, sampledLog: link.SampledLogger(log)}
+	ready := make(chan struct{})
+	var tierSocket *peers.Socket
+	var platformRef atomic.Pointer[platform.Platform] // before anything is posted
+	sampledLog := link.SampledLogger(log)
+	eventLoop := loop.New(reducer, cfg.Limits.EventQueue, func(e core.Effect) {
 		switch e := e.(type) {
 		case core.Serving:
-			if second != nil {
-				second.SetServing(e.On)
+			if m3uaProtocol != nil {
+				m3uaProtocol.SetServing(e.On)
 			}
 			if speaker != nil {
 				speaker.SetServing(e.On)
 			}
 		case core.ReadyToServe:
-			close(able)
+			close(ready)
 		case core.CloseListener:
-			up.closeListener()
+			upgrades.closeListener()
 		case core.SendToMember:
-			tier.Send(e)
+			tierSocket.Send(e)
 		case core.MemberChanged:
-			sparse.Info().Int("member", e.Member).Stringer("was", e.Old).Stringer("is", e.New).Uint64("incarnation", e.Incarnation).Msg("membership changed")
+			sampledLog.Info().Int("member", e.Member).Stringer("was", e.Old).Stringer("is", e.New).Uint64("incarnation", e.Incarnation).Msg("membership changed")
 		case core.DrainChanged:
-			front.Load().SetDraining(e.On)
+			platformRef.Load().SetDraining(e.On)
 		case core.MaintenanceProgress:
-			sparse.Info().Int("member", e.Member).Stringer("stage", e.Record.Stage).Uint64("epoch", e.Record.Epoch).Msg("maintenance")
+			sampledLog.Info().Int("member", e.Member).Stringer("stage", e.Record.Stage).Uint64("epoch", e.Record.Epoch).Msg("maintenance")
 		case core.ToPredecessor:
-			up.toPredecessor(e)
+			upgrades.sendToPredecessor(e)
 		case core.ToSuccessor:
-			up.tell(e.Protocol, 0, e.Effect)
+			upgrades.sendToSuccessor(e.Protocol, 0, e.Effect)
 		case core.ForgetCall:
-			if second != nil && e.Protocol != platform.Protocol {
-				second.FreeCircuit(e.ID)
+			if m3uaProtocol != nil && e.Protocol != platform.Protocol {
+				m3uaProtocol.FreeCircuit(e.ID)
 			}
 		}
 	}, log)
@@ -121,144 +121,144 @@
 		}
 		if !permitted {
 			log.Warn().Msg("membership is off: the settings permit no peer messages")
-		} else if tier, err = peers.New(sock, l.Post, log); err != nil {
+		} else if tierSocket, err = peers.New(sock, eventLoop.Post, log); err != nil {
 			return err
 		} else {
-			var carried sync.WaitGroup
-			with, end := context.WithCancel(context.Background())
-			defer carried.Wait() // the others are told that this one goes
-			defer end()
-			carried.Go(func() { tier.Run(with, join...) })
+			var tierDone sync.WaitGroup
+			tierCtx, stopTier := context.WithCancel(context.Background())
+			defer tierDone.Wait() // the others are told that this one goes
+			defer stopTier()
+			tierDone.Go(func() { tierSocket.Run(tierCtx, join...) })
 		}
 	}
 
-	first := platform.New(cfg.Platform(), l, log)
-	front.Store(first)
-	l.SetDialer(platform.Protocol, first.Dial)
-	up.loop, up.front = l, first
-	preceded := up.take(cfg.Listen)
-	if !preceded {
-		if up.listener, err = net.Listen("tcp", cfg.Listen); err != nil {
+	platformProtocol := platform.New(cfg.Platform(), eventLoop, log)
+	platformRef.Store(platformProtocol)
+	eventLoop.SetDialer(platform.Protocol, platformProtocol.Dial)
+	upgrades.loop, upgrades.platform = eventLoop, platformProtocol
+	hasPredecessor := upgrades.takeOver(cfg.Listen)
+	if !hasPredecessor {
+		if upgrades.listener, err = net.Listen("tcp", cfg.Listen); err != nil {
 			return fmt.Errorf("listen: %w", err)
 		}
 	}
-	listener := up.listener
-	up.listen = listener.Addr().String()
-	if !preceded {
-		up.wait()
+	listener := upgrades.listener
+	upgrades.listenAddr = listener.Addr().String()
+	if !hasPredecessor {
+		upgrades.listenForSuccessor()
 	}
 	defer listener.Close()
-	serve := []func(){func() { first.Serve(listener) }}
-	if preceded { // the predecessor serves until this process can
-		memory.share(1)
-		serve = []func(){up.follow, func() {
-			<-able
-			up.serving()
-			first.Serve(listener)
+	tasks := []func(){func() { platformProtocol.Serve(listener) }}
+	if hasPredecessor { // the predecessor serves until this process can
+		memory.addProcesses(1)
+		tasks = []func(){upgrades.followPredecessor, func() {
+			<-ready
+			upgrades.reportServing()
+			platformProtocol.Serve(listener)
 		}}
 	}
 	if cfg.Mgmt != "" {
-		door, err := net.Listen("tcp", cfg.Mgmt)
+		adminListener, err := net.Listen("tcp", cfg.Mgmt)
 		if err != nil {
 			return fmt.Errorf("mgmt: %w", err)
 		}
-		defer door.Close()
-		l.PublishEvery(cfg.Limits.StatsInterval)
-		ops := &mgmt.AdminServer{
-			Limits: cfg.Limits.Mgmt, Snapshot: l.Snapshot, ClassNames: first.Classes,
-			SetDraining: first.SetDraining, Post: l.Post, Log: log, Peers: tier,
+		defer adminListener.Close()
+		eventLoop.PublishEvery(cfg.Limits.StatsInterval)
+		admin := &mgmt.AdminServer{
+			Limits: cfg.Limits.Mgmt, Snapshot: eventLoop.Snapshot, ClassNames: platformProtocol.Classes,
+			SetDraining: platformProtocol.SetDraining, Post: eventLoop.Post, Log: log, Peers: tierSocket,
 		}
-		log.Info().Str("mgmt", door.Addr().String()).Msg("door for operators")
-		go ops.Serve(door)
+		log.Info().Str("mgmt", adminListener.Addr().String()).Msg("door for operators")
+		go admin.Serve(adminListener)
 	}
-	var speaking sync.WaitGroup // the speaker takes leave of its peers
-	defer speaking.Wait()
+	var speakerDone sync.WaitGroup // the speaker takes leave of its peers
+	defer speakerDone.Wait()
 	defer cancel()
 
-	retry := cfg.Limits.Feed.RetryDelay
-	fronts := func(string) core.Protocol { return platform.Protocol }
-	var known []core.Event
-	if preceded {
-		known = append(known, core.Predecessor{Present: true})
+	retryDelay := cfg.Limits.Feed.RetryDelay
+	protocolFor := func(string) core.Protocol { return platform.Protocol }
+	var initialEvents []core.Event
+	if hasPredecessor {
+		initialEvents = append(initialEvents, core.Predecessor{Present: true})
 	}
-	if sig.Enabled {
-		second, err = m3ua.New(cfg.M3UA(sig.M3UA), l, log)
+	if signallingConf.Enabled {
+		m3uaProtocol, err = m3ua.New(cfg.M3UA(signallingConf.M3UA), eventLoop, log)
 		if err != nil {
 			return fmt.Errorf("m3ua.%w", err)
 		}
-		l.SetDialer(m3ua.Protocol, second.Dial)
-		fronts = func(name string) core.Protocol {
-			if second.HasServer(name) {
+		eventLoop.SetDialer(m3ua.Protocol, m3uaProtocol.Dial)
+		protocolFor = func(name string) core.Protocol {
+			if m3uaProtocol.HasServer(name) {
 				return m3ua.Protocol
 			}
 			return platform.Protocol
 		}
-		known = append(known, second.Servers())
-		ml, err := net.Listen("tcp", sig.M3UA.Listen)
-		if err != nil && !preceded {
+		initialEvents = append(initialEvents, m3uaProtocol.Servers())
+		m3uaListener, err := net.Listen("tcp", signallingConf.M3UA.Listen)
+		if err != nil && !hasPredecessor {
 			return fmt.Errorf("m3ua.listen: %w", err)
 		}
 		if err == nil {
-			log.Info().Str("m3ua", ml.Addr().String()).Msg("second front")
+			log.Info().Str("m3ua", m3uaListener.Addr().String()).Msg("second front")
 		}
-		serve = append(serve, func() {
+		tasks = append(tasks, func() {
 			for err != nil { // until the predecessor has gone
-				time.Sleep(retry)
-				ml, err = net.Listen("tcp", sig.M3UA.Listen)
+				time.Sleep(retryDelay)
+				m3uaListener, err = net.Listen("tcp", signallingConf.M3UA.Listen)
 			}
-			defer ml.Close()
-			second.Serve(ml)
+			defer m3uaListener.Close()
+			m3uaProtocol.Serve(m3uaListener)
 		})
 	}
-	if sig.Enabled && len(sig.BGP.Peers) > 0 {
-		if speaker, err = bgp.New(sig.BGP, cfg.Limits.BGP(), l.Post, log); err != nil {
+	if signallingConf.Enabled && len(signallingConf.BGP.Peers) > 0 {
+		if speaker, err = bgp.New(signallingConf.BGP, cfg.Limits.BGP(), eventLoop.Post, log); err != nil {
 			return err
 		}
-		speaking.Go(func() { speaker.Run(ctx) })
+		speakerDone.Go(func() { speaker.Run(ctx) })
 	}
 	for _, cmd := range cfg.InitialCommands {
-		list, err := cmd.List(fronts, true)
+		list, err := cmd.List(protocolFor, true)
 		if err != nil {
 			return err
 		}
-		known = append(known, list)
+		initialEvents = append(initialEvents, list)
 	}
-	follow := &feed.Feed{Cursor: cfg.Cursor, ProtocolFor: fronts, Limits: cfg.Limits.Feed, Post: l.Post, Log: log}
-	follow.Follow(cfg.CommandChannel, nil)
-	serve = append(serve, func() { follow.Run(ctx) })
+	commandFeed := &feed.Feed{Cursor: cfg.Cursor, ProtocolFor: protocolFor, Limits: cfg.Limits.Feed, Post: eventLoop.Post, Log: log}
+	commandFeed.Follow(cfg.CommandChannel, nil)
+	tasks = append(tasks, func() { commandFeed.Run(ctx) })
 
 	// reload takes in the configuration as it stands in its file now. With one that makes no sense nothing changes.
 	reload := func() {
-		next, err := config.Reload(os.Getenv, cfg)
+		newCfg, err := config.Reload(os.Getenv, cfg)
 		if err != nil {
 			log.Error().Err(err).Msg("configuration not taken over")
-			l.Post(core.Misconfigured{})
+			eventLoop.Post(core.Misconfigured{})
 			return
 		}
-		if next.Listen != cfg.Listen || next.Name != cfg.Name || next.Mgmt != cfg.Mgmt {
-			log.Warn().Str("name", next.Name).Str("listen", next.Listen).Str("mgmt", next.Mgmt).Msg("name, listen and mgmt change at a restart only")
+		if newCfg.Listen != cfg.Listen || newCfg.Name != cfg.Name || newCfg.Mgmt != cfg.Mgmt {
+			log.Warn().Str("name", newCfg.Name).Str("listen", newCfg.Listen).Str("mgmt", newCfg.Mgmt).Msg("name, listen and mgmt change at a restart only")
 		}
-		cfg = next
-		memory.configure(cfg.Limits)
-		first.Configure(cfg.Platform())
-		if second != nil { // before the core knows of new classes
-			second.Configure(cfg.M3UA(sig.M3UA))
+		cfg = newCfg
+		memory.setLimits(cfg.Limits)
+		platformProtocol.Configure(cfg.Platform())
+		if m3uaProtocol != nil { // before the core knows of new classes
+			m3uaProtocol.Configure(cfg.M3UA(signallingConf.M3UA))
 		}
-		l.Post(core.Configured{Settings: cfg.Settings, Limits: cfg.Limits.Core})
-		if again, err := config.LoadMembers(path, named); err != nil {
+		eventLoop.Post(core.Configured{Settings: cfg.Settings, Limits: cfg.Limits.Core})
+		if newMembers, err := config.LoadMembers(membersPath, membersNamed); err != nil {
 			log.Error().Err(err).Msg("members' file not taken over")
-		} else if tier != nil && again.Maintenance.Enabled {
-			l.Post(core.MaintenanceRequest{Event: maintenance.SetBudget{Budget: again.MaintenanceBudget(len(cfg.Peers))}})
+		} else if tierSocket != nil && newMembers.Maintenance.Enabled {
+			eventLoop.Post(core.MaintenanceRequest{Event: maintenance.SetBudget{Budget: newMembers.MaintenanceBudget(len(cfg.Peers))}})
 		}
-		follow.Follow(cfg.CommandChannel, cfg.InitialCommands)
+		commandFeed.Follow(cfg.CommandChannel, cfg.InitialCommands)
 		log.Info().Str("channel", cfg.CommandChannel).Msg("configuration taken over")
 	}
 	go func() {
-		for _, ev := range known {
-			l.Post(ev)
+		for _, ev := range initialEvents {
+			eventLoop.Post(ev)
 		}
-		for _, s := range serve {
-			go s()
+		for _, task := range tasks {
+			go task()
 		}
 		for {
 			select {
@@ -266,17 +266,17 @@
 				reload()
 			case <-stops:
 				log.Info().Msg("stopping")
-				if !up.stop() {
-					first.MarkStopping()
+				if !upgrades.requestStop() {
+					platformProtocol.MarkStopping()
 				}
-				l.Post(core.Stop{})
+				eventLoop.Post(core.Stop{})
 			}
 		}
 	}()
 	log.Info().Str("listen", listener.Addr().String()).Msg("started")
-	l.Run(ctx)
-	up.leave(c)
-	first.Wait()
+	eventLoop.Run(ctx)
+	upgrades.finish(reducer)
+	platformProtocol.Wait()
 	log.Info().Msg("stopped")
 	return nil
 }
--- a/cmd/elmseam/main_test.go
+++ b/cmd/elmseam/main_test.go
@@ -21,7 +21,7 @@
 	"elmseam/internal/leak"
 )
 
-const patience = 20 * time.Second // for what must come; tests don't wait it out
+const testTimeout = 20 * time.Second // for what must come; tests don't wait it out
 
 // TestMain runs the program itself where a test starts this binary again.
 func TestMain(m *testing.M) {
@@ -32,7 +32,7 @@
 	leak.Main(m)
 }
 
-const settingsText = `{"request-classes":[{"name":"voice","effect":"free","gain":1,"objective-us":1000000,"hard-limit-us":3000000}],
+const testSettings = `{"request-classes":[{"name":"voice","effect":"free","gain":1,"objective-us":1000000,"hard-limit-us":3000000}],
  "family-info":{"own-number":-1,"release-guard-us":200000,"retransmit-us":500000},
  "limits":{"max-attempts":4,"max-open":100,"connect-timeout-us":500000,"retry-after":true,"max-retry-after-us":2000000,"cancel":true},
  "load-report":{"columns":["spare","total","cut_by"],"via":"inline"},"obligations":{"cold-from":0.3,"ramp-time-us":14000000,
@@ -41,31 +41,31 @@
 // program is one run of the program.
 type program struct {
 	*testing.T
-	cmd     *exec.Cmd
-	config  string // its file
-	logged  chan string
-	listen  string
-	m3ua    string
-	mgmt    string
-	channel net.Listener
+	cmd      *exec.Cmd
+	config   string // its file
+	logLines chan string
+	listen   string
+	m3ua     string
+	mgmt     string
+	channel  net.Listener
 }
 
 // start runs the program with the given servers known, and waits until it listens.
-func start(t *testing.T, signalling string, servers ...string) *program {
+func startProgram(t *testing.T, signalling string, servers ...string) *program {
 	t.Helper()
 	p := newProgram(t, servers...)
-	p.run(signalling)
+	p.launch(signalling)
 	return p
 }
 
 func newProgram(t *testing.T, servers ...string) *program {
-	p := &program{T: t, channel: listen(t), config: filepath.Join(t.TempDir(), "config.json"), logged: make(chan string, 100)}
-	p.write(p.channel, settingsText, servers...)
+	p := &program{T: t, channel: listen(t), config: filepath.Join(t.TempDir(), "config.json"), logLines: make(chan string, 100)}
+	p.writeConfig(p.channel, testSettings, servers...)
 	return p
 }
 
 // run starts the program, with more in its environment, and waits until it listens.
-func (p *program) run(signalling string, env ...string) {
+func (p *program) launch(signalling string, env ...string) {
 	t := p.T
 	t.Helper()
 	p.cmd = command(p.config, signalling)
@@ -91,7 +91,7 @@
 	go func() {
 		for lines.Scan() {
 			select {
-			case p.logged <- lines.Text():
+			case p.logLines <- lines.Text():
 			default:
 			}
 		}
@@ -99,7 +99,7 @@
 }
 
 // write fills the configuration file.
-func (p *program) write(channel net.Listener, settings string, servers ...string) {
+func (p *program) writeConfig(channel net.Listener, settings string, servers ...string) {
 	text := fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:0","mgmt":"127.0.0.1:0","seed":"8c1f30d27a5be964","limits":{"memory_mb":192,"sockets":1024},
 		"channel":%q,"known":{"cursor":1,"cmds":[{"cursor":1,"nodes":{"snapshot":true,"endpoints":[%s]}}]},"settings":%s}`,
 		channel.Addr(), strings.Join(servers, ","), settings)
@@ -109,16 +109,16 @@
 }
 
 // wantLog waits for a line of the log.
-func (p *program) wantLog(part string) {
+func (p *program) wantLog(text string) {
 	p.Helper()
-	for late := time.After(patience); ; {
+	for timeout := time.After(testTimeout); ; {
 		select {
-		case l := <-p.logged:
-			if strings.Contains(l, part) {
+		case line := <-p.logLines:
+			if strings.Contains(line, text) {
 				return
 			}
-		case <-late:
-			p.Fatalf("nothing logged of %q", part)
+		case <-timeout:
+			p.Fatalf("nothing logged of %q", text)
 		}
 	}
 }
@@ -153,33 +153,33 @@
 	r *bufio.Reader
 }
 
-func wrap(t *testing.T, c net.Conn, err error) *conn {
+func newConn(t *testing.T, c net.Conn, err error) *conn {
 	t.Helper()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	return &conn{t, c, bufio.NewReader(c)}
 }
 
 func accept(t *testing.T, l net.Listener) *conn {
 	t.Helper()
-	l.(*net.TCPListener).SetDeadline(time.Now().Add(patience))
+	l.(*net.TCPListener).SetDeadline(time.Now().Add(testTimeout))
 	c, err := l.Accept()
-	return wrap(t, c, err)
+	return newConn(t, c, err)
 }
 
 // server takes both connections that the program makes to a server, and reads them as one.
-func server(t *testing.T, l net.Listener) *conn {
+func acceptServer(t *testing.T, l net.Listener) *conn {
 	t.Helper()
 	c := accept(t, l)
 	r, w := io.Pipe()
 	lines := bufio.NewWriterSize(w, 1<<16)
 	var mu sync.Mutex
-	var open sync.WaitGroup
+	var readers sync.WaitGroup
 	for _, c := range []*conn{c, accept(t, l)} {
-		open.Go(func() {
+		readers.Go(func() {
 			for {
 				text, err := c.r.ReadString('\n')
 				if err != nil {
@@ -192,18 +192,18 @@
 			}
 		})
 	}
-	go func() { open.Wait(); w.Close() }()
+	go func() { readers.Wait(); w.Close() }()
 	return &conn{t, c.Conn, bufio.NewReader(r)}
 }
 
 func dial(t *testing.T, address string) *conn {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
-	return wrap(t, c, err)
+	return newConn(t, c, err)
 }
 
 // line reads a line, which must hold want, and returns the call it names.
-func (c *conn) line(want string) string {
+func (c *conn) wantLine(want string) string {
 	c.Helper()
 	l, err := c.r.ReadString('\n')
 	if err != nil || !strings.Contains(l, want) {
@@ -215,7 +215,7 @@
 	return ""
 }
 
-func (c *conn) bytes(n int) []byte {
+func (c *conn) readBytes(n int) []byte {
 	c.Helper()
 	b := make([]byte, n)
 	if _, err := io.ReadFull(c.r, b); err != nil {
@@ -225,20 +225,20 @@
 }
 
 // frame reads a message of the callers' protocol and says its type, call and parameters.
-func (c *conn) frame(kind byte, call uint64) []byte {
+func (c *conn) wantFrame(kind byte, call uint64) []byte {
 	c.Helper()
-	b := c.bytes(int(binary.BigEndian.Uint16(c.bytes(2))))
+	b := c.readBytes(int(binary.BigEndian.Uint16(c.readBytes(2))))
 	if b[0] != kind || binary.BigEndian.Uint64(b[1:]) != call {
 		c.Fatalf("message %x, want type %d for call %x", b, kind, call)
 	}
 	return b[9:]
 }
 
-func (c *conn) setUp(call uint64) { c.setUpOf("voice", call) }
+func (c *conn) sendSetUp(call uint64) { c.sendSetUpOfClass("voice", call) }
 
-func (c *conn) setUpOf(class string, call uint64) { c.Write(setUpText(class, call)) }
+func (c *conn) sendSetUpOfClass(class string, call uint64) { c.Write(setUpMessage(class, call)) }
 
-func setUpText(class string, call uint64) []byte {
+func setUpMessage(class string, call uint64) []byte {
 	b := binary.BigEndian.AppendUint64([]byte{0, 0, 1}, call)
 	for code, v := range map[byte]string{16: class, 19: "60000", 28: "0a", 31: "dest:0;width:1;via:-1", 61: "d"} {
 		b = append(append(b, code, 0, byte(len(v))), v...)
@@ -248,7 +248,7 @@
 }
 
 // events answers the program's request on the command channel and returns the Last-Event-ID.
-func (c *conn) events() (last string) {
+func (c *conn) acceptEventStream() (last string) {
 	c.Helper()
 	for {
 		l, err := c.r.ReadString('\n')
@@ -266,7 +266,7 @@
 }
 
 // event sends a change, in chunks that end anywhere.
-func (c *conn) event(cursor int, endpoints ...string) {
+func (c *conn) sendEvent(cursor int, endpoints ...string) {
 	text := fmt.Sprintf(": comment\n\nid: %d\ndata: {\"cursor\":%d,\"nodes\":{\"snapshot\":false,\"endpoints\":[%s]}}\n\n",
 		cursor, cursor, strings.Join(endpoints, ","))
 	for len(text) > 0 {
@@ -279,54 +279,54 @@
 // The program serves, follows the command channel over a broken connection, and on SIGTERM goes on to take and
 // answer calls for the grace before it ends.
 func TestServeFollowStop(t *testing.T) {
-	old, fresh := listen(t), listen(t)
-	p := start(t, "", endpoint("old", "in_service", old))
-	first := server(t, old)
+	old, added := listen(t), listen(t)
+	p := startProgram(t, "", endpoint("old", "in_service", old))
+	first := acceptServer(t, old)
 	caller := dial(t, p.listen)
-	caller.setUp(1)
-	id := first.line(`"offer"`)
+	caller.sendSetUp(1)
+	id := first.wantLine(`"offer"`)
 	fmt.Fprintf(first, `{"op":"accept","call":%q,"with":{},"desc":"x"}`+"\n", id)
-	if b := caller.frame(9, 1); !bytes.Equal(b, []byte{61, 0, 1, 'x'}) {
+	if b := caller.wantFrame(9, 1); !bytes.Equal(b, []byte{61, 0, 1, 'x'}) {
 		t.Errorf("answer %x", b)
 	}
 
-	ch := accept(t, p.channel)
-	if last := ch.events(); last != "1" {
+	channel := accept(t, p.channel)
+	if last := channel.acceptEventStream(); last != "1" {
 		t.Errorf("Last-Event-ID %s, want 1", last)
 	}
-	ch.event(2, endpoint("new", "in_service", fresh))
-	second := server(t, fresh)
-	ch.Close()
-	ch = accept(t, p.channel)
-	if last := ch.events(); last != "2" {
+	channel.sendEvent(2, endpoint("new", "in_service", added))
+	second := acceptServer(t, added)
+	channel.Close()
+	channel = accept(t, p.channel)
+	if last := channel.acceptEventStream(); last != "2" {
 		t.Errorf("Last-Event-ID %s, want 2", last)
 	}
-	ch.event(3, endpoint("old", "terminated", old))
+	channel.sendEvent(3, endpoint("old", "terminated", old))
 	if _, err := first.r.ReadByte(); err != io.EOF { // its connection ends when it has been told
 		t.Errorf("the old server hears %v", err)
 	}
-	caller.frame(12, 1) // what stood there is over
-	caller.setUp(2)
-	id = second.line(`"offer"`)
+	caller.wantFrame(12, 1) // what stood there is over
+	caller.sendSetUp(2)
+	id = second.wantLine(`"offer"`)
 
 	p.cmd.Process.Signal(syscall.SIGTERM)
 	caller.Write([]byte{0, 13, 52, 0, 0, 0, 0, 0, 0, 0, 9, 58, 0, 1, 0}) // a test fails from now on: asked until it does
-	for caller.frame(53, 9)[3] != 0 {
+	for caller.wantFrame(53, 9)[3] != 0 {
 		caller.Write([]byte{0, 13, 52, 0, 0, 0, 0, 0, 0, 0, 9, 58, 0, 1, 0})
 	}
-	stand := func(id string) { fmt.Fprintf(second, `{"op":"accept","call":%q,"with":{},"desc":""}`+"\n", id) }
-	stand(id) // or the server counts as one that leaves set-ups unanswered, and gets no other
-	caller.frame(9, 2)
-	late := dial(t, p.listen)
-	late.setUp(3)
-	other := second.line(`"offer"`)
-	stand(other)
-	late.frame(9, 3)
-	for _, id := range []string{id, other} {
+	accept := func(id string) { fmt.Fprintf(second, `{"op":"accept","call":%q,"with":{},"desc":""}`+"\n", id) }
+	accept(id) // or the server counts as one that leaves set-ups unanswered, and gets no other
+	caller.wantFrame(9, 2)
+	lateCaller := dial(t, p.listen)
+	lateCaller.sendSetUp(3)
+	lateID := second.wantLine(`"offer"`)
+	accept(lateID)
+	lateCaller.wantFrame(9, 3)
+	for _, id := range []string{id, lateID} {
 		fmt.Fprintf(second, `{"op":"end","call":%q,"with":{},"why":16}`+"\n", id)
 	}
-	caller.frame(12, 2)
-	late.frame(12, 3)
+	caller.wantFrame(12, 2)
+	lateCaller.wantFrame(12, 3)
 	if err := p.cmd.Wait(); err != nil {
 		t.Errorf("the program ends with %v", err)
 	}
@@ -337,25 +337,25 @@
 // signal comes again and while the program stops.
 func TestReload(t *testing.T) {
 	srv, channel := listen(t), listen(t)
-	p := start(t, "", endpoint("s", "in_service", srv))
-	peer := server(t, srv)
+	p := startProgram(t, "", endpoint("s", "in_service", srv))
+	peer := acceptServer(t, srv)
 	caller := dial(t, p.listen)
-	caller.setUp(1)
-	id := peer.line(`"offer"`)
-	old := accept(t, p.channel)
-	old.events()
-	old.event(2, endpoint("s", "in_service", srv))
+	caller.sendSetUp(1)
+	id := peer.wantLine(`"offer"`)
+	oldChannel := accept(t, p.channel)
+	oldChannel.acceptEventStream()
+	oldChannel.sendEvent(2, endpoint("s", "in_service", srv))
 
 	os.WriteFile(p.config, []byte(`{"name":"n1"}`), 0o600)
 	p.cmd.Process.Signal(syscall.SIGHUP)
 	p.wantLog("configuration not taken over")
-	p.write(channel, strings.Replace(settingsText, `"total"`, `"spare"`, 1)) // contradicts itself
+	p.writeConfig(channel, strings.Replace(testSettings, `"total"`, `"spare"`, 1)) // contradicts itself
 	p.cmd.Process.Signal(syscall.SIGHUP)
 	p.wantLog("load-report.columns[1]")
-	p.write(channel, strings.Replace(settingsText, `[{"name":"voice"`, `[{"name":"video","effect":"free","gain":1,"objective-us":1000000,"hard-limit-us":3000000},{"name":"voice"`, 1))
+	p.writeConfig(channel, strings.Replace(testSettings, `[{"name":"voice"`, `[{"name":"video","effect":"free","gain":1,"objective-us":1000000,"hard-limit-us":3000000},{"name":"voice"`, 1))
 	p.cmd.Process.Signal(syscall.SIGHUP)
-	ch := accept(t, channel)
-	if last := ch.events(); last != "2" {
+	newChannel := accept(t, channel)
+	if last := newChannel.acceptEventStream(); last != "2" {
 		t.Errorf("Last-Event-ID %s, want 2", last)
 	}
 	p.cmd.Process.Signal(syscall.SIGHUP)
@@ -363,18 +363,18 @@
 	// The open call is answered first: to a server that has left one without an answer for a part of the resend gap
 	// the module sends no other.
 	fmt.Fprintf(peer, `{"op":"accept","call":%q,"with":{},"desc":""}`+"\n", id)
-	caller.frame(9, 1)
-	caller.setUpOf("video", 2)
-	second := peer.line(`"video"`)
+	caller.wantFrame(9, 1)
+	caller.sendSetUpOfClass("video", 2)
+	second := peer.wantLine(`"video"`)
 
 	p.cmd.Process.Signal(syscall.SIGTERM)
 	p.wantLog("stopping")
 	p.cmd.Process.Signal(syscall.SIGHUP)
 	p.wantLog("configuration taken over")
 	fmt.Fprintf(peer, `{"op":"end","call":%q,"with":{},"why":16}`+"\n", id)
-	caller.frame(12, 1)
+	caller.wantFrame(12, 1)
 	fmt.Fprintf(peer, `{"op":"end","call":%q,"with":{},"why":47}`+"\n", second)
-	caller.frame(12, 2)
+	caller.wantFrame(12, 2)
 	if err := p.cmd.Wait(); err != nil {
 		t.Errorf("the program ends with %v", err)
 	}
@@ -382,7 +382,7 @@
 
 // With the second front on, a class that a new configuration adds has no form over M3UA: the call is refused. Such a
 // call ended the program, as that front went on with the classes of its start.
-func TestReloadWithSecondFront(t *testing.T) {
+func TestReloadWithM3UA(t *testing.T) {
 	srv := listen(t)
 	path := filepath.Join(t.TempDir(), "m3ua.toml")
 	os.WriteFile(path, fmt.Appendf(nil, `enabled = true
@@ -397,32 +397,32 @@
 		name = "hlr"
 		address = %q
 		point_code = 201`, srv.Addr()), 0o600)
-	p := start(t, path)
+	p := startProgram(t, path)
 	hlr := accept(t, srv)
-	hlr.bytes(8) // ASP up
+	hlr.readBytes(8) // ASP up
 	hlr.Write([]byte{1, 0, 3, 4, 0, 0, 0, 8})
-	hlr.bytes(16) // ASP active
+	hlr.readBytes(16) // ASP active
 	hlr.Write([]byte{1, 0, 4, 3, 0, 0, 0, 8})
-	iam := func() byte { return hlr.bytes(int(binary.BigEndian.Uint32(hlr.bytes(8)[4:])) - 8)[26] }
+	iam := func() byte { return hlr.readBytes(int(binary.BigEndian.Uint32(hlr.readBytes(8)[4:])) - 8)[26] }
 	caller := dial(t, p.listen)
-	caller.setUp(1)
+	caller.sendSetUp(1)
 	if kind := iam(); kind != 1 {
 		t.Fatalf("ISUP message type %d, want an IAM", kind)
 	}
-	p.write(p.channel, strings.Replace(settingsText, `[{"name":"voice"`, `[{"name":"video","effect":"free","gain":1,"objective-us":1000000,"hard-limit-us":3000000},{"name":"voice"`, 1))
+	p.writeConfig(p.channel, strings.Replace(testSettings, `[{"name":"voice"`, `[{"name":"video","effect":"free","gain":1,"objective-us":1000000,"hard-limit-us":3000000},{"name":"voice"`, 1))
 	p.cmd.Process.Signal(syscall.SIGHUP)
 	p.wantLog("configuration taken over")
-	caller.setUpOf("video", 2)
-	caller.frame(12, 2)
-	caller.setUp(3)
+	caller.sendSetUpOfClass("video", 2)
+	caller.wantFrame(12, 2)
+	caller.sendSetUp(3)
 	if kind := iam(); kind != 1 {
 		t.Fatalf("ISUP message type %d, want another IAM", kind)
 	}
 }
 
 // A configuration that makes no sense ends the program with one line that names the field.
-func TestBadConfiguration(t *testing.T) {
-	good := `{"name":"n","listen":"127.0.0.1:0","seed":"1","limits":{"memory_mb":1,"sockets":99},"channel":"127.0.0.1:1","settings":` + settingsText + "}"
+func TestInvalidConfiguration(t *testing.T) {
+	good := `{"name":"n","listen":"127.0.0.1:0","seed":"1","limits":{"memory_mb":1,"sockets":99},"channel":"127.0.0.1:1","settings":` + testSettings + "}"
 	for field, text := range map[string]string{
 		"ROUTER_CONFIG":      `{"name":`,
 		"name":               strings.Replace(good, `"n"`, `""`, 1),
@@ -460,21 +460,21 @@
 
 // So does a members' file that makes no sense, or a platform's configuration that a tier can't be made of. Where the
 // settings permit no peer messages, membership stays off and the program serves.
-func TestBadMembership(t *testing.T) {
+func TestInvalidMembersFile(t *testing.T) {
 	tier := `"peer_listen":"127.0.0.1:1","peers":["127.0.0.1:1","127.0.0.1:2"],`
-	permitted := strings.Replace(settingsText, `"max-open"`, `"peer-messages":true,"max-open"`, 1)
-	numbered := strings.Replace(permitted, `{"request-classes"`, `{"me":1,"peers-total":2,"request-classes"`, 1)
+	permitted := strings.Replace(testSettings, `"max-open"`, `"peer-messages":true,"max-open"`, 1)
+	withIndex := strings.Replace(permitted, `{"request-classes"`, `{"me":1,"peers-total":2,"request-classes"`, 1)
 	for field, c := range map[string]struct{ members, tier, settings string }{
-		"period": {"enabled = true\nperiod = \"1ms\"", tier, numbered},
-		"who":    {"who = 1", tier, numbered},
-
-		"knowledge.half_life": {"enabled = true\n[knowledge]\nenabled = true\nhalf_life = \"0s\"", tier, numbered},
-		"knowledge.enabled":   {"[knowledge]\nenabled = true", tier, numbered},
-		"parts.lease":         {"enabled = true\n[parts]\nenabled = true\nlease = \"1ms\"", tier, numbered},
-		"parts.enabled":       {"[parts]\nenabled = true", tier, numbered},
-		"peers":               {"enabled = true", "", numbered},
-		"peers[0]":            {"enabled = true", `"peer_listen":"127.0.0.1:1","peers":["x","y"],`, numbered},
-		"peer_listen":         {"enabled = true", `"peers":["127.0.0.1:1","127.0.0.1:2"],`, numbered},
+		"period": {"enabled = true\nperiod = \"1ms\"", tier, withIndex},
+		"who":    {"who = 1", tier, withIndex},
+
+		"knowledge.half_life": {"enabled = true\n[knowledge]\nenabled = true\nhalf_life = \"0s\"", tier, withIndex},
+		"knowledge.enabled":   {"[knowledge]\nenabled = true", tier, withIndex},
+		"parts.lease":         {"enabled = true\n[parts]\nenabled = true\nlease = \"1ms\"", tier, withIndex},
+		"parts.enabled":       {"[parts]\nenabled = true", tier, withIndex},
+		"peers":               {"enabled = true", "", withIndex},
+		"peers[0]":            {"enabled = true", `"peer_listen":"127.0.0.1:1","peers":["x","y"],`, withIndex},
+		"peer_listen":         {"enabled = true", `"peers":["127.0.0.1:1","127.0.0.1:2"],`, withIndex},
 		"settings.me":         {"enabled = true", tier, permitted},
 	} {
 		dir := t.TempDir()
@@ -492,8 +492,8 @@
 	members := filepath.Join(t.TempDir(), "members.toml")
 	os.WriteFile(members, []byte("enabled = true"), 0o600)
 	p := newProgram(t)
-	p.run("", "ELMSEAM_MEMBERS="+members)
-	p.until("/ops/members", 404, "membership is off")
+	p.launch("", "ELMSEAM_MEMBERS="+members)
+	p.wantResponse("/ops/members", 404, "membership is off")
 }
 
 // A deployment like the second organisation's: tenants with shares, reports without a share to hold back, five attempts,
@@ -516,28 +516,28 @@
 		os.WriteFile(members, []byte("enabled = true"), 0o600)
 		p := newProgram(t)
 		text := strings.NewReplacer(`"total","cut_by"`, `"total","recent_ms"`, `"max-attempts":4`, `"max-attempts":5,"probes":true,"peer-messages":`+fmt.Sprint(permitted),
-			`{"request-classes"`, `{"me":0,"peers-total":2,"over-share-worth":0.1,"tenants":[{"name":"a","share":0.5,"allowance-per-s":9}],"request-classes"`).Replace(settingsText)
-		p.write(channel, text, endpoint("s", "in_service", srv))
+			`{"request-classes"`, `{"me":0,"peers-total":2,"over-share-worth":0.1,"tenants":[{"name":"a","share":0.5,"allowance-per-s":9}],"request-classes"`).Replace(testSettings)
+		p.writeConfig(channel, text, endpoint("s", "in_service", srv))
 		config, _ := os.ReadFile(p.config)
 		config = bytes.Replace(config, []byte(`{"name"`), fmt.Appendf(nil, `{"peer_listen":%q,"peers":[%[1]q,%q],"name"`, tier[0].LocalAddr(), tier[1].LocalAddr()), 1)
 		os.WriteFile(p.config, config, 0o600)
-		p.run("", "ELMSEAM_MEMBERS="+members)
-		peer, caller := server(t, srv), dial(t, p.listen)
-		caller.setUp(1)
-		fmt.Fprintf(peer, `{"op":"accept","call":%q,"with":{"load":"spare:9;total:9;recent_ms:4"},"desc":""}`+"\n", peer.line(`"offer"`))
-		caller.frame(9, 1)
-		tier[1].SetReadDeadline(time.Now().Add(patience))
+		p.launch("", "ELMSEAM_MEMBERS="+members)
+		peer, caller := acceptServer(t, srv), dial(t, p.listen)
+		caller.sendSetUp(1)
+		fmt.Fprintf(peer, `{"op":"accept","call":%q,"with":{"load":"spare:9;total:9;recent_ms:4"},"desc":""}`+"\n", peer.wantLine(`"offer"`))
+		caller.wantFrame(9, 1)
+		tier[1].SetReadDeadline(time.Now().Add(testTimeout))
 		if permitted {
 			if _, err := tier[1].Read(make([]byte, 256)); err != nil {
 				t.Errorf("datagrams are permitted: %v", err)
 			}
 			continue
 		}
-		p.until("/ops/stats", 200, "app.probes.sent=0\n")
+		p.wantResponse("/ops/stats", 200, "app.probes.sent=0\n")
 		p.cmd.Process.Signal(syscall.SIGTERM)
 		p.wantLog("stopping")
 		fmt.Fprintf(peer, `{"op":"end","call":"0000000000000001","with":{},"why":16}`+"\n")
-		caller.frame(12, 1)
+		caller.wantFrame(12, 1)
 		if err := p.cmd.Wait(); err != nil {
 			t.Errorf("the program ends with %v", err)
 		}
@@ -550,8 +550,8 @@
 
 // The second front listens where its file says, serves an old client by a server of the platform, and the
 // service address is announced until the program is told to stop.
-func TestSecondFront(t *testing.T) {
-	srv, neighbour := listen(t), listen(t)
+func TestM3UAAndBGP(t *testing.T) {
+	serverListener, neighbour := listen(t), listen(t)
 	path := filepath.Join(t.TempDir(), "m3ua.toml")
 	text, err := os.ReadFile("../../deploy/m3ua.toml")
 	if err != nil {
@@ -561,14 +561,14 @@
 		"status-check = 10\n", "", "profile-read = 12\n", "").Replace(string(text))
 	file += fmt.Sprintf("[[bgp.peer]]\naddress = %q\nas = 64513\n", neighbour.Addr())
 	os.WriteFile(path, []byte(file), 0o600)
-	p := start(t, path, endpoint("new", "in_service", srv))
-	activation := server(t, srv)
+	p := startProgram(t, path, endpoint("new", "in_service", serverListener))
+	serverConn := acceptServer(t, serverListener)
 
 	peer := accept(t, neighbour)
 	marker := bytes.Repeat([]byte{0xff}, 16)
 	message := func() (byte, []byte) {
-		b := peer.bytes(19)
-		return b[18], peer.bytes(int(binary.BigEndian.Uint16(b[16:])) - 19)
+		b := peer.readBytes(19)
+		return b[18], peer.readBytes(int(binary.BigEndian.Uint16(b[16:])) - 19)
 	}
 	message()
 	peer.Write(append(marker, 0, 29, 1, 4, 0xfc, 1, 0, 90, 127, 0, 0, 2, 0))
@@ -587,11 +587,11 @@
 	// Protocol data from point 300 to 100, national: IAM on circuit 7, category 11, number 12.
 	client.Write([]byte{1, 0, 1, 1, 0, 0, 0, 44, 2, 0x10, 0, 33, 0, 0, 1, 44, 0, 0, 0, 100, 5, 2, 0, 7,
 		7, 0, 1, 0, 0x60, 1, 11, 0, 2, 0, 3, 3, 0x10, 0x21, 0, 0, 0, 0, 0, 0})
-	id := activation.line(`"key":"12"`)
-	fmt.Fprintf(activation, `{"op":"accept","call":%q,"with":{},"desc":"x"}`+"\n", id)
+	id := serverConn.wantLine(`"key":"12"`)
+	fmt.Fprintf(serverConn, `{"op":"accept","call":%q,"with":{},"desc":"x"}`+"\n", id)
 	for {
-		b := client.bytes(8)
-		rest := client.bytes(int(binary.BigEndian.Uint32(b[4:])) - 8)
+		b := client.readBytes(8)
+		rest := client.readBytes(int(binary.BigEndian.Uint32(b[4:])) - 8)
 		if b[2] == 1 && rest[26] == 9 { // DATA with an ANM
 			if !bytes.Equal(rest[27:32], []byte{1, 0x20, 1, 'x', 0}) {
 				t.Errorf("ANM %x", rest)
--- a/cmd/elmseam/ops_test.go
+++ b/cmd/elmseam/ops_test.go
@@ -13,63 +13,63 @@
 )
 
 // call calls the operators' door, and fails where the answer takes longer than a second.
-func (p *program) call(method, path string) (int, string) {
+func (p *program) request(method, path string) (int, string) {
 	p.Helper()
 	req, err := http.NewRequest(method, "http://"+p.mgmt+path, nil)
 	if err != nil {
 		p.Fatal(err)
 	}
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	res, err := client.Do(req)
+	response, err := client.Do(req)
 	if err != nil {
 		p.Fatal(err)
 	}
-	defer res.Body.Close()
-	text, err := io.ReadAll(res.Body)
+	defer response.Body.Close()
+	text, err := io.ReadAll(response.Body)
 	if err != nil {
 		p.Fatal(err)
 	}
-	return res.StatusCode, string(text)
+	return response.StatusCode, string(text)
 }
 
 // until calls until the answer is the one wanted, or what it says holds that.
-func (p *program) until(path string, status int, part string) {
+func (p *program) wantResponse(path string, status int, text string) {
 	p.Helper()
 	last := ""
-	for late := time.Now().Add(patience); time.Now().Before(late); time.Sleep(5 * time.Millisecond) {
-		got, text := p.call("GET", path)
-		if got == status && strings.Contains(text, part) {
+	for deadline := time.Now().Add(testTimeout); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
+		got, body := p.request("GET", path)
+		if got == status && strings.Contains(body, text) {
 			return
 		}
-		last = fmt.Sprint(got, " ", text)
+		last = fmt.Sprint(got, " ", body)
 	}
-	p.Fatalf("%s: %s, want %d with %q", path, last, status, part)
+	p.Fatalf("%s: %s, want %d with %q", path, last, status, text)
 }
 
 // test asks at the callers' address whether the program takes work.
-func (p *program) test() bool {
+func (p *program) acceptsWork() bool {
 	c := dial(p.T, p.listen)
 	defer c.Close()
 	c.Write([]byte{0, 13, 52, 0, 0, 0, 0, 0, 0, 0, 9, 58, 0, 1, 0})
-	return c.frame(53, 9)[3] == 1
+	return c.wantFrame(53, 9)[3] == 1
 }
 
 // Operators ask whether the program can serve, read its figures, and send its callers away and back. Callers who say
 // nothing hold up nobody, and what makes no sense is told so at once.
-func TestOperators(t *testing.T) {
+func TestAdminEndpoint(t *testing.T) {
 	srv := listen(t)
-	p := start(t, "")
-	p.until("/ops/readiness", 503, "no server")
-	ch := accept(t, p.channel)
-	ch.events()
-	ch.event(2, endpoint("s", "in_service", srv))
-	peer := server(t, srv)
-	p.until("/ops/readiness", 200, "")
+	p := startProgram(t, "")
+	p.wantResponse("/ops/readiness", 503, "no server")
+	channel := accept(t, p.channel)
+	channel.acceptEventStream()
+	channel.sendEvent(2, endpoint("s", "in_service", srv))
+	peer := acceptServer(t, srv)
+	p.wantResponse("/ops/readiness", 200, "")
 	for range 40 { // more than are let in
 		dial(t, p.mgmt)
 	}
 	for want, call := range map[int][2]string{404: {"GET", "/ops"}, 405: {"GET", "/ops/drain/start"}} {
-		if got, _ := p.call(call[0], call[1]); got != want {
+		if got, _ := p.request(call[0], call[1]); got != want {
 			t.Errorf("%v: %d, want %d", call, got, want)
 		}
 	}
@@ -82,33 +82,33 @@
 	}
 
 	caller, idle := dial(t, p.listen), dial(t, p.listen)
-	caller.setUp(1)
-	id := peer.line(`"offer"`)
+	caller.sendSetUp(1)
+	id := peer.wantLine(`"offer"`)
 	fmt.Fprintf(peer, `{"op":"accept","call":%q,"with":{},"desc":""}`+"\n", id)
-	caller.frame(9, 1)
-	p.until("/ops/stats", 200, "app.transactions.voice.answered=1\n")
-	p.until("/ops/stats", 200, "app.sends=1\napp.current=1\napp.cluster_size=1\napp.cluster_unhealthy=0\n")
+	caller.wantFrame(9, 1)
+	p.wantResponse("/ops/stats", 200, "app.transactions.voice.answered=1\n")
+	p.wantResponse("/ops/stats", 200, "app.sends=1\napp.current=1\napp.cluster_size=1\napp.cluster_unhealthy=0\n")
 
 	for range 2 {
-		if got, text := p.call("POST", "/ops/drain/start"); got != 200 {
+		if got, text := p.request("POST", "/ops/drain/start"); got != 200 {
 			t.Fatalf("drain: %d %s", got, text)
 		}
-		if p.test() {
+		if p.acceptsWork() {
 			t.Error("drained, and yet it says that it takes work")
 		}
 	}
-	p.until("/ops/readiness", 503, "drained")
+	p.wantResponse("/ops/readiness", 503, "drained")
 	if _, err := idle.r.ReadByte(); err != io.EOF { // with an orderly end, not a reset
 		t.Errorf("the idle connection ends with %v", err)
 	}
 	fmt.Fprintf(peer, `{"op":"end","call":%q,"with":{},"why":16}`+"\n", id)
-	caller.frame(12, 1) // what stood is released on its own connection, which ends then
+	caller.wantFrame(12, 1) // what stood is released on its own connection, which ends then
 	if _, err := caller.r.ReadByte(); err != io.EOF {
 		t.Errorf("the connection of a call that stood ends with %v", err)
 	}
-	p.call("POST", "/ops/drain/stop")
-	p.until("/ops/readiness", 200, "")
-	if !p.test() {
+	p.request("POST", "/ops/drain/stop")
+	p.wantResponse("/ops/readiness", 200, "")
+	if !p.acceptsWork() {
 		t.Error("the drain is over, and it takes no work")
 	}
 	p.cmd.Process.Signal(syscall.SIGTERM)
@@ -117,24 +117,24 @@
 
 // A broken file changes nothing and is counted; the one line that is logged names the field. What came before it
 // keeps the attempts it came with, and what comes after a good one has the new ones.
-func TestRetune(t *testing.T) {
+func TestReloadInvalidConfiguration(t *testing.T) {
 	srv := listen(t)
-	p := start(t, "", endpoint("s", "in_service", srv))
-	peer := server(t, srv)
-	good, err := os.ReadFile(p.config)
+	p := startProgram(t, "", endpoint("s", "in_service", srv))
+	peer := acceptServer(t, srv)
+	valid, err := os.ReadFile(p.config)
 	if err != nil {
 		t.Fatal(err)
 	}
-	broken := map[string]string{
-		"":                         "ROUTER_CONFIG:",
-		string(good[:len(good)/2]): "ROUTER_CONFIG:",
-		strings.Replace(string(good), `"hard-limit-us":3000000`, `"hard-limit-us":0`, 1): "settings.request-classes[0].hard-limit-us",
-		strings.Replace(string(good), `"max-attempts":4`, `"max-attempts":0`, 1):         "settings.limits.max-attempts",
-		strings.Replace(string(good), `"max-attempts":4`, `"max-attempts":-1`, 1):        "settings.limits.max-attempts",
+	invalid := map[string]string{
+		"":                           "ROUTER_CONFIG:",
+		string(valid[:len(valid)/2]): "ROUTER_CONFIG:",
+		strings.Replace(string(valid), `"hard-limit-us":3000000`, `"hard-limit-us":0`, 1): "settings.request-classes[0].hard-limit-us",
+		strings.Replace(string(valid), `"max-attempts":4`, `"max-attempts":0`, 1):         "settings.limits.max-attempts",
+		strings.Replace(string(valid), `"max-attempts":4`, `"max-attempts":-1`, 1):        "settings.limits.max-attempts",
 	}
 	without := func(field string, path ...string) {
 		var top map[string]any
-		if err := json.Unmarshal(good, &top); err != nil {
+		if err := json.Unmarshal(valid, &top); err != nil {
 			t.Fatal(err)
 		}
 		at := top
@@ -147,7 +147,7 @@
 		}
 		delete(at, path[len(path)-1])
 		text, _ := json.Marshal(top)
-		broken[string(text)] = field
+		invalid[string(text)] = field
 	}
 	for _, key := range []string{"name", "listen", "seed", "limits", "channel", "known", "settings"} {
 		without(key, key)
@@ -157,29 +157,29 @@
 	}
 	without("settings.limits.max-attempts", "settings", "limits", "max-attempts")
 	count := 0
-	for text, field := range broken {
+	for text, field := range invalid {
 		os.WriteFile(p.config, []byte(text), 0o600)
 		p.cmd.Process.Signal(syscall.SIGHUP)
 		p.wantLog(field)
 		count++
-		p.until("/ops/stats", 200, fmt.Sprintf("app.conf_loaded=0\napp.conf_invalid=%d\n", count))
+		p.wantResponse("/ops/stats", 200, fmt.Sprintf("app.conf_loaded=0\napp.conf_invalid=%d\n", count))
 	}
 	caller := dial(t, p.listen)
-	caller.setUp(1)
-	id := peer.line(`"offer"`)
-	next := strings.Replace(settingsText, `"max-attempts":4`, `"max-attempts":1`, 1)
-	p.write(p.channel, strings.Replace(next, `"name":"voice"`, `"name":"video"`, 1))
+	caller.sendSetUp(1)
+	id := peer.wantLine(`"offer"`)
+	next := strings.Replace(testSettings, `"max-attempts":4`, `"max-attempts":1`, 1)
+	p.writeConfig(p.channel, strings.Replace(next, `"name":"voice"`, `"name":"video"`, 1))
 	p.cmd.Process.Signal(syscall.SIGHUP)
-	p.until("/ops/stats", 200, "app.conf_loaded=1\n")
-	stand := func(id string, call uint64) {
+	p.wantResponse("/ops/stats", 200, "app.conf_loaded=1\n")
+	accept := func(id string, call uint64) {
 		fmt.Fprintf(peer, `{"op":"accept","call":%q,"with":{},"desc":""}`+"\n", id)
-		caller.frame(9, call)
-	}
-	stand(id, 1)
-	caller.setUpOf("voice", 2)
-	caller.frame(12, 2)
-	caller.setUpOf("video", 3)
-	stand(peer.line(`"video"`), 3)
-	p.until("/ops/stats", 200, "app.transactions.voice.answered=1\n")
-	p.until("/ops/stats", 200, "app.transactions.video.answered=1\n")
+		caller.wantFrame(9, call)
+	}
+	accept(id, 1)
+	caller.sendSetUpOfClass("voice", 2)
+	caller.wantFrame(12, 2)
+	caller.sendSetUpOfClass("video", 3)
+	accept(peer.wantLine(`"video"`), 3)
+	p.wantResponse("/ops/stats", 200, "app.transactions.voice.answered=1\n")
+	p.wantResponse("/ops/stats", 200, "app.transactions.video.answered=1\n")
 }
--- a/cmd/elmseam/stop_test.go
+++ b/cmd/elmseam/stop_test.go
@@ -16,11 +16,11 @@
 // connection is reset. A reload that comes while it stops, or twenty, hides no SIGTERM.
 func TestStopUnderLoad(t *testing.T) {
 	srv := listen(t)
-	p := start(t, "", endpoint("s", "in_service", srv))
-	peer := server(t, srv)
-	waits := dial(t, p.listen)
-	waits.setUp(1)
-	id := peer.line(`"offer"`)
+	p := startProgram(t, "", endpoint("s", "in_service", srv))
+	peer := acceptServer(t, srv)
+	waiting := dial(t, p.listen)
+	waiting.sendSetUp(1)
+	id := peer.wantLine(`"offer"`)
 	go func() { // it refuses whatever else it is asked
 		for {
 			text, err := peer.r.ReadString('\n')
@@ -39,13 +39,13 @@
 		err   error
 	}
 	ends := make(chan end)
-	var asked atomic.Int64
-	ask := func(c *conn, call uint64) {
+	var requested atomic.Int64
+	makeCalls := func(c *conn, call uint64) {
 		for {
 			call++
-			asked.Add(1)
+			requested.Add(1)
 			at := time.Now()
-			c.setUp(call)
+			c.sendSetUp(call)
 			var head [2]byte
 			n, err := io.ReadFull(c.r, head[:])
 			if err == nil {
@@ -61,7 +61,7 @@
 	}
 	const callers = 4
 	for n := range callers {
-		go ask(dial(t, p.listen), uint64(n+1)<<32)
+		go makeCalls(dial(t, p.listen), uint64(n+1)<<32)
 	}
 	for range 20 {
 		p.cmd.Process.Signal(syscall.SIGHUP)
@@ -70,53 +70,53 @@
 	p.cmd.Process.Signal(syscall.SIGTERM)
 	p.wantLog("stopping")
 	p.cmd.Process.Signal(syscall.SIGHUP)
-	fresh := 0
+	newConns := 0
 	answered := false
 	for {
 		c, err := net.Dial("tcp", p.listen)
 		if err != nil {
 			break
 		}
-		if fresh++; fresh == 3 { // in the grace
+		if newConns++; newConns == 3 { // in the grace
 			fmt.Fprintf(peer, `{"op":"accept","call":%q,"with":{},"desc":"x"}`+"\n"+`{"op":"end","call":%q,"with":{},"why":16}`+"\n", id, id)
 			answered = true
 		}
-		go ask(wrap(t, c, nil), uint64(100+fresh)<<32)
+		go makeCalls(newConn(t, c, nil), uint64(100+newConns)<<32)
 		time.Sleep(5 * time.Millisecond)
 	}
-	for range callers + fresh {
+	for range callers + newConns {
 		if e := <-ends; e.err != io.EOF || !e.owed {
 			t.Errorf("a connection ends with %v, %v after its last set-up", e.err, e.since)
 		}
 	}
-	if waits.frame(9, 1); !answered {
+	if waiting.wantFrame(9, 1); !answered {
 		t.Error("the test has not met its case")
 	}
-	waits.frame(12, 1)
-	if _, err := waits.r.ReadByte(); err != io.EOF {
+	waiting.wantFrame(12, 1)
+	if _, err := waiting.r.ReadByte(); err != io.EOF {
 		t.Errorf("the connection that waited ends with %v", err)
 	}
 	if err := p.cmd.Wait(); err != nil {
 		t.Errorf("the program ends with %v", err)
 	}
-	t.Logf("%d set-ups asked for, %d new connections", asked.Load(), fresh)
+	t.Logf("%d set-ups asked for, %d new connections", requested.Load(), newConns)
 }
 
 // The program starts again while the channel is down and its list is stale: a server on it has gone, and its address takes
 // no connections. It passes the front's test at once, and serves by those that are there.
-func TestReadyWithTheChannelDown(t *testing.T) {
+func TestReadyWithCommandChannelDown(t *testing.T) {
 	srv, gone := listen(t), listen(t)
 	p := newProgram(t, endpoint("gone", "in_service", gone), endpoint("s", "in_service", srv))
 	p.channel.Close()
 	gone.Close()
-	p.run("")
+	p.launch("")
 	caller := dial(t, p.listen)
 	caller.Write([]byte{0, 13, 52, 0, 0, 0, 0, 0, 0, 0, 9, 58, 0, 1, 0})
-	if caller.frame(53, 9)[3] != 1 {
+	if caller.wantFrame(53, 9)[3] != 1 {
 		t.Error("it doesn't pass the test")
 	}
-	peer := server(t, srv)
-	caller.setUp(1)
-	fmt.Fprintf(peer, `{"op":"accept","call":%q,"with":{},"desc":"x"}`+"\n", peer.line(`"offer"`))
-	caller.frame(9, 1)
+	peer := acceptServer(t, srv)
+	caller.sendSetUp(1)
+	fmt.Fprintf(peer, `{"op":"accept","call":%q,"with":{},"desc":"x"}`+"\n", peer.wantLine(`"offer"`))
+	caller.wantFrame(9, 1)
 }
--- a/cmd/elmseam/upgrade.go
+++ b/cmd/elmseam/upgrade.go
@@ -17,78 +17,78 @@
 )
 
 // upgrade is this process's part in hand-overs: from an older one at its start, and to a newer one at its end.
-type upgrade struct {
-	path, listen string // the socket of hand-overs, and where callers come
-	limits       handover.Limits
-	loop         *loop.Loop
-	front        *platform.Platform
-	listener     net.Listener
-	memory       *memory
-	log          zerolog.Logger
-	loud         zerolog.Logger // of what comes in masses
+type upgrader struct {
+	socketPath, listenAddr string // the socket of hand-overs, and where callers come
+	limits                 handover.Limits
+	loop                   *loop.Loop
+	platform               *platform.Platform
+	listener               net.Listener
+	memory                 *memoryShare
+	log                    zerolog.Logger
+	sampledLog             zerolog.Logger // of what comes in masses
 
-	old *handover.Peer // the predecessor; nil: there was none
+	predecessor *handover.Peer // the predecessor; nil: there was none
 
-	mu       sync.Mutex
-	host     *net.UnixListener
-	links    map[core.ConnID]core.ConnID // the predecessor's names of connections, and ours
-	next     *handover.Peer              // the successor
-	lent     bool                        // which has the listener too
-	ended    bool                        // the listener is being closed
-	ready    bool                        // it serves
-	stopping bool                        // and this process is to end
-	moving   bool                        // and hands its callers on
-	passed   map[core.ConnID]bool
+	mu               sync.Mutex
+	hostListener     *net.UnixListener
+	localConns       map[core.ConnID]core.ConnID // the predecessor's names of connections, and ours
+	successor        *handover.Peer              // the successor
+	listenerShared   bool                        // which has the listener too
+	listenerClosing  bool                        // the listener is being closed
+	successorServing bool                        // it serves
+	stopping         bool                        // and this process is to end
+	transferring     bool                        // and hands its callers on
+	transferred      map[core.ConnID]bool
 }
 
 // take gets the listener of a process that serves the address, if there is one.
-func (u *upgrade) take(listen string) bool {
-	if a, err := net.ResolveTCPAddr("tcp", listen); err == nil {
-		listen = a.String()
+func (u *upgrader) takeOver(listenAddr string) bool {
+	if addr, err := net.ResolveTCPAddr("tcp", listenAddr); err == nil {
+		listenAddr = addr.String()
 	}
-	old, l, err := handover.RequestListener(u.path, listen, u.limits)
+	predecessor, l, err := handover.RequestListener(u.socketPath, listenAddr, u.limits)
 	if err != nil {
 		u.log.Debug().Err(err).Msg("nothing to take over")
 		return false
 	}
-	u.old, u.listener, u.links = old, l, make(map[core.ConnID]core.ConnID)
+	u.predecessor, u.listener, u.localConns = predecessor, l, make(map[core.ConnID]core.ConnID)
 	u.log.Info().Msg("taking over from a running process")
 	return true
 }
 
 // follow hears what the predecessor says, until it has gone.
-func (u *upgrade) follow() {
+func (u *upgrader) followPredecessor() {
 	defer func() {
-		u.old.Close()
+		u.predecessor.Close()
 		u.loop.Post(core.Predecessor{})
-		u.memory.share(-1)
-		u.wait()
+		u.memory.addProcesses(-1)
+		u.listenForSuccessor()
 		u.log.Info().Msg("the predecessor has gone")
 	}()
 	for {
-		m, file, err := u.old.Receive()
+		m, file, err := u.predecessor.Receive()
 		if err != nil {
 			return
 		}
 		switch m.Kind {
 		case handover.Transferring: // the next one is to find this process
-			u.wait()
+			u.listenForSuccessor()
 			u.loop.Post(core.Predecessor{Present: true, Transferring: true})
 		case handover.CallerConn:
-			u.adopt(m, file)
+			u.adoptConn(m, file)
 		case handover.CallsEnded:
 			u.loop.Post(core.EndedCalls{IDs: m.IDs})
 		case handover.Effect:
 			u.mu.Lock()
-			to := u.links[m.Conn]
+			connID := u.localConns[m.Conn]
 			u.mu.Unlock()
-			u.loop.Post(core.Relayed{Protocol: m.Protocol, Conn: to, Effect: m.ToEffect()})
+			u.loop.Post(core.Relayed{Protocol: m.Protocol, Conn: connID, Effect: m.ToEffect()})
 		}
 	}
 }
 
 // adopt serves a connection of the predecessor's.
-func (u *upgrade) adopt(m handover.Message, file *os.File) {
+func (u *upgrader) adoptConn(m handover.Message, file *os.File) {
 	if file == nil {
 		return
 	}
@@ -96,111 +96,111 @@
 	file.Close()
 	if err != nil {
 		u.log.Warn().Err(err).Msg("a caller's connection can't be taken over")
-		u.old.Send(handover.Message{Kind: handover.CallerDown, Conn: m.Conn})
+		u.predecessor.Send(handover.Message{Kind: handover.CallerDown, Conn: m.Conn})
 		return
 	}
-	ours := u.loop.NewConnID()
+	connID := u.loop.NewConnID()
 	u.mu.Lock()
-	u.links[m.Conn] = ours
+	u.localConns[m.Conn] = connID
 	u.mu.Unlock()
-	up := core.CallerUp{Conn: ours, Protocol: platform.Protocol, HadSetUp: m.Asked, Open: m.Pending, Established: m.Established}
-	u.front.Adopt(conn, m.Unprocessed, up, func() {
+	up := core.CallerUp{Conn: connID, Protocol: platform.Protocol, HadSetUp: m.Asked, Open: m.Pending, Established: m.Established}
+	u.platform.Adopt(conn, m.Unprocessed, up, func() {
 		u.mu.Lock()
-		delete(u.links, m.Conn)
+		delete(u.localConns, m.Conn)
 		u.mu.Unlock()
-		u.old.Send(handover.Message{Kind: handover.CallerDown, Conn: m.Conn})
+		u.predecessor.Send(handover.Message{Kind: handover.CallerDown, Conn: m.Conn})
 	})
-	u.loud.Info().Uint64("link", uint64(ours)).Msg("a caller's connection taken over")
+	u.sampledLog.Info().Uint64("link", uint64(connID)).Msg("a caller's connection taken over")
 }
 
 // toPredecessor passes on what concerns a call that is not known here.
-func (u *upgrade) toPredecessor(e core.ToPredecessor) {
-	if u.old == nil {
+func (u *upgrader) sendToPredecessor(e core.ToPredecessor) {
+	if u.predecessor == nil {
 		return
 	}
 	switch ev := e.Event.(type) {
 	case core.CallerEnd:
 		var from core.ConnID
 		u.mu.Lock()
-		for of, ours := range u.links {
+		for theirs, ours := range u.localConns {
 			if ours == ev.From {
-				from = of
+				from = theirs
 			}
 		}
 		u.mu.Unlock()
-		u.old.Send(handover.Message{Kind: handover.CallerEnd, Conn: from, ID: ev.ID})
+		u.predecessor.Send(handover.Message{Kind: handover.CallerEnd, Conn: from, ID: ev.ID})
 	case core.ServerEnd:
-		u.old.Send(handover.Message{Kind: handover.ServerEnd, Server: ev.Server, ID: ev.ID, Reason: ev.Reason})
+		u.predecessor.Send(handover.Message{Kind: handover.ServerEnd, Server: ev.Server, ID: ev.ID, Reason: ev.Reason})
 	}
 }
 
 // serving tells the predecessor that it can go.
-func (u *upgrade) serving() {
-	if u.old != nil {
-		u.old.Send(handover.Message{Kind: handover.Serving})
+func (u *upgrader) reportServing() {
+	if u.predecessor != nil {
+		u.predecessor.Send(handover.Message{Kind: handover.Serving})
 	}
 }
 
 // wait has successors find this process. Where that can't be had there is no hand-over.
-func (u *upgrade) wait() {
+func (u *upgrader) listenForSuccessor() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.host != nil || u.path == "" || u.moving {
+	if u.hostListener != nil || u.socketPath == "" || u.transferring {
 		return
 	}
-	host, err := handover.Listen(u.path)
+	listener, err := handover.Listen(u.socketPath)
 	if err != nil {
 		u.log.Info().Err(err).Msg("no hand-over to a newer process")
 		return
 	}
-	u.host = host
+	u.hostListener = listener
 	go func() {
 		for {
-			conn, err := host.AcceptUnix()
+			conn, err := listener.AcceptUnix()
 			if err != nil {
 				return
 			}
-			u.meet(conn)
+			u.acceptSuccessor(conn)
 		}
 	}()
 }
 
 // meet hears a process that has come to take over. One at a time can.
-func (u *upgrade) meet(conn *net.UnixConn) {
+func (u *upgrader) acceptSuccessor(conn *net.UnixConn) {
 	u.mu.Lock()
-	why := ""
+	refusal := ""
 	listener, ok := u.listener.(syscall.Conn)
 	switch {
-	case u.next != nil:
-		why = "another process is taking over"
-	case u.ended:
-		why = handover.ReasonExiting
+	case u.successor != nil:
+		refusal = "another process is taking over"
+	case u.listenerClosing:
+		refusal = handover.ReasonExiting
 	case !ok:
-		why = "the listener can't be handed over"
+		refusal = "the listener can't be handed over"
 	default:
-		u.lent = true
+		u.listenerShared = true
 	}
 	u.mu.Unlock()
-	next, err := handover.AcceptSuccessor(conn, u.listen, why, listener, u.limits)
+	successor, err := handover.AcceptSuccessor(conn, u.listenAddr, refusal, listener, u.limits)
 	if err != nil {
 		u.mu.Lock()
-		u.lent = u.next != nil
+		u.listenerShared = u.successor != nil
 		u.mu.Unlock()
 		u.log.Warn().Err(err).Msg("hand-over refused")
 		return
 	}
 	u.log.Info().Msg("a newer process has come")
-	u.memory.share(1)
+	u.memory.addProcesses(1)
 	u.mu.Lock()
-	u.next, u.passed = next, make(map[core.ConnID]bool)
+	u.successor, u.transferred = successor, make(map[core.ConnID]bool)
 	u.mu.Unlock()
-	go u.serve(next)
+	go u.followSuccessor(successor)
 }
 
 // serve hears what the successor says, until it has gone.
-func (u *upgrade) serve(next *handover.Peer) {
+func (u *upgrader) followSuccessor(successor *handover.Peer) {
 	for {
-		m, file, err := next.Receive()
+		m, file, err := successor.Receive()
 		if file != nil {
 			file.Close()
 		}
@@ -210,12 +210,12 @@
 		switch m.Kind {
 		case handover.Serving:
 			u.mu.Lock()
-			u.ready = true
+			u.successorServing = true
 			u.mu.Unlock()
-			u.move()
+			u.transferIfReady()
 		case handover.CallerDown:
 			u.mu.Lock()
-			delete(u.passed, m.Conn)
+			delete(u.transferred, m.Conn)
 			u.mu.Unlock()
 			u.loop.Post(core.CallerDown{Conn: m.Conn})
 		case handover.CallerEnd:
@@ -224,63 +224,63 @@
 			u.loop.Post(core.ServerEnd{Server: m.Server, ID: m.ID, Reason: m.Reason})
 		}
 	}
-	next.Close()
+	successor.Close()
 	u.mu.Lock()
-	passed := u.passed
-	u.passed = nil
-	if !u.moving {
-		u.next, u.ready, u.lent = nil, false, false
+	transferred := u.transferred
+	u.transferred = nil
+	if !u.transferring {
+		u.successor, u.successorServing, u.listenerShared = nil, false, false
 		if u.stopping {
-			u.front.MarkStopping()
+			u.platform.MarkStopping()
 		}
 	}
 	u.mu.Unlock()
-	u.memory.share(-1)
+	u.memory.addProcesses(-1)
 	u.log.Warn().Msg("the newer process has gone")
-	for l := range passed {
-		u.loop.Post(core.CallerDown{Conn: l})
+	for connID := range transferred {
+		u.loop.Post(core.CallerDown{Conn: connID})
 	}
 }
 
 // stop takes in that this process is to end, and says whether a successor is there.
-func (u *upgrade) stop() bool {
+func (u *upgrader) requestStop() bool {
 	u.mu.Lock()
 	u.stopping = true
-	succeeded := u.next != nil
+	hasSuccessor := u.successor != nil
 	u.mu.Unlock()
-	u.move()
-	return succeeded
+	u.transferIfReady()
+	return hasSuccessor
 }
 
 // closeListener has the listener closed. Where a successor has it too, whoever waits there is the successor's, and nothing may
 // be changed about it.
-func (u *upgrade) closeListener() {
+func (u *upgrader) closeListener() {
 	u.mu.Lock()
-	u.ended = true
-	lent := u.lent
+	u.listenerClosing = true
+	shared := u.listenerShared
 	u.mu.Unlock()
-	if lent {
+	if shared {
 		u.listener.Close()
 	} else {
-		u.front.CloseListener()
+		u.platform.CloseListener()
 	}
 }
 
 // move hands the callers on when the successor serves and this process is to end.
-func (u *upgrade) move() {
+func (u *upgrader) transferIfReady() {
 	u.mu.Lock()
-	begins := u.ready && u.stopping && !u.moving
-	if begins {
-		u.moving = true
-		if u.host != nil {
-			u.host.Close()
+	starts := u.successorServing && u.stopping && !u.transferring
+	if starts {
+		u.transferring = true
+		if u.hostListener != nil {
+			u.hostListener.Close()
 		}
 		u.listener.Close() // the successor has the same: nobody who waits there is turned away
-		u.front.SetSuccessor(u)
-		u.next.Send(handover.Message{Kind: handover.Transferring})
+		u.platform.SetSuccessor(u)
+		u.successor.Send(handover.Message{Kind: handover.Transferring})
 	}
 	u.mu.Unlock() // the loop may want it before it takes the event
-	if !begins {
+	if !starts {
 		return
 	}
 	u.loop.Post(core.HandOver{})
@@ -288,80 +288,80 @@
 }
 
 // Transfer is handed a caller's connection for the successor.
-func (u *upgrade) Transfer(pass core.Transfer, rest []byte, conn syscall.Conn) error {
+func (u *upgrader) Transfer(transfer core.Transfer, unprocessed []byte, conn syscall.Conn) error {
 	u.mu.Lock()
-	next := u.next
+	successor := u.successor
 	u.mu.Unlock()
-	err := next.SendFile(handover.Message{Kind: handover.CallerConn, Conn: pass.To, Unprocessed: rest, Pending: pass.Open, Established: pass.Established, Asked: pass.HadSetUp}, conn)
+	err := successor.SendFile(handover.Message{Kind: handover.CallerConn, Conn: transfer.To, Unprocessed: unprocessed, Pending: transfer.Open, Established: transfer.Established, Asked: transfer.HadSetUp}, conn)
 	if err != nil {
 		return err
 	}
 	u.mu.Lock()
-	gone := u.passed == nil
-	if !gone {
-		u.passed[pass.To] = true
+	successorGone := u.transferred == nil
+	if !successorGone {
+		u.transferred[transfer.To] = true
 	}
 	u.mu.Unlock()
-	if gone { // it may have read of it: nobody can go on there
-		u.loop.Post(core.CallerDown{Conn: pass.To})
+	if successorGone { // it may have read of it: nobody can go on there
+		u.loop.Post(core.CallerDown{Conn: transfer.To})
 	}
 	return nil
 }
 
 // ForwardEffect passes on what is for a caller whose connection the successor has, or with a link of 0 any.
-func (u *upgrade) ForwardEffect(link core.ConnID, e core.Effect) {
-	u.tell(platform.Protocol, link, e)
+func (u *upgrader) ForwardEffect(connID core.ConnID, e core.Effect) {
+	u.sendToSuccessor(platform.Protocol, connID, e)
 }
 
-func (u *upgrade) tell(front core.Protocol, link core.ConnID, e core.Effect) {
+func (u *upgrader) sendToSuccessor(protocol core.Protocol, connID core.ConnID, e core.Effect) {
 	u.mu.Lock()
-	next := u.next
+	successor := u.successor
 	u.mu.Unlock()
-	if m, ok := handover.FromEffect(front, link, e); ok && next != nil {
-		next.Send(m)
+	if m, ok := handover.FromEffect(protocol, connID, e); ok && successor != nil {
+		successor.Send(m)
 	}
 }
 
 // leave tells the successor what it may hear of again, and goes.
-func (u *upgrade) leave(c *core.Core) {
+func (u *upgrader) finish(reducer *core.Core) {
 	u.mu.Lock()
-	next, moving := u.next, u.moving
+	successor, transferring := u.successor, u.transferring
 	u.mu.Unlock()
-	if next == nil {
+	if successor == nil {
 		return
 	}
-	if moving {
-		next.Send(handover.Message{Kind: handover.CallsEnded, IDs: c.RecentlyEnded(u.limits.MaxEndedCalls)})
-		next.Flush()
+	if transferring {
+		successor.Send(handover.Message{Kind: handover.CallsEnded, IDs: reducer.RecentlyEnded(u.limits.MaxEndedCalls)})
+		successor.Flush()
 	}
-	next.Close()
+	successor.Close()
 }
 
 // memory is what this process takes of the memory that it may share with others.
-type memory struct {
-	mu     sync.Mutex
-	limits config.Limits
-	others int
+type memoryShare struct {
+	mu             sync.Mutex
+	limits         config.Limits
+	otherProcesses int
 }
 
 // share counts one process more or less beside this one.
-func (m *memory) share(n int) {
+func (m *memoryShare) addProcesses(n int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.others += n
-	m.collect()
+	m.otherProcesses += n
+	m.apply()
 }
 
 // configure takes limits in.
-func (m *memory) configure(l config.Limits) {
+func (m *memoryShare) setLimits(l config.Limits) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.limits = l
-	m.collect()
+	m.apply()
 }
 
 // collect sets the garbage collector to the part there is.
-func (m *memory) collect() {
-	debug.SetMemoryLimit(m.limits.MemoryLimit / int64(1+m.others))
+func (m *memoryShare) apply() {
+	debug.SetMemoryLimit(m.limits.MemoryLimit / int64(1+m.otherProcesses))
 	debug.SetGCPercent(m.limits.GCPercent)
 }
--- a/internal/m3ua/caller.go
+++ b/internal/m3ua/caller.go
@@ -11,25 +11,25 @@
 )
 
 // caller is the connection of an old client, an ASP of ours.
-type caller struct {
+type callerConn struct {
 	session
-	late   *time.Timer // ends one that doesn't come up
-	link   core.ConnID // while active
-	up     bool
-	active bool
+	activationTimer *time.Timer // ends one that doesn't come up
+	connID          core.ConnID // while active
+	aspUp           bool
+	active          bool
 }
 
 // Serve serves callers until the listener is closed.
 func (m *M3UA) Serve(l net.Listener) {
-	link.NewAcceptor(func() int { return m.told.Load().MaxCallers }, func(conn net.Conn) {
-		c := &caller{session: m.session(conn, m.told.Load().CallerConn)}
-		c.handle = c.take
-		c.late = time.AfterFunc(c.limits.MessageTimeout, func() { conn.Close() })
-		defer c.late.Stop()
+	link.NewAcceptor(func() int { return m.config.Load().MaxCallers }, func(conn net.Conn) {
+		c := &callerConn{session: m.newSession(conn, m.config.Load().CallerConn)}
+		c.handler = c.handleMessage
+		c.activationTimer = time.AfterFunc(c.limits.MessageTimeout, func() { conn.Close() })
+		defer c.activationTimer.Stop()
 		err := c.read()
-		m.loud.Info().Err(err).Stringer("caller", conn.RemoteAddr()).Msg("association ended")
+		m.sampledLog.Info().Err(err).Stringer("caller", conn.RemoteAddr()).Msg("association ended")
 		c.deactivate()
-		if _, bad := err.(*protocolError); bad { // the ERR is still to be read
+		if _, malformed := err.(*protocolError); malformed { // the ERR is still to be read
 			c.out.Linger(conn)
 		}
 	}).Serve(l)
@@ -39,96 +39,96 @@
 func (m *M3UA) FreeCircuit(id core.ID) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if ci, there := m.circuits[id]; there {
-		m.free(ci)
+	if circ, ok := m.circuitByCall[id]; ok {
+		m.freeLocked(circ)
 	}
 }
 
 // SetServing tells callers whether this point takes new calls: DAVA or DUNA.
-func (m *M3UA) SetServing(yes bool) {
+func (m *M3UA) SetServing(on bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.serving = yes
+	m.serving = on
 	for c := range m.active {
-		c.available(yes)
+		c.sendAvailability(on)
 	}
 }
 
-func (c *caller) available(yes bool) {
+func (c *callerConn) sendAvailability(available bool) {
 	kind := uint16(msgDUNA)
-	if yes {
+	if available {
 		kind = msgDAVA
 	}
-	c.send(kind, number32(tagRoutingContext, c.m.RoutingContext), number32(tagAffectedPC, c.m.PointCode))
+	c.send(kind, uint32Param(tagRoutingContext, c.m.RoutingContext), uint32Param(tagAffectedPC, c.m.PointCode))
 }
 
 // take handles a caller's message.
-func (c *caller) take(msg message, at core.Time) error {
-	context := number32(tagRoutingContext, c.m.RoutingContext)
+func (c *callerConn) handleMessage(msg message, at core.Time) error {
+	routingContext := uint32Param(tagRoutingContext, c.m.RoutingContext)
 	switch msg.kind {
 	case msgASPUP:
 		c.deactivate()
-		c.late.Stop()
-		c.up = true
+		c.activationTimer.Stop()
+		c.aspUp = true
 		c.send(msgASPUPACK)
-		c.send(msgNTFY, number32(tagStatus, statusASInactive), context)
+		c.send(msgNTFY, uint32Param(tagStatus, statusASInactive), routingContext)
 	case msgASPDN:
 		c.deactivate()
-		c.up = false
+		c.aspUp = false
 		c.send(msgASPDNACK)
 	case msgASPAC:
-		if !c.up {
-			return unknown(msg.kind)
+		if !c.aspUp {
+			return unexpectedMessage(msg.kind)
 		}
-		if rc, there := msg.number(tagRoutingContext); there && rc != c.m.RoutingContext {
+		if rc, ok := msg.getUint32(tagRoutingContext); ok && rc != c.m.RoutingContext {
 			return &protocolError{errContext, "ASP active for another routing context", false}
 		}
-		c.send(msgASPACACK, context)
-		c.send(msgNTFY, number32(tagStatus, statusASActive), context)
+		c.send(msgASPACACK, routingContext)
+		c.send(msgNTFY, uint32Param(tagStatus, statusASActive), routingContext)
 		c.activate()
 	case msgASPIA:
-		if !c.up {
-			return unknown(msg.kind)
+		if !c.aspUp {
+			return unexpectedMessage(msg.kind)
 		}
 		c.deactivate()
-		c.send(msgASPIAACK, context)
-		c.send(msgNTFY, number32(tagStatus, statusASInactive), context)
+		c.send(msgASPIAACK, routingContext)
+		c.send(msgNTFY, uint32Param(tagStatus, statusASInactive), routingContext)
 	case msgDAUD:
 		if !c.active {
-			return unknown(msg.kind)
+			return unexpectedMessage(msg.kind)
 		}
 		c.m.mu.Lock()
-		c.available(c.m.serving)
+		c.sendAvailability(c.m.serving)
 		c.m.mu.Unlock()
 	case msgDATA:
 		if !c.active {
-			return unknown(msg.kind)
+			return unexpectedMessage(msg.kind)
 		}
-		return c.data(msg, at)
+		return c.handleData(msg, at)
 	default:
-		return unknown(msg.kind)
+		return unexpectedMessage(msg.kind)
 	}
 	return nil
 }
 
 // activate lets calls in.
-func (c *caller) activate() {
+func (c *callerConn) activate() {
 	if c.active {
 		return
 	}
-	c.active, c.link = true, c.m.loop.NewConnID()
+	c.active, c.connID = true, c.m.loop.NewConnID()
 	c.m.mu.Lock()
 	c.m.active[c] = true
 	if !c.m.serving {
-		c.available(false)
+		c.sendAvailability(false)
 	}
 	c.m.mu.Unlock()
-	c.m.loop.Attach(c.link, &callerSide{c}, core.CallerUp{Conn: c.link, Protocol: Protocol})
+	c.m.loop.Attach(c.connID, &callerEffects{c}, core.CallerUp{Conn: c.connID, Protocol: Protocol})
 }
 
 // deactivate stops new calls at once. Set-ups open here may come again on another association; what stands
 // is released on any that is active.
-func (c *caller) deactivate() {
+func (c *callerConn) deactivate() {
 	if !c.active {
 		return
 	}
@@ -136,29 +136,29 @@
 	c.m.mu.Lock()
 	delete(c.m.active, c)
 	c.m.mu.Unlock()
-	c.m.loop.Post(core.CallerDown{Conn: c.link})
+	c.m.loop.Post(core.CallerDown{Conn: c.connID})
 }
 
 // data handles an ISUP message.
-func (c *caller) data(msg message, at core.Time) error {
-	ci, isup, err := parseData(msg, c.m.RoutingContext)
+func (c *callerConn) handleData(msg message, at core.Time) error {
+	circ, isup, err := parseData(msg, c.m.RoutingContext)
 	if err != nil {
 		return err
 	}
-	k, err := parseISUP(isup)
+	sig, err := parseISUP(isup)
 	if err != nil {
 		return err
 	}
-	switch k.kind {
+	switch sig.kind {
 	case isupIAM:
-		c.setUp(ci, k, at)
+		c.handleSetUp(circ, sig, at)
 	case isupREL, isupRSC: // after a restart, a client resets its circuits
 		c.m.mu.Lock()
-		id, there := c.m.free(ci)
-		c.reply(ci.back(), call{kind: isupRLC})
+		id, ok := c.m.freeLocked(circ)
+		c.sendISUP(circ.reverse(), isupMessage{kind: isupRLC})
 		c.m.mu.Unlock()
-		if there {
-			c.m.loop.Post(core.CallerEnd{ID: id, From: c.link})
+		if ok {
+			c.m.loop.Post(core.CallerEnd{ID: id, From: c.connID})
 		}
 	case isupRLC: // the circuit was freed when it was released
 	default:
@@ -169,84 +169,84 @@
 
 // setUp takes a circuit for a call. A set-up on a circuit in use is the same call come again after its
 // association broke.
-func (c *caller) setUp(ci circuit, k call, at core.Time) {
-	ev := core.SetUp{
-		From: c.link, Class: c.m.classOf(k.category), Number: number(k.digits), NumberText: k.digits, Desc: k.desc,
+func (c *callerConn) handleSetUp(circ circuit, iam isupMessage, at core.Time) {
+	setUp := core.SetUp{
+		From: c.connID, Class: c.m.classOfCategory(iam.category), Number: hashNumber(iam.digits), NumberText: iam.digits, Desc: iam.desc,
 		Cell: -1, At: at,
 	}
-	if cell, there := c.m.Cells[strconv.Itoa(int(ci.dpc))]; there {
-		ev.Cell = cell
+	if cell, ok := c.m.Cells[strconv.Itoa(int(circ.dpc))]; ok {
+		setUp.Cell = cell
 	}
-	if ev.Class >= 0 { // places are kept for good
-		class := c.m.told.Load().Deployment.Classes[ev.Class]
-		ev.Name, ev.TimeLeft = class.Name, class.MaxWait
+	if setUp.Class >= 0 { // places are kept for good
+		class := c.m.config.Load().Deployment.Classes[setUp.Class]
+		setUp.Name, setUp.TimeLeft = class.Name, class.MaxWait
 	}
 	c.m.mu.Lock()
-	id, there := c.m.inbound[ci]
-	if !there {
+	id, ok := c.m.callByCircuit[circ]
+	if !ok {
 		id = c.m.newID()
-		c.m.inbound[ci], c.m.circuits[id] = id, ci
+		c.m.callByCircuit[circ], c.m.circuitByCall[id] = id, circ
 	}
 	c.m.mu.Unlock()
-	ev.ID = id
-	c.reply(ci.back(), call{kind: isupACM})
-	c.m.loop.Post(ev)
+	setUp.ID = id
+	c.sendISUP(circ.reverse(), isupMessage{kind: isupACM})
+	c.m.loop.Post(setUp)
 }
 
 // free frees a caller's circuit. The lock is held from here until what follows on the circuit is queued:
 // else the answer of a call given up could come behind the RLC, and pass for that of the next call.
-func (m *M3UA) free(ci circuit) (core.ID, bool) {
-	id, there := m.inbound[ci]
-	if there {
-		delete(m.inbound, ci)
-		delete(m.circuits, id)
+func (m *M3UA) freeLocked(circ circuit) (core.ID, bool) {
+	id, ok := m.callByCircuit[circ]
+	if ok {
+		delete(m.callByCircuit, circ)
+		delete(m.circuitByCall, id)
 	}
-	return id, there
+	return id, ok
 }
 
 // reply writes an ISUP message.
-func (c *caller) reply(ci circuit, k call) {
-	isup, err := appendISUP(ci.cic, k)
+func (c *callerConn) sendISUP(circ circuit, sig isupMessage) {
+	isup, err := buildISUP(circ.cic, sig)
 	if err != nil {
 		c.m.log.Error().Err(err).Msg("message not sent")
 		return
 	}
-	c.out.Post(link.Item{Data: dataMessage(ci, c.m.NetworkIndicator, c.m.RoutingContext, isup)})
+	c.out.Post(link.Item{Data: buildData(circ, c.m.NetworkIndicator, c.m.RoutingContext, isup)})
 }
 
 // callerSide carries effects out towards a caller.
-type callerSide struct{ c *caller }
+type callerEffects struct{ conn *callerConn }
 
-func (s *callerSide) Close() { s.c.out.Close() }
+func (s *callerEffects) Close() { s.conn.out.Close() }
 
-func (s *callerSide) Flush() { s.c.out.Flush() }
+func (s *callerEffects) Flush() { s.conn.out.Flush() }
 
 // HandleEffect writes an effect for a caller. A call's circuit is free from its final answer or release on.
-func (s *callerSide) HandleEffect(e core.Effect) []core.Event {
-	m := s.c.m
+func (s *callerEffects) HandleEffect(e core.Effect) []core.Event {
+	m := s.conn.m
 	switch e := e.(type) {
 	case core.Answered:
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		if ci, there := m.circuits[e.ID]; there {
-			s.c.reply(ci.back(), call{kind: isupANM, desc: e.Desc})
+		if circ, ok := m.circuitByCall[e.ID]; ok {
+			s.conn.sendISUP(circ.reverse(), isupMessage{kind: isupANM, desc: e.Desc})
 		}
 	case core.Rejected:
-		s.release(e.ID, call{kind: isupREL, cause: int(q850.CauseFromReason(e.Reason)), retry: e.RetryAfter})
+		s.release(e.ID, isupMessage{kind: isupREL, cause: int(q850.CauseFromReason(e.Reason)), retryAfter: e.RetryAfter})
 	case core.Released:
-		s.release(e.ID, call{kind: isupREL, cause: int(q850.CauseFromReason(e.Reason))})
+		s.release(e.ID, isupMessage{kind: isupREL, cause: int(q850.CauseFromReason(e.Reason))})
 	case core.GracefulClose:
-		s.c.out.Finish(s.c.out.Close)
+		s.conn.out.Finish(s.conn.out.Close)
 	}
 	return nil
 }
 
-func (s *callerSide) release(id core.ID, k call) {
-	m := s.c.m
+func (s *callerEffects) release(id core.ID, sig isupMessage) {
+	m := s.conn.m
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if ci, there := m.circuits[id]; there {
-		m.free(ci)
-		s.c.reply(ci.back(), k)
+	if circ, ok := m.circuitByCall[id]; ok {
+		m.freeLocked(circ)
+		s.conn.sendISUP(circ.reverse(), sig)
 	}
 }
--- a/internal/m3ua/front.go
+++ b/internal/m3ua/front.go
@@ -59,9 +59,9 @@
 	case f.Circuits <= 0 || f.Circuits > 1<<16:
 		return fmt.Errorf("circuits: %d", f.Circuits)
 	}
-	for name, n := range f.Categories {
-		if n < 0 || n > 255 {
-			return fmt.Errorf("categories.%s: %d is none", name, n)
+	for name, category := range f.Categories {
+		if category < 0 || category > 255 {
+			return fmt.Errorf("categories.%s: %d is none", name, category)
 		}
 	}
 	for pc := range f.Cells {
@@ -95,30 +95,30 @@
 // M3UA is the front.
 type M3UA struct {
 	FileConfig
-	told   atomic.Pointer[Config]
-	loop   *loop.Loop
-	log    zerolog.Logger
-	loud   zerolog.Logger    // of what peers can cause as often as they like
-	trunks map[string]*trunk // by server
-	serial atomic.Uint64
-	boot   uint64 // what the front's ids begin with
+	config     atomic.Pointer[Config]
+	loop       *loop.Loop
+	log        zerolog.Logger
+	sampledLog zerolog.Logger    // of what peers can cause as often as they like
+	trunks     map[string]*trunk // by server
+	lastSerial atomic.Uint64
+	idPrefix   uint64 // what the front's ids begin with
 
-	mu       sync.Mutex
-	inbound  map[circuit]core.ID // callers' circuits in use
-	circuits map[core.ID]circuit
-	active   map[*caller]bool
-	serving  bool
+	mu            sync.Mutex
+	callByCircuit map[circuit]core.ID // callers' circuits in use
+	circuitByCall map[core.ID]circuit
+	active        map[*callerConn]bool
+	serving       bool
 }
 
 // New makes the front.
 func New(cfg Config, l *loop.Loop, log zerolog.Logger) (*M3UA, error) {
 	m := &M3UA{
-		FileConfig: cfg.FileConfig, loop: l, log: log, loud: link.SampledLogger(log), trunks: make(map[string]*trunk),
-		inbound: make(map[circuit]core.ID), circuits: make(map[core.ID]circuit), active: make(map[*caller]bool),
+		FileConfig: cfg.FileConfig, loop: l, log: log, sampledLog: link.SampledLogger(log), trunks: make(map[string]*trunk),
+		callByCircuit: make(map[circuit]core.ID), circuitByCall: make(map[core.ID]circuit), active: make(map[*callerConn]bool),
 	}
 	m.Configure(cfg)
 	for name := range cfg.Categories {
-		if m.class(name) < 0 {
+		if m.classByName(name) < 0 {
 			return nil, fmt.Errorf("categories.%s: no such class", name)
 		}
 	}
@@ -127,12 +127,12 @@
 	}
 	var seed [8]byte
 	rand.Read(seed[:])
-	m.boot = binary.BigEndian.Uint64(seed[:]) &^ 0xffffffff
+	m.idPrefix = binary.BigEndian.Uint64(seed[:]) &^ 0xffffffff
 	return m, nil
 }
 
 // Configure replaces what the front was told, but for its file. Connections that are open keep their limits.
-func (m *M3UA) Configure(cfg Config) { m.told.Store(&cfg) }
+func (m *M3UA) Configure(cfg Config) { m.config.Store(&cfg) }
 
 // Servers is the front's list of servers.
 func (m *M3UA) Servers() core.List {
@@ -149,9 +149,9 @@
 func (m *M3UA) HasServer(name string) bool { return m.trunks[name] != nil }
 
 // class is the class of a name, -1: none.
-func (m *M3UA) class(name string) int {
-	for i, have := range m.told.Load().Deployment.Classes {
-		if have.Name == name && !have.Removed {
+func (m *M3UA) classByName(name string) int {
+	for i, class := range m.config.Load().Deployment.Classes {
+		if class.Name == name && !class.Removed {
 			return i
 		}
 	}
@@ -159,26 +159,26 @@
 }
 
 // category is the calling party's category that stands for a class.
-func (m *M3UA) category(class string) (byte, bool) {
-	n, ok := m.Categories[class]
-	return byte(n), ok
+func (m *M3UA) categoryOfClass(class string) (byte, bool) {
+	category, ok := m.Categories[class]
+	return byte(category), ok
 }
 
 // classOf is the class that a category stands for, -1: none.
-func (m *M3UA) classOf(category byte) int {
-	for name, n := range m.Categories {
-		if n == int(category) {
-			return m.class(name)
+func (m *M3UA) classOfCategory(category byte) int {
+	for name, have := range m.Categories {
+		if have == int(category) {
+			return m.classByName(name)
 		}
 	}
 	return -1
 }
 
 // newID names a call of this front's callers.
-func (m *M3UA) newID() core.ID { return core.ID(m.boot | m.serial.Add(1)&0xffffffff) }
+func (m *M3UA) newID() core.ID { return core.ID(m.idPrefix | m.lastSerial.Add(1)&0xffffffff) }
 
 // number is a called number as the module compares it: 0 is none.
-func number(digits string) uint64 {
+func hashNumber(digits string) uint64 {
 	if digits == "" {
 		return 0
 	}
@@ -189,21 +189,21 @@
 
 // session is what both kinds of connection share: reading, heartbeats and errors.
 type session struct {
-	m      *M3UA
-	conn   net.Conn
-	limits link.Limits
-	out    *link.Outbox
-	handle func(msg message, at core.Time) error
+	m       *M3UA
+	conn    net.Conn
+	limits  link.Limits
+	out     *link.Outbox
+	handler func(msg message, at core.Time) error
 }
 
-func (m *M3UA) session(conn net.Conn, limits link.Limits) session {
+func (m *M3UA) newSession(conn net.Conn, limits link.Limits) session {
 	return session{m: m, conn: conn, limits: limits, out: link.NewOutbox(conn, limits)}
 }
 
-var errSlow = errors.New("a message was not whole in time")
+var errMessageTimeout = errors.New("a message was not whole in time")
 
 func (s *session) send(kind uint16, params ...param) {
-	s.out.Post(link.Item{Data: build(kind, params...)})
+	s.out.Post(link.Item{Data: buildMessage(kind, params...)})
 }
 
 // read takes in messages until the connection ends. What is malformed is answered by an ERR; where nothing
@@ -211,44 +211,44 @@
 // and given up when it answers none; one that stops within a message, or trickles it, is not waited for.
 func (s *session) read() error {
 	in := link.NewBuffer(s.limits.InitialBufferSize, s.limits.MaxMessageSize)
-	beat := time.Duration(s.m.HeartbeatMS) * time.Millisecond
-	errs, silent := 0, 0
-	var whole time.Time // when the message under way must be; zero: there is none
+	heartbeat := time.Duration(s.m.HeartbeatMS) * time.Millisecond
+	malformedCount, unanswered := 0, 0
+	var messageDeadline time.Time // when the message under way must be; zero: there is none
 	for {
-		until := time.Now().Add(beat)
-		if !whole.IsZero() && whole.Before(until) {
-			until = whole
+		readDeadline := time.Now().Add(heartbeat)
+		if !messageDeadline.IsZero() && messageDeadline.Before(readDeadline) {
+			readDeadline = messageDeadline
 		}
-		s.conn.SetReadDeadline(until)
+		s.conn.SetReadDeadline(readDeadline)
 		err := in.Fill(s.conn)
-		if !whole.IsZero() && !time.Now().Before(whole) {
-			return errSlow
+		if !messageDeadline.IsZero() && !time.Now().Before(messageDeadline) {
+			return errMessageTimeout
 		}
-		if errors.Is(err, os.ErrDeadlineExceeded) && silent < maxSilent {
-			silent++
+		if errors.Is(err, os.ErrDeadlineExceeded) && unanswered < maxUnansweredHeartbeats {
+			unanswered++
 			s.send(msgBEAT, param{tagHeartbeat, []byte("elmseam")})
 			continue
 		}
 		if err != nil {
 			return err
 		}
-		silent = 0
+		unanswered = 0
 		at := s.m.loop.Now()
 		for {
-			msg, n, err := parse(in.Bytes(), s.limits.MaxMessageSize)
-			if err == errShort {
+			msg, n, err := parseMessage(in.Bytes(), s.limits.MaxMessageSize)
+			if err == errIncomplete {
 				break
 			}
-			whole = time.Time{} // another one begins
+			messageDeadline = time.Time{} // another one begins
 			if err == nil {
-				err = s.take(msg, at)
+				err = s.dispatch(msg, at)
 			}
-			if bad, ok := err.(*protocolError); ok {
-				if errs++; errs == 1 {
-					s.m.loud.Warn().Err(err).Stringer("peer", s.conn.RemoteAddr()).Msg("malformed signalling")
+			if protoErr, ok := err.(*protocolError); ok {
+				if malformedCount++; malformedCount == 1 {
+					s.m.sampledLog.Warn().Err(err).Stringer("peer", s.conn.RemoteAddr()).Msg("malformed signalling")
 				}
-				s.send(msgERR, number32(tagErrorCode, bad.code))
-				if bad.end || errs >= maxErrors {
+				s.send(msgERR, uint32Param(tagErrorCode, protoErr.code))
+				if protoErr.fatal || malformedCount >= maxMalformedMessages {
 					return err
 				}
 			} else if err != nil {
@@ -256,40 +256,40 @@
 			}
 			in.Skip(n)
 		}
-		if len(in.Bytes()) > 0 && whole.IsZero() {
-			whole = time.Now().Add(s.limits.MessageTimeout)
+		if len(in.Bytes()) > 0 && messageDeadline.IsZero() {
+			messageDeadline = time.Now().Add(s.limits.MessageTimeout)
 		}
 	}
 }
 
 // maxSilent is how many heartbeats in a row may stay unanswered.
-const maxSilent = 2
+const maxUnansweredHeartbeats = 2
 
 // maxErrors is how many malformed messages a connection may bring.
-const maxErrors = 8
+const maxMalformedMessages = 8
 
 // take handles what both sides may send and passes the rest on.
-func (s *session) take(msg message, at core.Time) error {
+func (s *session) dispatch(msg message, at core.Time) error {
 	switch msg.kind {
 	case msgBEAT:
-		var back []param
+		var reply []param
 		if v, ok := msg.get(tagHeartbeat); ok {
-			back = append(back, param{tagHeartbeat, append([]byte(nil), v...)})
+			reply = append(reply, param{tagHeartbeat, append([]byte(nil), v...)})
 		}
-		s.send(msgBEATACK, back...)
+		s.send(msgBEATACK, reply...)
 		return nil
 	case msgBEATACK, msgDUPU, msgDRST:
 		return nil
 	case msgERR:
-		code, _ := msg.number(tagErrorCode)
-		s.m.loud.Warn().Uint32("code", code).Stringer("peer", s.conn.RemoteAddr()).Msg("peer reports an error")
+		code, _ := msg.getUint32(tagErrorCode)
+		s.m.sampledLog.Warn().Uint32("code", code).Stringer("peer", s.conn.RemoteAddr()).Msg("peer reports an error")
 		return nil
 	}
-	return s.handle(msg, at)
+	return s.handler(msg, at)
 }
 
 // unknown is the error for a message that has no business here.
-func unknown(kind uint16) error {
+func unexpectedMessage(kind uint16) error {
 	switch {
 	case kind>>8 > 4:
 		return &protocolError{errClass, fmt.Sprintf("message class %d", kind>>8), false}
--- a/internal/m3ua/isup.go
+++ b/internal/m3ua/isup.go
@@ -25,87 +25,87 @@
 )
 
 const (
-	isupHead = 3 // circuit and type
-	iamFixed = 5 // nature of connection, forward call indicators, category, medium
-	maxOpt   = 255
-	maxDigit = 64
+	isupHeaderSize = 3 // circuit and type
+	iamFixedSize   = 5 // nature of connection, forward call indicators, category, medium
+	maxOptionSize  = 255
+	maxDigits      = 64
 )
 
 // call is an ISUP message taken apart.
-type call struct {
-	kind     byte
-	category byte // of the calling party: the class
-	digits   string
-	desc     []byte
-	cause    int
-	retry    time.Duration // to stay away for, beside a cause
+type isupMessage struct {
+	kind       byte
+	category   byte // of the calling party: the class
+	digits     string
+	desc       []byte
+	cause      int
+	retryAfter time.Duration // to stay away for, beside a cause
 }
 
 // parseISUP reads a message behind its circuit.
-func parseISUP(b []byte) (c call, err error) {
-	broken := func(what string) (call, error) {
-		return c, &protocolError{errParamValue, fmt.Sprintf("ISUP message %#02x: %s", b[2], what), false}
+func parseISUP(b []byte) (msg isupMessage, err error) {
+	malformed := func(detail string) (isupMessage, error) {
+		return msg, &protocolError{errParamValue, fmt.Sprintf("ISUP message %#02x: %s", b[2], detail), false}
 	}
-	if len(b) < isupHead {
-		return c, &protocolError{errParamField, "an ISUP message is cut short", false}
+	if len(b) < isupHeaderSize {
+		return msg, &protocolError{errParamField, "an ISUP message is cut short", false}
 	}
-	c.kind, c.cause = b[2], -1
-	p := b[isupHead:]
+	msg.kind, msg.cause = b[2], -1
+	p := b[isupHeaderSize:]
 	variable := false
-	switch c.kind {
+	switch msg.kind {
 	case isupIAM:
-		if len(p) < iamFixed {
-			return broken("cut short")
+		if len(p) < iamFixedSize {
+			return malformed("cut short")
 		}
-		c.category = p[3]
-		p, variable = p[iamFixed:], true
+		msg.category = p[3]
+		p, variable = p[iamFixedSize:], true
 	case isupACM:
 		if len(p) < 2 {
-			return broken("cut short")
+			return malformed("cut short")
 		}
 		p = p[2:]
 	case isupREL:
 		variable = true
 	case isupRSC:
-		return c, nil
+		return msg, nil
 	case isupANM, isupRLC:
 	default:
-		return broken("unknown type")
+		return malformed("unknown type")
 	}
 	if variable {
 		if len(p) < 2 || int(p[0]) >= len(p) || int(p[0])+1+int(p[p[0]]) > len(p) || p[0] == 0 {
-			return broken("its mandatory part is cut short")
+			return malformed("its mandatory part is cut short")
 		}
-		part := p[p[0]+1:][:p[p[0]]]
-		if c.kind == isupIAM {
-			if c.digits, err = parseDigits(part); err != nil {
-				return broken(err.Error())
+		mandatory := p[p[0]+1:][:p[p[0]]]
+		if msg.kind == isupIAM {
+			if msg.digits, err = parseDigits(mandatory); err != nil {
+				return malformed(err.Error())
 			}
 		} else {
-			if len(part) < 2 {
-				return broken("no cause")
+			if len(mandatory) < 2 {
+				return malformed("no cause")
 			}
-			c.cause = int(part[1] & 0x7f)
-			if ms, err := strconv.ParseUint(string(part[2:]), 10, 31); err == nil {
-				c.retry = time.Duration(ms) * time.Millisecond
+			msg.cause = int(mandatory[1] & 0x7f)
+			if ms, err := strconv.ParseUint(string(mandatory[2:]), 10, 31); err == nil {
+				msg.retryAfter = time.Duration(ms) * time.Millisecond
 			}
 		}
 		p = p[1:]
 	}
 	if len(p) == 0 || p[0] == 0 {
-		return c, nil // no optional part
+		return msg, nil // no optional part
 	}
 	if int(p[0]) >= len(p) {
-		return broken("its optional part is cut short")
+		return malformed("its optional part is cut short")
 	}
 	for p = p[p[0]:]; ; {
 		switch {
 		case len(p) > 0 && p[0] == optEnd:
-			return c, nil
+			return msg, nil
 		case len(p) < 2 || 2+int(p[1]) > len(p):
-			return broken("an optional parameter is cut short")
+			return malformed("an optional parameter is cut short")
 		case p[0] == optUserUser:
-			c.desc = append(c.desc, p[2:2+int(p[1])]...)
+			msg.desc = append(msg.desc, p[2:2+int(p[1])]...)
 		}
 		p = p[2+int(p[1]):]
 	}
@@ -113,7 +113,7 @@
 
 // parseDigits reads a called party number: digits are half bytes, the low one first.
 func parseDigits(b []byte) (string, error) {
-	if len(b) < 2 || len(b) > 2+maxDigit/2 {
+	if len(b) < 2 || len(b) > 2+maxDigits/2 {
 		return "", fmt.Errorf("a called number of %d bytes", len(b))
 	}
 	var s strings.Builder
@@ -128,17 +128,17 @@
 }
 
 // digitsOf packs a called number; not every key of the platform is one.
-func digitsOf(key string) ([]byte, bool) {
-	if len(key) > maxDigit {
+func packDigits(digits string) ([]byte, bool) {
+	if len(digits) > maxDigits {
 		return nil, false
 	}
 	b := []byte{0x03, 0x10}
-	if len(key)%2 == 1 {
+	if len(digits)%2 == 1 {
 		b[0] |= 0x80
 	}
-	for i := range len(key) {
-		n, err := strconv.ParseUint(key[i:i+1], 16, 8)
-		if err != nil || key[i] >= 'A' && key[i] <= 'F' {
+	for i := range len(digits) {
+		n, err := strconv.ParseUint(digits[i:i+1], 16, 8)
+		if err != nil || digits[i] >= 'A' && digits[i] <= 'F' {
 			return nil, false
 		}
 		if i%2 == 0 {
@@ -151,43 +151,43 @@
 }
 
 // appendISUP writes a message, its circuit first.
-func appendISUP(cic uint16, c call) ([]byte, error) {
+func buildISUP(cic uint16, msg isupMessage) ([]byte, error) {
 	b := binary.LittleEndian.AppendUint16(nil, cic)
-	b = append(b, c.kind)
-	var part []byte
-	switch c.kind {
+	b = append(b, msg.kind)
+	var mandatory []byte
+	switch msg.kind {
 	case isupIAM:
-		b = append(b, 0, 0x60, 0x01, c.category, 0)
+		b = append(b, 0, 0x60, 0x01, msg.category, 0)
 		var ok bool
-		if part, ok = digitsOf(c.digits); !ok {
-			return nil, fmt.Errorf("the number %.70q can't be dialled", c.digits)
+		if mandatory, ok = packDigits(msg.digits); !ok {
+			return nil, fmt.Errorf("the number %.70q can't be dialled", msg.digits)
 		}
 	case isupACM:
 		b = append(b, 0x16, 0x14)
 	case isupREL:
-		part = []byte{0x80, 0x80 | byte(c.cause)}
-		if c.retry > 0 {
-			part = strconv.AppendInt(part, c.retry.Milliseconds(), 10)
+		mandatory = []byte{0x80, 0x80 | byte(msg.cause)}
+		if msg.retryAfter > 0 {
+			mandatory = strconv.AppendInt(mandatory, msg.retryAfter.Milliseconds(), 10)
 		}
 	}
-	opt := byte(0) // none
-	if len(c.desc) > 0 {
-		if opt = 1; part != nil {
-			opt = byte(len(part)) + 2 // behind the mandatory part
+	optionalPointer := byte(0) // none
+	if len(msg.desc) > 0 {
+		if optionalPointer = 1; mandatory != nil {
+			optionalPointer = byte(len(mandatory)) + 2 // behind the mandatory part
 		}
 	}
-	if part != nil {
-		b = append(b, 2, opt, byte(len(part)))
-		b = append(b, part...)
-	} else if c.kind != isupRSC {
-		b = append(b, opt)
+	if mandatory != nil {
+		b = append(b, 2, optionalPointer, byte(len(mandatory)))
+		b = append(b, mandatory...)
+	} else if msg.kind != isupRSC {
+		b = append(b, optionalPointer)
 	}
-	for desc := c.desc; len(desc) > 0; {
-		n := min(len(desc), maxOpt)
+	for desc := msg.desc; len(desc) > 0; {
+		n := min(len(desc), maxOptionSize)
 		b = append(append(b, optUserUser, byte(n)), desc[:n]...)
 		desc = desc[n:]
 	}
-	if len(c.desc) > 0 {
+	if len(msg.desc) > 0 {
 		b = append(b, optEnd)
 	}
 	return b, nil
--- a/internal/m3ua/message.go
+++ b/internal/m3ua/message.go
@@ -65,24 +65,24 @@
 )
 
 const (
-	version    = 1
-	headSize   = 8
-	tlvHead    = 4
-	routingLen = 12 // of protocol data before its payload
-	siISUP     = 5
+	version                = 1
+	headerSize             = 8
+	paramHeaderSize        = 4
+	protocolDataHeaderSize = 12 // of protocol data before its payload
+	siISUP                 = 5
 )
 
 // protocolError is a malformed message, with the code for an ERR.
 type protocolError struct {
-	code uint32
-	what string
-	end  bool // nothing behind it can be read either
+	code   uint32
+	detail string
+	fatal  bool // nothing behind it can be read either
 }
 
-func (e *protocolError) Error() string { return e.what }
+func (e *protocolError) Error() string { return e.detail }
 
 // errShort says that a message is not whole yet.
-var errShort = errors.New("not whole")
+var errIncomplete = errors.New("not whole")
 
 // message is a message taken apart. Its parameters point into the buffer it was read from.
 type message struct {
@@ -106,7 +106,7 @@
 }
 
 // number is a parameter of four bytes.
-func (m message) number(tag uint16) (uint32, bool) {
+func (m message) getUint32(tag uint16) (uint32, bool) {
 	v, ok := m.get(tag)
 	if !ok || len(v) != 4 {
 		return 0, false
@@ -115,41 +115,41 @@
 }
 
 // parse reads the first message of b, which may hold most bytes, and says how long it is.
-func parse(b []byte, most int) (m message, n int, err error) {
-	if len(b) < headSize {
-		return m, 0, errShort
+func parseMessage(b []byte, maxSize int) (m message, n int, err error) {
+	if len(b) < headerSize {
+		return m, 0, errIncomplete
 	}
 	length := binary.BigEndian.Uint32(b[4:])
 	switch {
 	case b[0] != version:
 		return m, 0, &protocolError{errVersion, fmt.Sprintf("version %d", b[0]), true}
-	case length < headSize || length > uint32(most):
+	case length < headerSize || length > uint32(maxSize):
 		return m, 0, &protocolError{errProtocol, fmt.Sprintf("a message of %d bytes", length), true}
 	case len(b) < int(length):
-		return m, 0, errShort
+		return m, 0, errIncomplete
 	}
 	n = int(length)
 	m.kind = binary.BigEndian.Uint16(b[2:])
-	for p := b[headSize:n]; len(p) > 0; {
-		if len(p) < tlvHead {
+	for p := b[headerSize:n]; len(p) > 0; {
+		if len(p) < paramHeaderSize {
 			return m, n, &protocolError{errParamField, "a parameter is cut short", false}
 		}
 		size := int(binary.BigEndian.Uint16(p[2:]))
-		if size < tlvHead || size > len(p) {
+		if size < paramHeaderSize || size > len(p) {
 			return m, n, &protocolError{errParamField, fmt.Sprintf("a parameter of %d bytes", size), false}
 		}
-		m.params = append(m.params, param{binary.BigEndian.Uint16(p), p[tlvHead:size]})
+		m.params = append(m.params, param{binary.BigEndian.Uint16(p), p[paramHeaderSize:size]})
 		p = p[min((size+3)&^3, len(p)):]
 	}
 	return m, n, nil
 }
 
 // build writes a message.
-func build(kind uint16, params ...param) []byte {
+func buildMessage(kind uint16, params ...param) []byte {
 	b := []byte{version, 0, byte(kind >> 8), byte(kind), 0, 0, 0, 0}
 	for _, p := range params {
 		b = binary.BigEndian.AppendUint16(b, p.tag)
-		b = binary.BigEndian.AppendUint16(b, uint16(tlvHead+len(p.value)))
+		b = binary.BigEndian.AppendUint16(b, uint16(paramHeaderSize+len(p.value)))
 		b = append(b, p.value...)
 		b = append(b, make([]byte, -len(p.value)&3)...)
 	}
@@ -158,7 +158,9 @@
 }
 
 // number32 is a parameter of four bytes.
-func number32(tag uint16, n uint32) param { return param{tag, binary.BigEndian.AppendUint32(nil, n)} }
+func uint32Param(tag uint16, n uint32) param {
+	return param{tag, binary.BigEndian.AppendUint32(nil, n)}
+}
 
 // circuit names a circuit between two points: a call has one for as long as it lives.
 type circuit struct {
@@ -167,37 +169,37 @@
 }
 
 // back is the circuit as the other side's messages name it.
-func (c circuit) back() circuit { return circuit{c.dpc, c.opc, c.cic} }
+func (c circuit) reverse() circuit { return circuit{c.dpc, c.opc, c.cic} }
 
 // dataMessage wraps an ISUP message.
-func dataMessage(c circuit, network byte, context uint32, isup []byte) []byte {
-	v := binary.BigEndian.AppendUint32(nil, c.opc)
-	v = binary.BigEndian.AppendUint32(v, c.dpc)
-	v = append(v, siISUP, network, 0, byte(c.cic&15))
-	v = append(v, isup...)
-	return build(msgDATA, number32(tagRoutingContext, context), param{tagProtocolData, v})
+func buildData(circ circuit, networkIndicator byte, routingContext uint32, isup []byte) []byte {
+	protocolData := binary.BigEndian.AppendUint32(nil, circ.opc)
+	protocolData = binary.BigEndian.AppendUint32(protocolData, circ.dpc)
+	protocolData = append(protocolData, siISUP, networkIndicator, 0, byte(circ.cic&15))
+	protocolData = append(protocolData, isup...)
+	return buildMessage(msgDATA, uint32Param(tagRoutingContext, routingContext), param{tagProtocolData, protocolData})
 }
 
 // parseData unwraps an ISUP message.
-func parseData(m message, context uint32) (c circuit, isup []byte, err error) {
-	if rc, there := m.number(tagRoutingContext); there && rc != context {
-		return c, nil, &protocolError{errContext, fmt.Sprintf("routing context %d", rc), false}
+func parseData(m message, routingContext uint32) (circ circuit, isup []byte, err error) {
+	if rc, ok := m.getUint32(tagRoutingContext); ok && rc != routingContext {
+		return circ, nil, &protocolError{errContext, fmt.Sprintf("routing context %d", rc), false}
 	}
-	v, ok := m.get(tagProtocolData)
+	data, ok := m.get(tagProtocolData)
 	switch {
 	case !ok:
-		return c, nil, &protocolError{errMissingParam, "DATA without protocol data", false}
-	case len(v) < routingLen+isupHead:
-		return c, nil, &protocolError{errParamField, "protocol data is cut short", false}
-	case v[8] != siISUP:
-		return c, nil, &protocolError{errParamValue, fmt.Sprintf("service indicator %d", v[8]), false}
+		return circ, nil, &protocolError{errMissingParam, "DATA without protocol data", false}
+	case len(data) < protocolDataHeaderSize+isupHeaderSize:
+		return circ, nil, &protocolError{errParamField, "protocol data is cut short", false}
+	case data[8] != siISUP:
+		return circ, nil, &protocolError{errParamValue, fmt.Sprintf("service indicator %d", data[8]), false}
 	}
-	c = circuit{binary.BigEndian.Uint32(v), binary.BigEndian.Uint32(v[4:]), binary.LittleEndian.Uint16(v[routingLen:])}
-	return c, v[routingLen:], nil
+	circ = circuit{binary.BigEndian.Uint32(data), binary.BigEndian.Uint32(data[4:]), binary.LittleEndian.Uint16(data[protocolDataHeaderSize:])}
+	return circ, data[protocolDataHeaderSize:], nil
 }
 
 // affected are the point codes of a DUNA, DAVA or SCON.
-func affected(m message) ([]uint32, error) {
+func affectedPointCodes(m message) ([]uint32, error) {
 	v, ok := m.get(tagAffectedPC)
 	if !ok {
 		return nil, &protocolError{errMissingParam, "no affected point code", false}
