--- a/internal/m3ua/caller.go
+++ b/internal/m3ua/caller.go
@@ -10,16 +10,16 @@
 	"elmseam/internal/q850"
 )
 
-// caller is the connection of an old client, an ASP of ours.
+// callerConn is the connection of an older client, which acts as an ASP of this program.
 type callerConn struct {
 	session
-	activationTimer *time.Timer // ends one that doesn't come up
-	connID          core.ConnID // while active
-	aspUp           bool
-	active          bool
+	activationTimer *time.Timer // closes the connection if no ASP Up arrives in time
+	connID          core.ConnID // valid while active
+	aspUp           bool        // whether the ASP has sent ASP Up
+	active          bool        // whether the ASP has sent ASP Active: only then its calls are accepted
 }
 
-// Serve serves callers until the listener is closed.
+// Serve accepts and serves callers' connections until the listener is closed.
 func (m *M3UA) Serve(l net.Listener) {
 	link.NewAcceptor(func() int { return m.config.Load().MaxCallers }, func(conn net.Conn) {
 		c := &callerConn{session: m.newSession(conn, m.config.Load().CallerConn)}
@@ -29,13 +29,13 @@
 		err := c.read()
 		m.sampledLog.Info().Err(err).Stringer("caller", conn.RemoteAddr()).Msg("association ended")
 		c.deactivate()
-		if _, malformed := err.(*protocolError); malformed { // the ERR is still to be read
+		if _, malformed := err.(*protocolError); malformed { // gives the peer time to read the ERR
 			c.out.Linger(conn)
 		}
 	}).Serve(l)
 }
 
-// FreeCircuit frees the circuit of a call whose caller will not be told of its end.
+// FreeCircuit frees the circuit of a call whose caller is not notified of the call's end.
 func (m *M3UA) FreeCircuit(id core.ID) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -44,7 +44,7 @@
 	}
 }
 
-// SetServing tells callers whether this point takes new calls: DAVA or DUNA.
+// SetServing records whether this signalling point accepts new calls and sends a DAVA or DUNA to all active callers.
 func (m *M3UA) SetServing(on bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -54,6 +54,8 @@
 	}
 }
 
+// sendAvailability sends a DAVA or DUNA for this program's point code. The caller of the method holds m.mu, so that
+// these messages go out in the order of the changes.
 func (c *callerConn) sendAvailability(available bool) {
 	kind := uint16(msgDUNA)
 	if available {
@@ -62,7 +64,7 @@
 	c.send(kind, uint32Param(tagRoutingContext, c.m.RoutingContext), uint32Param(tagAffectedPC, c.m.PointCode))
 }
 
-// take handles a caller's message.
+// handleMessage handles a message from a caller.
 func (c *callerConn) handleMessage(msg message, at core.Time) error {
 	routingContext := uint32Param(tagRoutingContext, c.m.RoutingContext)
 	switch msg.kind {
@@ -81,7 +83,7 @@
 			return unexpectedMessage(msg.kind)
 		}
 		if rc, ok := msg.getUint32(tagRoutingContext); ok && rc != c.m.RoutingContext {
-			return &protocolError{errContext, "ASP active for another routing context", false}
+			return &protocolError{errContext, "ASP Active for another routing context", false}
 		}
 		c.send(msgASPACACK, routingContext)
 		c.send(msgNTFY, uint32Param(tagStatus, statusASActive), routingContext)
@@ -111,7 +113,7 @@
 	return nil
 }
 
-// activate lets calls in.
+// activate attaches the connection to the core, which then accepts the caller's calls.
 func (c *callerConn) activate() {
 	if c.active {
 		return
@@ -126,8 +128,8 @@
 	c.m.loop.Attach(c.connID, &callerEffects{c}, core.CallerUp{Conn: c.connID, Protocol: Protocol})
 }
 
-// deactivate stops new calls at once. Set-ups open here may come again on another association; what stands
-// is released on any that is active.
+// deactivate detaches the connection from the core, so that no new calls are accepted on it. The client may repeat its
+// outstanding set-ups on another association; established calls are released on any active association.
 func (c *callerConn) deactivate() {
 	if !c.active {
 		return
@@ -139,7 +141,7 @@
 	c.m.loop.Post(core.CallerDown{Conn: c.connID})
 }
 
-// data handles an ISUP message.
+// handleData handles a DATA message, which carries an ISUP message.
 func (c *callerConn) handleData(msg message, at core.Time) error {
 	circ, isup, err := parseData(msg, c.m.RoutingContext)
 	if err != nil {
@@ -152,7 +154,7 @@
 	switch sig.kind {
 	case isupIAM:
 		c.handleSetUp(circ, sig, at)
-	case isupREL, isupRSC: // after a restart, a client resets its circuits
+	case isupREL, isupRSC: // a client resets its circuits after a restart
 		c.m.mu.Lock()
 		id, ok := c.m.freeLocked(circ)
 		c.sendISUP(circ.reverse(), isupMessage{kind: isupRLC})
@@ -160,15 +162,15 @@
 		if ok {
 			c.m.loop.Post(core.CallerEnd{ID: id, From: c.connID})
 		}
-	case isupRLC: // the circuit was freed when it was released
+	case isupRLC: // the circuit was freed when the REL was sent
 	default:
-		return &protocolError{errUnexpected, "an ISUP message that callers don't send", false}
+		return &protocolError{errUnexpected, "ISUP message not expected from a caller", false}
 	}
 	return nil
 }
 
-// setUp takes a circuit for a call. A set-up on a circuit in use is the same call come again after its
-// association broke.
+// handleSetUp assigns the circuit to a new call and posts the call's set-up to the core. A set-up on a circuit that is
+// in use repeats the same call after its association was lost, and keeps the call's id.
 func (c *callerConn) handleSetUp(circ circuit, iam isupMessage, at core.Time) {
 	setUp := core.SetUp{
 		From: c.connID, Class: c.m.classOfCategory(iam.category), Number: hashNumber(iam.digits), NumberText: iam.digits, Desc: iam.desc,
@@ -177,7 +179,7 @@
 	if cell, ok := c.m.Cells[strconv.Itoa(int(circ.dpc))]; ok {
 		setUp.Cell = cell
 	}
-	if setUp.Class >= 0 { // places are kept for good
+	if setUp.Class >= 0 { // the index is in range: a class keeps its index when the configuration changes
 		class := c.m.config.Load().Deployment.Classes[setUp.Class]
 		setUp.Name, setUp.TimeLeft = class.Name, class.MaxWait
 	}
@@ -193,8 +195,9 @@
 	c.m.loop.Post(setUp)
 }
 
-// free frees a caller's circuit. The lock is held from here until what follows on the circuit is queued:
-// else the answer of a call given up could come behind the RLC, and pass for that of the next call.
+// freeLocked frees a circuit towards a caller and returns the call that was on it. The caller of the method holds m.mu
+// until the next message on the circuit is queued: otherwise the answer to an abandoned call could be queued after the
+// RLC, and the client would take this answer for that of the circuit's next call.
 func (m *M3UA) freeLocked(circ circuit) (core.ID, bool) {
 	id, ok := m.callByCircuit[circ]
 	if ok {
@@ -204,24 +207,27 @@
 	return id, ok
 }
 
-// reply writes an ISUP message.
+// sendISUP queues an ISUP message on a circuit.
 func (c *callerConn) sendISUP(circ circuit, sig isupMessage) {
 	isup, err := buildISUP(circ.cic, sig)
 	if err != nil {
-		c.m.log.Error().Err(err).Msg("message not sent")
+		c.m.log.Error().Err(err).Msg("ISUP message not sent")
 		return
 	}
 	c.out.Post(link.Item{Data: buildData(circ, c.m.NetworkIndicator, c.m.RoutingContext, isup)})
 }
 
-// callerSide carries effects out towards a caller.
+// callerEffects is the loop.EffectHandler of a caller's connection.
 type callerEffects struct{ conn *callerConn }
 
+// Close closes the connection.
 func (s *callerEffects) Close() { s.conn.out.Close() }
 
+// Flush waits briefly until the queued messages are written.
 func (s *callerEffects) Flush() { s.conn.out.Flush() }
 
-// HandleEffect writes an effect for a caller. A call's circuit is free from its final answer or release on.
+// HandleEffect sends the ISUP message for an effect to the caller. A call's circuit is free once its rejection or
+// release is queued.
 func (s *callerEffects) HandleEffect(e core.Effect) []core.Event {
 	m := s.conn.m
 	switch e := e.(type) {
@@ -241,6 +247,7 @@
 	return nil
 }
 
+// release frees the circuit of a call and sends the REL on it, if the call still has a circuit.
 func (s *callerEffects) release(id core.ID, sig isupMessage) {
 	m := s.conn.m
 	m.mu.Lock()
--- a/internal/m3ua/isup.go
+++ b/internal/m3ua/isup.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Message types after ITU-T Q.763, table 4.
+// ISUP message types (ITU-T Q.763, table 4).
 const (
 	isupIAM = 0x01
 	isupACM = 0x06
@@ -18,36 +18,37 @@
 	isupRSC = 0x12
 )
 
-// Optional parameters.
+// Optional parameters (ITU-T Q.763).
 const (
 	optEnd      = 0x00
-	optUserUser = 0x20 // the description; one of over 255 bytes comes in several, in order
+	optUserUser = 0x20 // part of the call's description; a description of over 255 bytes takes several of these parameters, in order
 )
 
 const (
-	isupHeaderSize = 3 // circuit and type
-	iamFixedSize   = 5 // nature of connection, forward call indicators, category, medium
+	isupHeaderSize = 3 // circuit identification code and message type
+	iamFixedSize   = 5 // nature of connection, forward call indicators, calling party's category, transmission medium
 	maxOptionSize  = 255
 	maxDigits      = 64
 )
 
-// call is an ISUP message taken apart.
+// isupMessage is a parsed ISUP message. Only the fields that its kind carries are set.
 type isupMessage struct {
 	kind       byte
-	category   byte // of the calling party: the class
+	category   byte // calling party's category, which stands for the class of the call
 	digits     string
 	desc       []byte
 	cause      int
-	retryAfter time.Duration // to stay away for, beside a cause
+	retryAfter time.Duration // wait that a REL asks for before the next set-up; 0 if it asks for none
 }
 
-// parseISUP reads a message behind its circuit.
+// parseISUP parses an ISUP message that starts with its circuit identification code. The cause is -1 in messages
+// without one.
 func parseISUP(b []byte) (msg isupMessage, err error) {
 	malformed := func(detail string) (isupMessage, error) {
 		return msg, &protocolError{errParamValue, fmt.Sprintf("ISUP message %#02x: %s", b[2], detail), false}
 	}
 	if len(b) < isupHeaderSize {
-		return msg, &protocolError{errParamField, "an ISUP message is cut short", false}
+		return msg, &protocolError{errParamField, "truncated ISUP message", false}
 	}
 	msg.kind, msg.cause = b[2], -1
 	p := b[isupHeaderSize:]
@@ -55,13 +56,13 @@
 	switch msg.kind {
 	case isupIAM:
 		if len(p) < iamFixedSize {
-			return malformed("cut short")
+			return malformed("truncated")
 		}
 		msg.category = p[3]
 		p, variable = p[iamFixedSize:], true
 	case isupACM:
 		if len(p) < 2 {
-			return malformed("cut short")
+			return malformed("truncated")
 		}
 		p = p[2:]
 	case isupREL:
@@ -70,11 +71,11 @@
 		return msg, nil
 	case isupANM, isupRLC:
 	default:
-		return malformed("unknown type")
+		return malformed("unknown message type")
 	}
 	if variable {
 		if len(p) < 2 || int(p[0]) >= len(p) || int(p[0])+1+int(p[p[0]]) > len(p) || p[0] == 0 {
-			return malformed("its mandatory part is cut short")
+			return malformed("truncated mandatory parameter")
 		}
 		mandatory := p[p[0]+1:][:p[p[0]]]
 		if msg.kind == isupIAM {
@@ -83,7 +84,7 @@
 			}
 		} else {
 			if len(mandatory) < 2 {
-				return malformed("no cause")
+				return malformed("truncated cause indicators")
 			}
 			msg.cause = int(mandatory[1] & 0x7f)
 			if ms, err := strconv.ParseUint(string(mandatory[2:]), 10, 31); err == nil {
@@ -96,14 +97,14 @@
 		return msg, nil // no optional part
 	}
 	if int(p[0]) >= len(p) {
-		return malformed("its optional part is cut short")
+		return malformed("truncated optional part")
 	}
 	for p = p[p[0]:]; ; {
 		switch {
 		case len(p) > 0 && p[0] == optEnd:
 			return msg, nil
 		case len(p) < 2 || 2+int(p[1]) > len(p):
-			return malformed("an optional parameter is cut short")
+			return malformed("truncated optional parameter")
 		case p[0] == optUserUser:
 			msg.desc = append(msg.desc, p[2:2+int(p[1])]...)
 		}
@@ -111,10 +112,10 @@
 	}
 }
 
-// parseDigits reads a called party number: digits are half bytes, the low one first.
+// parseDigits decodes a called party number. Each byte holds two digits, the first one in the low half.
 func parseDigits(b []byte) (string, error) {
 	if len(b) < 2 || len(b) > 2+maxDigits/2 {
-		return "", fmt.Errorf("a called number of %d bytes", len(b))
+		return "", fmt.Errorf("invalid called number of %d bytes", len(b))
 	}
 	var s strings.Builder
 	for _, c := range b[2:] {
@@ -127,7 +128,8 @@
 	return digits, nil
 }
 
-// digitsOf packs a called number; not every key of the platform is one.
+// packDigits encodes a called party number. It reports false if the text is too long or holds other characters than
+// lower-case hexadecimal digits: the platform's protocol also allows texts that are no called number.
 func packDigits(digits string) ([]byte, bool) {
 	if len(digits) > maxDigits {
 		return nil, false
@@ -150,7 +152,7 @@
 	return b, true
 }
 
-// appendISUP writes a message, its circuit first.
+// buildISUP encodes an ISUP message, which starts with its circuit identification code.
 func buildISUP(cic uint16, msg isupMessage) ([]byte, error) {
 	b := binary.LittleEndian.AppendUint16(nil, cic)
 	b = append(b, msg.kind)
@@ -160,7 +162,7 @@
 		b = append(b, 0, 0x60, 0x01, msg.category, 0)
 		var ok bool
 		if mandatory, ok = packDigits(msg.digits); !ok {
-			return nil, fmt.Errorf("the number %.70q can't be dialled", msg.digits)
+			return nil, fmt.Errorf("called number %.70q cannot be encoded", msg.digits)
 		}
 	case isupACM:
 		b = append(b, 0x16, 0x14)
@@ -173,7 +175,7 @@
 	optionalPointer := byte(0) // none
 	if len(msg.desc) > 0 {
 		if optionalPointer = 1; mandatory != nil {
-			optionalPointer = byte(len(mandatory)) + 2 // behind the mandatory part
+			optionalPointer = byte(len(mandatory)) + 2 // the optional part follows the mandatory part
 		}
 	}
 	if mandatory != nil {
--- /dev/null
+++ b/internal/m3ua/m3ua.go
@@ -0,0 +1,186 @@
+package m3ua
+
+import (
+	"crypto/rand"
+	"encoding/binary"
+	"fmt"
+	"hash/fnv"
+	"net"
+	"strconv"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"elmseam"
+	"elmseam/internal/core"
+	"elmseam/internal/link"
+	"elmseam/internal/loop"
+	"elmseam/internal/settings"
+)
+
+// Protocol is the name under which the core knows this signalling protocol.
+const Protocol core.Protocol = "m3ua"
+
+// Source is the name under which the core keeps the list of servers from the signalling file.
+const Source = "m3ua"
+
+// FileConfig is the m3ua table of the signalling file.
+type FileConfig struct {
+	Listen           string         `toml:"listen"`     // host:port for callers
+	PointCode        uint32         `toml:"point_code"` // this program's point code
+	NetworkIndicator byte           `toml:"network_indicator"`
+	RoutingContext   uint32         `toml:"routing_context"`
+	HeartbeatMS      int            `toml:"heartbeat_ms"` // silence after which a peer is sent a heartbeat, in milliseconds
+	Circuits         int            `toml:"circuits"`     // number of circuits to each server
+	Categories       map[string]int `toml:"categories"`   // calling party's category by class name
+	Cells            map[string]int `toml:"cells"`        // index of the preferred cell by destination point code
+	Servers          []struct {
+		Name      string `toml:"name"`
+		Address   string `toml:"address"`
+		PointCode uint32 `toml:"point_code"`
+		Cell      int    `toml:"cell"` // index of the server's cell
+	} `toml:"server"`
+}
+
+// Check returns an error that names the first invalid field.
+func (f *FileConfig) Check() error {
+	if _, _, err := net.SplitHostPort(f.Listen); err != nil {
+		return fmt.Errorf("listen: %w", err)
+	}
+	switch {
+	case f.PointCode == 0 || f.PointCode > 0xffffff:
+		return fmt.Errorf("point_code: %d is not between 1 and 16777215", f.PointCode)
+	case f.HeartbeatMS <= 0:
+		return fmt.Errorf("heartbeat_ms: %d is not positive", f.HeartbeatMS)
+	case f.Circuits <= 0 || f.Circuits > 1<<16:
+		return fmt.Errorf("circuits: %d is not between 1 and 65536", f.Circuits)
+	}
+	for name, category := range f.Categories {
+		if category < 0 || category > 255 {
+			return fmt.Errorf("categories.%s: %d is not between 0 and 255", name, category)
+		}
+	}
+	for pc := range f.Cells {
+		if _, err := strconv.ParseUint(pc, 10, 24); err != nil {
+			return fmt.Errorf("cells.%s: not a point code", pc)
+		}
+	}
+	for i, s := range f.Servers {
+		if _, _, err := net.SplitHostPort(s.Address); err != nil {
+			return fmt.Errorf("server[%d].address: %w", i, err)
+		}
+		if s.Name == "" || s.PointCode == 0 {
+			return fmt.Errorf("server[%d]: name or point_code missing", i)
+		}
+	}
+	return nil
+}
+
+// Config holds the settings of the protocol. Configure can replace all of them but FileConfig at any time.
+type Config struct {
+	FileConfig
+	Deployment  settings.Deployment
+	CallerConn  link.Limits   // limits of a caller's connection
+	DialTimeout time.Duration // limit for connecting to a server, and again for becoming active there
+
+	ServerConn     link.Limits   // limits of a connection to a server
+	MaxCallers     int           // maximum number of open connections of callers
+	ConfirmTimeout time.Duration // wait before a release that a server has not confirmed is sent again
+}
+
+// M3UA serves callers and reaches servers over M3UA-style signalling.
+type M3UA struct {
+	FileConfig
+	config     atomic.Pointer[Config] // as of the last Configure
+	loop       *loop.Loop
+	log        zerolog.Logger
+	sampledLog zerolog.Logger    // for lines that a peer can cause at any rate
+	trunks     map[string]*trunk // by server name
+	lastSerial atomic.Uint64     // of the last call id
+	idPrefix   uint64            // random high half of the ids of this process's calls
+
+	mu            sync.Mutex          // guards the fields below
+	callByCircuit map[circuit]core.ID // calls on callers' circuits
+	circuitByCall map[core.ID]circuit // the inverse of callByCircuit
+	active        map[*callerConn]bool
+	serving       bool // whether new calls are accepted
+}
+
+// New returns an M3UA that posts its events to the loop. It fails if a category is configured for an unknown class.
+func New(cfg Config, l *loop.Loop, log zerolog.Logger) (*M3UA, error) {
+	m := &M3UA{
+		FileConfig: cfg.FileConfig, loop: l, log: log, sampledLog: link.SampledLogger(log), trunks: make(map[string]*trunk),
+		callByCircuit: make(map[circuit]core.ID), circuitByCall: make(map[core.ID]circuit), active: make(map[*callerConn]bool),
+	}
+	m.Configure(cfg)
+	for name := range cfg.Categories {
+		if m.classByName(name) < 0 {
+			return nil, fmt.Errorf("categories.%s: no such class", name)
+		}
+	}
+	for _, s := range cfg.Servers {
+		m.trunks[s.Name] = newTrunk(circuit{cfg.PointCode, s.PointCode, 0}, cfg.Circuits)
+	}
+	var seed [8]byte
+	rand.Read(seed[:])
+	m.idPrefix = binary.BigEndian.Uint64(seed[:]) &^ 0xffffffff
+	return m, nil
+}
+
+// Configure replaces the settings. The FileConfig stays that of the start, and open connections keep their limits.
+func (m *M3UA) Configure(cfg Config) { m.config.Store(&cfg) }
+
+// Servers returns the list of servers in the signalling file.
+func (m *M3UA) Servers() core.List {
+	l := core.List{Source: Source}
+	for _, s := range m.FileConfig.Servers {
+		l.Servers = append(l.Servers, core.Server{
+			Name: s.Name, Address: s.Address, Protocol: Protocol, Cell: s.Cell, Phase: elmseam.Ready,
+		})
+	}
+	return l
+}
+
+// HasServer reports whether the signalling file lists the server.
+func (m *M3UA) HasServer(name string) bool { return m.trunks[name] != nil }
+
+// classByName returns the index of the class with the given name, or -1.
+func (m *M3UA) classByName(name string) int {
+	for i, class := range m.config.Load().Deployment.Classes {
+		if class.Name == name && !class.Removed {
+			return i
+		}
+	}
+	return -1
+}
+
+// categoryOfClass returns the calling party's category that stands for a class.
+func (m *M3UA) categoryOfClass(class string) (byte, bool) {
+	category, ok := m.Categories[class]
+	return byte(category), ok
+}
+
+// classOfCategory returns the index of the class that a calling party's category stands for, or -1.
+func (m *M3UA) classOfCategory(category byte) int {
+	for name, have := range m.Categories {
+		if have == int(category) {
+			return m.classByName(name)
+		}
+	}
+	return -1
+}
+
+// newID returns an id for a new call from a caller.
+func (m *M3UA) newID() core.ID { return core.ID(m.idPrefix | m.lastSerial.Add(1)&0xffffffff) }
+
+// hashNumber returns the value by which the core compares called numbers, 0 for an empty number.
+func hashNumber(digits string) uint64 {
+	if digits == "" {
+		return 0
+	}
+	h := fnv.New64a()
+	h.Write([]byte(digits))
+	return h.Sum64()
+}
--- a/internal/m3ua/m3ua_test.go
+++ b/internal/m3ua/m3ua_test.go
@@ -27,8 +27,8 @@
 )
 
 const (
-	testTimeout      = 20 * time.Second      // for what must come; tests don't wait it out
-	testReleaseGuard = 20 * time.Millisecond // the release gap
+	testTimeout      = 20 * time.Second      // limit for events that must occur; a passing test does not wait it out
+	testReleaseGuard = 20 * time.Millisecond // release guard of the core under test
 	ownPC            = 100
 	clientPC         = 300
 )
@@ -38,7 +38,7 @@
 var testLimits = link.Limits{InitialBufferSize: 256, MaxMessageSize: 16 << 10, MaxQueuedBytes: 1 << 20, WriteTimeout: time.Second, FlushTimeout: 50 * time.Millisecond,
 	MessageTimeout: testTimeout, IdleTimeout: testTimeout, LingerTimeout: 100 * time.Millisecond, MaxLingerBytes: 1 << 16}
 
-// peer is a stand-in's end of an association: it writes messages and reads them one by one.
+// testPeer is the scripted end of an association. It writes messages and reads them one by one.
 type testPeer struct {
 	net.Conn
 	in *link.Buffer
@@ -49,12 +49,14 @@
 	return &testPeer{Conn: c, in: link.NewBuffer(256, 16<<10)}
 }
 
+// send writes an encoded message.
 func (p *testPeer) send(b []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.Write(b)
 }
 
+// sendISUP writes a DATA message with an ISUP message.
 func (p *testPeer) sendISUP(circ circuit, msg isupMessage) {
 	b, err := buildISUP(circ.cic, msg)
 	if err != nil {
@@ -63,7 +65,7 @@
 	p.send(buildData(circ, 2, 1, b))
 }
 
-// next is the next message, the one before consumed.
+// nextMessage reads the next message and copies its parameters out of the buffer.
 func (p *testPeer) nextMessage() (m message, err error) {
 	for {
 		m, n, err := parseMessage(p.in.Bytes(), 16<<10)
@@ -80,7 +82,7 @@
 	}
 }
 
-// until reads up to a message of the given kind.
+// wantMessage reads until a message of the given kind and returns this message.
 func (p *testPeer) wantMessage(t *testing.T, kind uint16) message {
 	t.Helper()
 	for {
@@ -94,7 +96,7 @@
 	}
 }
 
-// untilISUP reads up to an ISUP message of the given kind.
+// wantISUP reads until an ISUP message of the given kind and returns this message and its circuit.
 func (p *testPeer) wantISUP(t *testing.T, kind byte) (circuit, isupMessage) {
 	t.Helper()
 	for {
@@ -109,7 +111,7 @@
 	}
 }
 
-// listen opens a loopback port for the length of a test.
+// listen opens a loopback port that is closed when the test ends.
 func listen(t *testing.T) net.Listener {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -120,8 +122,8 @@
 	return l
 }
 
-// softswitch starts the program's parts with this front and returns where it listens. The platform's
-// front reaches the servers of which no trunk is known.
+// startSoftswitch starts a core with the M3UA and platform protocols and returns the address for M3UA callers. The
+// servers of file are reached over M3UA, the other servers over the platform's protocol.
 func startSoftswitch(t *testing.T, releaseGuard time.Duration, file FileConfig, servers ...core.Server) (*M3UA, string) {
 	t.Helper()
 	set := elmseam.Settings{
@@ -163,7 +165,7 @@
 	return m, listener.Addr().String()
 }
 
-// client is an old client's active association.
+// connectCaller returns the active association of a client.
 func connectCaller(t *testing.T, address string) *testPeer {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
@@ -180,7 +182,7 @@
 	return p
 }
 
-// accept takes the softswitch's association in and makes it active.
+// acceptASP accepts an association from the softswitch and activates it.
 func acceptASP(l net.Listener) (*testPeer, error) {
 	c, err := l.Accept()
 	if err != nil {
@@ -207,6 +209,7 @@
 	return p
 }
 
+// serverFileConfig returns a FileConfig with one server, which listens on l.
 func serverFileConfig(name string, pc uint32, l net.Listener) FileConfig {
 	var f FileConfig
 	f.Servers = append(f.Servers, struct {
@@ -218,8 +221,8 @@
 	return f
 }
 
-// The bytes of messages, written out by hand from RFC 4666 and Q.763: a stand-in that shares this package's
-// parser would share its mistakes.
+// TestMessageBytes compares messages with bytes written out by hand from RFC 4666 and Q.763. The other tests' peers use
+// this package's own parser, so they would not notice a mistake in it.
 func TestMessageBytes(t *testing.T) {
 	iam, err := buildISUP(0x0123, isupMessage{kind: isupIAM, category: 10, digits: "12345", desc: []byte("hi")})
 	if err != nil {
@@ -237,8 +240,8 @@
 	}
 }
 
-// An old client reaches an M3UA server and a server of the platform, from request to release, with a
-// description longer than one parameter holds; refusals carry the cause and when to come back.
+// TestCallToBothKindsOfServer makes calls from an M3UA client to an M3UA server and to a platform server, from set-up to
+// release. One description is longer than one parameter can hold, and a refusal must carry its cause and retry time.
 func TestCallToBothKindsOfServer(t *testing.T) {
 	sl := listen(t)
 	_, address := startSoftswitch(t, testReleaseGuard, serverFileConfig("hlr", 201, sl))
@@ -261,7 +264,7 @@
 		t.Errorf("released with cause %d, want 41", k.cause)
 	}
 	c.sendISUP(ci, isupMessage{kind: isupRLC})
-	c.sendISUP(ci, isupMessage{kind: isupIAM, category: 10, digits: "38593"}) // both sides reset circuits after a restart
+	c.sendISUP(ci, isupMessage{kind: isupIAM, category: 10, digits: "38593"}) // a server resets its circuits after a restart, and so does a client below
 	out, _ = s.wantISUP(t, isupIAM)
 	s.sendISUP(out.reverse(), isupMessage{kind: isupANM})
 	c.wantISUP(t, isupANM)
@@ -276,7 +279,7 @@
 	if _, k := s.wantISUP(t, isupREL); k.cause != 16 {
 		t.Errorf("set-up given up with cause %d, want 16", k.cause)
 	}
-	c.sendISUP(ci, isupMessage{kind: isupIAM, category: 10, digits: "38592"}) // the server is full, and there is no other
+	c.sendISUP(ci, isupMessage{kind: isupIAM, category: 10, digits: "38592"}) // the only server refuses as full
 	out, _ = s.wantISUP(t, isupIAM)
 	s.sendISUP(out.reverse(), isupMessage{kind: isupREL, cause: 34})
 	if _, k := c.wantISUP(t, isupREL); k.cause != 42 || k.retryAfter <= 0 {
@@ -313,7 +316,8 @@
 	}
 }
 
-// DUNA, AS-INACTIVE and an inactive ASP stop new work at once; DAVA, AS-ACTIVE and ASP active let it in again.
+// TestAvailability checks that DUNA, AS-INACTIVE and ASP Inactive stop new calls at once, and that DAVA and AS-ACTIVE
+// admit new calls again.
 func TestAvailability(t *testing.T) {
 	sl := listen(t)
 	_, address := startSoftswitch(t, testReleaseGuard, serverFileConfig("hlr", 201, sl))
@@ -328,7 +332,7 @@
 	} {
 		ci := circuit{clientPC, ownPC, uint16(i)}
 		s.send(p.stop)
-		if m := c.wantMessage(t, msgDUNA); len(m.params) == 0 { // the only server: we are not available either
+		if m := c.wantMessage(t, msgDUNA); len(m.params) == 0 { // without its only server the softswitch is unavailable too
 			t.Error("DUNA without a point code")
 		}
 		c.sendISUP(ci, iam)
@@ -357,7 +361,8 @@
 	return ok && n == code
 }
 
-// What is malformed is answered by an ERR; where the framing is lost, the connection ends. Others go on.
+// TestMalformedMessages checks that a malformed message is answered with an ERR, and that the connection ends only if
+// the framing is lost.
 func TestMalformedMessages(t *testing.T) {
 	sl := listen(t)
 	_, address := startSoftswitch(t, testReleaseGuard, serverFileConfig("hlr", 201, sl))
@@ -398,9 +403,10 @@
 	}
 }
 
-// Connections that say nothing, stop within a message or trickle it, or never come up held a place for as long as
-// they liked. They are closed in time, and an association that is up and idle is not. Where the framing is lost the
-// ERR can be read, whatever the peer sent behind it.
+// TestIdleAndMalformedAssociations guards against connections that occupy a caller's place for any time: those that send
+// nothing, stop within a message, send a message byte by byte, or never become up must be closed in time, while an idle
+// association that is up stays open. If the framing is lost, the peer must be able to read the ERR before the close,
+// even if it sent more data after the malformed message.
 func TestIdleAndMalformedAssociations(t *testing.T) {
 	m, address := startSoftswitch(t, testReleaseGuard, FileConfig{})
 	cfg := *m.config.Load()
@@ -426,7 +432,7 @@
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	d := dial() // a trickle
+	d := dial() // sends a message byte by byte
 	d.Write(up)
 	long := buildMessage(msgBEAT, param{tagHeartbeat, make([]byte, 12<<10)})
 	go func() {
@@ -440,30 +446,30 @@
 	for p := newTestPeer(d); ; {
 		if m, err := p.nextMessage(); err != nil || m.kind == msgBEATACK {
 			if err == nil {
-				t.Error("a message that came in by single bytes was waited for")
+				t.Error("a message sent byte by byte was not timed out")
 			}
 			break
 		}
 	}
-	for range 30 { // a reset is a matter of luck
+	for range 30 { // repeated, as a connection reset would not occur every time
 		d := dial()
 		d.Write(append([]byte{9, 0, 3, 1, 0, 0, 0, 8}, make([]byte, 32<<10)...))
 		if b, err := io.ReadAll(d); err != nil || len(b) == 0 {
-			t.Fatalf("told %x, and then %v, want an ERR and the end", b, err)
+			t.Fatalf("read %x, then %v, want an ERR and EOF", b, err)
 		}
 	}
 	c.send(buildMessage(msgBEAT, param{tagHeartbeat, []byte("x")}))
 	c.wantMessage(t, msgBEATACK)
 }
 
-// A server that loses a release, or its own confirmation, would keep a circuit from us for good with each: it is
-// told again.
+// TestUnconfirmedReleaseIsRepeated guards against losing a circuit for good each time that a server loses a REL, or its
+// own RLC: the softswitch must repeat the REL.
 func TestUnconfirmedReleaseIsRepeated(t *testing.T) {
 	sl := listen(t)
 	m, address := startSoftswitch(t, testReleaseGuard, serverFileConfig("hlr", 201, sl))
 	s := mustAcceptASP(t, sl)
 	m.trunks["hlr"].mu.Lock()
-	for id := core.ID(1); m.trunks["hlr"].Free() > 1; id++ { // the others are in use
+	for id := core.ID(1); m.trunks["hlr"].Free() > 1; id++ { // occupy all circuits but one
 		m.trunks["hlr"].Allocate(id)
 	}
 	m.trunks["hlr"].mu.Unlock()
@@ -486,22 +492,23 @@
 		if msg, err := s.nextMessage(); err == nil && msg.kind == msgDATA {
 			return
 		} else if n > 200 {
-			t.Fatal("the circuit never comes back")
+			t.Fatal("the circuit was never used again")
 		}
 	}
 }
 
-// ledger counts, over all stand-in servers, the attempts out for each call.
+// attemptLog records, over all stand-in servers, the outstanding attempts of each call and the rules they violate.
 type attemptLog struct {
 	mu          sync.Mutex
-	outstanding map[string]string // call to server
-	attempts    map[string]int
-	resetAt     map[string]time.Time // before the reset that cut the call's set-up
-	overlaps    int
-	tooEarly    int // sent again within the release gap
-	resets      int // set-ups cut by a reset
+	outstanding map[string]string    // server by call
+	attempts    map[string]int       // number of attempts by call
+	resetAt     map[string]time.Time // time of the reset that interrupted the call's set-up
+	overlaps    int                  // attempts sent while another attempt of the call was outstanding
+	tooEarly    int                  // attempts sent within the release guard
+	resets      int                  // set-ups interrupted by a reset
 }
 
+// start records that a server received an attempt of a call.
 func (l *attemptLog) start(tag, server string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -515,14 +522,15 @@
 	l.attempts[tag]++
 }
 
+// end records that a call's outstanding attempt ended.
 func (l *attemptLog) end(tag string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.outstanding, tag)
 }
 
-// flaky is a stand-in server that resets its connection halfway through set-ups, again and again, while a
-// drain notice is on its way: DUNA, then part of an answer, then the reset. What it had answered stands on.
+// serveWithResets runs a stand-in server that repeatedly resets its connection while set-ups are outstanding and a drain
+// notice is in flight: it sends DUNA, then part of an answer, then resets. Calls answered before stay established.
 func serveWithResets(ctx context.Context, l net.Listener, name string, attempts *attemptLog, rnd *rand.Rand) {
 	for {
 		p, err := acceptASP(l)
@@ -537,7 +545,7 @@
 				p.Close()
 				return
 			}
-			if errors.Is(err, os.ErrDeadlineExceeded) { // nothing more to mix up: answer what is open
+			if errors.Is(err, os.ErrDeadlineExceeded) { // no new set-ups: answer all open ones
 				for c, tag := range open {
 					delete(open, c)
 					attempts.end(tag)
@@ -566,13 +574,13 @@
 			}
 			if remaining--; remaining < 0 {
 				p.send(buildMessage(msgDUNA, uint32Param(tagAffectedPC, c.dpc)))
-				time.Sleep(time.Duration(rnd.IntN(4)) * time.Millisecond) // drained, with set-ups open
+				time.Sleep(time.Duration(rnd.IntN(4)) * time.Millisecond) // the server is drained while set-ups are open
 				answer, _ := buildISUP(c.cic, isupMessage{kind: isupANM, desc: k.desc})
 				p.send(buildData(c.reverse(), 2, 1, answer)[:10+rnd.IntN(20)])
 				break
 			}
 			for c, tag := range open {
-				if rnd.IntN(3) == 0 { // the others wait, so that a reset finds some open
+				if rnd.IntN(3) == 0 { // the others stay open, so that a reset interrupts some
 					delete(open, c)
 					attempts.end(tag)
 					p.sendISUP(c.reverse(), isupMessage{kind: isupANM, desc: []byte(tag)})
@@ -598,8 +606,8 @@
 	}
 }
 
-// The hard case: connections are reset halfway through set-ups while drain notices arrive, over many thousands
-// of calls. Each gets exactly one final answer, and none ever has two attempts out, or more than four in all.
+// TestResetsWhileDraining resets server connections during set-ups while drain notices arrive, over thousands of calls.
+// Each call must get exactly one final answer, at most one outstanding attempt at any time, and at most four attempts.
 func TestResetsWhileDraining(t *testing.T) {
 	const circuits, callsPerCircuit = 50, 160
 	attempts := &attemptLog{outstanding: make(map[string]string), attempts: make(map[string]int), resetAt: make(map[string]time.Time)}
@@ -647,7 +655,7 @@
 			for n := range callsPerCircuit {
 				tag := fmt.Sprintf("%d-%d", i, n)
 				c.sendISUP(ci, isupMessage{kind: isupIAM, category: 10, digits: "1", desc: []byte(tag)})
-				if rnd.IntN(8) == 0 { // the caller gives up; an answer may cross
+				if rnd.IntN(8) == 0 { // the caller gives up, and an answer may cross its REL
 					time.Sleep(time.Duration(rnd.IntN(2000)) * time.Microsecond)
 					c.sendISUP(ci, isupMessage{kind: isupREL, cause: 16})
 					for finals := 0; ; {
@@ -659,7 +667,7 @@
 							break
 						}
 						if finals++; finals > 1 || k.kind == isupANM && string(k.desc) != tag {
-							t.Errorf("call %s, given up: second or foreign answer %+v", tag, k)
+							t.Errorf("call %s, given up: second answer or answer of another call %+v", tag, k)
 						}
 					}
 					mu.Lock()
@@ -692,7 +700,7 @@
 		})
 	}
 	wg.Wait()
-	c.send(buildMessage(msgBEAT)) // all that was sent before has come in before its answer
+	c.send(buildMessage(msgBEAT)) // its answer arrives after all messages sent before
 	time.Sleep(50 * time.Millisecond)
 	for i := range received {
 		if len(received[i]) > 0 {
@@ -707,16 +715,17 @@
 			resent++
 		}
 	}
-	t.Logf("%d calls: %d stood, %d refused, %d given up; %d set-ups cut by resets, %d calls sent again, at most %d attempts, %d overlaps, %d sent again too early",
+	t.Logf("%d calls: %d established, %d refused, %d given up; %d set-ups interrupted by resets, %d calls resent, at most %d attempts, %d overlaps, %d resent too early",
 		circuits*callsPerCircuit, established, refused, givenUp, attempts.resets, resent, maxAttempts, attempts.overlaps, attempts.tooEarly)
 	if established+refused+givenUp != circuits*callsPerCircuit || attempts.overlaps+attempts.tooEarly > 0 || maxAttempts > 4 {
-		t.Error("a rule is broken")
+		t.Error("a call has no final answer, overlapping or early attempts, or too many attempts")
 	}
 	if established < circuits*callsPerCircuit/4 || attempts.resets < 100 || resent < 50 {
-		t.Error("the test has not met its case")
+		t.Error("too few established calls, resets or resent calls for a meaningful test")
 	}
 }
 
+// FuzzParse checks that the parsers accept any input without a panic and report a valid length.
 func FuzzParse(f *testing.F) {
 	iam, _ := buildISUP(1, isupMessage{kind: isupIAM, digits: "12", desc: []byte("x")})
 	f.Add(buildData(circuit{1, 2, 3}, 2, 1, iam))
@@ -724,7 +733,7 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		m, n, err := parseMessage(b, 1<<10)
 		if err == nil && (n < headerSize || n > len(b)) {
-			t.Errorf("a message of %d bytes out of %d", n, len(b))
+			t.Errorf("message of %d bytes in a buffer of %d", n, len(b))
 		}
 		affectedPointCodes(m)
 		if _, isup, err := parseData(m, 1); err == nil {
@@ -734,5 +743,5 @@
 	})
 }
 
-// No goroutine and no descriptor may be left over.
+// TestMain fails if the tests leave a goroutine or a file descriptor behind.
 func TestMain(m *testing.M) { leak.Main(m) }
--- a/internal/m3ua/message.go
+++ b/internal/m3ua/message.go
@@ -1,7 +1,7 @@
-// Package m3ua is the front for M3UA-style signalling over TCP: messages after RFC 4666, framed by the
-// length in their common header, with ISUP-style calls in their payload. Old clients come in as ASPs;
-// servers are reached by this program as an ASP of theirs. It translates, and leaves every decision to
-// the core.
+// Package m3ua implements M3UA-style signalling over TCP: messages as in RFC 4666, framed by the length in
+// their common header, with ISUP-style calls in their payload. Older clients connect as ASPs (application
+// server processes) of this program; towards a server this program acts as an ASP itself. The package only
+// translates between messages and the core's events and effects; the core takes every decision.
 package m3ua
 
 import (
@@ -10,7 +10,7 @@
 	"fmt"
 )
 
-// Message classes and types (RFC 4666, 3.1.3): class in the high byte.
+// Message classes and types (RFC 4666, 3.1.3): the class is in the high byte, the type in the low byte.
 const (
 	msgERR      = 0x0000
 	msgNTFY     = 0x0001
@@ -57,7 +57,7 @@
 	errContext      = 0x19
 )
 
-// States that an NTFY tells (RFC 4666, 3.8.2).
+// Values of the Status parameter of NTFY (RFC 4666, 3.8.2): type in the high half, information in the low half.
 const (
 	statusASInactive = 1<<16 | 2
 	statusASActive   = 1<<16 | 3
@@ -72,30 +72,31 @@
 	siISUP                 = 5
 )
 
-// protocolError is a malformed message, with the code for an ERR.
+// protocolError describes a malformed or unexpected message and the error code of the ERR that answers it.
 type protocolError struct {
 	code   uint32
 	detail string
-	fatal  bool // nothing behind it can be read either
+	fatal  bool // the framing is lost: nothing after this message can be read
 }
 
 func (e *protocolError) Error() string { return e.detail }
 
-// errShort says that a message is not whole yet.
-var errIncomplete = errors.New("not whole")
+// errIncomplete is returned by parseMessage when the buffer does not yet hold a whole message.
+var errIncomplete = errors.New("incomplete message")
 
-// message is a message taken apart. Its parameters point into the buffer it was read from.
+// message is a parsed M3UA message. The parameter values point into the buffer that was parsed.
 type message struct {
 	kind   uint16
 	params []param
 }
 
+// param is one parameter of a message: its tag, and its value without padding.
 type param struct {
 	tag   uint16
 	value []byte
 }
 
-// get is the first parameter with a tag.
+// get returns the value of the first parameter with the given tag.
 func (m message) get(tag uint16) ([]byte, bool) {
 	for _, p := range m.params {
 		if p.tag == tag {
@@ -105,7 +106,8 @@
 	return nil, false
 }
 
-// number is a parameter of four bytes.
+// getUint32 returns the value of a four-byte parameter. It reports false if the parameter is missing or has another
+// size.
 func (m message) getUint32(tag uint16) (uint32, bool) {
 	v, ok := m.get(tag)
 	if !ok || len(v) != 4 {
@@ -114,7 +116,8 @@
 	return binary.BigEndian.Uint32(v), true
 }
 
-// parse reads the first message of b, which may hold most bytes, and says how long it is.
+// parseMessage parses the first message in b, which may be at most maxSize bytes long, and returns its length n. The
+// length is 0 if the framing is lost.
 func parseMessage(b []byte, maxSize int) (m message, n int, err error) {
 	if len(b) < headerSize {
 		return m, 0, errIncomplete
@@ -122,9 +125,9 @@
 	length := binary.BigEndian.Uint32(b[4:])
 	switch {
 	case b[0] != version:
-		return m, 0, &protocolError{errVersion, fmt.Sprintf("version %d", b[0]), true}
+		return m, 0, &protocolError{errVersion, fmt.Sprintf("unsupported version %d", b[0]), true}
 	case length < headerSize || length > uint32(maxSize):
-		return m, 0, &protocolError{errProtocol, fmt.Sprintf("a message of %d bytes", length), true}
+		return m, 0, &protocolError{errProtocol, fmt.Sprintf("invalid message length %d", length), true}
 	case len(b) < int(length):
 		return m, 0, errIncomplete
 	}
@@ -132,11 +135,11 @@
 	m.kind = binary.BigEndian.Uint16(b[2:])
 	for p := b[headerSize:n]; len(p) > 0; {
 		if len(p) < paramHeaderSize {
-			return m, n, &protocolError{errParamField, "a parameter is cut short", false}
+			return m, n, &protocolError{errParamField, "truncated parameter header", false}
 		}
 		size := int(binary.BigEndian.Uint16(p[2:]))
 		if size < paramHeaderSize || size > len(p) {
-			return m, n, &protocolError{errParamField, fmt.Sprintf("a parameter of %d bytes", size), false}
+			return m, n, &protocolError{errParamField, fmt.Sprintf("invalid parameter length %d", size), false}
 		}
 		m.params = append(m.params, param{binary.BigEndian.Uint16(p), p[paramHeaderSize:size]})
 		p = p[min((size+3)&^3, len(p)):]
@@ -144,7 +147,7 @@
 	return m, n, nil
 }
 
-// build writes a message.
+// buildMessage encodes a message.
 func buildMessage(kind uint16, params ...param) []byte {
 	b := []byte{version, 0, byte(kind >> 8), byte(kind), 0, 0, 0, 0}
 	for _, p := range params {
@@ -157,21 +160,21 @@
 	return b
 }
 
-// number32 is a parameter of four bytes.
+// uint32Param returns a four-byte parameter.
 func uint32Param(tag uint16, n uint32) param {
 	return param{tag, binary.BigEndian.AppendUint32(nil, n)}
 }
 
-// circuit names a circuit between two points: a call has one for as long as it lives.
+// circuit identifies a circuit between two signalling points. A call occupies one circuit from its set-up to its end.
 type circuit struct {
-	opc, dpc uint32 // as in the message that takes it
+	opc, dpc uint32 // origin and destination, as in the message that seizes the circuit
 	cic      uint16
 }
 
-// back is the circuit as the other side's messages name it.
+// reverse returns the circuit as the other side's messages identify it, with the point codes swapped.
 func (c circuit) reverse() circuit { return circuit{c.dpc, c.opc, c.cic} }
 
-// dataMessage wraps an ISUP message.
+// buildData encodes a DATA message that carries an ISUP message on a circuit.
 func buildData(circ circuit, networkIndicator byte, routingContext uint32, isup []byte) []byte {
 	protocolData := binary.BigEndian.AppendUint32(nil, circ.opc)
 	protocolData = binary.BigEndian.AppendUint32(protocolData, circ.dpc)
@@ -180,36 +183,36 @@
 	return buildMessage(msgDATA, uint32Param(tagRoutingContext, routingContext), param{tagProtocolData, protocolData})
 }
 
-// parseData unwraps an ISUP message.
+// parseData returns the circuit and the ISUP message that a DATA message carries.
 func parseData(m message, routingContext uint32) (circ circuit, isup []byte, err error) {
 	if rc, ok := m.getUint32(tagRoutingContext); ok && rc != routingContext {
-		return circ, nil, &protocolError{errContext, fmt.Sprintf("routing context %d", rc), false}
+		return circ, nil, &protocolError{errContext, fmt.Sprintf("unknown routing context %d", rc), false}
 	}
 	data, ok := m.get(tagProtocolData)
 	switch {
 	case !ok:
-		return circ, nil, &protocolError{errMissingParam, "DATA without protocol data", false}
+		return circ, nil, &protocolError{errMissingParam, "DATA without protocol data parameter", false}
 	case len(data) < protocolDataHeaderSize+isupHeaderSize:
-		return circ, nil, &protocolError{errParamField, "protocol data is cut short", false}
+		return circ, nil, &protocolError{errParamField, "truncated protocol data", false}
 	case data[8] != siISUP:
-		return circ, nil, &protocolError{errParamValue, fmt.Sprintf("service indicator %d", data[8]), false}
+		return circ, nil, &protocolError{errParamValue, fmt.Sprintf("unsupported service indicator %d", data[8]), false}
 	}
 	circ = circuit{binary.BigEndian.Uint32(data), binary.BigEndian.Uint32(data[4:]), binary.LittleEndian.Uint16(data[protocolDataHeaderSize:])}
 	return circ, data[protocolDataHeaderSize:], nil
 }
 
-// affected are the point codes of a DUNA, DAVA or SCON.
+// affectedPointCodes returns the point codes that a DUNA, DAVA or SCON reports on.
 func affectedPointCodes(m message) ([]uint32, error) {
 	v, ok := m.get(tagAffectedPC)
 	if !ok {
-		return nil, &protocolError{errMissingParam, "no affected point code", false}
+		return nil, &protocolError{errMissingParam, "no affected point code parameter", false}
 	}
 	if len(v) == 0 || len(v)%4 != 0 {
-		return nil, &protocolError{errParamField, "affected point codes are cut short", false}
+		return nil, &protocolError{errParamField, "truncated affected point code parameter", false}
 	}
 	var pcs []uint32
 	for ; len(v) > 0; v = v[4:] {
-		pcs = append(pcs, binary.BigEndian.Uint32(v)&0xffffff) // the first byte is a mask
+		pcs = append(pcs, binary.BigEndian.Uint32(v)&0xffffff) // the high byte is a mask, which is ignored
 	}
 	return pcs, nil
 }
--- a/internal/m3ua/server.go
+++ b/internal/m3ua/server.go
@@ -13,37 +13,39 @@
 	"elmseam/internal/q850"
 )
 
-// trunk is the circuits to one server, under a lock: the loop and the connection both change them.
+// trunk holds the circuits to one server. The mutex guards them, as the loop and the connection both change them.
 type trunk struct {
-	route circuit
+	route circuit // the two point codes; the circuit identification code is 0
 	mu    sync.Mutex
 	*circuits.Circuits
 }
 
+// newTrunk returns a trunk with the given number of circuits, all free.
 func newTrunk(route circuit, circuitCount int) *trunk {
 	return &trunk{route: route, Circuits: circuits.New(circuitCount)}
 }
 
-// do changes the circuits.
+// withLock calls the function with the trunk's mutex held.
 func (t *trunk) withLock(change func(now time.Time)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	change(time.Now())
 }
 
-// server is a connection to a server, as an ASP of its.
+// serverConn is a connection to a server, on which this program acts as an ASP of the server.
 type serverConn struct {
 	session
 	name      string
 	trunk     *trunk
 	connID    core.ConnID
-	activated chan struct{} // closed once active
-	active    bool
+	activated chan struct{} // closed when the association becomes active
+	active    bool          // whether the association has become active
 }
 
-var errActivationTimeout = errors.New("not active in time")
+// errActivationTimeout reports an association that ended before it became active.
+var errActivationTimeout = errors.New("association did not become active in time")
 
-// Dial makes a connection to a server, becomes active there and reads it to its end. It is a loop.Dialer.
+// Dial connects to a server, activates the association and reads the connection until it ends. Dial is a loop.Dialer.
 func (m *M3UA) Dial(e core.Dial) {
 	trunk := m.trunks[e.Server]
 	if trunk == nil {
@@ -75,10 +77,10 @@
 	m.log.Info().Err(err).Str("server", e.Server).Msg("association with server ended")
 	trunk.withLock(trunk.ConnLost)
 	m.loop.Post(core.ServerDown{Server: e.Server, Conn: s.connID})
-	s.out.Flush() // what is wrong with its messages
+	s.out.Flush() // sends the ERR, if any, that answers the last message
 }
 
-// take handles a server's message.
+// handleMessage handles a message from a server at the given address.
 func (s *serverConn) handleMessage(msg message, address string) error {
 	switch msg.kind {
 	case msgASPUPACK:
@@ -87,7 +89,7 @@
 		}
 	case msgASPACACK:
 		s.activate(address)
-	case msgASPIAACK, msgASPDNACK: // unasked: the server takes no more
+	case msgASPIAACK, msgASPDNACK: // not requested: the server accepts no more set-ups
 		s.setPaused(true)
 	case msgNTFY:
 		status, ok := msg.getUint32(tagStatus)
@@ -121,7 +123,8 @@
 	return nil
 }
 
-// activate lets calls out. Circuits whose release was not confirmed are released again first.
+// activate attaches the connection to the core, which may then send set-ups to the server. Before that, it repeats the
+// REL on every circuit whose release the server has not confirmed.
 func (s *serverConn) activate(address string) {
 	if s.active {
 		return
@@ -137,14 +140,15 @@
 	s.m.loop.Post(core.ServerPaused{Server: s.name})
 }
 
-// pause is ignored before the first activation: a server says AS-INACTIVE while an ASP comes up.
+// setPaused posts whether the server accepts new set-ups. Before the activation it does nothing, because a server sends
+// AS-INACTIVE while an ASP comes up.
 func (s *serverConn) setPaused(paused bool) {
 	if s.active {
 		s.m.loop.Post(core.ServerPaused{Server: s.name, Paused: paused})
 	}
 }
 
-// state takes in what is said of the server's point code.
+// handleState handles a DUNA, DAVA or SCON about the server's point code.
 func (s *serverConn) handleState(msg message) {
 	switch msg.kind {
 	case msgDUNA:
@@ -152,7 +156,7 @@
 	case msgDAVA:
 		s.setPaused(false)
 	case msgSCON:
-		level, _ := msg.getUint32(tagCongestion) // 0 to 3; absent: congested, with no levels in use
+		level, _ := msg.getUint32(tagCongestion) // 0 to 3; without the parameter the point is congested and uses no levels
 		if _, ok := msg.get(tagCongestion); !ok {
 			level = maxCongestionLevel
 		}
@@ -162,16 +166,17 @@
 	}
 }
 
+// maxCongestionLevel is the highest congestion level of an SCON. It stands for a hold-back share of 1.
 const maxCongestionLevel = 3
 
-// data handles an ISUP message.
+// handleData handles a DATA message, which carries an ISUP message.
 func (s *serverConn) handleData(msg message) error {
 	circ, isup, err := parseData(msg, s.m.RoutingContext)
 	if err != nil {
 		return err
 	}
 	if circ.opc != s.trunk.route.dpc || circ.dpc != s.trunk.route.opc {
-		return &protocolError{errParamValue, "point codes that are not this route's", false}
+		return &protocolError{errParamValue, "point codes do not belong to this route", false}
 	}
 	sig, err := parseISUP(isup)
 	if err != nil {
@@ -186,7 +191,7 @@
 		if ok {
 			s.m.loop.Post(core.ServerAnswer{Server: s.name, Conn: s.connID, ID: id, Desc: sig.desc})
 		}
-	case isupREL, isupRSC: // a circuit reset has no cause: the call on it is cut
+	case isupREL, isupRSC: // an RSC has no cause: its call ends with core.Reset
 		var id core.ID
 		var ok bool
 		s.trunk.withLock(func(time.Time) {
@@ -201,16 +206,16 @@
 	case isupRLC:
 		s.trunk.withLock(func(now time.Time) { s.trunk.Confirmed(circ.cic, now) })
 	default:
-		return &protocolError{errUnexpected, "an ISUP message that servers don't send", false}
+		return &protocolError{errUnexpected, "ISUP message not expected from a server", false}
 	}
 	return nil
 }
 
-// write writes an ISUP message on a circuit.
+// sendISUP queues an ISUP message on a circuit. If onWritten is not nil, it is called when the message has been written.
 func (s *serverConn) sendISUP(cic uint16, sig isupMessage, onWritten func()) {
 	isup, err := buildISUP(cic, sig)
 	if err != nil {
-		s.m.log.Error().Err(err).Msg("message not sent")
+		s.m.log.Error().Err(err).Msg("ISUP message not sent")
 		return
 	}
 	circ := s.trunk.route
@@ -218,11 +223,13 @@
 	s.out.Post(link.Item{Data: buildData(circ, s.m.NetworkIndicator, s.m.RoutingContext, isup), OnWritten: onWritten})
 }
 
+// Close closes the connection.
 func (s *serverConn) Close() { s.out.Close() }
 
+// Flush waits briefly until the queued messages are written.
 func (s *serverConn) Flush() { s.out.Flush() }
 
-// HandleEffect writes an effect for a server.
+// HandleEffect sends the ISUP message for an effect to the server. It returns the events that follow at once.
 func (s *serverConn) HandleEffect(e core.Effect) []core.Event {
 	switch e := e.(type) {
 	case core.Offer:
@@ -243,7 +250,7 @@
 				s.sendISUP(cic, isupMessage{kind: isupREL, cause: q850.NormalClearing}, onWritten)
 			}
 		})
-		if !found && e.Notify { // released by the server meanwhile
+		if !found && e.Notify { // the server has released the call meanwhile
 			return []core.Event{written}
 		}
 	case core.GracefulClose:
@@ -258,8 +265,9 @@
 	return nil
 }
 
-// offer writes a set-up. A class or a number that has no form here is not sent, and neither is a call for
-// which no circuit is free.
+// sendSetUp queues the IAM for a set-up on a free circuit. It returns core.NotSent if the class has no category, the
+// called number cannot be encoded, the message is too long or no circuit is free. It also repeats the RELs whose
+// confirmation is overdue.
 func (s *serverConn) sendSetUp(e core.Offer) []core.Event {
 	category, hasCategory := s.m.categoryOfClass(e.Class)
 	cic, allocated := uint16(0), false
@@ -296,7 +304,7 @@
 	return nil
 }
 
-// notSent frees the circuit of a set-up that never left.
+// notSent frees the circuit of a set-up that was never written, and returns the event for the core.
 func (s *serverConn) notSent(id core.ID) []core.Event {
 	s.trunk.withLock(func(time.Time) { s.trunk.NotSent(id) })
 	return []core.Event{core.NotSent{Server: s.name, Conn: s.connID, ID: id}}
--- /dev/null
+++ b/internal/m3ua/session.go
@@ -0,0 +1,129 @@
+package m3ua
+
+import (
+	"errors"
+	"fmt"
+	"net"
+	"os"
+	"time"
+
+	"elmseam/internal/core"
+	"elmseam/internal/link"
+)
+
+// session is the part that connections of callers and to servers share: reading, heartbeats and error reports.
+type session struct {
+	m       *M3UA
+	conn    net.Conn
+	limits  link.Limits
+	out     *link.Outbox
+	handler func(msg message, at core.Time) error // handles the messages that dispatch does not
+}
+
+// newSession returns a session on an open connection.
+func (m *M3UA) newSession(conn net.Conn, limits link.Limits) session {
+	return session{m: m, conn: conn, limits: limits, out: link.NewOutbox(conn, limits)}
+}
+
+// errMessageTimeout ends a connection whose peer takes longer than MessageTimeout to send one message.
+var errMessageTimeout = errors.New("message was not complete in time")
+
+// send queues a message.
+func (s *session) send(kind uint16, params ...param) {
+	s.out.Post(link.Item{Data: buildMessage(kind, params...)})
+}
+
+// read reads and dispatches messages until the connection ends. It answers a malformed message with an ERR, and returns
+// if the framing is lost or the peer has sent maxMalformedMessages malformed messages. It sends heartbeats to a silent
+// peer, and returns when the peer has left maxUnansweredHeartbeats unanswered. It also returns if a message is not
+// complete within MessageTimeout, whether the peer stopped sending or sends byte by byte.
+func (s *session) read() error {
+	in := link.NewBuffer(s.limits.InitialBufferSize, s.limits.MaxMessageSize)
+	heartbeat := time.Duration(s.m.HeartbeatMS) * time.Millisecond
+	malformedCount, unanswered := 0, 0
+	var messageDeadline time.Time // by when the message being read must be complete; zero between messages
+	for {
+		readDeadline := time.Now().Add(heartbeat)
+		if !messageDeadline.IsZero() && messageDeadline.Before(readDeadline) {
+			readDeadline = messageDeadline
+		}
+		s.conn.SetReadDeadline(readDeadline)
+		err := in.Fill(s.conn)
+		if !messageDeadline.IsZero() && !time.Now().Before(messageDeadline) {
+			return errMessageTimeout
+		}
+		if errors.Is(err, os.ErrDeadlineExceeded) && unanswered < maxUnansweredHeartbeats {
+			unanswered++
+			s.send(msgBEAT, param{tagHeartbeat, []byte("elmseam")})
+			continue
+		}
+		if err != nil {
+			return err
+		}
+		unanswered = 0
+		at := s.m.loop.Now()
+		for {
+			msg, n, err := parseMessage(in.Bytes(), s.limits.MaxMessageSize)
+			if err == errIncomplete {
+				break
+			}
+			messageDeadline = time.Time{} // the next message gets a deadline of its own
+			if err == nil {
+				err = s.dispatch(msg, at)
+			}
+			if protoErr, ok := err.(*protocolError); ok {
+				if malformedCount++; malformedCount == 1 {
+					s.m.sampledLog.Warn().Err(err).Stringer("peer", s.conn.RemoteAddr()).Msg("malformed signalling")
+				}
+				s.send(msgERR, uint32Param(tagErrorCode, protoErr.code))
+				if protoErr.fatal || malformedCount >= maxMalformedMessages {
+					return err
+				}
+			} else if err != nil {
+				return err
+			}
+			in.Skip(n)
+		}
+		if len(in.Bytes()) > 0 && messageDeadline.IsZero() {
+			messageDeadline = time.Now().Add(s.limits.MessageTimeout)
+		}
+	}
+}
+
+// maxUnansweredHeartbeats is how many heartbeats in a row a peer may leave unanswered.
+const maxUnansweredHeartbeats = 2
+
+// maxMalformedMessages is the number of malformed messages after which a connection is closed.
+const maxMalformedMessages = 8
+
+// dispatch handles the messages that both callers and servers may send, and passes all others to the handler.
+func (s *session) dispatch(msg message, at core.Time) error {
+	switch msg.kind {
+	case msgBEAT:
+		var reply []param
+		if v, ok := msg.get(tagHeartbeat); ok {
+			reply = append(reply, param{tagHeartbeat, append([]byte(nil), v...)})
+		}
+		s.send(msgBEATACK, reply...)
+		return nil
+	case msgBEATACK, msgDUPU, msgDRST:
+		return nil
+	case msgERR:
+		code, _ := msg.getUint32(tagErrorCode)
+		s.m.sampledLog.Warn().Uint32("code", code).Stringer("peer", s.conn.RemoteAddr()).Msg("peer reports an error")
+		return nil
+	}
+	return s.handler(msg, at)
+}
+
+// unexpectedMessage returns the error for a message that the peer may not send, or not in the present state.
+func unexpectedMessage(kind uint16) error {
+	switch {
+	case kind>>8 > 4:
+		return &protocolError{errClass, fmt.Sprintf("unsupported message class %d", kind>>8), false}
+	case kind == msgNTFY || kind == msgDATA || kind>>8 == 2 && kind&0xff <= 6 && kind&0xff > 0 ||
+		kind>>8 == 3 && kind&0xff <= 6 && kind&0xff > 0 || kind>>8 == 4 && kind&0xff <= 4 && kind&0xff > 0:
+		return &protocolError{errUnexpected, fmt.Sprintf("unexpected message %#04x", kind), false}
+	}
+	return &protocolError{errType, fmt.Sprintf("unknown message type %#04x", kind), false}
+}
--- a/internal/q850/q850.go
+++ b/internal/q850/q850.go
@@ -1,5 +1,5 @@
-// Package q850 is the one table between the core's reasons and the cause values of ITU-T Q.850, which
-// both fronts carry.
+// Package q850 maps the core's end reasons to the cause values of ITU-T Q.850 and back. Both signalling
+// protocols carry these cause values.
 package q850
 
 import (
@@ -7,7 +7,7 @@
 	"elmseam/internal/core"
 )
 
-// The cause values in use.
+// Cause values of ITU-T Q.850 that the protocols use.
 const (
 	UserBusy            = 17
 	NormalClearing      = 16
@@ -19,7 +19,7 @@
 	TimerExpiry         = 102
 )
 
-// CauseFromReason is the cause that a caller is told.
+// CauseFromReason returns the cause value sent to a caller for a reason.
 func CauseFromReason(r core.Reason) byte {
 	switch r {
 	case core.Normal:
@@ -34,7 +34,8 @@
 	return TemporaryFailure
 }
 
-// ReasonFromCause is what a server's cause says.
+// ReasonFromCause returns the reason for a cause value received from a server. A cause value without an entry
+// counts as core.Reset.
 func ReasonFromCause(cause int) core.Reason {
 	switch cause {
 	case NormalClearing:
@@ -49,7 +50,7 @@
 	return core.Reset
 }
 
-// RefusalFromNote is what a cause says beside that on the platform, where a note goes with it.
+// RefusalFromNote returns the kind of refusal that a platform server names in the note beside its cause value.
 func RefusalFromNote(note string) elmseam.Refusal {
 	switch note {
 	case "swamped":
@@ -60,7 +61,7 @@
 	return elmseam.RefusalOther
 }
 
-// RefusalFromCause is the same in signalling that has causes only.
+// RefusalFromCause returns the kind of refusal for a cause value, in signalling that carries no note.
 func RefusalFromCause(cause int) elmseam.Refusal {
 	switch cause {
 	case Congestion:
