--- a/cmd/elmseam/main.go
+++ b/cmd/elmseam/main.go
@@ -1,4 +1,5 @@
-// Command elmseam is one softswitch. The environment tells it where to listen and what it must know.
+// Command elmseam runs one softswitch, a member of a tier. The environment names its configuration files and overrides
+// some of their settings.
 package main
 
 import (
@@ -30,10 +31,10 @@
 	"elmseam/internal/platform"
 )
 
-// signallingFile tells of the second front where ELMSEAM_SIGNALLING names no other file.
+// signallingFile is the default signalling file, which configures M3UA and BGP. ELMSEAM_SIGNALLING overrides it.
 const signallingFile = "deploy/m3ua.toml"
 
-// membersFile tells of the tier's membership where ELMSEAM_MEMBERS names no other file.
+// membersFile is the default members file, which configures the tier's membership. ELMSEAM_MEMBERS overrides it.
 const membersFile = "deploy/members.toml"
 
 func main() {
@@ -43,9 +44,10 @@
 	}
 }
 
+// run runs the softswitch until it is told to stop. It returns an error if the softswitch cannot start.
 func run() error {
-	// From the first instant on: a signal that nobody asked for ends a program.
-	// Each kind has room of its own: however often one comes, none of the other is missed.
+	// Signals are caught before anything else, because an uncaught signal ends the process. Stop and reload signals
+	// have separate channels, so that many signals of one kind cannot displace one of the other.
 	stops, reloads := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(stops, syscall.SIGTERM, os.Interrupt)
 	signal.Notify(reloads, syscall.SIGHUP)
@@ -80,7 +82,7 @@
 	upgrades := &upgrader{socketPath: handover.SocketPath(os.Getenv("TMPDIR"), cfg.Name), limits: cfg.Limits.HandOver, memory: memory, log: log, sampledLog: link.SampledLogger(log)}
 	ready := make(chan struct{})
 	var tierSocket *peers.Socket
-	var platformRef atomic.Pointer[platform.Platform] // before anything is posted
+	var platformRef atomic.Pointer[platform.Platform] // set before the first event is posted
 	sampledLog := link.SampledLogger(log)
 	eventLoop := loop.New(reducer, cfg.Limits.EventQueue, func(e core.Effect) {
 		switch e := e.(type) {
@@ -126,7 +128,7 @@
 		} else {
 			var tierDone sync.WaitGroup
 			tierCtx, stopTier := context.WithCancel(context.Background())
-			defer tierDone.Wait() // the others are told that this one goes
+			defer tierDone.Wait() // the socket tells the other members that this one leaves
 			defer stopTier()
 			tierDone.Go(func() { tierSocket.Run(tierCtx, join...) })
 		}
@@ -149,7 +151,7 @@
 	}
 	defer listener.Close()
 	tasks := []func(){func() { platformProtocol.Serve(listener) }}
-	if hasPredecessor { // the predecessor serves until this process can
+	if hasPredecessor { // the predecessor serves until this process is ready
 		memory.addProcesses(1)
 		tasks = []func(){upgrades.followPredecessor, func() {
 			<-ready
@@ -168,10 +170,10 @@
 			Limits: cfg.Limits.Mgmt, Snapshot: eventLoop.Snapshot, ClassNames: platformProtocol.Classes,
 			SetDraining: platformProtocol.SetDraining, Post: eventLoop.Post, Log: log, Peers: tierSocket,
 		}
-		log.Info().Str("mgmt", adminListener.Addr().String()).Msg("door for operators")
+		log.Info().Str("mgmt", adminListener.Addr().String()).Msg("admin endpoint listening")
 		go admin.Serve(adminListener)
 	}
-	var speakerDone sync.WaitGroup // the speaker takes leave of its peers
+	var speakerDone sync.WaitGroup // the speaker closes its sessions with its peers
 	defer speakerDone.Wait()
 	defer cancel()
 
@@ -199,10 +201,10 @@
 			return fmt.Errorf("m3ua.listen: %w", err)
 		}
 		if err == nil {
-			log.Info().Str("m3ua", m3uaListener.Addr().String()).Msg("second front")
+			log.Info().Str("m3ua", m3uaListener.Addr().String()).Msg("M3UA endpoint listening")
 		}
 		tasks = append(tasks, func() {
-			for err != nil { // until the predecessor has gone
+			for err != nil { // the predecessor holds the address until it exits
 				time.Sleep(retryDelay)
 				m3uaListener, err = net.Listen("tcp", signallingConf.M3UA.Listen)
 			}
@@ -227,31 +229,31 @@
 	commandFeed.Follow(cfg.CommandChannel, nil)
 	tasks = append(tasks, func() { commandFeed.Run(ctx) })
 
-	// reload takes in the configuration as it stands in its file now. With one that makes no sense nothing changes.
+	// reload reads the configuration again and applies it. An invalid configuration changes nothing.
 	reload := func() {
 		newCfg, err := config.Reload(os.Getenv, cfg)
 		if err != nil {
-			log.Error().Err(err).Msg("configuration not taken over")
+			log.Error().Err(err).Msg("configuration rejected")
 			eventLoop.Post(core.Misconfigured{})
 			return
 		}
 		if newCfg.Listen != cfg.Listen || newCfg.Name != cfg.Name || newCfg.Mgmt != cfg.Mgmt {
-			log.Warn().Str("name", newCfg.Name).Str("listen", newCfg.Listen).Str("mgmt", newCfg.Mgmt).Msg("name, listen and mgmt change at a restart only")
+			log.Warn().Str("name", newCfg.Name).Str("listen", newCfg.Listen).Str("mgmt", newCfg.Mgmt).Msg("changes of name, listen and mgmt need a restart")
 		}
 		cfg = newCfg
 		memory.setLimits(cfg.Limits)
 		platformProtocol.Configure(cfg.Platform())
-		if m3uaProtocol != nil { // before the core knows of new classes
+		if m3uaProtocol != nil { // before the core sees calls of new classes
 			m3uaProtocol.Configure(cfg.M3UA(signallingConf.M3UA))
 		}
 		eventLoop.Post(core.Configured{Settings: cfg.Settings, Limits: cfg.Limits.Core})
 		if newMembers, err := config.LoadMembers(membersPath, membersNamed); err != nil {
-			log.Error().Err(err).Msg("members' file not taken over")
+			log.Error().Err(err).Msg("members file rejected")
 		} else if tierSocket != nil && newMembers.Maintenance.Enabled {
 			eventLoop.Post(core.MaintenanceRequest{Event: maintenance.SetBudget{Budget: newMembers.MaintenanceBudget(len(cfg.Peers))}})
 		}
 		commandFeed.Follow(cfg.CommandChannel, cfg.InitialCommands)
-		log.Info().Str("channel", cfg.CommandChannel).Msg("configuration taken over")
+		log.Info().Str("channel", cfg.CommandChannel).Msg("configuration reloaded")
 	}
 	go func() {
 		for _, ev := range initialEvents {
@@ -281,7 +283,7 @@
 	return nil
 }
 
-// signalling reads the file of the second front. Without one there is only the first.
+// signalling reads the signalling file. If the default file does not exist, M3UA and BGP stay off.
 func signalling() (config.SignallingFile, error) {
 	path, named := os.LookupEnv("ELMSEAM_SIGNALLING")
 	if !named {
--- a/cmd/elmseam/main_test.go
+++ b/cmd/elmseam/main_test.go
@@ -21,9 +21,9 @@
 	"elmseam/internal/leak"
 )
 
-const testTimeout = 20 * time.Second // for what must come; tests don't wait it out
+const testTimeout = 20 * time.Second // limit for events that must occur; a passing test does not wait it out
 
-// TestMain runs the program itself where a test starts this binary again.
+// TestMain runs the program instead of the tests if a test started this binary as the program.
 func TestMain(m *testing.M) {
 	if os.Getenv("ELMSEAM_TEST_RUN") != "" {
 		main()
@@ -38,19 +38,19 @@
  "load-report":{"columns":["spare","total","cut_by"],"via":"inline"},"obligations":{"cold-from":0.3,"ramp-time-us":14000000,
  "tip-multiple":2.5,"tip-after-us":1000000}}`
 
-// program is one run of the program.
+// program is the program under test, running in a process of its own.
 type program struct {
 	*testing.T
 	cmd      *exec.Cmd
-	config   string // its file
-	logLines chan string
-	listen   string
-	m3ua     string
-	mgmt     string
-	channel  net.Listener
+	config   string       // path of the configuration file
+	logLines chan string  // log lines after the one that reports the callers' address
+	listen   string       // address for platform callers
+	m3ua     string       // address for M3UA callers
+	mgmt     string       // address of the admin endpoint
+	channel  net.Listener // stand-in for the command channel
 }
 
-// start runs the program with the given servers known, and waits until it listens.
+// startProgram starts the program with the given servers in its configuration, and waits until it listens.
 func startProgram(t *testing.T, signalling string, servers ...string) *program {
 	t.Helper()
 	p := newProgram(t, servers...)
@@ -58,13 +58,14 @@
 	return p
 }
 
+// newProgram writes a configuration with the given servers and does not start the program.
 func newProgram(t *testing.T, servers ...string) *program {
 	p := &program{T: t, channel: listen(t), config: filepath.Join(t.TempDir(), "config.json"), logLines: make(chan string, 100)}
 	p.writeConfig(p.channel, testSettings, servers...)
 	return p
 }
 
-// run starts the program, with more in its environment, and waits until it listens.
+// launch starts the program, with the given variables added to its environment, and waits until it listens.
 func (p *program) launch(signalling string, env ...string) {
 	t := p.T
 	t.Helper()
@@ -86,7 +87,7 @@
 		p.listen, p.m3ua, p.mgmt = l.Listen, p.m3ua+l.M3UA, p.mgmt+l.Mgmt
 	}
 	if p.listen == "" {
-		t.Fatal("the program doesn't start")
+		t.Fatal("the program does not start")
 	}
 	go func() {
 		for lines.Scan() {
@@ -98,7 +99,7 @@
 	}()
 }
 
-// write fills the configuration file.
+// writeConfig writes the configuration file.
 func (p *program) writeConfig(channel net.Listener, settings string, servers ...string) {
 	text := fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:0","mgmt":"127.0.0.1:0","seed":"8c1f30d27a5be964","limits":{"memory_mb":192,"sockets":1024},
 		"channel":%q,"known":{"cursor":1,"cmds":[{"cursor":1,"nodes":{"snapshot":true,"endpoints":[%s]}}]},"settings":%s}`,
@@ -108,7 +109,7 @@
 	}
 }
 
-// wantLog waits for a line of the log.
+// wantLog waits for a log line that contains the text.
 func (p *program) wantLog(text string) {
 	p.Helper()
 	for timeout := time.After(testTimeout); ; {
@@ -118,11 +119,12 @@
 				return
 			}
 		case <-timeout:
-			p.Fatalf("nothing logged of %q", text)
+			p.Fatalf("no log line contains %q", text)
 		}
 	}
 }
 
+// command returns the command that runs this test binary as the program.
 func command(config, signalling string) *exec.Cmd {
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(os.Environ(), "ELMSEAM_TEST_RUN=1", "ROUTER_CONFIG="+config, "ROUTER_NAME=", "ROUTER_LISTEN=", "TMPDIR=")
@@ -132,10 +134,12 @@
 	return cmd
 }
 
+// endpoint returns the command channel's description of a server.
 func endpoint(name, status string, l net.Listener) string {
 	return fmt.Sprintf(`{"name":%q,"address":%q,"group":0,"status":%q,"since_ms":0}`, name, l.Addr(), status)
 }
 
+// listen opens a loopback port that is closed when the test ends.
 func listen(t *testing.T) net.Listener {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -146,13 +150,14 @@
 	return l
 }
 
-// conn is a scripted peer's connection.
+// conn is a scripted peer's connection to the program.
 type conn struct {
 	*testing.T
 	net.Conn
 	r *bufio.Reader
 }
 
+// newConn wraps a connection, which is closed when the test ends.
 func newConn(t *testing.T, c net.Conn, err error) *conn {
 	t.Helper()
 	if err != nil {
@@ -163,6 +168,7 @@
 	return &conn{t, c, bufio.NewReader(c)}
 }
 
+// accept accepts a connection from the program.
 func accept(t *testing.T, l net.Listener) *conn {
 	t.Helper()
 	l.(*net.TCPListener).SetDeadline(time.Now().Add(testTimeout))
@@ -170,7 +176,8 @@
 	return newConn(t, c, err)
 }
 
-// server takes both connections that the program makes to a server, and reads them as one.
+// acceptServer accepts both connections that the program makes to a server. The result reads the lines of both and writes
+// to the first.
 func acceptServer(t *testing.T, l net.Listener) *conn {
 	t.Helper()
 	c := accept(t, l)
@@ -196,13 +203,14 @@
 	return &conn{t, c.Conn, bufio.NewReader(r)}
 }
 
+// dial connects to the program.
 func dial(t *testing.T, address string) *conn {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
 	return newConn(t, c, err)
 }
 
-// line reads a line, which must hold want, and returns the call it names.
+// wantLine reads a line, which must contain want, and returns the call id in the line, if any.
 func (c *conn) wantLine(want string) string {
 	c.Helper()
 	l, err := c.r.ReadString('\n')
@@ -215,6 +223,7 @@
 	return ""
 }
 
+// readBytes reads n bytes.
 func (c *conn) readBytes(n int) []byte {
 	c.Helper()
 	b := make([]byte, n)
@@ -224,7 +233,8 @@
 	return b
 }
 
-// frame reads a message of the callers' protocol and says its type, call and parameters.
+// wantFrame reads a message of the callers' protocol, which must have the given type and call, and returns its
+// parameters.
 func (c *conn) wantFrame(kind byte, call uint64) []byte {
 	c.Helper()
 	b := c.readBytes(int(binary.BigEndian.Uint16(c.readBytes(2))))
@@ -234,10 +244,13 @@
 	return b[9:]
 }
 
+// sendSetUp asks for a call of the class voice.
 func (c *conn) sendSetUp(call uint64) { c.sendSetUpOfClass("voice", call) }
 
+// sendSetUpOfClass asks for a call of the given class.
 func (c *conn) sendSetUpOfClass(class string, call uint64) { c.Write(setUpMessage(class, call)) }
 
+// setUpMessage encodes a set-up in the callers' protocol.
 func setUpMessage(class string, call uint64) []byte {
 	b := binary.BigEndian.AppendUint64([]byte{0, 0, 1}, call)
 	for code, v := range map[byte]string{16: class, 19: "60000", 28: "0a", 31: "dest:0;width:1;via:-1", 61: "d"} {
@@ -247,7 +260,7 @@
 	return b
 }
 
-// events answers the program's request on the command channel and returns the Last-Event-ID.
+// acceptEventStream answers the program's request on the command channel and returns its Last-Event-ID.
 func (c *conn) acceptEventStream() (last string) {
 	c.Helper()
 	for {
@@ -265,7 +278,7 @@
 	}
 }
 
-// event sends a change, in chunks that end anywhere.
+// sendEvent sends a change of servers on the command channel, in chunks that end at arbitrary places.
 func (c *conn) sendEvent(cursor int, endpoints ...string) {
 	text := fmt.Sprintf(": comment\n\nid: %d\ndata: {\"cursor\":%d,\"nodes\":{\"snapshot\":false,\"endpoints\":[%s]}}\n\n",
 		cursor, cursor, strings.Join(endpoints, ","))
@@ -276,8 +289,8 @@
 	}
 }
 
-// The program serves, follows the command channel over a broken connection, and on SIGTERM goes on to take and
-// answer calls for the grace before it ends.
+// TestServeFollowStop checks that the program serves calls, follows the command channel after its connection broke, and
+// after a SIGTERM still accepts and answers calls during the grace period.
 func TestServeFollowStop(t *testing.T) {
 	old, added := listen(t), listen(t)
 	p := startProgram(t, "", endpoint("old", "in_service", old))
@@ -302,20 +315,20 @@
 		t.Errorf("Last-Event-ID %s, want 2", last)
 	}
 	channel.sendEvent(3, endpoint("old", "terminated", old))
-	if _, err := first.r.ReadByte(); err != io.EOF { // its connection ends when it has been told
-		t.Errorf("the old server hears %v", err)
+	if _, err := first.r.ReadByte(); err != io.EOF { // the connection to the server closes when its calls have ended
+		t.Errorf("the old server reads %v, want EOF", err)
 	}
-	caller.wantFrame(12, 1) // what stood there is over
+	caller.wantFrame(12, 1) // the call established on the removed server ends
 	caller.sendSetUp(2)
 	id = second.wantLine(`"offer"`)
 
 	p.cmd.Process.Signal(syscall.SIGTERM)
-	caller.Write([]byte{0, 13, 52, 0, 0, 0, 0, 0, 0, 0, 9, 58, 0, 1, 0}) // a test fails from now on: asked until it does
+	caller.Write([]byte{0, 13, 52, 0, 0, 0, 0, 0, 0, 0, 9, 58, 0, 1, 0}) // the readiness test must fail from now on: repeated until it does
 	for caller.wantFrame(53, 9)[3] != 0 {
 		caller.Write([]byte{0, 13, 52, 0, 0, 0, 0, 0, 0, 0, 9, 58, 0, 1, 0})
 	}
 	accept := func(id string) { fmt.Fprintf(second, `{"op":"accept","call":%q,"with":{},"desc":""}`+"\n", id) }
-	accept(id) // or the server counts as one that leaves set-ups unanswered, and gets no other
+	accept(id) // an unanswered set-up would keep the next one from the server
 	caller.wantFrame(9, 2)
 	lateCaller := dial(t, p.listen)
 	lateCaller.sendSetUp(3)
@@ -328,13 +341,13 @@
 	caller.wantFrame(12, 2)
 	lateCaller.wantFrame(12, 3)
 	if err := p.cmd.Wait(); err != nil {
-		t.Errorf("the program ends with %v", err)
+		t.Errorf("the program exits with %v", err)
 	}
 }
 
-// SIGHUP ended the program. Now it reads the file again: a file that makes no sense changes nothing, a new channel is
-// followed from the number reached, a class that is new can be asked for, and an open call stays open, also when the
-// signal comes again and while the program stops.
+// TestReload checks that SIGHUP, which once ended the program, reloads the configuration: an invalid file changes nothing,
+// a new command channel is followed from the cursor reached, calls of a new class are accepted, and open calls stay open,
+// also after repeated signals and while the program stops.
 func TestReload(t *testing.T) {
 	srv, channel := listen(t), listen(t)
 	p := startProgram(t, "", endpoint("s", "in_service", srv))
@@ -348,8 +361,8 @@
 
 	os.WriteFile(p.config, []byte(`{"name":"n1"}`), 0o600)
 	p.cmd.Process.Signal(syscall.SIGHUP)
-	p.wantLog("configuration not taken over")
-	p.writeConfig(channel, strings.Replace(testSettings, `"total"`, `"spare"`, 1)) // contradicts itself
+	p.wantLog("configuration rejected")
+	p.writeConfig(channel, strings.Replace(testSettings, `"total"`, `"spare"`, 1)) // invalid: the same column twice
 	p.cmd.Process.Signal(syscall.SIGHUP)
 	p.wantLog("load-report.columns[1]")
 	p.writeConfig(channel, strings.Replace(testSettings, `[{"name":"voice"`, `[{"name":"video","effect":"free","gain":1,"objective-us":1000000,"hard-limit-us":3000000},{"name":"voice"`, 1))
@@ -359,9 +372,9 @@
 		t.Errorf("Last-Event-ID %s, want 2", last)
 	}
 	p.cmd.Process.Signal(syscall.SIGHUP)
-	p.wantLog("configuration taken over")
-	// The open call is answered first: to a server that has left one without an answer for a part of the resend gap
-	// the module sends no other.
+	p.wantLog("configuration reloaded")
+	// The open call is answered first, because the controller sends no other set-up to a server that has left one
+	// unanswered for a part of the retransmit interval.
 	fmt.Fprintf(peer, `{"op":"accept","call":%q,"with":{},"desc":""}`+"\n", id)
 	caller.wantFrame(9, 1)
 	caller.sendSetUpOfClass("video", 2)
@@ -370,18 +383,18 @@
 	p.cmd.Process.Signal(syscall.SIGTERM)
 	p.wantLog("stopping")
 	p.cmd.Process.Signal(syscall.SIGHUP)
-	p.wantLog("configuration taken over")
+	p.wantLog("configuration reloaded")
 	fmt.Fprintf(peer, `{"op":"end","call":%q,"with":{},"why":16}`+"\n", id)
 	caller.wantFrame(12, 1)
 	fmt.Fprintf(peer, `{"op":"end","call":%q,"with":{},"why":47}`+"\n", second)
 	caller.wantFrame(12, 2)
 	if err := p.cmd.Wait(); err != nil {
-		t.Errorf("the program ends with %v", err)
+		t.Errorf("the program exits with %v", err)
 	}
 }
 
-// With the second front on, a class that a new configuration adds has no form over M3UA: the call is refused. Such a
-// call ended the program, as that front went on with the classes of its start.
+// TestReloadWithM3UA guards against a crash: a class that a reload adds has no M3UA category, so its calls to an M3UA
+// server must be refused. Such a call crashed the program while M3UA kept the classes of the start.
 func TestReloadWithM3UA(t *testing.T) {
 	srv := listen(t)
 	path := filepath.Join(t.TempDir(), "m3ua.toml")
@@ -399,9 +412,9 @@
 		point_code = 201`, srv.Addr()), 0o600)
 	p := startProgram(t, path)
 	hlr := accept(t, srv)
-	hlr.readBytes(8) // ASP up
+	hlr.readBytes(8) // ASP Up
 	hlr.Write([]byte{1, 0, 3, 4, 0, 0, 0, 8})
-	hlr.readBytes(16) // ASP active
+	hlr.readBytes(16) // ASP Active
 	hlr.Write([]byte{1, 0, 4, 3, 0, 0, 0, 8})
 	iam := func() byte { return hlr.readBytes(int(binary.BigEndian.Uint32(hlr.readBytes(8)[4:])) - 8)[26] }
 	caller := dial(t, p.listen)
@@ -411,7 +424,7 @@
 	}
 	p.writeConfig(p.channel, strings.Replace(testSettings, `[{"name":"voice"`, `[{"name":"video","effect":"free","gain":1,"objective-us":1000000,"hard-limit-us":3000000},{"name":"voice"`, 1))
 	p.cmd.Process.Signal(syscall.SIGHUP)
-	p.wantLog("configuration taken over")
+	p.wantLog("configuration reloaded")
 	caller.sendSetUpOfClass("video", 2)
 	caller.wantFrame(12, 2)
 	caller.sendSetUp(3)
@@ -420,7 +433,7 @@
 	}
 }
 
-// A configuration that makes no sense ends the program with one line that names the field.
+// TestInvalidConfiguration checks that the program exits on an invalid configuration, with one line that names the field.
 func TestInvalidConfiguration(t *testing.T) {
 	good := `{"name":"n","listen":"127.0.0.1:0","seed":"1","limits":{"memory_mb":1,"sockets":99},"channel":"127.0.0.1:1","settings":` + testSettings + "}"
 	for field, text := range map[string]string{
@@ -458,8 +471,9 @@
 	}
 }
 
-// So does a members' file that makes no sense, or a platform's configuration that a tier can't be made of. Where the
-// settings permit no peer messages, membership stays off and the program serves.
+// TestInvalidMembersFile checks that the program exits on an invalid members file, or on a configuration that does not
+// describe the tier, with one line that names the field. If the settings permit no peer messages, the program must serve
+// with membership off.
 func TestInvalidMembersFile(t *testing.T) {
 	tier := `"peer_listen":"127.0.0.1:1","peers":["127.0.0.1:1","127.0.0.1:2"],`
 	permitted := strings.Replace(testSettings, `"max-open"`, `"peer-messages":true,"max-open"`, 1)
@@ -496,9 +510,10 @@
 	p.wantResponse("/ops/members", 404, "membership is off")
 }
 
-// A deployment like the second organisation's: tenants with shares, reports without a share to hold back, five attempts,
-// and no word between softswitches, though the members' file asks for it and the platform names a tier. Not one datagram
-// goes out, from the start to the end, while calls are served. Where they are permitted some do.
+// TestDeploymentWithoutPeerMessages runs a deployment like the second organisation's: tenants with shares, load reports
+// without a hold-back share, five attempts, and no peer messages, although the members file enables membership and the
+// configuration names a tier. The program must serve calls and send no datagram from start to end. With peer messages
+// permitted it must send some.
 func TestDeploymentWithoutPeerMessages(t *testing.T) {
 	for _, permitted := range []bool{false, true} {
 		srv, channel := listen(t), listen(t)
@@ -511,7 +526,7 @@
 			tier[i] = c
 			defer c.Close()
 		}
-		tier[0].Close() // the program's own
+		tier[0].Close() // the program opens this address itself
 		members := filepath.Join(t.TempDir(), "members.toml")
 		os.WriteFile(members, []byte("enabled = true"), 0o600)
 		p := newProgram(t)
@@ -529,7 +544,7 @@
 		tier[1].SetReadDeadline(time.Now().Add(testTimeout))
 		if permitted {
 			if _, err := tier[1].Read(make([]byte, 256)); err != nil {
-				t.Errorf("datagrams are permitted: %v", err)
+				t.Errorf("no datagram although peer messages are permitted: %v", err)
 			}
 			continue
 		}
@@ -539,17 +554,17 @@
 		fmt.Fprintf(peer, `{"op":"end","call":"0000000000000001","with":{},"why":16}`+"\n")
 		caller.wantFrame(12, 1)
 		if err := p.cmd.Wait(); err != nil {
-			t.Errorf("the program ends with %v", err)
+			t.Errorf("the program exits with %v", err)
 		}
-		tier[1].SetReadDeadline(time.Now().Add(100 * time.Millisecond)) // what was sent is there by now
+		tier[1].SetReadDeadline(time.Now().Add(100 * time.Millisecond)) // a datagram sent before has arrived by now
 		if n, err := tier[1].Read(make([]byte, 256)); err == nil {
-			t.Errorf("a datagram of %d bytes where none is permitted", n)
+			t.Errorf("datagram of %d bytes although peer messages are not permitted", n)
 		}
 	}
 }
 
-// The second front listens where its file says, serves an old client by a server of the platform, and the
-// service address is announced until the program is told to stop.
+// TestM3UAAndBGP checks that the program listens for M3UA callers at the configured address, serves such a caller by a
+// platform server, and announces the service address over BGP until it is told to stop.
 func TestM3UAAndBGP(t *testing.T) {
 	serverListener, neighbour := listen(t), listen(t)
 	path := filepath.Join(t.TempDir(), "m3ua.toml")
--- a/cmd/elmseam/ops_test.go
+++ b/cmd/elmseam/ops_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// call calls the operators' door, and fails where the answer takes longer than a second.
+// request sends a request to the admin endpoint, and fails the test if the response takes longer than a second.
 func (p *program) request(method, path string) (int, string) {
 	p.Helper()
 	req, err := http.NewRequest(method, "http://"+p.mgmt+path, nil)
@@ -32,7 +32,7 @@
 	return response.StatusCode, string(text)
 }
 
-// until calls until the answer is the one wanted, or what it says holds that.
+// wantResponse repeats a GET until the response has the status and its body contains the text.
 func (p *program) wantResponse(path string, status int, text string) {
 	p.Helper()
 	last := ""
@@ -46,7 +46,7 @@
 	p.Fatalf("%s: %s, want %d with %q", path, last, status, text)
 }
 
-// test asks at the callers' address whether the program takes work.
+// acceptsWork asks at the callers' address, by the callers' protocol, whether the program accepts set-ups.
 func (p *program) acceptsWork() bool {
 	c := dial(p.T, p.listen)
 	defer c.Close()
@@ -54,8 +54,8 @@
 	return c.wantFrame(53, 9)[3] == 1
 }
 
-// Operators ask whether the program can serve, read its figures, and send its callers away and back. Callers who say
-// nothing hold up nobody, and what makes no sense is told so at once.
+// TestAdminEndpoint checks the admin endpoint's readiness, statistics and drain. Silent connections must not delay other
+// requests, and malformed requests must be refused at once.
 func TestAdminEndpoint(t *testing.T) {
 	srv := listen(t)
 	p := startProgram(t, "")
@@ -65,7 +65,7 @@
 	channel.sendEvent(2, endpoint("s", "in_service", srv))
 	peer := acceptServer(t, srv)
 	p.wantResponse("/ops/readiness", 200, "")
-	for range 40 { // more than are let in
+	for range 40 { // more than the admin endpoint accepts at once
 		dial(t, p.mgmt)
 	}
 	for want, call := range map[int][2]string{404: {"GET", "/ops"}, 405: {"GET", "/ops/drain/start"}} {
@@ -94,29 +94,30 @@
 			t.Fatalf("drain: %d %s", got, text)
 		}
 		if p.acceptsWork() {
-			t.Error("drained, and yet it says that it takes work")
+			t.Error("the program reports that it accepts work while drained")
 		}
 	}
 	p.wantResponse("/ops/readiness", 503, "drained")
-	if _, err := idle.r.ReadByte(); err != io.EOF { // with an orderly end, not a reset
-		t.Errorf("the idle connection ends with %v", err)
+	if _, err := idle.r.ReadByte(); err != io.EOF { // closed in order, not reset
+		t.Errorf("the idle connection ends with %v, want EOF", err)
 	}
 	fmt.Fprintf(peer, `{"op":"end","call":%q,"with":{},"why":16}`+"\n", id)
-	caller.wantFrame(12, 1) // what stood is released on its own connection, which ends then
+	caller.wantFrame(12, 1) // the established call is released on its own connection, which then closes
 	if _, err := caller.r.ReadByte(); err != io.EOF {
-		t.Errorf("the connection of a call that stood ends with %v", err)
+		t.Errorf("the connection of an established call ends with %v, want EOF", err)
 	}
 	p.request("POST", "/ops/drain/stop")
 	p.wantResponse("/ops/readiness", 200, "")
 	if !p.acceptsWork() {
-		t.Error("the drain is over, and it takes no work")
+		t.Error("the program accepts no work after the drain")
 	}
 	p.cmd.Process.Signal(syscall.SIGTERM)
 	p.wantLog("stopping")
 }
 
-// A broken file changes nothing and is counted; the one line that is logged names the field. What came before it
-// keeps the attempts it came with, and what comes after a good one has the new ones.
+// TestReloadInvalidConfiguration checks that an invalid configuration changes nothing, is counted, and is logged in one
+// line that names the field. After a valid one, open calls keep the attempt limit with which they arrived, and new calls
+// get the new limit.
 func TestReloadInvalidConfiguration(t *testing.T) {
 	srv := listen(t)
 	p := startProgram(t, "", endpoint("s", "in_service", srv))
--- a/cmd/elmseam/stop_test.go
+++ b/cmd/elmseam/stop_test.go
@@ -11,9 +11,9 @@
 	"time"
 )
 
-// The program stops with set-ups that wait for their answer, callers that go on asking on open connections and on new
-// ones, and signals that come again and again. Each set-up gets one answer or crosses the close of its connection, and no
-// connection is reset. A reload that comes while it stops, or twenty, hides no SIGTERM.
+// TestStopUnderLoad stops the program while set-ups are outstanding, callers keep calling on open and new connections, and
+// signals are repeated. Each set-up must get one answer or cross the close of its connection, and no connection may be
+// reset. Up to twenty reload signals must not hide a SIGTERM.
 func TestStopUnderLoad(t *testing.T) {
 	srv := listen(t)
 	p := startProgram(t, "", endpoint("s", "in_service", srv))
@@ -21,7 +21,7 @@
 	waiting := dial(t, p.listen)
 	waiting.sendSetUp(1)
 	id := peer.wantLine(`"offer"`)
-	go func() { // it refuses whatever else it is asked
+	go func() { // the server refuses all other set-ups
 		for {
 			text, err := peer.r.ReadString('\n')
 			var other string
@@ -34,13 +34,13 @@
 		}
 	}()
 	type end struct {
-		owed  bool
-		since time.Duration
-		err   error
+		unanswered bool          // whether the connection ended before any byte of the answer
+		elapsed    time.Duration // since the last set-up
+		err        error
 	}
 	ends := make(chan end)
 	var requested atomic.Int64
-	makeCalls := func(c *conn, call uint64) {
+	repeatSetUps := func(c *conn, call uint64) {
 		for {
 			call++
 			requested.Add(1)
@@ -61,7 +61,7 @@
 	}
 	const callers = 4
 	for n := range callers {
-		go makeCalls(dial(t, p.listen), uint64(n+1)<<32)
+		go repeatSetUps(dial(t, p.listen), uint64(n+1)<<32)
 	}
 	for range 20 {
 		p.cmd.Process.Signal(syscall.SIGHUP)
@@ -77,33 +77,34 @@
 		if err != nil {
 			break
 		}
-		if newConns++; newConns == 3 { // in the grace
+		if newConns++; newConns == 3 { // within the grace period
 			fmt.Fprintf(peer, `{"op":"accept","call":%q,"with":{},"desc":"x"}`+"\n"+`{"op":"end","call":%q,"with":{},"why":16}`+"\n", id, id)
 			answered = true
 		}
-		go makeCalls(newConn(t, c, nil), uint64(100+newConns)<<32)
+		go repeatSetUps(newConn(t, c, nil), uint64(100+newConns)<<32)
 		time.Sleep(5 * time.Millisecond)
 	}
 	for range callers + newConns {
-		if e := <-ends; e.err != io.EOF || !e.owed {
-			t.Errorf("a connection ends with %v, %v after its last set-up", e.err, e.since)
+		if e := <-ends; e.err != io.EOF || !e.unanswered {
+			t.Errorf("a connection ends with %v, %v after its last set-up", e.err, e.elapsed)
 		}
 	}
 	if waiting.wantFrame(9, 1); !answered {
-		t.Error("the test has not met its case")
+		t.Error("the program closed its listener before the waiting set-up was answered")
 	}
 	waiting.wantFrame(12, 1)
 	if _, err := waiting.r.ReadByte(); err != io.EOF {
-		t.Errorf("the connection that waited ends with %v", err)
+		t.Errorf("the connection of the waiting set-up ends with %v, want EOF", err)
 	}
 	if err := p.cmd.Wait(); err != nil {
-		t.Errorf("the program ends with %v", err)
+		t.Errorf("the program exits with %v", err)
 	}
-	t.Logf("%d set-ups asked for, %d new connections", requested.Load(), newConns)
+	t.Logf("%d set-ups sent, %d new connections", requested.Load(), newConns)
 }
 
-// The program starts again while the channel is down and its list is stale: a server on it has gone, and its address takes
-// no connections. It passes the front's test at once, and serves by those that are there.
+// TestReadyWithCommandChannelDown starts the program while the command channel is down and the configured list of servers
+// is stale: one listed server no longer accepts connections. The program must report at once that it accepts work, and
+// serve calls by the remaining server.
 func TestReadyWithCommandChannelDown(t *testing.T) {
 	srv, gone := listen(t), listen(t)
 	p := newProgram(t, endpoint("gone", "in_service", gone), endpoint("s", "in_service", srv))
@@ -113,7 +114,7 @@
 	caller := dial(t, p.listen)
 	caller.Write([]byte{0, 13, 52, 0, 0, 0, 0, 0, 0, 0, 9, 58, 0, 1, 0})
 	if caller.wantFrame(53, 9)[3] != 1 {
-		t.Error("it doesn't pass the test")
+		t.Error("the program reports that it accepts no work")
 	}
 	peer := acceptServer(t, srv)
 	caller.sendSetUp(1)
--- a/cmd/elmseam/upgrade.go
+++ b/cmd/elmseam/upgrade.go
@@ -16,32 +16,33 @@
 	"elmseam/internal/platform"
 )
 
-// upgrade is this process's part in hand-overs: from an older one at its start, and to a newer one at its end.
+// upgrader performs this process's hand-overs: from a predecessor when it starts, and to a successor when it stops.
 type upgrader struct {
-	socketPath, listenAddr string // the socket of hand-overs, and where callers come
+	socketPath, listenAddr string // path of the hand-over socket, and address for callers
 	limits                 handover.Limits
 	loop                   *loop.Loop
 	platform               *platform.Platform
 	listener               net.Listener
 	memory                 *memoryShare
 	log                    zerolog.Logger
-	sampledLog             zerolog.Logger // of what comes in masses
+	sampledLog             zerolog.Logger // for lines logged once per connection
 
-	predecessor *handover.Peer // the predecessor; nil: there was none
+	predecessor *handover.Peer // nil if there was no predecessor
 
-	mu               sync.Mutex
-	hostListener     *net.UnixListener
-	localConns       map[core.ConnID]core.ConnID // the predecessor's names of connections, and ours
-	successor        *handover.Peer              // the successor
-	listenerShared   bool                        // which has the listener too
-	listenerClosing  bool                        // the listener is being closed
-	successorServing bool                        // it serves
-	stopping         bool                        // and this process is to end
-	transferring     bool                        // and hands its callers on
-	transferred      map[core.ConnID]bool
+	mu               sync.Mutex                  // guards the fields below
+	hostListener     *net.UnixListener           // where a successor connects
+	localConns       map[core.ConnID]core.ConnID // this process's connection ids by the predecessor's
+	successor        *handover.Peer              // nil if there is no successor
+	listenerShared   bool                        // the successor has the callers' listener too
+	listenerClosing  bool                        // the callers' listener is being closed
+	successorServing bool                        // the successor serves callers
+	stopping         bool                        // this process was told to stop
+	transferring     bool                        // this process is transferring its callers' connections
+	transferred      map[core.ConnID]bool        // callers' connections that the successor has; nil without a successor
 }
 
-// take gets the listener of a process that serves the address, if there is one.
+// takeOver obtains the callers' listener from a running process that serves the address. It reports whether there is
+// such a process.
 func (u *upgrader) takeOver(listenAddr string) bool {
 	if addr, err := net.ResolveTCPAddr("tcp", listenAddr); err == nil {
 		listenAddr = addr.String()
@@ -56,14 +57,14 @@
 	return true
 }
 
-// follow hears what the predecessor says, until it has gone.
+// followPredecessor handles the predecessor's messages until its connection ends.
 func (u *upgrader) followPredecessor() {
 	defer func() {
 		u.predecessor.Close()
 		u.loop.Post(core.Predecessor{})
 		u.memory.addProcesses(-1)
 		u.listenForSuccessor()
-		u.log.Info().Msg("the predecessor has gone")
+		u.log.Info().Msg("predecessor disconnected")
 	}()
 	for {
 		m, file, err := u.predecessor.Receive()
@@ -71,7 +72,7 @@
 			return
 		}
 		switch m.Kind {
-		case handover.Transferring: // the next one is to find this process
+		case handover.Transferring: // from now on, the next successor must find this process
 			u.listenForSuccessor()
 			u.loop.Post(core.Predecessor{Present: true, Transferring: true})
 		case handover.CallerConn:
@@ -87,7 +88,7 @@
 	}
 }
 
-// adopt serves a connection of the predecessor's.
+// adoptConn serves a caller's connection that the predecessor transferred.
 func (u *upgrader) adoptConn(m handover.Message, file *os.File) {
 	if file == nil {
 		return
@@ -95,7 +96,7 @@
 	conn, err := net.FileConn(file)
 	file.Close()
 	if err != nil {
-		u.log.Warn().Err(err).Msg("a caller's connection can't be taken over")
+		u.log.Warn().Err(err).Msg("caller's connection not taken over")
 		u.predecessor.Send(handover.Message{Kind: handover.CallerDown, Conn: m.Conn})
 		return
 	}
@@ -110,10 +111,10 @@
 		u.mu.Unlock()
 		u.predecessor.Send(handover.Message{Kind: handover.CallerDown, Conn: m.Conn})
 	})
-	u.sampledLog.Info().Uint64("link", uint64(connID)).Msg("a caller's connection taken over")
+	u.sampledLog.Info().Uint64("link", uint64(connID)).Msg("caller's connection taken over")
 }
 
-// toPredecessor passes on what concerns a call that is not known here.
+// sendToPredecessor forwards an event about a call that only the predecessor knows.
 func (u *upgrader) sendToPredecessor(e core.ToPredecessor) {
 	if u.predecessor == nil {
 		return
@@ -134,14 +135,14 @@
 	}
 }
 
-// serving tells the predecessor that it can go.
+// reportServing tells the predecessor that this process serves callers, so that the predecessor may exit.
 func (u *upgrader) reportServing() {
 	if u.predecessor != nil {
 		u.predecessor.Send(handover.Message{Kind: handover.Serving})
 	}
 }
 
-// wait has successors find this process. Where that can't be had there is no hand-over.
+// listenForSuccessor opens the hand-over socket for successors. If that fails, there is no hand-over to a successor.
 func (u *upgrader) listenForSuccessor() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -150,7 +151,7 @@
 	}
 	listener, err := handover.Listen(u.socketPath)
 	if err != nil {
-		u.log.Info().Err(err).Msg("no hand-over to a newer process")
+		u.log.Info().Err(err).Msg("hand-over to a successor is not available")
 		return
 	}
 	u.hostListener = listener
@@ -165,7 +166,7 @@
 	}()
 }
 
-// meet hears a process that has come to take over. One at a time can.
+// acceptSuccessor answers a process that asks to take over. It refuses if another process is already taking over.
 func (u *upgrader) acceptSuccessor(conn *net.UnixConn) {
 	u.mu.Lock()
 	refusal := ""
@@ -189,7 +190,7 @@
 		u.log.Warn().Err(err).Msg("hand-over refused")
 		return
 	}
-	u.log.Info().Msg("a newer process has come")
+	u.log.Info().Msg("successor connected")
 	u.memory.addProcesses(1)
 	u.mu.Lock()
 	u.successor, u.transferred = successor, make(map[core.ConnID]bool)
@@ -197,7 +198,7 @@
 	go u.followSuccessor(successor)
 }
 
-// serve hears what the successor says, until it has gone.
+// followSuccessor handles the successor's messages until its connection ends.
 func (u *upgrader) followSuccessor(successor *handover.Peer) {
 	for {
 		m, file, err := successor.Receive()
@@ -236,13 +237,13 @@
 	}
 	u.mu.Unlock()
 	u.memory.addProcesses(-1)
-	u.log.Warn().Msg("the newer process has gone")
+	u.log.Warn().Msg("successor disconnected")
 	for connID := range transferred {
 		u.loop.Post(core.CallerDown{Conn: connID})
 	}
 }
 
-// stop takes in that this process is to end, and says whether a successor is there.
+// requestStop records that this process was told to stop, and reports whether there is a successor.
 func (u *upgrader) requestStop() bool {
 	u.mu.Lock()
 	u.stopping = true
@@ -252,8 +253,8 @@
 	return hasSuccessor
 }
 
-// closeListener has the listener closed. Where a successor has it too, whoever waits there is the successor's, and nothing may
-// be changed about it.
+// closeListener closes the callers' listener. If the successor shares the listener, only this process's descriptor is
+// closed: the socket stays unchanged, and the connections in its accept queue are left to the successor.
 func (u *upgrader) closeListener() {
 	u.mu.Lock()
 	u.listenerClosing = true
@@ -266,7 +267,8 @@
 	}
 }
 
-// move hands the callers on when the successor serves and this process is to end.
+// transferIfReady starts the transfer of the callers' connections once the successor serves and this process was told to
+// stop.
 func (u *upgrader) transferIfReady() {
 	u.mu.Lock()
 	starts := u.successorServing && u.stopping && !u.transferring
@@ -275,19 +277,19 @@
 		if u.hostListener != nil {
 			u.hostListener.Close()
 		}
-		u.listener.Close() // the successor has the same: nobody who waits there is turned away
+		u.listener.Close() // the successor shares the listener, so connections in the accept queue are not refused
 		u.platform.SetSuccessor(u)
 		u.successor.Send(handover.Message{Kind: handover.Transferring})
 	}
-	u.mu.Unlock() // the loop may want it before it takes the event
+	u.mu.Unlock() // the loop may need the mutex before it handles the event posted below
 	if !starts {
 		return
 	}
 	u.loop.Post(core.HandOver{})
-	u.log.Info().Msg("handing over")
+	u.log.Info().Msg("hand-over to the successor started")
 }
 
-// Transfer is handed a caller's connection for the successor.
+// Transfer sends a caller's connection and its state to the successor.
 func (u *upgrader) Transfer(transfer core.Transfer, unprocessed []byte, conn syscall.Conn) error {
 	u.mu.Lock()
 	successor := u.successor
@@ -302,17 +304,19 @@
 		u.transferred[transfer.To] = true
 	}
 	u.mu.Unlock()
-	if successorGone { // it may have read of it: nobody can go on there
+	if successorGone { // the successor may have read from the connection before it exited, so this process cannot continue it
 		u.loop.Post(core.CallerDown{Conn: transfer.To})
 	}
 	return nil
 }
 
-// ForwardEffect passes on what is for a caller whose connection the successor has, or with a link of 0 any.
+// ForwardEffect sends the successor an effect for a caller whose connection the successor has. A connection id of 0
+// stands for any of the successor's connections.
 func (u *upgrader) ForwardEffect(connID core.ConnID, e core.Effect) {
 	u.sendToSuccessor(platform.Protocol, connID, e)
 }
 
+// sendToSuccessor sends the successor an effect, if there is a successor and the effect has a message.
 func (u *upgrader) sendToSuccessor(protocol core.Protocol, connID core.ConnID, e core.Effect) {
 	u.mu.Lock()
 	successor := u.successor
@@ -322,7 +326,8 @@
 	}
 }
 
-// leave tells the successor what it may hear of again, and goes.
+// finish tells the successor which calls have ended recently, as repeated messages about them may still arrive there,
+// and closes the connection to the successor.
 func (u *upgrader) finish(reducer *core.Core) {
 	u.mu.Lock()
 	successor, transferring := u.successor, u.transferring
@@ -337,14 +342,15 @@
 	successor.Close()
 }
 
-// memory is what this process takes of the memory that it may share with others.
+// memoryShare sets this process's memory limit. During a hand-over, the configured limit is divided among the processes
+// that run side by side.
 type memoryShare struct {
 	mu             sync.Mutex
 	limits         config.Limits
-	otherProcesses int
+	otherProcesses int // processes that run beside this one
 }
 
-// share counts one process more or less beside this one.
+// addProcesses adds n, which may be negative, to the number of processes that run beside this one.
 func (m *memoryShare) addProcesses(n int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -352,7 +358,7 @@
 	m.apply()
 }
 
-// configure takes limits in.
+// setLimits applies the limits of a new configuration.
 func (m *memoryShare) setLimits(l config.Limits) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -360,7 +366,7 @@
 	m.apply()
 }
 
-// collect sets the garbage collector to the part there is.
+// apply sets the garbage collector's limits to this process's share.
 func (m *memoryShare) apply() {
 	debug.SetMemoryLimit(m.limits.MemoryLimit / int64(1+m.otherProcesses))
 	debug.SetGCPercent(m.limits.GCPercent)
--- a/cmd/elmseam/upgrade_test.go
+++ b/cmd/elmseam/upgrade_test.go
@@ -17,7 +17,7 @@
 	"time"
 )
 
-// succeed starts a newer process beside p, and waits until it says that it can serve.
+// startSuccessor starts a successor of p, and waits until the successor reports that it is ready to serve.
 func (p *program) startSuccessor(dir string, env ...string) *program {
 	p.Helper()
 	next := &program{T: p.T, channel: p.channel, config: p.config, logLines: make(chan string, 100)}
@@ -26,7 +26,7 @@
 	return next
 }
 
-// upgradable starts a program that can be taken over from.
+// startUpgradable starts a program whose hand-over socket is in dir, so that a successor can take over.
 func startUpgradable(t *testing.T, dir string, servers ...string) *program {
 	t.Helper()
 	p := newProgram(t, servers...)
@@ -34,12 +34,13 @@
 	return p
 }
 
-// A newer process takes over: what is open stays open and is answered on the connection it came on, by whichever process
-// has it; a set-up of which only a part has been read goes on in the newer one; callers don't notice, and what stands
-// in the older one is released through the newer one or, when that has been killed, by it. Then comes the next one.
+// TestUpgrade checks that callers do not notice a hand-over. Outstanding set-ups are answered on the connection on which
+// they arrived, by either process, and the successor reads the rest of a set-up of which the predecessor read a part.
+// Calls established in the predecessor are released through the successor or, if the predecessor was killed, by the
+// successor alone. Then a third process takes over.
 func TestUpgrade(t *testing.T) {
 	dir, srv := t.TempDir(), listen(t)
-	os.WriteFile(filepath.Join(dir, "elmseam-n1.sock"), nil, 0o600) // left by one that was killed
+	os.WriteFile(filepath.Join(dir, "elmseam-n1.sock"), nil, 0o600) // left by a process that was killed
 	predecessor := startUpgradable(t, dir, endpoint("s", "in_service", srv))
 	peer := acceptServer(t, srv)
 	caller, partial := dial(t, predecessor.listen), dial(t, predecessor.listen)
@@ -68,7 +69,7 @@
 	fmt.Fprintf(peer, `{"op":"end","call":"%016x","with":{},"why":16}`+"\n", 1)
 	caller.wantFrame(12, 1)
 	predecessor.cmd.Process.Kill()
-	successor.wantLog("the predecessor has gone")
+	successor.wantLog("predecessor disconnected")
 	fmt.Fprintf(successorPeer, `{"op":"end","call":"%016x","with":{},"why":16}`+"\n", 2)
 	caller.wantFrame(12, 2)
 
@@ -77,32 +78,33 @@
 	third.wantConnsTakenOver(2)
 	fmt.Fprintf(successorPeer, `{"op":"end","call":"%016x","with":{},"why":16}`+"\n", 4)
 	partial.wantFrame(12, 4)
-	if err := successor.cmd.Wait(); err != nil { // nothing is owed any more
-		t.Errorf("the process that was taken over from ends with %v", err)
+	if err := successor.cmd.Wait(); err != nil { // no call is left
+		t.Errorf("the predecessor exits with %v", err)
 	}
 }
 
-// wantTaken waits until this process has so many connections of the older one.
+// wantConnsTakenOver waits until this process has taken over n connections from its predecessor.
 func (p *program) wantConnsTakenOver(n int) {
 	p.Helper()
 	for range n {
-		p.wantLog("a caller's connection taken over")
+		p.wantLog("caller's connection taken over")
 	}
 }
 
-// The older process is killed while it owes an answer: the newer one gives it. The newer one is killed before it was
-// told to take over: the older one serves on, and can be taken over from again.
+// TestUpgradeWithKilledProcess kills a successor before its predecessor was told to stop: the predecessor must serve on,
+// and another successor must be able to take over. Then it kills the predecessor while a set-up is outstanding: the
+// successor must answer the set-up.
 func TestUpgradeWithKilledProcess(t *testing.T) {
 	dir, srv := t.TempDir(), listen(t)
 	predecessor := startUpgradable(t, dir, endpoint("s", "in_service", srv))
 	peer := acceptServer(t, srv)
 	failed := predecessor.startSuccessor(dir)
 	failed.cmd.Process.Kill()
-	predecessor.wantLog("the newer process has gone")
+	predecessor.wantLog("successor disconnected")
 	caller := dial(t, predecessor.listen)
 	caller.sendSetUp(1)
 	peer.wantLine(`"offer"`)
-	accept(t, srv) // from the one that was killed
+	accept(t, srv) // connections of the killed successor
 	accept(t, srv)
 
 	successor := predecessor.startSuccessor(dir)
@@ -110,23 +112,24 @@
 	successor.wantConnsTakenOver(1)
 	predecessor.cmd.Process.Kill()
 	if b := caller.wantFrame(12, 1); b[3] != 41 {
-		t.Errorf("release %x, want a failure, as the call may have run", b)
+		t.Errorf("release %x, want cause 41, as the server may have answered the call", b)
 	}
 }
 
-// The older process ends while the newer one, which has its listener, can't serve yet. Whoever connects waits there, and is
-// served when it can: what the older one does to close its listener must not close the newer one's.
+// TestUpgradePredecessorExitsEarly ends the predecessor while the successor, which shares its listener, is not ready to
+// serve. New connections must wait in the accept queue until the successor is ready: closing the predecessor's listener
+// must not close the successor's.
 func TestUpgradePredecessorExitsEarly(t *testing.T) {
 	dir, srv := t.TempDir(), listen(t)
 	predecessor := startUpgradable(t, dir, endpoint("s", "in_service", srv))
-	acceptServer(t, srv) // the newer one has no way to it
+	acceptServer(t, srv) // the successor cannot connect to this server
 	srv.Close()
 	successor := &program{T: t, channel: predecessor.channel, config: predecessor.config, logLines: make(chan string, 100)}
 	successor.launch("", "TMPDIR="+dir, "ROUTER_LISTEN="+predecessor.listen)
-	predecessor.wantLog("a newer process has come")
+	predecessor.wantLog("successor connected")
 	predecessor.cmd.Process.Signal(syscall.SIGTERM)
 	if err := predecessor.cmd.Wait(); err != nil {
-		t.Errorf("the older process ends with %v", err)
+		t.Errorf("the predecessor exits with %v", err)
 	}
 	caller := dial(t, predecessor.listen)
 	caller.sendSetUp(1)
@@ -140,8 +143,8 @@
 	caller.wantFrame(9, 1)
 }
 
-// A process that speaks another version, or serves another address, gets nothing, and the older one serves on. One that
-// finds no hand-over starts as usual.
+// TestUpgradeRefused checks that the program refuses a hand-over to a process of another protocol version or another
+// address, and serves on. A process that finds no hand-over socket must start as usual.
 func TestUpgradeRefused(t *testing.T) {
 	dir, srv := t.TempDir(), listen(t)
 	predecessor := startUpgradable(t, dir, endpoint("s", "in_service", srv))
@@ -167,16 +170,16 @@
 	other.launch("", "TMPDIR="+filepath.Join(dir, "none"))
 	other.wantResponse("/ops/readiness", 200, "")
 	if !predecessor.acceptsWork() || !other.acceptsWork() {
-		t.Error("one of the two doesn't serve")
+		t.Error("one of the two processes does not accept work")
 	}
 }
 
-// Under load, a few callers ask over and over, each on a connection of its own and in pieces, while one process after
-// another takes over. Every set-up gets one answer, every call that stands one release, and no connection ends: what a
-// caller would notice is a connection that closes, a second answer, or none.
+// TestUpgradeUnderLoad makes calls, each caller on a connection of its own and in split writes, during three successive
+// hand-overs. Every set-up must get exactly one answer, every established call exactly one release, and no connection
+// may close.
 func TestUpgradeUnderLoad(t *testing.T) {
 	dir, srv := t.TempDir(), listen(t)
-	go func() { // a server that answers at once and releases a little later
+	go func() { // a server that answers at once and releases the call 20 ms later
 		for {
 			c, err := srv.Accept()
 			if err != nil {
@@ -221,18 +224,19 @@
 		successor := p.startSuccessor(dir)
 		p.cmd.Process.Signal(syscall.SIGTERM)
 		if err := p.cmd.Wait(); err != nil {
-			t.Errorf("the process that was taken over from ends with %v", err)
+			t.Errorf("the predecessor exits with %v", err)
 		}
 		p = successor
 	}
 	close(stop)
 	open.Wait()
 	if requested.Load() < 150 || established.Load() < requested.Load()/2 {
-		t.Errorf("%d asked, %d stood: the test has not met its case", requested.Load(), established.Load())
+		t.Errorf("%d set-ups, %d established: too few for a meaningful test", requested.Load(), established.Load())
 	}
 }
 
-// converse asks for one call after the other, in two pieces each, and reads what it is told of them.
+// makeCalls makes one call after the other, writing each set-up in two parts, and checks the answers and releases. After
+// stop is closed, it waits for the release of the open calls.
 func makeCalls(c *conn, id uint64, stop chan struct{}, requested, established *atomic.Int64) error {
 	read := func() (kind byte, call uint64, err error) {
 		var head [2]byte
@@ -268,7 +272,7 @@
 			case kind == 12 && open[call]:
 				delete(open, call)
 			default:
-				return fmt.Errorf("message of type %d for call %x, which has been answered", kind, call)
+				return fmt.Errorf("unexpected message of type %d for call %x", kind, call)
 			}
 			if answered && (!done || len(open) == 0) {
 				break
