--- a/cmd/elmseam/main.go
+++ b/cmd/elmseam/main.go
@@ -55,7 +55,7 @@
 	if err != nil {
 		return err
 	}
-	signallingConf, err := signalling()
+	signalling, err := loadSignalling()
 	if err != nil {
 		return err
 	}
@@ -117,20 +117,20 @@
 	}, log)
 
 	if members.Enabled {
-		sock, join, permitted, err := cfg.TierConfig(members)
+		socketConfig, joinEvents, permitted, err := cfg.TierConfig(members)
 		if err != nil {
 			return err
 		}
 		if !permitted {
 			log.Warn().Msg("membership is off: the settings permit no peer messages")
-		} else if tierSocket, err = peers.New(sock, eventLoop.Post, log); err != nil {
+		} else if tierSocket, err = peers.New(socketConfig, eventLoop.Post, log); err != nil {
 			return err
 		} else {
 			var tierDone sync.WaitGroup
 			tierCtx, stopTier := context.WithCancel(context.Background())
 			defer tierDone.Wait() // the socket tells the other members that this one leaves
 			defer stopTier()
-			tierDone.Go(func() { tierSocket.Run(tierCtx, join...) })
+			tierDone.Go(func() { tierSocket.Run(tierCtx, joinEvents...) })
 		}
 	}
 
@@ -183,8 +183,8 @@
 	if hasPredecessor {
 		initialEvents = append(initialEvents, core.Predecessor{Present: true})
 	}
-	if signallingConf.Enabled {
-		m3uaProtocol, err = m3ua.New(cfg.M3UA(signallingConf.M3UA), eventLoop, log)
+	if signalling.Enabled {
+		m3uaProtocol, err = m3ua.New(cfg.M3UA(signalling.M3UA), eventLoop, log)
 		if err != nil {
 			return fmt.Errorf("m3ua.%w", err)
 		}
@@ -196,7 +196,7 @@
 			return platform.Protocol
 		}
 		initialEvents = append(initialEvents, m3uaProtocol.Servers())
-		m3uaListener, err := net.Listen("tcp", signallingConf.M3UA.Listen)
+		m3uaListener, err := net.Listen("tcp", signalling.M3UA.Listen)
 		if err != nil && !hasPredecessor {
 			return fmt.Errorf("m3ua.listen: %w", err)
 		}
@@ -206,14 +206,14 @@
 		tasks = append(tasks, func() {
 			for err != nil { // the predecessor holds the address until it exits
 				time.Sleep(retryDelay)
-				m3uaListener, err = net.Listen("tcp", signallingConf.M3UA.Listen)
+				m3uaListener, err = net.Listen("tcp", signalling.M3UA.Listen)
 			}
 			defer m3uaListener.Close()
 			m3uaProtocol.Serve(m3uaListener)
 		})
 	}
-	if signallingConf.Enabled && len(signallingConf.BGP.Peers) > 0 {
-		if speaker, err = bgp.New(signallingConf.BGP, cfg.Limits.BGP(), eventLoop.Post, log); err != nil {
+	if signalling.Enabled && len(signalling.BGP.Peers) > 0 {
+		if speaker, err = bgp.New(signalling.BGP, cfg.Limits.BGP(), eventLoop.Post, log); err != nil {
 			return err
 		}
 		speakerDone.Go(func() { speaker.Run(ctx) })
@@ -244,7 +244,7 @@
 		memory.setLimits(cfg.Limits)
 		platformProtocol.Configure(cfg.Platform())
 		if m3uaProtocol != nil { // before the core sees calls of new classes
-			m3uaProtocol.Configure(cfg.M3UA(signallingConf.M3UA))
+			m3uaProtocol.Configure(cfg.M3UA(signalling.M3UA))
 		}
 		eventLoop.Post(core.Configured{Settings: cfg.Settings, Limits: cfg.Limits.Core})
 		if newMembers, err := config.LoadMembers(membersPath, membersNamed); err != nil {
@@ -283,15 +283,15 @@
 	return nil
 }
 
-// signalling reads the signalling file. If the default file does not exist, M3UA and BGP stay off.
-func signalling() (config.SignallingFile, error) {
+// loadSignalling reads the signalling file. If the default file does not exist, M3UA and BGP stay off.
+func loadSignalling() (config.SignallingFile, error) {
 	path, named := os.LookupEnv("ELMSEAM_SIGNALLING")
 	if !named {
 		path = signallingFile
 	}
-	s, err := config.LoadSignalling(path)
+	cfg, err := config.LoadSignalling(path)
 	if !named && errors.Is(err, fs.ErrNotExist) {
 		return config.SignallingFile{}, nil
 	}
-	return s, err
+	return cfg, err
 }
--- a/cmd/elmseam/main_test.go
+++ b/cmd/elmseam/main_test.go
@@ -327,13 +327,13 @@
 	for caller.wantFrame(53, 9)[3] != 0 {
 		caller.Write([]byte{0, 13, 52, 0, 0, 0, 0, 0, 0, 0, 9, 58, 0, 1, 0})
 	}
-	accept := func(id string) { fmt.Fprintf(second, `{"op":"accept","call":%q,"with":{},"desc":""}`+"\n", id) }
-	accept(id) // an unanswered set-up would keep the next one from the server
+	answer := func(id string) { fmt.Fprintf(second, `{"op":"accept","call":%q,"with":{},"desc":""}`+"\n", id) }
+	answer(id) // an unanswered set-up would keep the next one from the server
 	caller.wantFrame(9, 2)
 	lateCaller := dial(t, p.listen)
 	lateCaller.sendSetUp(3)
 	lateID := second.wantLine(`"offer"`)
-	accept(lateID)
+	answer(lateID)
 	lateCaller.wantFrame(9, 3)
 	for _, id := range []string{id, lateID} {
 		fmt.Fprintf(second, `{"op":"end","call":%q,"with":{},"why":16}`+"\n", id)
@@ -475,21 +475,21 @@
 // describe the tier, with one line that names the field. If the settings permit no peer messages, the program must serve
 // with membership off.
 func TestInvalidMembersFile(t *testing.T) {
-	tier := `"peer_listen":"127.0.0.1:1","peers":["127.0.0.1:1","127.0.0.1:2"],`
+	tierFields := `"peer_listen":"127.0.0.1:1","peers":["127.0.0.1:1","127.0.0.1:2"],`
 	permitted := strings.Replace(testSettings, `"max-open"`, `"peer-messages":true,"max-open"`, 1)
 	withIndex := strings.Replace(permitted, `{"request-classes"`, `{"me":1,"peers-total":2,"request-classes"`, 1)
 	for field, c := range map[string]struct{ members, tier, settings string }{
-		"period": {"enabled = true\nperiod = \"1ms\"", tier, withIndex},
-		"who":    {"who = 1", tier, withIndex},
+		"period": {"enabled = true\nperiod = \"1ms\"", tierFields, withIndex},
+		"who":    {"who = 1", tierFields, withIndex},
 
-		"knowledge.half_life": {"enabled = true\n[knowledge]\nenabled = true\nhalf_life = \"0s\"", tier, withIndex},
-		"knowledge.enabled":   {"[knowledge]\nenabled = true", tier, withIndex},
-		"parts.lease":         {"enabled = true\n[parts]\nenabled = true\nlease = \"1ms\"", tier, withIndex},
-		"parts.enabled":       {"[parts]\nenabled = true", tier, withIndex},
+		"knowledge.half_life": {"enabled = true\n[knowledge]\nenabled = true\nhalf_life = \"0s\"", tierFields, withIndex},
+		"knowledge.enabled":   {"[knowledge]\nenabled = true", tierFields, withIndex},
+		"parts.lease":         {"enabled = true\n[parts]\nenabled = true\nlease = \"1ms\"", tierFields, withIndex},
+		"parts.enabled":       {"[parts]\nenabled = true", tierFields, withIndex},
 		"peers":               {"enabled = true", "", withIndex},
 		"peers[0]":            {"enabled = true", `"peer_listen":"127.0.0.1:1","peers":["x","y"],`, withIndex},
 		"peer_listen":         {"enabled = true", `"peers":["127.0.0.1:1","127.0.0.1:2"],`, withIndex},
-		"settings.me":         {"enabled = true", tier, permitted},
+		"settings.me":         {"enabled = true", tierFields, permitted},
 	} {
 		dir := t.TempDir()
 		config, members := filepath.Join(dir, "c.json"), filepath.Join(dir, "members.toml")
@@ -517,16 +517,16 @@
 func TestDeploymentWithoutPeerMessages(t *testing.T) {
 	for _, permitted := range []bool{false, true} {
 		srv, channel := listen(t), listen(t)
-		var tier [2]*net.UDPConn
-		for i := range tier {
+		var tierConns [2]*net.UDPConn
+		for i := range tierConns {
 			c, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 			if err != nil {
 				t.Fatal(err)
 			}
-			tier[i] = c
+			tierConns[i] = c
 			defer c.Close()
 		}
-		tier[0].Close() // the program opens this address itself
+		tierConns[0].Close() // the program opens this address itself
 		members := filepath.Join(t.TempDir(), "members.toml")
 		os.WriteFile(members, []byte("enabled = true"), 0o600)
 		p := newProgram(t)
@@ -534,16 +534,16 @@
 			`{"request-classes"`, `{"me":0,"peers-total":2,"over-share-worth":0.1,"tenants":[{"name":"a","share":0.5,"allowance-per-s":9}],"request-classes"`).Replace(testSettings)
 		p.writeConfig(channel, text, endpoint("s", "in_service", srv))
 		config, _ := os.ReadFile(p.config)
-		config = bytes.Replace(config, []byte(`{"name"`), fmt.Appendf(nil, `{"peer_listen":%q,"peers":[%[1]q,%q],"name"`, tier[0].LocalAddr(), tier[1].LocalAddr()), 1)
+		config = bytes.Replace(config, []byte(`{"name"`), fmt.Appendf(nil, `{"peer_listen":%q,"peers":[%[1]q,%q],"name"`, tierConns[0].LocalAddr(), tierConns[1].LocalAddr()), 1)
 		os.WriteFile(p.config, config, 0o600)
 		p.launch("", "ELMSEAM_MEMBERS="+members)
 		peer, caller := acceptServer(t, srv), dial(t, p.listen)
 		caller.sendSetUp(1)
 		fmt.Fprintf(peer, `{"op":"accept","call":%q,"with":{"load":"spare:9;total:9;recent_ms:4"},"desc":""}`+"\n", peer.wantLine(`"offer"`))
 		caller.wantFrame(9, 1)
-		tier[1].SetReadDeadline(time.Now().Add(testTimeout))
+		tierConns[1].SetReadDeadline(time.Now().Add(testTimeout))
 		if permitted {
-			if _, err := tier[1].Read(make([]byte, 256)); err != nil {
+			if _, err := tierConns[1].Read(make([]byte, 256)); err != nil {
 				t.Errorf("no datagram although peer messages are permitted: %v", err)
 			}
 			continue
@@ -556,8 +556,8 @@
 		if err := p.cmd.Wait(); err != nil {
 			t.Errorf("the program exits with %v", err)
 		}
-		tier[1].SetReadDeadline(time.Now().Add(100 * time.Millisecond)) // a datagram sent before has arrived by now
-		if n, err := tier[1].Read(make([]byte, 256)); err == nil {
+		tierConns[1].SetReadDeadline(time.Now().Add(100 * time.Millisecond)) // a datagram sent before has arrived by now
+		if n, err := tierConns[1].Read(make([]byte, 256)); err == nil {
 			t.Errorf("datagram of %d bytes although peer messages are not permitted", n)
 		}
 	}
--- a/cmd/elmseam/ops_test.go
+++ b/cmd/elmseam/ops_test.go
@@ -172,15 +172,15 @@
 	p.writeConfig(p.channel, strings.Replace(next, `"name":"voice"`, `"name":"video"`, 1))
 	p.cmd.Process.Signal(syscall.SIGHUP)
 	p.wantResponse("/ops/stats", 200, "app.conf_loaded=1\n")
-	accept := func(id string, call uint64) {
+	answer := func(id string, call uint64) {
 		fmt.Fprintf(peer, `{"op":"accept","call":%q,"with":{},"desc":""}`+"\n", id)
 		caller.wantFrame(9, call)
 	}
-	accept(id, 1)
+	answer(id, 1)
 	caller.sendSetUpOfClass("voice", 2)
 	caller.wantFrame(12, 2)
 	caller.sendSetUpOfClass("video", 3)
-	accept(peer.wantLine(`"video"`), 3)
+	answer(peer.wantLine(`"video"`), 3)
 	p.wantResponse("/ops/stats", 200, "app.transactions.voice.answered=1\n")
 	p.wantResponse("/ops/stats", 200, "app.transactions.video.answered=1\n")
 }
--- a/cmd/elmseam/upgrade.go
+++ b/cmd/elmseam/upgrade.go
@@ -22,23 +22,23 @@
 	limits                 handover.Limits
 	loop                   *loop.Loop
 	platform               *platform.Platform
-	listener               net.Listener
+	listener               net.Listener // for callers
 	memory                 *memoryShare
 	log                    zerolog.Logger
 	sampledLog             zerolog.Logger // for lines logged once per connection
 
 	predecessor *handover.Peer // nil if there was no predecessor
 
-	mu               sync.Mutex                  // guards the fields below
-	hostListener     *net.UnixListener           // where a successor connects
-	localConns       map[core.ConnID]core.ConnID // this process's connection ids by the predecessor's
-	successor        *handover.Peer              // nil if there is no successor
-	listenerShared   bool                        // the successor has the callers' listener too
-	listenerClosing  bool                        // the callers' listener is being closed
-	successorServing bool                        // the successor serves callers
-	stopping         bool                        // this process was told to stop
-	transferring     bool                        // this process is transferring its callers' connections
-	transferred      map[core.ConnID]bool        // callers' connections that the successor has; nil without a successor
+	mu                sync.Mutex                  // guards the fields below
+	successorListener *net.UnixListener           // where a successor connects
+	localConns        map[core.ConnID]core.ConnID // this process's connection ids by the predecessor's
+	successor         *handover.Peer              // nil if there is no successor
+	listenerShared    bool                        // the successor has the callers' listener too
+	listenerClosing   bool                        // the callers' listener is being closed
+	successorServing  bool                        // the successor serves callers
+	stopping          bool                        // this process was told to stop
+	transferring      bool                        // this process is transferring its callers' connections
+	transferred       map[core.ConnID]bool        // callers' connections that the successor has; nil without a successor
 }
 
 // takeOver obtains the callers' listener from a running process that serves the address. It reports whether there is
@@ -89,7 +89,7 @@
 }
 
 // adoptConn serves a caller's connection that the predecessor transferred.
-func (u *upgrader) adoptConn(m handover.Message, file *os.File) {
+func (u *upgrader) adoptConn(msg handover.Message, file *os.File) {
 	if file == nil {
 		return
 	}
@@ -97,19 +97,19 @@
 	file.Close()
 	if err != nil {
 		u.log.Warn().Err(err).Msg("caller's connection not taken over")
-		u.predecessor.Send(handover.Message{Kind: handover.CallerDown, Conn: m.Conn})
+		u.predecessor.Send(handover.Message{Kind: handover.CallerDown, Conn: msg.Conn})
 		return
 	}
 	connID := u.loop.NewConnID()
 	u.mu.Lock()
-	u.localConns[m.Conn] = connID
+	u.localConns[msg.Conn] = connID
 	u.mu.Unlock()
-	up := core.CallerUp{Conn: connID, Protocol: platform.Protocol, HadSetUp: m.Asked, Open: m.Pending, Established: m.Established}
-	u.platform.Adopt(conn, m.Unprocessed, up, func() {
+	callerUp := core.CallerUp{Conn: connID, Protocol: platform.Protocol, HadSetUp: msg.Asked, Open: msg.Pending, Established: msg.Established}
+	u.platform.Adopt(conn, msg.Unprocessed, callerUp, func() {
 		u.mu.Lock()
-		delete(u.localConns, m.Conn)
+		delete(u.localConns, msg.Conn)
 		u.mu.Unlock()
-		u.predecessor.Send(handover.Message{Kind: handover.CallerDown, Conn: m.Conn})
+		u.predecessor.Send(handover.Message{Kind: handover.CallerDown, Conn: msg.Conn})
 	})
 	u.sampledLog.Info().Uint64("link", uint64(connID)).Msg("caller's connection taken over")
 }
@@ -146,7 +146,7 @@
 func (u *upgrader) listenForSuccessor() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.hostListener != nil || u.socketPath == "" || u.transferring {
+	if u.successorListener != nil || u.socketPath == "" || u.transferring {
 		return
 	}
 	listener, err := handover.Listen(u.socketPath)
@@ -154,7 +154,7 @@
 		u.log.Info().Err(err).Msg("hand-over to a successor is not available")
 		return
 	}
-	u.hostListener = listener
+	u.successorListener = listener
 	go func() {
 		for {
 			conn, err := listener.AcceptUnix()
@@ -274,8 +274,8 @@
 	starts := u.successorServing && u.stopping && !u.transferring
 	if starts {
 		u.transferring = true
-		if u.hostListener != nil {
-			u.hostListener.Close()
+		if u.successorListener != nil {
+			u.successorListener.Close()
 		}
 		u.listener.Close() // the successor shares the listener, so connections in the accept queue are not refused
 		u.platform.SetSuccessor(u)
@@ -304,7 +304,8 @@
 		u.transferred[transfer.To] = true
 	}
 	u.mu.Unlock()
-	if successorGone { // the successor may have read from the connection before it exited, so this process cannot continue it
+	if successorGone {
+		// The successor may have read from the connection before it exited, so this process cannot go on reading.
 		u.loop.Post(core.CallerDown{Conn: transfer.To})
 	}
 	return nil
--- a/cmd/elmseam/upgrade_test.go
+++ b/cmd/elmseam/upgrade_test.go
@@ -20,10 +20,10 @@
 // startSuccessor starts a successor of p, and waits until the successor reports that it is ready to serve.
 func (p *program) startSuccessor(dir string, env ...string) *program {
 	p.Helper()
-	next := &program{T: p.T, channel: p.channel, config: p.config, logLines: make(chan string, 100)}
-	next.launch("", append([]string{"TMPDIR=" + dir, "ROUTER_LISTEN=" + p.listen}, env...)...)
-	next.wantResponse("/ops/readiness", 200, "")
-	return next
+	successor := &program{T: p.T, channel: p.channel, config: p.config, logLines: make(chan string, 100)}
+	successor.launch("", append([]string{"TMPDIR=" + dir, "ROUTER_LISTEN=" + p.listen}, env...)...)
+	successor.wantResponse("/ops/readiness", 200, "")
+	return successor
 }
 
 // startUpgradable starts a program whose hand-over socket is in dir, so that a successor can take over.
@@ -44,12 +44,12 @@
 	predecessor := startUpgradable(t, dir, endpoint("s", "in_service", srv))
 	peer := acceptServer(t, srv)
 	caller, partial := dial(t, predecessor.listen), dial(t, predecessor.listen)
-	accept := func(peer *conn, id string) {
+	answer := func(peer *conn, id string) {
 		fmt.Fprintf(peer, `{"op":"accept","call":%q,"with":{},"desc":"x"}`+"\n", id)
 	}
 	for call := uint64(1); call <= 2; call++ {
 		caller.sendSetUp(call)
-		accept(peer, peer.wantLine(`"offer"`))
+		answer(peer, peer.wantLine(`"offer"`))
 		caller.wantFrame(9, call)
 	}
 	caller.sendSetUp(3)
@@ -61,10 +61,10 @@
 	successorPeer := acceptServer(t, srv)
 	predecessor.cmd.Process.Signal(syscall.SIGTERM)
 	successor.wantConnsTakenOver(2)
-	accept(peer, open)
+	answer(peer, open)
 	caller.wantFrame(9, 3)
 	partial.Write(setUp[20:])
-	accept(successorPeer, successorPeer.wantLine(`"offer"`))
+	answer(successorPeer, successorPeer.wantLine(`"offer"`))
 	partial.wantFrame(9, 4)
 	fmt.Fprintf(peer, `{"op":"end","call":"%016x","with":{},"why":16}`+"\n", 1)
 	caller.wantFrame(12, 1)
@@ -208,10 +208,10 @@
 	const callers = 8
 	var requested, established atomic.Int64
 	stop := make(chan struct{})
-	var open sync.WaitGroup
+	var callerLoops sync.WaitGroup
 	for n := range callers {
 		c := dial(t, p.listen)
-		open.Go(func() {
+		callerLoops.Go(func() {
 			if err := makeCalls(c, uint64(n+1)<<32, stop, &requested, &established); err != nil {
 				t.Errorf("caller %d: %v", n, err)
 			}
@@ -229,7 +229,7 @@
 		p = successor
 	}
 	close(stop)
-	open.Wait()
+	callerLoops.Wait()
 	if requested.Load() < 150 || established.Load() < requested.Load()/2 {
 		t.Errorf("%d set-ups, %d established: too few for a meaningful test", requested.Load(), established.Load())
 	}
--- a/internal/m3ua/caller.go
+++ b/internal/m3ua/caller.go
@@ -49,7 +49,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.serving = on
-	for c := range m.active {
+	for c := range m.activeCallers {
 		c.sendAvailability(on)
 	}
 }
@@ -61,12 +61,12 @@
 	if available {
 		kind = msgDAVA
 	}
-	c.send(kind, uint32Param(tagRoutingContext, c.m.RoutingContext), uint32Param(tagAffectedPC, c.m.PointCode))
+	c.send(kind, uint32Param(tagRoutingContext, c.m3ua.RoutingContext), uint32Param(tagAffectedPC, c.m3ua.PointCode))
 }
 
 // handleMessage handles a message from a caller.
 func (c *callerConn) handleMessage(msg message, at core.Time) error {
-	routingContext := uint32Param(tagRoutingContext, c.m.RoutingContext)
+	routingContext := uint32Param(tagRoutingContext, c.m3ua.RoutingContext)
 	switch msg.kind {
 	case msgASPUP:
 		c.deactivate()
@@ -82,7 +82,7 @@
 		if !c.aspUp {
 			return unexpectedMessage(msg.kind)
 		}
-		if rc, ok := msg.getUint32(tagRoutingContext); ok && rc != c.m.RoutingContext {
+		if rc, ok := msg.getUint32(tagRoutingContext); ok && rc != c.m3ua.RoutingContext {
 			return &protocolError{errContext, "ASP Active for another routing context", false}
 		}
 		c.send(msgASPACACK, routingContext)
@@ -99,9 +99,9 @@
 		if !c.active {
 			return unexpectedMessage(msg.kind)
 		}
-		c.m.mu.Lock()
-		c.sendAvailability(c.m.serving)
-		c.m.mu.Unlock()
+		c.m3ua.mu.Lock()
+		c.sendAvailability(c.m3ua.serving)
+		c.m3ua.mu.Unlock()
 	case msgDATA:
 		if !c.active {
 			return unexpectedMessage(msg.kind)
@@ -118,14 +118,14 @@
 	if c.active {
 		return
 	}
-	c.active, c.connID = true, c.m.loop.NewConnID()
-	c.m.mu.Lock()
-	c.m.active[c] = true
-	if !c.m.serving {
+	c.active, c.connID = true, c.m3ua.loop.NewConnID()
+	c.m3ua.mu.Lock()
+	c.m3ua.activeCallers[c] = true
+	if !c.m3ua.serving {
 		c.sendAvailability(false)
 	}
-	c.m.mu.Unlock()
-	c.m.loop.Attach(c.connID, &callerEffects{c}, core.CallerUp{Conn: c.connID, Protocol: Protocol})
+	c.m3ua.mu.Unlock()
+	c.m3ua.loop.Attach(c.connID, &callerEffects{c}, core.CallerUp{Conn: c.connID, Protocol: Protocol})
 }
 
 // deactivate detaches the connection from the core, so that no new calls are accepted on it. The client may repeat its
@@ -135,15 +135,15 @@
 		return
 	}
 	c.active = false
-	c.m.mu.Lock()
-	delete(c.m.active, c)
-	c.m.mu.Unlock()
-	c.m.loop.Post(core.CallerDown{Conn: c.connID})
+	c.m3ua.mu.Lock()
+	delete(c.m3ua.activeCallers, c)
+	c.m3ua.mu.Unlock()
+	c.m3ua.loop.Post(core.CallerDown{Conn: c.connID})
 }
 
 // handleData handles a DATA message, which carries an ISUP message.
 func (c *callerConn) handleData(msg message, at core.Time) error {
-	circ, isup, err := parseData(msg, c.m.RoutingContext)
+	circ, isup, err := parseData(msg, c.m3ua.RoutingContext)
 	if err != nil {
 		return err
 	}
@@ -155,12 +155,12 @@
 	case isupIAM:
 		c.handleSetUp(circ, sig, at)
 	case isupREL, isupRSC: // a client resets its circuits after a restart
-		c.m.mu.Lock()
-		id, ok := c.m.freeLocked(circ)
+		c.m3ua.mu.Lock()
+		id, ok := c.m3ua.freeLocked(circ)
 		c.sendISUP(circ.reverse(), isupMessage{kind: isupRLC})
-		c.m.mu.Unlock()
+		c.m3ua.mu.Unlock()
 		if ok {
-			c.m.loop.Post(core.CallerEnd{ID: id, From: c.connID})
+			c.m3ua.loop.Post(core.CallerEnd{ID: id, From: c.connID})
 		}
 	case isupRLC: // the circuit was freed when the REL was sent
 	default:
@@ -173,26 +173,26 @@
 // in use repeats the same call after its association was lost, and keeps the call's id.
 func (c *callerConn) handleSetUp(circ circuit, iam isupMessage, at core.Time) {
 	setUp := core.SetUp{
-		From: c.connID, Class: c.m.classOfCategory(iam.category), Number: hashNumber(iam.digits), NumberText: iam.digits, Desc: iam.desc,
+		From: c.connID, Class: c.m3ua.classOfCategory(iam.category), Number: hashNumber(iam.digits), NumberText: iam.digits, Desc: iam.desc,
 		Cell: -1, At: at,
 	}
-	if cell, ok := c.m.Cells[strconv.Itoa(int(circ.dpc))]; ok {
+	if cell, ok := c.m3ua.Cells[strconv.Itoa(int(circ.dpc))]; ok {
 		setUp.Cell = cell
 	}
 	if setUp.Class >= 0 { // the index is in range: a class keeps its index when the configuration changes
-		class := c.m.config.Load().Deployment.Classes[setUp.Class]
+		class := c.m3ua.config.Load().Deployment.Classes[setUp.Class]
 		setUp.Name, setUp.TimeLeft = class.Name, class.MaxWait
 	}
-	c.m.mu.Lock()
-	id, ok := c.m.callByCircuit[circ]
+	c.m3ua.mu.Lock()
+	id, ok := c.m3ua.callByCircuit[circ]
 	if !ok {
-		id = c.m.newID()
-		c.m.callByCircuit[circ], c.m.circuitByCall[id] = id, circ
+		id = c.m3ua.newID()
+		c.m3ua.callByCircuit[circ], c.m3ua.circuitByCall[id] = id, circ
 	}
-	c.m.mu.Unlock()
+	c.m3ua.mu.Unlock()
 	setUp.ID = id
 	c.sendISUP(circ.reverse(), isupMessage{kind: isupACM})
-	c.m.loop.Post(setUp)
+	c.m3ua.loop.Post(setUp)
 }
 
 // freeLocked frees a circuit towards a caller and returns the call that was on it. The caller of the method holds m.mu
@@ -211,49 +211,49 @@
 func (c *callerConn) sendISUP(circ circuit, sig isupMessage) {
 	isup, err := buildISUP(circ.cic, sig)
 	if err != nil {
-		c.m.log.Error().Err(err).Msg("ISUP message not sent")
+		c.m3ua.log.Error().Err(err).Msg("ISUP message not sent")
 		return
 	}
-	c.out.Post(link.Item{Data: buildData(circ, c.m.NetworkIndicator, c.m.RoutingContext, isup)})
+	c.out.Post(link.Item{Data: buildData(circ, c.m3ua.NetworkIndicator, c.m3ua.RoutingContext, isup)})
 }
 
 // callerEffects is the loop.EffectHandler of a caller's connection.
-type callerEffects struct{ conn *callerConn }
+type callerEffects struct{ caller *callerConn }
 
 // Close closes the connection.
-func (s *callerEffects) Close() { s.conn.out.Close() }
+func (s *callerEffects) Close() { s.caller.out.Close() }
 
 // Flush waits briefly until the queued messages are written.
-func (s *callerEffects) Flush() { s.conn.out.Flush() }
+func (s *callerEffects) Flush() { s.caller.out.Flush() }
 
 // HandleEffect sends the ISUP message for an effect to the caller. A call's circuit is free once its rejection or
 // release is queued.
 func (s *callerEffects) HandleEffect(e core.Effect) []core.Event {
-	m := s.conn.m
+	m := s.caller.m3ua
 	switch e := e.(type) {
 	case core.Answered:
 		m.mu.Lock()
 		defer m.mu.Unlock()
 		if circ, ok := m.circuitByCall[e.ID]; ok {
-			s.conn.sendISUP(circ.reverse(), isupMessage{kind: isupANM, desc: e.Desc})
+			s.caller.sendISUP(circ.reverse(), isupMessage{kind: isupANM, desc: e.Desc})
 		}
 	case core.Rejected:
 		s.release(e.ID, isupMessage{kind: isupREL, cause: int(q850.CauseFromReason(e.Reason)), retryAfter: e.RetryAfter})
 	case core.Released:
 		s.release(e.ID, isupMessage{kind: isupREL, cause: int(q850.CauseFromReason(e.Reason))})
 	case core.GracefulClose:
-		s.conn.out.Finish(s.conn.out.Close)
+		s.caller.out.Finish(s.caller.out.Close)
 	}
 	return nil
 }
 
 // release frees the circuit of a call and sends the REL on it, if the call still has a circuit.
 func (s *callerEffects) release(id core.ID, sig isupMessage) {
-	m := s.conn.m
+	m := s.caller.m3ua
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if circ, ok := m.circuitByCall[id]; ok {
 		m.freeLocked(circ)
-		s.conn.sendISUP(circ.reverse(), sig)
+		s.caller.sendISUP(circ.reverse(), sig)
 	}
 }
--- a/internal/m3ua/isup.go
+++ b/internal/m3ua/isup.go
@@ -25,10 +25,10 @@
 )
 
 const (
-	isupHeaderSize = 3 // circuit identification code and message type
-	iamFixedSize   = 5 // nature of connection, forward call indicators, calling party's category, transmission medium
-	maxOptionSize  = 255
-	maxDigits      = 64
+	isupHeaderSize = 3   // circuit identification code and message type
+	iamFixedSize   = 5   // nature of connection, forward call indicators, calling party's category, transmission medium
+	maxOptionSize  = 255 // bytes in an optional parameter
+	maxDigits      = 64  // digits in a called number
 )
 
 // isupMessage is a parsed ISUP message. Only the fields that its kind carries are set.
@@ -36,8 +36,8 @@
 	kind       byte
 	category   byte // calling party's category, which stands for the class of the call
 	digits     string
-	desc       []byte
-	cause      int
+	desc       []byte        // description of the call
+	cause      int           // cause value of ITU-T Q.850; -1 if there is none
 	retryAfter time.Duration // wait that a REL asks for before the next set-up; 0 if it asks for none
 }
 
@@ -51,20 +51,20 @@
 		return msg, &protocolError{errParamField, "truncated ISUP message", false}
 	}
 	msg.kind, msg.cause = b[2], -1
-	p := b[isupHeaderSize:]
+	rest := b[isupHeaderSize:]
 	variable := false
 	switch msg.kind {
 	case isupIAM:
-		if len(p) < iamFixedSize {
+		if len(rest) < iamFixedSize {
 			return malformed("truncated")
 		}
-		msg.category = p[3]
-		p, variable = p[iamFixedSize:], true
+		msg.category = rest[3]
+		rest, variable = rest[iamFixedSize:], true
 	case isupACM:
-		if len(p) < 2 {
+		if len(rest) < 2 {
 			return malformed("truncated")
 		}
-		p = p[2:]
+		rest = rest[2:]
 	case isupREL:
 		variable = true
 	case isupRSC:
@@ -74,10 +74,10 @@
 		return malformed("unknown message type")
 	}
 	if variable {
-		if len(p) < 2 || int(p[0]) >= len(p) || int(p[0])+1+int(p[p[0]]) > len(p) || p[0] == 0 {
+		if len(rest) < 2 || int(rest[0]) >= len(rest) || int(rest[0])+1+int(rest[rest[0]]) > len(rest) || rest[0] == 0 {
 			return malformed("truncated mandatory parameter")
 		}
-		mandatory := p[p[0]+1:][:p[p[0]]]
+		mandatory := rest[rest[0]+1:][:rest[rest[0]]]
 		if msg.kind == isupIAM {
 			if msg.digits, err = parseDigits(mandatory); err != nil {
 				return malformed(err.Error())
@@ -91,24 +91,24 @@
 				msg.retryAfter = time.Duration(ms) * time.Millisecond
 			}
 		}
-		p = p[1:]
+		rest = rest[1:]
 	}
-	if len(p) == 0 || p[0] == 0 {
+	if len(rest) == 0 || rest[0] == 0 {
 		return msg, nil // no optional part
 	}
-	if int(p[0]) >= len(p) {
+	if int(rest[0]) >= len(rest) {
 		return malformed("truncated optional part")
 	}
-	for p = p[p[0]:]; ; {
+	for rest = rest[rest[0]:]; ; {
 		switch {
-		case len(p) > 0 && p[0] == optEnd:
+		case len(rest) > 0 && rest[0] == optEnd:
 			return msg, nil
-		case len(p) < 2 || 2+int(p[1]) > len(p):
+		case len(rest) < 2 || 2+int(rest[1]) > len(rest):
 			return malformed("truncated optional parameter")
-		case p[0] == optUserUser:
-			msg.desc = append(msg.desc, p[2:2+int(p[1])]...)
+		case rest[0] == optUserUser:
+			msg.desc = append(msg.desc, rest[2:2+int(rest[1])]...)
 		}
-		p = p[2+int(p[1]):]
+		rest = rest[2+int(rest[1]):]
 	}
 }
 
--- a/internal/m3ua/m3ua.go
+++ b/internal/m3ua/m3ua.go
@@ -62,9 +62,9 @@
 			return fmt.Errorf("categories.%s: %d is not between 0 and 255", name, category)
 		}
 	}
-	for pc := range f.Cells {
-		if _, err := strconv.ParseUint(pc, 10, 24); err != nil {
-			return fmt.Errorf("cells.%s: not a point code", pc)
+	for pointCode := range f.Cells {
+		if _, err := strconv.ParseUint(pointCode, 10, 24); err != nil {
+			return fmt.Errorf("cells.%s: not a point code", pointCode)
 		}
 	}
 	for i, s := range f.Servers {
@@ -104,7 +104,7 @@
 	mu            sync.Mutex          // guards the fields below
 	callByCircuit map[circuit]core.ID // calls on callers' circuits
 	circuitByCall map[core.ID]circuit // the inverse of callByCircuit
-	active        map[*callerConn]bool
+	activeCallers map[*callerConn]bool
 	serving       bool // whether new calls are accepted
 }
 
@@ -112,7 +112,7 @@
 func New(cfg Config, l *loop.Loop, log zerolog.Logger) (*M3UA, error) {
 	m := &M3UA{
 		FileConfig: cfg.FileConfig, loop: l, log: log, sampledLog: link.SampledLogger(log), trunks: make(map[string]*trunk),
-		callByCircuit: make(map[circuit]core.ID), circuitByCall: make(map[core.ID]circuit), active: make(map[*callerConn]bool),
+		callByCircuit: make(map[circuit]core.ID), circuitByCall: make(map[core.ID]circuit), activeCallers: make(map[*callerConn]bool),
 	}
 	m.Configure(cfg)
 	for name := range cfg.Categories {
--- a/internal/m3ua/m3ua_test.go
+++ b/internal/m3ua/m3ua_test.go
@@ -126,43 +126,43 @@
 // servers of file are reached over M3UA, the other servers over the platform's protocol.
 func startSoftswitch(t *testing.T, releaseGuard time.Duration, file FileConfig, servers ...core.Server) (*M3UA, string) {
 	t.Helper()
-	set := elmseam.Settings{
+	controllerSettings := elmseam.Settings{
 		Classes:     []elmseam.Class{{Aim: time.Second, Deadline: 9 * time.Second, Worth: 1}},
 		MaxAttempts: 4, OwnCell: -1, ReleaseGuard: releaseGuard, MaxRetryAfter: 2 * time.Second, RetransmitInterval: 10 * time.Second,
 		ReportMetrics: []elmseam.LoadMetric{elmseam.LoadMetricHoldBackShare},
 	}
-	c, err := core.New(set, 1, core.Limits{AnswerMargin: 15 * time.Millisecond, Rebind: 100 * time.Millisecond,
+	reducer, err := core.New(controllerSettings, 1, core.Limits{AnswerMargin: 15 * time.Millisecond, Rebind: 100 * time.Millisecond,
 		MinRedial: time.Millisecond, MaxRedial: time.Millisecond, ServerLostAfter: time.Minute, MaxCallerConns: 100, MaxOpen: 10000, MaxCallBytes: 1 << 20, EndedCallTTL: time.Minute})
 	if err != nil {
 		t.Fatal(err)
 	}
-	var m *M3UA
-	l := loop.New(c, 1024, func(e core.Effect) {
+	var m3uaProtocol *M3UA
+	eventLoop := loop.New(reducer, 1024, func(e core.Effect) {
 		switch e := e.(type) {
 		case core.Serving:
-			m.SetServing(e.On)
+			m3uaProtocol.SetServing(e.On)
 		case core.ForgetCall:
-			m.FreeCircuit(e.ID)
+			m3uaProtocol.FreeCircuit(e.ID)
 		}
 	}, zerolog.Nop())
 	file.PointCode, file.NetworkIndicator, file.RoutingContext, file.HeartbeatMS = ownPC, 2, 1, 1000
 	file.Circuits, file.Categories, file.Cells = 512, map[string]int{"voice": 10}, map[string]int{"100": 0}
-	m, err = New(Config{FileConfig: file, Deployment: testDeployment,
-		CallerConn: testLimits, ServerConn: testLimits, DialTimeout: time.Second, MaxCallers: 8, ConfirmTimeout: 50 * time.Millisecond}, l, zerolog.Nop())
+	m3uaProtocol, err = New(Config{FileConfig: file, Deployment: testDeployment,
+		CallerConn: testLimits, ServerConn: testLimits, DialTimeout: time.Second, MaxCallers: 8, ConfirmTimeout: 50 * time.Millisecond}, eventLoop, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.SetDialer(Protocol, m.Dial)
-	p := platform.New(platform.Config{Deployment: testDeployment, CallerConn: testLimits, ServerConn: testLimits, DialTimeout: time.Second, MaxCallers: 8}, l, zerolog.Nop())
-	l.SetDialer(platform.Protocol, p.Dial)
+	eventLoop.SetDialer(Protocol, m3uaProtocol.Dial)
+	platformProtocol := platform.New(platform.Config{Deployment: testDeployment, CallerConn: testLimits, ServerConn: testLimits, DialTimeout: time.Second, MaxCallers: 8}, eventLoop, zerolog.Nop())
+	eventLoop.SetDialer(platform.Protocol, platformProtocol.Dial)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	go l.Run(ctx)
+	go eventLoop.Run(ctx)
 	listener := listen(t)
-	go m.Serve(listener)
-	l.Post(m.Servers())
-	l.Post(core.List{Source: "test", Full: true, Servers: servers})
-	return m, listener.Addr().String()
+	go m3uaProtocol.Serve(listener)
+	eventLoop.Post(m3uaProtocol.Servers())
+	eventLoop.Post(core.List{Source: "test", Full: true, Servers: servers})
+	return m3uaProtocol, listener.Addr().String()
 }
 
 // connectCaller returns the active association of a client.
@@ -210,15 +210,15 @@
 }
 
 // serverFileConfig returns a FileConfig with one server, which listens on l.
-func serverFileConfig(name string, pc uint32, l net.Listener) FileConfig {
-	var f FileConfig
-	f.Servers = append(f.Servers, struct {
+func serverFileConfig(name string, pointCode uint32, l net.Listener) FileConfig {
+	var cfg FileConfig
+	cfg.Servers = append(cfg.Servers, struct {
 		Name      string `toml:"name"`
 		Address   string `toml:"address"`
 		PointCode uint32 `toml:"point_code"`
 		Cell      int    `toml:"cell"`
-	}{name, l.Addr().String(), pc, 0})
-	return f
+	}{name, l.Addr().String(), pointCode, 0})
+	return cfg
 }
 
 // TestMessageBytes compares messages with bytes written out by hand from RFC 4666 and Q.763. The other tests' peers use
@@ -243,60 +243,60 @@
 // TestCallToBothKindsOfServer makes calls from an M3UA client to an M3UA server and to a platform server, from set-up to
 // release. One description is longer than one parameter can hold, and a refusal must carry its cause and retry time.
 func TestCallToBothKindsOfServer(t *testing.T) {
-	sl := listen(t)
-	_, address := startSoftswitch(t, testReleaseGuard, serverFileConfig("hlr", 201, sl))
-	s := mustAcceptASP(t, sl)
-	c := connectCaller(t, address)
-	ci := circuit{clientPC, ownPC, 7}
+	serverListener := listen(t)
+	_, address := startSoftswitch(t, testReleaseGuard, serverFileConfig("hlr", 201, serverListener))
+	server := mustAcceptASP(t, serverListener)
+	client := connectCaller(t, address)
+	circ := circuit{clientPC, ownPC, 7}
 	long := bytes.Repeat([]byte("0123456789"), 70)
-	c.sendISUP(ci, isupMessage{kind: isupIAM, category: 10, digits: "38591", desc: long})
-	out, k := s.wantISUP(t, isupIAM)
-	if out.opc != ownPC || out.dpc != 201 || k.digits != "38591" || k.category != 10 || !bytes.Equal(k.desc, long) {
-		t.Errorf("IAM %+v on %+v", k, out)
-	}
-	s.sendISUP(out.reverse(), isupMessage{kind: isupANM, desc: long[1:]})
-	if back, k := c.wantISUP(t, isupANM); back != ci.reverse() || !bytes.Equal(k.desc, long[1:]) {
-		t.Errorf("ANM on %+v with %d bytes", back, len(k.desc))
-	}
-	s.sendISUP(out.reverse(), isupMessage{kind: isupREL, cause: 41})
-	s.wantISUP(t, isupRLC)
-	if _, k := c.wantISUP(t, isupREL); k.cause != 41 {
-		t.Errorf("released with cause %d, want 41", k.cause)
-	}
-	c.sendISUP(ci, isupMessage{kind: isupRLC})
-	c.sendISUP(ci, isupMessage{kind: isupIAM, category: 10, digits: "38593"}) // a server resets its circuits after a restart, and so does a client below
-	out, _ = s.wantISUP(t, isupIAM)
-	s.sendISUP(out.reverse(), isupMessage{kind: isupANM})
-	c.wantISUP(t, isupANM)
-	s.sendISUP(out.reverse(), isupMessage{kind: isupRSC})
-	if _, k := c.wantISUP(t, isupREL); k.cause != 41 {
-		t.Errorf("cut by a circuit reset with cause %d, want 41", k.cause)
-	}
-	c.sendISUP(ci, isupMessage{kind: isupIAM, category: 10, digits: "38594"})
-	s.wantISUP(t, isupIAM)
-	c.sendISUP(ci, isupMessage{kind: isupRSC})
-	c.wantISUP(t, isupRLC)
-	if _, k := s.wantISUP(t, isupREL); k.cause != 16 {
-		t.Errorf("set-up given up with cause %d, want 16", k.cause)
-	}
-	c.sendISUP(ci, isupMessage{kind: isupIAM, category: 10, digits: "38592"}) // the only server refuses as full
-	out, _ = s.wantISUP(t, isupIAM)
-	s.sendISUP(out.reverse(), isupMessage{kind: isupREL, cause: 34})
-	if _, k := c.wantISUP(t, isupREL); k.cause != 42 || k.retryAfter <= 0 {
-		t.Errorf("refused with cause %d, retry after %v", k.cause, k.retryAfter)
-	}
-
-	pl := listen(t)
+	client.sendISUP(circ, isupMessage{kind: isupIAM, category: 10, digits: "38591", desc: long})
+	out, msg := server.wantISUP(t, isupIAM)
+	if out.opc != ownPC || out.dpc != 201 || msg.digits != "38591" || msg.category != 10 || !bytes.Equal(msg.desc, long) {
+		t.Errorf("IAM %+v on %+v", msg, out)
+	}
+	server.sendISUP(out.reverse(), isupMessage{kind: isupANM, desc: long[1:]})
+	if back, msg := client.wantISUP(t, isupANM); back != circ.reverse() || !bytes.Equal(msg.desc, long[1:]) {
+		t.Errorf("ANM on %+v with %d bytes", back, len(msg.desc))
+	}
+	server.sendISUP(out.reverse(), isupMessage{kind: isupREL, cause: 41})
+	server.wantISUP(t, isupRLC)
+	if _, msg := client.wantISUP(t, isupREL); msg.cause != 41 {
+		t.Errorf("released with cause %d, want 41", msg.cause)
+	}
+	client.sendISUP(circ, isupMessage{kind: isupRLC})
+	client.sendISUP(circ, isupMessage{kind: isupIAM, category: 10, digits: "38593"}) // a server resets its circuits after a restart, and so does a client below
+	out, _ = server.wantISUP(t, isupIAM)
+	server.sendISUP(out.reverse(), isupMessage{kind: isupANM})
+	client.wantISUP(t, isupANM)
+	server.sendISUP(out.reverse(), isupMessage{kind: isupRSC})
+	if _, msg := client.wantISUP(t, isupREL); msg.cause != 41 {
+		t.Errorf("cut by a circuit reset with cause %d, want 41", msg.cause)
+	}
+	client.sendISUP(circ, isupMessage{kind: isupIAM, category: 10, digits: "38594"})
+	server.wantISUP(t, isupIAM)
+	client.sendISUP(circ, isupMessage{kind: isupRSC})
+	client.wantISUP(t, isupRLC)
+	if _, msg := server.wantISUP(t, isupREL); msg.cause != 16 {
+		t.Errorf("set-up given up with cause %d, want 16", msg.cause)
+	}
+	client.sendISUP(circ, isupMessage{kind: isupIAM, category: 10, digits: "38592"}) // the only server refuses as full
+	out, _ = server.wantISUP(t, isupIAM)
+	server.sendISUP(out.reverse(), isupMessage{kind: isupREL, cause: 34})
+	if _, msg := client.wantISUP(t, isupREL); msg.cause != 42 || msg.retryAfter <= 0 {
+		t.Errorf("refused with cause %d, retry after %v", msg.cause, msg.retryAfter)
+	}
+
+	platformListener := listen(t)
 	_, address = startSoftswitch(t, testReleaseGuard, FileConfig{}, core.Server{
-		Name: "new", Address: pl.Addr().String(), Protocol: platform.Protocol, Phase: elmseam.Ready})
-	conn, err := pl.Accept()
+		Name: "new", Address: platformListener.Addr().String(), Protocol: platform.Protocol, Phase: elmseam.Ready})
+	conn, err := platformListener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(testTimeout))
-	c = connectCaller(t, address)
-	c.sendISUP(ci, isupMessage{kind: isupIAM, category: 10, digits: "38591", desc: []byte("x")})
+	client = connectCaller(t, address)
+	client.sendISUP(circ, isupMessage{kind: isupIAM, category: 10, digits: "38591", desc: []byte("x")})
 	buf := make([]byte, 4096)
 	n, err := conn.Read(buf)
 	var id string
@@ -306,11 +306,11 @@
 		id = after[:16]
 	}
 	fmt.Fprintf(conn, `{"op":"accept","call":"%s","with":{},"desc":"y"}`+"\n", id)
-	if _, k := c.wantISUP(t, isupANM); string(k.desc) != "y" {
-		t.Errorf("description %q", k.desc)
+	if _, msg := client.wantISUP(t, isupANM); string(msg.desc) != "y" {
+		t.Errorf("description %q", msg.desc)
 	}
-	c.sendISUP(ci, isupMessage{kind: isupREL, cause: 16})
-	c.wantISUP(t, isupRLC)
+	client.sendISUP(circ, isupMessage{kind: isupREL, cause: 16})
+	client.wantISUP(t, isupRLC)
 	if n, err = conn.Read(buf); err != nil || !strings.Contains(string(buf[:n]), `"why":16`) {
 		t.Errorf("release %s: %v", buf[:n], err)
 	}
@@ -319,10 +319,10 @@
 // TestAvailability checks that DUNA, AS-INACTIVE and ASP Inactive stop new calls at once, and that DAVA and AS-ACTIVE
 // admit new calls again.
 func TestAvailability(t *testing.T) {
-	sl := listen(t)
-	_, address := startSoftswitch(t, testReleaseGuard, serverFileConfig("hlr", 201, sl))
-	s := mustAcceptASP(t, sl)
-	c := connectCaller(t, address)
+	serverListener := listen(t)
+	_, address := startSoftswitch(t, testReleaseGuard, serverFileConfig("hlr", 201, serverListener))
+	server := mustAcceptASP(t, serverListener)
+	client := connectCaller(t, address)
 	iam := isupMessage{kind: isupIAM, category: 10, digits: "1"}
 	pc := uint32Param(tagAffectedPC, 201)
 	for i, p := range []struct{ stop, start []byte }{
@@ -330,28 +330,28 @@
 		{buildMessage(msgNTFY, uint32Param(tagStatus, statusASInactive)), buildMessage(msgNTFY, uint32Param(tagStatus, statusASActive))},
 		{buildMessage(msgASPIAACK), buildMessage(msgNTFY, uint32Param(tagStatus, statusASActive))},
 	} {
-		ci := circuit{clientPC, ownPC, uint16(i)}
-		s.send(p.stop)
-		if m := c.wantMessage(t, msgDUNA); len(m.params) == 0 { // without its only server the softswitch is unavailable too
+		circ := circuit{clientPC, ownPC, uint16(i)}
+		server.send(p.stop)
+		if m := client.wantMessage(t, msgDUNA); len(m.params) == 0 { // without its only server the softswitch is unavailable too
 			t.Error("DUNA without a point code")
 		}
-		c.sendISUP(ci, iam)
-		if _, k := c.wantISUP(t, isupREL); k.cause != 42 {
-			t.Errorf("%d: refused with cause %d", i, k.cause)
+		client.sendISUP(circ, iam)
+		if _, msg := client.wantISUP(t, isupREL); msg.cause != 42 {
+			t.Errorf("%d: refused with cause %d", i, msg.cause)
 		}
-		s.send(p.start)
-		c.wantMessage(t, msgDAVA)
-		c.sendISUP(ci, iam)
-		out, _ := s.wantISUP(t, isupIAM)
-		s.sendISUP(out.reverse(), isupMessage{kind: isupANM})
-		c.wantISUP(t, isupANM)
-	}
-	c.send(buildMessage(msgDAUD, uint32Param(tagAffectedPC, ownPC)))
-	c.wantMessage(t, msgDAVA)
-	c.send(buildMessage(msgASPIA))
-	c.wantMessage(t, msgASPIAACK)
-	c.sendISUP(circuit{clientPC, ownPC, 9}, iam)
-	if m := c.wantMessage(t, msgERR); !hasError(m, errUnexpected) {
+		server.send(p.start)
+		client.wantMessage(t, msgDAVA)
+		client.sendISUP(circ, iam)
+		out, _ := server.wantISUP(t, isupIAM)
+		server.sendISUP(out.reverse(), isupMessage{kind: isupANM})
+		client.wantISUP(t, isupANM)
+	}
+	client.send(buildMessage(msgDAUD, uint32Param(tagAffectedPC, ownPC)))
+	client.wantMessage(t, msgDAVA)
+	client.send(buildMessage(msgASPIA))
+	client.wantMessage(t, msgASPIAACK)
+	client.sendISUP(circuit{clientPC, ownPC, 9}, iam)
+	if m := client.wantMessage(t, msgERR); !hasError(m, errUnexpected) {
 		t.Errorf("ERR %+v, want unexpected message", m)
 	}
 }
@@ -364,10 +364,10 @@
 // TestMalformedMessages checks that a malformed message is answered with an ERR, and that the connection ends only if
 // the framing is lost.
 func TestMalformedMessages(t *testing.T) {
-	sl := listen(t)
-	_, address := startSoftswitch(t, testReleaseGuard, serverFileConfig("hlr", 201, sl))
-	mustAcceptASP(t, sl)
-	ci := circuit{clientPC, ownPC, 1}
+	serverListener := listen(t)
+	_, address := startSoftswitch(t, testReleaseGuard, serverFileConfig("hlr", 201, serverListener))
+	mustAcceptASP(t, serverListener)
+	circ := circuit{clientPC, ownPC, 1}
 	for name, tt := range map[string]struct {
 		b    []byte
 		code uint32
@@ -380,18 +380,18 @@
 		"unexpected":      {buildMessage(msgASPACACK), errUnexpected, false},
 		"parameter":       {[]byte{1, 0, 1, 1, 0, 0, 0, 12, 2, 0x10, 0, 99}, errParamField, false},
 		"missing":         {buildMessage(msgDATA), errMissingParam, false},
-		"routing context": {buildData(ci, 2, 9, []byte{1, 0, isupRLC, 0}), errContext, false},
-		"ISUP type":       {buildData(ci, 2, 1, []byte{1, 0, 0x99, 0}), errParamValue, false},
-		"ISUP cut short":  {buildData(ci, 2, 1, []byte{1, 0, isupIAM, 0, 0, 0, 10, 0, 2, 0, 99}), errParamValue, false},
+		"routing context": {buildData(circ, 2, 9, []byte{1, 0, isupRLC, 0}), errContext, false},
+		"ISUP type":       {buildData(circ, 2, 1, []byte{1, 0, 0x99, 0}), errParamValue, false},
+		"ISUP cut short":  {buildData(circ, 2, 1, []byte{1, 0, isupIAM, 0, 0, 0, 10, 0, 2, 0, 99}), errParamValue, false},
 	} {
-		c := connectCaller(t, address)
-		c.send(tt.b)
-		if m := c.wantMessage(t, msgERR); !hasError(m, tt.code) {
+		client := connectCaller(t, address)
+		client.send(tt.b)
+		if m := client.wantMessage(t, msgERR); !hasError(m, tt.code) {
 			t.Errorf("%s: ERR %+v, want code %d", name, m, tt.code)
 		}
-		c.send(buildMessage(msgBEAT, param{tagHeartbeat, []byte("x")}))
+		client.send(buildMessage(msgBEAT, param{tagHeartbeat, []byte("x")}))
 		for {
-			m, err := c.nextMessage()
+			m, err := client.nextMessage()
 			if err != nil || m.kind == msgBEATACK {
 				if (err != nil) != tt.ends {
 					t.Errorf("%s: connection ended: %v", name, err)
@@ -399,7 +399,7 @@
 				break
 			}
 		}
-		c.Close()
+		client.Close()
 	}
 }
 
@@ -412,38 +412,38 @@
 	cfg := *m.config.Load()
 	cfg.CallerConn.MessageTimeout = 50 * time.Millisecond
 	m.Configure(cfg)
-	c := connectCaller(t, address)
+	client := connectCaller(t, address)
 	dial := func() net.Conn {
-		d, err := net.Dial("tcp", address)
+		conn, err := net.Dial("tcp", address)
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { d.Close() })
-		d.SetDeadline(time.Now().Add(testTimeout))
-		return d
+		t.Cleanup(func() { conn.Close() })
+		conn.SetDeadline(time.Now().Add(testTimeout))
+		return conn
 	}
-	up := buildMessage(msgASPUP)
+	aspUp := buildMessage(msgASPUP)
 	for name, data := range map[string][]byte{
-		"nothing": nil, "not up": buildMessage(msgBEAT), "half a message": up[:5], "half of the next": append(buildMessage(msgASPUP), up[:5]...),
+		"nothing": nil, "not up": buildMessage(msgBEAT), "half a message": aspUp[:5], "half of the next": append(buildMessage(msgASPUP), aspUp[:5]...),
 	} {
-		d := dial()
-		d.Write(data)
-		if _, err := io.ReadAll(d); err != nil {
+		conn := dial()
+		conn.Write(data)
+		if _, err := io.ReadAll(conn); err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	d := dial() // sends a message byte by byte
-	d.Write(up)
-	long := buildMessage(msgBEAT, param{tagHeartbeat, make([]byte, 12<<10)})
+	conn := dial() // sends a message byte by byte
+	conn.Write(aspUp)
+	heartbeat := buildMessage(msgBEAT, param{tagHeartbeat, make([]byte, 12<<10)})
 	go func() {
-		for _, b := range long {
-			if _, err := d.Write([]byte{b}); err != nil {
+		for _, b := range heartbeat {
+			if _, err := conn.Write([]byte{b}); err != nil {
 				return
 			}
 			time.Sleep(time.Millisecond)
 		}
 	}()
-	for p := newTestPeer(d); ; {
+	for p := newTestPeer(conn); ; {
 		if m, err := p.nextMessage(); err != nil || m.kind == msgBEATACK {
 			if err == nil {
 				t.Error("a message sent byte by byte was not timed out")
@@ -452,44 +452,44 @@
 		}
 	}
 	for range 30 { // repeated, as a connection reset would not occur every time
-		d := dial()
-		d.Write(append([]byte{9, 0, 3, 1, 0, 0, 0, 8}, make([]byte, 32<<10)...))
-		if b, err := io.ReadAll(d); err != nil || len(b) == 0 {
+		conn := dial()
+		conn.Write(append([]byte{9, 0, 3, 1, 0, 0, 0, 8}, make([]byte, 32<<10)...))
+		if b, err := io.ReadAll(conn); err != nil || len(b) == 0 {
 			t.Fatalf("read %x, then %v, want an ERR and EOF", b, err)
 		}
 	}
-	c.send(buildMessage(msgBEAT, param{tagHeartbeat, []byte("x")}))
-	c.wantMessage(t, msgBEATACK)
+	client.send(buildMessage(msgBEAT, param{tagHeartbeat, []byte("x")}))
+	client.wantMessage(t, msgBEATACK)
 }
 
 // TestUnconfirmedReleaseIsRepeated guards against losing a circuit for good each time that a server loses a REL, or its
 // own RLC: the softswitch must repeat the REL.
 func TestUnconfirmedReleaseIsRepeated(t *testing.T) {
-	sl := listen(t)
-	m, address := startSoftswitch(t, testReleaseGuard, serverFileConfig("hlr", 201, sl))
-	s := mustAcceptASP(t, sl)
+	serverListener := listen(t)
+	m, address := startSoftswitch(t, testReleaseGuard, serverFileConfig("hlr", 201, serverListener))
+	server := mustAcceptASP(t, serverListener)
 	m.trunks["hlr"].mu.Lock()
 	for id := core.ID(1); m.trunks["hlr"].Free() > 1; id++ { // occupy all circuits but one
 		m.trunks["hlr"].Allocate(id)
 	}
 	m.trunks["hlr"].mu.Unlock()
-	c := connectCaller(t, address)
+	client := connectCaller(t, address)
 	iam := isupMessage{kind: isupIAM, category: 10, digits: "1"}
-	c.sendISUP(circuit{clientPC, ownPC, 1}, iam)
-	s.wantISUP(t, isupIAM)
-	c.sendISUP(circuit{clientPC, ownPC, 1}, isupMessage{kind: isupREL, cause: 16})
-	s.wantISUP(t, isupREL) // not confirmed
-	c.sendISUP(circuit{clientPC, ownPC, 2}, iam)
-	c.wantISUP(t, isupREL)
+	client.sendISUP(circuit{clientPC, ownPC, 1}, iam)
+	server.wantISUP(t, isupIAM)
+	client.sendISUP(circuit{clientPC, ownPC, 1}, isupMessage{kind: isupREL, cause: 16})
+	server.wantISUP(t, isupREL) // not confirmed
+	client.sendISUP(circuit{clientPC, ownPC, 2}, iam)
+	client.wantISUP(t, isupREL)
 	time.Sleep(2 * m.config.Load().ConfirmTimeout)
-	c.sendISUP(circuit{clientPC, ownPC, 3}, iam)
-	ci, _ := s.wantISUP(t, isupREL)
-	s.sendISUP(ci.reverse(), isupMessage{kind: isupRLC})
+	client.sendISUP(circuit{clientPC, ownPC, 3}, iam)
+	circ, _ := server.wantISUP(t, isupREL)
+	server.sendISUP(circ.reverse(), isupMessage{kind: isupRLC})
 	for n := uint16(4); ; n++ {
-		c.sendISUP(circuit{clientPC, ownPC, n}, iam)
+		client.sendISUP(circuit{clientPC, ownPC, n}, iam)
 		time.Sleep(time.Millisecond)
-		s.SetDeadline(time.Now().Add(20 * time.Millisecond))
-		if msg, err := s.nextMessage(); err == nil && msg.kind == msgDATA {
+		server.SetDeadline(time.Now().Add(20 * time.Millisecond))
+		if msg, err := server.nextMessage(); err == nil && msg.kind == msgDATA {
 			return
 		} else if n > 200 {
 			t.Fatal("the circuit was never used again")
@@ -501,7 +501,7 @@
 type attemptLog struct {
 	mu          sync.Mutex
 	outstanding map[string]string    // server by call
-	attempts    map[string]int       // number of attempts by call
+	counts      map[string]int       // number of attempts by call
 	resetAt     map[string]time.Time // time of the reset that interrupted the call's set-up
 	overlaps    int                  // attempts sent while another attempt of the call was outstanding
 	tooEarly    int                  // attempts sent within the release guard
@@ -515,11 +515,11 @@
 	if l.outstanding[tag] != "" {
 		l.overlaps++
 	}
-	if at, cut := l.resetAt[tag]; cut && time.Since(at) < testReleaseGuard {
+	if at, reset := l.resetAt[tag]; reset && time.Since(at) < testReleaseGuard {
 		l.tooEarly++
 	}
 	l.outstanding[tag] = server
-	l.attempts[tag]++
+	l.counts[tag]++
 }
 
 // end records that a call's outstanding attempt ended.
@@ -533,64 +533,64 @@
 // notice is in flight: it sends DUNA, then part of an answer, then resets. Calls answered before stay established.
 func serveWithResets(ctx context.Context, l net.Listener, name string, attempts *attemptLog, rnd *rand.Rand) {
 	for {
-		p, err := acceptASP(l)
+		peer, err := acceptASP(l)
 		if err != nil {
 			return
 		}
 		open := make(map[circuit]string)
 		for remaining := 20 + rnd.IntN(100); ; {
-			p.SetReadDeadline(time.Now().Add(5 * time.Millisecond))
-			m, err := p.nextMessage()
+			peer.SetReadDeadline(time.Now().Add(5 * time.Millisecond))
+			msg, err := peer.nextMessage()
 			if ctx.Err() != nil {
-				p.Close()
+				peer.Close()
 				return
 			}
 			if errors.Is(err, os.ErrDeadlineExceeded) { // no new set-ups: answer all open ones
-				for c, tag := range open {
-					delete(open, c)
+				for circ, tag := range open {
+					delete(open, circ)
 					attempts.end(tag)
-					p.sendISUP(c.reverse(), isupMessage{kind: isupANM, desc: []byte(tag)})
+					peer.sendISUP(circ.reverse(), isupMessage{kind: isupANM, desc: []byte(tag)})
 				}
 				continue
 			}
 			if err != nil {
 				break
 			}
-			c, b, err := parseData(m, 1)
-			k, err2 := parseISUP(b)
-			if m.kind != msgDATA || err != nil || err2 != nil {
+			circ, data, err := parseData(msg, 1)
+			isup, err2 := parseISUP(data)
+			if msg.kind != msgDATA || err != nil || err2 != nil {
 				continue
 			}
-			switch k.kind {
+			switch isup.kind {
 			case isupREL:
-				if tag, ok := open[c]; ok {
-					delete(open, c)
+				if tag, ok := open[circ]; ok {
+					delete(open, circ)
 					attempts.end(tag)
 				}
-				p.sendISUP(c.reverse(), isupMessage{kind: isupRLC})
+				peer.sendISUP(circ.reverse(), isupMessage{kind: isupRLC})
 			case isupIAM:
-				open[c] = string(k.desc)
-				attempts.start(string(k.desc), name)
+				open[circ] = string(isup.desc)
+				attempts.start(string(isup.desc), name)
 			}
 			if remaining--; remaining < 0 {
-				p.send(buildMessage(msgDUNA, uint32Param(tagAffectedPC, c.dpc)))
+				peer.send(buildMessage(msgDUNA, uint32Param(tagAffectedPC, circ.dpc)))
 				time.Sleep(time.Duration(rnd.IntN(4)) * time.Millisecond) // the server is drained while set-ups are open
-				answer, _ := buildISUP(c.cic, isupMessage{kind: isupANM, desc: k.desc})
-				p.send(buildData(c.reverse(), 2, 1, answer)[:10+rnd.IntN(20)])
+				answer, _ := buildISUP(circ.cic, isupMessage{kind: isupANM, desc: isup.desc})
+				peer.send(buildData(circ.reverse(), 2, 1, answer)[:10+rnd.IntN(20)])
 				break
 			}
-			for c, tag := range open {
+			for circ, tag := range open {
 				if rnd.IntN(3) == 0 { // the others stay open, so that a reset interrupts some
-					delete(open, c)
+					delete(open, circ)
 					attempts.end(tag)
-					p.sendISUP(c.reverse(), isupMessage{kind: isupANM, desc: []byte(tag)})
+					peer.sendISUP(circ.reverse(), isupMessage{kind: isupANM, desc: []byte(tag)})
 				}
 			}
 			if len(open) > 8 {
-				for c, tag := range open {
-					delete(open, c)
+				for circ, tag := range open {
+					delete(open, circ)
 					attempts.end(tag)
-					p.sendISUP(c.reverse(), isupMessage{kind: isupREL, cause: 34})
+					peer.sendISUP(circ.reverse(), isupMessage{kind: isupREL, cause: 34})
 				}
 			}
 		}
@@ -601,8 +601,8 @@
 			attempts.resets++
 			attempts.mu.Unlock()
 		}
-		p.Conn.(*net.TCPConn).SetLinger(0)
-		p.Close()
+		peer.Conn.(*net.TCPConn).SetLinger(0)
+		peer.Close()
 	}
 }
 
@@ -610,7 +610,7 @@
 // Each call must get exactly one final answer, at most one outstanding attempt at any time, and at most four attempts.
 func TestResetsWhileDraining(t *testing.T) {
 	const circuits, callsPerCircuit = 50, 160
-	attempts := &attemptLog{outstanding: make(map[string]string), attempts: make(map[string]int), resetAt: make(map[string]time.Time)}
+	attempts := &attemptLog{outstanding: make(map[string]string), counts: make(map[string]int), resetAt: make(map[string]time.Time)}
 	var file FileConfig
 	for i, name := range []string{"hlr-1", "hlr-2", "hlr-3"} {
 		l := listen(t)
@@ -618,20 +618,20 @@
 		go serveWithResets(t.Context(), l, name, attempts, rand.New(rand.NewPCG(uint64(i), 1)))
 	}
 	_, address := startSoftswitch(t, testReleaseGuard, file)
-	c := connectCaller(t, address)
+	client := connectCaller(t, address)
 	var received [circuits]chan isupMessage
 	for i := range received {
 		received[i] = make(chan isupMessage, 16)
 	}
 	go func() {
 		for {
-			m, err := c.nextMessage()
+			msg, err := client.nextMessage()
 			if err != nil {
 				return
 			}
-			if ci, b, err := parseData(m, 1); m.kind == msgDATA && err == nil {
-				if k, err := parseISUP(b); err == nil && k.kind != isupACM {
-					received[ci.cic] <- k
+			if circ, data, err := parseData(msg, 1); msg.kind == msgDATA && err == nil {
+				if isup, err := parseISUP(data); err == nil && isup.kind != isupACM {
+					received[circ.cic] <- isup
 				}
 			}
 		}
@@ -642,11 +642,11 @@
 	for i := range circuits {
 		wg.Go(func() {
 			rnd := rand.New(rand.NewPCG(uint64(i), 2))
-			ci := circuit{clientPC, ownPC, uint16(i)}
+			circ := circuit{clientPC, ownPC, uint16(i)}
 			wait := func() (isupMessage, bool) {
 				select {
-				case k := <-received[i]:
-					return k, true
+				case isup := <-received[i]:
+					return isup, true
 				case <-time.After(testTimeout):
 					t.Errorf("circuit %d: no answer", i)
 					return isupMessage{}, false
@@ -654,20 +654,20 @@
 			}
 			for n := range callsPerCircuit {
 				tag := fmt.Sprintf("%d-%d", i, n)
-				c.sendISUP(ci, isupMessage{kind: isupIAM, category: 10, digits: "1", desc: []byte(tag)})
+				client.sendISUP(circ, isupMessage{kind: isupIAM, category: 10, digits: "1", desc: []byte(tag)})
 				if rnd.IntN(8) == 0 { // the caller gives up, and an answer may cross its REL
 					time.Sleep(time.Duration(rnd.IntN(2000)) * time.Microsecond)
-					c.sendISUP(ci, isupMessage{kind: isupREL, cause: 16})
+					client.sendISUP(circ, isupMessage{kind: isupREL, cause: 16})
 					for finals := 0; ; {
-						k, ok := wait()
+						isup, ok := wait()
 						if !ok {
 							return
 						}
-						if k.kind == isupRLC {
+						if isup.kind == isupRLC {
 							break
 						}
-						if finals++; finals > 1 || k.kind == isupANM && string(k.desc) != tag {
-							t.Errorf("call %s, given up: second answer or answer of another call %+v", tag, k)
+						if finals++; finals > 1 || isup.kind == isupANM && string(isup.desc) != tag {
+							t.Errorf("call %s, given up: second answer or answer of another call %+v", tag, isup)
 						}
 					}
 					mu.Lock()
@@ -675,22 +675,22 @@
 					mu.Unlock()
 					continue
 				}
-				k, ok := wait()
+				isup, ok := wait()
 				switch {
 				case !ok:
 					return
-				case k.kind == isupREL:
-					c.sendISUP(ci, isupMessage{kind: isupRLC})
-				case k.kind == isupANM && string(k.desc) == tag:
-					c.sendISUP(ci, isupMessage{kind: isupREL, cause: 16})
+				case isup.kind == isupREL:
+					client.sendISUP(circ, isupMessage{kind: isupRLC})
+				case isup.kind == isupANM && string(isup.desc) == tag:
+					client.sendISUP(circ, isupMessage{kind: isupREL, cause: 16})
 					if end, ok := wait(); !ok || end.kind != isupRLC {
 						t.Errorf("call %s: %+v after the final answer", tag, end)
 					}
 				default:
-					t.Errorf("call %s: final answer %+v", tag, k)
+					t.Errorf("call %s: final answer %+v", tag, isup)
 				}
 				mu.Lock()
-				if k.kind == isupANM {
+				if isup.kind == isupANM {
 					established++
 				} else {
 					refused++
@@ -700,7 +700,7 @@
 		})
 	}
 	wg.Wait()
-	c.send(buildMessage(msgBEAT)) // its answer arrives after all messages sent before
+	client.send(buildMessage(msgBEAT)) // its answer arrives after all messages sent before
 	time.Sleep(50 * time.Millisecond)
 	for i := range received {
 		if len(received[i]) > 0 {
@@ -710,7 +710,7 @@
 	attempts.mu.Lock()
 	defer attempts.mu.Unlock()
 	resent, maxAttempts := 0, 0
-	for _, n := range attempts.attempts {
+	for _, n := range attempts.counts {
 		if maxAttempts = max(maxAttempts, n); n > 1 {
 			resent++
 		}
--- a/internal/m3ua/message.go
+++ b/internal/m3ua/message.go
@@ -68,8 +68,8 @@
 	version                = 1
 	headerSize             = 8
 	paramHeaderSize        = 4
-	protocolDataHeaderSize = 12 // of protocol data before its payload
-	siISUP                 = 5
+	protocolDataHeaderSize = 12 // point codes, service and network indicator, priority and link selection
+	siISUP                 = 5  // service indicator of ISUP
 )
 
 // protocolError describes a malformed or unexpected message and the error code of the ERR that answers it.
@@ -86,7 +86,7 @@
 
 // message is a parsed M3UA message. The parameter values point into the buffer that was parsed.
 type message struct {
-	kind   uint16
+	kind   uint16 // class in the high byte, type in the low byte
 	params []param
 }
 
@@ -210,9 +210,9 @@
 	if len(v) == 0 || len(v)%4 != 0 {
 		return nil, &protocolError{errParamField, "truncated affected point code parameter", false}
 	}
-	var pcs []uint32
+	var pointCodes []uint32
 	for ; len(v) > 0; v = v[4:] {
-		pcs = append(pcs, binary.BigEndian.Uint32(v)&0xffffff) // the high byte is a mask, which is ignored
+		pointCodes = append(pointCodes, binary.BigEndian.Uint32(v)&0xffffff) // the high byte is a mask, which is ignored
 	}
-	return pcs, nil
+	return pointCodes, nil
 }
--- a/internal/m3ua/server.go
+++ b/internal/m3ua/server.go
@@ -35,9 +35,9 @@
 // serverConn is a connection to a server, on which this program acts as an ASP of the server.
 type serverConn struct {
 	session
-	name      string
+	name      string // the server's name
 	trunk     *trunk
-	connID    core.ConnID
+	connID    core.ConnID   // valid once active
 	activated chan struct{} // closed when the association becomes active
 	active    bool          // whether the association has become active
 }
@@ -85,7 +85,7 @@
 	switch msg.kind {
 	case msgASPUPACK:
 		if !s.active {
-			s.send(msgASPAC, uint32Param(tagRoutingContext, s.m.RoutingContext))
+			s.send(msgASPAC, uint32Param(tagRoutingContext, s.m3ua.RoutingContext))
 		}
 	case msgASPACACK:
 		s.activate(address)
@@ -103,12 +103,12 @@
 			s.setPaused(true)
 		}
 	case msgDUNA, msgDAVA, msgSCON:
-		pcs, err := affectedPointCodes(msg)
+		pointCodes, err := affectedPointCodes(msg)
 		if err != nil {
 			return err
 		}
-		for _, pc := range pcs {
-			if pc == s.trunk.route.dpc {
+		for _, pointCode := range pointCodes {
+			if pointCode == s.trunk.route.dpc {
 				s.handleState(msg)
 			}
 		}
@@ -129,22 +129,22 @@
 	if s.active {
 		return
 	}
-	s.active, s.connID = true, s.m.loop.NewConnID()
+	s.active, s.connID = true, s.m3ua.loop.NewConnID()
 	close(s.activated)
 	s.trunk.withLock(func(now time.Time) {
 		for _, cic := range s.trunk.Unconfirmed(now) {
 			s.sendISUP(cic, isupMessage{kind: isupREL, cause: q850.NormalClearing}, nil)
 		}
 	})
-	s.m.loop.Attach(s.connID, s, core.ServerUp{Server: s.name, Address: address, Conn: s.connID})
-	s.m.loop.Post(core.ServerPaused{Server: s.name})
+	s.m3ua.loop.Attach(s.connID, s, core.ServerUp{Server: s.name, Address: address, Conn: s.connID})
+	s.m3ua.loop.Post(core.ServerPaused{Server: s.name})
 }
 
 // setPaused posts whether the server accepts new set-ups. Before the activation it does nothing, because a server sends
 // AS-INACTIVE while an ASP comes up.
 func (s *serverConn) setPaused(paused bool) {
 	if s.active {
-		s.m.loop.Post(core.ServerPaused{Server: s.name, Paused: paused})
+		s.m3ua.loop.Post(core.ServerPaused{Server: s.name, Paused: paused})
 	}
 }
 
@@ -162,7 +162,7 @@
 		}
 		holdBackShare := float64(min(level&0xff, maxCongestionLevel)) / maxCongestionLevel
 		report := core.Report{{Metric: elmseam.LoadMetricHoldBackShare, Value: holdBackShare}}
-		s.m.loop.Post(core.ServerReport{Server: s.name, Conn: s.connID, Report: report})
+		s.m3ua.loop.Post(core.ServerReport{Server: s.name, Conn: s.connID, Report: report})
 	}
 }
 
@@ -171,7 +171,7 @@
 
 // handleData handles a DATA message, which carries an ISUP message.
 func (s *serverConn) handleData(msg message) error {
-	circ, isup, err := parseData(msg, s.m.RoutingContext)
+	circ, isup, err := parseData(msg, s.m3ua.RoutingContext)
 	if err != nil {
 		return err
 	}
@@ -189,7 +189,7 @@
 		var ok bool
 		s.trunk.withLock(func(time.Time) { id, ok = s.trunk.Answered(circ.cic) })
 		if ok {
-			s.m.loop.Post(core.ServerAnswer{Server: s.name, Conn: s.connID, ID: id, Desc: sig.desc})
+			s.m3ua.loop.Post(core.ServerAnswer{Server: s.name, Conn: s.connID, ID: id, Desc: sig.desc})
 		}
 	case isupREL, isupRSC: // an RSC has no cause: its call ends with core.Reset
 		var id core.ID
@@ -199,7 +199,7 @@
 			s.sendISUP(circ.cic, isupMessage{kind: isupRLC}, nil)
 		})
 		if ok {
-			s.m.loop.Post(core.ServerEnd{
+			s.m3ua.loop.Post(core.ServerEnd{
 				Server: s.name, Conn: s.connID, ID: id, Reason: q850.ReasonFromCause(sig.cause), Refusal: q850.RefusalFromCause(sig.cause),
 			})
 		}
@@ -215,12 +215,12 @@
 func (s *serverConn) sendISUP(cic uint16, sig isupMessage, onWritten func()) {
 	isup, err := buildISUP(cic, sig)
 	if err != nil {
-		s.m.log.Error().Err(err).Msg("ISUP message not sent")
+		s.m3ua.log.Error().Err(err).Msg("ISUP message not sent")
 		return
 	}
 	circ := s.trunk.route
 	circ.cic = cic
-	s.out.Post(link.Item{Data: buildData(circ, s.m.NetworkIndicator, s.m.RoutingContext, isup), OnWritten: onWritten})
+	s.out.Post(link.Item{Data: buildData(circ, s.m3ua.NetworkIndicator, s.m3ua.RoutingContext, isup), OnWritten: onWritten})
 }
 
 // Close closes the connection.
@@ -241,7 +241,7 @@
 		written := core.EndWritten{Server: s.name, Conn: s.connID, ID: e.ID}
 		var onWritten func()
 		if e.Notify {
-			onWritten = func() { s.m.loop.Post(written) }
+			onWritten = func() { s.m3ua.loop.Post(written) }
 		}
 		found := false
 		s.trunk.withLock(func(now time.Time) {
@@ -269,10 +269,10 @@
 // called number cannot be encoded, the message is too long or no circuit is free. It also repeats the RELs whose
 // confirmation is overdue.
 func (s *serverConn) sendSetUp(e core.Offer) []core.Event {
-	category, hasCategory := s.m.categoryOfClass(e.Class)
+	category, hasCategory := s.m3ua.categoryOfClass(e.Class)
 	cic, allocated := uint16(0), false
 	s.trunk.withLock(func(now time.Time) {
-		for _, cic := range s.trunk.Overdue(now, s.m.config.Load().ConfirmTimeout) {
+		for _, cic := range s.trunk.Overdue(now, s.m3ua.config.Load().ConfirmTimeout) {
 			s.sendISUP(cic, isupMessage{kind: isupREL, cause: q850.NormalClearing}, nil)
 		}
 		if hasCategory {
@@ -287,17 +287,17 @@
 	circ.cic = cic
 	var data []byte
 	if err == nil {
-		data = buildData(circ, s.m.NetworkIndicator, s.m.RoutingContext, isup)
+		data = buildData(circ, s.m3ua.NetworkIndicator, s.m3ua.RoutingContext, isup)
 	}
 	if err != nil || len(data) > s.limits.MaxMessageSize {
 		return s.notSent(e.ID)
 	}
 	s.out.Post(link.Item{
-		Data: data, ID: uint64(e.ID), Retractable: true, Deadline: s.m.loop.WallTime(e.Until),
-		OnWritten: func() { s.m.loop.Post(core.OfferWritten{Server: s.name, ID: e.ID}) },
+		Data: data, ID: uint64(e.ID), Retractable: true, Deadline: s.m3ua.loop.WallTime(e.Until),
+		OnWritten: func() { s.m3ua.loop.Post(core.OfferWritten{Server: s.name, ID: e.ID}) },
 		OnExpired: func() {
 			for _, ev := range s.notSent(e.ID) {
-				s.m.loop.Post(ev)
+				s.m3ua.loop.Post(ev)
 			}
 		},
 	})
--- a/internal/m3ua/session.go
+++ b/internal/m3ua/session.go
@@ -13,7 +13,7 @@
 
 // session is the part that connections of callers and to servers share: reading, heartbeats and error reports.
 type session struct {
-	m       *M3UA
+	m3ua    *M3UA
 	conn    net.Conn
 	limits  link.Limits
 	out     *link.Outbox
@@ -22,7 +22,7 @@
 
 // newSession returns a session on an open connection.
 func (m *M3UA) newSession(conn net.Conn, limits link.Limits) session {
-	return session{m: m, conn: conn, limits: limits, out: link.NewOutbox(conn, limits)}
+	return session{m3ua: m, conn: conn, limits: limits, out: link.NewOutbox(conn, limits)}
 }
 
 // errMessageTimeout ends a connection whose peer takes longer than MessageTimeout to send one message.
@@ -39,7 +39,7 @@
 // complete within MessageTimeout, whether the peer stopped sending or sends byte by byte.
 func (s *session) read() error {
 	in := link.NewBuffer(s.limits.InitialBufferSize, s.limits.MaxMessageSize)
-	heartbeat := time.Duration(s.m.HeartbeatMS) * time.Millisecond
+	heartbeat := time.Duration(s.m3ua.HeartbeatMS) * time.Millisecond
 	malformedCount, unanswered := 0, 0
 	var messageDeadline time.Time // by when the message being read must be complete; zero between messages
 	for {
@@ -61,7 +61,7 @@
 			return err
 		}
 		unanswered = 0
-		at := s.m.loop.Now()
+		at := s.m3ua.loop.Now()
 		for {
 			msg, n, err := parseMessage(in.Bytes(), s.limits.MaxMessageSize)
 			if err == errIncomplete {
@@ -73,7 +73,7 @@
 			}
 			if protoErr, ok := err.(*protocolError); ok {
 				if malformedCount++; malformedCount == 1 {
-					s.m.sampledLog.Warn().Err(err).Stringer("peer", s.conn.RemoteAddr()).Msg("malformed signalling")
+					s.m3ua.sampledLog.Warn().Err(err).Stringer("peer", s.conn.RemoteAddr()).Msg("malformed signalling")
 				}
 				s.send(msgERR, uint32Param(tagErrorCode, protoErr.code))
 				if protoErr.fatal || malformedCount >= maxMalformedMessages {
@@ -110,7 +110,7 @@
 		return nil
 	case msgERR:
 		code, _ := msg.getUint32(tagErrorCode)
-		s.m.sampledLog.Warn().Uint32("code", code).Stringer("peer", s.conn.RemoteAddr()).Msg("peer reports an error")
+		s.m3ua.sampledLog.Warn().Uint32("code", code).Stringer("peer", s.conn.RemoteAddr()).Msg("peer reports an error")
 		return nil
 	}
 	return s.handler(msg, at)
