--- a/internal/m3ua/caller.go
+++ b/internal/m3ua/caller.go
@@ -10,243 +10,250 @@
 	"elmseam/internal/q850"
 )
 
-// caller is the connection of an old client, an ASP of ours.
-type caller struct {
+// callerConn is the connection of an older client, which acts as an ASP of this program.
+type callerConn struct {
 	session
-	late   *time.Timer // ends one that doesn't come up
-	link   core.ConnID // while active
-	up     bool
-	active bool
+	activationTimer *time.Timer // closes the connection if no ASP Up arrives in time
+	connID          core.ConnID // valid while active
+	aspUp           bool        // whether the ASP has sent ASP Up
+	active          bool        // whether the ASP has sent ASP Active: only then its calls are accepted
 }
 
-// Serve serves callers until the listener is closed.
+// Serve accepts and serves callers' connections until the listener is closed.
 func (m *M3UA) Serve(l net.Listener) {
-	link.NewAcceptor(func() int { return m.told.Load().MaxCallers }, func(conn net.Conn) {
-		c := &caller{session: m.session(conn, m.told.Load().CallerConn)}
-		c.handle = c.take
-		c.late = time.AfterFunc(c.limits.MessageTimeout, func() { conn.Close() })
-		defer c.late.Stop()
+	link.NewAcceptor(func() int { return m.config.Load().MaxCallers }, func(conn net.Conn) {
+		c := &callerConn{session: m.newSession(conn, m.config.Load().CallerConn)}
+		c.handler = c.handleMessage
+		c.activationTimer = time.AfterFunc(c.limits.MessageTimeout, func() { conn.Close() })
+		defer c.activationTimer.Stop()
 		err := c.read()
-		m.loud.Info().Err(err).Stringer("caller", conn.RemoteAddr()).Msg("association ended")
+		m.sampledLog.Info().Err(err).Stringer("caller", conn.RemoteAddr()).Msg("association ended")
 		c.deactivate()
-		if _, bad := err.(*protocolError); bad { // the ERR is still to be read
+		if _, malformed := err.(*protocolError); malformed { // gives the peer time to read the ERR
 			c.out.Linger(conn)
 		}
 	}).Serve(l)
 }
 
-// FreeCircuit frees the circuit of a call whose caller will not be told of its end.
+// FreeCircuit frees the circuit of a call whose caller is not notified of the call's end.
 func (m *M3UA) FreeCircuit(id core.ID) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if ci, there := m.circuits[id]; there {
-		m.free(ci)
+	if circ, ok := m.circuitByCall[id]; ok {
+		m.freeLocked(circ)
 	}
 }
 
-// SetServing tells callers whether this point takes new calls: DAVA or DUNA.
-func (m *M3UA) SetServing(yes bool) {
+// SetServing records whether this signalling point accepts new calls and sends a DAVA or DUNA to all active callers.
+func (m *M3UA) SetServing(on bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.serving = yes
-	for c := range m.active {
-		c.available(yes)
+	m.serving = on
+	for c := range m.activeCallers {
+		c.sendAvailability(on)
 	}
 }
 
-func (c *caller) available(yes bool) {
+// sendAvailability sends a DAVA or DUNA for this program's point code. The caller of the method holds m.mu, so that
+// these messages go out in the order of the changes.
+func (c *callerConn) sendAvailability(available bool) {
 	kind := uint16(msgDUNA)
-	if yes {
+	if available {
 		kind = msgDAVA
 	}
-	c.send(kind, number32(tagRoutingContext, c.m.RoutingContext), number32(tagAffectedPC, c.m.PointCode))
+	c.send(kind, uint32Param(tagRoutingContext, c.m3ua.RoutingContext), uint32Param(tagAffectedPC, c.m3ua.PointCode))
 }
 
-// take handles a caller's message.
-func (c *caller) take(msg message, at core.Time) error {
-	context := number32(tagRoutingContext, c.m.RoutingContext)
+// handleMessage handles a message from a caller.
+func (c *callerConn) handleMessage(msg message, at core.Time) error {
+	routingContext := uint32Param(tagRoutingContext, c.m3ua.RoutingContext)
 	switch msg.kind {
 	case msgASPUP:
 		c.deactivate()
-		c.late.Stop()
-		c.up = true
+		c.activationTimer.Stop()
+		c.aspUp = true
 		c.send(msgASPUPACK)
-		c.send(msgNTFY, number32(tagStatus, statusASInactive), context)
+		c.send(msgNTFY, uint32Param(tagStatus, statusASInactive), routingContext)
 	case msgASPDN:
 		c.deactivate()
-		c.up = false
+		c.aspUp = false
 		c.send(msgASPDNACK)
 	case msgASPAC:
-		if !c.up {
-			return unknown(msg.kind)
+		if !c.aspUp {
+			return unexpectedMessage(msg.kind)
 		}
-		if rc, there := msg.number(tagRoutingContext); there && rc != c.m.RoutingContext {
-			return &protocolError{errContext, "ASP active for another routing context", false}
+		if rc, ok := msg.getUint32(tagRoutingContext); ok && rc != c.m3ua.RoutingContext {
+			return &protocolError{errContext, "ASP Active for another routing context", false}
 		}
-		c.send(msgASPACACK, context)
-		c.send(msgNTFY, number32(tagStatus, statusASActive), context)
+		c.send(msgASPACACK, routingContext)
+		c.send(msgNTFY, uint32Param(tagStatus, statusASActive), routingContext)
 		c.activate()
 	case msgASPIA:
-		if !c.up {
-			return unknown(msg.kind)
+		if !c.aspUp {
+			return unexpectedMessage(msg.kind)
 		}
 		c.deactivate()
-		c.send(msgASPIAACK, context)
-		c.send(msgNTFY, number32(tagStatus, statusASInactive), context)
+		c.send(msgASPIAACK, routingContext)
+		c.send(msgNTFY, uint32Param(tagStatus, statusASInactive), routingContext)
 	case msgDAUD:
 		if !c.active {
-			return unknown(msg.kind)
+			return unexpectedMessage(msg.kind)
 		}
-		c.m.mu.Lock()
-		c.available(c.m.serving)
-		c.m.mu.Unlock()
+		c.m3ua.mu.Lock()
+		c.sendAvailability(c.m3ua.serving)
+		c.m3ua.mu.Unlock()
 	case msgDATA:
 		if !c.active {
-			return unknown(msg.kind)
+			return unexpectedMessage(msg.kind)
 		}
-		return c.data(msg, at)
+		return c.handleData(msg, at)
 	default:
-		return unknown(msg.kind)
+		return unexpectedMessage(msg.kind)
 	}
 	return nil
 }
 
-// activate lets calls in.
-func (c *caller) activate() {
+// activate attaches the connection to the core, which then accepts the caller's calls.
+func (c *callerConn) activate() {
 	if c.active {
 		return
 	}
-	c.active, c.link = true, c.m.loop.NewConnID()
-	c.m.mu.Lock()
-	c.m.active[c] = true
-	if !c.m.serving {
-		c.available(false)
+	c.active, c.connID = true, c.m3ua.loop.NewConnID()
+	c.m3ua.mu.Lock()
+	c.m3ua.activeCallers[c] = true
+	if !c.m3ua.serving {
+		c.sendAvailability(false)
 	}
-	c.m.mu.Unlock()
-	c.m.loop.Attach(c.link, &callerSide{c}, core.CallerUp{Conn: c.link, Protocol: Protocol})
+	c.m3ua.mu.Unlock()
+	c.m3ua.loop.Attach(c.connID, &callerEffects{c}, core.CallerUp{Conn: c.connID, Protocol: Protocol})
 }
 
-// deactivate stops new calls at once. Set-ups open here may come again on another association; what stands
-// is released on any that is active.
-func (c *caller) deactivate() {
+// deactivate detaches the connection from the core, so that no new calls are accepted on it. The client may repeat its
+// outstanding set-ups on another association; established calls are released on any active association.
+func (c *callerConn) deactivate() {
 	if !c.active {
 		return
 	}
 	c.active = false
-	c.m.mu.Lock()
-	delete(c.m.active, c)
-	c.m.mu.Unlock()
-	c.m.loop.Post(core.CallerDown{Conn: c.link})
+	c.m3ua.mu.Lock()
+	delete(c.m3ua.activeCallers, c)
+	c.m3ua.mu.Unlock()
+	c.m3ua.loop.Post(core.CallerDown{Conn: c.connID})
 }
 
-// data handles an ISUP message.
-func (c *caller) data(msg message, at core.Time) error {
-	ci, isup, err := parseData(msg, c.m.RoutingContext)
+// handleData handles a DATA message, which carries an ISUP message.
+func (c *callerConn) handleData(msg message, at core.Time) error {
+	circ, isup, err := parseData(msg, c.m3ua.RoutingContext)
 	if err != nil {
 		return err
 	}
-	k, err := parseISUP(isup)
+	sig, err := parseISUP(isup)
 	if err != nil {
 		return err
 	}
-	switch k.kind {
+	switch sig.kind {
 	case isupIAM:
-		c.setUp(ci, k, at)
-	case isupREL, isupRSC: // after a restart, a client resets its circuits
-		c.m.mu.Lock()
-		id, there := c.m.free(ci)
-		c.reply(ci.back(), call{kind: isupRLC})
-		c.m.mu.Unlock()
-		if there {
-			c.m.loop.Post(core.CallerEnd{ID: id, From: c.link})
+		c.handleSetUp(circ, sig, at)
+	case isupREL, isupRSC: // a client resets its circuits after a restart
+		c.m3ua.mu.Lock()
+		id, ok := c.m3ua.freeLocked(circ)
+		c.sendISUP(circ.reverse(), isupMessage{kind: isupRLC})
+		c.m3ua.mu.Unlock()
+		if ok {
+			c.m3ua.loop.Post(core.CallerEnd{ID: id, From: c.connID})
 		}
-	case isupRLC: // the circuit was freed when it was released
+	case isupRLC: // the circuit was freed when the REL was sent
 	default:
-		return &protocolError{errUnexpected, "an ISUP message that callers don't send", false}
+		return &protocolError{errUnexpected, "ISUP message not expected from a caller", false}
 	}
 	return nil
 }
 
-// setUp takes a circuit for a call. A set-up on a circuit in use is the same call come again after its
-// association broke.
-func (c *caller) setUp(ci circuit, k call, at core.Time) {
-	ev := core.SetUp{
-		From: c.link, Class: c.m.classOf(k.category), Number: number(k.digits), NumberText: k.digits, Desc: k.desc,
+// handleSetUp assigns the circuit to a new call and posts the call's set-up to the core. A set-up on a circuit that is
+// in use repeats the same call after its association was lost, and keeps the call's id.
+func (c *callerConn) handleSetUp(circ circuit, iam isupMessage, at core.Time) {
+	setUp := core.SetUp{
+		From: c.connID, Class: c.m3ua.classOfCategory(iam.category), Number: hashNumber(iam.digits), NumberText: iam.digits, Desc: iam.desc,
 		Cell: -1, At: at,
 	}
-	if cell, there := c.m.Cells[strconv.Itoa(int(ci.dpc))]; there {
-		ev.Cell = cell
+	if cell, ok := c.m3ua.Cells[strconv.Itoa(int(circ.dpc))]; ok {
+		setUp.Cell = cell
 	}
-	if ev.Class >= 0 { // places are kept for good
-		class := c.m.told.Load().Deployment.Classes[ev.Class]
-		ev.Name, ev.TimeLeft = class.Name, class.MaxWait
+	if setUp.Class >= 0 { // the index is in range: a class keeps its index when the configuration changes
+		class := c.m3ua.config.Load().Deployment.Classes[setUp.Class]
+		setUp.Name, setUp.TimeLeft = class.Name, class.MaxWait
 	}
-	c.m.mu.Lock()
-	id, there := c.m.inbound[ci]
-	if !there {
-		id = c.m.newID()
-		c.m.inbound[ci], c.m.circuits[id] = id, ci
+	c.m3ua.mu.Lock()
+	id, ok := c.m3ua.callByCircuit[circ]
+	if !ok {
+		id = c.m3ua.newID()
+		c.m3ua.callByCircuit[circ], c.m3ua.circuitByCall[id] = id, circ
 	}
-	c.m.mu.Unlock()
-	ev.ID = id
-	c.reply(ci.back(), call{kind: isupACM})
-	c.m.loop.Post(ev)
+	c.m3ua.mu.Unlock()
+	setUp.ID = id
+	c.sendISUP(circ.reverse(), isupMessage{kind: isupACM})
+	c.m3ua.loop.Post(setUp)
 }
 
-// free frees a caller's circuit. The lock is held from here until what follows on the circuit is queued:
-// else the answer of a call given up could come behind the RLC, and pass for that of the next call.
-func (m *M3UA) free(ci circuit) (core.ID, bool) {
-	id, there := m.inbound[ci]
-	if there {
-		delete(m.inbound, ci)
-		delete(m.circuits, id)
+// freeLocked frees a circuit towards a caller and returns the call that was on it. The caller of the method holds m.mu
+// until the next message on the circuit is queued: otherwise the answer to an abandoned call could be queued after the
+// RLC, and the client would take this answer for that of the circuit's next call.
+func (m *M3UA) freeLocked(circ circuit) (core.ID, bool) {
+	id, ok := m.callByCircuit[circ]
+	if ok {
+		delete(m.callByCircuit, circ)
+		delete(m.circuitByCall, id)
 	}
-	return id, there
+	return id, ok
 }
 
-// reply writes an ISUP message.
-func (c *caller) reply(ci circuit, k call) {
-	isup, err := appendISUP(ci.cic, k)
+// sendISUP queues an ISUP message on a circuit.
+func (c *callerConn) sendISUP(circ circuit, sig isupMessage) {
+	isup, err := buildISUP(circ.cic, sig)
 	if err != nil {
-		c.m.log.Error().Err(err).Msg("message not sent")
+		c.m3ua.log.Error().Err(err).Msg("ISUP message not sent")
 		return
 	}
-	c.out.Post(link.Item{Data: dataMessage(ci, c.m.NetworkIndicator, c.m.RoutingContext, isup)})
+	c.out.Post(link.Item{Data: buildData(circ, c.m3ua.NetworkIndicator, c.m3ua.RoutingContext, isup)})
 }
 
-// callerSide carries effects out towards a caller.
-type callerSide struct{ c *caller }
+// callerEffects is the loop.EffectHandler of a caller's connection.
+type callerEffects struct{ caller *callerConn }
 
-func (s *callerSide) Close() { s.c.out.Close() }
+// Close closes the connection.
+func (s *callerEffects) Close() { s.caller.out.Close() }
 
-func (s *callerSide) Flush() { s.c.out.Flush() }
+// Flush waits briefly until the queued messages are written.
+func (s *callerEffects) Flush() { s.caller.out.Flush() }
 
-// HandleEffect writes an effect for a caller. A call's circuit is free from its final answer or release on.
-func (s *callerSide) HandleEffect(e core.Effect) []core.Event {
-	m := s.c.m
+// HandleEffect sends the ISUP message for an effect to the caller. A call's circuit is free once its rejection or
+// release is queued.
+func (s *callerEffects) HandleEffect(e core.Effect) []core.Event {
+	m := s.caller.m3ua
 	switch e := e.(type) {
 	case core.Answered:
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		if ci, there := m.circuits[e.ID]; there {
-			s.c.reply(ci.back(), call{kind: isupANM, desc: e.Desc})
+		if circ, ok := m.circuitByCall[e.ID]; ok {
+			s.caller.sendISUP(circ.reverse(), isupMessage{kind: isupANM, desc: e.Desc})
 		}
 	case core.Rejected:
-		s.release(e.ID, call{kind: isupREL, cause: int(q850.CauseFromReason(e.Reason)), retry: e.RetryAfter})
+		s.release(e.ID, isupMessage{kind: isupREL, cause: int(q850.CauseFromReason(e.Reason)), retryAfter: e.RetryAfter})
 	case core.Released:
-		s.release(e.ID, call{kind: isupREL, cause: int(q850.CauseFromReason(e.Reason))})
+		s.release(e.ID, isupMessage{kind: isupREL, cause: int(q850.CauseFromReason(e.Reason))})
 	case core.GracefulClose:
-		s.c.out.Finish(s.c.out.Close)
+		s.caller.out.Finish(s.caller.out.Close)
 	}
 	return nil
 }
 
-func (s *callerSide) release(id core.ID, k call) {
-	m := s.c.m
+// release frees the circuit of a call and sends the REL on it, if the call still has a circuit.
+func (s *callerEffects) release(id core.ID, sig isupMessage) {
+	m := s.caller.m3ua
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if ci, there := m.circuits[id]; there {
-		m.free(ci)
-		s.c.reply(ci.back(), k)
+	if circ, ok := m.circuitByCall[id]; ok {
+		m.freeLocked(circ)
+		s.caller.sendISUP(circ.reverse(), sig)
 	}
 }
--- a/internal/m3ua/server.go
+++ b/internal/m3ua/server.go
@@ -13,289 +13,299 @@
 	"elmseam/internal/q850"
 )
 
-// trunk is the circuits to one server, under a lock: the loop and the connection both change them.
+// trunk holds the circuits to one server. The mutex guards them, as the loop and the connection both change them.
 type trunk struct {
-	base circuit
-	mu   sync.Mutex
+	route circuit // the two point codes; the circuit identification code is 0
+	mu    sync.Mutex
 	*circuits.Circuits
 }
 
-func newTrunk(base circuit, n int) *trunk { return &trunk{base: base, Circuits: circuits.New(n)} }
+// newTrunk returns a trunk with the given number of circuits, all free.
+func newTrunk(route circuit, circuitCount int) *trunk {
+	return &trunk{route: route, Circuits: circuits.New(circuitCount)}
+}
 
-// do changes the circuits.
-func (t *trunk) do(change func(now time.Time)) {
+// withLock calls the function with the trunk's mutex held.
+func (t *trunk) withLock(change func(now time.Time)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	change(time.Now())
 }
 
-// server is a connection to a server, as an ASP of its.
-type server struct {
+// serverConn is a connection to a server, on which this program acts as an ASP of the server.
+type serverConn struct {
 	session
-	name   string
-	trunk  *trunk
-	link   core.ConnID
-	up     chan struct{} // closed once active
-	active bool
+	name      string // the server's name
+	trunk     *trunk
+	connID    core.ConnID   // valid once active
+	activated chan struct{} // closed when the association becomes active
+	active    bool          // whether the association has become active
 }
 
-var errLate = errors.New("not active in time")
+// errActivationTimeout reports an association that ended before it became active.
+var errActivationTimeout = errors.New("association did not become active in time")
 
-// Dial makes a connection to a server, becomes active there and reads it to its end. It is a loop.Dialer.
+// Dial connects to a server, activates the association and reads the connection until it ends. Dial is a loop.Dialer.
 func (m *M3UA) Dial(e core.Dial) {
-	t := m.trunks[e.Server]
-	if t == nil {
+	trunk := m.trunks[e.Server]
+	if trunk == nil {
 		m.loop.Post(core.ServerDown{Server: e.Server, Address: e.Address})
 		return
 	}
-	told := m.told.Load()
-	conn, err := net.DialTimeout("tcp", e.Address, told.DialTimeout)
+	cfg := m.config.Load()
+	conn, err := net.DialTimeout("tcp", e.Address, cfg.DialTimeout)
 	if err != nil {
 		m.loop.Post(core.ServerDown{Server: e.Server, Address: e.Address})
 		return
 	}
 	defer conn.Close()
-	s := &server{session: m.session(conn, told.ServerConn), name: e.Server, trunk: t, up: make(chan struct{})}
-	s.handle = func(msg message, at core.Time) error { return s.take(msg, e.Address) }
+	s := &serverConn{session: m.newSession(conn, cfg.ServerConn), name: e.Server, trunk: trunk, activated: make(chan struct{})}
+	s.handler = func(msg message, at core.Time) error { return s.handleMessage(msg, e.Address) }
 	s.send(msgASPUP)
-	late := time.AfterFunc(told.DialTimeout, func() {
+	activationTimer := time.AfterFunc(cfg.DialTimeout, func() {
 		select {
-		case <-s.up:
+		case <-s.activated:
 		default:
 			conn.Close()
 		}
 	})
-	defer late.Stop()
+	defer activationTimer.Stop()
 	err = s.read()
 	if !s.active && err == nil {
-		err = errLate
+		err = errActivationTimeout
 	}
 	m.log.Info().Err(err).Str("server", e.Server).Msg("association with server ended")
-	t.do(t.ConnLost)
-	m.loop.Post(core.ServerDown{Server: e.Server, Conn: s.link})
-	s.out.Flush() // what is wrong with its messages
+	trunk.withLock(trunk.ConnLost)
+	m.loop.Post(core.ServerDown{Server: e.Server, Conn: s.connID})
+	s.out.Flush() // sends the ERR, if any, that answers the last message
 }
 
-// take handles a server's message.
-func (s *server) take(msg message, address string) error {
+// handleMessage handles a message from a server at the given address.
+func (s *serverConn) handleMessage(msg message, address string) error {
 	switch msg.kind {
 	case msgASPUPACK:
 		if !s.active {
-			s.send(msgASPAC, number32(tagRoutingContext, s.m.RoutingContext))
+			s.send(msgASPAC, uint32Param(tagRoutingContext, s.m3ua.RoutingContext))
 		}
 	case msgASPACACK:
 		s.activate(address)
-	case msgASPIAACK, msgASPDNACK: // unasked: the server takes no more
-		s.pause(true)
+	case msgASPIAACK, msgASPDNACK: // not requested: the server accepts no more set-ups
+		s.setPaused(true)
 	case msgNTFY:
-		status, ok := msg.number(tagStatus)
+		status, ok := msg.getUint32(tagStatus)
 		if !ok {
 			return &protocolError{errMissingParam, "NTFY without status", false}
 		}
 		switch status {
 		case statusASActive:
-			s.pause(false)
+			s.setPaused(false)
 		case statusASInactive, statusASPending:
-			s.pause(true)
+			s.setPaused(true)
 		}
 	case msgDUNA, msgDAVA, msgSCON:
-		pcs, err := affected(msg)
+		pointCodes, err := affectedPointCodes(msg)
 		if err != nil {
 			return err
 		}
-		for _, pc := range pcs {
-			if pc == s.trunk.base.dpc {
-				s.state(msg)
+		for _, pointCode := range pointCodes {
+			if pointCode == s.trunk.route.dpc {
+				s.handleState(msg)
 			}
 		}
 	case msgDATA:
 		if !s.active {
-			return unknown(msg.kind)
+			return unexpectedMessage(msg.kind)
 		}
-		return s.data(msg)
+		return s.handleData(msg)
 	default:
-		return unknown(msg.kind)
+		return unexpectedMessage(msg.kind)
 	}
 	return nil
 }
 
-// activate lets calls out. Circuits whose release was not confirmed are released again first.
-func (s *server) activate(address string) {
+// activate attaches the connection to the core, which may then send set-ups to the server. Before that, it repeats the
+// REL on every circuit whose release the server has not confirmed.
+func (s *serverConn) activate(address string) {
 	if s.active {
 		return
 	}
-	s.active, s.link = true, s.m.loop.NewConnID()
-	close(s.up)
-	s.trunk.do(func(now time.Time) {
+	s.active, s.connID = true, s.m3ua.loop.NewConnID()
+	close(s.activated)
+	s.trunk.withLock(func(now time.Time) {
 		for _, cic := range s.trunk.Unconfirmed(now) {
-			s.write(cic, call{kind: isupREL, cause: q850.NormalClearing}, nil)
+			s.sendISUP(cic, isupMessage{kind: isupREL, cause: q850.NormalClearing}, nil)
 		}
 	})
-	s.m.loop.Attach(s.link, s, core.ServerUp{Server: s.name, Address: address, Conn: s.link})
-	s.m.loop.Post(core.ServerPaused{Server: s.name})
+	s.m3ua.loop.Attach(s.connID, s, core.ServerUp{Server: s.name, Address: address, Conn: s.connID})
+	s.m3ua.loop.Post(core.ServerPaused{Server: s.name})
 }
 
-// pause is ignored before the first activation: a server says AS-INACTIVE while an ASP comes up.
-func (s *server) pause(yes bool) {
+// setPaused posts whether the server accepts new set-ups. Before the activation it does nothing, because a server sends
+// AS-INACTIVE while an ASP comes up.
+func (s *serverConn) setPaused(paused bool) {
 	if s.active {
-		s.m.loop.Post(core.ServerPaused{Server: s.name, Paused: yes})
+		s.m3ua.loop.Post(core.ServerPaused{Server: s.name, Paused: paused})
 	}
 }
 
-// state takes in what is said of the server's point code.
-func (s *server) state(msg message) {
+// handleState handles a DUNA, DAVA or SCON about the server's point code.
+func (s *serverConn) handleState(msg message) {
 	switch msg.kind {
 	case msgDUNA:
-		s.pause(true)
+		s.setPaused(true)
 	case msgDAVA:
-		s.pause(false)
+		s.setPaused(false)
 	case msgSCON:
-		level, _ := msg.number(tagCongestion) // 0 to 3; absent: congested, with no levels in use
-		if _, there := msg.get(tagCongestion); !there {
-			level = maxCongestion
+		level, _ := msg.getUint32(tagCongestion) // 0 to 3; without the parameter the point is congested and uses no levels
+		if _, ok := msg.get(tagCongestion); !ok {
+			level = maxCongestionLevel
 		}
-		share := float64(min(level&0xff, maxCongestion)) / maxCongestion
-		report := core.Report{{Metric: elmseam.LoadMetricHoldBackShare, Value: share}}
-		s.m.loop.Post(core.ServerReport{Server: s.name, Conn: s.link, Report: report})
+		holdBackShare := float64(min(level&0xff, maxCongestionLevel)) / maxCongestionLevel
+		report := core.Report{{Metric: elmseam.LoadMetricHoldBackShare, Value: holdBackShare}}
+		s.m3ua.loop.Post(core.ServerReport{Server: s.name, Conn: s.connID, Report: report})
 	}
 }
 
-const maxCongestion = 3
+// maxCongestionLevel is the highest congestion level of an SCON. It stands for a hold-back share of 1.
+const maxCongestionLevel = 3
 
-// data handles an ISUP message.
-func (s *server) data(msg message) error {
-	ci, isup, err := parseData(msg, s.m.RoutingContext)
+// handleData handles a DATA message, which carries an ISUP message.
+func (s *serverConn) handleData(msg message) error {
+	circ, isup, err := parseData(msg, s.m3ua.RoutingContext)
 	if err != nil {
 		return err
 	}
-	if ci.opc != s.trunk.base.dpc || ci.dpc != s.trunk.base.opc {
-		return &protocolError{errParamValue, "point codes that are not this route's", false}
+	if circ.opc != s.trunk.route.dpc || circ.dpc != s.trunk.route.opc {
+		return &protocolError{errParamValue, "point codes do not belong to this route", false}
 	}
-	k, err := parseISUP(isup)
+	sig, err := parseISUP(isup)
 	if err != nil {
 		return err
 	}
-	switch k.kind {
+	switch sig.kind {
 	case isupACM:
 	case isupANM:
 		var id core.ID
-		var there bool
-		s.trunk.do(func(time.Time) { id, there = s.trunk.Answered(ci.cic) })
-		if there {
-			s.m.loop.Post(core.ServerAnswer{Server: s.name, Conn: s.link, ID: id, Desc: k.desc})
+		var ok bool
+		s.trunk.withLock(func(time.Time) { id, ok = s.trunk.Answered(circ.cic) })
+		if ok {
+			s.m3ua.loop.Post(core.ServerAnswer{Server: s.name, Conn: s.connID, ID: id, Desc: sig.desc})
 		}
-	case isupREL, isupRSC: // a circuit reset has no cause: the call on it is cut
+	case isupREL, isupRSC: // an RSC has no cause: its call ends with core.Reset
 		var id core.ID
-		var there bool
-		s.trunk.do(func(time.Time) {
-			id, there = s.trunk.Released(ci.cic)
-			s.write(ci.cic, call{kind: isupRLC}, nil)
+		var ok bool
+		s.trunk.withLock(func(time.Time) {
+			id, ok = s.trunk.Released(circ.cic)
+			s.sendISUP(circ.cic, isupMessage{kind: isupRLC}, nil)
 		})
-		if there {
-			s.m.loop.Post(core.ServerEnd{
-				Server: s.name, Conn: s.link, ID: id, Reason: q850.ReasonFromCause(k.cause), Refusal: q850.RefusalFromCause(k.cause),
+		if ok {
+			s.m3ua.loop.Post(core.ServerEnd{
+				Server: s.name, Conn: s.connID, ID: id, Reason: q850.ReasonFromCause(sig.cause), Refusal: q850.RefusalFromCause(sig.cause),
 			})
 		}
 	case isupRLC:
-		s.trunk.do(func(now time.Time) { s.trunk.Confirmed(ci.cic, now) })
+		s.trunk.withLock(func(now time.Time) { s.trunk.Confirmed(circ.cic, now) })
 	default:
-		return &protocolError{errUnexpected, "an ISUP message that servers don't send", false}
+		return &protocolError{errUnexpected, "ISUP message not expected from a server", false}
 	}
 	return nil
 }
 
-// write writes an ISUP message on a circuit.
-func (s *server) write(cic uint16, k call, done func()) {
-	isup, err := appendISUP(cic, k)
+// sendISUP queues an ISUP message on a circuit. If onWritten is not nil, it is called when the message has been written.
+func (s *serverConn) sendISUP(cic uint16, sig isupMessage, onWritten func()) {
+	isup, err := buildISUP(cic, sig)
 	if err != nil {
-		s.m.log.Error().Err(err).Msg("message not sent")
+		s.m3ua.log.Error().Err(err).Msg("ISUP message not sent")
 		return
 	}
-	ci := s.trunk.base
-	ci.cic = cic
-	s.out.Post(link.Item{Data: dataMessage(ci, s.m.NetworkIndicator, s.m.RoutingContext, isup), OnWritten: done})
+	circ := s.trunk.route
+	circ.cic = cic
+	s.out.Post(link.Item{Data: buildData(circ, s.m3ua.NetworkIndicator, s.m3ua.RoutingContext, isup), OnWritten: onWritten})
 }
 
-func (s *server) Close() { s.out.Close() }
+// Close closes the connection.
+func (s *serverConn) Close() { s.out.Close() }
 
-func (s *server) Flush() { s.out.Flush() }
+// Flush waits briefly until the queued messages are written.
+func (s *serverConn) Flush() { s.out.Flush() }
 
-// HandleEffect writes an effect for a server.
-func (s *server) HandleEffect(e core.Effect) []core.Event {
+// HandleEffect sends the ISUP message for an effect to the server. It returns the events that follow at once.
+func (s *serverConn) HandleEffect(e core.Effect) []core.Event {
 	switch e := e.(type) {
 	case core.Offer:
-		return s.offer(e)
+		return s.sendSetUp(e)
 	case core.End:
 		if s.out.Retract(uint64(e.ID)) {
 			return s.notSent(e.ID)
 		}
-		written := core.EndWritten{Server: s.name, Conn: s.link, ID: e.ID}
-		var done func()
+		written := core.EndWritten{Server: s.name, Conn: s.connID, ID: e.ID}
+		var onWritten func()
 		if e.Notify {
-			done = func() { s.m.loop.Post(written) }
+			onWritten = func() { s.m3ua.loop.Post(written) }
 		}
-		there := false
-		s.trunk.do(func(now time.Time) {
+		found := false
+		s.trunk.withLock(func(now time.Time) {
 			var cic uint16
-			if cic, there = s.trunk.Release(e.ID, now); there {
-				s.write(cic, call{kind: isupREL, cause: q850.NormalClearing}, done)
+			if cic, found = s.trunk.Release(e.ID, now); found {
+				s.sendISUP(cic, isupMessage{kind: isupREL, cause: q850.NormalClearing}, onWritten)
 			}
 		})
-		if !there && e.Notify { // released by the server meanwhile
+		if !found && e.Notify { // the server has released the call meanwhile
 			return []core.Event{written}
 		}
 	case core.GracefulClose:
 		s.out.Finish(s.out.Close)
 	case core.Withdraw:
-		var back []core.Event
+		var events []core.Event
 		for _, id := range s.out.RetractAll() {
-			back = append(back, s.notSent(core.ID(id))...)
+			events = append(events, s.notSent(core.ID(id))...)
 		}
-		return back
+		return events
 	}
 	return nil
 }
 
-// offer writes a set-up. A class or a number that has no form here is not sent, and neither is a call for
-// which no circuit is free.
-func (s *server) offer(e core.Offer) []core.Event {
-	category, known := s.m.category(e.Class)
-	cic, ok := uint16(0), false
-	s.trunk.do(func(now time.Time) {
-		for _, cic := range s.trunk.Overdue(now, s.m.told.Load().ConfirmTimeout) {
-			s.write(cic, call{kind: isupREL, cause: q850.NormalClearing}, nil)
+// sendSetUp queues the IAM for a set-up on a free circuit. It returns core.NotSent if the class has no category, the
+// called number cannot be encoded, the message is too long or no circuit is free. It also repeats the RELs whose
+// confirmation is overdue.
+func (s *serverConn) sendSetUp(e core.Offer) []core.Event {
+	category, hasCategory := s.m3ua.categoryOfClass(e.Class)
+	cic, allocated := uint16(0), false
+	s.trunk.withLock(func(now time.Time) {
+		for _, cic := range s.trunk.Overdue(now, s.m3ua.config.Load().ConfirmTimeout) {
+			s.sendISUP(cic, isupMessage{kind: isupREL, cause: q850.NormalClearing}, nil)
 		}
-		if known {
-			cic, ok = s.trunk.Allocate(e.ID)
+		if hasCategory {
+			cic, allocated = s.trunk.Allocate(e.ID)
 		}
 	})
-	if !ok {
-		return []core.Event{core.NotSent{Server: s.name, Conn: s.link, ID: e.ID}}
+	if !allocated {
+		return []core.Event{core.NotSent{Server: s.name, Conn: s.connID, ID: e.ID}}
 	}
-	isup, err := appendISUP(cic, call{kind: isupIAM, category: category, digits: e.NumberText, desc: e.Desc})
-	ci := s.trunk.base
-	ci.cic = cic
+	isup, err := buildISUP(cic, isupMessage{kind: isupIAM, category: category, digits: e.NumberText, desc: e.Desc})
+	circ := s.trunk.route
+	circ.cic = cic
 	var data []byte
 	if err == nil {
-		data = dataMessage(ci, s.m.NetworkIndicator, s.m.RoutingContext, isup)
+		data = buildData(circ, s.m3ua.NetworkIndicator, s.m3ua.RoutingContext, isup)
 	}
 	if err != nil || len(data) > s.limits.MaxMessageSize {
 		return s.notSent(e.ID)
 	}
 	s.out.Post(link.Item{
-		Data: data, ID: uint64(e.ID), Retractable: true, Deadline: s.m.loop.WallTime(e.Until),
-		OnWritten: func() { s.m.loop.Post(core.OfferWritten{Server: s.name, ID: e.ID}) },
+		Data: data, ID: uint64(e.ID), Retractable: true, Deadline: s.m3ua.loop.WallTime(e.Until),
+		OnWritten: func() { s.m3ua.loop.Post(core.OfferWritten{Server: s.name, ID: e.ID}) },
 		OnExpired: func() {
 			for _, ev := range s.notSent(e.ID) {
-				s.m.loop.Post(ev)
+				s.m3ua.loop.Post(ev)
 			}
 		},
 	})
 	return nil
 }
 
-// notSent frees the circuit of a set-up that never left.
-func (s *server) notSent(id core.ID) []core.Event {
-	s.trunk.do(func(time.Time) { s.trunk.NotSent(id) })
-	return []core.Event{core.NotSent{Server: s.name, Conn: s.link, ID: id}}
+// notSent frees the circuit of a set-up that was never written, and returns the event for the core.
+func (s *serverConn) notSent(id core.ID) []core.Event {
+	s.trunk.withLock(func(time.Time) { s.trunk.NotSent(id) })
+	return []core.Event{core.NotSent{Server: s.name, Conn: s.connID, ID: id}}
 }
