--- a/internal/explore/digest.go
+++ b/internal/explore/digest.go
@@ -68,7 +68,7 @@
 			return
 		}
 		for i := range v.NumField() {
-			if t == coreType && t.Field(i).Name == "out" { // the last step's effects
+			if t == coreType && t.Field(i).Name == "effects" { // the last step's effects
 				continue
 			}
 			d.value(v.Field(i))
