--- a/internal/explore/actions.go
+++ b/internal/explore/actions.go
@@ -12,63 +12,63 @@
 
 // The kinds. Those from firstFault on are disturbances, of which only so many happen.
 const (
-	setUp ActionKind = iota // N: the first choice
-	written
-	answer
-	full
-	busy
-	ended // the end of an attempt is written
-	release
-	dialled
-	callerBack // a caller's next connection
-	undrain
-	due  // N: which of the timers that are due first
-	pass // some time, in which no timer is due
-	reset
-	cross // an answer that crosses the attempt's end
-	late  // an answer to an attempt that is over
-	cut   // a standing call
-	again // a release said twice
-	hangup
-	giveUp
-	repeat
-	callerLost
-	connLost
-	refused
-	drains
-	goes
-	restarts
-	returns
-	reload
-	drain
+	actSetUp ActionKind = iota // N: the first choice
+	actOfferWritten
+	actAnswer
+	actRefuseFull
+	actRefuseBusy
+	actEndWritten // the end of an attempt is written
+	actRelease
+	actDialCompleted
+	actCallerConnects // a caller's next connection
+	actDrainStop
+	actTimer // N: which of the timers that are due first
+	actPause // some time, in which no timer is due
+	actAttemptReset
+	actCrossingAnswer  // an answer that crosses the attempt's end
+	actLateAnswer      // an answer to an attempt that is over
+	actCallReset       // a standing call
+	actRepeatedRelease // a release said twice
+	actHangUp
+	actGiveUp
+	actRepeatedSetUp
+	actCallerLost
+	actConnLost
+	actDialRefused
+	actServerDraining
+	actServerGone
+	actServerRestart
+	actServerReady
+	actReload
+	actDrainStart
 	// Of the circuits.
-	seize     // an IAM goes out
-	clear     // a call is released here
-	toServer  // the next message reaches the server
-	toUs      // or us
-	farAnswer // the server answers
-	farRelease
-	overdue // a release has not been confirmed for long
-	deaf    // the server loses a REL
-	mute    // or its RLC
-	down    // the connection ends
-	up      // and another comes up
+	actSeizeCircuit      // an IAM goes out
+	actClearCall         // a call is released here
+	actDeliverToServer   // the next message reaches the server
+	actDeliverFromServer // or us
+	actServerAnswer      // the server answers
+	actServerRelease
+	actReleaseOverdue // a release has not been confirmed for long
+	actLoseREL        // the server loses a REL
+	actLoseRLC        // or its RLC
+	actConnDown       // the connection ends
+	actConnUp         // and another comes up
 	// Of a tier's members.
-	arrive // the next datagram arrives
-	lose   // or is lost
-	delay  // or comes late
-	tick   // the next timer comes due
-	kill   // a member dies
-	start  // and starts anew
-	halt   // or stands still
-	goOn   // and goes on
-	settle // nothing disturbs any more
-	kinds
+	actDeliverDatagram // the next datagram arrives
+	actLoseDatagram    // or is lost
+	actDelayDatagram   // or comes late
+	actTick            // the next timer comes due
+	actKillMember      // a member dies
+	actStartMember     // and starts anew
+	actPauseMember     // or stands still
+	actResumeMember    // and goes on
+	actSettle          // nothing disturbs any more
+	numActionKinds
 )
 
-const firstFault = reset
+const firstFaultKind = actAttemptReset
 
-var kindNames = [kinds]string{"set-up", "written", "answer", "full", "busy", "ended", "release", "dialled", "caller-back", "undrain",
+var actionKindNames = [numActionKinds]string{"set-up", "written", "answer", "full", "busy", "ended", "release", "dialled", "caller-back", "undrain",
 	"due", "pass", "reset", "cross", "late", "cut", "again", "hang-up", "give-up", "repeat", "caller-lost", "conn-lost", "refused",
 	"drains", "goes", "restarts", "returns", "reload", "drain",
 	"seize", "clear", "to-server", "to-us", "far-answer", "far-release", "overdue", "deaf", "mute", "down", "up",
@@ -81,7 +81,9 @@
 	Arg    uint8
 }
 
-func (a Action) String() string { return fmt.Sprintf("%s %d %d", kindNames[a.Kind], a.Target, a.Arg) }
+func (a Action) String() string {
+	return fmt.Sprintf("%s %d %d", actionKindNames[a.Kind], a.Target, a.Arg)
+}
 
 // ParseAction reads what String has written.
 func ParseAction(text string) (a Action, err error) {
@@ -89,21 +91,21 @@
 	if n, err := fmt.Sscanf(text, "%s %d %d", &kind, &a.Target, &a.Arg); err != nil || n != 3 {
 		return a, fmt.Errorf("action %q: %w", text, err)
 	}
-	at := slices.Index(kindNames[:], kind)
-	if at < 0 {
+	index := slices.Index(actionKindNames[:], kind)
+	if index < 0 {
 		return a, fmt.Errorf("action %q: unknown", text)
 	}
-	a.Kind = ActionKind(at)
+	a.Kind = ActionKind(index)
 	return a, nil
 }
 
 // due are the timers that are due first, by their places.
-func (w *CallModel) dueFirst() (first []int) {
-	for i, t := range w.Timers {
+func (m *CallModel) earliestTimers() (first []int) {
+	for i, t := range m.Timers {
 		switch {
-		case len(first) == 0 || t.At < w.Timers[first[0]].At:
+		case len(first) == 0 || t.At < m.Timers[first[0]].At:
 			first = append(first[:0], i)
-		case t.At == w.Timers[first[0]].At:
+		case t.At == m.Timers[first[0]].At:
 			first = append(first, i)
 		}
 	}
@@ -112,261 +114,261 @@
 
 // EnabledActions are all things that can happen next, always in the same order. Like calls come in the order of their
 // numbers, and the first one's first choice is the first server: the others are the same with other names.
-func (w *CallModel) EnabledActions() (all []Action) {
-	add := func(k ActionKind, of, n int) {
-		if k < firstFault || w.FaultsLeft > 0 {
-			all = append(all, Action{k, uint8(of), uint8(n)})
+func (m *CallModel) EnabledActions() (actions []Action) {
+	add := func(kind ActionKind, target, arg int) {
+		if kind < firstFaultKind || m.FaultsLeft > 0 {
+			actions = append(actions, Action{kind, uint8(target), uint8(arg)})
 		}
 	}
-	if w.done() { // all that is left is what servers say late, or again
-		for i := range w.Calls {
-			w.echoes(i, &w.Calls[i], add)
+	if m.allCallsEnded() { // all that is left is what servers say late, or again
+		for index := range m.Calls {
+			m.lateServerMessages(index, &m.Calls[index], add)
 		}
-		return all
+		return actions
 	}
-	for i := range w.Calls {
-		if w.Calls[i].Started {
+	for index := range m.Calls {
+		if m.Calls[index].Started {
 			continue
 		}
-		for s := range w.Servers {
-			if len(w.Callers) > 0 && (i > 0 || s == 0) {
-				add(setUp, i, s)
+		for server := range m.Servers {
+			if len(m.CallerConns) > 0 && (index > 0 || server == 0) {
+				add(actSetUp, index, server)
 			}
 		}
 		break
 	}
-	for i := range w.Calls {
-		w.actionsOf(i, &w.Calls[i], add)
+	for index := range m.Calls {
+		m.callActions(index, &m.Calls[index], add)
 	}
-	for s := range w.Servers {
-		v := &w.Servers[s]
-		if v.Dials > 0 {
-			add(dialled, s, 0)
-			add(refused, s, 0)
+	for index := range m.Servers {
+		server := &m.Servers[index]
+		if server.Dials > 0 {
+			add(actDialCompleted, index, 0)
+			add(actDialRefused, index, 0)
 		}
-		if w.to(s) != 0 {
-			add(connLost, s, 0)
+		if m.connTo(index) != 0 {
+			add(actConnLost, index, 0)
 		}
-		switch v.Phase {
-		case ready:
-			add(drains, s, 0)
-			add(goes, s, 0)
-			add(restarts, s, 0)
-		case draining:
-			add(goes, s, 0)
-			add(returns, s, 0)
+		switch server.Phase {
+		case phaseReady:
+			add(actServerDraining, index, 0)
+			add(actServerGone, index, 0)
+			add(actServerRestart, index, 0)
+		case phaseDraining:
+			add(actServerGone, index, 0)
+			add(actServerReady, index, 0)
 		}
 	}
-	if len(w.Callers) == 0 {
-		add(callerBack, 0, 0)
+	if len(m.CallerConns) == 0 {
+		add(actCallerConnects, 0, 0)
 	} else {
-		add(callerLost, 0, 0)
+		add(actCallerLost, 0, 0)
 	}
-	if !w.Reloaded && w.Config.Attempts > 1 {
-		add(reload, 0, 0)
+	if !m.Reloaded && m.Config.Attempts > 1 {
+		add(actReload, 0, 0)
 	}
-	if w.Draining {
-		add(undrain, 0, 0)
+	if m.Draining {
+		add(actDrainStop, 0, 0)
 	} else {
-		add(drain, 0, 0)
+		add(actDrainStart, 0, 0)
 	}
-	first := w.dueFirst()
-	for n := range first {
-		add(due, 0, n)
+	timers := m.earliestTimers()
+	for arg := range timers {
+		add(actTimer, 0, arg)
 	}
-	if w.PausesLeft > 0 && (len(first) == 0 || w.Timers[first[0]].At > w.Now+pause) {
-		add(pass, 0, 0)
+	if m.PausesLeft > 0 && (len(timers) == 0 || m.Timers[timers[0]].At > m.Now+pauseDuration) {
+		add(actPause, 0, 0)
 	}
-	return all
+	return actions
 }
 
 // actionsOf are those of one call.
-func (w *CallModel) actionsOf(i int, c *Call, add func(k ActionKind, of, n int)) {
-	if !c.Started {
+func (m *CallModel) callActions(index int, call *Call, add func(kind ActionKind, target, arg int)) {
+	if !call.Started {
 		return
 	}
-	switch c.State {
-	case queued:
-		add(written, i, 0)
-	case out:
-		add(answer, i, 0)
-		add(full, i, 0)
-		add(busy, i, 0)
-		add(reset, i, 0)
-	case ending:
-		add(ended, i, 0)
-		add(cross, i, 0)
+	switch call.State {
+	case attemptQueued:
+		add(actOfferWritten, index, 0)
+	case attemptOutstanding:
+		add(actAnswer, index, 0)
+		add(actRefuseFull, index, 0)
+		add(actRefuseBusy, index, 0)
+		add(actAttemptReset, index, 0)
+	case attemptEnding:
+		add(actEndWritten, index, 0)
+		add(actCrossingAnswer, index, 0)
 	}
-	if c.Established && w.to(c.Server) != 0 {
-		add(release, i, 0)
-		add(cut, i, 0)
+	if call.Established && m.connTo(call.Server) != 0 {
+		add(actRelease, index, 0)
+		add(actCallReset, index, 0)
 	}
-	w.echoes(i, c, add)
-	switch a := &c.Account; {
-	case a.CallerGone:
-	case a.FinalAnswers == 0:
-		if w.callerUp(c.From) {
-			add(giveUp, i, 0)
+	m.lateServerMessages(index, call, add)
+	switch acct := &call.Account; {
+	case acct.CallerGone:
+	case acct.FinalAnswers == 0:
+		if m.callerConnected(call.CallerConn) {
+			add(actGiveUp, index, 0)
 		}
-		if !c.Repeated {
-			add(repeat, i, 0)
+		if !call.Repeated {
+			add(actRepeatedSetUp, index, 0)
 		}
-	case a.WasEstablished && a.Released == 0 && len(w.Callers) > 0:
-		add(hangup, i, 0)
+	case acct.WasEstablished && acct.Releases == 0 && len(m.CallerConns) > 0:
+		add(actHangUp, index, 0)
 	}
 }
 
 // echoes are what a server may say of a call that is over for it.
-func (w *CallModel) echoes(i int, c *Call, add func(k ActionKind, of, n int)) {
-	if c.LateAnswerFrom != 0 && w.to(c.LateAnswerFrom-1) != 0 {
-		add(late, i, 0)
+func (m *CallModel) lateServerMessages(index int, call *Call, add func(kind ActionKind, target, arg int)) {
+	if call.LateAnswerFrom != 0 && m.connTo(call.LateAnswerFrom-1) != 0 {
+		add(actLateAnswer, index, 0)
 	}
-	if c.RepeatedReleaseFrom != 0 && w.to(c.RepeatedReleaseFrom-1) != 0 {
-		add(again, i, 0)
+	if call.RepeatedReleaseFrom != 0 && m.connTo(call.RepeatedReleaseFrom-1) != 0 {
+		add(actRepeatedRelease, index, 0)
 	}
 }
 
 // TryApply has something happen. It says no to what can't happen now.
-func (w *CallModel) TryApply(a Action) bool {
-	if !slices.Contains(w.EnabledActions(), a) {
+func (m *CallModel) TryApply(a Action) bool {
+	if !slices.Contains(m.EnabledActions(), a) {
 		return false
 	}
-	w.apply(a)
+	m.apply(a)
 	return true
 }
 
-func (w *CallModel) apply(a Action) {
-	if a.Kind >= firstFault {
-		w.FaultsLeft--
+func (m *CallModel) apply(a Action) {
+	if a.Kind >= firstFaultKind {
+		m.FaultsLeft--
 	}
-	n := int(a.Target)
+	target := int(a.Target)
 	switch a.Kind {
-	case due:
-		w.fire(w.dueFirst()[a.Arg])
-	case pass:
-		w.PausesLeft--
-		w.Now += pause
-		w.inTime(w.Now)
-	case dialled:
-		w.connect(n)
-	case refused:
-		w.Servers[n].Dials--
-		w.step(core.ServerDown{Server: name(n)})
-	case connLost:
-		l := w.to(n)
-		w.lose(l)
-		w.step(core.ServerDown{Server: name(n), Conn: l})
-	case drains, goes, restarts, returns:
-		w.list(a.Kind, n)
-	case callerBack:
-		w.newCaller()
-	case callerLost:
-		l := w.Callers[0]
-		w.lose(l)
-		w.step(core.CallerDown{Conn: l})
-	case reload:
-		w.Reloaded = true
-		w.step(core.Configured{Settings: w.Config.settings(w.Config.Attempts - 1), Limits: w.Config.limits()})
-	case drain, undrain:
-		w.Draining = a.Kind == drain
-		w.step(core.Drain{On: w.Draining})
+	case actTimer:
+		m.fireTimer(m.earliestTimers()[a.Arg])
+	case actPause:
+		m.PausesLeft--
+		m.Now += pauseDuration
+		m.checkDeadlines(m.Now)
+	case actDialCompleted:
+		m.connectServer(target)
+	case actDialRefused:
+		m.Servers[target].Dials--
+		m.step(core.ServerDown{Server: serverName(target)})
+	case actConnLost:
+		connID := m.connTo(target)
+		m.closeConn(connID)
+		m.step(core.ServerDown{Server: serverName(target), Conn: connID})
+	case actServerDraining, actServerGone, actServerRestart, actServerReady:
+		m.changeServer(a.Kind, target)
+	case actCallerConnects:
+		m.connectCaller()
+	case actCallerLost:
+		connID := m.CallerConns[0]
+		m.closeConn(connID)
+		m.step(core.CallerDown{Conn: connID})
+	case actReload:
+		m.Reloaded = true
+		m.step(core.Configured{Settings: m.Config.settings(m.Config.Attempts - 1), Limits: m.Config.limits()})
+	case actDrainStart, actDrainStop:
+		m.Draining = a.Kind == actDrainStart
+		m.step(core.Drain{On: m.Draining})
 	default:
-		w.call(a.Kind, n, int(a.Arg))
+		m.applyToCall(a.Kind, target, int(a.Arg))
 	}
 }
 
 // fire has a timer come due.
-func (w *CallModel) fire(i int) {
-	t := w.Timers[i]
-	w.Timers = slices.Delete(w.Timers, i, i+1)
-	w.Now = max(w.Now, t.At)
-	w.inTime(w.Now)
-	w.step(core.TimerFired{Token: t.Token})
+func (m *CallModel) fireTimer(index int) {
+	fired := m.Timers[index]
+	m.Timers = slices.Delete(m.Timers, index, index+1)
+	m.Now = max(m.Now, fired.At)
+	m.checkDeadlines(m.Now)
+	m.step(core.TimerFired{Token: fired.Token})
 }
 
 // list changes the list of servers.
-func (w *CallModel) list(k ActionKind, s int) {
-	v := &w.Servers[s]
-	switch k {
-	case drains:
-		v.Phase = draining
-	case goes:
-		v.Phase = gone
-		w.die(s)
-	case restarts:
-		v.Incarnation++
-		v.StartedAt = w.Now
-		v.Dials = 0 // they lead to where nobody is
-		w.die(s)
-	case returns:
-		v.Phase = ready
+func (m *CallModel) changeServer(kind ActionKind, index int) {
+	server := &m.Servers[index]
+	switch kind {
+	case actServerDraining:
+		server.Phase = phaseDraining
+	case actServerGone:
+		server.Phase = phaseGone
+		m.endServerProcess(index)
+	case actServerRestart:
+		server.Incarnation++
+		server.StartedAt = m.Now
+		server.Dials = 0 // they lead to where nobody is
+		m.endServerProcess(index)
+	case actServerReady:
+		server.Phase = phaseReady
 	}
-	dials := v.Dials
-	w.step(core.List{Servers: []core.Server{w.entry(s)}})
-	if k == restarts && v.Dials == dials { // the one under way comes up at the old address, or not at all
-		w.step(core.ServerDown{Server: name(s)})
+	dials := server.Dials
+	m.step(core.List{Servers: []core.Server{m.listEntry(index)}})
+	if kind == actServerRestart && server.Dials == dials { // the one under way comes up at the old address, or not at all
+		m.step(core.ServerDown{Server: serverName(index)})
 	}
 }
 
 // call has something happen to a call.
-func (w *CallModel) call(k ActionKind, i, n int) {
-	c := &w.Calls[i]
-	from, server := w.Callers, name(c.Server)
-	switch k {
-	case setUp:
-		c.Started, c.From, c.Cell, c.Deadline = true, from[len(from)-1], n, w.Now+w.Config.GiveUp
-		c.Account.MaxAttempts = w.Config.Attempts
-		if w.Reloaded {
-			c.Account.MaxAttempts--
+func (m *CallModel) applyToCall(kind ActionKind, index, arg int) {
+	call := &m.Calls[index]
+	callerConns, server := m.CallerConns, serverName(call.Server)
+	switch kind {
+	case actSetUp:
+		call.Started, call.CallerConn, call.Cell, call.Deadline = true, callerConns[len(callerConns)-1], arg, m.Now+m.Config.GiveUp
+		call.Account.MaxAttempts = m.Config.Attempts
+		if m.Reloaded {
+			call.Account.MaxAttempts--
 		}
-		w.step(w.setUp(i))
-	case repeat:
-		c.Repeated, c.From = true, w.newCaller()
-		w.step(w.setUp(i))
-	case written:
-		c.State = out
-		w.step(core.OfferWritten{Server: server, ID: id(i)})
-	case answer:
-		c.State, c.Established = nowhere, true
-		w.attemptOver(i, false)
-		w.step(core.ServerAnswer{Server: server, Conn: c.Link, ID: id(i)})
-	case full, busy, reset:
-		c.State = nowhere
-		w.attemptOver(i, k == reset)
-		why := map[ActionKind]core.Reason{full: core.Full, busy: core.Busy, reset: core.Reset}[k]
-		w.step(core.ServerEnd{Server: server, Conn: c.Link, ID: id(i), Reason: why})
-	case ended:
-		c.State, c.LateAnswerFrom = nowhere, c.Server+1
-		w.attemptOver(i, true)
-		w.step(core.EndWritten{Server: server, ID: id(i)})
-	case cross:
-		w.step(core.ServerAnswer{Server: server, Conn: c.Link, ID: id(i)})
-	case late:
-		s := c.LateAnswerFrom - 1
-		c.LateAnswerFrom = 0
-		w.step(core.ServerAnswer{Server: name(s), Conn: w.to(s), ID: id(i)})
-	case release, cut:
-		c.Established, c.RepeatedReleaseFrom = false, c.Server+1
-		why := core.Normal
-		if k == cut {
-			why = core.Reset
+		m.step(m.setUpEvent(index))
+	case actRepeatedSetUp:
+		call.Repeated, call.CallerConn = true, m.connectCaller()
+		m.step(m.setUpEvent(index))
+	case actOfferWritten:
+		call.State = attemptOutstanding
+		m.step(core.OfferWritten{Server: server, ID: callID(index)})
+	case actAnswer:
+		call.State, call.Established = attemptNone, true
+		m.recordAttemptEnd(index, false)
+		m.step(core.ServerAnswer{Server: server, Conn: call.Conn, ID: callID(index)})
+	case actRefuseFull, actRefuseBusy, actAttemptReset:
+		call.State = attemptNone
+		m.recordAttemptEnd(index, kind == actAttemptReset)
+		reason := map[ActionKind]core.Reason{actRefuseFull: core.Full, actRefuseBusy: core.Busy, actAttemptReset: core.Reset}[kind]
+		m.step(core.ServerEnd{Server: server, Conn: call.Conn, ID: callID(index), Reason: reason})
+	case actEndWritten:
+		call.State, call.LateAnswerFrom = attemptNone, call.Server+1
+		m.recordAttemptEnd(index, true)
+		m.step(core.EndWritten{Server: server, ID: callID(index)})
+	case actCrossingAnswer:
+		m.step(core.ServerAnswer{Server: server, Conn: call.Conn, ID: callID(index)})
+	case actLateAnswer:
+		server := call.LateAnswerFrom - 1
+		call.LateAnswerFrom = 0
+		m.step(core.ServerAnswer{Server: serverName(server), Conn: m.connTo(server), ID: callID(index)})
+	case actRelease, actCallReset:
+		call.Established, call.RepeatedReleaseFrom = false, call.Server+1
+		reason := core.Normal
+		if kind == actCallReset {
+			reason = core.Reset
 		}
-		w.step(core.ServerEnd{Server: server, Conn: w.to(c.Server), ID: id(i), Reason: why})
-	case again:
-		s := c.RepeatedReleaseFrom - 1
-		c.RepeatedReleaseFrom = 0
-		w.step(core.ServerEnd{Server: name(s), Conn: w.to(s), ID: id(i), Reason: core.Normal})
-	case hangup, giveUp:
-		c.Account.CallerGone = true
-		at := c.From
-		if k == hangup && !w.callerUp(at) {
-			at = from[0]
+		m.step(core.ServerEnd{Server: server, Conn: m.connTo(call.Server), ID: callID(index), Reason: reason})
+	case actRepeatedRelease:
+		server := call.RepeatedReleaseFrom - 1
+		call.RepeatedReleaseFrom = 0
+		m.step(core.ServerEnd{Server: serverName(server), Conn: m.connTo(server), ID: callID(index), Reason: core.Normal})
+	case actHangUp, actGiveUp:
+		call.Account.CallerGone = true
+		callerConn := call.CallerConn
+		if kind == actHangUp && !m.callerConnected(callerConn) {
+			callerConn = callerConns[0]
 		}
-		w.step(core.CallerEnd{ID: id(i), From: at})
+		m.step(core.CallerEnd{ID: callID(index), From: callerConn})
 	}
 }
 
-func (w *CallModel) setUp(i int) core.SetUp {
-	c := &w.Calls[i]
-	return core.SetUp{ID: id(i), From: c.From, Cell: c.Cell, NumberText: "k", TimeLeft: c.Deadline - w.Now, At: w.Now}
+func (m *CallModel) setUpEvent(index int) core.SetUp {
+	call := &m.Calls[index]
+	return core.SetUp{ID: callID(index), From: call.CallerConn, Cell: call.Cell, NumberText: "k", TimeLeft: call.Deadline - m.Now, At: m.Now}
 }
--- a/internal/explore/digest.go
+++ b/internal/explore/digest.go
@@ -12,12 +12,12 @@
 	"elmseam/internal/core"
 )
 
-var digests = sync.Pool{New: func() any { return new(digest) }}
+var digestPool = sync.Pool{New: func() any { return new(encoder) }}
 
 // digest writes values down.
-type digest struct {
-	b    []byte
-	seen []unsafe.Pointer // pointers, in the order they are met
+type encoder struct {
+	buf     []byte
+	visited []unsafe.Pointer // pointers, in the order they are met
 }
 
 var (
@@ -26,42 +26,42 @@
 	coreType   = reflect.TypeFor[core.Core]()
 )
 
-func (d *digest) number(n uint64) { d.b = binary.LittleEndian.AppendUint64(d.b, n) }
+func (d *encoder) appendUint64(n uint64) { d.buf = binary.LittleEndian.AppendUint64(d.buf, n) }
 
-func (d *digest) value(v reflect.Value) {
+func (d *encoder) appendValue(v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Bool:
 		n := byte(0)
 		if v.Bool() {
 			n = 1
 		}
-		d.b = append(d.b, n)
+		d.buf = append(d.buf, n)
 	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
-		d.number(uint64(v.Int()))
+		d.appendUint64(uint64(v.Int()))
 	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64, reflect.Uintptr:
-		d.number(v.Uint())
+		d.appendUint64(v.Uint())
 	case reflect.Float32, reflect.Float64:
-		d.number(math.Float64bits(v.Float()))
+		d.appendUint64(math.Float64bits(v.Float()))
 	case reflect.String:
-		d.number(uint64(v.Len()))
-		d.b = append(d.b, v.String()...)
+		d.appendUint64(uint64(v.Len()))
+		d.buf = append(d.buf, v.String()...)
 	case reflect.Pointer:
-		d.pointer(v)
+		d.appendPointer(v)
 	case reflect.Interface:
 		if v.IsNil() {
-			d.b = append(d.b, 0)
+			d.buf = append(d.buf, 0)
 			return
 		}
-		d.b = append(d.b, 1)
-		d.b = append(d.b, v.Elem().Type().String()...)
-		d.value(v.Elem())
+		d.buf = append(d.buf, 1)
+		d.buf = append(d.buf, v.Elem().Type().String()...)
+		d.appendValue(v.Elem())
 	case reflect.Slice, reflect.Array:
-		d.number(uint64(v.Len()))
+		d.appendUint64(uint64(v.Len()))
 		for i := range v.Len() {
-			d.value(v.Index(i))
+			d.appendValue(v.Index(i))
 		}
 	case reflect.Map:
-		d.mapping(v)
+		d.appendMap(v)
 	case reflect.Struct:
 		t := v.Type()
 		if t == hookType || t == configType {
@@ -71,51 +71,51 @@
 			if t == coreType && t.Field(i).Name == "out" { // the last step's effects
 				continue
 			}
-			d.value(v.Field(i))
+			d.appendValue(v.Field(i))
 		}
 	case reflect.Func, reflect.Chan, reflect.UnsafePointer:
 		if v.IsNil() {
-			d.b = append(d.b, 0)
+			d.buf = append(d.buf, 0)
 		} else {
-			d.b = append(d.b, 1)
+			d.buf = append(d.buf, 1)
 		}
 	}
 }
 
 // pointer writes what is pointed to when it is met first, and where that was from then on.
-func (d *digest) pointer(v reflect.Value) {
+func (d *encoder) appendPointer(v reflect.Value) {
 	if v.IsNil() {
-		d.b = append(d.b, 0)
+		d.buf = append(d.buf, 0)
 		return
 	}
 	p := v.UnsafePointer()
-	if at := slices.Index(d.seen, p); at >= 0 {
-		d.b = append(d.b, 1)
-		d.number(uint64(at))
+	if index := slices.Index(d.visited, p); index >= 0 {
+		d.buf = append(d.buf, 1)
+		d.appendUint64(uint64(index))
 		return
 	}
-	d.seen = append(d.seen, p)
-	d.b = append(d.b, 2)
-	d.value(v.Elem())
+	d.visited = append(d.visited, p)
+	d.buf = append(d.buf, 2)
+	d.appendValue(v.Elem())
 }
 
 // mapping writes a map in the order of its keys as they are written.
-func (d *digest) mapping(v reflect.Value) {
+func (d *encoder) appendMap(v reflect.Value) {
 	type pair struct {
 		key []byte
 		at  reflect.Value
 	}
 	pairs := make([]pair, 0, v.Len())
-	start := len(d.b)
+	start := len(d.buf)
 	for it := v.MapRange(); it.Next(); {
-		d.value(it.Key())
-		pairs = append(pairs, pair{slices.Clone(d.b[start:]), it.Value()})
-		d.b = d.b[:start]
+		d.appendValue(it.Key())
+		pairs = append(pairs, pair{slices.Clone(d.buf[start:]), it.Value()})
+		d.buf = d.buf[:start]
 	}
 	slices.SortFunc(pairs, func(a, b pair) int { return bytes.Compare(a.key, b.key) })
-	d.number(uint64(len(pairs)))
+	d.appendUint64(uint64(len(pairs)))
 	for _, p := range pairs {
-		d.b = append(d.b, p.key...)
-		d.value(p.at)
+		d.buf = append(d.buf, p.key...)
+		d.appendValue(p.at)
 	}
 }
--- a/internal/explore/explore_test.go
+++ b/internal/explore/explore_test.go
@@ -17,7 +17,7 @@
 	"elmseam/internal/membership"
 )
 
-func explore(t *testing.T, cfg Config, b Bounds) *Report {
+func runSearch(t *testing.T, cfg Config, b Bounds) *Report {
 	t.Helper()
 	cfg.GiveUp = time.Second
 	r, err := Run(context.Background(), cfg, b)
@@ -30,7 +30,7 @@
 // The served code keeps every rule in every state that a few calls, servers and disturbances lead to, and the same
 // exploration comes to the same counts, on one worker or on many. It guards against a rule that breaks where failures
 // overlap, and against a digest that depends on the order of a map.
-func TestSmallWorldsKeepTheRules(t *testing.T) {
+func TestInvariantsHoldInSmallModels(t *testing.T) {
 	for _, c := range []struct {
 		cfg    Config
 		states int
@@ -39,14 +39,14 @@
 		{Config{Servers: 2, Calls: 1, Attempts: 4, Faults: 1}, 1000},
 		{Config{Servers: 1, Calls: 2, Attempts: 2, Faults: 0, Pauses: 1}, 1000},
 	} {
-		r := explore(t, c.cfg, Bounds{Workers: 4})
+		r := runSearch(t, c.cfg, Bounds{Workers: 4})
 		if r.Counterexample != nil {
 			t.Fatalf("%+v: %v after %v", c.cfg, &r.Counterexample.Violation, r.Counterexample.Actions)
 		}
 		if !r.Complete || r.States < c.states || r.TerminalStates == 0 {
 			t.Errorf("%+v: %+v, want a complete exploration", c.cfg, r)
 		}
-		again := explore(t, c.cfg, Bounds{Workers: 1})
+		again := runSearch(t, c.cfg, Bounds{Workers: 1})
 		if again.States != r.States || again.Steps != r.Steps || again.TerminalStates != r.TerminalStates {
 			t.Errorf("%+v: %+v and then %+v", c.cfg, r, again)
 		}
@@ -54,26 +54,26 @@
 }
 
 // decide has the module do something else when it hears of an event.
-func decide(when func(elmseam.Event, []elmseam.Action) []elmseam.Action) core.Hook {
+func decideHook(when func(elmseam.Event, []elmseam.Action) []elmseam.Action) core.Hook {
 	return core.Hook{Decide: when}
 }
 
-func without(g core.Guard, h core.Hook) core.Hook {
+func withoutGuard(g core.Guard, h core.Hook) core.Hook {
 	h.DisabledGuards = g
 	return h
 }
 
 // Every rule is seen to break in a core that lacks its guard, under a module that errs where the guard would hold. An
 // exploration that can't see a rule broken proves nothing.
-func TestBrokenCoresAreFound(t *testing.T) {
+func TestDisabledCoreGuardsAreDetected(t *testing.T) {
 	var none core.Hook
-	gap := decide(func(ev elmseam.Event, acts []elmseam.Action) []elmseam.Action { // sends again at once
+	gap := decideHook(func(ev elmseam.Event, acts []elmseam.Action) []elmseam.Action { // sends again at once
 		if o, ok := ev.(elmseam.Outcome); ok && o.Cause == elmseam.CauseReset && !o.Final {
 			return []elmseam.Action{elmseam.Send{Call: o.Call, Server: o.Server}}
 		}
 		return acts
 	})
-	twice := decide(func(_ elmseam.Event, acts []elmseam.Action) []elmseam.Action {
+	twice := decideHook(func(_ elmseam.Event, acts []elmseam.Action) []elmseam.Action {
 		for _, a := range acts {
 			if s, ok := a.(elmseam.Send); ok {
 				acts = append(acts, s)
@@ -81,13 +81,13 @@
 		}
 		return acts
 	})
-	stubborn := decide(func(ev elmseam.Event, acts []elmseam.Action) []elmseam.Action {
+	stubborn := decideHook(func(ev elmseam.Event, acts []elmseam.Action) []elmseam.Action {
 		if o, ok := ev.(elmseam.Outcome); ok && o.Cause == elmseam.CauseFull && !o.Final {
 			return []elmseam.Action{elmseam.Send{Call: o.Call, Server: o.Server}}
 		}
 		return acts
 	})
-	hasty := decide(func(ev elmseam.Event, acts []elmseam.Action) []elmseam.Action { // refuses what is out
+	hasty := decideHook(func(ev elmseam.Event, acts []elmseam.Action) []elmseam.Action { // refuses what is out
 		if wake, ok := ev.(elmseam.TimerFired); ok {
 			acts = append(acts, elmseam.Refuse{Call: elmseam.CallID(wake.Token)})
 		}
@@ -114,11 +114,11 @@
 		{NoLeak, core.GuardForgetEnded, none, one},
 	} {
 		c.cfg.CoreHook = c.hook
-		if r := explore(t, c.cfg, Bounds{}); r.Counterexample != nil {
+		if r := runSearch(t, c.cfg, Bounds{}); r.Counterexample != nil {
 			t.Errorf("%s: broken with all guards in their places: %v after %v", c.rule, &r.Counterexample.Violation, r.Counterexample.Actions)
 		}
-		c.cfg.CoreHook = without(c.guard, c.hook)
-		r := explore(t, c.cfg, Bounds{})
+		c.cfg.CoreHook = withoutGuard(c.guard, c.hook)
+		r := runSearch(t, c.cfg, Bounds{})
 		if r.Counterexample == nil || r.Counterexample.Violation.Invariant != c.rule {
 			t.Errorf("%s: not seen broken without its guard: %+v", c.rule, r)
 			continue
@@ -145,10 +145,10 @@
 
 // Calls on circuits are kept apart in every state that releases that cross, are lost or stalled, and connections that
 // break lead to; and each rule is seen to break without its guard.
-func TestCircuitsKeepCallsApart(t *testing.T) {
+func TestCircuitInvariants(t *testing.T) {
 	for _, cfg := range []Config{{Servers: 1, Calls: 3, Faults: 3, Pauses: 1}, {Servers: 2, Calls: 3, Faults: 1}} {
 		cfg.Model, cfg.Attempts = ModelCircuits, 1
-		if r := explore(t, cfg, Bounds{}); !r.Complete || r.Counterexample != nil || r.States < 1000 {
+		if r := runSearch(t, cfg, Bounds{}); !r.Complete || r.Counterexample != nil || r.States < 1000 {
 			t.Errorf("%+v: %+v", cfg, r)
 		}
 	}
@@ -158,27 +158,27 @@
 		faults int
 	}{{OneCallPerCircuit, circuits.GuardConfirm, 1}, {SignalMatchesCall, circuits.GuardReleaseCount, 0}, {NoLostCircuit, circuits.GuardOverdue, 1}} {
 		cfg := Config{Model: ModelCircuits, Servers: 1, Calls: 3, Attempts: 1, Faults: c.faults, Pauses: 1, DisabledCircuitGuards: c.guard}
-		if r := explore(t, cfg, Bounds{}); r.Counterexample == nil || r.Counterexample.Violation.Invariant != c.rule {
+		if r := runSearch(t, cfg, Bounds{}); r.Counterexample == nil || r.Counterexample.Violation.Invariant != c.rule {
 			t.Errorf("%s: not seen broken without its guard: %+v", c.rule, r.Counterexample)
 		}
 	}
 }
 
 // An exploration that was cut short by any bound says so, and samples what lies beyond where it is asked to.
-func TestCutShort(t *testing.T) {
+func TestIncompleteSearchReportsReason(t *testing.T) {
 	big := Config{Servers: 2, Calls: 3, Attempts: 4, Faults: 3}
 	for why, b := range map[string]Bounds{"depth": {Depth: 3}, "memory": {Memory: 1 << 12}, "time": {Time: time.Millisecond}} {
 		b.Walks = 20
-		if r := explore(t, big, b); r.Complete || r.StopReason != why || r.Walks != 20 || r.Counterexample != nil {
+		if r := runSearch(t, big, b); r.Complete || r.StopReason != why || r.Walks != 20 || r.Counterexample != nil {
 			t.Errorf("%s: %+v", why, r)
 		}
 	}
 }
 
 // A trace that was damaged, cut short or written by a newer version is refused.
-func TestBadTraces(t *testing.T) {
+func TestInvalidTracesAreRejected(t *testing.T) {
 	var text strings.Builder
-	good := Trace{Config: Config{Servers: 1, Calls: 1, Attempts: 2, GiveUp: time.Second}, Actions: []Action{{Kind: setUp}, {Kind: written}}}
+	good := Trace{Config: Config{Servers: 1, Calls: 1, Attempts: 2, GiveUp: time.Second}, Actions: []Action{{Kind: actSetUp}, {Kind: actOfferWritten}}}
 	if err := good.Write(&text); err != nil {
 		t.Fatal(err)
 	}
@@ -207,7 +207,7 @@
 }
 
 // What explorations have found once is mended: its traces break no rule any more.
-func TestFoundOnce(t *testing.T) {
+func TestRecordedCounterexamplesNoLongerFail(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.trace")
 	if err != nil {
 		t.Fatal(err)
@@ -234,27 +234,29 @@
 
 // What a state costs: to be made again from the beginning, and its digest.
 func BenchmarkReplay(b *testing.B) {
-	benchmark(b, func(_ Model, cfg Config, way []Action) { Replay(cfg, way) })
+	benchmarkModel(b, func(_ Model, cfg Config, way []Action) { Replay(cfg, way) })
 }
 
-func BenchmarkDigest(b *testing.B) { benchmark(b, func(w Model, _ Config, _ []Action) { w.Digest() }) }
+func BenchmarkDigest(b *testing.B) {
+	benchmarkModel(b, func(w Model, _ Config, _ []Action) { w.Digest() })
+}
 
-func benchmark(b *testing.B, do func(Model, Config, []Action)) {
+func benchmarkModel(b *testing.B, measured func(Model, Config, []Action)) {
 	cfg := Config{Servers: 2, Calls: 3, Attempts: 4, Faults: 2, GiveUp: time.Second}
-	way := []Action{{Kind: setUp}, {Kind: setUp, Target: 1, Arg: 1}, {Kind: written}, {Kind: written, Target: 1}, {Kind: answer},
-		{Kind: busy, Target: 1}, {Kind: setUp, Target: 2}, {Kind: connLost}, {Kind: dialled}, {Kind: release}}
-	w, n := Replay(cfg, way)
-	if n != len(way) {
+	path := []Action{{Kind: actSetUp}, {Kind: actSetUp, Target: 1, Arg: 1}, {Kind: actOfferWritten}, {Kind: actOfferWritten, Target: 1}, {Kind: actAnswer},
+		{Kind: actRefuseBusy, Target: 1}, {Kind: actSetUp, Target: 2}, {Kind: actConnLost}, {Kind: actDialCompleted}, {Kind: actRelease}}
+	model, n := Replay(cfg, path)
+	if n != len(path) {
 		b.Fatal("the way ends early")
 	}
 	for b.Loop() {
-		do(w, cfg, way)
+		measured(model, cfg, path)
 	}
 }
 
 // Membership keeps its rules whatever is lost, late, killed, started anew or stopped among three members; without its
 // refutations a living member stays dead for good, and without its own suspicions a dead one is not seen in time.
-func TestMembers(t *testing.T) {
+func TestMembershipInvariants(t *testing.T) {
 	cfg := Config{Model: ModelMembership, Servers: 3, Calls: 2, Attempts: 1, Faults: 1, Pauses: 0, GiveUp: time.Second}
 	if r, err := Run(context.Background(), cfg, Bounds{}); err != nil || !r.Complete || r.Counterexample != nil || r.TerminalStates < 100 {
 		t.Fatalf("%+v, %v", r, err)
@@ -281,7 +283,7 @@
 // Ordered maintenance keeps its rules whatever is lost, late, killed, started anew or stopped among three members of
 // which two are asked for; a holder that stood still past its lease is seen out beside the next without its fence, or
 // without taking its callers back.
-func TestWorks(t *testing.T) {
+func TestMaintenanceInvariants(t *testing.T) {
 	cfg := Config{Model: ModelMaintenance, Servers: 3, Calls: 2, Attempts: 1, Faults: 1, GiveUp: time.Second}
 	if r, err := Run(context.Background(), cfg, Bounds{}); err != nil || !r.Complete || r.Counterexample != nil || r.TerminalStates < 100 {
 		t.Fatalf("%+v, %v", r, err)
@@ -304,7 +306,7 @@
 // Parts of a cold server's budget keep their rules whatever is lost, late, killed, started anew or stopped among three
 // members of which one lends and borrows: no unit is used by two, and in the end none is left unused. Each guard taken
 // out is seen to let two use one.
-func TestParts(t *testing.T) {
+func TestBudgetInvariants(t *testing.T) {
 	cfg := Config{Model: ModelBudget, Servers: 3, Calls: 1, Attempts: 1, Faults: 1, GiveUp: time.Second}
 	if r, err := Run(context.Background(), cfg, Bounds{}); err != nil || !r.Complete || r.Counterexample != nil || r.TerminalStates < 20 {
 		t.Fatalf("%+v, %v", r, err)
--- a/internal/explore/line.go
+++ b/internal/explore/line.go
@@ -19,43 +19,43 @@
 )
 
 // confirm is when a release that the server has not confirmed goes out again.
-const confirm = 15 * time.Second
+const releaseConfirmTimeout = 15 * time.Second
 
 // The messages between the circuits and the server.
-type signal uint8
+type messageType uint8
 
 const (
-	iam signal = iota
-	anm
-	rel
-	rlc
+	msgIAM messageType = iota
+	msgANM
+	msgREL
+	msgRLC
 )
 
-var signalNames = [...]string{"IAM", "ANM", "REL", "RLC"}
+var messageTypeNames = [...]string{"IAM", "ANM", "REL", "RLC"}
 
 // message is on its way, with the call that its sender means, which nobody reads.
 type message struct {
-	Signal  signal
+	Type    messageType
 	Circuit uint16
 	Call    core.ID
 }
 
 // farCircuit is a circuit as the server sees it.
-type farCircuit struct {
-	Call     core.ID // 0: free
-	Answered bool
-	Released bool // its own REL waits for our RLC
+type serverCircuit struct {
+	Call      core.ID // 0: free
+	Answered  bool
+	AwaitsRLC bool // its own REL waits for our RLC
 }
 
 // line is the circuits to a server, that server, and what is on its way between the two.
-type line struct {
+type circuitModel struct {
 	Config         Config
 	Circuits       *circuits.Circuits
 	Now            time.Time
 	Connected      bool
 	ToServer       []message
 	FromServer     []message
-	ServerCircuits []farCircuit
+	ServerCircuits []serverCircuit
 	Started        int
 	FaultsLeft     int // faults to come
 	PausesLeft     int // and stalls
@@ -64,200 +64,200 @@
 }
 
 // newLine is where the exploration of circuits begins: a connection is up, and all are free. Servers are circuits here.
-func newLine(cfg Config) *line {
-	ours := circuits.New(cfg.Servers)
-	ours.DisableGuards(cfg.DisabledCircuitGuards)
-	return &line{
-		Config: cfg, Circuits: ours, Now: time.Unix(1_000_000, 0), Connected: true,
-		ServerCircuits: make([]farCircuit, cfg.Servers), FaultsLeft: cfg.Faults, PausesLeft: cfg.Pauses,
+func newCircuitModel(cfg Config) *circuitModel {
+	ownCircuits := circuits.New(cfg.Servers)
+	ownCircuits.DisableGuards(cfg.DisabledCircuitGuards)
+	return &circuitModel{
+		Config: cfg, Circuits: ownCircuits, Now: time.Unix(1_000_000, 0), Connected: true,
+		ServerCircuits: make([]serverCircuit, cfg.Servers), FaultsLeft: cfg.Faults, PausesLeft: cfg.Pauses,
 		OverdueLeft: 2 * (cfg.Calls + cfg.Faults + cfg.Pauses), // each can make a release or two overdue
 	}
 }
 
-func (l *line) Digest() xxh3.Uint128  { return digestOf(l) }
-func (l *line) violation() *Violation { return l.Violation }
-func (l *line) clock() time.Duration  { return time.Duration(l.Now.UnixNano()) }
-func (l *line) send(to *[]message, m message) {
-	if l.Connected {
-		*to = append(*to, m)
+func (c *circuitModel) Digest() xxh3.Uint128  { return digestOf(c) }
+func (c *circuitModel) violation() *Violation { return c.Violation }
+func (c *circuitModel) clock() time.Duration  { return time.Duration(c.Now.UnixNano()) }
+func (c *circuitModel) send(queue *[]message, msg message) {
+	if c.Connected {
+		*queue = append(*queue, msg)
 	}
 }
 
-func (l *line) broken(r Invariant, format string, args ...any) {
-	if l.Violation == nil {
-		l.Violation = &Violation{r, fmt.Sprintf(format, args...)}
+func (c *circuitModel) recordViolation(invariant Invariant, format string, args ...any) {
+	if c.Violation == nil {
+		c.Violation = &Violation{invariant, fmt.Sprintf(format, args...)}
 	}
 }
 
 // EnabledActions are all things that can happen next.
-func (l *line) EnabledActions() (all []Action) {
-	add := func(k ActionKind, of int, fault bool) {
-		if !fault || l.FaultsLeft > 0 {
-			all = append(all, Action{Kind: k, Target: uint8(of)})
+func (c *circuitModel) EnabledActions() (actions []Action) {
+	add := func(kind ActionKind, target int, fault bool) {
+		if !fault || c.FaultsLeft > 0 {
+			actions = append(actions, Action{Kind: kind, Target: uint8(target)})
 		}
 	}
-	if l.Terminal() {
+	if c.Terminal() {
 		return nil
 	}
-	if l.Connected && l.Started < l.Config.Calls && l.Circuits.Free() > 0 {
-		add(seize, 0, false)
+	if c.Connected && c.Started < c.Config.Calls && c.Circuits.Free() > 0 {
+		add(actSeizeCircuit, 0, false)
 	}
-	if l.Connected { // without a connection the core ends nothing here
-		for _, id := range l.Circuits.Calls() {
-			add(clear, int(id), false)
+	if c.Connected { // without a connection the core ends nothing here
+		for _, id := range c.Circuits.Calls() {
+			add(actClearCall, int(id), false)
 		}
 	}
-	if len(l.ToServer) > 0 {
-		add(toServer, 0, false)
-		if l.ToServer[0].Signal == rel {
-			add(deaf, 0, true)
-			add(mute, 0, true)
+	if len(c.ToServer) > 0 {
+		add(actDeliverToServer, 0, false)
+		if c.ToServer[0].Type == msgREL {
+			add(actLoseREL, 0, true)
+			add(actLoseRLC, 0, true)
 		}
 	}
-	if len(l.FromServer) > 0 {
-		add(toUs, 0, false)
+	if len(c.FromServer) > 0 {
+		add(actDeliverFromServer, 0, false)
 	}
-	for i, f := range l.ServerCircuits {
-		if l.Connected && f.Call != 0 && !f.Released {
-			if !f.Answered {
-				add(farAnswer, i, false)
+	for i, circuit := range c.ServerCircuits {
+		if c.Connected && circuit.Call != 0 && !circuit.AwaitsRLC {
+			if !circuit.Answered {
+				add(actServerAnswer, i, false)
 			}
-			add(farRelease, i, false)
+			add(actServerRelease, i, false)
 		}
 	}
-	if l.Connected {
-		add(down, 0, true)
+	if c.Connected {
+		add(actConnDown, 0, true)
 	} else {
-		add(up, 0, false)
+		add(actConnUp, 0, false)
 	}
-	quiet := len(l.ToServer)+len(l.FromServer) == 0
-	if l.Connected && l.Circuits.Free()+len(l.Circuits.Calls()) < len(l.ServerCircuits) && (quiet || l.PausesLeft > 0) && l.OverdueLeft > 0 {
-		add(overdue, 0, false) // with something under way, the server has stalled for as long
+	idle := len(c.ToServer)+len(c.FromServer) == 0
+	if c.Connected && c.Circuits.Free()+len(c.Circuits.Calls()) < len(c.ServerCircuits) && (idle || c.PausesLeft > 0) && c.OverdueLeft > 0 {
+		add(actReleaseOverdue, 0, false) // with something under way, the server has stalled for as long
 	}
-	return all
+	return actions
 }
 
 // TryApply has something happen. It says no to what can't happen now.
-func (l *line) TryApply(a Action) bool {
-	if !slices.Contains(l.EnabledActions(), a) {
+func (c *circuitModel) TryApply(a Action) bool {
+	if !slices.Contains(c.EnabledActions(), a) {
 		return false
 	}
-	l.apply(a)
+	c.apply(a)
 	return true
 }
 
-func (l *line) apply(a Action) {
-	n := int(a.Target)
+func (c *circuitModel) apply(a Action) {
+	target := int(a.Target)
 	switch a.Kind {
-	case seize:
-		l.Started++
-		id := core.ID(l.Started)
-		if cic, ok := l.Circuits.Allocate(id); ok {
-			l.send(&l.ToServer, message{iam, cic, id})
+	case actSeizeCircuit:
+		c.Started++
+		id := core.ID(c.Started)
+		if cic, ok := c.Circuits.Allocate(id); ok {
+			c.send(&c.ToServer, message{msgIAM, cic, id})
 		}
-	case clear:
-		id := core.ID(n)
-		if cic, ok := l.Circuits.Release(id, l.Now); ok {
-			l.send(&l.ToServer, message{rel, cic, id})
+	case actClearCall:
+		id := core.ID(target)
+		if cic, ok := c.Circuits.Release(id, c.Now); ok {
+			c.send(&c.ToServer, message{msgREL, cic, id})
 		}
-	case toServer, deaf, mute:
-		m := l.ToServer[0]
-		l.ToServer = l.ToServer[1:]
-		if a.Kind != toServer {
-			l.FaultsLeft--
+	case actDeliverToServer, actLoseREL, actLoseRLC:
+		msg := c.ToServer[0]
+		c.ToServer = c.ToServer[1:]
+		if a.Kind != actDeliverToServer {
+			c.FaultsLeft--
 		}
-		if a.Kind != deaf {
-			l.atServer(m, a.Kind == mute)
+		if a.Kind != actLoseREL {
+			c.receiveAtServer(msg, a.Kind == actLoseRLC)
 		}
-	case toUs:
-		m := l.FromServer[0]
-		l.FromServer = l.FromServer[1:]
-		l.atOurs(m)
-	case farAnswer:
-		l.ServerCircuits[n].Answered = true
-		l.send(&l.FromServer, message{anm, uint16(n), l.ServerCircuits[n].Call})
-	case farRelease:
-		l.ServerCircuits[n].Released = true
-		l.send(&l.FromServer, message{rel, uint16(n), l.ServerCircuits[n].Call})
-	case down:
-		l.FaultsLeft--
-		l.Connected, l.ToServer, l.FromServer = false, nil, nil
-		l.Circuits.ConnLost(l.Now)
-	case up:
-		l.Connected = true
-		for i := range l.ServerCircuits { // a server's REL that was lost goes out again
-			if l.ServerCircuits[i].Released {
-				l.send(&l.FromServer, message{rel, uint16(i), l.ServerCircuits[i].Call})
+	case actDeliverFromServer:
+		msg := c.FromServer[0]
+		c.FromServer = c.FromServer[1:]
+		c.receiveFromServer(msg)
+	case actServerAnswer:
+		c.ServerCircuits[target].Answered = true
+		c.send(&c.FromServer, message{msgANM, uint16(target), c.ServerCircuits[target].Call})
+	case actServerRelease:
+		c.ServerCircuits[target].AwaitsRLC = true
+		c.send(&c.FromServer, message{msgREL, uint16(target), c.ServerCircuits[target].Call})
+	case actConnDown:
+		c.FaultsLeft--
+		c.Connected, c.ToServer, c.FromServer = false, nil, nil
+		c.Circuits.ConnLost(c.Now)
+	case actConnUp:
+		c.Connected = true
+		for i := range c.ServerCircuits { // a server's REL that was lost goes out again
+			if c.ServerCircuits[i].AwaitsRLC {
+				c.send(&c.FromServer, message{msgREL, uint16(i), c.ServerCircuits[i].Call})
 			}
 		}
-		for _, cic := range l.Circuits.Unconfirmed(l.Now) {
-			l.send(&l.ToServer, message{rel, cic, 0})
+		for _, cic := range c.Circuits.Unconfirmed(c.Now) {
+			c.send(&c.ToServer, message{msgREL, cic, 0})
 		}
-	case overdue:
-		if len(l.ToServer)+len(l.FromServer) > 0 {
-			l.PausesLeft--
+	case actReleaseOverdue:
+		if len(c.ToServer)+len(c.FromServer) > 0 {
+			c.PausesLeft--
 		}
-		l.OverdueLeft--
-		l.Now = l.Now.Add(confirm)
-		for _, cic := range l.Circuits.Overdue(l.Now, confirm) {
-			l.send(&l.ToServer, message{rel, cic, 0})
+		c.OverdueLeft--
+		c.Now = c.Now.Add(releaseConfirmTimeout)
+		for _, cic := range c.Circuits.Overdue(c.Now, releaseConfirmTimeout) {
+			c.send(&c.ToServer, message{msgREL, cic, 0})
 		}
 	}
 }
 
 // atServer has the server hear a message.
-func (l *line) atServer(m message, mute bool) {
-	f := &l.ServerCircuits[m.Circuit]
-	switch m.Signal {
-	case iam:
-		if f.Call != 0 {
-			l.broken(OneCallPerCircuit, "the IAM of call %d meets circuit %d in use for call %d", m.Call, m.Circuit, f.Call)
+func (c *circuitModel) receiveAtServer(msg message, loseRLC bool) {
+	circuit := &c.ServerCircuits[msg.Circuit]
+	switch msg.Type {
+	case msgIAM:
+		if circuit.Call != 0 {
+			c.recordViolation(OneCallPerCircuit, "the IAM of call %d meets circuit %d in use for call %d", msg.Call, msg.Circuit, circuit.Call)
 		}
-		*f = farCircuit{Call: m.Call}
-	case rel:
-		if m.Call != 0 && f.Call != 0 && f.Call != m.Call {
-			l.broken(SignalMatchesCall, "the REL of call %d ends call %d", m.Call, f.Call)
+		*circuit = serverCircuit{Call: msg.Call}
+	case msgREL:
+		if msg.Call != 0 && circuit.Call != 0 && circuit.Call != msg.Call {
+			c.recordViolation(SignalMatchesCall, "the REL of call %d ends call %d", msg.Call, circuit.Call)
 		}
-		*f = farCircuit{}
-		if !mute {
-			l.send(&l.FromServer, message{rlc, m.Circuit, m.Call})
+		*circuit = serverCircuit{}
+		if !loseRLC {
+			c.send(&c.FromServer, message{msgRLC, msg.Circuit, msg.Call})
 		}
-	case rlc:
-		if f.Released {
-			*f = farCircuit{}
+	case msgRLC:
+		if circuit.AwaitsRLC {
+			*circuit = serverCircuit{}
 		}
 	}
 }
 
 // atOurs has the circuits hear a message.
-func (l *line) atOurs(m message) {
+func (c *circuitModel) receiveFromServer(msg message) {
 	var id core.ID
-	there := false
-	switch m.Signal {
-	case anm:
-		id, there = l.Circuits.Answered(m.Circuit)
-	case rel:
-		id, there = l.Circuits.Released(m.Circuit)
-		l.send(&l.ToServer, message{rlc, m.Circuit, m.Call})
-	case rlc:
-		l.Circuits.Confirmed(m.Circuit, l.Now)
+	found := false
+	switch msg.Type {
+	case msgANM:
+		id, found = c.Circuits.Answered(msg.Circuit)
+	case msgREL:
+		id, found = c.Circuits.Released(msg.Circuit)
+		c.send(&c.ToServer, message{msgRLC, msg.Circuit, msg.Call})
+	case msgRLC:
+		c.Circuits.Confirmed(msg.Circuit, c.Now)
 	}
-	if there && id != m.Call {
-		l.broken(SignalMatchesCall, "the %s of call %d on circuit %d is taken for one of call %d", signalNames[m.Signal], m.Call, m.Circuit, id)
+	if found && id != msg.Call {
+		c.recordViolation(SignalMatchesCall, "the %s of call %d on circuit %d is taken for one of call %d", messageTypeNames[msg.Type], msg.Call, msg.Circuit, id)
 	}
 }
 
 // Terminal says whether every call is over and every circuit is free on both sides.
-func (l *line) Terminal() bool {
-	if l.Started < l.Config.Calls || l.Circuits.Free() < len(l.ServerCircuits) || len(l.ToServer)+len(l.FromServer) > 0 {
+func (c *circuitModel) Terminal() bool {
+	if c.Started < c.Config.Calls || c.Circuits.Free() < len(c.ServerCircuits) || len(c.ToServer)+len(c.FromServer) > 0 {
 		return false
 	}
-	return !slices.ContainsFunc(l.ServerCircuits, func(f farCircuit) bool { return f.Call != 0 })
+	return !slices.ContainsFunc(c.ServerCircuits, func(circuit serverCircuit) bool { return circuit.Call != 0 })
 }
 
 // stuck judges a state in which nothing can happen any more.
-func (l *line) stuck() {
-	if !l.Terminal() {
-		l.broken(NoLostCircuit, "%d of %d circuits are free, and nothing can happen any more", l.Circuits.Free(), len(l.ServerCircuits))
+func (c *circuitModel) checkDeadlock() {
+	if !c.Terminal() {
+		c.recordViolation(NoLostCircuit, "%d of %d circuits are free, and nothing can happen any more", c.Circuits.Free(), len(c.ServerCircuits))
 	}
 }
--- a/internal/explore/members.go
+++ b/internal/explore/members.go
@@ -15,87 +15,87 @@
 )
 
 // members is the protocol of membership.
-type members struct{ Limits membership.Limits }
+type membershipProtocol struct{ Limits membership.Limits }
 
 // newMembers has the defaults, with suspicions that are soon over and times that are stretched less: deaths come within a
 // few periods of turmoil.
-func newMembers(cfg Config) *tier {
+func newMembershipModel(cfg Config) *tierModel {
 	l := membership.Defaults()
 	l.MaxHealth, l.SuspicionMin, l.SuspicionMax = 2, 1, 2
-	return newTier(cfg, &members{l}, 4*l.Period)
+	return newTierModel(cfg, &membershipProtocol{l}, 4*l.Period)
 }
 
 // memberNode is a member's reducer.
-type memberNode struct{ Reducer *membership.Reducer }
+type membershipProcess struct{ Reducer *membership.Reducer }
 
-func (n *memberNode) datagram(now time.Duration, from int, data []byte) outcome {
-	return memberOutcome(n.Reducer.Step(now, membership.Datagram{From: from, Data: data}))
+func (p *membershipProcess) receive(now time.Duration, from int, data []byte) stepEffects {
+	return membershipEffects(p.Reducer.Step(now, membership.Datagram{From: from, Data: data}))
 }
 
-func (n *memberNode) due(now time.Duration, token any) outcome {
-	return memberOutcome(n.Reducer.Step(now, membership.TimerFired{Token: token.(membership.Token)}))
+func (p *membershipProcess) timerFired(now time.Duration, token any) stepEffects {
+	return membershipEffects(p.Reducer.Step(now, membership.TimerFired{Token: token.(membership.Token)}))
 }
 
-func memberOutcome(out []membership.Effect) (o outcome) {
-	for _, e := range out {
+func membershipEffects(effects []membership.Effect) (result stepEffects) {
+	for _, e := range effects {
 		switch e := e.(type) {
 		case membership.Send:
-			o.Sends = append(o.Sends, flight{To: e.To, Data: e.Data})
+			result.Sends = append(result.Sends, sentDatagram{To: e.To, Data: e.Data})
 		case membership.Timer:
-			o.Timers = append(o.Timers, tierTimer{e.At, e.Token})
+			result.Timers = append(result.Timers, memberTimer{e.At, e.Token})
 		}
 	}
-	return o
+	return result
 }
 
-func (p *members) start(t *tier, m int, life uint8) (peerNode, outcome) {
-	r, out, err := membership.New(membership.Config{Self: m, TierSize: len(t.Members), Limits: p.Limits,
-		Seed: t.Config.Seed + uint64(m) + 100*uint64(life), DisabledGuards: t.Config.DisabledMembershipGuards}, t.Now)
+func (p *membershipProtocol) startMember(t *tierModel, index int, incarnation uint8) (memberProcess, stepEffects) {
+	reducer, effects, err := membership.New(membership.Config{Self: index, TierSize: len(t.Members), Limits: p.Limits,
+		Seed: t.Config.Seed + uint64(index) + 100*uint64(incarnation), DisabledGuards: t.Config.DisabledMembershipGuards}, t.Now)
 	if err != nil {
 		panic(err)
 	}
-	return &memberNode{r}, memberOutcome(out)
+	return &membershipProcess{reducer}, membershipEffects(effects)
 }
 
-func (p *members) begin(*tier)       {}
-func (p *members) killed(*tier, int) {}
+func (p *membershipProtocol) converged(*tierModel)         {}
+func (p *membershipProtocol) memberKilled(*tierModel, int) {}
 
-func (p *members) stepped(t *tier, m int) {
-	if v := t.Members[m].Node.(*memberNode).Reducer.View(); !v.Majority() && v.ColdQuotaFactor() > float64(max(v.Available, 1))/float64(v.TierSize) {
-		t.broken(MinorityColdLimit, "member %d sees %d of %d and takes %v", m, v.Available, v.TierSize, v.ColdQuotaFactor())
+func (p *membershipProtocol) checkStep(t *tierModel, index int) {
+	if view := t.Members[index].Process.(*membershipProcess).Reducer.View(); !view.Majority() && view.ColdQuotaFactor() > float64(max(view.Available, 1))/float64(view.TierSize) {
+		t.recordViolation(MinorityColdLimit, "member %d sees %d of %d and takes %v", index, view.Available, view.TierSize, view.ColdQuotaFactor())
 	}
 }
 
 // passed judges whether the dead are suspected by now: every living member probes each other one within two rounds, and a
 // probe takes a period, each stretched by as much as a member's health may.
-func (p *members) passed(t *tier) {
+func (p *membershipProtocol) checkTimePassed(t *tierModel) {
 	bound := time.Duration(2*len(t.Members)) * p.Limits.Period * time.Duration(p.Limits.MaxHealth+1)
-	for d, e := range t.Members {
-		if e.Node != nil {
+	for deadIndex, dead := range t.Members {
+		if dead.Process != nil {
 			continue
 		}
-		for o, by := range t.Members {
-			if by.Node == nil || by.Paused || t.Now < max(e.DiedAt, by.UndisturbedSince, t.LastFault)+bound {
+		for observerIndex, observer := range t.Members {
+			if observer.Process == nil || observer.Paused || t.Now < max(dead.DiedAt, observer.UndisturbedSince, t.LastFault)+bound {
 				continue
 			}
-			if s := by.Node.(*memberNode).Reducer.Members()[d].State; s.Available() {
-				t.broken(TimelySuspicion, "member %d holds member %d %v, %v after its death", o, d, s, t.Now-e.DiedAt)
+			if state := observer.Process.(*membershipProcess).Reducer.Members()[deadIndex].State; state.Available() {
+				t.recordViolation(TimelySuspicion, "member %d holds member %d %v, %v after its death", observerIndex, deadIndex, state, t.Now-dead.DiedAt)
 			}
 		}
 	}
 }
 
-func (p *members) settled(t *tier) {
-	for o, by := range t.Members {
-		if by.Node == nil {
+func (p *membershipProtocol) checkSettled(t *tierModel) {
+	for observerIndex, observer := range t.Members {
+		if observer.Process == nil {
 			continue
 		}
-		for m, e := range t.Members {
-			switch s := by.Node.(*memberNode).Reducer.Members()[m].State; {
-			case e.Node != nil && !s.Available():
-				t.broken(NoPermanentFalseDeath, "%v after the last disturbance member %d holds member %d, which is there, %v", tierSettle, o, m, s)
-			case e.Node == nil && s != membership.Dead:
-				t.broken(StaysDead, "%v after the last disturbance member %d holds member %d, which is dead, %v", tierSettle, o, m, s)
+		for index, member := range t.Members {
+			switch state := observer.Process.(*membershipProcess).Reducer.Members()[index].State; {
+			case member.Process != nil && !state.Available():
+				t.recordViolation(NoPermanentFalseDeath, "%v after the last disturbance member %d holds member %d, which is there, %v", settleTime, observerIndex, index, state)
+			case member.Process == nil && state != membership.Dead:
+				t.recordViolation(StaysDead, "%v after the last disturbance member %d holds member %d, which is dead, %v", settleTime, observerIndex, index, state)
 			}
 		}
 	}
--- a/internal/explore/model.go
+++ b/internal/explore/model.go
@@ -14,7 +14,7 @@
 	Terminal() bool           // nothing is left to happen that matters
 	Digest() xxh3.Uint128     // two with one digest go on alike
 	apply(Action)             // has one of Actions happen
-	stuck()                   // judges a state in which nothing can happen
+	checkDeadlock()           // judges a state in which nothing can happen
 	violation() *Violation    // the first rule that was broken
 	clock() time.Duration
 }
@@ -35,29 +35,29 @@
 	}
 	switch cfg.Model {
 	case ModelCircuits:
-		return newLine(cfg), nil
+		return newCircuitModel(cfg), nil
 	case ModelMembership:
-		return newMembers(cfg), nil
+		return newMembershipModel(cfg), nil
 	case ModelMaintenance:
-		return newWorks(cfg), nil
+		return newMaintenanceModel(cfg), nil
 	case ModelBudget:
-		return newParts(cfg), nil
+		return newBudgetModel(cfg), nil
 	}
 	return NewCallModel(cfg)
 }
 
 // Digest is that of the core, the module and all around them.
-func (w *CallModel) Digest() xxh3.Uint128  { return digestOf(w) }
-func (w *CallModel) violation() *Violation { return w.Violation }
-func (w *CallModel) clock() time.Duration  { return w.Now }
+func (m *CallModel) Digest() xxh3.Uint128  { return digestOf(m) }
+func (m *CallModel) violation() *Violation { return m.Violation }
+func (m *CallModel) clock() time.Duration  { return m.Now }
 
 // digestOf is a canonical digest of a model: every field that there is, so that one that is added later counts by
 // itself. It follows pointers once and takes maps in the order of their keys. Only what the last step of the core has
 // left lying is passed over.
 func digestOf(model any) xxh3.Uint128 {
-	d := digests.Get().(*digest)
-	defer digests.Put(d)
-	d.b, d.seen = d.b[:0], d.seen[:0]
-	d.value(reflect.ValueOf(model).Elem())
-	return xxh3.Hash128(d.b)
+	d := digestPool.Get().(*encoder)
+	defer digestPool.Put(d)
+	d.buf, d.visited = d.buf[:0], d.visited[:0]
+	d.appendValue(reflect.ValueOf(model).Elem())
+	return xxh3.Hash128(d.buf)
 }
--- a/internal/explore/parts.go
+++ b/internal/explore/parts.go
@@ -13,118 +13,118 @@
 )
 
 // parts is the protocol of budgets, while a server is cold: the first member needs thrice its part, the others none.
-type parts struct{ Limits budget.Limits }
+type budgetProtocol struct{ Limits budget.Limits }
 
-func newParts(cfg Config) *tier {
+func newBudgetModel(cfg Config) *tierModel {
 	l := budget.Defaults()
 	l.Lease = time.Second
-	return newTier(cfg, &parts{l}, 2*time.Second)
+	return newTierModel(cfg, &budgetProtocol{l}, 2*time.Second)
 }
 
 // partNode is a member's reducer.
-type partNode struct{ Reducer *budget.Reducer }
+type budgetProcess struct{ Reducer *budget.Reducer }
 
-func (n *partNode) step(now time.Duration, ev budget.Event) (o outcome) {
-	for _, e := range n.Reducer.Step(now, ev) {
+func (p *budgetProcess) step(now time.Duration, ev budget.Event) (result stepEffects) {
+	for _, e := range p.Reducer.Step(now, ev) {
 		switch e := e.(type) {
 		case budget.Send:
-			o.Sends = append(o.Sends, flight{To: e.To, Data: e.Data})
+			result.Sends = append(result.Sends, sentDatagram{To: e.To, Data: e.Data})
 		case budget.Timer:
-			o.Timers = append(o.Timers, tierTimer{e.At, e.Token})
+			result.Timers = append(result.Timers, memberTimer{e.At, e.Token})
 		}
 	}
-	return o
+	return result
 }
 
-func (n *partNode) datagram(now time.Duration, from int, data []byte) outcome {
-	return n.step(now, budget.Datagram{From: from, Data: data})
+func (p *budgetProcess) receive(now time.Duration, from int, data []byte) stepEffects {
+	return p.step(now, budget.Datagram{From: from, Data: data})
 }
 
-func (n *partNode) due(now time.Duration, token any) outcome {
-	return n.step(now, budget.TimerFired{Token: token.(budget.Token)})
+func (p *budgetProcess) timerFired(now time.Duration, token any) stepEffects {
+	return p.step(now, budget.TimerFired{Token: token.(budget.Token)})
 }
 
-func (p *parts) start(t *tier, m int, life uint8) (peerNode, outcome) {
-	r, _, err := budget.New(budget.Config{Self: m, TierSize: len(t.Members), Limits: p.Limits,
-		Seed: t.Config.Seed + uint64(m) + 100*uint64(life), DisabledGuards: t.Config.DisabledBudgetGuards}, t.Now)
+func (p *budgetProtocol) startMember(t *tierModel, index int, incarnation uint8) (memberProcess, stepEffects) {
+	reducer, _, err := budget.New(budget.Config{Self: index, TierSize: len(t.Members), Limits: p.Limits,
+		Seed: t.Config.Seed + uint64(index) + 100*uint64(incarnation), DisabledGuards: t.Config.DisabledBudgetGuards}, t.Now)
 	if err != nil {
 		panic(err)
 	}
-	n := &partNode{r}
-	var o outcome
+	process := &budgetProcess{reducer}
+	var result stepEffects
 	add := func(ev budget.Event) {
-		out := n.step(t.Now, ev)
-		o.Sends, o.Timers = append(o.Sends, out.Sends...), append(o.Timers, out.Timers...)
+		effects := process.step(t.Now, ev)
+		result.Sends, result.Timers = append(result.Sends, effects.Sends...), append(result.Timers, effects.Timers...)
 	}
-	for other, e := range t.Members {
-		add(budget.MemberAvailability{Member: other, Available: e.Node != nil || life == 0})
-		if e.Node != nil && !e.Paused && other != m {
-			t.carry(other, e.Node.(*partNode).step(t.Now, budget.MemberAvailability{Member: m, Available: true}))
+	for other, member := range t.Members {
+		add(budget.MemberAvailability{Member: other, Available: member.Process != nil || incarnation == 0})
+		if member.Process != nil && !member.Paused && other != index {
+			t.applyEffects(other, member.Process.(*budgetProcess).step(t.Now, budget.MemberAvailability{Member: index, Available: true}))
 		}
 	}
-	use := 0.0
-	if m == 0 {
-		use = 3
+	demand := 0.0
+	if index == 0 {
+		demand = 3
 	}
-	add(budget.Demand{Quotas: use})
+	add(budget.Demand{Quotas: demand})
 	add(budget.ColdServer{Server: 1, Rate: 1, Until: t.Now + time.Hour})
-	return n, o
+	return process, result
 }
 
-func (p *parts) begin(*tier) {}
+func (p *budgetProtocol) converged(*tierModel) {}
 
-func (p *parts) killed(t *tier, m int) {
-	for o, e := range t.Members {
-		if e.Node != nil && !e.Paused {
-			t.carry(o, e.Node.(*partNode).step(t.Now, budget.MemberAvailability{Member: m}))
+func (p *budgetProtocol) memberKilled(t *tierModel, index int) {
+	for other, member := range t.Members {
+		if member.Process != nil && !member.Paused {
+			t.applyEffects(other, member.Process.(*budgetProcess).step(t.Now, budget.MemberAvailability{Member: index}))
 		}
 	}
 }
 
-func (p *parts) stepped(t *tier, _ int) { p.passed(t) }
+func (p *budgetProtocol) checkStep(t *tierModel, _ int) { p.checkTimePassed(t) }
 
 // used are the units of a part that those use who run.
-func (p *parts) used(t *tier, part int) (units budget.Mask, by int) {
-	for m, e := range t.Members {
-		if e.Node == nil || e.Paused {
+func (p *budgetProtocol) usedUnits(t *tierModel, quota int) (units budget.Mask, users int) {
+	for index, member := range t.Members {
+		if member.Process == nil || member.Paused {
 			continue
 		}
-		use := e.Node.(*partNode).Reducer.Usable(t.Now, part)
-		if units&use != 0 {
-			t.broken(ExclusiveUnits, "units %08b of member %d's part are used by member %d and another", units&use, part, m)
+		usable := member.Process.(*budgetProcess).Reducer.Usable(t.Now, quota)
+		if units&usable != 0 {
+			t.recordViolation(ExclusiveUnits, "units %08b of member %d's part are used by member %d and another", units&usable, quota, index)
 		}
-		units |= use
-		if use != 0 {
-			by++
+		units |= usable
+		if usable != 0 {
+			users++
 		}
 	}
-	return units, by
+	return units, users
 }
 
-func (p *parts) passed(t *tier) {
-	for part := range t.Members {
-		p.used(t, part)
+func (p *budgetProtocol) checkTimePassed(t *tierModel) {
+	for quota := range t.Members {
+		p.usedUnits(t, quota)
 	}
 }
 
-func (p *parts) settled(t *tier) {
-	there := 0
-	for _, e := range t.Members {
-		if e.Node != nil {
-			there++
+func (p *budgetProtocol) checkSettled(t *tierModel) {
+	available := 0
+	for _, member := range t.Members {
+		if member.Process != nil {
+			available++
 		}
 	}
-	if 2*there <= len(t.Members) {
+	if 2*available <= len(t.Members) {
 		return
 	}
-	all := budget.Mask(1<<budget.Units - 1)
-	for part, e := range t.Members {
-		want := all
-		if e.Node == nil {
+	allUnits := budget.Mask(1<<budget.Units - 1)
+	for quota, member := range t.Members {
+		want := allUnits
+		if member.Process == nil {
 			want &^= 1
 		}
-		if units, _ := p.used(t, part); units != want {
-			t.broken(AllUnitsUsed, "%v after the last disturbance units %08b of member %d's part are used", tierSettle, units, part)
+		if units, _ := p.usedUnits(t, quota); units != want {
+			t.recordViolation(AllUnitsUsed, "%v after the last disturbance units %08b of member %d's part are used", settleTime, units, quota)
 		}
 	}
 }
--- a/internal/explore/rules.go
+++ b/internal/explore/rules.go
@@ -44,101 +44,101 @@
 	EndedBadly     bool // its last attempt ended at Bad by a time-out, a reset or a cancel
 	FinalAnswers   int
 	WasEstablished bool
-	Released       int
+	Releases       int
 	CallerGone     bool // nobody waits for an answer, or for a release
 }
 
 // broken records the first rule that is broken.
-func (w *CallModel) broken(r Invariant, format string, args ...any) {
-	if w.Violation == nil {
-		w.Violation = &Violation{r, fmt.Sprintf(format, args...)}
+func (m *CallModel) recordViolation(invariant Invariant, format string, args ...any) {
+	if m.Violation == nil {
+		m.Violation = &Violation{invariant, fmt.Sprintf(format, args...)}
 	}
 }
 
 // offered judges an attempt.
-func (w *CallModel) offered(i int, to *conn) {
-	a := &w.Calls[i].Account
+func (m *CallModel) checkOffer(index int, conn *conn) {
+	acct := &m.Calls[index].Account
 	switch {
-	case to == nil:
-		w.broken(SendOnOpenConn, "call %d is offered on no connection", i)
+	case conn == nil:
+		m.recordViolation(SendOnOpenConn, "call %d is offered on no connection", index)
 		return
-	case a.Outstanding > 0:
-		w.broken(OneOutstandingAttempt, "call %d has a second attempt out", i)
-	case a.Attempts >= a.MaxAttempts:
-		w.broken(AttemptLimit, "call %d is sent for the %d. time", i, a.Attempts+1)
-	case a.EndedBadly && w.Now < a.BadEndAt+releaseGap:
-		w.broken(ReleaseGuard, "call %d is sent %v after its last attempt ended", i, w.Now-a.BadEndAt)
-	case w.Servers[to.Server].Phase != ready:
-		w.broken(NoSetUpToDrained, "call %d is sent to server %d", i, to.Server)
-	case a.FinalAnswers > 0 || a.CallerGone:
-		w.broken(OneFinalAnswer, "call %d is sent after its end", i)
+	case acct.Outstanding > 0:
+		m.recordViolation(OneOutstandingAttempt, "call %d has a second attempt out", index)
+	case acct.Attempts >= acct.MaxAttempts:
+		m.recordViolation(AttemptLimit, "call %d is sent for the %d. time", index, acct.Attempts+1)
+	case acct.EndedBadly && m.Now < acct.BadEndAt+releaseGuardTime:
+		m.recordViolation(ReleaseGuard, "call %d is sent %v after its last attempt ended", index, m.Now-acct.BadEndAt)
+	case m.Servers[conn.Server].Phase != phaseReady:
+		m.recordViolation(NoSetUpToDrained, "call %d is sent to server %d", index, conn.Server)
+	case acct.FinalAnswers > 0 || acct.CallerGone:
+		m.recordViolation(OneFinalAnswer, "call %d is sent after its end", index)
 	}
-	a.Attempts++
-	a.Outstanding++
+	acct.Attempts++
+	acct.Outstanding++
 }
 
 // attemptOver takes in the end of an attempt. Bad: by a time-out, a reset or a cancel.
-func (w *CallModel) attemptOver(i int, bad bool) {
-	a := &w.Calls[i].Account
-	if a.Outstanding > 0 {
-		a.Outstanding--
+func (m *CallModel) recordAttemptEnd(index int, bad bool) {
+	acct := &m.Calls[index].Account
+	if acct.Outstanding > 0 {
+		acct.Outstanding--
 	}
-	a.EndedBadly, a.BadEndAt = bad, w.Now
+	acct.EndedBadly, acct.BadEndAt = bad, m.Now
 }
 
 // finalAnswer judges a final answer.
-func (w *CallModel) finalAnswer(i int, to core.ConnID, stands bool) {
-	c := &w.Calls[i]
-	a := &c.Account
+func (m *CallModel) checkFinalAnswer(index int, connID core.ConnID, established bool) {
+	call := &m.Calls[index]
+	acct := &call.Account
 	switch {
-	case !w.callerUp(to):
-		w.broken(SendOnOpenConn, "call %d is answered on no connection", i)
-	case a.FinalAnswers > 0:
-		w.broken(OneFinalAnswer, "call %d has a second final answer", i)
-	case a.CallerGone:
-		w.broken(OneFinalAnswer, "call %d is answered and nobody waits", i)
-	case stands && !c.Established:
-		w.broken(OneFinalAnswer, "call %d is said to stand and stands nowhere", i)
-	case w.Now > c.Deadline:
-		w.broken(AnswerBeforeGiveUp, "call %d is answered %v late", i, w.Now-c.Deadline)
+	case !m.callerConnected(connID):
+		m.recordViolation(SendOnOpenConn, "call %d is answered on no connection", index)
+	case acct.FinalAnswers > 0:
+		m.recordViolation(OneFinalAnswer, "call %d has a second final answer", index)
+	case acct.CallerGone:
+		m.recordViolation(OneFinalAnswer, "call %d is answered and nobody waits", index)
+	case established && !call.Established:
+		m.recordViolation(OneFinalAnswer, "call %d is said to stand and stands nowhere", index)
+	case m.Now > call.Deadline:
+		m.recordViolation(AnswerBeforeGiveUp, "call %d is answered %v late", index, m.Now-call.Deadline)
 	}
-	a.FinalAnswers++
-	a.WasEstablished = a.WasEstablished || stands
+	acct.FinalAnswers++
+	acct.WasEstablished = acct.WasEstablished || established
 }
 
 // released judges a release towards a caller.
-func (w *CallModel) released(i int, to core.ConnID) {
-	a := &w.Calls[i].Account
+func (m *CallModel) checkRelease(index int, connID core.ConnID) {
+	acct := &m.Calls[index].Account
 	switch {
-	case !w.callerUp(to):
-		w.broken(SendOnOpenConn, "call %d is released on no connection", i)
-	case !a.WasEstablished:
-		w.broken(OneRelease, "call %d is released and never stood", i)
-	case a.Released > 0 || a.CallerGone:
-		w.broken(OneRelease, "call %d is released twice", i)
+	case !m.callerConnected(connID):
+		m.recordViolation(SendOnOpenConn, "call %d is released on no connection", index)
+	case !acct.WasEstablished:
+		m.recordViolation(OneRelease, "call %d is released and never stood", index)
+	case acct.Releases > 0 || acct.CallerGone:
+		m.recordViolation(OneRelease, "call %d is released twice", index)
 	}
-	a.Released++
+	acct.Releases++
 }
 
 // inTime judges whether anybody waits for longer than it wanted to.
-func (w *CallModel) inTime(now core.Time) {
-	for i := range w.Calls {
-		if c := &w.Calls[i]; c.Started && c.Account.FinalAnswers == 0 && !c.Account.CallerGone && now > c.Deadline {
-			w.broken(AnswerBeforeGiveUp, "call %d has no final answer %v after its time", i, now-c.Deadline)
+func (m *CallModel) checkDeadlines(now core.Time) {
+	for i := range m.Calls {
+		if call := &m.Calls[i]; call.Started && call.Account.FinalAnswers == 0 && !call.Account.CallerGone && now > call.Deadline {
+			m.recordViolation(AnswerBeforeGiveUp, "call %d has no final answer %v after its time", i, now-call.Deadline)
 		}
 	}
 }
 
 // over says whether nothing more is owed for a call.
-func (c *Call) over() bool {
-	a := &c.Account
-	return c.Started && c.State == nowhere && !c.Established && (a.CallerGone || a.FinalAnswers > 0 && (!a.WasEstablished || a.Released > 0))
+func (c *Call) ended() bool {
+	acct := &c.Account
+	return c.Started && c.State == attemptNone && !c.Established && (acct.CallerGone || acct.FinalAnswers > 0 && (!acct.WasEstablished || acct.Releases > 0))
 }
 
 // done says whether every call is over.
-func (w *CallModel) done() bool {
-	for i := range w.Calls {
-		if !w.Calls[i].over() {
+func (m *CallModel) allCallsEnded() bool {
+	for i := range m.Calls {
+		if !m.Calls[i].ended() {
 			return false
 		}
 	}
@@ -146,28 +146,28 @@
 }
 
 // Terminal says whether every call is over, and judges what is kept then.
-func (w *CallModel) Terminal() bool {
-	if !w.done() {
+func (m *CallModel) Terminal() bool {
+	if !m.allCallsEnded() {
 		return false
 	}
-	if h := w.Core.Retained(); h != (core.Retained{}) {
-		w.broken(NoLeak, "every call is over, and %+v is kept", h)
+	if retained := m.Core.Retained(); retained != (core.Retained{}) {
+		m.recordViolation(NoLeak, "every call is over, and %+v is kept", retained)
 	}
 	return true
 }
 
 // stuck judges a state in which nothing can happen any more.
-func (w *CallModel) stuck() {
-	for i := range w.Calls {
-		c := &w.Calls[i]
-		switch a := &c.Account; {
-		case c.over() || !c.Started:
-		case c.Established && a.CallerGone:
-			w.broken(OneRelease, "call %d was hung up and stands at its server", i)
-		case a.WasEstablished:
-			w.broken(OneRelease, "call %d is over and never released", i)
+func (m *CallModel) checkDeadlock() {
+	for i := range m.Calls {
+		call := &m.Calls[i]
+		switch acct := &call.Account; {
+		case call.ended() || !call.Started:
+		case call.Established && acct.CallerGone:
+			m.recordViolation(OneRelease, "call %d was hung up and stands at its server", i)
+		case acct.WasEstablished:
+			m.recordViolation(OneRelease, "call %d is over and never released", i)
 		default:
-			w.broken(AnswerBeforeGiveUp, "call %d waits for ever", i)
+			m.recordViolation(AnswerBeforeGiveUp, "call %d waits for ever", i)
 		}
 	}
 }
--- a/internal/explore/search.go
+++ b/internal/explore/search.go
@@ -35,87 +35,87 @@
 }
 
 // nodeSize is about what a state costs: its node, and its digest among those seen.
-const nodeSize = 8 + 16 + 24
+const bytesPerState = 8 + 16 + 24
 
 // node is a state by the way to it: the state before, and what happened then.
-type node struct {
-	from int32
-	act  Action
+type searchNode struct {
+	parent int32
+	action Action
 }
 
 // found is what a worker found of one action in one state.
-type found struct {
-	acted  bool // false: of the state itself
-	act    Action
-	digest xxh3.Uint128
-	over   bool
-	broken *Violation
+type stepResult struct {
+	hasAction bool // false: of the state itself
+	action    Action
+	digest    xxh3.Uint128
+	terminal  bool
+	violation *Violation
 }
 
 type search struct {
-	cfg   Config
-	nodes []node
-	seen  map[xxh3.Uint128]struct{}
-	rep   Report
+	cfg    Config
+	nodes  []searchNode
+	seen   map[xxh3.Uint128]struct{}
+	report Report
 }
 
 // Run explores breadth first. States are kept as the ways to them and made again when their turn comes; see
 // docs/CHECKING.md for what that costs.
-func Run(ctx context.Context, cfg Config, b Bounds) (*Report, error) {
-	began := time.Now()
-	w, err := New(cfg)
+func Run(ctx context.Context, cfg Config, bounds Bounds) (*Report, error) {
+	start := time.Now()
+	initial, err := New(cfg)
 	if err != nil {
 		return nil, err
 	}
-	if b.Memory <= 0 {
-		b.Memory = 1 << 30
+	if bounds.Memory <= 0 {
+		bounds.Memory = 1 << 30
 	}
-	if b.Workers <= 0 {
-		b.Workers = runtime.GOMAXPROCS(0)
+	if bounds.Workers <= 0 {
+		bounds.Workers = runtime.GOMAXPROCS(0)
 	}
-	if b.Time > 0 {
+	if bounds.Time > 0 {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, b.Time)
+		ctx, cancel = context.WithTimeout(ctx, bounds.Time)
 		defer cancel()
 	}
-	s := &search{cfg: cfg, nodes: []node{{from: -1}}, seen: map[xxh3.Uint128]struct{}{w.Digest(): {}}}
-	s.rep.States = 1
-	s.levels(ctx, b)
-	if !s.rep.Complete && s.rep.Counterexample == nil && b.Walks > 0 {
-		s.walks(b)
+	s := &search{cfg: cfg, nodes: []searchNode{{parent: -1}}, seen: map[xxh3.Uint128]struct{}{initial.Digest(): {}}}
+	s.report.States = 1
+	s.breadthFirst(ctx, bounds)
+	if !s.report.Complete && s.report.Counterexample == nil && bounds.Walks > 0 {
+		s.randomWalks(bounds)
 	}
-	if s.rep.Counterexample != nil {
-		s.rep.Counterexample = s.rep.Counterexample.Shrink(cfg)
+	if s.report.Counterexample != nil {
+		s.report.Counterexample = s.report.Counterexample.Shrink(cfg)
 	}
-	s.rep.Elapsed = time.Since(began)
-	s.rep.Memory = int64(len(s.nodes)) * nodeSize
-	return &s.rep, nil
+	s.report.Elapsed = time.Since(start)
+	s.report.Memory = int64(len(s.nodes)) * bytesPerState
+	return &s.report, nil
 }
 
 // batch is how many states the workers take at a time; between batches the bounds are looked at.
-const batch = 2048
+const batchSize = 2048
 
 // levels goes through the states, those that fewest things lead to first.
-func (s *search) levels(ctx context.Context, b Bounds) {
-	for lo, hi := 0, 1; ; s.rep.Depth++ {
+func (s *search) breadthFirst(ctx context.Context, bounds Bounds) {
+	for lo, hi := 0, 1; ; s.report.Depth++ {
 		if lo == hi {
-			s.rep.Complete = true
+			s.report.Complete = true
 			return
 		}
-		if b.Depth > 0 && s.rep.Depth >= b.Depth {
-			s.rep.StopReason = "depth"
+		if bounds.Depth > 0 && s.report.Depth >= bounds.Depth {
+			s.report.StopReason = "depth"
 			return
 		}
-		for at := lo; at < hi; at += batch {
+		for at := lo; at < hi; at += batchSize {
 			switch {
 			case ctx.Err() != nil:
-				s.rep.StopReason = "time"
+				s.report.StopReason = "time"
 				return
-			case int64(len(s.nodes))*nodeSize > b.Memory:
-				s.rep.StopReason = "memory"
+			case int64(len(s.nodes))*bytesPerState > bounds.Memory:
+				s.report.StopReason = "memory"
 				return
 			}
-			if s.merge(at, s.expand(at, min(at+batch, hi), b.Workers)) {
+			if s.merge(at, s.expand(at, min(at+batchSize, hi), bounds.Workers)) {
 				return
 			}
 		}
@@ -124,8 +124,8 @@
 }
 
 // expand has everything happen that can in some states, on all workers.
-func (s *search) expand(lo, hi, workers int) [][]found {
-	out := make([][]found, hi-lo)
+func (s *search) expand(lo, hi, workers int) [][]stepResult {
+	results := make([][]stepResult, hi-lo)
 	next := make(chan int, hi-lo)
 	for i := lo; i < hi; i++ {
 		next <- i
@@ -135,127 +135,127 @@
 	for range workers {
 		wg.Go(func() {
 			for i := range next {
-				out[i-lo] = s.successors(i)
+				results[i-lo] = s.successors(i)
 			}
 		})
 	}
 	wg.Wait()
-	return out
+	return results
 }
 
 // successors are what follows from a state.
-func (s *search) successors(i int) []found {
-	way := s.way(i)
-	w, _ := Replay(s.cfg, way)
-	acts := w.EnabledActions()
-	all := make([]found, 0, len(acts)+1)
-	switch over := w.Terminal(); {
-	case over:
-		all = append(all, found{over: true, broken: w.violation()})
-	case len(acts) == 0:
-		w.stuck()
-		all = append(all, found{broken: w.violation()})
+func (s *search) successors(i int) []stepResult {
+	path := s.path(i)
+	model, _ := Replay(s.cfg, path)
+	actions := model.EnabledActions()
+	results := make([]stepResult, 0, len(actions)+1)
+	switch terminal := model.Terminal(); {
+	case terminal:
+		results = append(results, stepResult{terminal: true, violation: model.violation()})
+	case len(actions) == 0:
+		model.checkDeadlock()
+		results = append(results, stepResult{violation: model.violation()})
 	}
-	if w.violation() != nil {
-		return all
+	if model.violation() != nil {
+		return results
 	}
-	for n, a := range acts {
+	for n, a := range actions {
 		if n > 0 {
-			w, _ = Replay(s.cfg, way)
+			model, _ = Replay(s.cfg, path)
 		}
-		w.apply(a)
-		f := found{acted: true, act: a, broken: w.violation()}
-		if f.broken == nil {
-			f.digest = w.Digest()
+		model.apply(a)
+		result := stepResult{hasAction: true, action: a, violation: model.violation()}
+		if result.violation == nil {
+			result.digest = model.Digest()
 		}
-		all = append(all, f)
+		results = append(results, result)
 	}
-	return all
+	return results
 }
 
 // merge takes in what the workers found, in the order of the states: the same exploration comes to the same counts and
 // the same counterexample, however many workers there are. It says whether a rule is broken.
-func (s *search) merge(lo int, out [][]found) bool {
-	for i, all := range out {
-		for _, f := range all {
-			if f.broken != nil {
-				way := s.way(lo + i)
-				if f.acted {
-					way = append(way, f.act)
+func (s *search) merge(lo int, results [][]stepResult) bool {
+	for i, stateResults := range results {
+		for _, result := range stateResults {
+			if result.violation != nil {
+				path := s.path(lo + i)
+				if result.hasAction {
+					path = append(path, result.action)
 				}
-				s.rep.Counterexample = &Trace{Config: s.cfg, Violation: *f.broken, Actions: way}
+				s.report.Counterexample = &Trace{Config: s.cfg, Violation: *result.violation, Actions: path}
 				return true
 			}
-			if f.over {
-				s.rep.TerminalStates++
+			if result.terminal {
+				s.report.TerminalStates++
 			}
-			if !f.acted {
+			if !result.hasAction {
 				continue
 			}
-			s.rep.Steps++
-			if _, known := s.seen[f.digest]; known {
+			s.report.Steps++
+			if _, known := s.seen[result.digest]; known {
 				continue
 			}
-			s.seen[f.digest] = struct{}{}
-			s.nodes = append(s.nodes, node{int32(lo + i), f.act})
-			s.rep.States++
+			s.seen[result.digest] = struct{}{}
+			s.nodes = append(s.nodes, searchNode{int32(lo + i), result.action})
+			s.report.States++
 		}
 	}
 	return false
 }
 
 // way is what happened up to a state.
-func (s *search) way(i int) []Action {
+func (s *search) path(i int) []Action {
 	n := 0
-	for at := i; s.nodes[at].from >= 0; at = int(s.nodes[at].from) {
+	for at := i; s.nodes[at].parent >= 0; at = int(s.nodes[at].parent) {
 		n++
 	}
-	way := make([]Action, n)
-	for at := i; s.nodes[at].from >= 0; at = int(s.nodes[at].from) {
+	path := make([]Action, n)
+	for at := i; s.nodes[at].parent >= 0; at = int(s.nodes[at].parent) {
 		n--
-		way[n] = s.nodes[at].act
+		path[n] = s.nodes[at].action
 	}
-	return way
+	return path
 }
 
 // walks samples what lies beyond: from the beginning to the end, any thing that can happen as likely as another.
-func (s *search) walks(b Bounds) {
-	rnd := rand.New(rand.NewPCG(b.Seed, 1))
-	for range b.Walks {
-		w, _ := New(s.cfg)
-		var way []Action
-		for w.violation() == nil {
-			acts := w.EnabledActions()
-			if over := w.Terminal(); len(acts) == 0 || w.violation() != nil {
-				if !over {
-					w.stuck()
+func (s *search) randomWalks(bounds Bounds) {
+	rnd := rand.New(rand.NewPCG(bounds.Seed, 1))
+	for range bounds.Walks {
+		model, _ := New(s.cfg)
+		var path []Action
+		for model.violation() == nil {
+			actions := model.EnabledActions()
+			if terminal := model.Terminal(); len(actions) == 0 || model.violation() != nil {
+				if !terminal {
+					model.checkDeadlock()
 				}
 				break
 			}
-			a := acts[rnd.IntN(len(acts))]
-			way = append(way, a)
-			w.apply(a)
-			s.rep.Steps++
+			a := actions[rnd.IntN(len(actions))]
+			path = append(path, a)
+			model.apply(a)
+			s.report.Steps++
 		}
-		s.rep.Walks++
-		if v := w.violation(); v != nil {
-			s.rep.Counterexample = &Trace{Config: s.cfg, Violation: *v, Actions: way}
+		s.report.Walks++
+		if v := model.violation(); v != nil {
+			s.report.Counterexample = &Trace{Config: s.cfg, Violation: *v, Actions: path}
 			return
 		}
 	}
 }
 
 // Replay has things happen from the beginning. It stops at the first that can't happen, and says how many did.
-func Replay(cfg Config, way []Action) (Model, int) {
-	w, err := New(cfg)
+func Replay(cfg Config, path []Action) (Model, int) {
+	model, err := New(cfg)
 	if err != nil {
 		panic(err) // the configuration was checked when the search began
 	}
-	for i, a := range way {
-		w.apply(a)
-		if w.violation() != nil {
-			return w, i + 1
+	for i, a := range path {
+		model.apply(a)
+		if model.violation() != nil {
+			return model, i + 1
 		}
 	}
-	return w, len(way)
+	return model, len(path)
 }
--- a/internal/explore/works.go
+++ b/internal/explore/works.go
@@ -16,156 +16,156 @@
 
 // What the world around a member does to it, as timers of its own.
 type (
-	emptied struct{ Incarnation uint8 } // its last call is over
-	worked  struct{ Incarnation uint8 } // an operator has finished
+	lastCallEnded struct{ Incarnation uint8 } // its last call is over
+	workFinished  struct{ Incarnation uint8 } // an operator has finished
 )
 
 // works is the protocol of maintenance: the first two members are asked for, at two members at once; the last is not.
-type works struct {
-	Limits maintenance.Limits
-	Done   []int // times that a member was maintained
+type maintenanceProtocol struct {
+	Limits          maintenance.Limits
+	MaintainedCount []int // times that a member was maintained
 }
 
-func newWorks(cfg Config) *tier {
+func newMaintenanceModel(cfg Config) *tierModel {
 	l := maintenance.Defaults()
 	l.Lease, l.WorkLease, l.Round = 2*time.Second, 3*time.Second, 500*time.Millisecond
-	return newTier(cfg, &works{l, make([]int, cfg.Servers)}, 3*time.Second)
+	return newTierModel(cfg, &maintenanceProtocol{l, make([]int, cfg.Servers)}, 3*time.Second)
 }
 
 // workNode is a member's reducer, and what it does at its word.
-type workNode struct {
+type maintenanceProcess struct {
 	Reducer     *maintenance.Reducer
-	Protocol    *works
+	Protocol    *maintenanceProtocol
 	Self        int
 	Incarnation uint8
 	Draining    bool
 	Stage       maintenance.Stage
 }
 
-func (n *workNode) step(now time.Duration, ev maintenance.Event) outcome {
-	return n.outcome(now, n.Reducer.Step(now, ev))
+func (p *maintenanceProcess) step(now time.Duration, ev maintenance.Event) stepEffects {
+	return p.collectEffects(now, p.Reducer.Step(now, ev))
 }
 
-func (n *workNode) datagram(now time.Duration, from int, data []byte) outcome {
-	return n.step(now, maintenance.Datagram{From: from, Data: data})
+func (p *maintenanceProcess) receive(now time.Duration, from int, data []byte) stepEffects {
+	return p.step(now, maintenance.Datagram{From: from, Data: data})
 }
 
-func (n *workNode) due(now time.Duration, token any) outcome {
+func (p *maintenanceProcess) timerFired(now time.Duration, token any) stepEffects {
 	switch token := token.(type) {
 	case maintenance.Token:
-		return n.step(now, maintenance.TimerFired{Token: token})
-	case emptied:
-		if token.Incarnation == n.Incarnation && n.Reducer.AwaitsDrained() {
-			return n.step(now, maintenance.Drained{})
+		return p.step(now, maintenance.TimerFired{Token: token})
+	case lastCallEnded:
+		if token.Incarnation == p.Incarnation && p.Reducer.AwaitsDrained() {
+			return p.step(now, maintenance.Drained{})
 		}
-	case worked:
-		if token.Incarnation == n.Incarnation && n.Stage == maintenance.Ready && n.Reducer.Status().Expiry > now { // else it goes again
-			return n.step(now, maintenance.Cancel{Members: []int{n.Self}})
+	case workFinished:
+		if token.Incarnation == p.Incarnation && p.Stage == maintenance.Ready && p.Reducer.Status().Expiry > now { // else it goes again
+			return p.step(now, maintenance.Cancel{Members: []int{p.Self}})
 		}
 	}
-	return n.step(now, maintenance.MemberAvailability{Member: n.Self}) // nothing happens, and time has passed
+	return p.step(now, maintenance.MemberAvailability{Member: p.Self}) // nothing happens, and time has passed
 }
 
-const workTakes = 300 * time.Millisecond
+const workDuration = 300 * time.Millisecond
 
-func (n *workNode) outcome(now time.Duration, out []maintenance.Effect) (o outcome) {
-	for _, e := range out {
+func (p *maintenanceProcess) collectEffects(now time.Duration, effects []maintenance.Effect) (result stepEffects) {
+	for _, e := range effects {
 		switch e := e.(type) {
 		case maintenance.Send:
-			o.Sends = append(o.Sends, flight{To: e.To, Data: e.Data})
+			result.Sends = append(result.Sends, sentDatagram{To: e.To, Data: e.Data})
 		case maintenance.Timer:
-			o.Timers = append(o.Timers, tierTimer{e.At, e.Token})
+			result.Timers = append(result.Timers, memberTimer{e.At, e.Token})
 		case maintenance.Drain:
-			if n.Draining = e.On; e.On {
-				o.Timers = append(o.Timers, tierTimer{now + workTakes, emptied{n.Incarnation}})
+			if p.Draining = e.On; e.On {
+				result.Timers = append(result.Timers, memberTimer{now + workDuration, lastCallEnded{p.Incarnation}})
 			}
 		case maintenance.RequestChanged:
-			if e.Member != n.Self {
+			if e.Member != p.Self {
 				break
 			}
-			was := n.Stage
-			switch n.Stage = e.Record.Stage; {
-			case n.Stage == maintenance.Ready:
-				o.Timers = append(o.Timers, tierTimer{now + workTakes, worked{n.Incarnation}})
-			case n.Stage == maintenance.Done && was == maintenance.Ready:
-				n.Protocol.Done[n.Self]++
+			oldStage := p.Stage
+			switch p.Stage = e.Record.Stage; {
+			case p.Stage == maintenance.Ready:
+				result.Timers = append(result.Timers, memberTimer{now + workDuration, workFinished{p.Incarnation}})
+			case p.Stage == maintenance.Done && oldStage == maintenance.Ready:
+				p.Protocol.MaintainedCount[p.Self]++
 			}
 		}
 	}
-	return o
+	return result
 }
 
-func (p *works) start(t *tier, m int, life uint8) (peerNode, outcome) {
-	r, out, err := maintenance.New(maintenance.Config{Self: m, TierSize: len(t.Members), Zone: -1, Limits: p.Limits,
-		Seed: t.Config.Seed + uint64(m) + 100*uint64(life), DisabledGuards: t.Config.DisabledMaintenanceGuards}, t.Now)
+func (p *maintenanceProtocol) startMember(t *tierModel, index int, incarnation uint8) (memberProcess, stepEffects) {
+	reducer, effects, err := maintenance.New(maintenance.Config{Self: index, TierSize: len(t.Members), Zone: -1, Limits: p.Limits,
+		Seed: t.Config.Seed + uint64(index) + 100*uint64(incarnation), DisabledGuards: t.Config.DisabledMaintenanceGuards}, t.Now)
 	if err != nil {
 		panic(err)
 	}
-	n := &workNode{Reducer: r, Protocol: p, Self: m, Incarnation: life}
-	o := n.outcome(t.Now, out)
-	add := func(out outcome) {
-		o.Sends, o.Timers = append(o.Sends, out.Sends...), append(o.Timers, out.Timers...)
+	process := &maintenanceProcess{Reducer: reducer, Protocol: p, Self: index, Incarnation: incarnation}
+	result := process.collectEffects(t.Now, effects)
+	add := func(effects stepEffects) {
+		result.Sends, result.Timers = append(result.Sends, effects.Sends...), append(result.Timers, effects.Timers...)
 	}
-	for other, e := range t.Members {
-		add(n.step(t.Now, maintenance.MemberAvailability{Member: other, Available: e.Node != nil || life == 0}))
-		if e.Node != nil && !e.Paused && other != m {
-			t.carry(other, e.Node.(*workNode).step(t.Now, maintenance.MemberAvailability{Member: m, Available: true}))
+	for other, member := range t.Members {
+		add(process.step(t.Now, maintenance.MemberAvailability{Member: other, Available: member.Process != nil || incarnation == 0}))
+		if member.Process != nil && !member.Paused && other != index {
+			t.applyEffects(other, member.Process.(*maintenanceProcess).step(t.Now, maintenance.MemberAvailability{Member: index, Available: true}))
 		}
 	}
-	add(n.step(t.Now, maintenance.Serving{Serving: true}))
-	return n, o
+	add(process.step(t.Now, maintenance.Serving{Serving: true}))
+	return process, result
 }
 
-func (p *works) begin(t *tier) {
-	t.carry(0, t.Members[0].Node.(*workNode).step(t.Now, maintenance.Request{Members: []int{0, 1}}))
+func (p *maintenanceProtocol) converged(t *tierModel) {
+	t.applyEffects(0, t.Members[0].Process.(*maintenanceProcess).step(t.Now, maintenance.Request{Members: []int{0, 1}}))
 	last := len(t.Members) - 1
-	t.carry(last, t.Members[last].Node.(*workNode).step(t.Now, maintenance.Request{Members: []int{1}}))
+	t.applyEffects(last, t.Members[last].Process.(*maintenanceProcess).step(t.Now, maintenance.Request{Members: []int{1}}))
 }
 
-func (p *works) killed(t *tier, m int) {
-	for o, e := range t.Members {
-		if e.Node != nil && !e.Paused {
-			t.carry(o, e.Node.(*workNode).step(t.Now, maintenance.MemberAvailability{Member: m}))
+func (p *maintenanceProtocol) memberKilled(t *tierModel, index int) {
+	for other, member := range t.Members {
+		if member.Process != nil && !member.Paused {
+			t.applyEffects(other, member.Process.(*maintenanceProcess).step(t.Now, maintenance.MemberAvailability{Member: index}))
 		}
 	}
 }
 
-func (p *works) stepped(t *tier, m int) {
-	out := 0
-	for o, e := range t.Members {
-		if e.Node == nil || e.Paused {
+func (p *maintenanceProtocol) checkStep(t *tierModel, m int) {
+	drainingCount := 0
+	for index, member := range t.Members {
+		if member.Process == nil || member.Paused {
 			continue
 		}
-		n := e.Node.(*workNode)
-		if n.Draining {
-			if out++; o >= 2 {
-				t.broken(OnlyRequested, "member %d goes out, and nobody asked for it", o)
+		process := member.Process.(*maintenanceProcess)
+		if process.Draining {
+			if drainingCount++; index >= 2 {
+				t.recordViolation(OnlyRequested, "member %d goes out, and nobody asked for it", index)
 			}
 		}
 	}
-	if out > p.Limits.Budget {
-		t.broken(WithinMaintenanceBudget, "%d members are out", out)
+	if drainingCount > p.Limits.Budget {
+		t.recordViolation(WithinMaintenanceBudget, "%d members are out", drainingCount)
 	}
 }
 
-func (p *works) passed(*tier) {}
+func (p *maintenanceProtocol) checkTimePassed(*tierModel) {}
 
-func (p *works) settled(t *tier) {
-	for m, e := range t.Members {
-		if e.Node == nil {
+func (p *maintenanceProtocol) checkSettled(t *tierModel) {
+	for index, member := range t.Members {
+		if member.Process == nil {
 			continue
 		}
-		n := e.Node.(*workNode)
-		if n.Draining || n.Reducer.HoldsSlot() {
-			t.broken(NoStuckDrain, "%v after the last disturbance member %d drains: %t, and holds a slot: %t", tierSettle, m, n.Draining, n.Reducer.HoldsSlot())
+		process := member.Process.(*maintenanceProcess)
+		if process.Draining || process.Reducer.HoldsSlot() {
+			t.recordViolation(NoStuckDrain, "%v after the last disturbance member %d drains: %t, and holds a slot: %t", settleTime, index, process.Draining, process.Reducer.HoldsSlot())
 		}
-		for of, record := range n.Reducer.Status().Records {
-			if t.Members[of].Node != nil && !record.Stage.Ended() {
-				t.broken(MaintainedOnce, "%v after the last disturbance member %d holds the request for member %d to be %v", tierSettle, m, of, record.Stage)
+		for target, record := range process.Reducer.Status().Records {
+			if t.Members[target].Process != nil && !record.Stage.Ended() {
+				t.recordViolation(MaintainedOnce, "%v after the last disturbance member %d holds the request for member %d to be %v", settleTime, index, target, record.Stage)
 			}
 		}
-		if want := map[bool]int{true: 1}[m < 2]; p.Done[m] != want && !(e.Incarnations > 1 && p.Done[m] == 0 && n.Reducer.Status().Records[m].Generation == 0) {
-			t.broken(MaintainedOnce, "member %d was maintained %d times", m, p.Done[m])
+		if want := map[bool]int{true: 1}[index < 2]; p.MaintainedCount[index] != want && !(member.Incarnations > 1 && p.MaintainedCount[index] == 0 && process.Reducer.Status().Records[index].Generation == 0) {
+			t.recordViolation(MaintainedOnce, "member %d was maintained %d times", index, p.MaintainedCount[index])
 		}
 	}
 }
--- a/internal/explore/world.go
+++ b/internal/explore/world.go
@@ -55,36 +55,36 @@
 }
 
 const (
-	releaseGap = 200 * time.Millisecond
-	front      = core.Protocol("f")
-	pause      = 120 * time.Millisecond // over half of the gap, and over the time in which a caller may come again
-	horizon    = 2 * time.Second        // past the last caller's time: timers that are due later are left alone
+	releaseGuardTime = 200 * time.Millisecond
+	modelProtocol    = core.Protocol("f")
+	pauseDuration    = 120 * time.Millisecond // over half of the gap, and over the time in which a caller may come again
+	timerHorizon     = 2 * time.Second        // past the last caller's time: timers that are due later are left alone
 )
 
 // Where an attempt is.
-type where uint8
+type attemptState uint8
 
 const (
-	nowhere where = iota
-	queued        // in the outbox: it can be taken back
-	out           // at the server
-	ending        // its end waits to be written
+	attemptNone        attemptState = iota
+	attemptQueued                   // in the outbox: it can be taken back
+	attemptOutstanding              // at the server
+	attemptEnding                   // its end waits to be written
 )
 
 const (
-	ready    = elmseam.Ready
-	draining = elmseam.Draining
-	gone     = elmseam.Gone
+	phaseReady    = elmseam.Ready
+	phaseDraining = elmseam.Draining
+	phaseGone     = elmseam.Gone
 )
 
 // Call is a call as the world around the core sees it.
 type Call struct {
 	Started             bool
-	From                core.ConnID
+	CallerConn          core.ConnID
 	Cell                int
 	Deadline            core.Time
-	State               where
-	Link                core.ConnID // that its attempt went out on
+	State               attemptState
+	Conn                core.ConnID // that its attempt went out on
 	Server              int         // of its attempt, or where it stands
 	Established         bool
 	LateAnswerFrom      int // a server, from 1, that may still answer an attempt that is over
@@ -102,7 +102,7 @@
 }
 
 type conn struct {
-	Link   core.ConnID
+	ID     core.ConnID
 	Server int
 }
 
@@ -113,27 +113,27 @@
 
 // CallModel is the core, and all around it that matters.
 type CallModel struct {
-	Config     Config
-	Core       *core.Core
-	Now, End   core.Time
-	Calls      []Call
-	Servers    []Server
-	Conns      []conn
-	Callers    []core.ConnID // callers' connections
-	NextLink   core.ConnID
-	Timers     []timer // as they came
-	FaultsLeft int     // faults to come
-	PausesLeft int     // and pauses
-	Reloaded   bool
-	Draining   bool
-	Violation  *Violation
+	Config          Config
+	Core            *core.Core
+	Now, TimerLimit core.Time
+	Calls           []Call
+	Servers         []Server
+	ServerConns     []conn
+	CallerConns     []core.ConnID // callers' connections
+	NextConn        core.ConnID
+	Timers          []timer // as they came
+	FaultsLeft      int     // faults to come
+	PausesLeft      int     // and pauses
+	Reloaded        bool
+	Draining        bool
+	Violation       *Violation
 }
 
 func (c Config) settings(attempts int) elmseam.Settings {
 	return elmseam.Settings{
 		Classes:     []elmseam.Class{{Aim: c.GiveUp / 2, Deadline: c.GiveUp, Worth: 1}},
 		MaxAttempts: attempts, MaxRetryAfter: 2 * time.Second, CanCancel: true, OwnCell: -1,
-		RetransmitInterval: 500 * time.Millisecond, ReleaseGuard: releaseGap,
+		RetransmitInterval: 500 * time.Millisecond, ReleaseGuard: releaseGuardTime,
 		ColdInitialShare: 0.3, ColdRamp: 14 * time.Second, OverloadMultiple: 2.5, OverloadAfter: time.Second,
 	}
 }
@@ -153,214 +153,216 @@
 	if err := cfg.Check(); err != nil {
 		return nil, err
 	}
-	c, err := core.New(cfg.settings(cfg.Attempts), cfg.Seed, cfg.limits())
+	reducer, err := core.New(cfg.settings(cfg.Attempts), cfg.Seed, cfg.limits())
 	if err != nil {
 		return nil, err
 	}
-	c.SetHook(cfg.CoreHook)
-	w := &CallModel{Config: cfg, Core: c, Now: time.Hour, NextLink: 1, FaultsLeft: cfg.Faults, PausesLeft: cfg.Pauses}
-	w.End = w.Now + cfg.GiveUp + horizon
-	w.Calls, w.Servers = make([]Call, cfg.Calls), make([]Server, cfg.Servers)
-	w.newCaller()
+	reducer.SetHook(cfg.CoreHook)
+	model := &CallModel{Config: cfg, Core: reducer, Now: time.Hour, NextConn: 1, FaultsLeft: cfg.Faults, PausesLeft: cfg.Pauses}
+	model.TimerLimit = model.Now + cfg.GiveUp + timerHorizon
+	model.Calls, model.Servers = make([]Call, cfg.Calls), make([]Server, cfg.Servers)
+	model.connectCaller()
 	list := core.List{Full: true}
-	for s := range w.Servers {
-		w.Servers[s].Phase = ready
-		list.Servers = append(list.Servers, w.entry(s))
+	for s := range model.Servers {
+		model.Servers[s].Phase = phaseReady
+		list.Servers = append(list.Servers, model.listEntry(s))
 	}
-	w.step(list)
-	for s := range w.Servers {
-		w.connect(s)
+	model.step(list)
+	for s := range model.Servers {
+		model.connectServer(s)
 	}
-	return w, w.err()
+	return model, model.err()
 }
 
-func (w *CallModel) err() error {
-	if w.Violation != nil {
-		return w.Violation
+func (m *CallModel) err() error {
+	if m.Violation != nil {
+		return m.Violation
 	}
 	return nil
 }
 
-func name(s int) string { return string(rune('a' + s)) }
+func serverName(s int) string { return string(rune('a' + s)) }
 
-func (w *CallModel) address(s int) string {
-	return fmt.Sprintf("%s%d:1", name(s), w.Servers[s].Incarnation)
+func (m *CallModel) address(s int) string {
+	return fmt.Sprintf("%s%d:1", serverName(s), m.Servers[s].Incarnation)
 }
 
-func (w *CallModel) entry(s int) core.Server {
-	v := &w.Servers[s]
-	return core.Server{Name: name(s), Address: w.address(s), Protocol: front, Cell: s, Phase: v.Phase, Started: v.StartedAt}
+func (m *CallModel) listEntry(index int) core.Server {
+	server := &m.Servers[index]
+	return core.Server{Name: serverName(index), Address: m.address(index), Protocol: modelProtocol, Cell: index, Phase: server.Phase, Started: server.StartedAt}
 }
 
-func (w *CallModel) newLink() core.ConnID {
-	w.NextLink++
-	return w.NextLink - 1
+func (m *CallModel) newConnID() core.ConnID {
+	m.NextConn++
+	return m.NextConn - 1
 }
 
-func (w *CallModel) newCaller() core.ConnID {
-	l := w.newLink()
-	w.Callers = append(w.Callers, l)
-	w.step(core.CallerUp{Conn: l, Protocol: front})
-	return l
+func (m *CallModel) connectCaller() core.ConnID {
+	connID := m.newConnID()
+	m.CallerConns = append(m.CallerConns, connID)
+	m.step(core.CallerUp{Conn: connID, Protocol: modelProtocol})
+	return connID
 }
 
 // connect completes a connection to a server.
-func (w *CallModel) connect(s int) {
-	if w.Servers[s].Dials > 0 {
-		w.Servers[s].Dials--
+func (m *CallModel) connectServer(server int) {
+	if m.Servers[server].Dials > 0 {
+		m.Servers[server].Dials--
 	}
-	l := w.newLink()
-	w.Conns = append(w.Conns, conn{l, s})
-	w.step(core.ServerUp{Server: name(s), Address: w.address(s), Conn: l})
+	connID := m.newConnID()
+	m.ServerConns = append(m.ServerConns, conn{connID, server})
+	m.step(core.ServerUp{Server: serverName(server), Address: m.address(server), Conn: connID})
 }
 
-func (w *CallModel) callerUp(l core.ConnID) bool { return slices.Contains(w.Callers, l) }
+func (m *CallModel) callerConnected(connID core.ConnID) bool {
+	return slices.Contains(m.CallerConns, connID)
+}
 
-func (w *CallModel) connOf(l core.ConnID) *conn {
-	for i := range w.Conns {
-		if w.Conns[i].Link == l {
-			return &w.Conns[i]
+func (m *CallModel) findConn(connID core.ConnID) *conn {
+	for i := range m.ServerConns {
+		if m.ServerConns[i].ID == connID {
+			return &m.ServerConns[i]
 		}
 	}
 	return nil
 }
 
 // to is a connection to a server on which it can say something, 0: none.
-func (w *CallModel) to(s int) core.ConnID {
-	for _, c := range w.Conns {
-		if c.Server == s {
-			return c.Link
+func (m *CallModel) connTo(server int) core.ConnID {
+	for _, c := range m.ServerConns {
+		if c.Server == server {
+			return c.ID
 		}
 	}
 	return 0
 }
 
 // id is a call's id, and callOf the call of one.
-func id(i int) core.ID { return core.ID(i + 1) }
+func callID(i int) core.ID { return core.ID(i + 1) }
 
-func (w *CallModel) callOf(id core.ID) int {
-	if i := int(id) - 1; i >= 0 && i < len(w.Calls) {
+func (m *CallModel) callIndex(id core.ID) int {
+	if i := int(id) - 1; i >= 0 && i < len(m.Calls) {
 		return i
 	}
 	return -1
 }
 
 // step tells the core of an event and carries out what it asks for.
-func (w *CallModel) step(ev core.Event) {
+func (m *CallModel) step(ev core.Event) {
 	events := []core.Event{ev}
 	for len(events) > 0 {
 		ev := events[0]
 		events = events[1:]
-		for _, e := range w.Core.Step(w.Now, ev) {
-			events = append(events, w.carry(e)...)
+		for _, e := range m.Core.Step(m.Now, ev) {
+			events = append(events, m.applyEffect(e)...)
 		}
 	}
-	w.Timers = slices.DeleteFunc(w.Timers, func(t timer) bool { return w.Core.TimerObsolete(t.Token) })
+	m.Timers = slices.DeleteFunc(m.Timers, func(t timer) bool { return m.Core.TimerObsolete(t.Token) })
 }
 
 // carry is the world's side of an effect. What it knows at once it returns, as carriers do.
-func (w *CallModel) carry(e core.Effect) (events []core.Event) {
+func (m *CallModel) applyEffect(e core.Effect) (events []core.Event) {
 	switch e := e.(type) {
 	case core.Timer:
-		if e.At <= w.End {
-			w.Timers = append(w.Timers, timer{e.At, e.Token})
+		if e.At <= m.TimerLimit {
+			m.Timers = append(m.Timers, timer{e.At, e.Token})
 		}
 	case core.Dial:
-		w.Servers[e.Server[0]-'a'].Dials++
+		m.Servers[e.Server[0]-'a'].Dials++
 	case core.CloseConn:
-		w.lose(e.To)
+		m.closeConn(e.To)
 	case core.GracefulClose:
-		w.lose(e.To)
+		m.closeConn(e.To)
 	case core.Offer:
-		i, to := w.callOf(e.ID), w.connOf(e.To)
-		w.offered(i, to)
-		if c := &w.Calls[i]; to != nil {
-			c.State, c.Link, c.Server = queued, e.To, to.Server
+		index, conn := m.callIndex(e.ID), m.findConn(e.To)
+		m.checkOffer(index, conn)
+		if call := &m.Calls[index]; conn != nil {
+			call.State, call.Conn, call.Server = attemptQueued, e.To, conn.Server
 		}
 	case core.End:
-		events = w.end(e)
+		events = m.applyEnd(e)
 	case core.Withdraw:
-		for i := range w.Calls {
-			if c := &w.Calls[i]; c.State == queued && c.Link == e.To {
-				events = append(events, w.takeBack(i))
+		for index := range m.Calls {
+			if call := &m.Calls[index]; call.State == attemptQueued && call.Conn == e.To {
+				events = append(events, m.retractOffer(index))
 			}
 		}
 	case core.Answered:
-		w.finalAnswer(w.callOf(e.ID), e.To, true)
+		m.checkFinalAnswer(m.callIndex(e.ID), e.To, true)
 	case core.Rejected:
-		w.finalAnswer(w.callOf(e.ID), e.To, false)
+		m.checkFinalAnswer(m.callIndex(e.ID), e.To, false)
 	case core.Released:
-		w.released(w.callOf(e.ID), e.To)
+		m.checkRelease(m.callIndex(e.ID), e.To)
 	case core.ForgetCall:
-		w.Calls[w.callOf(e.ID)].Account.CallerGone = true
+		m.Calls[m.callIndex(e.ID)].Account.CallerGone = true
 	case core.Violation:
-		if w.Config.CoreHook.Decide == nil && w.Config.CoreHook.SuppressEvent == nil {
-			w.broken(NoGuardTripped, "call %d: %s", w.callOf(e.ID), e.Rule)
+		if m.Config.CoreHook.Decide == nil && m.Config.CoreHook.SuppressEvent == nil {
+			m.recordViolation(NoGuardTripped, "call %d: %s", m.callIndex(e.ID), e.Rule)
 		}
 	}
 	return events
 }
 
 // takeBack takes an offer out of the outbox.
-func (w *CallModel) takeBack(i int) core.Event {
-	c := &w.Calls[i]
-	c.State = nowhere
-	w.attemptOver(i, false)
-	return core.NotSent{Server: name(c.Server), ID: id(i)}
+func (m *CallModel) retractOffer(index int) core.Event {
+	call := &m.Calls[index]
+	call.State = attemptNone
+	m.recordAttemptEnd(index, false)
+	return core.NotSent{Server: serverName(call.Server), ID: callID(index)}
 }
 
 // end is an attempt's end, or a release towards a server.
-func (w *CallModel) end(e core.End) []core.Event {
-	i, to := w.callOf(e.ID), w.connOf(e.To)
-	if to == nil {
-		w.broken(SendOnOpenConn, "call %d is ended on no connection", i)
+func (m *CallModel) applyEnd(e core.End) []core.Event {
+	index, conn := m.callIndex(e.ID), m.findConn(e.To)
+	if conn == nil {
+		m.recordViolation(SendOnOpenConn, "call %d is ended on no connection", index)
 		return nil
 	}
-	c := &w.Calls[i]
+	call := &m.Calls[index]
 	switch {
-	case c.State == queued && c.Server == to.Server:
-		return []core.Event{w.takeBack(i)}
-	case c.State == out && c.Server == to.Server && e.Notify:
-		c.State = ending
-	case c.State == out && c.Server == to.Server:
-		c.State, c.LateAnswerFrom = nowhere, c.Server+1
-		w.attemptOver(i, true)
-	case c.Established && c.Server == to.Server:
-		c.Established, c.RepeatedReleaseFrom = false, c.Server+1 // its own release may cross this one
-		if e.Notify {                                            // an answer that comes too late for its caller: the end is written all the same
-			c.State, c.Link = ending, e.To
+	case call.State == attemptQueued && call.Server == conn.Server:
+		return []core.Event{m.retractOffer(index)}
+	case call.State == attemptOutstanding && call.Server == conn.Server && e.Notify:
+		call.State = attemptEnding
+	case call.State == attemptOutstanding && call.Server == conn.Server:
+		call.State, call.LateAnswerFrom = attemptNone, call.Server+1
+		m.recordAttemptEnd(index, true)
+	case call.Established && call.Server == conn.Server:
+		call.Established, call.RepeatedReleaseFrom = false, call.Server+1 // its own release may cross this one
+		if e.Notify {                                                     // an answer that comes too late for its caller: the end is written all the same
+			call.State, call.Conn = attemptEnding, e.To
 		}
 	}
 	return nil
 }
 
 // lose ends a connection: what is out on it is over.
-func (w *CallModel) lose(l core.ConnID) {
-	w.Callers = slices.DeleteFunc(w.Callers, func(have core.ConnID) bool { return have == l })
-	if w.connOf(l) == nil {
+func (m *CallModel) closeConn(connID core.ConnID) {
+	m.CallerConns = slices.DeleteFunc(m.CallerConns, func(callerConn core.ConnID) bool { return callerConn == connID })
+	if m.findConn(connID) == nil {
 		return
 	}
-	w.Conns = slices.DeleteFunc(w.Conns, func(c conn) bool { return c.Link == l })
-	for i := range w.Calls {
-		if c := &w.Calls[i]; c.State != nowhere && c.Link == l {
-			c.State = nowhere
-			w.attemptOver(i, true)
+	m.ServerConns = slices.DeleteFunc(m.ServerConns, func(call conn) bool { return call.ID == connID })
+	for i := range m.Calls {
+		if call := &m.Calls[i]; call.State != attemptNone && call.Conn == connID {
+			call.State = attemptNone
+			m.recordAttemptEnd(i, true)
 		}
 	}
 }
 
 // die ends a server's process: its connections and what stands there.
-func (w *CallModel) die(s int) {
-	for i := range w.Calls {
-		c := &w.Calls[i]
-		if c.Established && c.Server == s {
-			c.Established = false
+func (m *CallModel) endServerProcess(server int) {
+	for i := range m.Calls {
+		call := &m.Calls[i]
+		if call.Established && call.Server == server {
+			call.Established = false
 		}
-		if c.RepeatedReleaseFrom == s+1 {
-			c.RepeatedReleaseFrom = 0
+		if call.RepeatedReleaseFrom == server+1 {
+			call.RepeatedReleaseFrom = 0
 		}
-		if c.LateAnswerFrom == s+1 {
-			c.LateAnswerFrom = 0
+		if call.LateAnswerFrom == server+1 {
+			call.LateAnswerFrom = 0
 		}
 	}
 }
