--- a/internal/explore/actions.go
+++ b/internal/explore/actions.go
@@ -7,85 +7,91 @@
 	"elmseam/internal/core"
 )
 
-// ActionKind is something that can happen.
+// ActionKind is the kind of an Action. The kinds of all models share one enumeration; actionKindNames holds their names in
+// traces.
 type ActionKind uint8
 
-// The kinds. Those from firstFault on are disturbances, of which only so many happen.
+// The kinds of actions of CallModel. Kinds from firstFaultKind to actDrainStart are faults, whose total is limited by
+// Config.Faults. Where a kind uses Action.Arg, the comment says so.
 const (
-	actSetUp ActionKind = iota // N: the first choice
-	actOfferWritten
-	actAnswer
-	actRefuseFull
-	actRefuseBusy
-	actEndWritten // the end of an attempt is written
-	actRelease
-	actDialCompleted
-	actCallerConnects // a caller's next connection
-	actDrainStop
-	actTimer // N: which of the timers that are due first
-	actPause // some time, in which no timer is due
-	actAttemptReset
-	actCrossingAnswer  // an answer that crosses the attempt's end
-	actLateAnswer      // an answer to an attempt that is over
-	actCallReset       // a standing call
-	actRepeatedRelease // a release said twice
-	actHangUp
-	actGiveUp
-	actRepeatedSetUp
-	actCallerLost
-	actConnLost
-	actDialRefused
-	actServerDraining
-	actServerGone
-	actServerRestart
-	actServerReady
-	actReload
-	actDrainStart
-	// Of the circuits.
-	actSeizeCircuit      // an IAM goes out
-	actClearCall         // a call is released here
-	actDeliverToServer   // the next message reaches the server
-	actDeliverFromServer // or us
-	actServerAnswer      // the server answers
-	actServerRelease
-	actReleaseOverdue // a release has not been confirmed for long
-	actLoseREL        // the server loses a REL
-	actLoseRLC        // or its RLC
-	actConnDown       // the connection ends
-	actConnUp         // and another comes up
-	// Of a tier's members.
-	actDeliverDatagram // the next datagram arrives
-	actLoseDatagram    // or is lost
-	actDelayDatagram   // or comes late
-	actTick            // the next timer comes due
-	actKillMember      // a member dies
-	actStartMember     // and starts anew
-	actPauseMember     // or stands still
-	actResumeMember    // and goes on
-	actSettle          // nothing disturbs any more
+	actSetUp           ActionKind = iota // a caller sends a set-up; Arg: its cell, that of its first-choice server
+	actOfferWritten                      // the offer has been written to the server's connection
+	actAnswer                            // the server answers the attempt
+	actRefuseFull                        // the server refuses the attempt for lack of capacity
+	actRefuseBusy                        // the server refuses the attempt because of the called number
+	actEndWritten                        // the end of an attempt has been written to the server's connection
+	actRelease                           // the server releases an established call
+	actDialCompleted                     // a connection to a server is established
+	actCallerConnects                    // a caller connects again after its connection was lost
+	actDrainStop                         // the operator ends the drain
+	actTimer                             // one of the timers with the earliest time fires; Arg: which of them
+	actPause                             // pauseDuration passes without a timer firing
+	actAttemptReset                      // an outstanding attempt ends by a reset
+	actCrossingAnswer                    // an answer crosses the end of the attempt on the network
+	actLateAnswer                        // the server answers an attempt that has ended
+	actCallReset                         // an established call ends by a reset
+	actRepeatedRelease                   // the server releases a call a second time
+	actHangUp                            // the caller releases an established call
+	actGiveUp                            // the caller gives up its unanswered set-up
+	actRepeatedSetUp                     // the caller sends its set-up again on a new connection
+	actCallerLost                        // a caller's connection is lost
+	actConnLost                          // a connection to a server is lost
+	actDialRefused                       // a connection attempt to a server fails
+	actServerDraining                    // the list declares the server draining
+	actServerGone                        // the list declares the server gone
+	actServerRestart                     // the server restarts at a new address
+	actServerReady                       // the list declares the draining server ready
+	actReload                            // a configuration with one attempt fewer is loaded
+	actDrainStart                        // the operator starts a drain
+	// The kinds of actions of circuitModel.
+	actSeizeCircuit      // a call takes a circuit and its IAM is sent
+	actClearCall         // the softswitch releases a call
+	actDeliverToServer   // the next message to the server arrives
+	actDeliverFromServer // the next message from the server arrives
+	actServerAnswer      // the server sends an ANM
+	actServerRelease     // the server sends a REL
+	actReleaseOverdue    // releaseConfirmTimeout passes without an RLC
+	actLoseREL           // the server loses the next message, a REL
+	actLoseRLC           // the server processes the next message, a REL, and its RLC is lost
+	actConnDown          // the connection is lost
+	actConnUp            // a new connection is established
+	// The kinds of actions of tierModel.
+	actDeliverDatagram // the next datagram is delivered
+	actLoseDatagram    // the next datagram is lost
+	actDelayDatagram   // the next datagram is delayed by datagramDelay
+	actTick            // the next timer fires, or the next delayed datagram is delivered
+	actKillMember      // a member's process is killed
+	actStartMember     // a killed member starts again
+	actPauseMember     // a member's process is paused
+	actResumeMember    // a paused member continues
+	actSettle          // no more faults: the model runs until it has settled
+
 	numActionKinds
 )
 
+// firstFaultKind is the first kind that counts as a fault in CallModel.
 const firstFaultKind = actAttemptReset
 
+// actionKindNames are the names of the kinds in traces, indexed by ActionKind.
 var actionKindNames = [numActionKinds]string{"set-up", "written", "answer", "full", "busy", "ended", "release", "dialled", "caller-back", "undrain",
 	"due", "pass", "reset", "cross", "late", "cut", "again", "hang-up", "give-up", "repeat", "caller-lost", "conn-lost", "refused",
 	"drains", "goes", "restarts", "returns", "reload", "drain",
 	"seize", "clear", "to-server", "to-us", "far-answer", "far-release", "overdue", "deaf", "mute", "down", "up",
 	"arrive", "lose", "delay", "tick", "kill", "start", "halt", "go-on", "settle"}
 
-// Action is one thing that happens: to a call or a server, with a number that some kinds have.
+// Action is one transition of a model, for example a message that arrives, a timer that fires or a fault.
 type Action struct {
 	Kind   ActionKind
-	Target uint8
-	Arg    uint8
+	Target uint8 // index of the call, server, circuit or member that the action concerns; actClearCall: the call's id
+	Arg    uint8 // additional argument of kinds that need one, otherwise 0
 }
 
+// String returns the action's line in a trace.
 func (a Action) String() string {
 	return fmt.Sprintf("%s %d %d", actionKindNames[a.Kind], a.Target, a.Arg)
 }
 
-// ParseAction reads what String has written.
+// ParseAction parses the text that Action.String returns.
 func ParseAction(text string) (a Action, err error) {
 	var kind string
 	if n, err := fmt.Sscanf(text, "%s %d %d", &kind, &a.Target, &a.Arg); err != nil || n != 3 {
@@ -93,13 +99,13 @@
 	}
 	index := slices.Index(actionKindNames[:], kind)
 	if index < 0 {
-		return a, fmt.Errorf("action %q: unknown", text)
+		return a, fmt.Errorf("action %q: unknown kind", text)
 	}
 	a.Kind = ActionKind(index)
 	return a, nil
 }
 
-// due are the timers that are due first, by their places.
+// earliestTimers returns the indexes in m.Timers of the timers with the earliest time.
 func (m *CallModel) earliestTimers() (first []int) {
 	for i, t := range m.Timers {
 		switch {
@@ -112,15 +118,16 @@
 	return first
 }
 
-// EnabledActions are all things that can happen next, always in the same order. Like calls come in the order of their
-// numbers, and the first one's first choice is the first server: the others are the same with other names.
+// EnabledActions returns the actions possible in the current state, always in the same order. To reduce symmetric states,
+// calls are set up in the order of their indexes, and the first choice of the first call is always server 0: other orders
+// and choices differ only in the names of calls and servers.
 func (m *CallModel) EnabledActions() (actions []Action) {
 	add := func(kind ActionKind, target, arg int) {
 		if kind < firstFaultKind || m.FaultsLeft > 0 {
 			actions = append(actions, Action{kind, uint8(target), uint8(arg)})
 		}
 	}
-	if m.allCallsEnded() { // all that is left is what servers say late, or again
+	if m.allCallsEnded() { // only late answers and repeated releases of servers remain
 		for index := range m.Calls {
 			m.lateServerMessages(index, &m.Calls[index], add)
 		}
@@ -173,8 +180,8 @@
 		add(actDrainStart, 0, 0)
 	}
 	timers := m.earliestTimers()
-	for arg := range timers {
-		add(actTimer, 0, arg)
+	for i := range timers {
+		add(actTimer, 0, i)
 	}
 	if m.PausesLeft > 0 && (len(timers) == 0 || m.Timers[timers[0]].At > m.Now+pauseDuration) {
 		add(actPause, 0, 0)
@@ -182,7 +189,7 @@
 	return actions
 }
 
-// actionsOf are those of one call.
+// callActions adds the actions that are possible for one started call.
 func (m *CallModel) callActions(index int, call *Call, add func(kind ActionKind, target, arg int)) {
 	if !call.Started {
 		return
@@ -218,7 +225,8 @@
 	}
 }
 
-// echoes are what a server may say of a call that is over for it.
+// lateServerMessages adds the late answer and the repeated release that a server may still send for a call that has ended
+// at that server.
 func (m *CallModel) lateServerMessages(index int, call *Call, add func(kind ActionKind, target, arg int)) {
 	if call.LateAnswerFrom != 0 && m.connTo(call.LateAnswerFrom-1) != 0 {
 		add(actLateAnswer, index, 0)
@@ -228,7 +236,7 @@
 	}
 }
 
-// TryApply has something happen. It says no to what can't happen now.
+// TryApply applies an action if it is enabled in the current state, and reports whether it was.
 func (m *CallModel) TryApply(a Action) bool {
 	if !slices.Contains(m.EnabledActions(), a) {
 		return false
@@ -237,6 +245,7 @@
 	return true
 }
 
+// apply applies an enabled action.
 func (m *CallModel) apply(a Action) {
 	if a.Kind >= firstFaultKind {
 		m.FaultsLeft--
@@ -277,7 +286,7 @@
 	}
 }
 
-// fire has a timer come due.
+// fireTimer advances the time to that of a timer and fires the timer.
 func (m *CallModel) fireTimer(index int) {
 	fired := m.Timers[index]
 	m.Timers = slices.Delete(m.Timers, index, index+1)
@@ -286,7 +295,7 @@
 	m.step(core.TimerFired{Token: fired.Token})
 }
 
-// list changes the list of servers.
+// changeServer changes the phase or the incarnation of a server and sends the core the changed list.
 func (m *CallModel) changeServer(kind ActionKind, index int) {
 	server := &m.Servers[index]
 	switch kind {
@@ -298,19 +307,20 @@
 	case actServerRestart:
 		server.Incarnation++
 		server.StartedAt = m.Now
-		server.Dials = 0 // they lead to where nobody is
+		server.Dials = 0 // pending connection attempts go to the address of the old process
 		m.endServerProcess(index)
 	case actServerReady:
 		server.Phase = phaseReady
 	}
 	dials := server.Dials
 	m.step(core.List{Servers: []core.Server{m.listEntry(index)}})
-	if kind == actServerRestart && server.Dials == dials { // the one under way comes up at the old address, or not at all
+	if kind == actServerRestart && server.Dials == dials {
+		// The core has not dialled again: its connection attempt to the old address fails.
 		m.step(core.ServerDown{Server: serverName(index)})
 	}
 }
 
-// call has something happen to a call.
+// applyToCall applies an action whose target is a call.
 func (m *CallModel) applyToCall(kind ActionKind, index, arg int) {
 	call := &m.Calls[index]
 	callerConns, server := m.CallerConns, serverName(call.Server)
@@ -368,6 +378,7 @@
 	}
 }
 
+// setUpEvent returns the event of a caller's set-up, first sent or repeated.
 func (m *CallModel) setUpEvent(index int) core.SetUp {
 	call := &m.Calls[index]
 	return core.SetUp{ID: callID(index), From: call.CallerConn, Cell: call.Cell, NumberText: "k", TimeLeft: call.Deadline - m.Now, At: m.Now}
--- a/internal/explore/digest.go
+++ b/internal/explore/digest.go
@@ -12,22 +12,27 @@
 	"elmseam/internal/core"
 )
 
+// digestPool holds encoders for reuse.
 var digestPool = sync.Pool{New: func() any { return new(encoder) }}
 
-// digest writes values down.
+// encoder appends a canonical encoding of values to a buffer. Fields of structs are encoded in declared order, so the
+// order of fields is part of the encoding.
 type encoder struct {
 	buf     []byte
-	visited []unsafe.Pointer // pointers, in the order they are met
+	visited []unsafe.Pointer // pointers in the order in which they were first encoded
 }
 
+// Types that appendValue encodes partly or not at all.
 var (
 	hookType   = reflect.TypeFor[core.Hook]()
 	configType = reflect.TypeFor[Config]()
 	coreType   = reflect.TypeFor[core.Core]()
 )
 
+// appendUint64 appends n in little-endian order.
 func (d *encoder) appendUint64(n uint64) { d.buf = binary.LittleEndian.AppendUint64(d.buf, n) }
 
+// appendValue appends the encoding of a value. Hooks and configurations, which no action changes, are left out.
 func (d *encoder) appendValue(v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Bool:
@@ -68,7 +73,7 @@
 			return
 		}
 		for i := range v.NumField() {
-			if t == coreType && t.Field(i).Name == "out" { // the last step's effects
+			if t == coreType && t.Field(i).Name == "out" { // buffer of the last step's effects, which is not part of the state
 				continue
 			}
 			d.appendValue(v.Field(i))
@@ -82,7 +87,8 @@
 	}
 }
 
-// pointer writes what is pointed to when it is met first, and where that was from then on.
+// appendPointer appends the value that v points to when the pointer is first encountered, and its position in d.visited after
+// that.
 func (d *encoder) appendPointer(v reflect.Value) {
 	if v.IsNil() {
 		d.buf = append(d.buf, 0)
@@ -99,7 +105,7 @@
 	d.appendValue(v.Elem())
 }
 
-// mapping writes a map in the order of its keys as they are written.
+// appendMap appends a map sorted by the encoding of its keys.
 func (d *encoder) appendMap(v reflect.Value) {
 	type pair struct {
 		key []byte
--- a/internal/explore/line.go
+++ b/internal/explore/line.go
@@ -11,19 +11,24 @@
 	"elmseam/internal/core"
 )
 
-// The rules on circuits.
+// The invariants of circuits.
 const (
-	OneCallPerCircuit Invariant = "one-call"  // a circuit is used again only after the server's RLC: no IAM meets one in use
-	SignalMatchesCall Invariant = "no-mix-up" // what the server says of a call is never taken for news of another
-	NoLostCircuit     Invariant = "come-back" // no circuit is lost for good
+	// OneCallPerCircuit: a circuit is reused only after the server's RLC, so that no IAM arrives on a circuit that the
+	// server has in use.
+	OneCallPerCircuit Invariant = "one-call"
+	// SignalMatchesCall: a message of the server about one call is never attributed to another call.
+	SignalMatchesCall Invariant = "no-mix-up"
+	// NoLostCircuit: every circuit becomes free again.
+	NoLostCircuit Invariant = "come-back"
 )
 
-// confirm is when a release that the server has not confirmed goes out again.
+// releaseConfirmTimeout is the wait for an RLC after which a REL is sent again.
 const releaseConfirmTimeout = 15 * time.Second
 
-// The messages between the circuits and the server.
+// messageType is the type of an ISUP message between the softswitch and the server.
 type messageType uint8
 
+// The message types.
 const (
 	msgIAM messageType = iota
 	msgANM
@@ -31,65 +36,71 @@
 	msgRLC
 )
 
+// messageTypeNames are the names of the types in the details of violations.
 var messageTypeNames = [...]string{"IAM", "ANM", "REL", "RLC"}
 
-// message is on its way, with the call that its sender means, which nobody reads.
+// message is an ISUP message in transit.
 type message struct {
 	Type    messageType
 	Circuit uint16
-	Call    core.ID
+	Call    core.ID // call that the sender means, 0: unknown; read only by the invariants, not by either side
 }
 
-// farCircuit is a circuit as the server sees it.
+// serverCircuit is the server's state of a circuit.
 type serverCircuit struct {
 	Call      core.ID // 0: free
 	Answered  bool
-	AwaitsRLC bool // its own REL waits for our RLC
+	AwaitsRLC bool // the server has sent a REL and has no RLC yet
 }
 
-// line is the circuits to a server, that server, and what is on its way between the two.
+// circuitModel is the model of the circuits between the softswitch and one server, with the messages in transit.
 type circuitModel struct {
 	Config         Config
-	Circuits       *circuits.Circuits
+	Circuits       *circuits.Circuits // the code under test
 	Now            time.Time
 	Connected      bool
-	ToServer       []message
-	FromServer     []message
-	ServerCircuits []serverCircuit
-	Started        int
-	FaultsLeft     int // faults to come
-	PausesLeft     int // and stalls
-	OverdueLeft    int // for releases that are overdue
+	ToServer       []message       // in transit to the server, in order
+	FromServer     []message       // in transit from the server, in order
+	ServerCircuits []serverCircuit // indexed by circuit
+	Started        int             // calls started so far
+	FaultsLeft     int             // faults that may still be injected
+	PausesLeft     int             // stalls of the server that may still be injected
+	OverdueLeft    int             // actReleaseOverdue actions that may still be applied
 	Violation      *Violation
 }
 
-// newLine is where the exploration of circuits begins: a connection is up, and all are free. Servers are circuits here.
+// newCircuitModel returns the initial state: the connection is established and all circuits are free. Config.Servers is
+// the number of circuits.
 func newCircuitModel(cfg Config) *circuitModel {
 	ownCircuits := circuits.New(cfg.Servers)
 	ownCircuits.DisableGuards(cfg.DisabledCircuitGuards)
 	return &circuitModel{
 		Config: cfg, Circuits: ownCircuits, Now: time.Unix(1_000_000, 0), Connected: true,
 		ServerCircuits: make([]serverCircuit, cfg.Servers), FaultsLeft: cfg.Faults, PausesLeft: cfg.Pauses,
-		OverdueLeft: 2 * (cfg.Calls + cfg.Faults + cfg.Pauses), // each can make a release or two overdue
+		OverdueLeft: 2 * (cfg.Calls + cfg.Faults + cfg.Pauses), // each call, fault and pause can make up to two releases overdue
 	}
 }
 
+// Digest returns the digest of the whole model.
 func (c *circuitModel) Digest() xxh3.Uint128  { return digestOf(c) }
 func (c *circuitModel) violation() *Violation { return c.Violation }
 func (c *circuitModel) clock() time.Duration  { return time.Duration(c.Now.UnixNano()) }
+
+// send appends a message to a queue. Without a connection the message is lost.
 func (c *circuitModel) send(queue *[]message, msg message) {
 	if c.Connected {
 		*queue = append(*queue, msg)
 	}
 }
 
+// recordViolation records the violation of an invariant, unless an earlier one is recorded.
 func (c *circuitModel) recordViolation(invariant Invariant, format string, args ...any) {
 	if c.Violation == nil {
 		c.Violation = &Violation{invariant, fmt.Sprintf(format, args...)}
 	}
 }
 
-// EnabledActions are all things that can happen next.
+// EnabledActions returns the actions possible in the current state, always in the same order.
 func (c *circuitModel) EnabledActions() (actions []Action) {
 	add := func(kind ActionKind, target int, fault bool) {
 		if !fault || c.FaultsLeft > 0 {
@@ -102,7 +113,7 @@
 	if c.Connected && c.Started < c.Config.Calls && c.Circuits.Free() > 0 {
 		add(actSeizeCircuit, 0, false)
 	}
-	if c.Connected { // without a connection the core ends nothing here
+	if c.Connected { // without a connection the core releases no call on a circuit
 		for _, id := range c.Circuits.Calls() {
 			add(actClearCall, int(id), false)
 		}
@@ -132,12 +143,13 @@
 	}
 	idle := len(c.ToServer)+len(c.FromServer) == 0
 	if c.Connected && c.Circuits.Free()+len(c.Circuits.Calls()) < len(c.ServerCircuits) && (idle || c.PausesLeft > 0) && c.OverdueLeft > 0 {
-		add(actReleaseOverdue, 0, false) // with something under way, the server has stalled for as long
+		// If messages are in transit, the server has stalled for that time, which counts as a pause.
+		add(actReleaseOverdue, 0, false)
 	}
 	return actions
 }
 
-// TryApply has something happen. It says no to what can't happen now.
+// TryApply applies an action if it is enabled in the current state, and reports whether it was.
 func (c *circuitModel) TryApply(a Action) bool {
 	if !slices.Contains(c.EnabledActions(), a) {
 		return false
@@ -146,6 +158,7 @@
 	return true
 }
 
+// apply applies an enabled action.
 func (c *circuitModel) apply(a Action) {
 	target := int(a.Target)
 	switch a.Kind {
@@ -185,7 +198,8 @@
 		c.Circuits.ConnLost(c.Now)
 	case actConnUp:
 		c.Connected = true
-		for i := range c.ServerCircuits { // a server's REL that was lost goes out again
+		// The server repeats each REL without RLC: the REL may have been lost with the old connection.
+		for i := range c.ServerCircuits {
 			if c.ServerCircuits[i].AwaitsRLC {
 				c.send(&c.FromServer, message{msgREL, uint16(i), c.ServerCircuits[i].Call})
 			}
@@ -205,18 +219,18 @@
 	}
 }
 
-// atServer has the server hear a message.
+// receiveAtServer applies a message at the server. With loseRLC, the RLC that answers a REL is lost.
 func (c *circuitModel) receiveAtServer(msg message, loseRLC bool) {
 	circuit := &c.ServerCircuits[msg.Circuit]
 	switch msg.Type {
 	case msgIAM:
 		if circuit.Call != 0 {
-			c.recordViolation(OneCallPerCircuit, "the IAM of call %d meets circuit %d in use for call %d", msg.Call, msg.Circuit, circuit.Call)
+			c.recordViolation(OneCallPerCircuit, "the IAM of call %d arrives on circuit %d, which is in use for call %d", msg.Call, msg.Circuit, circuit.Call)
 		}
 		*circuit = serverCircuit{Call: msg.Call}
 	case msgREL:
 		if msg.Call != 0 && circuit.Call != 0 && circuit.Call != msg.Call {
-			c.recordViolation(SignalMatchesCall, "the REL of call %d ends call %d", msg.Call, circuit.Call)
+			c.recordViolation(SignalMatchesCall, "the REL of call %d releases call %d", msg.Call, circuit.Call)
 		}
 		*circuit = serverCircuit{}
 		if !loseRLC {
@@ -229,7 +243,7 @@
 	}
 }
 
-// atOurs has the circuits hear a message.
+// receiveFromServer passes a message of the server to the circuits of the softswitch.
 func (c *circuitModel) receiveFromServer(msg message) {
 	var id core.ID
 	found := false
@@ -243,11 +257,11 @@
 		c.Circuits.Confirmed(msg.Circuit, c.Now)
 	}
 	if found && id != msg.Call {
-		c.recordViolation(SignalMatchesCall, "the %s of call %d on circuit %d is taken for one of call %d", messageTypeNames[msg.Type], msg.Call, msg.Circuit, id)
+		c.recordViolation(SignalMatchesCall, "the %s of call %d on circuit %d is attributed to call %d", messageTypeNames[msg.Type], msg.Call, msg.Circuit, id)
 	}
 }
 
-// Terminal says whether every call is over and every circuit is free on both sides.
+// Terminal reports whether every call has ended and every circuit is free on both sides.
 func (c *circuitModel) Terminal() bool {
 	if c.Started < c.Config.Calls || c.Circuits.Free() < len(c.ServerCircuits) || len(c.ToServer)+len(c.FromServer) > 0 {
 		return false
@@ -255,9 +269,9 @@
 	return !slices.ContainsFunc(c.ServerCircuits, func(circuit serverCircuit) bool { return circuit.Call != 0 })
 }
 
-// stuck judges a state in which nothing can happen any more.
+// checkDeadlock checks a state without enabled actions.
 func (c *circuitModel) checkDeadlock() {
 	if !c.Terminal() {
-		c.recordViolation(NoLostCircuit, "%d of %d circuits are free, and nothing can happen any more", c.Circuits.Free(), len(c.ServerCircuits))
+		c.recordViolation(NoLostCircuit, "only %d of %d circuits are free, and no action is enabled", c.Circuits.Free(), len(c.ServerCircuits))
 	}
 }
--- a/internal/explore/members.go
+++ b/internal/explore/members.go
@@ -6,26 +6,32 @@
 	"elmseam/internal/membership"
 )
 
-// The rules on membership.
+// The invariants of membership.
 const (
-	NoPermanentFalseDeath Invariant = "not-for-good" // a living member that can be heard is never held dead for good
-	TimelySuspicion       Invariant = "in-time"      // a dead member is suspected by all living ones within the bound
-	StaysDead             Invariant = "stays-dead"   // what is dead is held dead in the end: nothing brings it back
-	MinorityColdLimit     Invariant = "careful"      // a member that sees no majority takes less of a cold server's budget
+	// NoPermanentFalseDeath: a running, reachable member is not considered dead permanently.
+	NoPermanentFalseDeath Invariant = "not-for-good"
+	// TimelySuspicion: all running members suspect a dead member within a time limit.
+	TimelySuspicion Invariant = "in-time"
+	// StaysDead: a dead member is considered dead in the end; no old message makes it available again.
+	StaysDead Invariant = "stays-dead"
+	// MinorityColdLimit: a member that sees no majority of the tier reduces its quota of a cold server's budget at least to
+	// the fraction of members that it sees.
+	MinorityColdLimit Invariant = "careful"
 )
 
-// members is the protocol of membership.
+// membershipProtocol runs the membership reducer of each member.
 type membershipProtocol struct{ Limits membership.Limits }
 
-// newMembers has the defaults, with suspicions that are soon over and times that are stretched less: deaths come within a
-// few periods of turmoil.
+// newMembershipModel returns the initial state of the membership model. It uses the default limits, except that suspicions
+// expire sooner and a member's health stretches timeouts less, so that deaths are detected within the few periods in
+// which faults are injected.
 func newMembershipModel(cfg Config) *tierModel {
-	l := membership.Defaults()
-	l.MaxHealth, l.SuspicionMin, l.SuspicionMax = 2, 1, 2
-	return newTierModel(cfg, &membershipProtocol{l}, 4*l.Period)
+	limits := membership.Defaults()
+	limits.MaxHealth, limits.SuspicionMin, limits.SuspicionMax = 2, 1, 2
+	return newTierModel(cfg, &membershipProtocol{limits}, 4*limits.Period)
 }
 
-// memberNode is a member's reducer.
+// membershipProcess is the running process of a member: its membership reducer.
 type membershipProcess struct{ Reducer *membership.Reducer }
 
 func (p *membershipProcess) receive(now time.Duration, from int, data []byte) stepEffects {
@@ -36,6 +42,7 @@
 	return membershipEffects(p.Reducer.Step(now, membership.TimerFired{Token: token.(membership.Token)}))
 }
 
+// membershipEffects converts the effects of a reducer's step.
 func membershipEffects(effects []membership.Effect) (result stepEffects) {
 	for _, e := range effects {
 		switch e := e.(type) {
@@ -48,6 +55,7 @@
 	return result
 }
 
+// startMember starts a member's reducer, with a seed that differs between members and incarnations.
 func (p *membershipProtocol) startMember(t *tierModel, index int, incarnation uint8) (memberProcess, stepEffects) {
 	reducer, effects, err := membership.New(membership.Config{Self: index, TierSize: len(t.Members), Limits: p.Limits,
 		Seed: t.Config.Seed + uint64(index) + 100*uint64(incarnation), DisabledGuards: t.Config.DisabledMembershipGuards}, t.Now)
@@ -60,14 +68,15 @@
 func (p *membershipProtocol) converged(*tierModel)         {}
 func (p *membershipProtocol) memberKilled(*tierModel, int) {}
 
+// checkStep checks MinorityColdLimit.
 func (p *membershipProtocol) checkStep(t *tierModel, index int) {
 	if view := t.Members[index].Process.(*membershipProcess).Reducer.View(); !view.Majority() && view.ColdQuotaFactor() > float64(max(view.Available, 1))/float64(view.TierSize) {
-		t.recordViolation(MinorityColdLimit, "member %d sees %d of %d and takes %v", index, view.Available, view.TierSize, view.ColdQuotaFactor())
+		t.recordViolation(MinorityColdLimit, "member %d sees %d of %d members and uses %v of its quota", index, view.Available, view.TierSize, view.ColdQuotaFactor())
 	}
 }
 
-// passed judges whether the dead are suspected by now: every living member probes each other one within two rounds, and a
-// probe takes a period, each stretched by as much as a member's health may.
+// checkTimePassed checks TimelySuspicion. The time limit: every running member probes each other member within two rounds,
+// and a probe takes one period, which a member's health may stretch by a factor of MaxHealth+1.
 func (p *membershipProtocol) checkTimePassed(t *tierModel) {
 	bound := time.Duration(2*len(t.Members)) * p.Limits.Period * time.Duration(p.Limits.MaxHealth+1)
 	for deadIndex, dead := range t.Members {
@@ -79,12 +88,13 @@
 				continue
 			}
 			if state := observer.Process.(*membershipProcess).Reducer.Members()[deadIndex].State; state.Available() {
-				t.recordViolation(TimelySuspicion, "member %d holds member %d %v, %v after its death", observerIndex, deadIndex, state, t.Now-dead.DiedAt)
+				t.recordViolation(TimelySuspicion, "member %d considers member %d %v, %v after its death", observerIndex, deadIndex, state, t.Now-dead.DiedAt)
 			}
 		}
 	}
 }
 
+// checkSettled checks NoPermanentFalseDeath and StaysDead.
 func (p *membershipProtocol) checkSettled(t *tierModel) {
 	for observerIndex, observer := range t.Members {
 		if observer.Process == nil {
@@ -93,9 +103,9 @@
 		for index, member := range t.Members {
 			switch state := observer.Process.(*membershipProcess).Reducer.Members()[index].State; {
 			case member.Process != nil && !state.Available():
-				t.recordViolation(NoPermanentFalseDeath, "%v after the last disturbance member %d holds member %d, which is there, %v", settleTime, observerIndex, index, state)
+				t.recordViolation(NoPermanentFalseDeath, "%v after the last fault member %d considers the running member %d %v", settleTime, observerIndex, index, state)
 			case member.Process == nil && state != membership.Dead:
-				t.recordViolation(StaysDead, "%v after the last disturbance member %d holds member %d, which is dead, %v", settleTime, observerIndex, index, state)
+				t.recordViolation(StaysDead, "%v after the last fault member %d considers the dead member %d %v", settleTime, observerIndex, index, state)
 			}
 		}
 	}
--- a/internal/explore/model.go
+++ b/internal/explore/model.go
@@ -7,28 +7,29 @@
 	"github.com/zeebo/xxh3"
 )
 
-// Model is something whose states are explored.
+// Model is a state machine whose states Run searches. Replay rebuilds a state from the actions that lead to it, so a model
+// must be deterministic.
 type Model interface {
-	EnabledActions() []Action // all things that can happen next, always in the same order
-	TryApply(Action) bool     // has one happen, and says no to what can't
-	Terminal() bool           // nothing is left to happen that matters
-	Digest() xxh3.Uint128     // two with one digest go on alike
-	apply(Action)             // has one of Actions happen
-	checkDeadlock()           // judges a state in which nothing can happen
-	violation() *Violation    // the first rule that was broken
-	clock() time.Duration
+	EnabledActions() []Action // returns the actions possible in the current state, always in the same order
+	TryApply(Action) bool     // applies an action if it is enabled, and reports whether it was
+	Terminal() bool           // reports whether the state is a terminal state, and may check invariants of such states
+	Digest() xxh3.Uint128     // returns the digest of the state; states with equal digests have the same successors
+	apply(Action)             // applies an action that EnabledActions has returned
+	checkDeadlock()           // checks a state without enabled actions that is not terminal
+	violation() *Violation    // returns the first violation, or nil
+	clock() time.Duration     // returns the time of the model
 }
 
-// The models.
+// The names of the models, values of Config.Model.
 const (
 	ModelCalls       = "calls"    // the core and the decision module
-	ModelCircuits    = "circuits" // the second front's circuits to a server
-	ModelMembership  = "members"  // the tier's membership
-	ModelMaintenance = "works"    // its ordered maintenance
-	ModelBudget      = "parts"    // its parts of a cold server's budget
+	ModelCircuits    = "circuits" // the circuits of the M3UA signalling protocol to a server
+	ModelMembership  = "members"  // the membership of a tier
+	ModelMaintenance = "works"    // the maintenance of a tier's members that operators request
+	ModelBudget      = "parts"    // the quotas of a cold server's budget in a tier
 )
 
-// New is where the exploration of a model begins.
+// New returns the initial state of the model that the configuration names.
 func New(cfg Config) (Model, error) {
 	if err := cfg.Check(); err != nil {
 		return nil, err
@@ -46,14 +47,13 @@
 	return NewCallModel(cfg)
 }
 
-// Digest is that of the core, the module and all around them.
+// Digest returns the digest of the core, the controller and their simulated environment.
 func (m *CallModel) Digest() xxh3.Uint128  { return digestOf(m) }
 func (m *CallModel) violation() *Violation { return m.Violation }
 func (m *CallModel) clock() time.Duration  { return m.Now }
 
-// digestOf is a canonical digest of a model: every field that there is, so that one that is added later counts by
-// itself. It follows pointers once and takes maps in the order of their keys. Only what the last step of the core has
-// left lying is passed over.
+// digestOf returns the canonical digest of a model. The digest covers every field, also fields added later, except the
+// configuration, hooks and the core's buffer of effects. Each pointer is followed once, and maps are sorted by their keys.
 func digestOf(model any) xxh3.Uint128 {
 	d := digestPool.Get().(*encoder)
 	defer digestPool.Put(d)
--- a/internal/explore/parts.go
+++ b/internal/explore/parts.go
@@ -6,24 +6,30 @@
 	"elmseam/internal/budget"
 )
 
-// The rules on parts of a cold server's budget.
+// The invariants of quotas of a cold server's budget.
 const (
-	ExclusiveUnits Invariant = "whole"   // no unit of a part is used by two, so all together use no more than the whole
-	AllUnitsUsed   Invariant = "carried" // in the end each one that is there has its own part, and those of the dead are used
+	// ExclusiveUnits: no unit of a quota is used by two members, so that all members together use at most the whole budget.
+	ExclusiveUnits Invariant = "whole"
+	// AllUnitsUsed: in the end every available member has its own quota, and other members use the units of dead members.
+	AllUnitsUsed Invariant = "carried"
 )
 
-// parts is the protocol of budgets, while a server is cold: the first member needs thrice its part, the others none.
+// budgetProtocol runs the budget reducer of each member while one server is cold. The demand of member 0 is three quotas,
+// that of the others zero.
 type budgetProtocol struct{ Limits budget.Limits }
 
+// newBudgetModel returns the initial state of the budget model. The lease is short, so that leases expire within the
+// periods in which faults are injected.
 func newBudgetModel(cfg Config) *tierModel {
-	l := budget.Defaults()
-	l.Lease = time.Second
-	return newTierModel(cfg, &budgetProtocol{l}, 2*time.Second)
+	limits := budget.Defaults()
+	limits.Lease = time.Second
+	return newTierModel(cfg, &budgetProtocol{limits}, 2*time.Second)
 }
 
-// partNode is a member's reducer.
+// budgetProcess is the running process of a member: its budget reducer.
 type budgetProcess struct{ Reducer *budget.Reducer }
 
+// step passes an event to the reducer and converts the effects.
 func (p *budgetProcess) step(now time.Duration, ev budget.Event) (result stepEffects) {
 	for _, e := range p.Reducer.Step(now, ev) {
 		switch e := e.(type) {
@@ -44,6 +50,8 @@
 	return p.step(now, budget.TimerFired{Token: token.(budget.Token)})
 }
 
+// startMember starts a member's reducer, informs it and the running members of each other, and declares a
+// server cold.
 func (p *budgetProtocol) startMember(t *tierModel, index int, incarnation uint8) (memberProcess, stepEffects) {
 	reducer, _, err := budget.New(budget.Config{Self: index, TierSize: len(t.Members), Limits: p.Limits,
 		Seed: t.Config.Seed + uint64(index) + 100*uint64(incarnation), DisabledGuards: t.Config.DisabledBudgetGuards}, t.Now)
@@ -73,6 +81,7 @@
 
 func (p *budgetProtocol) converged(*tierModel) {}
 
+// memberKilled informs the running members at once that a member is dead.
 func (p *budgetProtocol) memberKilled(t *tierModel, index int) {
 	for other, member := range t.Members {
 		if member.Process != nil && !member.Paused {
@@ -83,15 +92,16 @@
 
 func (p *budgetProtocol) checkStep(t *tierModel, _ int) { p.checkTimePassed(t) }
 
-// used are the units of a part that those use who run.
-func (p *budgetProtocol) usedUnits(t *tierModel, quota int) (units budget.Mask, users int) {
+// usedUnits returns the units of a member's quota that running members use, and how many members use any. It checks
+// ExclusiveUnits. owner is the member's index.
+func (p *budgetProtocol) usedUnits(t *tierModel, owner int) (units budget.Mask, users int) {
 	for index, member := range t.Members {
 		if member.Process == nil || member.Paused {
 			continue
 		}
-		usable := member.Process.(*budgetProcess).Reducer.Usable(t.Now, quota)
+		usable := member.Process.(*budgetProcess).Reducer.Usable(t.Now, owner)
 		if units&usable != 0 {
-			t.recordViolation(ExclusiveUnits, "units %08b of member %d's part are used by member %d and another", units&usable, quota, index)
+			t.recordViolation(ExclusiveUnits, "units %08b of member %d's quota are used by member %d and another member", units&usable, owner, index)
 		}
 		units |= usable
 		if usable != 0 {
@@ -101,12 +111,14 @@
 	return units, users
 }
 
+// checkTimePassed checks ExclusiveUnits for the quota of every member.
 func (p *budgetProtocol) checkTimePassed(t *tierModel) {
-	for quota := range t.Members {
-		p.usedUnits(t, quota)
+	for owner := range t.Members {
+		p.usedUnits(t, owner)
 	}
 }
 
+// checkSettled checks AllUnitsUsed, if a majority of the members is running.
 func (p *budgetProtocol) checkSettled(t *tierModel) {
 	available := 0
 	for _, member := range t.Members {
@@ -118,13 +130,13 @@
 		return
 	}
 	allUnits := budget.Mask(1<<budget.Units - 1)
-	for quota, member := range t.Members {
+	for owner, member := range t.Members {
 		want := allUnits
 		if member.Process == nil {
-			want &^= 1
+			want &^= 1 // only the owner itself uses the first unit of its quota
 		}
-		if units, _ := p.usedUnits(t, quota); units != want {
-			t.recordViolation(AllUnitsUsed, "%v after the last disturbance units %08b of member %d's part are used", settleTime, units, quota)
+		if units, _ := p.usedUnits(t, owner); units != want {
+			t.recordViolation(AllUnitsUsed, "%v after the last fault units %08b of member %d's quota are used", settleTime, units, owner)
 		}
 	}
 }
--- a/internal/explore/rules.go
+++ b/internal/explore/rules.go
@@ -6,78 +6,79 @@
 	"elmseam/internal/core"
 )
 
-// Invariant names a property that no exploration may see broken.
+// Invariant names a property that must hold in every state. The value is its name in traces.
 type Invariant string
 
-// The rules, each in the words that the softswitch promises it in. They are judged by what is asked of the sockets
-// (the effects) and by what the world around has done, and share no code with the core's guards.
+// The invariants of CallModel. Quoted text is what the softswitch promises to its users. The invariants are checked on the
+// effects that the core requests and on the actions of callers and servers, and share no code with the core's guards.
 const (
-	OneFinalAnswer        Invariant = "one-final"   // "Exactly one final answer per call before its caller gives up": never a second
-	OneOutstandingAttempt Invariant = "one-out"     // "never two attempts out"
-	AttemptLimit          Invariant = "few-sends"   // "at most four": no more attempts than the settings of the call's set-up allow
+	OneFinalAnswer        Invariant = "one-final"   // "Exactly one final answer per call before its caller gives up": at most one
+	OneOutstandingAttempt Invariant = "one-out"     // "never two attempts out": at most one attempt of a call is outstanding
+	AttemptLimit          Invariant = "few-sends"   // "at most four": no more attempts than the settings at the time of the set-up allow
 	ReleaseGuard          Invariant = "release-gap" // "200 ms before resending after timeout, reset or cancel"
 	NoSetUpToDrained      Invariant = "no-drained"  // "nothing new to a server after it is told draining or gone"
-	AnswerBeforeGiveUp    Invariant = "no-wait"     // "Exactly one final answer ... before its caller gives up": never none
-	OneRelease            Invariant = "one-release" // what has stood and is over is released towards its caller, once
-	NoLeak                Invariant = "no-leak"     // all memory is given back when every call is over
-	SendOnOpenConn        Invariant = "reachable"   // what a caller or a server is told goes out on a connection that is there
-	NoGuardTripped        Invariant = "quiet"       // no guard of the core's has to hold against the module
+	AnswerBeforeGiveUp    Invariant = "no-wait"     // "Exactly one final answer ... before its caller gives up": at least one
+	OneRelease            Invariant = "one-release" // an established call that has ended is released towards its caller exactly once
+	NoLeak                Invariant = "no-leak"     // the core retains nothing when all calls have ended
+	SendOnOpenConn        Invariant = "reachable"   // messages to callers and servers are sent on open connections only
+	NoGuardTripped        Invariant = "quiet"       // no guard of the core has to stop an action of the controller
 )
 
-// Invariants are all of them.
+// Invariants lists the invariants of CallModel.
 var Invariants = []Invariant{OneFinalAnswer, OneOutstandingAttempt, AttemptLimit, ReleaseGuard, NoSetUpToDrained, AnswerBeforeGiveUp, OneRelease, NoLeak, SendOnOpenConn, NoGuardTripped}
 
-// Violation is a rule seen broken.
+// Violation is an invariant that does not hold in a state.
 type Violation struct {
 	Invariant Invariant
-	Detail    string
+	Detail    string // what happened, for people
 }
 
+// Error returns the name of the invariant and the detail.
 func (v *Violation) Error() string { return fmt.Sprintf("%s: %s", v.Invariant, v.Detail) }
 
-// account is what the rules know of a call.
+// account is the record of a call that the invariants are checked against. The core's own records are not used.
 type account struct {
-	Attempts       int
-	MaxAttempts    int // attempts that it may have
-	Outstanding    int // attempts out
-	BadEndAt       core.Time
-	EndedBadly     bool // its last attempt ended at Bad by a time-out, a reset or a cancel
-	FinalAnswers   int
-	WasEstablished bool
+	Attempts       int       // attempts sent
+	MaxAttempts    int       // attempts allowed by the settings at the set-up
+	Outstanding    int       // attempts without an answer
+	BadEndAt       core.Time // end of the last attempt
+	EndedBadly     bool      // the last attempt ended by a time-out, a reset or a cancel
+	FinalAnswers   int       // final answers sent to the caller
+	WasEstablished bool      // a final answer said that the call is established
 	Releases       int
-	CallerGone     bool // nobody waits for an answer, or for a release
+	CallerGone     bool // the caller no longer expects an answer or a release
 }
 
-// broken records the first rule that is broken.
+// recordViolation records the violation of an invariant, unless an earlier one is recorded.
 func (m *CallModel) recordViolation(invariant Invariant, format string, args ...any) {
 	if m.Violation == nil {
 		m.Violation = &Violation{invariant, fmt.Sprintf(format, args...)}
 	}
 }
 
-// offered judges an attempt.
+// checkOffer checks an attempt that the core sends, and counts it. conn is nil if the connection is closed.
 func (m *CallModel) checkOffer(index int, conn *conn) {
 	acct := &m.Calls[index].Account
 	switch {
 	case conn == nil:
-		m.recordViolation(SendOnOpenConn, "call %d is offered on no connection", index)
+		m.recordViolation(SendOnOpenConn, "call %d is offered on a closed connection", index)
 		return
 	case acct.Outstanding > 0:
-		m.recordViolation(OneOutstandingAttempt, "call %d has a second attempt out", index)
+		m.recordViolation(OneOutstandingAttempt, "call %d has a second outstanding attempt", index)
 	case acct.Attempts >= acct.MaxAttempts:
-		m.recordViolation(AttemptLimit, "call %d is sent for the %d. time", index, acct.Attempts+1)
+		m.recordViolation(AttemptLimit, "call %d is sent %d times, more often than its settings allow", index, acct.Attempts+1)
 	case acct.EndedBadly && m.Now < acct.BadEndAt+releaseGuardTime:
 		m.recordViolation(ReleaseGuard, "call %d is sent %v after its last attempt ended", index, m.Now-acct.BadEndAt)
 	case m.Servers[conn.Server].Phase != phaseReady:
-		m.recordViolation(NoSetUpToDrained, "call %d is sent to server %d", index, conn.Server)
+		m.recordViolation(NoSetUpToDrained, "call %d is sent to server %d, which is not ready", index, conn.Server)
 	case acct.FinalAnswers > 0 || acct.CallerGone:
-		m.recordViolation(OneFinalAnswer, "call %d is sent after its end", index)
+		m.recordViolation(OneFinalAnswer, "call %d is sent after it has ended", index)
 	}
 	acct.Attempts++
 	acct.Outstanding++
 }
 
-// attemptOver takes in the end of an attempt. Bad: by a time-out, a reset or a cancel.
+// recordAttemptEnd records the end of an attempt. bad says that the attempt ended by a time-out, a reset or a cancel.
 func (m *CallModel) recordAttemptEnd(index int, bad bool) {
 	acct := &m.Calls[index].Account
 	if acct.Outstanding > 0 {
@@ -86,56 +87,56 @@
 	acct.EndedBadly, acct.BadEndAt = bad, m.Now
 }
 
-// finalAnswer judges a final answer.
+// checkFinalAnswer checks a final answer that the core sends to a caller, and counts it.
 func (m *CallModel) checkFinalAnswer(index int, connID core.ConnID, established bool) {
 	call := &m.Calls[index]
 	acct := &call.Account
 	switch {
 	case !m.callerConnected(connID):
-		m.recordViolation(SendOnOpenConn, "call %d is answered on no connection", index)
+		m.recordViolation(SendOnOpenConn, "call %d is answered on a closed connection", index)
 	case acct.FinalAnswers > 0:
 		m.recordViolation(OneFinalAnswer, "call %d has a second final answer", index)
 	case acct.CallerGone:
-		m.recordViolation(OneFinalAnswer, "call %d is answered and nobody waits", index)
+		m.recordViolation(OneFinalAnswer, "call %d is answered after its caller has left", index)
 	case established && !call.Established:
-		m.recordViolation(OneFinalAnswer, "call %d is said to stand and stands nowhere", index)
+		m.recordViolation(OneFinalAnswer, "call %d is reported as established, but no server has established it", index)
 	case m.Now > call.Deadline:
-		m.recordViolation(AnswerBeforeGiveUp, "call %d is answered %v late", index, m.Now-call.Deadline)
+		m.recordViolation(AnswerBeforeGiveUp, "call %d is answered %v after its deadline", index, m.Now-call.Deadline)
 	}
 	acct.FinalAnswers++
 	acct.WasEstablished = acct.WasEstablished || established
 }
 
-// released judges a release towards a caller.
+// checkRelease checks a release that the core sends to a caller, and counts it.
 func (m *CallModel) checkRelease(index int, connID core.ConnID) {
 	acct := &m.Calls[index].Account
 	switch {
 	case !m.callerConnected(connID):
-		m.recordViolation(SendOnOpenConn, "call %d is released on no connection", index)
+		m.recordViolation(SendOnOpenConn, "call %d is released on a closed connection", index)
 	case !acct.WasEstablished:
-		m.recordViolation(OneRelease, "call %d is released and never stood", index)
+		m.recordViolation(OneRelease, "call %d is released but was never established", index)
 	case acct.Releases > 0 || acct.CallerGone:
-		m.recordViolation(OneRelease, "call %d is released twice", index)
+		m.recordViolation(OneRelease, "call %d is released twice, or after its caller has left", index)
 	}
 	acct.Releases++
 }
 
-// inTime judges whether anybody waits for longer than it wanted to.
+// checkDeadlines checks that no caller waits for a final answer beyond its deadline.
 func (m *CallModel) checkDeadlines(now core.Time) {
 	for i := range m.Calls {
 		if call := &m.Calls[i]; call.Started && call.Account.FinalAnswers == 0 && !call.Account.CallerGone && now > call.Deadline {
-			m.recordViolation(AnswerBeforeGiveUp, "call %d has no final answer %v after its time", i, now-call.Deadline)
+			m.recordViolation(AnswerBeforeGiveUp, "call %d has no final answer %v after its deadline", i, now-call.Deadline)
 		}
 	}
 }
 
-// over says whether nothing more is owed for a call.
+// ended reports whether the call has ended at its server and its caller has received all messages that are due.
 func (c *Call) ended() bool {
 	acct := &c.Account
 	return c.Started && c.State == attemptNone && !c.Established && (acct.CallerGone || acct.FinalAnswers > 0 && (!acct.WasEstablished || acct.Releases > 0))
 }
 
-// done says whether every call is over.
+// allCallsEnded reports whether every call has ended.
 func (m *CallModel) allCallsEnded() bool {
 	for i := range m.Calls {
 		if !m.Calls[i].ended() {
@@ -145,29 +146,29 @@
 	return true
 }
 
-// Terminal says whether every call is over, and judges what is kept then.
+// Terminal reports whether every call has ended, and if so checks NoLeak.
 func (m *CallModel) Terminal() bool {
 	if !m.allCallsEnded() {
 		return false
 	}
 	if retained := m.Core.Retained(); retained != (core.Retained{}) {
-		m.recordViolation(NoLeak, "every call is over, and %+v is kept", retained)
+		m.recordViolation(NoLeak, "all calls have ended, but the core retains %+v", retained)
 	}
 	return true
 }
 
-// stuck judges a state in which nothing can happen any more.
+// checkDeadlock checks a state without enabled actions.
 func (m *CallModel) checkDeadlock() {
 	for i := range m.Calls {
 		call := &m.Calls[i]
 		switch acct := &call.Account; {
 		case call.ended() || !call.Started:
 		case call.Established && acct.CallerGone:
-			m.recordViolation(OneRelease, "call %d was hung up and stands at its server", i)
+			m.recordViolation(OneRelease, "the caller of call %d has hung up, but the call is still established at its server", i)
 		case acct.WasEstablished:
-			m.recordViolation(OneRelease, "call %d is over and never released", i)
+			m.recordViolation(OneRelease, "call %d has ended but was never released", i)
 		default:
-			m.recordViolation(AnswerBeforeGiveUp, "call %d waits for ever", i)
+			m.recordViolation(AnswerBeforeGiveUp, "call %d never gets a final answer", i)
 		}
 	}
 }
--- a/internal/explore/search.go
+++ b/internal/explore/search.go
@@ -10,48 +10,49 @@
 	"github.com/zeebo/xxh3"
 )
 
-// Bounds are where an exploration stops before it is complete.
+// Bounds limits a search.
 type Bounds struct {
-	Depth   int           // things that happen one after the other; 0: any number
-	Time    time.Duration // 0: any
-	Memory  int64         // bytes for the states that have been seen; 0: 1 GiB
-	Workers int           // 0: one a processor
-	Walks   int           // random walks to the end, where it is not complete
-	Seed    uint64        // of the walks
+	Depth   int           // maximum number of actions that lead to a state; 0: unlimited
+	Time    time.Duration // maximum duration of the breadth-first search; 0: unlimited
+	Memory  int64         // maximum size of the visited states in bytes; 0: 1 GiB
+	Workers int           // goroutines that compute successors; 0: one per processor
+	Walks   int           // random walks after an incomplete search without a counterexample
+	Seed    uint64        // seed of the random walks
 }
 
-// Report says what was explored.
+// Report is the result of a search.
 type Report struct {
-	Complete       bool   // every state that can be reached was
-	Depth          int    // every state that so many things lead to was
-	StopReason     string // it is not complete
-	States         int    // different ones
-	Steps          int    // things that happened
-	TerminalStates int    // states in which every call is over
-	Walks          int    // sampled beyond that
+	Complete       bool   // every reachable state was visited
+	Depth          int    // every state that at most this many actions lead to was visited
+	StopReason     string // bound that stopped the search: depth, time or memory; empty if complete
+	States         int    // distinct states visited
+	Steps          int    // actions applied
+	TerminalStates int    // terminal states found by the breadth-first search
+	Walks          int    // random walks made
 	Elapsed        time.Duration
-	Memory         int64
-	Counterexample *Trace // to a rule that is broken; nil: none is
+	Memory         int64  // estimated size of the visited states in bytes
+	Counterexample *Trace // shrunk trace to a violation; nil: no violation was found
 }
 
-// nodeSize is about what a state costs: its node, and its digest among those seen.
+// bytesPerState is the approximate memory per visited state: its searchNode and its entry in search.seen.
 const bytesPerState = 8 + 16 + 24
 
-// node is a state by the way to it: the state before, and what happened then.
+// searchNode represents a state by the state before it and the action that leads to it.
 type searchNode struct {
-	parent int32
+	parent int32 // index in search.nodes; -1: initial state
 	action Action
 }
 
-// found is what a worker found of one action in one state.
+// stepResult is the result of one action in one state, or of the checks of the state itself.
 type stepResult struct {
-	hasAction bool // false: of the state itself
+	hasAction bool // false: result of the checks of the state itself
 	action    Action
 	digest    xxh3.Uint128
 	terminal  bool
 	violation *Violation
 }
 
+// search is a breadth-first search in progress.
 type search struct {
 	cfg    Config
 	nodes  []searchNode
@@ -59,8 +60,8 @@
 	report Report
 }
 
-// Run explores breadth first. States are kept as the ways to them and made again when their turn comes; see
-// docs/CHECKING.md for what that costs.
+// Run searches the state space of a model breadth first. To save memory it keeps states as the actions that lead to them
+// and rebuilds them by replay; docs/CHECKING.md says what that costs.
 func Run(ctx context.Context, cfg Config, bounds Bounds) (*Report, error) {
 	start := time.Now()
 	initial, err := New(cfg)
@@ -92,10 +93,10 @@
 	return &s.report, nil
 }
 
-// batch is how many states the workers take at a time; between batches the bounds are looked at.
+// batchSize is the number of states that the workers expand between two checks of the bounds.
 const batchSize = 2048
 
-// levels goes through the states, those that fewest things lead to first.
+// breadthFirst visits the states level by level, in the order of the number of actions that lead to them.
 func (s *search) breadthFirst(ctx context.Context, bounds Bounds) {
 	for lo, hi := 0, 1; ; s.report.Depth++ {
 		if lo == hi {
@@ -123,7 +124,7 @@
 	}
 }
 
-// expand has everything happen that can in some states, on all workers.
+// expand computes the successors of the states with indexes lo to hi-1 on all workers.
 func (s *search) expand(lo, hi, workers int) [][]stepResult {
 	results := make([][]stepResult, hi-lo)
 	next := make(chan int, hi-lo)
@@ -143,7 +144,7 @@
 	return results
 }
 
-// successors are what follows from a state.
+// successors checks a state and applies every enabled action to it.
 func (s *search) successors(i int) []stepResult {
 	path := s.path(i)
 	model, _ := Replay(s.cfg, path)
@@ -173,8 +174,8 @@
 	return results
 }
 
-// merge takes in what the workers found, in the order of the states: the same exploration comes to the same counts and
-// the same counterexample, however many workers there are. It says whether a rule is broken.
+// merge adds the results of the workers in the order of the states, so that counts and counterexample do not depend on
+// the number of workers. It reports whether a violation was found. lo is the index of the first state.
 func (s *search) merge(lo int, results [][]stepResult) bool {
 	for i, stateResults := range results {
 		for _, result := range stateResults {
@@ -204,7 +205,7 @@
 	return false
 }
 
-// way is what happened up to a state.
+// path returns the actions that lead to a state.
 func (s *search) path(i int) []Action {
 	n := 0
 	for at := i; s.nodes[at].parent >= 0; at = int(s.nodes[at].parent) {
@@ -218,7 +219,8 @@
 	return path
 }
 
-// walks samples what lies beyond: from the beginning to the end, any thing that can happen as likely as another.
+// randomWalks samples states beyond the bounds by walks from the initial state until no action is enabled. Each enabled
+// action is equally likely.
 func (s *search) randomWalks(bounds Bounds) {
 	rnd := rand.New(rand.NewPCG(bounds.Seed, 1))
 	for range bounds.Walks {
@@ -245,7 +247,8 @@
 	}
 }
 
-// Replay has things happen from the beginning. It stops at the first that can't happen, and says how many did.
+// Replay applies actions to the initial state. It stops after an action that causes a violation, and returns the state and
+// how many actions were applied. Every action must be enabled where it is applied.
 func Replay(cfg Config, path []Action) (Model, int) {
 	model, err := New(cfg)
 	if err != nil {
--- a/internal/explore/tier.go
+++ b/internal/explore/tier.go
@@ -11,79 +11,90 @@
 )
 
 const (
-	maxBurst      = 48 // datagrams that one event may cause, of a handful of members
+	// maxBurst is the maximum number of datagrams that one event at one member may cause in a tier of at most four members.
+	maxBurst      = 48
 	datagramDelay = 200 * time.Millisecond
-	settleTime    = 25 * time.Second // without a disturbance, after the last
+	settleTime    = 25 * time.Second // how long the tier runs without faults before its final state is checked
 	tierStartTime = 1_000_000 * time.Second
 )
 
-// DatagramLimits is a rule on all that members of a tier say: no datagram of more than 256 bytes, and no burst of them.
+// DatagramLimits is the invariant that no member sends a datagram of more than datagram.MaxSize (256) bytes, or more than
+// maxBurst datagrams for one event.
 const DatagramLimits Invariant = "small"
 
-// peerNode is a member's reducer, of whatever protocol.
+// memberProcess is the running process of a member, with the reducer of the protocol under test.
 type memberProcess interface {
+	// receive handles a datagram of another member.
 	receive(now time.Duration, from int, data []byte) stepEffects
+	// timerFired handles a timer that has fired.
 	timerFired(now time.Duration, token any) stepEffects
 }
 
-// outcome is what a step of a node asks for.
+// stepEffects are the effects that a step of a process requests.
 type stepEffects struct {
 	Sends  []sentDatagram
 	Timers []memberTimer
 }
 
-// protocol is what members of a tier do, with its rules.
+// tierProtocol is a protocol between the members of a tier, with its invariants. The int parameters are member indexes.
 type tierProtocol interface {
-	startMember(t *tierModel, m int, life uint8) (memberProcess, stepEffects) // a member starts, or starts anew
-	converged(t *tierModel)                                                   // all have come together, and the turmoil begins
-	memberKilled(t *tierModel, m int)
-	checkStep(t *tierModel, m int) // judges what a member holds now
-	checkTimePassed(t *tierModel)  // judges what is held when time has passed
-	checkSettled(t *tierModel)     // judges what is held in the end
+	// startMember starts a process of a member.
+	startMember(t *tierModel, index int, incarnation uint8) (memberProcess, stepEffects)
+	// converged is called once, when all members have started and found each other, before the first fault.
+	converged(t *tierModel)
+	// memberKilled informs the other members, where the protocol needs it, that a member has been killed.
+	memberKilled(t *tierModel, index int)
+	// checkStep checks the invariants after a step of a member.
+	checkStep(t *tierModel, index int)
+	// checkTimePassed checks the invariants after time has passed.
+	checkTimePassed(t *tierModel)
+	// checkSettled checks the invariants of the final state.
+	checkSettled(t *tierModel)
 }
 
-// tierTimer is one that a member asked for.
+// memberTimer is a timer that a member has requested.
 type memberTimer struct {
 	At    time.Duration
 	Token any
 }
 
-// tierMember is a member with what waits for it.
+// tierMember is a member of the tier.
 type tierMember struct {
-	Process          memberProcess // nil: killed
+	Process          memberProcess // nil: killed and not started again
 	Paused           bool
-	Timers           []memberTimer  // as they came
-	HeldDatagrams    []sentDatagram // datagrams that came while it was paused
-	DiedAt           time.Duration
-	UndisturbedSince time.Duration // since when it has run undisturbed
-	Incarnations     uint8
+	Timers           []memberTimer  // in the order of their requests
+	HeldDatagrams    []sentDatagram // datagrams that arrived while the member was paused
+	DiedAt           time.Duration  // if killed
+	UndisturbedSince time.Duration  // start of the process, or end of its last pause
+	Incarnations     uint8          // starts so far
 }
 
-// flight is a datagram on its way.
+// sentDatagram is a datagram in transit or held for a paused member.
 type sentDatagram struct {
 	From, To  int
 	Data      []byte
-	DeliverAt time.Duration // of a slow one
+	DeliverAt time.Duration // delivery time of a delayed datagram
 }
 
-// tier is all members of a tier, and the network between them. Datagrams take no time but those that are slow.
+// tierModel is the model of all members of a tier and of the network between them. Datagrams take no time, except those
+// that a fault delays.
 type tierModel struct {
 	Config      Config
 	Protocol    tierProtocol
 	Members     []tierMember
-	InFlight    []sentDatagram // in order
+	InFlight    []sentDatagram // undelayed datagrams, in the order of delivery
 	Delayed     []sentDatagram
 	Now         time.Duration
-	FaultsUntil time.Duration // until then there are disturbances
-	FaultsLeft  int           // of them
-	PausesLeft  int           // and members that may stand still
-	LastFault   time.Duration // the last disturbance
-	Settled     bool
+	FaultsUntil time.Duration // no faults are injected after this time
+	FaultsLeft  int           // faults that may still be injected
+	PausesLeft  int           // pauses of members that may still be injected
+	LastFault   time.Duration // time of the last fault, pause, start or end of a pause
+	Settled     bool          // the final state has been reached and checked
 	Violation   *Violation
 }
 
-// newTier begins with all members started at once, and come together. Servers are members here, and calls the half
-// seconds of turmoil.
+// newTierModel returns the initial state: all members have started at the same time and have run for convergeTime.
+// Config.Servers is the number of members, and Config.Calls the time in which faults are injected, in half seconds.
 func newTierModel(cfg Config, protocol tierProtocol, convergeTime time.Duration) *tierModel {
 	t := &tierModel{Config: cfg, Protocol: protocol, Members: make([]tierMember, cfg.Servers), Now: tierStartTime, FaultsLeft: cfg.Faults, PausesLeft: cfg.Pauses}
 	for index := range t.Members {
@@ -95,18 +106,25 @@
 	return t
 }
 
+// Digest returns the digest of the whole model.
 func (t *tierModel) Digest() xxh3.Uint128  { return digestOf(t) }
 func (t *tierModel) violation() *Violation { return t.Violation }
 func (t *tierModel) clock() time.Duration  { return t.Now }
-func (t *tierModel) Terminal() bool        { return t.Settled }
-func (t *tierModel) checkDeadlock()        {}
 
+// Terminal reports whether the tier has settled.
+func (t *tierModel) Terminal() bool { return t.Settled }
+
+// checkDeadlock does nothing: actSettle is always enabled in the end, and the settled state is terminal.
+func (t *tierModel) checkDeadlock() {}
+
+// recordViolation records the violation of an invariant, unless an earlier one is recorded.
 func (t *tierModel) recordViolation(invariant Invariant, format string, args ...any) {
 	if t.Violation == nil {
 		t.Violation = &Violation{invariant, fmt.Sprintf(format, args...)}
 	}
 }
 
+// startMember starts a new process of a member.
 func (t *tierModel) startMember(index int) {
 	member := &t.Members[index]
 	incarnation := member.Incarnations
@@ -115,11 +133,11 @@
 	t.applyEffects(index, effects)
 }
 
-// carry takes what a member asks for in, and judges the member.
+// applyEffects sends the datagrams and sets the timers that a member's step requests, and checks the invariants.
 func (t *tierModel) applyEffects(index int, effects stepEffects) {
 	for i, sent := range effects.Sends {
 		if len(sent.Data) > datagram.MaxSize || i >= maxBurst {
-			t.recordViolation(DatagramLimits, "member %d sends %d bytes, as its datagram %d of one event", index, len(sent.Data), i+1)
+			t.recordViolation(DatagramLimits, "member %d sends a datagram of %d bytes, number %d of one event", index, len(sent.Data), i+1)
 		}
 		sent.From = index
 		t.InFlight = append(t.InFlight, sent)
@@ -128,7 +146,7 @@
 	t.Protocol.checkStep(t, index)
 }
 
-// arrive has a datagram reach its member.
+// deliver hands a datagram to its receiver. A killed member loses the datagram; a paused member handles it later.
 func (t *tierModel) deliver(sent sentDatagram) {
 	switch member := &t.Members[sent.To]; {
 	case member.Process == nil:
@@ -139,7 +157,8 @@
 	}
 }
 
-// first is the timer that is due first: the member and its place there; a slow datagram has member -1.
+// nextDue returns the earliest timer or delayed datagram. For a timer, owner is the index of its member and position its
+// index in Timers; for a datagram, owner is -1 and position its index in t.Delayed. If there is neither, owner is -2.
 func (t *tierModel) nextDue() (owner, position int, at time.Duration) {
 	owner, position = -2, -1
 	for index, member := range t.Members {
@@ -160,7 +179,7 @@
 	return owner, position, at
 }
 
-// tick lets time pass until something is due, and has it happen.
+// advance moves the time to that of the next timer or delayed datagram and handles it.
 func (t *tierModel) advance() {
 	owner, position, at := t.nextDue()
 	t.Now = max(t.Now, at)
@@ -178,7 +197,7 @@
 	t.Protocol.checkTimePassed(t)
 }
 
-// quietly lets time pass with no disturbance.
+// runUndisturbed delivers datagrams and fires timers without faults until the given time.
 func (t *tierModel) runUndisturbed(until time.Duration) {
 	for t.Violation == nil {
 		if len(t.InFlight) > 0 {
@@ -195,7 +214,7 @@
 	}
 }
 
-// EnabledActions are all things that can happen next.
+// EnabledActions returns the actions possible in the current state, always in the same order.
 func (t *tierModel) EnabledActions() (actions []Action) {
 	add := func(kind ActionKind, target int, fault bool) {
 		if !fault || t.FaultsLeft > 0 {
@@ -231,7 +250,7 @@
 	return actions
 }
 
-// TryApply has something happen. It says no to what can't happen now.
+// TryApply applies an action if it is enabled in the current state, and reports whether it was.
 func (t *tierModel) TryApply(a Action) bool {
 	if !slices.Contains(t.EnabledActions(), a) {
 		return false
@@ -240,6 +259,7 @@
 	return true
 }
 
+// apply applies an enabled action.
 func (t *tierModel) apply(a Action) {
 	index := int(a.Target)
 	if a.Kind != actDeliverDatagram && a.Kind != actTick && a.Kind != actSettle {
@@ -276,7 +296,7 @@
 	}
 }
 
-// goOn lets a paused member go on: its overdue timers come first, in their order, then what it was sent.
+// resume ends the pause of a member: its overdue timers fire first, in their order, then it receives the held datagrams.
 func (t *tierModel) resume(index int) {
 	member := &t.Members[index]
 	held := member.HeldDatagrams
@@ -290,7 +310,7 @@
 	t.InFlight = append(t.InFlight, held...)
 }
 
-// settle lets all that stands still go on and time pass with no disturbance, and judges what is held then.
+// settle resumes all paused members, lets settleTime pass without faults and checks the final state.
 func (t *tierModel) settle() {
 	for index, member := range t.Members {
 		if member.Paused {
--- a/internal/explore/trace.go
+++ b/internal/explore/trace.go
@@ -13,17 +13,17 @@
 	"github.com/zeebo/xxh3"
 )
 
-// TraceVersion is that of the form of traces.
+// TraceVersion is the version of the trace format.
 const TraceVersion = 1
 
-// Trace is a way from the beginning to a rule that is broken.
+// Trace is a counterexample: the actions that lead from the initial state to a violation.
 type Trace struct {
 	Config    Config
 	Violation Violation
 	Actions   []Action
 }
 
-// head is a trace's first line.
+// traceHeader is the first line of a trace.
 type traceHeader struct {
 	Trace     string    `json:"trace"`
 	Version   int       `json:"version"`
@@ -32,15 +32,16 @@
 	Detail    string    `json:"detail"`
 }
 
-// tail is its last: a trace without it was cut short.
+// traceTrailer is the last line of a trace. A trace without a trailer is truncated.
 type traceTrailer struct {
-	Actions  int    `json:"actions"`
-	Checksum string `json:"sum"` // of all lines before
+	Actions  int    `json:"actions"` // number of actions
+	Checksum string `json:"sum"`     // XXH3 hash of all lines before the trailer, in hexadecimal
 }
 
+// traceFormat identifies a trace in its header.
 const traceFormat = "elmseam-check"
 
-// Write writes a trace, an action a line.
+// Write writes the trace as text: the header, one action per line, the trailer.
 func (t *Trace) Write(out io.Writer) error {
 	header, err := json.Marshal(traceHeader{traceFormat, TraceVersion, t.Config, t.Violation.Invariant, t.Violation.Detail})
 	if err != nil {
@@ -59,14 +60,14 @@
 	return err
 }
 
-// Errors of a trace that can't be read.
+// Errors that ReadTrace wraps or returns.
 var (
 	ErrNotTrace     = errors.New("not a trace of this program")
-	ErrNewerVersion = errors.New("a trace of a newer version")
-	ErrDamaged      = errors.New("the trace is damaged or cut short")
+	ErrNewerVersion = errors.New("the trace has a newer version")
+	ErrDamaged      = errors.New("the trace is damaged or truncated")
 )
 
-// ReadTrace reads a trace. One that is damaged, cut short or newer is refused.
+// ReadTrace reads a trace that Trace.Write has written. It returns an error for a damaged, truncated or newer trace.
 func ReadTrace(in io.Reader) (*Trace, error) {
 	lines := bufio.NewScanner(in)
 	var header traceHeader
@@ -75,7 +76,7 @@
 	}
 	switch {
 	case header.Version > TraceVersion:
-		return nil, fmt.Errorf("%w: %d, this program reads %d", ErrNewerVersion, header.Version, TraceVersion)
+		return nil, fmt.Errorf("%w: version %d, this program reads versions up to %d", ErrNewerVersion, header.Version, TraceVersion)
 	case header.Version < 1:
 		return nil, ErrNotTrace
 	}
@@ -104,8 +105,9 @@
 	return nil, ErrDamaged
 }
 
-// Replay has a trace happen, in a core that may be broken on purpose, and returns the rule that is broken, if one is. Tell,
-// unless nil, hears of each thing as it happens.
+// Replay applies the actions of the trace to the model of cfg, which may have guards disabled, and returns the violation, or
+// nil if there is none. Unless nil, observe is called after each action with the time since the initial state. Replay
+// returns an error if an action is not enabled.
 func (t *Trace) Replay(cfg Config, observe func(a Action, at time.Duration)) (*Violation, error) {
 	model, err := New(cfg)
 	if err != nil {
@@ -114,7 +116,7 @@
 	start := model.clock()
 	for i, a := range t.Actions {
 		if !model.TryApply(a) {
-			return nil, fmt.Errorf("action %d, %s, can't happen there", i+1, a)
+			return nil, fmt.Errorf("action %d, %s, is not enabled in this state", i+1, a)
 		}
 		if observe != nil {
 			observe(a, model.clock()-start)
@@ -129,7 +131,8 @@
 	return model.violation(), nil
 }
 
-// Shrink leaves out what the trace doesn't need to break its rule.
+// Shrink removes actions that are not needed to violate the same invariant: it tries to leave out ever shorter runs of
+// actions until none can be removed. The receiver is not changed.
 func (t *Trace) Shrink(cfg Config) *Trace {
 	shortest := *t
 	shortest.Actions = slices.Clone(t.Actions)
--- a/internal/explore/works.go
+++ b/internal/explore/works.go
@@ -6,42 +6,51 @@
 	"elmseam/internal/maintenance"
 )
 
-// The rules on ordered maintenance.
+// The invariants of requested maintenance.
 const (
-	WithinMaintenanceBudget Invariant = "in-budget" // never more than B out
-	OnlyRequested           Invariant = "asked-for" // no member goes out that nobody asked for
-	MaintainedOnce          Invariant = "all-once"  // every member asked for that lives is maintained in the end, once
-	NoStuckDrain            Invariant = "not-stuck" // none is left out, or draining without a slot
+	// WithinMaintenanceBudget: at most Limits.Budget members are out of service (draining or under maintenance) at the same
+	// time.
+	WithinMaintenanceBudget Invariant = "in-budget"
+	// OnlyRequested: no member drains without a request for its maintenance.
+	OnlyRequested Invariant = "asked-for"
+	// MaintainedOnce: in the end every running member with a request has been maintained exactly once.
+	MaintainedOnce Invariant = "all-once"
+	// NoStuckDrain: in the end no member drains or holds a slot.
+	NoStuckDrain Invariant = "not-stuck"
 )
 
-// What the world around a member does to it, as timers of its own.
+// Events in the environment of a member, represented as tokens of its timers. They apply to one incarnation.
 type (
-	lastCallEnded struct{ Incarnation uint8 } // its last call is over
-	workFinished  struct{ Incarnation uint8 } // an operator has finished
+	lastCallEnded struct{ Incarnation uint8 } // the last call of the draining member has ended
+	workFinished  struct{ Incarnation uint8 } // an operator has finished the work on the member
 )
 
-// works is the protocol of maintenance: the first two members are asked for, at two members at once; the last is not.
+// maintenanceProtocol runs the maintenance reducer of each member. Two members receive requests at the same time, for the
+// maintenance of members 0 and 1; none is for the last of three members.
 type maintenanceProtocol struct {
 	Limits          maintenance.Limits
-	MaintainedCount []int // times that a member was maintained
+	MaintainedCount []int // completed maintenance runs, indexed by member
 }
 
+// newMaintenanceModel returns the initial state of the maintenance model. The leases are short, so that they expire within
+// the periods in which faults are injected.
 func newMaintenanceModel(cfg Config) *tierModel {
-	l := maintenance.Defaults()
-	l.Lease, l.WorkLease, l.Round = 2*time.Second, 3*time.Second, 500*time.Millisecond
-	return newTierModel(cfg, &maintenanceProtocol{l, make([]int, cfg.Servers)}, 3*time.Second)
+	limits := maintenance.Defaults()
+	limits.Lease, limits.WorkLease, limits.Round = 2*time.Second, 3*time.Second, 500*time.Millisecond
+	return newTierModel(cfg, &maintenanceProtocol{limits, make([]int, cfg.Servers)}, 3*time.Second)
 }
 
-// workNode is a member's reducer, and what it does at its word.
+// maintenanceProcess is the running process of a member: its maintenance reducer, and the effects of that reducer so far.
 type maintenanceProcess struct {
 	Reducer     *maintenance.Reducer
 	Protocol    *maintenanceProtocol
 	Self        int
 	Incarnation uint8
 	Draining    bool
-	Stage       maintenance.Stage
+	Stage       maintenance.Stage // stage of the request for this member
 }
 
+// step passes an event to the reducer and converts the effects.
 func (p *maintenanceProcess) step(now time.Duration, ev maintenance.Event) stepEffects {
 	return p.collectEffects(now, p.Reducer.Step(now, ev))
 }
@@ -50,6 +59,7 @@
 	return p.step(now, maintenance.Datagram{From: from, Data: data})
 }
 
+// timerFired passes a timer to the reducer, or ends the drain or the work of the member's current incarnation.
 func (p *maintenanceProcess) timerFired(now time.Duration, token any) stepEffects {
 	switch token := token.(type) {
 	case maintenance.Token:
@@ -59,15 +69,19 @@
 			return p.step(now, maintenance.Drained{})
 		}
 	case workFinished:
-		if token.Incarnation == p.Incarnation && p.Stage == maintenance.Ready && p.Reducer.Status().Expiry > now { // else it goes again
+		// If the lease has expired, the member drains again.
+		if token.Incarnation == p.Incarnation && p.Stage == maintenance.Ready && p.Reducer.Status().Expiry > now {
 			return p.step(now, maintenance.Cancel{Members: []int{p.Self}})
 		}
 	}
-	return p.step(now, maintenance.MemberAvailability{Member: p.Self}) // nothing happens, and time has passed
+	// The reducer learns only that time has passed: an event about the member itself changes nothing.
+	return p.step(now, maintenance.MemberAvailability{Member: p.Self})
 }
 
+// workDuration is the time from the start of a drain to the end of the last call, and that of the work on a member.
 const workDuration = 300 * time.Millisecond
 
+// collectEffects applies the reducer's effects to the process, and returns the datagrams and timers among them.
 func (p *maintenanceProcess) collectEffects(now time.Duration, effects []maintenance.Effect) (result stepEffects) {
 	for _, e := range effects {
 		switch e := e.(type) {
@@ -95,6 +109,7 @@
 	return result
 }
 
+// startMember starts a member's reducer, and informs it and the running members of each other.
 func (p *maintenanceProtocol) startMember(t *tierModel, index int, incarnation uint8) (memberProcess, stepEffects) {
 	reducer, effects, err := maintenance.New(maintenance.Config{Self: index, TierSize: len(t.Members), Zone: -1, Limits: p.Limits,
 		Seed: t.Config.Seed + uint64(index) + 100*uint64(incarnation), DisabledGuards: t.Config.DisabledMaintenanceGuards}, t.Now)
@@ -116,12 +131,14 @@
 	return process, result
 }
 
+// converged requests the maintenance of members 0 and 1 at the first and the last member.
 func (p *maintenanceProtocol) converged(t *tierModel) {
 	t.applyEffects(0, t.Members[0].Process.(*maintenanceProcess).step(t.Now, maintenance.Request{Members: []int{0, 1}}))
 	last := len(t.Members) - 1
 	t.applyEffects(last, t.Members[last].Process.(*maintenanceProcess).step(t.Now, maintenance.Request{Members: []int{1}}))
 }
 
+// memberKilled informs the running members at once that a member is dead.
 func (p *maintenanceProtocol) memberKilled(t *tierModel, index int) {
 	for other, member := range t.Members {
 		if member.Process != nil && !member.Paused {
@@ -130,26 +147,29 @@
 	}
 }
 
-func (p *maintenanceProtocol) checkStep(t *tierModel, m int) {
+// checkStep checks OnlyRequested and WithinMaintenanceBudget.
+func (p *maintenanceProtocol) checkStep(t *tierModel, index int) {
 	drainingCount := 0
-	for index, member := range t.Members {
+	for other, member := range t.Members {
 		if member.Process == nil || member.Paused {
 			continue
 		}
 		process := member.Process.(*maintenanceProcess)
 		if process.Draining {
-			if drainingCount++; index >= 2 {
-				t.recordViolation(OnlyRequested, "member %d goes out, and nobody asked for it", index)
+			if drainingCount++; other >= 2 {
+				t.recordViolation(OnlyRequested, "member %d drains without a request", other)
 			}
 		}
 	}
 	if drainingCount > p.Limits.Budget {
-		t.recordViolation(WithinMaintenanceBudget, "%d members are out", drainingCount)
+		t.recordViolation(WithinMaintenanceBudget, "%d members are out of service at the same time", drainingCount)
 	}
 }
 
 func (p *maintenanceProtocol) checkTimePassed(*tierModel) {}
 
+// checkSettled checks NoStuckDrain and MaintainedOnce. A member that has lost its records by a restart may be maintained not
+// at all.
 func (p *maintenanceProtocol) checkSettled(t *tierModel) {
 	for index, member := range t.Members {
 		if member.Process == nil {
@@ -157,11 +177,11 @@
 		}
 		process := member.Process.(*maintenanceProcess)
 		if process.Draining || process.Reducer.HoldsSlot() {
-			t.recordViolation(NoStuckDrain, "%v after the last disturbance member %d drains: %t, and holds a slot: %t", settleTime, index, process.Draining, process.Reducer.HoldsSlot())
+			t.recordViolation(NoStuckDrain, "%v after the last fault member %d drains: %t, and holds a slot: %t", settleTime, index, process.Draining, process.Reducer.HoldsSlot())
 		}
 		for target, record := range process.Reducer.Status().Records {
 			if t.Members[target].Process != nil && !record.Stage.Ended() {
-				t.recordViolation(MaintainedOnce, "%v after the last disturbance member %d holds the request for member %d to be %v", settleTime, index, target, record.Stage)
+				t.recordViolation(MaintainedOnce, "%v after the last fault member %d considers the request for member %d to be %v", settleTime, index, target, record.Stage)
 			}
 		}
 		if want := map[bool]int{true: 1}[index < 2]; p.MaintainedCount[index] != want && !(member.Incarnations > 1 && p.MaintainedCount[index] == 0 && process.Reducer.Status().Records[index].Generation == 0) {
--- a/internal/explore/world.go
+++ b/internal/explore/world.go
@@ -1,5 +1,8 @@
-// Package explore runs the real reducer, with the real decision module, through everything that can happen to a few
-// calls at a few servers, and judges what it asks of its sockets by the rules.
+// Package explore is a model checker for the softswitch. It searches the state space of small models, which consist of the
+// production code and a simulated environment, for states that violate an invariant. The main model, CallModel, runs the
+// core and the controller with a few calls and servers; further models run the circuits of the M3UA protocol and the
+// protocols between the members of a tier. An action that violates an invariant yields a counterexample, which is shrunk,
+// can be written as a trace and replayed.
 package explore
 
 import (
@@ -16,119 +19,124 @@
 	"elmseam/internal/membership"
 )
 
-// Config says what is explored.
+// Config says which model is searched, and its size.
 type Config struct {
-	Model    string        `json:"model,omitempty"` // Calls, if empty
-	Servers  int           `json:"servers"`         // or circuits
-	Calls    int           `json:"calls"`
-	Attempts int           `json:"attempts"` // that a call may have
-	Faults   int           `json:"faults"`   // disturbances in all; see Kind
-	Pauses   int           `json:"pauses"`   // in which time passes without a timer being due, or the server stalls
-	GiveUp   time.Duration `json:"wait"`     // that callers wait
-	Seed     uint64        `json:"seed"`     // of the module
-
-	CoreHook              core.Hook      `json:"-"` // breaks the core on purpose
-	DisabledCircuitGuards circuits.Guard `json:"-"` // and the circuits
-
-	DisabledMembershipGuards  membership.Guard  `json:"-"` // and the members
-	DisabledMaintenanceGuards maintenance.Guard `json:"-"` // and their maintenance
-	DisabledBudgetGuards      budget.Guard      `json:"-"` // and their parts of budgets
+	Model    string        `json:"model,omitempty"` // one of the Model constants; empty: ModelCalls
+	Servers  int           `json:"servers"`         // servers, circuits (ModelCircuits) or members (models of a tier)
+	Calls    int           `json:"calls"`           // calls, or half seconds in which faults are injected (models of a tier)
+	Attempts int           `json:"attempts"`        // maximum attempts per call
+	Faults   int           `json:"faults"`          // maximum number of faults in total; see ActionKind
+	Pauses   int           `json:"pauses"`          // maximum number of pauses of time (ModelCalls), of the server or of members
+	GiveUp   time.Duration `json:"wait"`            // time that callers wait for an answer
+	Seed     uint64        `json:"seed"`            // seed of the controller or of the members' reducers
+
+	CoreHook              core.Hook      `json:"-"` // disables guards of the core or replaces decisions, in tests
+	DisabledCircuitGuards circuits.Guard `json:"-"` // guards of the circuits to disable, in tests
+
+	DisabledMembershipGuards  membership.Guard  `json:"-"` // guards of the membership to disable, in tests
+	DisabledMaintenanceGuards maintenance.Guard `json:"-"` // guards of the maintenance to disable, in tests
+	DisabledBudgetGuards      budget.Guard      `json:"-"` // guards of the budget to disable, in tests
 }
 
-// Check names the first figure that is out of range.
+// Check returns an error that names the first value that is out of range.
 func (c Config) Check() error {
 	for _, f := range []struct {
-		name              string
-		value, least, top int
+		name            string
+		value, min, max int
 	}{{"servers", c.Servers, 1, 4}, {"calls", c.Calls, 1, 8}, {"attempts", c.Attempts, 1, 8}, {"faults", c.Faults, 0, 16}, {"pauses", c.Pauses, 0, 16}} {
-		if f.value < f.least || f.value > f.top {
-			return fmt.Errorf("%s: %d, between %d and %d is possible", f.name, f.value, f.least, f.top)
+		if f.value < f.min || f.value > f.max {
+			return fmt.Errorf("%s: %d is not between %d and %d", f.name, f.value, f.min, f.max)
 		}
 	}
 	if models := []string{"", ModelCalls, ModelCircuits, ModelMembership, ModelMaintenance, ModelBudget}; !slices.Contains(models, c.Model) {
-		return fmt.Errorf("model: %q, there are %s", c.Model, strings.Join(models[1:], ", "))
+		return fmt.Errorf("model: %q is not one of %s", c.Model, strings.Join(models[1:], ", "))
 	}
 	if c.GiveUp < 100*time.Millisecond || c.GiveUp > time.Minute {
-		return fmt.Errorf("wait: %v", c.GiveUp)
+		return fmt.Errorf("wait: %v is not between 100ms and 1m0s", c.GiveUp)
 	}
 	return nil
 }
 
 const (
-	releaseGuardTime = 200 * time.Millisecond
+	releaseGuardTime = 200 * time.Millisecond // release guard of the core
 	modelProtocol    = core.Protocol("f")
-	pauseDuration    = 120 * time.Millisecond // over half of the gap, and over the time in which a caller may come again
-	timerHorizon     = 2 * time.Second        // past the last caller's time: timers that are due later are left alone
+	pauseDuration    = 120 * time.Millisecond // two exceed the release guard, one the 100 ms in which a lost caller may reconnect
+	timerHorizon     = 2 * time.Second        // time after the last caller's deadline after which timers are ignored
 )
 
-// Where an attempt is.
+// attemptState is the state of a call's attempt outside the core.
 type attemptState uint8
 
+// The states of an attempt.
 const (
 	attemptNone        attemptState = iota
-	attemptQueued                   // in the outbox: it can be taken back
-	attemptOutstanding              // at the server
-	attemptEnding                   // its end waits to be written
+	attemptQueued                   // the offer is queued for a connection and can be retracted
+	attemptOutstanding              // the server has the offer and has not answered
+	attemptEnding                   // the end is queued for a connection
 )
 
+// Short names of the phases.
 const (
 	phaseReady    = elmseam.Ready
 	phaseDraining = elmseam.Draining
 	phaseGone     = elmseam.Gone
 )
 
-// Call is a call as the world around the core sees it.
+// Call is the state of a call outside the core: at its caller, its server and on the connections.
 type Call struct {
-	Started             bool
-	CallerConn          core.ConnID
-	Cell                int
-	Deadline            core.Time
+	Started             bool        // the caller has sent the set-up
+	CallerConn          core.ConnID // connection of the caller's last set-up
+	Cell                int         // cell of the caller
+	Deadline            core.Time   // when the caller stops to wait for an answer
 	State               attemptState
-	Conn                core.ConnID // that its attempt went out on
-	Server              int         // of its attempt, or where it stands
-	Established         bool
-	LateAnswerFrom      int // a server, from 1, that may still answer an attempt that is over
-	RepeatedReleaseFrom int // a server, from 1, that may say its release again, or has said it when it hears of ours
-	Repeated            bool
+	Conn                core.ConnID // connection of the last attempt or end to a server
+	Server              int         // server of the last attempt; where the call is established
+	Established         bool        // the server has answered and not released the call
+	LateAnswerFrom      int         // 1 + index of a server that may still answer an attempt that has ended; 0: none
+	RepeatedReleaseFrom int         // 1 + index of a server whose release may come again or cross that of the core; 0: none
+	Repeated            bool        // the caller has sent the set-up again
 	Account             account
 }
 
-// Server is a server as the world sees it.
+// Server is the state of a server outside the core.
 type Server struct {
 	Phase       elmseam.Phase
-	Incarnation int // how often it has started anew
+	Incarnation int // restarts so far
 	StartedAt   core.Time
-	Dials       int // connections on their way
+	Dials       int // connection attempts of the core in progress
 }
 
+// conn is an open connection to a server.
 type conn struct {
 	ID     core.ConnID
 	Server int
 }
 
+// timer is a timer that the core has requested.
 type timer struct {
 	At    core.Time
 	Token core.Token
 }
 
-// CallModel is the core, and all around it that matters.
+// CallModel is the model of the core and the controller, with their callers, servers, connections and timers.
 type CallModel struct {
 	Config          Config
 	Core            *core.Core
-	Now, TimerLimit core.Time
+	Now, TimerLimit core.Time // timers after TimerLimit are ignored
 	Calls           []Call
 	Servers         []Server
 	ServerConns     []conn
-	CallerConns     []core.ConnID // callers' connections
+	CallerConns     []core.ConnID // open connections of callers
 	NextConn        core.ConnID
-	Timers          []timer // as they came
-	FaultsLeft      int     // faults to come
-	PausesLeft      int     // and pauses
-	Reloaded        bool
-	Draining        bool
+	Timers          []timer // in the order of their requests
+	FaultsLeft      int     // faults that may still be injected
+	PausesLeft      int     // pauses that may still be applied
+	Reloaded        bool    // a configuration with one attempt fewer has been loaded
+	Draining        bool    // the operator drains the softswitch
 	Violation       *Violation
 }
 
+// settings returns the settings of the controller, with the given maximum number of attempts.
 func (c Config) settings(attempts int) elmseam.Settings {
 	return elmseam.Settings{
 		Classes:     []elmseam.Class{{Aim: c.GiveUp / 2, Deadline: c.GiveUp, Worth: 1}},
@@ -138,6 +146,7 @@
 	}
 }
 
+// limits returns the limits of the core.
 func (c Config) limits() core.Limits {
 	const ms = time.Millisecond
 	return core.Limits{
@@ -148,7 +157,7 @@
 	}
 }
 
-// NewCallModel is where every exploration begins: servers that are ready and reached, a caller, and no call.
+// NewCallModel returns the initial state of the call model: all servers ready and connected, one caller connected, no call.
 func NewCallModel(cfg Config) (*CallModel, error) {
 	if err := cfg.Check(); err != nil {
 		return nil, err
@@ -174,6 +183,7 @@
 	return model, model.err()
 }
 
+// err returns the recorded violation as an error, or nil.
 func (m *CallModel) err() error {
 	if m.Violation != nil {
 		return m.Violation
@@ -181,22 +191,27 @@
 	return nil
 }
 
+// serverName returns the name of a server: a letter from a.
 func serverName(s int) string { return string(rune('a' + s)) }
 
+// address returns the address of a server's current incarnation.
 func (m *CallModel) address(s int) string {
 	return fmt.Sprintf("%s%d:1", serverName(s), m.Servers[s].Incarnation)
 }
 
+// listEntry returns a server's entry in the list of servers.
 func (m *CallModel) listEntry(index int) core.Server {
 	server := &m.Servers[index]
 	return core.Server{Name: serverName(index), Address: m.address(index), Protocol: modelProtocol, Cell: index, Phase: server.Phase, Started: server.StartedAt}
 }
 
+// newConnID returns an unused connection id.
 func (m *CallModel) newConnID() core.ConnID {
 	m.NextConn++
 	return m.NextConn - 1
 }
 
+// connectCaller opens a connection of a caller and returns its id.
 func (m *CallModel) connectCaller() core.ConnID {
 	connID := m.newConnID()
 	m.CallerConns = append(m.CallerConns, connID)
@@ -204,7 +219,7 @@
 	return connID
 }
 
-// connect completes a connection to a server.
+// connectServer completes a connection attempt to a server.
 func (m *CallModel) connectServer(server int) {
 	if m.Servers[server].Dials > 0 {
 		m.Servers[server].Dials--
@@ -214,10 +229,12 @@
 	m.step(core.ServerUp{Server: serverName(server), Address: m.address(server), Conn: connID})
 }
 
+// callerConnected reports whether a caller's connection is open.
 func (m *CallModel) callerConnected(connID core.ConnID) bool {
 	return slices.Contains(m.CallerConns, connID)
 }
 
+// findConn returns the open connection to a server with the given id, or nil.
 func (m *CallModel) findConn(connID core.ConnID) *conn {
 	for i := range m.ServerConns {
 		if m.ServerConns[i].ID == connID {
@@ -227,7 +244,7 @@
 	return nil
 }
 
-// to is a connection to a server on which it can say something, 0: none.
+// connTo returns the id of an open connection to a server, or 0.
 func (m *CallModel) connTo(server int) core.ConnID {
 	for _, c := range m.ServerConns {
 		if c.Server == server {
@@ -237,9 +254,10 @@
 	return 0
 }
 
-// id is a call's id, and callOf the call of one.
+// callID returns the id of the call with index i.
 func callID(i int) core.ID { return core.ID(i + 1) }
 
+// callIndex returns the index of the call with the given id, or -1.
 func (m *CallModel) callIndex(id core.ID) int {
 	if i := int(id) - 1; i >= 0 && i < len(m.Calls) {
 		return i
@@ -247,7 +265,7 @@
 	return -1
 }
 
-// step tells the core of an event and carries out what it asks for.
+// step passes an event to the core and applies the effects that the core requests, with the events that follow at once.
 func (m *CallModel) step(ev core.Event) {
 	events := []core.Event{ev}
 	for len(events) > 0 {
@@ -260,7 +278,8 @@
 	m.Timers = slices.DeleteFunc(m.Timers, func(t timer) bool { return m.Core.TimerObsolete(t.Token) })
 }
 
-// carry is the world's side of an effect. What it knows at once it returns, as carriers do.
+// applyEffect applies an effect to the environment of the core. It returns the events that are known at once, as the effect
+// handlers of the softswitch do.
 func (m *CallModel) applyEffect(e core.Effect) (events []core.Event) {
 	switch e := e.(type) {
 	case core.Timer:
@@ -303,7 +322,7 @@
 	return events
 }
 
-// takeBack takes an offer out of the outbox.
+// retractOffer removes an offer that is still queued for its connection.
 func (m *CallModel) retractOffer(index int) core.Event {
 	call := &m.Calls[index]
 	call.State = attemptNone
@@ -311,11 +330,11 @@
 	return core.NotSent{Server: serverName(call.Server), ID: callID(index)}
 }
 
-// end is an attempt's end, or a release towards a server.
+// applyEnd applies the end of an attempt, or the release of an established call, towards a server.
 func (m *CallModel) applyEnd(e core.End) []core.Event {
 	index, conn := m.callIndex(e.ID), m.findConn(e.To)
 	if conn == nil {
-		m.recordViolation(SendOnOpenConn, "call %d is ended on no connection", index)
+		m.recordViolation(SendOnOpenConn, "call %d is ended on a closed connection", index)
 		return nil
 	}
 	call := &m.Calls[index]
@@ -328,21 +347,22 @@
 		call.State, call.LateAnswerFrom = attemptNone, call.Server+1
 		m.recordAttemptEnd(index, true)
 	case call.Established && call.Server == conn.Server:
-		call.Established, call.RepeatedReleaseFrom = false, call.Server+1 // its own release may cross this one
-		if e.Notify {                                                     // an answer that comes too late for its caller: the end is written all the same
+		call.Established, call.RepeatedReleaseFrom = false, call.Server+1 // the server's own release may cross this one
+		if e.Notify {
+			// The answer arrived too late for the caller: the end is still written.
 			call.State, call.Conn = attemptEnding, e.To
 		}
 	}
 	return nil
 }
 
-// lose ends a connection: what is out on it is over.
+// closeConn closes a connection of a caller or to a server. Attempts on the connection end.
 func (m *CallModel) closeConn(connID core.ConnID) {
 	m.CallerConns = slices.DeleteFunc(m.CallerConns, func(callerConn core.ConnID) bool { return callerConn == connID })
 	if m.findConn(connID) == nil {
 		return
 	}
-	m.ServerConns = slices.DeleteFunc(m.ServerConns, func(call conn) bool { return call.ID == connID })
+	m.ServerConns = slices.DeleteFunc(m.ServerConns, func(c conn) bool { return c.ID == connID })
 	for i := range m.Calls {
 		if call := &m.Calls[i]; call.State != attemptNone && call.Conn == connID {
 			call.State = attemptNone
@@ -351,7 +371,7 @@
 	}
 }
 
-// die ends a server's process: its connections and what stands there.
+// endServerProcess ends a server's process: its established calls end, and it sends nothing more.
 func (m *CallModel) endServerProcess(server int) {
 	for i := range m.Calls {
 		call := &m.Calls[i]
