--- /dev/null
+++ b/internal/explore/budget.go
@@ -0,0 +1,142 @@
+package explore
+
+import (
+	"time"
+
+	"elmseam/internal/budget"
+)
+
+// The invariants of quotas of a cold server's budget.
+const (
+	// ExclusiveUnits: no unit of a quota is used by two members, so that all members together use at most the whole budget.
+	ExclusiveUnits Invariant = "whole"
+	// AllUnitsUsed: in the end every available member has its own quota, and other members use the units of dead members.
+	AllUnitsUsed Invariant = "carried"
+)
+
+// budgetProtocol runs the budget reducer of each member while one server is cold. The demand of member 0 is three quotas,
+// that of the others zero.
+type budgetProtocol struct{ Limits budget.Limits }
+
+// newBudgetModel returns the initial state of the budget model. The lease is short, so that leases expire within the
+// periods in which faults are injected.
+func newBudgetModel(cfg Config) *tierModel {
+	limits := budget.Defaults()
+	limits.Lease = time.Second
+	return newTierModel(cfg, &budgetProtocol{limits}, 2*time.Second)
+}
+
+// budgetProcess is the running process of a member: its budget reducer.
+type budgetProcess struct{ Reducer *budget.Reducer }
+
+// step passes an event to the reducer and converts the effects.
+func (p *budgetProcess) step(now time.Duration, ev budget.Event) (result stepEffects) {
+	for _, e := range p.Reducer.Step(now, ev) {
+		switch e := e.(type) {
+		case budget.Send:
+			result.Sends = append(result.Sends, sentDatagram{To: e.To, Data: e.Data})
+		case budget.Timer:
+			result.Timers = append(result.Timers, memberTimer{e.At, e.Token})
+		}
+	}
+	return result
+}
+
+func (p *budgetProcess) receive(now time.Duration, from int, data []byte) stepEffects {
+	return p.step(now, budget.Datagram{From: from, Data: data})
+}
+
+func (p *budgetProcess) timerFired(now time.Duration, token any) stepEffects {
+	return p.step(now, budget.TimerFired{Token: token.(budget.Token)})
+}
+
+// startMember starts a member's reducer, informs it and the running members of each other, and declares a
+// server cold.
+func (p *budgetProtocol) startMember(t *tierModel, index int, incarnation uint8) (memberProcess, stepEffects) {
+	reducer, _, err := budget.New(budget.Config{Self: index, TierSize: len(t.Members), Limits: p.Limits,
+		Seed: t.Config.Seed + uint64(index) + 100*uint64(incarnation), DisabledGuards: t.Config.DisabledBudgetGuards}, t.Now)
+	if err != nil {
+		panic(err)
+	}
+	process := &budgetProcess{reducer}
+	var result stepEffects
+	add := func(ev budget.Event) {
+		effects := process.step(t.Now, ev)
+		result.Sends, result.Timers = append(result.Sends, effects.Sends...), append(result.Timers, effects.Timers...)
+	}
+	for other, member := range t.Members {
+		add(budget.MemberAvailability{Member: other, Available: member.Process != nil || incarnation == 0})
+		if member.Process != nil && !member.Paused && other != index {
+			t.applyEffects(other, member.Process.(*budgetProcess).step(t.Now, budget.MemberAvailability{Member: index, Available: true}))
+		}
+	}
+	demand := 0.0
+	if index == 0 {
+		demand = 3
+	}
+	add(budget.Demand{Quotas: demand})
+	add(budget.ColdServer{Server: 1, Rate: 1, Until: t.Now + time.Hour})
+	return process, result
+}
+
+func (p *budgetProtocol) converged(*tierModel) {}
+
+// memberKilled informs the running members at once that a member is dead.
+func (p *budgetProtocol) memberKilled(t *tierModel, index int) {
+	for other, member := range t.Members {
+		if member.Process != nil && !member.Paused {
+			t.applyEffects(other, member.Process.(*budgetProcess).step(t.Now, budget.MemberAvailability{Member: index}))
+		}
+	}
+}
+
+func (p *budgetProtocol) checkStep(t *tierModel, _ int) { p.checkTimePassed(t) }
+
+// usedUnits returns the units of a member's quota that running members use, and how many members use any. It checks
+// ExclusiveUnits. owner is the member's index.
+func (p *budgetProtocol) usedUnits(t *tierModel, owner int) (units budget.Mask, users int) {
+	for index, member := range t.Members {
+		if member.Process == nil || member.Paused {
+			continue
+		}
+		usable := member.Process.(*budgetProcess).Reducer.Usable(t.Now, owner)
+		if units&usable != 0 {
+			t.recordViolation(ExclusiveUnits, "units %08b of member %d's quota are used by member %d and another member", units&usable, owner, index)
+		}
+		units |= usable
+		if usable != 0 {
+			users++
+		}
+	}
+	return units, users
+}
+
+// checkTimePassed checks ExclusiveUnits for the quota of every member.
+func (p *budgetProtocol) checkTimePassed(t *tierModel) {
+	for owner := range t.Members {
+		p.usedUnits(t, owner)
+	}
+}
+
+// checkSettled checks AllUnitsUsed, if a majority of the members is running.
+func (p *budgetProtocol) checkSettled(t *tierModel) {
+	available := 0
+	for _, member := range t.Members {
+		if member.Process != nil {
+			available++
+		}
+	}
+	if 2*available <= len(t.Members) {
+		return
+	}
+	allUnits := budget.Mask(1<<budget.Units - 1)
+	for owner, member := range t.Members {
+		want := allUnits
+		if member.Process == nil {
+			want &^= 1 // only the owner itself uses the first unit of its quota
+		}
+		if units, _ := p.usedUnits(t, owner); units != want {
+			t.recordViolation(AllUnitsUsed, "%v after the last fault units %08b of member %d's quota are used", settleTime, units, owner)
+		}
+	}
+}
--- /dev/null
+++ b/internal/explore/membership.go
@@ -0,0 +1,112 @@
+package explore
+
+import (
+	"time"
+
+	"elmseam/internal/membership"
+)
+
+// The invariants of membership.
+const (
+	// NoPermanentFalseDeath: a running, reachable member is not considered dead permanently.
+	NoPermanentFalseDeath Invariant = "not-for-good"
+	// TimelySuspicion: all running members suspect a dead member within a time limit.
+	TimelySuspicion Invariant = "in-time"
+	// StaysDead: a dead member is considered dead in the end; no old message makes it available again.
+	StaysDead Invariant = "stays-dead"
+	// MinorityColdLimit: a member that sees no majority of the tier reduces its quota of a cold server's budget at least to
+	// the fraction of members that it sees.
+	MinorityColdLimit Invariant = "careful"
+)
+
+// membershipProtocol runs the membership reducer of each member.
+type membershipProtocol struct{ Limits membership.Limits }
+
+// newMembershipModel returns the initial state of the membership model. It uses the default limits, except that suspicions
+// expire sooner and a member's health stretches timeouts less, so that deaths are detected within the few periods in
+// which faults are injected.
+func newMembershipModel(cfg Config) *tierModel {
+	limits := membership.Defaults()
+	limits.MaxHealth, limits.SuspicionMin, limits.SuspicionMax = 2, 1, 2
+	return newTierModel(cfg, &membershipProtocol{limits}, 4*limits.Period)
+}
+
+// membershipProcess is the running process of a member: its membership reducer.
+type membershipProcess struct{ Reducer *membership.Reducer }
+
+func (p *membershipProcess) receive(now time.Duration, from int, data []byte) stepEffects {
+	return membershipEffects(p.Reducer.Step(now, membership.Datagram{From: from, Data: data}))
+}
+
+func (p *membershipProcess) timerFired(now time.Duration, token any) stepEffects {
+	return membershipEffects(p.Reducer.Step(now, membership.TimerFired{Token: token.(membership.Token)}))
+}
+
+// membershipEffects converts the effects of a reducer's step.
+func membershipEffects(effects []membership.Effect) (result stepEffects) {
+	for _, e := range effects {
+		switch e := e.(type) {
+		case membership.Send:
+			result.Sends = append(result.Sends, sentDatagram{To: e.To, Data: e.Data})
+		case membership.Timer:
+			result.Timers = append(result.Timers, memberTimer{e.At, e.Token})
+		}
+	}
+	return result
+}
+
+// startMember starts a member's reducer, with a seed that differs between members and incarnations.
+func (p *membershipProtocol) startMember(t *tierModel, index int, incarnation uint8) (memberProcess, stepEffects) {
+	reducer, effects, err := membership.New(membership.Config{Self: index, TierSize: len(t.Members), Limits: p.Limits,
+		Seed: t.Config.Seed + uint64(index) + 100*uint64(incarnation), DisabledGuards: t.Config.DisabledMembershipGuards}, t.Now)
+	if err != nil {
+		panic(err)
+	}
+	return &membershipProcess{reducer}, membershipEffects(effects)
+}
+
+func (p *membershipProtocol) converged(*tierModel)         {}
+func (p *membershipProtocol) memberKilled(*tierModel, int) {}
+
+// checkStep checks MinorityColdLimit.
+func (p *membershipProtocol) checkStep(t *tierModel, index int) {
+	if view := t.Members[index].Process.(*membershipProcess).Reducer.View(); !view.Majority() && view.ColdQuotaFactor() > float64(max(view.Available, 1))/float64(view.TierSize) {
+		t.recordViolation(MinorityColdLimit, "member %d sees %d of %d members and uses %v of its quota", index, view.Available, view.TierSize, view.ColdQuotaFactor())
+	}
+}
+
+// checkTimePassed checks TimelySuspicion. The time limit: every running member probes each other member within two rounds,
+// and a probe takes one period, which a member's health may stretch by a factor of MaxHealth+1.
+func (p *membershipProtocol) checkTimePassed(t *tierModel) {
+	bound := time.Duration(2*len(t.Members)) * p.Limits.Period * time.Duration(p.Limits.MaxHealth+1)
+	for deadIndex, dead := range t.Members {
+		if dead.Process != nil {
+			continue
+		}
+		for observerIndex, observer := range t.Members {
+			if observer.Process == nil || observer.Paused || t.Now < max(dead.DiedAt, observer.UndisturbedSince, t.LastFault)+bound {
+				continue
+			}
+			if state := observer.Process.(*membershipProcess).Reducer.Members()[deadIndex].State; state.Available() {
+				t.recordViolation(TimelySuspicion, "member %d considers member %d %v, %v after its death", observerIndex, deadIndex, state, t.Now-dead.DiedAt)
+			}
+		}
+	}
+}
+
+// checkSettled checks NoPermanentFalseDeath and StaysDead.
+func (p *membershipProtocol) checkSettled(t *tierModel) {
+	for observerIndex, observer := range t.Members {
+		if observer.Process == nil {
+			continue
+		}
+		for index, member := range t.Members {
+			switch state := observer.Process.(*membershipProcess).Reducer.Members()[index].State; {
+			case member.Process != nil && !state.Available():
+				t.recordViolation(NoPermanentFalseDeath, "%v after the last fault member %d considers the running member %d %v", settleTime, observerIndex, index, state)
+			case member.Process == nil && state != membership.Dead:
+				t.recordViolation(StaysDead, "%v after the last fault member %d considers the dead member %d %v", settleTime, observerIndex, index, state)
+			}
+		}
+	}
+}
