--- a/internal/lab/channel.go
+++ b/internal/lab/channel.go
@@ -13,126 +13,126 @@
 
 // channel is the command channel (PROTOCOL, "The command channel"): the list of servers as numbered events, served
 // as server-sent events on a listener for each softswitch, each told the addresses reserved for it.
-type channel struct {
-	mu        sync.Mutex
-	events    []listEvent
-	wake      chan struct{} // closed and replaced at each new event
-	listeners []net.Listener
-	address   func(server string, from int) string
-	wg        sync.WaitGroup
-	done      chan struct{}
+type commandChannel struct {
+	mu            sync.Mutex
+	events        []listEvent
+	changed       chan struct{} // closed and replaced at each new event
+	listeners     []net.Listener
+	serverAddress func(server string, from int) string
+	wg            sync.WaitGroup
+	done          chan struct{}
 }
 
 type listEvent struct {
 	snapshot bool
-	changes  []listChange
+	changes  []serverChange
 }
 
-type listChange struct {
+type serverChange struct {
 	name, status string
-	since        int64 // Unix milliseconds of a late start, or 0
+	sinceMS      int64 // Unix milliseconds of a late start, or 0
 }
 
-func newChannel(hosts []string, address func(string, int) string) (*channel, error) {
-	ch := &channel{wake: make(chan struct{}), address: address, done: make(chan struct{})}
+func newChannel(hosts []string, serverAddress func(string, int) string) (*commandChannel, error) {
+	channel := &commandChannel{changed: make(chan struct{}), serverAddress: serverAddress, done: make(chan struct{})}
 	var err error
-	if ch.listeners, err = listenEach(hosts); err != nil {
+	if channel.listeners, err = listenEach(hosts); err != nil {
 		return nil, err
 	}
-	for i, l := range ch.listeners {
-		ch.wg.Add(1)
-		go ch.accept(i, l)
+	for i, l := range channel.listeners {
+		channel.wg.Add(1)
+		go channel.accept(i, l)
 	}
-	return ch, nil
+	return channel, nil
 }
 
 // tell adds an event to the channel. It counts as told from now on.
-func (ch *channel) tell(snapshot bool, changes ...listChange) {
+func (ch *commandChannel) publish(snapshot bool, changes ...serverChange) {
 	ch.mu.Lock()
 	ch.events = append(ch.events, listEvent{snapshot, changes})
-	close(ch.wake)
-	ch.wake = make(chan struct{})
+	close(ch.changed)
+	ch.changed = make(chan struct{})
 	ch.mu.Unlock()
 }
 
 // event is the text of the event with this number, as a softswitch is to read it.
-func (ch *channel) event(cursor int, from int) string {
-	e := ch.events[cursor-1]
-	eps := []map[string]any{}
-	for _, c := range e.changes {
-		eps = append(eps, map[string]any{"name": c.name, "address": ch.address(c.name, from), "zone": "lab",
-			"type": "std", "group": 0, "status": c.status, "weight": 1, "since_ms": c.since})
+func (ch *commandChannel) eventText(cursor int, memberIndex int) string {
+	event := ch.events[cursor-1]
+	endpoints := []map[string]any{}
+	for _, c := range event.changes {
+		endpoints = append(endpoints, map[string]any{"name": c.name, "address": ch.serverAddress(c.name, memberIndex), "zone": "lab",
+			"type": "std", "group": 0, "status": c.status, "weight": 1, "since_ms": c.sinceMS})
 	}
-	text, _ := json.Marshal(map[string]any{"cursor": cursor, "nodes": map[string]any{"index": cursor, "snapshot": e.snapshot, "endpoints": eps}})
+	text, _ := json.Marshal(map[string]any{"cursor": cursor, "nodes": map[string]any{"index": cursor, "snapshot": event.snapshot, "endpoints": endpoints}})
 	return string(text)
 }
 
 // known is what a softswitch that starts now is told in its configuration.
-func (ch *channel) known(from int) map[string]any {
+func (ch *commandChannel) initialState(memberIndex int) map[string]any {
 	ch.mu.Lock()
 	defer ch.mu.Unlock()
 	cmds := []json.RawMessage{}
 	for i := range ch.events {
-		cmds = append(cmds, json.RawMessage(ch.event(i+1, from)))
+		cmds = append(cmds, json.RawMessage(ch.eventText(i+1, memberIndex)))
 	}
 	return map[string]any{"cursor": len(ch.events), "cmds": cmds}
 }
 
-func (ch *channel) accept(from int, l net.Listener) {
+func (ch *commandChannel) accept(memberIndex int, listener net.Listener) {
 	defer ch.wg.Done()
 	for {
-		c, err := l.Accept()
+		conn, err := listener.Accept()
 		if err != nil {
 			return
 		}
 		ch.wg.Add(1)
-		go ch.serve(from, c)
+		go ch.serve(memberIndex, conn)
 	}
 }
 
-func (ch *channel) serve(from int, c net.Conn) {
+func (ch *commandChannel) serve(memberIndex int, conn net.Conn) {
 	defer ch.wg.Done()
-	defer c.Close()
-	c.SetReadDeadline(time.Now().Add(5 * time.Second))
-	r := bufio.NewReader(c)
-	last := 0
+	defer conn.Close()
+	conn.SetReadDeadline(time.Now().Add(5 * time.Second))
+	reader := bufio.NewReader(conn)
+	lastSent := 0
 	for {
-		l, err := r.ReadString('\n')
+		line, err := reader.ReadString('\n')
 		if err != nil {
 			return
 		}
-		if v, ok := strings.CutPrefix(l, "Last-Event-ID: "); ok {
-			last, _ = strconv.Atoi(strings.TrimSpace(v))
+		if value, ok := strings.CutPrefix(line, "Last-Event-ID: "); ok {
+			lastSent, _ = strconv.Atoi(strings.TrimSpace(value))
 		}
-		if l == "\r\n" {
+		if line == "\r\n" {
 			break
 		}
 	}
-	c.SetReadDeadline(time.Time{})
-	if _, err := fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"); err != nil {
+	conn.SetReadDeadline(time.Time{})
+	if _, err := fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"); err != nil {
 		return
 	}
-	tick := time.NewTicker(time.Second)
-	defer tick.Stop()
+	keepalive := time.NewTicker(time.Second)
+	defer keepalive.Stop()
 	for {
 		ch.mu.Lock()
 		var text strings.Builder
-		for ; last < len(ch.events); last++ {
-			fmt.Fprintf(&text, "id: %d\ndata: %s\n\n", last+1, ch.event(last+1, from))
+		for ; lastSent < len(ch.events); lastSent++ {
+			fmt.Fprintf(&text, "id: %d\ndata: %s\n\n", lastSent+1, ch.eventText(lastSent+1, memberIndex))
 		}
-		wake := ch.wake
+		changed := ch.changed
 		ch.mu.Unlock()
 		if text.Len() > 0 {
-			c.SetWriteDeadline(time.Now().Add(time.Second))
-			if _, err := fmt.Fprintf(c, "%x\r\n%s\r\n", text.Len(), text.String()); err != nil {
+			conn.SetWriteDeadline(time.Now().Add(time.Second))
+			if _, err := fmt.Fprintf(conn, "%x\r\n%s\r\n", text.Len(), text.String()); err != nil {
 				return
 			}
 		}
 		select {
-		case <-wake:
-		case <-tick.C:
-			c.SetWriteDeadline(time.Now().Add(time.Second))
-			if _, err := fmt.Fprint(c, "c\r\n: keepalive\n\r\n"); err != nil {
+		case <-changed:
+		case <-keepalive.C:
+			conn.SetWriteDeadline(time.Now().Add(time.Second))
+			if _, err := fmt.Fprint(conn, "c\r\n: keepalive\n\r\n"); err != nil {
 				return
 			}
 		case <-ch.done:
@@ -141,14 +141,14 @@
 	}
 }
 
-func (ch *channel) close() {
+func (ch *commandChannel) close() {
 	select {
 	case <-ch.done:
 	default:
 		close(ch.done)
 	}
-	for _, l := range ch.listeners {
-		l.Close()
+	for _, listener := range ch.listeners {
+		listener.Close()
 	}
 	ch.wg.Wait()
 }
--- a/internal/lab/plan.go
+++ b/internal/lab/plan.go
@@ -22,13 +22,13 @@
 	ActServerStatus                        // Server told Status on the command channel; Retire where it drains or goes
 )
 
-var actNames = [...]string{"kill", "launch", "pause", "resume", "weather", "reset", "stall", "slow", "order", "tell"}
+var actionKindNames = [...]string{"kill", "launch", "pause", "resume", "weather", "reset", "stall", "slow", "order", "tell"}
 
-func (a ActionKind) String() string {
-	if a >= 0 && int(a) < len(actNames) {
-		return actNames[a]
+func (k ActionKind) String() string {
+	if k >= 0 && int(k) < len(actionKindNames) {
+		return actionKindNames[k]
 	}
-	return fmt.Sprintf("Act(%d)", int(a))
+	return fmt.Sprintf("Act(%d)", int(k))
 }
 
 // Action is one step of a run's plan.
@@ -48,63 +48,63 @@
 }
 
 // network are the kinds of fault that change the relay's weather.
-var network = []string{"partition", "loss", "duplicate", "delay", "reorder"}
+var networkFaultKinds = []string{"partition", "loss", "duplicate", "delay", "reorder"}
 
 // Plan turns a checked scenario into the actions of its run, in the order of their times (those of one moment in
 // the order of the faults). It does no I/O. Faults of the network overlap: at each moment the weather is all the
 // network faults standing then, together (chances of loss compound, delays add, the latest partition holds).
 // tellStarts says whether the late starts of servers are told on the channel.
-func Plan(s *Scenario, tellStarts bool) []Action {
+func Plan(s *Scenario, announceStarts bool) []Action {
 	var plan []Action
-	add := func(a Action) { plan = append(plan, a) }
-	all := make([]int, s.Softswitches)
-	for i := range all {
-		all[i] = i
+	addAction := func(a Action) { plan = append(plan, a) }
+	allMembers := make([]int, s.Softswitches)
+	for i := range allMembers {
+		allMembers[i] = i
 	}
-	var weatherAt []time.Duration
-	for i, f := range s.Faults {
-		places := s.places(f.Target)
-		end := f.At.Duration + f.Duration.Duration
-		switch f.Kind {
+	var conditionChanges []time.Duration
+	for i, fault := range s.Faults {
+		members := s.memberIndexes(fault.Target)
+		end := fault.At.Duration + fault.Duration.Duration
+		switch fault.Kind {
 		case "kill", "term", "restart":
-			if f.Kind == "restart" {
-				places = all
+			if fault.Kind == "restart" {
+				members = allMembers
 			}
-			add(Action{At: f.At.Duration, Kind: ActKill, Fault: i, Members: places, Term: f.Kind == "term"})
-			if f.Duration.Duration > 0 {
-				add(Action{At: end, Kind: ActLaunch, Fault: i, Members: places})
+			addAction(Action{At: fault.At.Duration, Kind: ActKill, Fault: i, Members: members, Term: fault.Kind == "term"})
+			if fault.Duration.Duration > 0 {
+				addAction(Action{At: end, Kind: ActLaunch, Fault: i, Members: members})
 			}
 		case "pause":
-			add(Action{At: f.At.Duration, Kind: ActPause, Fault: i, Members: places})
-			add(Action{At: end, Kind: ActResume, Fault: i, Members: places})
+			addAction(Action{At: fault.At.Duration, Kind: ActPause, Fault: i, Members: members})
+			addAction(Action{At: end, Kind: ActResume, Fault: i, Members: members})
 		case "reset":
-			add(Action{At: f.At.Duration, Kind: ActReset, Fault: i, Members: places, Server: f.Server})
+			addAction(Action{At: fault.At.Duration, Kind: ActReset, Fault: i, Members: members, Server: fault.Server})
 		case "stall":
-			add(Action{At: f.At.Duration, Kind: ActStall, Fault: i, Members: places, Server: f.Server, Stall: true})
-			add(Action{At: end, Kind: ActStall, Fault: i, Members: places, Server: f.Server})
+			addAction(Action{At: fault.At.Duration, Kind: ActStall, Fault: i, Members: members, Server: fault.Server, Stall: true})
+			addAction(Action{At: end, Kind: ActStall, Fault: i, Members: members, Server: fault.Server})
 		case "slow":
-			add(Action{At: f.At.Duration, Kind: ActSlow, Fault: i, Server: f.Server, Factor: f.Factor})
-			add(Action{At: end, Kind: ActSlow, Fault: i, Server: f.Server, Factor: 1})
+			addAction(Action{At: fault.At.Duration, Kind: ActSlow, Fault: i, Server: fault.Server, Factor: fault.Factor})
+			addAction(Action{At: end, Kind: ActSlow, Fault: i, Server: fault.Server, Factor: 1})
 		case "drain", "gone":
-			status := map[string]string{"drain": "terminating", "gone": "terminated"}[f.Kind]
-			add(Action{At: f.At.Duration, Kind: ActServerStatus, Fault: i, Server: f.Server, Status: status, Retire: true})
+			status := map[string]string{"drain": "terminating", "gone": "terminated"}[fault.Kind]
+			addAction(Action{At: fault.At.Duration, Kind: ActServerStatus, Fault: i, Server: fault.Server, Status: status, Retire: true})
 		case "maintain", "withdraw":
-			add(Action{At: f.At.Duration, Kind: ActMaintenance, Fault: i, Members: places, Via: s.names[f.Via], Retire: f.Kind == "withdraw"})
+			addAction(Action{At: fault.At.Duration, Kind: ActMaintenance, Fault: i, Members: members, Via: s.indexByName[fault.Via], Retire: fault.Kind == "withdraw"})
 		default: // of the network
-			weatherAt = append(weatherAt, f.At.Duration)
-			if f.Duration.Duration > 0 {
-				weatherAt = append(weatherAt, end)
+			conditionChanges = append(conditionChanges, fault.At.Duration)
+			if fault.Duration.Duration > 0 {
+				conditionChanges = append(conditionChanges, end)
 			}
 		}
 	}
-	slices.Sort(weatherAt)
-	for _, at := range slices.Compact(weatherAt) {
-		add(Action{At: at, Kind: ActNetworkConditions, Fault: s.faultAt(at), Conditions: s.weather(at)})
+	slices.Sort(conditionChanges)
+	for _, at := range slices.Compact(conditionChanges) {
+		addAction(Action{At: at, Kind: ActNetworkConditions, Fault: s.networkFaultAt(at), Conditions: s.conditionsAt(at)})
 	}
-	if tellStarts {
-		for _, v := range s.Servers {
-			if v.StartAt.Duration > 0 {
-				add(Action{At: v.StartAt.Duration, Kind: ActServerStatus, Fault: -1, Server: v.Name, Status: "in_service"})
+	if announceStarts {
+		for _, server := range s.Servers {
+			if server.StartAt.Duration > 0 {
+				addAction(Action{At: server.StartAt.Duration, Kind: ActServerStatus, Fault: -1, Server: server.Name, Status: "in_service"})
 			}
 		}
 	}
@@ -119,37 +119,37 @@
 
 // weather is the weather at a moment: every network fault that stands then, together. A fault with no For stands to
 // the end of the run.
-func (s *Scenario) weather(at time.Duration) NetworkConditions {
-	var w NetworkConditions
-	for _, f := range s.Faults {
-		if !slices.Contains(network, f.Kind) || at < f.At.Duration || (f.Duration.Duration > 0 && at >= f.At.Duration+f.Duration.Duration) {
+func (s *Scenario) conditionsAt(at time.Duration) NetworkConditions {
+	var conditions NetworkConditions
+	for _, fault := range s.Faults {
+		if !slices.Contains(networkFaultKinds, fault.Kind) || at < fault.At.Duration || (fault.Duration.Duration > 0 && at >= fault.At.Duration+fault.Duration.Duration) {
 			continue
 		}
-		switch f.Kind {
+		switch fault.Kind {
 		case "partition":
-			w.Groups, w.OneWay = map[int]int{}, f.OneWay
-			for g, names := range f.Groups {
-				for _, p := range s.places(names) {
-					w.Groups[p] = g
+			conditions.Groups, conditions.OneWay = map[int]int{}, fault.OneWay
+			for group, names := range fault.Groups {
+				for _, index := range s.memberIndexes(names) {
+					conditions.Groups[index] = group
 				}
 			}
 		case "loss":
-			w.Loss = 1 - (1-w.Loss)*(1-f.Probability)
+			conditions.Loss = 1 - (1-conditions.Loss)*(1-fault.Probability)
 		case "duplicate":
-			w.Duplicate = max(w.Duplicate, f.Probability)
+			conditions.Duplicate = max(conditions.Duplicate, fault.Probability)
 		case "delay":
-			w.Delay += f.Delay.Duration
+			conditions.Delay += fault.Delay.Duration
 		case "reorder":
-			w.Reorder = max(w.Reorder, f.Delay.Duration)
+			conditions.Reorder = max(conditions.Reorder, fault.Delay.Duration)
 		}
 	}
-	return w
+	return conditions
 }
 
 // faultAt is the first network fault that begins or ends at a moment.
-func (s *Scenario) faultAt(at time.Duration) int {
-	for i, f := range s.Faults {
-		if slices.Contains(network, f.Kind) && (f.At.Duration == at || f.At.Duration+f.Duration.Duration == at) {
+func (s *Scenario) networkFaultAt(at time.Duration) int {
+	for i, fault := range s.Faults {
+		if slices.Contains(networkFaultKinds, fault.Kind) && (fault.At.Duration == at || fault.At.Duration+fault.Duration.Duration == at) {
 			return i
 		}
 	}
@@ -157,10 +157,10 @@
 }
 
 // places are the softswitches of these names, by place.
-func (s *Scenario) places(names []string) []int {
-	var out []int
-	for _, n := range names {
-		out = append(out, s.names[n])
+func (s *Scenario) memberIndexes(names []string) []int {
+	var indexes []int
+	for _, name := range names {
+		indexes = append(indexes, s.indexByName[name])
 	}
-	return out
+	return indexes
 }
--- a/internal/lab/plot.go
+++ b/internal/lab/plot.go
@@ -37,62 +37,62 @@
 	return res.plot(answersPath, "answers", "set-ups a second", kinds, answers)
 }
 
-func (res *Result) plot(path, title, unit string, names []string, of map[string]func(SecondStats) float64) error {
+func (res *Result) plot(path, title, yLabel string, names []string, values map[string]func(SecondStats) float64) error {
 	p := plot.New()
 	p.Title.Text = fmt.Sprintf("%s: %s", res.Scenario, title)
 	p.X.Label.Text = "second of the run"
-	p.Y.Label.Text = unit
-	top := 1.0
+	p.Y.Label.Text = yLabel
+	maxY := 1.0
 	for i, name := range names {
-		pts := make(plotter.XYs, len(res.seconds))
-		for k, s := range res.seconds {
-			pts[k] = plotter.XY{X: float64(k) + 0.5, Y: of[name](s)}
-			top = max(top, pts[k].Y)
+		points := make(plotter.XYs, len(res.seconds))
+		for second, s := range res.seconds {
+			points[second] = plotter.XY{X: float64(second) + 0.5, Y: values[name](s)}
+			maxY = max(maxY, points[second].Y)
 		}
-		l, err := plotter.NewLine(pts)
+		line, err := plotter.NewLine(points)
 		if err != nil {
 			return err
 		}
-		l.Color = plotutil.Color(i)
-		l.Width = vg.Points(1.5)
-		p.Add(l)
-		p.Legend.Add(name, l)
+		line.Color = plotutil.Color(i)
+		line.Width = vg.Points(1.5)
+		p.Add(line)
+		p.Legend.Add(name, line)
 	}
-	for _, m := range res.InjectedFaults {
-		l, err := plotter.NewLine(plotter.XYs{{X: m.At, Y: 0}, {X: m.At, Y: top}})
+	for _, fault := range res.InjectedFaults {
+		line, err := plotter.NewLine(plotter.XYs{{X: fault.At, Y: 0}, {X: fault.At, Y: maxY}})
 		if err != nil {
 			return err
 		}
-		l.Color = color.Gray{Y: 150}
-		l.Dashes = []vg.Length{vg.Points(3), vg.Points(3)}
-		p.Add(l)
+		line.Color = color.Gray{Y: 150}
+		line.Dashes = []vg.Length{vg.Points(3), vg.Points(3)}
+		p.Add(line)
 	}
 	p.Legend.Top = true
 	return p.Save(16*vg.Centimeter, 9*vg.Centimeter, path)
 }
 
 // PlotGrowth draws how a figure grows with the size of a tier, a line for each name; the sizes on a logarithmic axis.
-func PlotGrowth(path, title, unit string, names []string, of map[string][][2]float64) error {
+func PlotGrowth(path, title, yLabel string, names []string, values map[string][][2]float64) error {
 	p := plot.New()
 	p.Title.Text = title
 	p.X.Label.Text = "members"
-	p.Y.Label.Text = unit
+	p.Y.Label.Text = yLabel
 	p.Y.Min = 0
 	p.X.Scale = plot.LogScale{}
 	p.X.Tick.Marker = plot.LogTicks{Prec: -1}
 	for i, name := range names {
-		var pts plotter.XYs
-		for _, xy := range of[name] {
-			pts = append(pts, plotter.XY{X: xy[0], Y: xy[1]})
+		var points plotter.XYs
+		for _, xy := range values[name] {
+			points = append(points, plotter.XY{X: xy[0], Y: xy[1]})
 		}
-		l, dots, err := plotter.NewLinePoints(pts)
+		line, dots, err := plotter.NewLinePoints(points)
 		if err != nil {
 			return err
 		}
-		l.Color, dots.Color = plotutil.Color(i), plotutil.Color(i)
-		l.Width = vg.Points(1.5)
-		p.Add(l, dots)
-		p.Legend.Add(name, l, dots)
+		line.Color, dots.Color = plotutil.Color(i), plotutil.Color(i)
+		line.Width = vg.Points(1.5)
+		p.Add(line, dots)
+		p.Legend.Add(name, line, dots)
 	}
 	p.Legend.Top, p.Legend.Left = true, true
 	return p.Save(16*vg.Centimeter, 9*vg.Centimeter, path)
--- a/internal/lab/relay.go
+++ b/internal/lab/relay.go
@@ -29,44 +29,44 @@
 }
 
 // Deliver says what becomes of a datagram from one softswitch to another.
-func (w *NetworkConditions) Deliver(from, to int, r *rand.Rand) Delivery {
-	if w.Groups != nil {
-		gf, gt := w.Groups[from], w.Groups[to]
-		if gf != gt && (!w.OneWay || gf == 0) {
+func (c *NetworkConditions) Deliver(from, to int, rng *rand.Rand) Delivery {
+	if c.Groups != nil {
+		fromGroup, toGroup := c.Groups[from], c.Groups[to]
+		if fromGroup != toGroup && (!c.OneWay || fromGroup == 0) {
 			return Delivery{Drop: true}
 		}
 	}
-	if w.Loss > 0 && r.Float64() < w.Loss {
+	if c.Loss > 0 && rng.Float64() < c.Loss {
 		return Delivery{Drop: true}
 	}
 	delay := func() time.Duration {
-		d := w.Delay
-		if w.Reorder > 0 {
-			d += time.Duration(r.Int64N(int64(w.Reorder)))
+		d := c.Delay
+		if c.Reorder > 0 {
+			d += time.Duration(rng.Int64N(int64(c.Reorder)))
 		}
 		return d
 	}
-	f := Delivery{Delays: []time.Duration{delay()}}
-	if w.Duplicate > 0 && r.Float64() < w.Duplicate {
-		f.Delays = append(f.Delays, delay())
+	delivery := Delivery{Delays: []time.Duration{delay()}}
+	if c.Duplicate > 0 && rng.Float64() < c.Duplicate {
+		delivery.Delays = append(delivery.Delays, delay())
 	}
-	return f
+	return delivery
 }
 
 // Relay carries the datagrams between softswitches. Each softswitch is told the relay's address for each peer, and
 // for peers_all; the relay knows a sender by its source address and passes a datagram on from the address that the
 // receiver knows for the sender, so that no kernel or root feature is needed for a partition.
 type Relay struct {
-	faces    []*net.UDPConn // the address that stands for each softswitch
-	all      *net.UDPConn   // peers_all
-	real     []*net.UDPAddr // each softswitch's peer_listen
-	by       map[string]int // source address → softswitch
-	mu       sync.Mutex
-	w        NetworkConditions
-	rand     *rand.Rand
-	stop     chan struct{}
-	wg       sync.WaitGroup
-	Counters RelayCounters
+	peerConns      []*net.UDPConn // the address that stands for each softswitch
+	allPeersConn   *net.UDPConn   // peers_all
+	memberAddrs    []*net.UDPAddr // each softswitch's peer_listen
+	memberBySource map[string]int // source address → softswitch
+	mu             sync.Mutex
+	conditions     NetworkConditions
+	rand           *rand.Rand
+	stop           chan struct{}
+	wg             sync.WaitGroup
+	Counters       RelayCounters
 }
 
 // RelayCounters are the relay's figures.
@@ -75,71 +75,71 @@
 }
 
 // NewRelay opens a face for each of the softswitches whose peer_listen addresses are given, on hosts of its own.
-func NewRelay(hosts []string, allHost string, real []*net.UDPAddr, seed uint64) (*Relay, error) {
-	r := &Relay{real: real, by: make(map[string]int), rand: rand.New(rand.NewPCG(seed, 0x72656c)), stop: make(chan struct{})}
-	for i, a := range real {
-		r.by[a.String()] = i
+func NewRelay(hosts []string, allHost string, memberAddrs []*net.UDPAddr, seed uint64) (*Relay, error) {
+	r := &Relay{memberAddrs: memberAddrs, memberBySource: make(map[string]int), rand: rand.New(rand.NewPCG(seed, 0x72656c)), stop: make(chan struct{})}
+	for i, addr := range memberAddrs {
+		r.memberBySource[addr.String()] = i
 	}
 	open := func(host string) (*net.UDPConn, error) {
 		return net.ListenUDP("udp", &net.UDPAddr{IP: net.ParseIP(host)})
 	}
-	for _, h := range hosts {
-		c, err := open(h)
+	for _, host := range hosts {
+		conn, err := open(host)
 		if err != nil {
 			r.Close()
 			return nil, err
 		}
-		r.faces = append(r.faces, c)
+		r.peerConns = append(r.peerConns, conn)
 	}
 	var err error
-	if r.all, err = open(allHost); err != nil {
+	if r.allPeersConn, err = open(allHost); err != nil {
 		r.Close()
 		return nil, err
 	}
-	for i, c := range r.faces {
+	for i, conn := range r.peerConns {
 		r.wg.Add(1)
-		go r.serve(c, []int{i})
+		go r.serve(conn, []int{i})
 	}
-	every := make([]int, len(real))
-	for i := range every {
-		every[i] = i
+	allMembers := make([]int, len(memberAddrs))
+	for i := range allMembers {
+		allMembers[i] = i
 	}
 	r.wg.Add(1)
-	go r.serve(r.all, every)
+	go r.serve(r.allPeersConn, allMembers)
 	return r, nil
 }
 
 // PeerAddresses are the addresses each softswitch is told for its peers, by place; All is the one for peers_all.
 func (r *Relay) PeerAddresses() []string {
-	var out []string
-	for _, c := range r.faces {
-		out = append(out, c.LocalAddr().String())
+	var addresses []string
+	for _, conn := range r.peerConns {
+		addresses = append(addresses, conn.LocalAddr().String())
 	}
-	return out
+	return addresses
 }
 
 // AllPeersAddress is the address told for peers_all.
-func (r *Relay) AllPeersAddress() string { return r.all.LocalAddr().String() }
+func (r *Relay) AllPeersAddress() string { return r.allPeersConn.LocalAddr().String() }
 
 // SetConditions changes the weather.
-func (r *Relay) SetConditions(w NetworkConditions) {
+func (r *Relay) SetConditions(conditions NetworkConditions) {
 	r.mu.Lock()
-	r.w = w
+	r.conditions = conditions
 	r.mu.Unlock()
 }
 
-func (r *Relay) serve(c *net.UDPConn, to []int) {
+func (r *Relay) serve(conn *net.UDPConn, destinations []int) {
 	defer r.wg.Done()
-	b := make([]byte, 64<<10)
+	buffer := make([]byte, 64<<10)
 	for {
-		n, from, err := c.ReadFromUDP(b)
+		n, from, err := conn.ReadFromUDP(buffer)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
 			continue
 		}
-		src, ok := r.by[from.String()]
+		src, ok := r.memberBySource[from.String()]
 		switch {
 		case !ok:
 			r.Counters.UnknownSender.Add(1)
@@ -148,33 +148,33 @@
 			r.Counters.Oversized.Add(1)
 			continue
 		}
-		data := append([]byte(nil), b[:n]...)
-		for _, dst := range to {
+		data := append([]byte(nil), buffer[:n]...)
+		for _, dst := range destinations {
 			if dst != src {
-				r.pass(src, dst, data)
+				r.forward(src, dst, data)
 			}
 		}
 	}
 }
 
-func (r *Relay) pass(src, dst int, data []byte) {
+func (r *Relay) forward(src, dst int, data []byte) {
 	r.mu.Lock()
-	fate := r.w.Deliver(src, dst, r.rand)
+	delivery := r.conditions.Deliver(src, dst, r.rand)
 	r.mu.Unlock()
-	if fate.Drop {
+	if delivery.Drop {
 		r.Counters.Dropped.Add(1)
 		return
 	}
-	if len(fate.Delays) > 1 {
+	if len(delivery.Delays) > 1 {
 		r.Counters.Duplicated.Add(1)
 	}
-	for _, d := range fate.Delays {
+	for _, delay := range delivery.Delays {
 		send := func() {
-			r.faces[src].WriteToUDP(data, r.real[dst])
+			r.peerConns[src].WriteToUDP(data, r.memberAddrs[dst])
 			r.Counters.Forwarded.Add(1)
 			r.Counters.Bytes.Add(int64(len(data)))
 		}
-		if d <= 0 {
+		if delay <= 0 {
 			send()
 			continue
 		}
@@ -182,7 +182,7 @@
 		case <-r.stop:
 			return
 		default:
-			time.AfterFunc(d, func() {
+			time.AfterFunc(delay, func() {
 				select {
 				case <-r.stop:
 				default:
@@ -201,11 +201,11 @@
 	default:
 		close(r.stop)
 	}
-	for _, c := range r.faces {
-		c.Close()
+	for _, conn := range r.peerConns {
+		conn.Close()
 	}
-	if r.all != nil {
-		r.all.Close()
+	if r.allPeersConn != nil {
+		r.allPeersConn.Close()
 	}
 	r.wg.Wait()
 }
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -84,8 +84,8 @@
 }
 
 // rulesOf reads the rules' figures from the settings.
-func rulesOf(settings []byte) (Rules, error) {
-	var s struct {
+func parseRules(settings []byte) (Rules, error) {
+	var parsed struct {
 		Family struct {
 			Release float64 `json:"release-guard-us"`
 		} `json:"family-info"`
@@ -100,20 +100,20 @@
 			Grace    float64 `json:"drain-grace-us"`
 		} `json:"obligations"`
 	}
-	if err := json.Unmarshal(settings, &s); err != nil {
+	if err := json.Unmarshal(settings, &parsed); err != nil {
 		return Rules{}, fmt.Errorf("settings: %w", err)
 	}
-	us := func(v float64) time.Duration { return time.Duration(v * float64(time.Microsecond)) }
-	r := Rules{MaxAttempts: s.Limits.Attempts, ReleaseGuard: us(s.Family.Release), DrainGrace: us(s.Duties.Grace),
-		TipMultiple: s.Duties.Multiple, TipWindow: us(s.Duties.After), ColdFrom: s.Duties.ColdFrom, Ramp: us(s.Duties.Ramp),
+	microseconds := func(value float64) time.Duration { return time.Duration(value * float64(time.Microsecond)) }
+	rules := Rules{MaxAttempts: parsed.Limits.Attempts, ReleaseGuard: microseconds(parsed.Family.Release), DrainGrace: microseconds(parsed.Duties.Grace),
+		TipMultiple: parsed.Duties.Multiple, TipWindow: microseconds(parsed.Duties.After), ColdFrom: parsed.Duties.ColdFrom, Ramp: microseconds(parsed.Duties.Ramp),
 		Slack: 50 * time.Millisecond, ColdSlack: 3}
-	if r.DrainGrace == 0 {
-		r.DrainGrace = 250 * time.Millisecond
+	if rules.DrainGrace == 0 {
+		rules.DrainGrace = 250 * time.Millisecond
 	}
-	if r.MaxAttempts <= 0 || r.TipMultiple <= 0 || r.TipWindow <= 0 {
-		return r, errors.New("settings: limits.max-attempts and obligations.tip-multiple, tip-after-us are needed")
+	if rules.MaxAttempts <= 0 || rules.TipMultiple <= 0 || rules.TipWindow <= 0 {
+		return rules, errors.New("settings: limits.max-attempts and obligations.tip-multiple, tip-after-us are needed")
 	}
-	return r, nil
+	return rules, nil
 }
 
 // ErrLab is an error of the lab itself, not of the fleet.
@@ -121,190 +121,190 @@
 
 // runner is one run: the world round the fleet.
 type runner struct {
-	s        *Scenario
-	o        Options
-	mu       sync.Mutex // over the judge and the counts
-	judge    *Checker
-	watch    *TierChecker
-	over     chan struct{} // the run's faults and samples are over
-	begin    time.Time
-	members  []*member
-	servers  map[string]*standIn
-	order    []string
-	channel  *channel
-	tierFile string // the softswitches' members file
-	relay    *Relay
-	setting  json.RawMessage
-	unsent   int
-	marks    []InjectedFault
-	ready    [][]bool
-	views    [][]string // by second, by softswitch: its view's letters at the second's last sample
-	lagMax   time.Duration
-	blinds   int
-	rand     *rand.Rand
-	pick     func(network, host string) (string, error) // a free port; freePort but in tests
-	conns    [][]*callerConn
-	connMu   sync.Mutex
-}
-
-func (r *runner) now() time.Duration { return time.Since(r.begin) }
-
-func (r *runner) attempt(server string, id uint64) {
+	scenario       *Scenario
+	options        Options
+	mu             sync.Mutex // over the judge and the counts
+	checker        *Checker
+	tierChecker    *TierChecker
+	finished       chan struct{} // the run's faults and samples are over
+	startedAt      time.Time
+	members        []*member
+	servers        map[string]*standInServer
+	serverOrder    []string
+	channel        *commandChannel
+	membersFile    string // the softswitches' members file
+	relay          *Relay
+	settings       json.RawMessage
+	unsent         int
+	injectedFaults []InjectedFault
+	readyBySecond  [][]bool
+	viewsBySecond  [][]string // by second, by softswitch: its view's letters at the second's last sample
+	maxLag         time.Duration
+	lagSpans       int
+	rand           *rand.Rand
+	pickPort       func(network, host string) (string, error) // a free port; freePort but in tests
+	callerConns    [][]*callerConn
+	connMu         sync.Mutex
+}
+
+func (r *runner) now() time.Duration { return time.Since(r.startedAt) }
+
+func (r *runner) attemptReceived(server string, id uint64) {
 	r.mu.Lock()
-	r.judge.RecordAttempt(r.now(), server, id)
+	r.checker.RecordAttempt(r.now(), server, id)
 	r.mu.Unlock()
 }
 
-func (r *runner) ended(server string, id uint64, how AttemptOutcome) {
+func (r *runner) attemptEnded(server string, id uint64, outcome AttemptOutcome) {
 	r.mu.Lock()
-	r.judge.RecordAttemptEnd(r.now(), server, id, how)
+	r.checker.RecordAttemptEnd(r.now(), server, id, outcome)
 	r.mu.Unlock()
 }
 
 // capacity is what a stand-in can do at a moment: cold from its start, warm after the ramp.
 func (r *runner) capacity(server string, at time.Duration) float64 {
-	v := r.servers[server]
-	started := time.Duration(-1)
-	if v.StartAt.Duration > 0 && r.o.SelfTestFault != "weak cold servers" {
-		started = v.StartAt.Duration
+	config := r.servers[server]
+	startedAt := time.Duration(-1)
+	if config.StartAt.Duration > 0 && r.options.SelfTestFault != "weak cold servers" {
+		startedAt = config.StartAt.Duration
 	}
-	return r.judge.rules.RampedCapacity(v.Capacity, started, at)
+	return r.checker.rules.RampedCapacity(config.Capacity, startedAt, at)
 }
 
-func (r *runner) sent(id uint64, to int, giveUp time.Duration) {
+func (r *runner) setUpSent(id uint64, memberIndex int, giveUp time.Duration) {
 	r.mu.Lock()
-	r.judge.RecordSetUp(r.now(), id, to, giveUp)
+	r.checker.RecordSetUp(r.now(), id, memberIndex, giveUp)
 	r.mu.Unlock()
 }
 
-func (r *runner) final(id uint64, served bool, desc string) {
+func (r *runner) finalAnswer(id uint64, served bool, desc string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if served && !madeBy(desc, id) {
-		r.judge.broke("answer made by no server", r.now(), "call %016x: %q", id, desc)
+	if served && !isStandInDescription(desc, id) {
+		r.checker.recordViolation("answer made by no server", r.now(), "call %016x: %q", id, desc)
 	}
-	r.judge.RecordFinalAnswer(r.now(), id, served)
+	r.checker.RecordFinalAnswer(r.now(), id, served)
 }
 
-func (r *runner) withdrawn(id uint64) {
+func (r *runner) setUpNotWritten(id uint64) {
 	r.mu.Lock()
-	r.judge.Withdraw(id)
+	r.checker.Withdraw(id)
 	r.mu.Unlock()
 }
 
-func (r *runner) unanswered(id uint64, to int) {
+func (r *runner) setUpUnanswered(id uint64, memberIndex int) {
 	now := r.now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	sent := now - r.s.GiveUp.Duration
-	r.judge.RecordUnanswered(now, id, r.members[to].hindered(sent-time.Second, now))
+	sent := now - r.scenario.GiveUp.Duration
+	r.checker.RecordUnanswered(now, id, r.members[memberIndex].disturbedDuring(sent-time.Second, now))
 }
 
 // Run plays a scenario against real processes of the program. The error is ErrLab's where the lab itself failed;
 // a fleet that broke an invariant is a Result that has not held.
-func Run(s *Scenario, o Options) (*Result, error) {
-	settings := s.Settings
+func Run(scenario *Scenario, options Options) (*Result, error) {
+	settings := scenario.Settings
 	if settings == "" {
 		settings = DefaultSettings
 	}
-	rules, err := rulesOf([]byte(settings))
+	rules, err := parseRules([]byte(settings))
 	if err != nil {
 		return nil, err
 	}
-	return newRunner(s, o, rules, settings).run()
+	return newRunner(scenario, options, rules, settings).run()
 }
 
-func newRunner(s *Scenario, o Options, rules Rules, settings string) *runner {
-	return &runner{s: s, o: o, judge: NewChecker(rules), servers: make(map[string]*standIn), setting: json.RawMessage(settings),
-		watch: NewTierChecker(s.Softswitches), over: make(chan struct{}), pick: freePort, rand: rand.New(rand.NewPCG(s.Seed, 0x63616c6c))}
+func newRunner(scenario *Scenario, options Options, rules Rules, settings string) *runner {
+	return &runner{scenario: scenario, options: options, checker: NewChecker(rules), servers: make(map[string]*standInServer), settings: json.RawMessage(settings),
+		tierChecker: NewTierChecker(scenario.Softswitches), finished: make(chan struct{}), pickPort: freePort, rand: rand.New(rand.NewPCG(scenario.Seed, 0x63616c6c))}
 }
 
 func (r *runner) run() (*Result, error) {
-	if err := os.MkdirAll(r.o.OutDir, 0o755); err != nil {
+	if err := os.MkdirAll(r.options.OutDir, 0o755); err != nil {
 		return nil, fmt.Errorf("%w: %v", ErrLab, err)
 	}
-	r.begin = time.Now()
+	r.startedAt = time.Now()
 	defer r.teardown()
-	if err := r.build(); err != nil {
+	if err := r.startAll(); err != nil {
 		return nil, fmt.Errorf("%w: %v", ErrLab, err)
 	}
-	if err := r.play(); err != nil {
+	if err := r.execute(); err != nil {
 		return nil, fmt.Errorf("%w: %v", ErrLab, err)
 	}
 	return r.result(), nil
 }
 
-func host(block, i int) string { return fmt.Sprintf("127.0.%d.%d", block, i+1) }
+func loopbackAddress(network, index int) string { return fmt.Sprintf("127.0.%d.%d", network, index+1) }
 
 // build starts the stand-ins, the channel, the relay and the softswitches, and waits until every softswitch is ready.
-func (r *runner) build() error {
-	n := r.s.Softswitches
+func (r *runner) startAll() error {
+	tierSize := r.scenario.Softswitches
 	var hosts [4][]string
-	for i := range n {
-		for b := range hosts {
-			hosts[b] = append(hosts[b], host(b+1, i))
+	for i := range tierSize {
+		for network := range hosts {
+			hosts[network] = append(hosts[network], loopbackAddress(network+1, i))
 		}
 	}
-	for _, v := range r.s.Servers {
-		start := time.Duration(-1)
-		if v.StartAt.Duration > 0 {
-			start = v.StartAt.Duration
+	for _, config := range r.scenario.Servers {
+		startedAt := time.Duration(-1)
+		if config.StartAt.Duration > 0 {
+			startedAt = config.StartAt.Duration
 		}
-		judged := v.Capacity
-		if r.o.SelfTestFault == "weak cold servers" {
-			start, judged = 0, v.Capacity/10
+		checkedCapacity := config.Capacity
+		if r.options.SelfTestFault == "weak cold servers" {
+			startedAt, checkedCapacity = 0, config.Capacity/10
 		}
-		r.judge.AddServer(v.Name, judged, start)
-		si, err := newStandIn(v, r, hosts[1])
+		r.checker.AddServer(config.Name, checkedCapacity, startedAt)
+		server, err := newStandInServer(config, r, hosts[1])
 		if err != nil {
 			return err
 		}
-		r.servers[v.Name] = si
-		r.order = append(r.order, v.Name)
+		r.servers[config.Name] = server
+		r.serverOrder = append(r.serverOrder, config.Name)
 	}
 	var err error
-	if r.channel, err = newChannel(hosts[2], func(name string, from int) string { return r.servers[name].address(from) }); err != nil {
+	if r.channel, err = newChannel(hosts[2], func(name string, from int) string { return r.servers[name].addressFor(from) }); err != nil {
 		return err
 	}
-	var first []listChange
-	for _, v := range r.s.Servers {
-		if v.StartAt.Duration == 0 || r.o.SelfTestFault == "weak cold servers" {
-			first = append(first, listChange{name: v.Name, status: "in_service"})
+	var initial []serverChange
+	for _, config := range r.scenario.Servers {
+		if config.StartAt.Duration == 0 || r.options.SelfTestFault == "weak cold servers" {
+			initial = append(initial, serverChange{name: config.Name, status: "in_service"})
 		}
 	}
-	r.channel.tell(true, first...)
-	text, err := r.s.membersText()
+	r.channel.publish(true, initial...)
+	text, err := r.scenario.membersFileText()
 	if err != nil {
 		return err
 	}
-	r.tierFile = filepath.Join(r.o.OutDir, "members.toml")
-	if err := os.WriteFile(r.tierFile, []byte(text), 0o600); err != nil {
+	r.membersFile = filepath.Join(r.options.OutDir, "members.toml")
+	if err := os.WriteFile(r.membersFile, []byte(text), 0o600); err != nil {
 		return err
 	}
-	for i := range n {
-		m := &member{place: i, name: MemberName(i), dir: filepath.Join(r.o.OutDir, MemberName(i))}
+	for i := range tierSize {
+		m := &member{index: i, name: MemberName(i), dir: filepath.Join(r.options.OutDir, MemberName(i))}
 		if err := os.MkdirAll(m.dir, 0o755); err != nil {
 			return err
 		}
-		for _, p := range []struct {
+		for _, port := range []struct {
 			to      *string
 			network string
-		}{{&m.listen, "tcp"}, {&m.mgmt, "tcp"}, {&m.peer, "udp"}} {
-			if *p.to, err = r.pick(p.network, hosts[0][i]); err != nil {
+		}{{&m.listenAddr, "tcp"}, {&m.mgmtAddr, "tcp"}, {&m.peerAddr, "udp"}} {
+			if *port.to, err = r.pickPort(port.network, hosts[0][i]); err != nil {
 				return err
 			}
 		}
 		r.members = append(r.members, m)
 	}
-	var real []*net.UDPAddr
+	var memberAddrs []*net.UDPAddr
 	for _, m := range r.members {
-		a, err := net.ResolveUDPAddr("udp", m.peer)
+		addr, err := net.ResolveUDPAddr("udp", m.peerAddr)
 		if err != nil {
 			return err
 		}
-		real = append(real, a)
+		memberAddrs = append(memberAddrs, addr)
 	}
-	if r.relay, err = NewRelay(hosts[3], "127.0.4.250", real, r.s.Seed); err != nil {
+	if r.relay, err = NewRelay(hosts[3], "127.0.4.250", memberAddrs, r.scenario.Seed); err != nil {
 		return err
 	}
 	for _, m := range r.members {
@@ -314,20 +314,20 @@
 	}
 	// A port that another program took since it was picked ends a softswitch at its start: it gets new ones,
 	// at most three times, before it is known to any peer or caller.
-	for try := 0; ; try++ {
+	for attempt := 0; ; attempt++ {
 		err := r.waitReady(r.members)
-		var ended *endedAtStart
-		if !errors.As(err, &ended) || try == 3 {
+		var exited *exitedAtStart
+		if !errors.As(err, &exited) || attempt == 3 {
 			return err
 		}
-		m := ended.m
-		if m.listen, err = r.pick("tcp", hosts[0][m.place]); err != nil {
+		m := exited.member
+		if m.listenAddr, err = r.pickPort("tcp", hosts[0][m.index]); err != nil {
 			return err
 		}
-		if m.mgmt, err = r.pick("tcp", hosts[0][m.place]); err != nil {
+		if m.mgmtAddr, err = r.pickPort("tcp", hosts[0][m.index]); err != nil {
 			return err
 		}
-		r.o.Log.Warn().Str("softswitch", m.name).Msg("ended at its start; new ports")
+		r.options.Log.Warn().Str("softswitch", m.name).Msg("ended at its start; new ports")
 		if err := r.launch(m); err != nil {
 			return err
 		}
@@ -335,49 +335,49 @@
 }
 
 // endedAtStart is a softswitch whose process ended before it was ready.
-type endedAtStart struct{ m *member }
+type exitedAtStart struct{ member *member }
 
-func (e *endedAtStart) Error() string {
-	return fmt.Sprintf("%s ended at its start; its log is %s", e.m.name, filepath.Join(e.m.dir, "log.jsonl"))
+func (e *exitedAtStart) Error() string {
+	return fmt.Sprintf("%s ended at its start; its log is %s", e.member.name, filepath.Join(e.member.dir, "log.jsonl"))
 }
 
 // launch starts a member with a configuration of now.
 func (r *runner) launch(m *member) error {
 	var peers []string
-	all := ""
-	if r.s.PeersEnabled {
-		peers, all = r.relay.PeerAddresses(), r.relay.AllPeersAddress()
+	allPeersAddr := ""
+	if r.scenario.PeersEnabled {
+		peers, allPeersAddr = r.relay.PeerAddresses(), r.relay.AllPeersAddress()
 	}
 	seed := r.rand.Uint64()
-	settings, err := r.settingsOf(m.place)
+	settings, err := r.memberSettings(m.index)
 	if err != nil {
 		return err
 	}
-	return m.start(r.o.Binary, configure(m, seed, r.channel.listeners[m.place].Addr().String(), r.channel.known(m.place), peers, all, settings), r.tierFile)
+	return m.start(r.options.Binary, memberConfig(m, seed, r.channel.listeners[m.index].Addr().String(), r.channel.initialState(m.index), peers, allPeersAddr, settings), r.membersFile)
 }
 
 // settingsOf are the settings with what differs from one softswitch to another: its number in the tier.
-func (r *runner) settingsOf(place int) (json.RawMessage, error) {
-	var s map[string]any
-	if err := json.Unmarshal(r.setting, &s); err != nil {
+func (r *runner) memberSettings(index int) (json.RawMessage, error) {
+	var settings map[string]any
+	if err := json.Unmarshal(r.settings, &settings); err != nil {
 		return nil, err
 	}
-	s["me"], s["peers-total"] = place, r.s.Softswitches
-	if limits, ok := s["limits"].(map[string]any); ok {
-		limits["peer-messages"] = r.s.PeersEnabled
+	settings["me"], settings["peers-total"] = index, r.scenario.Softswitches
+	if limits, ok := settings["limits"].(map[string]any); ok {
+		limits["peer-messages"] = r.scenario.PeersEnabled
 	}
-	return json.Marshal(s)
+	return json.Marshal(settings)
 }
 
-func (r *runner) waitReady(ms []*member) error {
-	deadline := time.Now().Add(r.s.StartTimeout.Duration)
-	for _, m := range ms {
+func (r *runner) waitReady(members []*member) error {
+	deadline := time.Now().Add(r.scenario.StartTimeout.Duration)
+	for _, m := range members {
 		for m.sample(); !m.isReady(); m.sample() {
 			if !m.running() {
-				return &endedAtStart{m}
+				return &exitedAtStart{m}
 			}
 			if time.Now().After(deadline) {
-				return fmt.Errorf("%s not ready within %v", m.name, r.s.StartTimeout)
+				return fmt.Errorf("%s not ready within %v", m.name, r.scenario.StartTimeout)
 			}
 			time.Sleep(20 * time.Millisecond)
 		}
@@ -386,26 +386,26 @@
 }
 
 // play drives the load, the faults and the samples until the end of the run.
-func (r *runner) play() error {
+func (r *runner) execute() error {
 	r.mu.Lock()
-	r.begin = time.Now()
+	r.startedAt = time.Now()
 	r.mu.Unlock()
-	r.conns = make([][]*callerConn, len(r.members))
+	r.callerConns = make([][]*callerConn, len(r.members))
 	stop := make(chan struct{})
 	var wg sync.WaitGroup
 	wg.Add(2)
-	go func() { defer wg.Done(); r.sampler(stop) }()
-	go func() { defer wg.Done(); r.faults(stop) }()
-	r.load()
+	go func() { defer wg.Done(); r.sampleLoop(stop) }()
+	go func() { defer wg.Done(); r.runFaults(stop) }()
+	r.generateLoad()
 	select {
-	case <-time.After(max(r.s.QuietPeriod.Duration+r.s.GiveUp.Duration, r.s.lastFault()+r.s.ConvergenceTime.Duration-r.now())):
-	case <-r.o.Stop:
+	case <-time.After(max(r.scenario.QuietPeriod.Duration+r.scenario.GiveUp.Duration, r.scenario.lastFaultEnd()+r.scenario.ConvergenceTime.Duration-r.now())):
+	case <-r.options.Stop:
 	}
 	close(stop)
-	close(r.over)
+	close(r.finished)
 	wg.Wait()
 	select {
-	case <-r.o.Stop:
+	case <-r.options.Stop:
 		return errors.New("stopped from outside")
 	default:
 	}
@@ -413,13 +413,13 @@
 		m.sample()
 	}
 	r.mu.Lock()
-	r.judge.CheckOpen(r.now())
+	r.checker.CheckOpen(r.now())
 	r.mu.Unlock()
-	if r.s.ConvergenceTime.Duration > 0 {
-		r.look()
+	if r.scenario.ConvergenceTime.Duration > 0 {
+		r.readViews()
 		r.mu.Lock()
-		r.watch.CheckConvergence(r.now(), func(place int) bool { return r.members[place].running() })
-		r.watch.CheckMaintained(r.now(), r.s.places(r.s.ExpectMaintained))
+		r.tierChecker.CheckConvergence(r.now(), func(place int) bool { return r.members[place].running() })
+		r.tierChecker.CheckMaintained(r.now(), r.scenario.memberIndexes(r.scenario.ExpectMaintained))
 		r.mu.Unlock()
 	}
 	return nil
@@ -427,73 +427,73 @@
 
 // load sends set-ups at the scenario's rate, to the softswitches that are ready, in turn; it measures its own lag
 // and tells the judge where it lagged so that no timing is judged there.
-func (r *runner) load() {
+func (r *runner) generateLoad() {
 	const tick = 5 * time.Millisecond
-	owed, turn, class := 0.0, 0, 0
+	due, next, class := 0.0, 0, 0
 	credit := make([]float64, len(r.members))
-	next := time.Duration(0)
-	for next < r.s.Duration.Duration {
+	tickAt := time.Duration(0)
+	for tickAt < r.scenario.Duration.Duration {
 		select {
-		case <-r.o.Stop:
+		case <-r.options.Stop:
 			return
 		default:
 		}
 		now := r.now()
-		if lag := now - next; lag > r.s.MaxLag.Duration {
+		if lag := now - tickAt; lag > r.scenario.MaxLag.Duration {
 			r.mu.Lock()
-			r.judge.RecordLag(next, now)
-			r.blinds++
+			r.checker.RecordLag(tickAt, now)
+			r.lagSpans++
 			r.mu.Unlock()
 		}
-		if lag := now - next; lag > r.lagMax {
-			r.lagMax = lag
+		if lag := now - tickAt; lag > r.maxLag {
+			r.maxLag = lag
 		}
-		owed += r.s.Rate(next) * tick.Seconds()
-		for ; owed >= 1; owed-- {
-			if shares := r.s.Shares(next); shares != nil {
-				turn = whose(credit, shares)
+		due += r.scenario.RateAt(tickAt) * tick.Seconds()
+		for ; due >= 1; due-- {
+			if shares := r.scenario.SharesAt(tickAt); shares != nil {
+				next = nextByShare(credit, shares)
 			}
-			if !r.send(&turn, r.s.Classes[class%len(r.s.Classes)]) {
+			if !r.sendSetUp(&next, r.scenario.Classes[class%len(r.scenario.Classes)]) {
 				r.mu.Lock()
 				r.unsent++
 				r.mu.Unlock()
 			}
 			class++
 		}
-		next += tick
-		if d := next - r.now(); d > 0 {
+		tickAt += tick
+		if d := tickAt - r.now(); d > 0 {
 			time.Sleep(d)
 		}
 	}
 }
 
 // whose turn it is by shares: each gains its share, and who has most gives all of one turn (smooth weighted round robin).
-func whose(credit, shares []float64) (best int) {
-	all := 0.0
+func nextByShare(credit, shares []float64) (best int) {
+	total := 0.0
 	for i, share := range shares {
 		credit[i] += share
-		if all += share; credit[i] > credit[best] {
+		if total += share; credit[i] > credit[best] {
 			best = i
 		}
 	}
-	credit[best] -= all
+	credit[best] -= total
 	return best
 }
 
 // send sends one set-up to the next ready softswitch, on one of its callers' connections.
-func (r *runner) send(turn *int, class string) bool {
+func (r *runner) sendSetUp(next *int, class string) bool {
 	for range len(r.members) {
-		i := *turn % len(r.members)
-		*turn++
-		m := r.members[i]
+		index := *next % len(r.members)
+		*next++
+		m := r.members[index]
 		if !m.isReady() {
 			continue
 		}
-		c := r.conn(i, *turn%r.s.CallerConns)
-		if c == nil {
+		conn := r.callerConn(index, *next%r.scenario.CallerConns)
+		if conn == nil {
 			continue
 		}
-		if c.setUp(r.rand.Uint64()|1, class, r.s.GiveUp.Duration) == nil {
+		if conn.setUp(r.rand.Uint64()|1, class, r.scenario.GiveUp.Duration) == nil {
 			return true
 		}
 	}
@@ -501,38 +501,38 @@
 }
 
 // conn is a caller's connection to a softswitch, dialled anew where the last one has ended.
-func (r *runner) conn(i, k int) *callerConn {
+func (r *runner) callerConn(index, slot int) *callerConn {
 	r.connMu.Lock()
 	defer r.connMu.Unlock()
-	for len(r.conns[i]) < r.s.CallerConns {
-		r.conns[i] = append(r.conns[i], nil)
+	for len(r.callerConns[index]) < r.scenario.CallerConns {
+		r.callerConns[index] = append(r.callerConns[index], nil)
 	}
-	c := r.conns[i][k]
-	if c != nil {
+	conn := r.callerConns[index][slot]
+	if conn != nil {
 		select {
-		case <-c.done:
-			c = nil
+		case <-conn.done:
+			conn = nil
 		default:
-			return c
+			return conn
 		}
 	}
-	c, err := dialCaller(r.members[i].listen, i, r)
+	conn, err := dialCaller(r.members[index].listenAddr, index, r)
 	if err != nil {
 		return nil
 	}
-	r.conns[i][k] = c
-	return c
+	r.callerConns[index][slot] = conn
+	return conn
 }
 
 // sampler reads every door at the scenario's pace and keeps, for each second, who was ready.
-func (r *runner) sampler(stop chan struct{}) {
-	t := time.NewTicker(r.s.SampleInterval.Duration)
-	defer t.Stop()
+func (r *runner) sampleLoop(stop chan struct{}) {
+	ticker := time.NewTicker(r.scenario.SampleInterval.Duration)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-stop:
 			return
-		case <-t.C:
+		case <-ticker.C:
 		}
 		var wg sync.WaitGroup
 		for _, m := range r.members {
@@ -542,42 +542,42 @@
 		wg.Wait()
 		second := int(r.now() / time.Second)
 		r.mu.Lock()
-		for len(r.ready) <= second {
-			r.ready = append(r.ready, make([]bool, len(r.members)))
+		for len(r.readyBySecond) <= second {
+			r.readyBySecond = append(r.readyBySecond, make([]bool, len(r.members)))
 		}
 		for i, m := range r.members {
-			r.ready[second][i] = m.isReady()
+			r.readyBySecond[second][i] = m.isReady()
 		}
 		r.mu.Unlock()
-		r.look()
+		r.readViews()
 		r.mu.Lock()
-		if r.s.MaintenanceBudget > 0 {
-			r.watch.CheckMaintenanceBudget(r.now(), r.s.MaintenanceBudget, func(place int) bool { return !r.members[place].isReady() })
+		if r.scenario.MaintenanceBudget > 0 {
+			r.tierChecker.CheckMaintenanceBudget(r.now(), r.scenario.MaintenanceBudget, func(place int) bool { return !r.members[place].isReady() })
 		}
-		for len(r.views) <= second {
-			r.views = append(r.views, nil)
+		for len(r.viewsBySecond) <= second {
+			r.viewsBySecond = append(r.viewsBySecond, nil)
 		}
-		r.views[second] = r.watch.StateInitials()
+		r.viewsBySecond[second] = r.tierChecker.StateInitials()
 		r.mu.Unlock()
 	}
 }
 
 // look takes in what each softswitch says of its tier, where membership is on.
-func (r *runner) look() {
-	if r.s.Membership == nil {
+func (r *runner) readViews() {
+	if r.scenario.Membership == nil {
 		return
 	}
 	var wg sync.WaitGroup
 	for i, m := range r.members {
 		wg.Go(func() {
-			v, ok := m.view()
+			view, ok := m.readView()
 			r.mu.Lock()
 			if ok {
-				r.watch.RecordView(r.now(), i, v)
+				r.tierChecker.RecordView(r.now(), i, view)
 			}
 			r.mu.Unlock()
-			if r.s.MaintenanceBudget > 0 {
-				r.work(m)
+			if r.scenario.MaintenanceBudget > 0 {
+				r.operateMaintenance(m)
 			}
 		})
 	}
@@ -585,188 +585,188 @@
 }
 
 // maintain asks a softswitch's door for maintenance, or withdraws it; one that is not settled yet is asked again.
-func (r *runner) maintain(a Action) {
+func (r *runner) requestMaintenance(action Action) {
 	method := http.MethodPost
-	if a.Retire {
+	if action.Retire {
 		method = http.MethodDelete
 	}
 	names := url.Values{}
-	for _, m := range r.at(a.Members) {
+	for _, m := range r.membersAt(action.Members) {
 		names.Add("member", m.name)
 	}
-	for until := r.now() + 10*time.Second; r.now() < until; time.Sleep(100 * time.Millisecond) {
-		status, _ := r.members[a.Via].call(method, "/ops/maintenance?"+names.Encode())
+	for deadline := r.now() + 10*time.Second; r.now() < deadline; time.Sleep(100 * time.Millisecond) {
+		status, _ := r.members[action.Via].callAdmin(method, "/ops/maintenance?"+names.Encode())
 		if status == http.StatusAccepted {
 			return
 		}
 	}
-	r.o.Log.Error().Str("via", r.members[a.Via].name).Msg("no order for maintenance was taken")
+	r.options.Log.Error().Str("via", r.members[action.Via].name).Msg("no order for maintenance was taken")
 }
 
 // work is the lab's operator: a softswitch that is ready for work is worked on, and then released, or started anew.
-func (r *runner) work(m *member) {
-	status, text := m.call(http.MethodGet, "/ops/maintenance")
-	var t mgmt.MaintenanceStatus
-	if status != http.StatusOK || json.Unmarshal(text, &t) != nil {
+func (r *runner) operateMaintenance(m *member) {
+	status, text := m.callAdmin(http.MethodGet, "/ops/maintenance")
+	var maintenanceStatus mgmt.MaintenanceStatus
+	if status != http.StatusOK || json.Unmarshal(text, &maintenanceStatus) != nil {
 		return
 	}
-	at := slices.IndexFunc(t.Granted, func(q mgmt.MaintenanceRequest) bool { return q.Index == m.place })
-	out := at >= 0 && t.HoldsGrant
-	ready := out && t.Granted[at].Stage == maintenance.Ready.String()
+	grantIndex := slices.IndexFunc(maintenanceStatus.Granted, func(request mgmt.MaintenanceRequest) bool { return request.Index == m.index })
+	granted := grantIndex >= 0 && maintenanceStatus.HoldsGrant
+	ready := granted && maintenanceStatus.Granted[grantIndex].Stage == maintenance.Ready.String()
 	r.mu.Lock()
-	r.watch.RecordMaintenance(r.now(), m.place, out, ready)
-	begin := ready && !m.worked && r.s.WorkDuration.Duration > 0
-	m.worked = ready && (m.worked || begin)
+	r.tierChecker.RecordMaintenance(r.now(), m.index, granted, ready)
+	start := ready && !m.underMaintenance && r.scenario.WorkDuration.Duration > 0
+	m.underMaintenance = ready && (m.underMaintenance || start)
 	r.mu.Unlock()
-	if !begin {
+	if !start {
 		return
 	}
 	go func() {
 		select {
-		case <-time.After(r.s.WorkDuration.Duration):
-		case <-r.over:
+		case <-time.After(r.scenario.WorkDuration.Duration):
+		case <-r.finished:
 			return
 		}
-		if r.s.WorkMethod == "restart" {
-			r.hinder(m, "work", true)
+		if r.scenario.WorkMethod == "restart" {
+			r.recordFault(m, "work", true)
 			m.stop(syscall.SIGTERM, 5*time.Second)
 			if err := r.launch(m); err != nil {
-				r.o.Log.Error().Err(err).Str("softswitch", m.name).Msg("restart")
+				r.options.Log.Error().Err(err).Str("softswitch", m.name).Msg("restart")
 			}
 			r.waitReady([]*member{m})
-			r.hinder(m, "", false)
+			r.recordFault(m, "", false)
 			return
 		}
-		m.call(http.MethodDelete, "/ops/maintenance?member="+m.name)
+		m.callAdmin(http.MethodDelete, "/ops/maintenance?member="+m.name)
 	}()
 }
 
 // hinder says that a softswitch is in trouble from now on, or no more.
-func (r *runner) hinder(m *member, kind string, begins bool) {
+func (r *runner) recordFault(m *member, kind string, begins bool) {
 	now := r.now()
-	m.trouble(now, begins)
+	m.markFaultSpan(now, begins)
 	r.mu.Lock()
-	r.watch.RecordFault(now, m.place, kind, begins)
+	r.tierChecker.RecordFault(now, m.index, kind, begins)
 	r.mu.Unlock()
 }
 
 // faults plays the plan. What waits for softswitches to be ready runs beside it, so that no step is late for it.
-func (r *runner) faults(stop chan struct{}) {
-	var later sync.WaitGroup
-	defer later.Wait()
-	for _, a := range Plan(r.s, r.o.SelfTestFault != "weak cold servers") {
+func (r *runner) runFaults(stop chan struct{}) {
+	var background sync.WaitGroup
+	defer background.Wait()
+	for _, action := range Plan(r.scenario, r.options.SelfTestFault != "weak cold servers") {
 		select {
 		case <-stop:
 			return
-		case <-time.After(a.At - r.now()):
+		case <-time.After(action.At - r.now()):
 		}
-		r.act(a, &later)
+		r.perform(action, &background)
 	}
 }
 
-func (r *runner) at(places []int) []*member {
-	var out []*member
-	for _, p := range places {
-		out = append(out, r.members[p])
+func (r *runner) membersAt(indexes []int) []*member {
+	var members []*member
+	for _, index := range indexes {
+		members = append(members, r.members[index])
 	}
-	return out
+	return members
 }
 
 // act does one step of the plan.
-func (r *runner) act(a Action, later *sync.WaitGroup) {
+func (r *runner) perform(action Action, background *sync.WaitGroup) {
 	now := r.now()
-	if a.Fault >= 0 {
-		f := r.s.Faults[a.Fault]
+	if action.Fault >= 0 {
+		fault := r.scenario.Faults[action.Fault]
 		r.mu.Lock()
-		r.marks = append(r.marks, InjectedFault{At: now.Seconds(), Kind: f.Kind, Detail: fmt.Sprint(f.Target, f.Groups, f.Server)})
+		r.injectedFaults = append(r.injectedFaults, InjectedFault{At: now.Seconds(), Kind: fault.Kind, Detail: fmt.Sprint(fault.Target, fault.Groups, fault.Server)})
 		r.mu.Unlock()
 	}
-	r.o.Log.Info().Stringer("act", a.Kind).Ints("places", a.Members).Str("server", a.Server).Dur("at", now).Msg("step")
-	ms := r.at(a.Members)
-	beside := func(do func()) {
-		later.Add(1)
-		go func() { defer later.Done(); do() }()
+	r.options.Log.Info().Stringer("act", action.Kind).Ints("places", action.Members).Str("server", action.Server).Dur("at", now).Msg("step")
+	members := r.membersAt(action.Members)
+	inBackground := func(task func()) {
+		background.Add(1)
+		go func() { defer background.Done(); task() }()
 	}
-	switch a.Kind {
+	switch action.Kind {
 	case ActKill:
-		sig := syscall.SIGKILL
-		if a.Term {
-			sig = syscall.SIGTERM
+		signal := syscall.SIGKILL
+		if action.Term {
+			signal = syscall.SIGTERM
 		}
-		for _, m := range ms {
-			r.hinder(m, map[bool]string{true: "term", false: "kill"}[a.Term], true)
-			beside(func() { m.stop(sig, 5*time.Second) })
+		for _, m := range members {
+			r.recordFault(m, map[bool]string{true: "term", false: "kill"}[action.Term], true)
+			inBackground(func() { m.stop(signal, 5*time.Second) })
 		}
 	case ActLaunch:
-		beside(func() {
-			for _, m := range ms {
+		inBackground(func() {
+			for _, m := range members {
 				m.stop(syscall.SIGKILL, time.Second)
 				if err := r.launch(m); err != nil {
-					r.o.Log.Error().Err(err).Str("softswitch", m.name).Msg("restart")
+					r.options.Log.Error().Err(err).Str("softswitch", m.name).Msg("restart")
 				}
 			}
-			r.waitReady(ms)
-			for _, m := range ms {
-				r.hinder(m, "", false)
+			r.waitReady(members)
+			for _, m := range members {
+				r.recordFault(m, "", false)
 			}
 		})
 	case ActPause:
-		for _, m := range ms {
-			r.hinder(m, "pause", true)
+		for _, m := range members {
+			r.recordFault(m, "pause", true)
 			m.signal(syscall.SIGSTOP)
 		}
 	case ActResume:
-		for _, m := range ms {
+		for _, m := range members {
 			m.signal(syscall.SIGCONT)
 		}
-		beside(func() {
-			r.waitReady(ms)
-			for _, m := range ms {
-				r.hinder(m, "", false)
+		inBackground(func() {
+			r.waitReady(members)
+			for _, m := range members {
+				r.recordFault(m, "", false)
 			}
 		})
 	case ActNetworkConditions:
-		r.relay.SetConditions(a.Conditions)
+		r.relay.SetConditions(action.Conditions)
 		r.mu.Lock()
-		r.watch.SetConditions(now, a.Conditions)
+		r.tierChecker.SetConditions(now, action.Conditions)
 		r.mu.Unlock()
 	case ActReset:
-		places := map[int]bool{}
-		for _, p := range a.Members {
-			places[p] = true
+		indexes := map[int]bool{}
+		for _, index := range action.Members {
+			indexes[index] = true
 		}
-		r.servers[a.Server].cut(places, false)
+		r.servers[action.Server].resetConns(indexes, false)
 	case ActStall:
-		r.servers[a.Server].stall(a.Members, a.Stall)
+		r.servers[action.Server].setStalled(action.Members, action.Stall)
 	case ActSlow:
-		r.servers[a.Server].slowBy(a.Factor)
+		r.servers[action.Server].setSlowdown(action.Factor)
 	case ActMaintenance:
-		beside(func() { r.maintain(a) })
+		inBackground(func() { r.requestMaintenance(action) })
 	case ActServerStatus:
-		if a.Retire {
+		if action.Retire {
 			r.mu.Lock()
-			r.judge.Retire(a.Server, now)
+			r.checker.RecordRetirement(action.Server, now)
 			r.mu.Unlock()
 		}
-		if !a.Retire || r.o.SelfTestFault != "unheard drains" {
+		if !action.Retire || r.options.SelfTestFault != "unheard drains" {
 			var since int64
-			if a.Status == "in_service" {
+			if action.Status == "in_service" {
 				since = time.Now().UnixMilli()
 			}
-			r.channel.tell(false, listChange{name: a.Server, status: a.Status, since: since})
+			r.channel.publish(false, serverChange{name: action.Server, status: action.Status, sinceMS: since})
 		}
-		if a.Status == "terminated" {
-			r.servers[a.Server].cut(nil, true)
+		if action.Status == "terminated" {
+			r.servers[action.Server].resetConns(nil, true)
 		}
 	}
 }
 
 func (r *runner) teardown() {
 	r.connMu.Lock()
-	for _, cs := range r.conns {
-		for _, c := range cs {
-			if c != nil {
-				c.close()
+	for _, conns := range r.callerConns {
+		for _, conn := range conns {
+			if conn != nil {
+				conn.close()
 			}
 		}
 	}
@@ -777,8 +777,8 @@
 		go func() { defer wg.Done(); m.stop(syscall.SIGKILL, time.Second) }()
 	}
 	wg.Wait()
-	for _, v := range r.servers {
-		v.close()
+	for _, server := range r.servers {
+		server.close()
 	}
 	if r.channel != nil {
 		r.channel.close()
@@ -791,20 +791,20 @@
 func (r *runner) result() *Result {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	res := &Result{Scenario: r.s.Name, Violations: r.judge.Violations(), Unsent: r.unsent, MaxLag: r.lagMax, LagSpans: r.blinds,
-		seconds: r.judge.PerSecond(), servers: r.order, Starts: map[string]int{}, InjectedFaults: r.marks,
-		MembershipCounters: map[string]int64{}, MaintenanceCounters: map[string]int64{}, KnowledgeCounters: map[string]int64{}, BudgetCounters: map[string]int64{}, ready: r.ready, views: r.views, Detections: r.watch.detections, FalseDeaths: r.watch.deaths, MaintenanceRuns: r.watch.works, MaxOut: r.watch.mostOut, Elapsed: r.now()}
-	res.Violations = append(res.Violations, r.watch.Violations()...)
-	for _, f := range r.s.Faults {
-		for _, place := range r.s.places(f.Target) {
-			if back := r.judge.Recovery(place, f.At.Duration+f.Duration.Duration, returnSeconds); f.Kind == "kill" && f.Duration.Duration > 0 && back != nil {
-				res.Recoveries = append(res.Recoveries, back)
+	res := &Result{Scenario: r.scenario.Name, Violations: r.checker.Violations(), Unsent: r.unsent, MaxLag: r.maxLag, LagSpans: r.lagSpans,
+		seconds: r.checker.PerSecond(), servers: r.serverOrder, Starts: map[string]int{}, InjectedFaults: r.injectedFaults,
+		MembershipCounters: map[string]int64{}, MaintenanceCounters: map[string]int64{}, KnowledgeCounters: map[string]int64{}, BudgetCounters: map[string]int64{}, ready: r.readyBySecond, views: r.viewsBySecond, Detections: r.tierChecker.detections, FalseDeaths: r.tierChecker.falseDeaths, MaintenanceRuns: r.tierChecker.maintenanceRuns, MaxOut: r.tierChecker.maxOut, Elapsed: r.now()}
+	res.Violations = append(res.Violations, r.tierChecker.Violations()...)
+	for _, fault := range r.scenario.Faults {
+		for _, index := range r.scenario.memberIndexes(fault.Target) {
+			if recovery := r.checker.Recovery(index, fault.At.Duration+fault.Duration.Duration, recoverySeconds); fault.Kind == "kill" && fault.Duration.Duration > 0 && recovery != nil {
+				res.Recoveries = append(res.Recoveries, recovery)
 			}
 		}
 	}
 	for i := range res.seconds {
 		var row []float64
-		for _, name := range r.order {
+		for _, name := range r.serverOrder {
 			row = append(row, r.capacity(name, time.Duration(i)*time.Second))
 		}
 		res.capacity = append(res.capacity, row)
@@ -817,28 +817,28 @@
 		res.Excused += s.Excused
 	}
 	restarted := false
-	sums := map[string]map[string]int64{"members": res.MembershipCounters, "maintenance": res.MaintenanceCounters, "knowledge": res.KnowledgeCounters, "parts": res.BudgetCounters}
+	sumsByGroup := map[string]map[string]int64{"members": res.MembershipCounters, "maintenance": res.MaintenanceCounters, "knowledge": res.KnowledgeCounters, "parts": res.BudgetCounters}
 	for _, m := range r.members {
-		res.AdminServed += m.figures["answered"]
-		for k, v := range m.figures {
-			protocol, name, _ := strings.Cut(k, ".")
-			if of := sums[protocol]; of != nil && summed[name] {
-				of[name] += v
+		res.AdminServed += m.counters["answered"]
+		for key, value := range m.counters {
+			group, name, _ := strings.Cut(key, ".")
+			if sums := sumsByGroup[group]; sums != nil && monotonicCounters[name] {
+				sums[name] += value
 			}
 		}
 		res.Starts[m.name] = m.starts
 		restarted = restarted || m.starts > 1
 	}
-	c := &r.relay.Counters
-	res.Datagrams = map[string]int{"passed": int(c.Forwarded.Load()), "dropped": int(c.Dropped.Load()),
-		"doubled": int(c.Duplicated.Load()), "strangers": int(c.UnknownSender.Load()), "oversized": int(c.Oversized.Load()),
-		"bytes": int(c.Bytes.Load())}
-	if c.Oversized.Load() > 0 {
-		res.Violations = append(res.Violations, Violation{Rule: "datagram over 256 bytes", Count: int(c.Oversized.Load())})
+	counters := &r.relay.Counters
+	res.Datagrams = map[string]int{"passed": int(counters.Forwarded.Load()), "dropped": int(counters.Dropped.Load()),
+		"doubled": int(counters.Duplicated.Load()), "strangers": int(counters.UnknownSender.Load()), "oversized": int(counters.Oversized.Load()),
+		"bytes": int(counters.Bytes.Load())}
+	if counters.Oversized.Load() > 0 {
+		res.Violations = append(res.Violations, Violation{Rule: "datagram over 256 bytes", Count: int(counters.Oversized.Load())})
 	}
 	// The doors count what they answered; with no restart the lab must agree with them within the tolerance.
 	if diff := float64(res.AdminServed - int64(res.Served)); !restarted &&
-		abs(diff) > r.s.Tolerance*float64(max(res.Served, 1))+2 {
+		abs(diff) > r.scenario.Tolerance*float64(max(res.Served, 1))+2 {
 		res.Violations = append(res.Violations, Violation{Rule: "counts disagree with the doors", Count: 1,
 			Detail: fmt.Sprintf("lab %d served, doors %d", res.Served, res.AdminServed)})
 	}
@@ -847,13 +847,13 @@
 }
 
 // returnSeconds are the seconds for which one that came back is compared with its peers.
-const returnSeconds = 5
+const recoverySeconds = 5
 
 // protocols are those of the tier whose figures the doors show.
-var protocols = []string{"members", "maintenance", "knowledge", "parts"}
+var counterGroups = []string{"members", "maintenance", "knowledge", "parts"}
 
 // summed are the figures of these that count up, so that those of all lives add up.
-var summed = map[string]bool{"probes": true, "indirect": true, "acks": true, "nacks": true, "failed": true,
+var monotonicCounters = map[string]bool{"probes": true, "indirect": true, "acks": true, "nacks": true, "failed": true,
 	"told": true, "stale": true, "unlisted": true, "answered": true, "claims": true, "inherited": true, "expired": true, "borrowed": true, "lent": true,
 	"suspicions": true, "deaths": true, "refutations": true, "stalls": true, "sent": true, "sent_bytes": true, "heard": true,
 	"asked": true, "granted": true, "renewed": true, "lost": true, "yes": true, "no": true, "dropped_garbled": true, "dropped_version": true, "dropped_stranger": true, "dropped_flood": true, "unwritten": true}
@@ -874,16 +874,16 @@
 	for _, s := range res.servers {
 		fmt.Fprintf(&b, ",load:%s,capacity:%s", s, s)
 	}
-	n := 0
+	tierSize := 0
 	if len(res.ready) > 0 {
-		n = len(res.ready[0])
+		tierSize = len(res.ready[0])
 	}
-	for i := range n {
+	for i := range tierSize {
 		fmt.Fprintf(&b, ",ready:%s", MemberName(i))
 	}
-	seen := slices.ContainsFunc(res.views, func(v []string) bool { return len(v) > 0 })
-	for i := range n {
-		if seen {
+	hasViews := slices.ContainsFunc(res.views, func(v []string) bool { return len(v) > 0 })
+	for i := range tierSize {
+		if hasViews {
 			fmt.Fprintf(&b, ",view:%s", MemberName(i))
 		}
 	}
@@ -893,14 +893,14 @@
 		for k, name := range res.servers {
 			fmt.Fprintf(&b, ",%d,%.0f", s.Arrivals[name], res.capacity[i][k])
 		}
-		for k := range n {
+		for k := range tierSize {
 			ready := i < len(res.ready) && res.ready[i][k]
 			fmt.Fprintf(&b, ",%d", map[bool]int{true: 1}[ready])
 		}
-		for k := range n {
-			if seen && i < len(res.views) && len(res.views[i]) > 0 {
+		for k := range tierSize {
+			if hasViews && i < len(res.views) && len(res.views[i]) > 0 {
 				fmt.Fprintf(&b, ",%s", res.views[i][k])
-			} else if seen {
+			} else if hasViews {
 				b.WriteString(",")
 			}
 		}
--- a/internal/lab/scenario.go
+++ b/internal/lab/scenario.go
@@ -48,7 +48,7 @@
 	Membership map[string]any `toml:"membership"` // the softswitches' members file but for enabled; none: membership is off
 
 	TotalCapacity float64 `toml:"-"` // filled: all servers' capacity
-	names         map[string]int
+	indexByName   map[string]int
 }
 
 // Server is a stand-in activation server.
@@ -108,7 +108,7 @@
 }
 
 // drawn are the kinds that can be drawn. What the channel tells, and what operators ask for, is the scenario's to say.
-var drawn = []string{"kill", "term", "pause", "partition", "loss", "duplicate", "delay", "reorder", "reset", "stall", "slow"}
+var randomFaultKinds = []string{"kill", "term", "pause", "partition", "loss", "duplicate", "delay", "reorder", "reset", "stall", "slow"}
 
 // Duration is a time.Duration written as text.
 type Duration struct{ time.Duration }
@@ -119,7 +119,7 @@
 	return err
 }
 
-var kinds = []string{"kill", "term", "pause", "restart", "partition", "loss", "duplicate", "delay", "reorder",
+var faultKinds = []string{"kill", "term", "pause", "restart", "partition", "loss", "duplicate", "delay", "reorder",
 	"reset", "stall", "slow", "drain", "gone", "maintain", "withdraw"}
 
 // Limits bound what a scenario may ask for, so that every run is bounded in count and time.
@@ -146,16 +146,16 @@
 
 // Check fills defaults and checks every field; the error names the first that makes no sense.
 func (s *Scenario) Check() error {
-	def := func(d *Duration, v time.Duration) {
+	setDefault := func(d *Duration, v time.Duration) {
 		if d.Duration == 0 {
 			d.Duration = v
 		}
 	}
-	def(&s.GiveUp, 1500*time.Millisecond)
-	def(&s.SampleInterval, 250*time.Millisecond)
-	def(&s.MaxLag, 20*time.Millisecond)
-	def(&s.StartTimeout, 10*time.Second)
-	def(&s.QuietPeriod, s.GiveUp.Duration)
+	setDefault(&s.GiveUp, 1500*time.Millisecond)
+	setDefault(&s.SampleInterval, 250*time.Millisecond)
+	setDefault(&s.MaxLag, 20*time.Millisecond)
+	setDefault(&s.StartTimeout, 10*time.Second)
+	setDefault(&s.QuietPeriod, s.GiveUp.Duration)
 	if s.CallerConns == 0 {
 		s.CallerConns = 2
 	}
@@ -183,22 +183,22 @@
 	case s.Tolerance < 0 || s.Tolerance > 1:
 		return fmt.Errorf("tolerance: %v, not in [0, 1]", s.Tolerance)
 	}
-	s.names = make(map[string]int)
+	s.indexByName = make(map[string]int)
 	for i := range s.Softswitches {
-		s.names[MemberName(i)] = i
+		s.indexByName[MemberName(i)] = i
 	}
-	seen := map[string]bool{}
+	serverNames := map[string]bool{}
 	s.TotalCapacity = 0
 	for i := range s.Servers {
 		v := &s.Servers[i]
-		def(&v.HoldTime, time.Second)
-		def(&v.MaxQueueDelay, 300*time.Millisecond)
+		setDefault(&v.HoldTime, time.Second)
+		setDefault(&v.MaxQueueDelay, 300*time.Millisecond)
 		if v.Lines == 0 {
 			v.Lines = 256
 		}
 		field := fmt.Sprintf("server[%d]", i)
 		switch {
-		case v.Name == "" || seen[v.Name]:
+		case v.Name == "" || serverNames[v.Name]:
 			return fmt.Errorf("%s.name: %q missing or twice", field, v.Name)
 		case v.Capacity <= 0 || v.Capacity > Limits.Rate:
 			return fmt.Errorf("%s.capacity: %v, not in (0, %v]", field, v.Capacity, Limits.Rate)
@@ -207,11 +207,11 @@
 		case v.StartAt.Duration < 0:
 			return fmt.Errorf("%s.start: %v", field, v.StartAt)
 		}
-		seen[v.Name] = true
+		serverNames[v.Name] = true
 		s.TotalCapacity += v.Capacity
 	}
 	if s.Membership != nil {
-		text, err := s.membersText()
+		text, err := s.membersFileText()
 		if err == nil {
 			_, err = config.ParseMembers(text)
 		}
@@ -226,7 +226,7 @@
 		return fmt.Errorf("work_by: %q, neither release nor restart", s.WorkMethod)
 	}
 	for _, m := range s.ExpectMaintained {
-		if _, ok := s.names[m]; !ok {
+		if _, ok := s.indexByName[m]; !ok {
 			return fmt.Errorf("maintained: no softswitch %q", m)
 		}
 	}
@@ -244,14 +244,14 @@
 			return fmt.Errorf("load[%d].shares: %v, not one of each softswitch, none under and one over 0", i, l.Shares)
 		}
 	}
-	if err := s.draw(); err != nil {
+	if err := s.drawRandomFaults(); err != nil {
 		return err
 	}
 	if len(s.Faults) > Limits.Faults {
 		return fmt.Errorf("fault: %d of them, over %d", len(s.Faults), Limits.Faults)
 	}
 	for i, f := range s.Faults {
-		if err := s.checkFault(f, seen); err != nil {
+		if err := s.checkFault(f, serverNames); err != nil {
 			return fmt.Errorf("fault[%d].%w", i, err)
 		}
 	}
@@ -259,118 +259,118 @@
 	return nil
 }
 
-func (s *Scenario) checkFault(f Fault, servers map[string]bool) error {
-	if !slices.Contains(kinds, f.Kind) {
-		return fmt.Errorf("kind: %q is none of %v", f.Kind, kinds)
+func (s *Scenario) checkFault(fault Fault, serverNames map[string]bool) error {
+	if !slices.Contains(faultKinds, fault.Kind) {
+		return fmt.Errorf("kind: %q is none of %v", fault.Kind, faultKinds)
 	}
-	if f.At.Duration < 0 || f.At.Duration > s.Duration.Duration {
-		return fmt.Errorf("at: %v, not within the run", f.At)
+	if fault.At.Duration < 0 || fault.At.Duration > s.Duration.Duration {
+		return fmt.Errorf("at: %v, not within the run", fault.At)
 	}
-	for _, t := range f.Target {
-		if _, ok := s.names[t]; !ok {
+	for _, t := range fault.Target {
+		if _, ok := s.indexByName[t]; !ok {
 			return fmt.Errorf("target: no softswitch %q", t)
 		}
 	}
-	for _, g := range f.Groups {
+	for _, g := range fault.Groups {
 		for _, t := range g {
-			if _, ok := s.names[t]; !ok {
+			if _, ok := s.indexByName[t]; !ok {
 				return fmt.Errorf("groups: no softswitch %q", t)
 			}
 		}
 	}
-	switch f.Kind {
+	switch fault.Kind {
 	case "kill", "term", "pause":
-		if len(f.Target) == 0 {
+		if len(fault.Target) == 0 {
 			return fmt.Errorf("target: missing")
 		}
 	case "maintain", "withdraw":
-		if _, ok := s.names[f.Via]; !ok {
-			return fmt.Errorf("via: no softswitch %q", f.Via)
+		if _, ok := s.indexByName[fault.Via]; !ok {
+			return fmt.Errorf("via: no softswitch %q", fault.Via)
 		}
-		if len(f.Target) == 0 {
+		if len(fault.Target) == 0 {
 			return fmt.Errorf("target: missing")
 		}
 		if s.Membership == nil || s.MaintenanceBudget < 1 {
-			return fmt.Errorf("kind: %q needs [membership] with maintenance, and budget", f.Kind)
+			return fmt.Errorf("kind: %q needs [membership] with maintenance, and budget", fault.Kind)
 		}
 	case "partition":
-		if len(f.Groups) < 2 {
-			return fmt.Errorf("groups: %d, at least two", len(f.Groups))
+		if len(fault.Groups) < 2 {
+			return fmt.Errorf("groups: %d, at least two", len(fault.Groups))
 		}
 	case "loss", "duplicate":
-		if f.Probability <= 0 || f.Probability > 1 {
-			return fmt.Errorf("share: %v, not in (0, 1]", f.Probability)
+		if fault.Probability <= 0 || fault.Probability > 1 {
+			return fmt.Errorf("share: %v, not in (0, 1]", fault.Probability)
 		}
 	case "delay", "reorder":
-		if f.Delay.Duration <= 0 || f.Delay.Duration > time.Minute {
-			return fmt.Errorf("by: %v, not in (0, 1m]", f.Delay)
+		if fault.Delay.Duration <= 0 || fault.Delay.Duration > time.Minute {
+			return fmt.Errorf("by: %v, not in (0, 1m]", fault.Delay)
 		}
 	case "reset", "stall", "slow", "drain", "gone":
-		if !servers[f.Server] {
-			return fmt.Errorf("server: no server %q", f.Server)
+		if !serverNames[fault.Server] {
+			return fmt.Errorf("server: no server %q", fault.Server)
 		}
-		if f.Kind == "slow" && (f.Factor < 1 || f.Factor > 1000) {
-			return fmt.Errorf("factor: %v, not in [1, 1000]", f.Factor)
+		if fault.Kind == "slow" && (fault.Factor < 1 || fault.Factor > 1000) {
+			return fmt.Errorf("factor: %v, not in [1, 1000]", fault.Factor)
 		}
 	}
-	if f.Duration.Duration < 0 {
-		return fmt.Errorf("for: %v", f.Duration)
+	if fault.Duration.Duration < 0 {
+		return fmt.Errorf("for: %v", fault.Duration)
 	}
 	return nil
 }
 
 // draw turns the random faults into timed ones, the same for the same seed.
-func (s *Scenario) draw() error {
-	r := rand.New(rand.NewPCG(s.Seed, 0x6c6162))
-	for i, d := range s.RandomFaults {
+func (s *Scenario) drawRandomFaults() error {
+	rng := rand.New(rand.NewPCG(s.Seed, 0x6c6162))
+	for i, spec := range s.RandomFaults {
 		switch {
-		case !slices.Contains(drawn, d.Kind):
-			return fmt.Errorf("random_fault[%d].kind: %q is none of %v", i, d.Kind, drawn)
-		case d.Kind == "partition" && s.Softswitches < 2:
+		case !slices.Contains(randomFaultKinds, spec.Kind):
+			return fmt.Errorf("random_fault[%d].kind: %q is none of %v", i, spec.Kind, randomFaultKinds)
+		case spec.Kind == "partition" && s.Softswitches < 2:
 			return fmt.Errorf("random_fault[%d].kind: a partition of one softswitch", i)
-		case d.Count < 1 || d.Count > 64:
-			return fmt.Errorf("random_fault[%d].count: %d, not in [1, 64]", i, d.Count)
-		case d.To.Duration <= d.From.Duration || d.To.Duration > s.Duration.Duration:
-			return fmt.Errorf("random_fault[%d].to: %v, not after from and within the run", i, d.To)
+		case spec.Count < 1 || spec.Count > 64:
+			return fmt.Errorf("random_fault[%d].count: %d, not in [1, 64]", i, spec.Count)
+		case spec.To.Duration <= spec.From.Duration || spec.To.Duration > s.Duration.Duration:
+			return fmt.Errorf("random_fault[%d].to: %v, not after from and within the run", i, spec.To)
 		}
-		for range d.Count {
-			at := d.From.Duration + time.Duration(r.Int64N(int64(d.To.Duration-d.From.Duration)))
-			f := Fault{At: Duration{at}, Kind: d.Kind, Duration: d.Duration, Probability: d.Probability, Delay: d.Delay, Factor: d.Factor,
-				Target: []string{MemberName(r.IntN(s.Softswitches))}, Server: s.Servers[r.IntN(len(s.Servers))].Name}
-			if d.Kind == "partition" {
-				f.Groups, f.OneWay = s.sides(r), r.IntN(2) == 0
+		for range spec.Count {
+			at := spec.From.Duration + time.Duration(rng.Int64N(int64(spec.To.Duration-spec.From.Duration)))
+			fault := Fault{At: Duration{at}, Kind: spec.Kind, Duration: spec.Duration, Probability: spec.Probability, Delay: spec.Delay, Factor: spec.Factor,
+				Target: []string{MemberName(rng.IntN(s.Softswitches))}, Server: s.Servers[rng.IntN(len(s.Servers))].Name}
+			if spec.Kind == "partition" {
+				fault.Groups, fault.OneWay = s.randomGroups(rng), rng.IntN(2) == 0
 			}
-			s.Faults = append(s.Faults, f)
+			s.Faults = append(s.Faults, fault)
 		}
 	}
 	return nil
 }
 
 // sides are two, neither empty, drawn at random.
-func (s *Scenario) sides(r *rand.Rand) [][]string {
-	sides := make([][]string, 2)
-	order, first := r.Perm(s.Softswitches), 1+r.IntN(s.Softswitches-1)
-	for i, place := range order {
-		side := 0
-		if i >= first {
-			side = 1
+func (s *Scenario) randomGroups(rng *rand.Rand) [][]string {
+	groups := make([][]string, 2)
+	order, firstSize := rng.Perm(s.Softswitches), 1+rng.IntN(s.Softswitches-1)
+	for i, index := range order {
+		group := 0
+		if i >= firstSize {
+			group = 1
 		}
-		sides[side] = append(sides[side], MemberName(place))
+		groups[group] = append(groups[group], MemberName(index))
 	}
-	return sides
+	return groups
 }
 
 // membersText is the members file that each softswitch is given.
-func (s *Scenario) membersText() (string, error) {
-	all := map[string]any{"enabled": s.Membership != nil}
-	maps.Copy(all, s.Membership)
+func (s *Scenario) membersFileText() (string, error) {
+	settings := map[string]any{"enabled": s.Membership != nil}
+	maps.Copy(settings, s.Membership)
 	var b strings.Builder
-	err := toml.NewEncoder(&b).Encode(all)
+	err := toml.NewEncoder(&b).Encode(settings)
 	return b.String(), err
 }
 
 // lastFault is when the last fault has ended.
-func (s *Scenario) lastFault() (at time.Duration) {
+func (s *Scenario) lastFaultEnd() (at time.Duration) {
 	for _, f := range s.Faults {
 		at = max(at, f.At.Duration+f.Duration.Duration)
 	}
@@ -381,7 +381,7 @@
 func MemberName(i int) string { return fmt.Sprintf("n%d", i+1) }
 
 // Shares are those of the softswitches at a moment; nil: all alike.
-func (s *Scenario) Shares(at time.Duration) (shares []float64) {
+func (s *Scenario) SharesAt(at time.Duration) (shares []float64) {
 	for _, l := range s.Load {
 		if l.At.Duration <= at {
 			shares = l.Shares
@@ -391,7 +391,7 @@
 }
 
 // Rate is the callers' rate at a moment.
-func (s *Scenario) Rate(at time.Duration) float64 {
+func (s *Scenario) RateAt(at time.Duration) float64 {
 	rate := 0.0
 	for _, l := range s.Load {
 		if l.At.Duration <= at {
--- a/internal/lab/server.go
+++ b/internal/lab/server.go
@@ -11,34 +11,34 @@
 )
 
 // observer is what the stand-ins tell the runner; the runner feeds the judge under its lock.
-type observer interface {
+type serverObserver interface {
 	now() time.Duration
-	attempt(server string, id uint64)
-	ended(server string, id uint64, how AttemptOutcome)
+	attemptReceived(server string, id uint64)
+	attemptEnded(server string, id uint64, how AttemptOutcome)
 	capacity(server string, at time.Duration) float64
 }
 
 // standIn is an activation server as PROTOCOL describes it, with a listener for each softswitch, so that it knows
 // who sends: JSON lines, one processor that works set-ups in turn, a number of lines, calls that stand for a time.
-type standIn struct {
+type standInServer struct {
 	Server
-	obs       observer
-	mu        sync.Mutex
-	listeners []net.Listener // by softswitch
-	conns     map[*serverConn]bool
-	busyUntil time.Duration
-	standing  int
-	slow      float64
-	stalled   map[int]bool
-	gone      bool
-	wg        sync.WaitGroup
+	observer         serverObserver
+	mu               sync.Mutex
+	listeners        []net.Listener // by softswitch
+	conns            map[*serverConn]bool
+	busyUntil        time.Duration
+	establishedCalls int
+	slowdown         float64
+	stalledMembers   map[int]bool
+	removed          bool
+	wg               sync.WaitGroup
 }
 
 type serverConn struct {
 	net.Conn
-	from    int // softswitch
-	mu      sync.Mutex
-	pending map[uint64]bool // set-ups not yet answered
+	memberIndex int // softswitch
+	mu          sync.Mutex
+	pending     map[uint64]bool // set-ups not yet answered
 }
 
 func (c *serverConn) send(format string, args ...any) {
@@ -48,212 +48,214 @@
 	fmt.Fprintf(c.Conn, format+"\n", args...)
 }
 
-func newStandIn(s Server, obs observer, hosts []string) (*standIn, error) {
-	v := &standIn{Server: s, obs: obs, conns: make(map[*serverConn]bool), slow: 1, stalled: make(map[int]bool)}
+func newStandInServer(config Server, observer serverObserver, hosts []string) (*standInServer, error) {
+	server := &standInServer{Server: config, observer: observer, conns: make(map[*serverConn]bool), slowdown: 1, stalledMembers: make(map[int]bool)}
 	var err error
-	if v.listeners, err = listenEach(hosts); err != nil {
+	if server.listeners, err = listenEach(hosts); err != nil {
 		return nil, err
 	}
-	for i, l := range v.listeners {
-		v.wg.Add(1)
-		go v.accept(i, l)
+	for i, listener := range server.listeners {
+		server.wg.Add(1)
+		go server.accept(i, listener)
 	}
-	return v, nil
+	return server, nil
 }
 
 // address is where a softswitch is told to find this server.
-func (v *standIn) address(from int) string { return v.listeners[from].Addr().String() }
+func (s *standInServer) addressFor(memberIndex int) string {
+	return s.listeners[memberIndex].Addr().String()
+}
 
-func (v *standIn) accept(from int, l net.Listener) {
-	defer v.wg.Done()
+func (s *standInServer) accept(memberIndex int, listener net.Listener) {
+	defer s.wg.Done()
 	for {
-		c, err := l.Accept()
+		conn, err := listener.Accept()
 		if err != nil {
 			return
 		}
-		sc := &serverConn{Conn: c, from: from, pending: make(map[uint64]bool)}
-		v.mu.Lock()
-		if v.gone {
-			v.mu.Unlock()
-			c.Close()
+		accepted := &serverConn{Conn: conn, memberIndex: memberIndex, pending: make(map[uint64]bool)}
+		s.mu.Lock()
+		if s.removed {
+			s.mu.Unlock()
+			conn.Close()
 			continue
 		}
-		v.conns[sc] = true
-		v.mu.Unlock()
-		sc.send(`{"op":"group","call":"0000000000000000","with":{"load":%q}}`, v.report())
-		v.wg.Add(1)
-		go v.serve(sc)
+		s.conns[accepted] = true
+		s.mu.Unlock()
+		accepted.send(`{"op":"group","call":"0000000000000000","with":{"load":%q}}`, s.loadReport())
+		s.wg.Add(1)
+		go s.serve(accepted)
 	}
 }
 
 // report is a load report in the columns of the lab's settings.
-func (v *standIn) report() string {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	return fmt.Sprintf("spare:%d;total:%d;cut_by:0", max(0, v.Lines-v.standing), v.Lines)
+func (s *standInServer) loadReport() string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return fmt.Sprintf("spare:%d;total:%d;cut_by:0", max(0, s.Lines-s.establishedCalls), s.Lines)
 }
 
-type serverLine struct {
+type serverMessage struct {
 	Op    string `json:"op"`
 	Call  string `json:"call"`
 	Cause int    `json:"why"`
 }
 
-func (v *standIn) serve(c *serverConn) {
-	defer v.wg.Done()
-	r := bufio.NewReaderSize(c, 16<<10)
+func (s *standInServer) serve(c *serverConn) {
+	defer s.wg.Done()
+	reader := bufio.NewReaderSize(c, 16<<10)
 	for {
-		text, err := r.ReadSlice('\n')
+		text, err := reader.ReadSlice('\n')
 		if err != nil {
 			break
 		}
-		var l serverLine
-		if json.Unmarshal(text, &l) != nil {
+		var message serverMessage
+		if json.Unmarshal(text, &message) != nil {
 			continue
 		}
-		id, err := strconv.ParseUint(l.Call, 16, 64)
+		id, err := strconv.ParseUint(message.Call, 16, 64)
 		if err != nil {
 			continue
 		}
-		switch l.Op {
+		switch message.Op {
 		case "test":
-			c.send(`{"op":"tested","call":%q,"with":{},"why":1}`, l.Call)
+			c.send(`{"op":"tested","call":%q,"with":{},"why":1}`, message.Call)
 		case "offer":
-			v.offer(c, id)
+			s.handleOffer(c, id)
 		case "end":
-			v.mu.Lock()
-			was := c.pending[id]
+			s.mu.Lock()
+			wasPending := c.pending[id]
 			delete(c.pending, id)
-			v.mu.Unlock()
-			if was {
-				v.obs.ended(v.Name, id, Cancelled)
+			s.mu.Unlock()
+			if wasPending {
+				s.observer.attemptEnded(s.Name, id, Cancelled)
 			}
-			c.send(`{"op":"ended","call":%q,"with":{}}`, l.Call)
+			c.send(`{"op":"ended","call":%q,"with":{}}`, message.Call)
 		}
 	}
 	c.Close()
-	v.mu.Lock()
-	delete(v.conns, c)
-	open := c.pending
+	s.mu.Lock()
+	delete(s.conns, c)
+	interrupted := c.pending
 	c.pending = map[uint64]bool{}
-	v.mu.Unlock()
-	for id := range open {
-		v.obs.ended(v.Name, id, ConnectionReset)
+	s.mu.Unlock()
+	for id := range interrupted {
+		s.observer.attemptEnded(s.Name, id, ConnectionReset)
 	}
 }
 
-func (v *standIn) offer(c *serverConn, id uint64) {
-	v.obs.attempt(v.Name, id)
-	now := v.obs.now()
-	v.mu.Lock()
+func (s *standInServer) handleOffer(c *serverConn, id uint64) {
+	s.observer.attemptReceived(s.Name, id)
+	now := s.observer.now()
+	s.mu.Lock()
 	c.pending[id] = true
-	if v.stalled[c.from] {
-		v.mu.Unlock()
+	if s.stalledMembers[c.memberIndex] {
+		s.mu.Unlock()
 		return
 	}
-	work := time.Duration(float64(time.Second) * v.slow / max(v.obs.capacity(v.Name, now), 1e-3))
-	start := max(now, v.busyUntil)
-	full := v.standing >= v.Lines
-	swamped := start-now > v.MaxQueueDelay.Duration
+	serviceTime := time.Duration(float64(time.Second) * s.slowdown / max(s.observer.capacity(s.Name, now), 1e-3))
+	startAt := max(now, s.busyUntil)
+	full := s.establishedCalls >= s.Lines
+	swamped := startAt-now > s.MaxQueueDelay.Duration
 	if !full && !swamped {
-		v.busyUntil = start + work
+		s.busyUntil = startAt + serviceTime
 	}
-	v.mu.Unlock()
+	s.mu.Unlock()
 	if full || swamped {
 		note := map[bool]string{true: "blocked", false: "swamped"}[full]
-		v.finish(c, id, Refused, fmt.Sprintf(`{"op":"end","call":"%016x","with":{"note":%q,"load":%q},"why":34}`, id, note, v.report()))
+		s.endAttempt(c, id, Refused, fmt.Sprintf(`{"op":"end","call":"%016x","with":{"note":%q,"load":%q},"why":34}`, id, note, s.loadReport()))
 		return
 	}
-	time.AfterFunc(start+work-now, func() {
-		v.mu.Lock()
-		if !c.pending[id] || v.stalled[c.from] {
-			v.mu.Unlock()
+	time.AfterFunc(startAt+serviceTime-now, func() {
+		s.mu.Lock()
+		if !c.pending[id] || s.stalledMembers[c.memberIndex] {
+			s.mu.Unlock()
 			return
 		}
-		v.standing++
-		v.mu.Unlock()
-		if !v.finish(c, id, Answered, fmt.Sprintf(`{"op":"accept","call":"%016x","with":{"load":%q},"desc":"lab:%s:%016x"}`, id, v.report(), v.Name, id)) {
-			v.hangUp()
+		s.establishedCalls++
+		s.mu.Unlock()
+		if !s.endAttempt(c, id, Answered, fmt.Sprintf(`{"op":"accept","call":"%016x","with":{"load":%q},"desc":"lab:%s:%016x"}`, id, s.loadReport(), s.Name, id)) {
+			s.releaseLine()
 			return
 		}
-		time.AfterFunc(v.HoldTime.Duration, func() {
-			v.hangUp()
-			c.send(`{"op":"end","call":"%016x","with":{"load":%q},"why":16}`, id, v.report())
+		time.AfterFunc(s.HoldTime.Duration, func() {
+			s.releaseLine()
+			c.send(`{"op":"end","call":"%016x","with":{"load":%q},"why":16}`, id, s.loadReport())
 		})
 	})
 }
 
 // hangUp frees a line. A server that was full tells every open connection that it has one again, unasked.
-func (v *standIn) hangUp() {
-	v.mu.Lock()
-	v.standing--
-	wasFull := v.standing == v.Lines-1
-	var open []*serverConn
-	for c := range v.conns {
-		open = append(open, c)
+func (s *standInServer) releaseLine() {
+	s.mu.Lock()
+	s.establishedCalls--
+	wasFull := s.establishedCalls == s.Lines-1
+	var conns []*serverConn
+	for c := range s.conns {
+		conns = append(conns, c)
 	}
-	v.mu.Unlock()
+	s.mu.Unlock()
 	if wasFull {
-		report := v.report()
-		for _, c := range open {
+		report := s.loadReport()
+		for _, c := range conns {
 			c.send(`{"op":"group","call":"0000000000000000","with":{"load":%q}}`, report)
 		}
 	}
 }
 
 // finish ends a pending set-up with an answer, if it is still pending.
-func (v *standIn) finish(c *serverConn, id uint64, how AttemptOutcome, text string) bool {
-	v.mu.Lock()
-	was := c.pending[id]
+func (s *standInServer) endAttempt(c *serverConn, id uint64, outcome AttemptOutcome, reply string) bool {
+	s.mu.Lock()
+	wasPending := c.pending[id]
 	delete(c.pending, id)
-	v.mu.Unlock()
-	if !was {
+	s.mu.Unlock()
+	if !wasPending {
 		return false
 	}
-	v.obs.ended(v.Name, id, how)
-	c.send("%s", text)
+	s.observer.attemptEnded(s.Name, id, outcome)
+	c.send("%s", reply)
 	return true
 }
 
 // cut resets the connections from the given softswitches (all where from is nil); gone also stops accepting.
-func (v *standIn) cut(from map[int]bool, gone bool) {
-	v.mu.Lock()
-	if gone {
-		v.gone = true
+func (s *standInServer) resetConns(members map[int]bool, remove bool) {
+	s.mu.Lock()
+	if remove {
+		s.removed = true
 	}
-	var cut []*serverConn
-	for c := range v.conns {
-		if from == nil || from[c.from] {
-			cut = append(cut, c)
+	var resetting []*serverConn
+	for c := range s.conns {
+		if members == nil || members[c.memberIndex] {
+			resetting = append(resetting, c)
 		}
 	}
-	v.mu.Unlock()
-	for _, c := range cut {
-		if t, ok := c.Conn.(*net.TCPConn); ok {
-			t.SetLinger(0)
+	s.mu.Unlock()
+	for _, c := range resetting {
+		if tcp, ok := c.Conn.(*net.TCPConn); ok {
+			tcp.SetLinger(0)
 		}
 		c.Close()
 	}
 }
 
 // stall leaves the connections from the given softswitches silent, or lets them speak again.
-func (v *standIn) stall(from []int, on bool) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	for _, f := range from {
-		v.stalled[f] = on
+func (s *standInServer) setStalled(members []int, stalled bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, index := range members {
+		s.stalledMembers[index] = stalled
 	}
 }
 
-func (v *standIn) slowBy(factor float64) {
-	v.mu.Lock()
-	v.slow = factor
-	v.mu.Unlock()
+func (s *standInServer) setSlowdown(factor float64) {
+	s.mu.Lock()
+	s.slowdown = factor
+	s.mu.Unlock()
 }
 
-func (v *standIn) close() {
-	for _, l := range v.listeners {
-		l.Close()
+func (s *standInServer) close() {
+	for _, listener := range s.listeners {
+		listener.Close()
 	}
-	v.cut(nil, true)
+	s.resetConns(nil, true)
 }
--- a/internal/lab/views.go
+++ b/internal/lab/views.go
@@ -13,8 +13,8 @@
 	ColdShare float64
 }
 
-func isDown(state string) bool  { return state == "dead" || state == "left" }
-func isThere(state string) bool { return state == "alive" || state == "draining" }
+func isDown(state string) bool      { return state == "dead" || state == "left" }
+func isAvailable(state string) bool { return state == "alive" || state == "draining" }
 
 // Detection is how the others saw a softswitch that the lab killed, stopped or paused. Times are since the trouble
 // began, for Back since it ended; negative: it was not seen.
@@ -28,7 +28,7 @@
 	AllDead      time.Duration `json:"all_dead_ns"`  // every other that runs does
 	Ended        time.Duration `json:"ended_ns"`     // when the trouble ended, since the start of the run
 	AllAvailable time.Duration `json:"back_ns"`      // every other that runs holds it there again
-	place        int
+	index        int
 }
 
 // FalseDeath is a softswitch held dead that was there and could be heard.
@@ -38,55 +38,55 @@
 }
 
 // aftermath is how long after a trouble or a cut has ended what is held of those it met may still come from it.
-const aftermath = 3 * time.Second
+const recoveryGrace = 3 * time.Second
 
 // TierChecker follows the softswitches' views of each other. Like the judge it does no I/O and reads no clock.
 type TierChecker struct {
-	views      []View // each one's last; no states: none seen in this life
-	hindered   []bool
-	freed      []time.Duration // its last trouble ended; -1: it had none
-	cut        NetworkConditions
-	cutEnded   time.Duration // -1: none has
-	detections []*Detection
-	deaths     []FalseDeath
-	works      []*MaintenanceRun
-	over       map[int]bool // its last request is
-	mostOut    int
-	breaches   map[string]*Violation
+	lastViews        []View // each one's last; no states: none seen in this life
+	faulted          []bool
+	faultEndedAt     []time.Duration // its last trouble ended; -1: it had none
+	conditions       NetworkConditions
+	partitionEndedAt time.Duration // -1: none has
+	detections       []*Detection
+	falseDeaths      []FalseDeath
+	maintenanceRuns  []*MaintenanceRun
+	requestEnded     map[int]bool // its last request is
+	maxOut           int
+	violations       map[string]*Violation
 }
 
 // NewTierChecker follows so many softswitches.
-func NewTierChecker(n int) *TierChecker {
-	w := &TierChecker{views: make([]View, n), hindered: make([]bool, n), breaches: make(map[string]*Violation), over: make(map[int]bool), cutEnded: -1}
-	for range n {
-		w.freed = append(w.freed, -1)
+func NewTierChecker(tierSize int) *TierChecker {
+	c := &TierChecker{lastViews: make([]View, tierSize), faulted: make([]bool, tierSize), violations: make(map[string]*Violation), requestEnded: make(map[int]bool), partitionEndedAt: -1}
+	for range tierSize {
+		c.faultEndedAt = append(c.faultEndedAt, -1)
 	}
-	return w
+	return c
 }
 
-func (w *TierChecker) broke(rule string, at time.Duration, format string, args ...any) {
-	b := w.breaches[rule]
-	if b == nil {
-		b = &Violation{Rule: rule, First: at, Detail: fmt.Sprintf(format, args...)}
-		w.breaches[rule] = b
+func (c *TierChecker) recordViolation(rule string, at time.Duration, format string, args ...any) {
+	violation := c.violations[rule]
+	if violation == nil {
+		violation = &Violation{Rule: rule, First: at, Detail: fmt.Sprintf(format, args...)}
+		c.violations[rule] = violation
 	}
-	b.Count++
+	violation.Count++
 }
 
 // RecordFault says that the lab begins to hinder a softswitch, or has ceased to. A kill ends what it held.
-func (w *TierChecker) RecordFault(at time.Duration, place int, kind string, begins bool) {
+func (c *TierChecker) RecordFault(at time.Duration, index int, kind string, begins bool) {
 	switch {
 	case begins:
-		w.hindered[place] = true
-		w.detections = append(w.detections, &Detection{Softswitch: MemberName(place), Kind: kind, At: at,
-			Suspected: -1, AllSuspected: -1, Dead: -1, AllDead: -1, Ended: -1, AllAvailable: -1, place: place})
+		c.faulted[index] = true
+		c.detections = append(c.detections, &Detection{Softswitch: MemberName(index), Kind: kind, At: at,
+			Suspected: -1, AllSuspected: -1, Dead: -1, AllDead: -1, Ended: -1, AllAvailable: -1, index: index})
 		if kind != "pause" {
-			w.views[place] = View{}
+			c.lastViews[index] = View{}
 		}
-	case w.hindered[place]:
-		w.hindered[place], w.freed[place] = false, at
-		for _, d := range w.detections {
-			if d.place == place && d.Ended < 0 {
+	case c.faulted[index]:
+		c.faulted[index], c.faultEndedAt[index] = false, at
+		for _, d := range c.detections {
+			if d.index == index && d.Ended < 0 {
 				d.Ended = at
 			}
 		}
@@ -94,119 +94,119 @@
 }
 
 // SetConditions says how the datagrams between softswitches fare from now on.
-func (w *TierChecker) SetConditions(at time.Duration, weather NetworkConditions) {
-	if w.cut.Groups != nil && weather.Groups == nil {
-		w.cutEnded = at
+func (c *TierChecker) SetConditions(at time.Duration, conditions NetworkConditions) {
+	if c.conditions.Groups != nil && conditions.Groups == nil {
+		c.partitionEndedAt = at
 	}
-	w.cut = weather
+	c.conditions = conditions
 }
 
 // apart says whether two softswitches can't be held to hear each other.
-func (w *TierChecker) apart(a, b int, at time.Duration) bool {
-	return w.cut.Groups != nil && w.cut.Groups[a] != w.cut.Groups[b] || w.cutEnded >= 0 && at < w.cutEnded+aftermath
+func (c *TierChecker) maybeSeparated(a, b int, at time.Duration) bool {
+	return c.conditions.Groups != nil && c.conditions.Groups[a] != c.conditions.Groups[b] || c.partitionEndedAt >= 0 && at < c.partitionEndedAt+recoveryGrace
 }
 
 // RecordView takes in what a softswitch says of its tier.
-func (w *TierChecker) RecordView(at time.Duration, observer int, v View) {
-	was := w.views[observer]
-	if len(v.States) != len(w.views) || w.hindered[observer] {
+func (c *TierChecker) RecordView(at time.Duration, observer int, view View) {
+	previous := c.lastViews[observer]
+	if len(view.States) != len(c.lastViews) || c.faulted[observer] {
 		return
 	}
-	w.views[observer] = v
-	there := 0
-	for _, s := range v.States {
-		if isThere(s) {
-			there++
+	c.lastViews[observer] = view
+	available := 0
+	for _, state := range view.States {
+		if isAvailable(state) {
+			available++
 		}
 	}
-	if whole := 2*there > len(v.States); v.ColdShare > 1 || !whole && v.ColdShare > float64(there)/float64(len(v.States))+1e-9 {
-		w.broke("too bold without a majority", at, "%s sees %d of %d there and takes %.2f of its part of a cold server's budget",
-			MemberName(observer), there, len(v.States), v.ColdShare)
+	if majority := 2*available > len(view.States); view.ColdShare > 1 || !majority && view.ColdShare > float64(available)/float64(len(view.States))+1e-9 {
+		c.recordViolation("too bold without a majority", at, "%s sees %d of %d there and takes %.2f of its part of a cold server's budget",
+			MemberName(observer), available, len(view.States), view.ColdShare)
 	}
-	for of, s := range v.States {
-		if of == observer || s != "dead" || len(was.States) > 0 && was.States[of] == "dead" {
+	for subject, state := range view.States {
+		if subject == observer || state != "dead" || len(previous.States) > 0 && previous.States[subject] == "dead" {
 			continue
 		}
-		if !w.hindered[of] && (w.freed[of] < 0 || at > w.freed[of]+aftermath) && !w.apart(observer, of, at) {
-			w.deaths = append(w.deaths, FalseDeath{at, MemberName(observer), MemberName(of)})
+		if !c.faulted[subject] && (c.faultEndedAt[subject] < 0 || at > c.faultEndedAt[subject]+recoveryGrace) && !c.maybeSeparated(observer, subject, at) {
+			c.falseDeaths = append(c.falseDeaths, FalseDeath{at, MemberName(observer), MemberName(subject)})
 		}
 	}
-	for _, d := range w.detections {
-		w.follow(at, d)
+	for _, d := range c.detections {
+		c.updateDetection(at, d)
 	}
 }
 
 // follow looks how far the others are with a trouble.
-func (w *TierChecker) follow(at time.Duration, d *Detection) {
-	others, suspect, dead, there := 0, 0, 0, 0
-	for o, v := range w.views {
-		if o == d.place || w.hindered[o] || len(v.States) == 0 {
+func (c *TierChecker) updateDetection(at time.Duration, d *Detection) {
+	observers, suspecting, holdingDead, available := 0, 0, 0, 0
+	for observer, view := range c.lastViews {
+		if observer == d.index || c.faulted[observer] || len(view.States) == 0 {
 			continue
 		}
-		others++
-		switch s := v.States[d.place]; {
-		case isThere(s):
-			there++
-		case isDown(s):
-			suspect++
-			dead++
-		case s == "suspect":
-			suspect++
+		observers++
+		switch state := view.States[d.index]; {
+		case isAvailable(state):
+			available++
+		case isDown(state):
+			suspecting++
+			holdingDead++
+		case state == "suspect":
+			suspecting++
 		}
 	}
-	mark := func(t *time.Duration, when bool, since time.Duration) {
-		if *t < 0 && when && others > 0 {
-			*t = at - since
+	setOnce := func(elapsed *time.Duration, condition bool, since time.Duration) {
+		if *elapsed < 0 && condition && observers > 0 {
+			*elapsed = at - since
 		}
 	}
 	if d.Ended < 0 {
-		mark(&d.Suspected, suspect > 0, d.At)
-		mark(&d.AllSuspected, suspect == others, d.At)
-		mark(&d.Dead, dead > 0, d.At)
-		mark(&d.AllDead, dead == others, d.At)
+		setOnce(&d.Suspected, suspecting > 0, d.At)
+		setOnce(&d.AllSuspected, suspecting == observers, d.At)
+		setOnce(&d.Dead, holdingDead > 0, d.At)
+		setOnce(&d.AllDead, holdingDead == observers, d.At)
 	} else {
-		mark(&d.AllAvailable, there == others, d.Ended)
+		setOnce(&d.AllAvailable, available == observers, d.Ended)
 	}
 }
 
 // CheckConvergence judges the views at the end of a run, long enough after its last fault: those that run hold each other there, and
 // those that don't down.
-func (w *TierChecker) CheckConvergence(at time.Duration, running func(place int) bool) {
-	for o, v := range w.views {
-		if !running(o) {
+func (c *TierChecker) CheckConvergence(at time.Duration, running func(index int) bool) {
+	for observer, view := range c.lastViews {
+		if !running(observer) {
 			continue
 		}
-		if len(v.States) == 0 {
-			w.broke("views disagree", at, "%s shows none", MemberName(o))
+		if len(view.States) == 0 {
+			c.recordViolation("views disagree", at, "%s shows none", MemberName(observer))
 			continue
 		}
-		for of, s := range v.States {
-			if r := running(of); r && !isThere(s) || !r && !isDown(s) {
-				w.broke("views disagree", at, "%s holds %s %s, and it runs: %t", MemberName(o), MemberName(of), s, r)
+		for subject, state := range view.States {
+			if runs := running(subject); runs && !isAvailable(state) || !runs && !isDown(state) {
+				c.recordViolation("views disagree", at, "%s holds %s %s, and it runs: %t", MemberName(observer), MemberName(subject), state, runs)
 			}
 		}
 	}
 }
 
 // Violations are the broken invariants, first seen first.
-func (w *TierChecker) Violations() []Violation {
-	var out []Violation
-	for _, b := range w.breaches {
-		out = append(out, *b)
+func (c *TierChecker) Violations() []Violation {
+	var violations []Violation
+	for _, violation := range c.violations {
+		violations = append(violations, *violation)
 	}
-	slices.SortFunc(out, func(a, b Violation) int { return int(a.First - b.First) })
-	return out
+	slices.SortFunc(violations, func(a, violation Violation) int { return int(a.First - violation.First) })
+	return violations
 }
 
 // StateInitials are each softswitch's last view, a letter for each softswitch of the tier.
-func (w *TierChecker) StateInitials() []string {
-	var out []string
-	for _, v := range w.views {
+func (c *TierChecker) StateInitials() []string {
+	var rows []string
+	for _, view := range c.lastViews {
 		row := ""
-		for _, s := range v.States {
-			row += s[:1]
+		for _, state := range view.States {
+			row += state[:1]
 		}
-		out = append(out, row)
+		rows = append(rows, row)
 	}
-	return out
+	return rows
 }
--- a/internal/lab/works.go
+++ b/internal/lab/works.go
@@ -9,54 +9,54 @@
 	OutAt      time.Duration `json:"out_ns"`   // it sends its callers away
 	ReadyAt    time.Duration `json:"ready_ns"` // nothing is left on it
 	BackAt     time.Duration `json:"back_ns"`  // it holds its slot no more
-	place      int
+	index      int
 }
 
 // RecordMaintenance takes in what a softswitch says of itself: that it is out, and ready for work.
-func (w *TierChecker) RecordMaintenance(at time.Duration, place int, out, ready bool) {
-	var last *MaintenanceRun
-	for _, v := range w.works {
-		if v.place == place && v.BackAt < 0 {
-			last = v
+func (c *TierChecker) RecordMaintenance(at time.Duration, index int, outOfService, ready bool) {
+	var current *MaintenanceRun
+	for _, run := range c.maintenanceRuns {
+		if run.index == index && run.BackAt < 0 {
+			current = run
 		}
 	}
-	if out && last == nil {
-		last = &MaintenanceRun{Softswitch: MemberName(place), OutAt: at, ReadyAt: -1, BackAt: -1, place: place}
-		w.works = append(w.works, last)
+	if outOfService && current == nil {
+		current = &MaintenanceRun{Softswitch: MemberName(index), OutAt: at, ReadyAt: -1, BackAt: -1, index: index}
+		c.maintenanceRuns = append(c.maintenanceRuns, current)
 	}
-	if last == nil {
+	if current == nil {
 		return
 	}
-	if ready && last.ReadyAt < 0 {
-		last.ReadyAt = at
+	if ready && current.ReadyAt < 0 {
+		current.ReadyAt = at
 	}
-	if !out {
-		last.BackAt = at
+	if !outOfService {
+		current.BackAt = at
 	}
 }
 
 // CheckMaintenanceBudget judges how many softswitches are out for work, by their readiness as it is seen from outside. Those that the lab itself
 // hinders, or has just ceased to, are not counted; one that the lab's operator works on is.
-func (w *TierChecker) CheckMaintenanceBudget(at time.Duration, budget int, unready func(place int) bool) {
-	out := 0
-	for place := range w.views {
+func (c *TierChecker) CheckMaintenanceBudget(at time.Duration, budget int, unready func(index int) bool) {
+	outOfService := 0
+	for index := range c.lastViews {
 		switch {
-		case w.hindered[place] && !w.atWork(place):
-		case !w.hindered[place] && w.freed[place] >= 0 && at < w.freed[place]+aftermath && !w.atWork(place):
-		case unready(place):
-			out++
+		case c.faulted[index] && !c.underMaintenance(index):
+		case !c.faulted[index] && c.faultEndedAt[index] >= 0 && at < c.faultEndedAt[index]+recoveryGrace && !c.underMaintenance(index):
+		case unready(index):
+			outOfService++
 		}
 	}
-	if out > budget {
-		w.broke("more out than the budget", at, "%d of at most %d are not ready", out, budget)
+	if outOfService > budget {
+		c.recordViolation("more out than the budget", at, "%d of at most %d are not ready", outOfService, budget)
 	}
-	w.mostOut = max(w.mostOut, out)
+	c.maxOut = max(c.maxOut, outOfService)
 }
 
 // atWork says whether the last trouble of a softswitch is its operator's, and not over.
-func (w *TierChecker) atWork(place int) bool {
-	for i := len(w.detections) - 1; i >= 0; i-- {
-		if d := w.detections[i]; d.place == place {
+func (c *TierChecker) underMaintenance(index int) bool {
+	for i := len(c.detections) - 1; i >= 0; i-- {
+		if d := c.detections[i]; d.index == index {
 			return d.Kind == "work" && d.Ended < 0
 		}
 	}
@@ -64,17 +64,17 @@
 }
 
 // CheckMaintained judges that each of some softswitches has been ready for work exactly once, and is back.
-func (w *TierChecker) CheckMaintained(at time.Duration, places []int) {
-	for _, place := range places {
-		ready, back := 0, true
-		for _, v := range w.works {
-			if v.place == place && v.ReadyAt >= 0 {
-				ready++
-				back = v.BackAt >= 0
+func (c *TierChecker) CheckMaintained(at time.Duration, indexes []int) {
+	for _, index := range indexes {
+		readyRuns, back := 0, true
+		for _, run := range c.maintenanceRuns {
+			if run.index == index && run.ReadyAt >= 0 {
+				readyRuns++
+				back = run.BackAt >= 0
 			}
 		}
-		if ready != 1 || !back {
-			w.broke("not maintained once", at, "%s was ready for work %d times, and is back: %t", MemberName(place), ready, back)
+		if readyRuns != 1 || !back {
+			c.recordViolation("not maintained once", at, "%s was ready for work %d times, and is back: %t", MemberName(index), readyRuns, back)
 		}
 	}
 }
