--- a/internal/lab/caller.go
+++ b/internal/lab/caller.go
@@ -29,9 +29,9 @@
 // callerEvents is what a caller's connection tells the runner.
 type callerObserver interface {
 	now() time.Duration
-	setUpSent(id uint64, to int, giveUp time.Duration)
+	setUpSent(id uint64, memberIndex int, giveUp time.Duration)
 	finalAnswer(id uint64, served bool, desc string)
-	setUpUnanswered(id uint64, to int)
+	setUpUnanswered(id uint64, memberIndex int)
 	setUpNotWritten(id uint64) // not written whole after all
 }
 
--- a/internal/lab/channel.go
+++ b/internal/lab/command_channel.go
@@ -18,7 +18,7 @@
 	events        []listEvent
 	changed       chan struct{} // closed and replaced at each new event
 	listeners     []net.Listener
-	serverAddress func(server string, from int) string
+	serverAddress func(server string, memberIndex int) string
 	wg            sync.WaitGroup
 	done          chan struct{}
 }
@@ -33,7 +33,7 @@
 	sinceMS      int64 // Unix milliseconds of a late start, or 0
 }
 
-func newChannel(hosts []string, serverAddress func(string, int) string) (*commandChannel, error) {
+func newCommandChannel(hosts []string, serverAddress func(string, int) string) (*commandChannel, error) {
 	channel := &commandChannel{changed: make(chan struct{}), serverAddress: serverAddress, done: make(chan struct{})}
 	var err error
 	if channel.listeners, err = listenEach(hosts); err != nil {
--- /dev/null
+++ b/internal/lab/environment.go
@@ -0,0 +1,177 @@
+package lab
+
+import (
+	"errors"
+	"fmt"
+	"net"
+	"os"
+	"path/filepath"
+	"sync"
+	"syscall"
+	"time"
+)
+
+func loopbackAddress(network, index int) string { return fmt.Sprintf("127.0.%d.%d", network, index+1) }
+
+// build starts the stand-ins, the channel, the relay and the softswitches, and waits until every softswitch is ready.
+func (r *runner) startAll() error {
+	tierSize := r.scenario.Softswitches
+	var hosts [4][]string
+	for i := range tierSize {
+		for network := range hosts {
+			hosts[network] = append(hosts[network], loopbackAddress(network+1, i))
+		}
+	}
+	for _, config := range r.scenario.Servers {
+		startedAt := time.Duration(-1)
+		if config.StartAt.Duration > 0 {
+			startedAt = config.StartAt.Duration
+		}
+		checkedCapacity := config.Capacity
+		if r.options.SelfTestFault == "weak cold servers" {
+			startedAt, checkedCapacity = 0, config.Capacity/10
+		}
+		r.checker.AddServer(config.Name, checkedCapacity, startedAt)
+		server, err := newStandInServer(config, r, hosts[1])
+		if err != nil {
+			return err
+		}
+		r.servers[config.Name] = server
+		r.serverOrder = append(r.serverOrder, config.Name)
+	}
+	var err error
+	if r.channel, err = newCommandChannel(hosts[2], func(name string, from int) string { return r.servers[name].addressFor(from) }); err != nil {
+		return err
+	}
+	var initial []serverChange
+	for _, config := range r.scenario.Servers {
+		if config.StartAt.Duration == 0 || r.options.SelfTestFault == "weak cold servers" {
+			initial = append(initial, serverChange{name: config.Name, status: "in_service"})
+		}
+	}
+	r.channel.publish(true, initial...)
+	text, err := r.scenario.membersFileText()
+	if err != nil {
+		return err
+	}
+	r.membersFile = filepath.Join(r.options.OutDir, "members.toml")
+	if err := os.WriteFile(r.membersFile, []byte(text), 0o600); err != nil {
+		return err
+	}
+	for i := range tierSize {
+		m := &member{index: i, name: MemberName(i), dir: filepath.Join(r.options.OutDir, MemberName(i))}
+		if err := os.MkdirAll(m.dir, 0o755); err != nil {
+			return err
+		}
+		for _, port := range []struct {
+			to      *string
+			network string
+		}{{&m.listenAddr, "tcp"}, {&m.mgmtAddr, "tcp"}, {&m.peerAddr, "udp"}} {
+			if *port.to, err = r.pickPort(port.network, hosts[0][i]); err != nil {
+				return err
+			}
+		}
+		r.members = append(r.members, m)
+	}
+	var memberAddrs []*net.UDPAddr
+	for _, m := range r.members {
+		addr, err := net.ResolveUDPAddr("udp", m.peerAddr)
+		if err != nil {
+			return err
+		}
+		memberAddrs = append(memberAddrs, addr)
+	}
+	if r.relay, err = NewRelay(hosts[3], "127.0.4.250", memberAddrs, r.scenario.Seed); err != nil {
+		return err
+	}
+	for _, m := range r.members {
+		if err := r.launch(m); err != nil {
+			return err
+		}
+	}
+	// A port that another program took since it was picked ends a softswitch at its start: it gets new ones,
+	// at most three times, before it is known to any peer or caller.
+	for attempt := 0; ; attempt++ {
+		err := r.waitReady(r.members)
+		var exited *exitedAtStart
+		if !errors.As(err, &exited) || attempt == 3 {
+			return err
+		}
+		m := exited.member
+		if m.listenAddr, err = r.pickPort("tcp", hosts[0][m.index]); err != nil {
+			return err
+		}
+		if m.mgmtAddr, err = r.pickPort("tcp", hosts[0][m.index]); err != nil {
+			return err
+		}
+		r.options.Log.Warn().Str("softswitch", m.name).Msg("ended at its start; new ports")
+		if err := r.launch(m); err != nil {
+			return err
+		}
+	}
+}
+
+// endedAtStart is a softswitch whose process ended before it was ready.
+type exitedAtStart struct{ member *member }
+
+func (e *exitedAtStart) Error() string {
+	return fmt.Sprintf("%s ended at its start; its log is %s", e.member.name, filepath.Join(e.member.dir, "log.jsonl"))
+}
+
+// launch starts a member with a configuration of now.
+func (r *runner) launch(m *member) error {
+	var peers []string
+	allPeersAddr := ""
+	if r.scenario.PeersEnabled {
+		peers, allPeersAddr = r.relay.PeerAddresses(), r.relay.AllPeersAddress()
+	}
+	seed := r.rand.Uint64()
+	settings, err := r.memberSettings(m.index)
+	if err != nil {
+		return err
+	}
+	return m.start(r.options.Binary, memberConfig(m, seed, r.channel.listeners[m.index].Addr().String(), r.channel.initialState(m.index), peers, allPeersAddr, settings), r.membersFile)
+}
+
+func (r *runner) waitReady(members []*member) error {
+	deadline := time.Now().Add(r.scenario.StartTimeout.Duration)
+	for _, m := range members {
+		for m.sample(); !m.isReady(); m.sample() {
+			if !m.running() {
+				return &exitedAtStart{m}
+			}
+			if time.Now().After(deadline) {
+				return fmt.Errorf("%s not ready within %v", m.name, r.scenario.StartTimeout)
+			}
+			time.Sleep(20 * time.Millisecond)
+		}
+	}
+	return nil
+}
+
+func (r *runner) teardown() {
+	r.connMu.Lock()
+	for _, conns := range r.callerConns {
+		for _, conn := range conns {
+			if conn != nil {
+				conn.close()
+			}
+		}
+	}
+	r.connMu.Unlock()
+	var wg sync.WaitGroup
+	for _, m := range r.members {
+		wg.Add(1)
+		go func() { defer wg.Done(); m.stop(syscall.SIGKILL, time.Second) }()
+	}
+	wg.Wait()
+	for _, server := range r.servers {
+		server.close()
+	}
+	if r.channel != nil {
+		r.channel.close()
+	}
+	if r.relay != nil {
+		r.relay.Close()
+	}
+}
--- /dev/null
+++ b/internal/lab/faults.go
@@ -0,0 +1,128 @@
+package lab
+
+import (
+	"fmt"
+	"sync"
+	"syscall"
+	"time"
+)
+
+// faults plays the plan. What waits for softswitches to be ready runs beside it, so that no step is late for it.
+func (r *runner) runFaults(stop chan struct{}) {
+	var background sync.WaitGroup
+	defer background.Wait()
+	for _, action := range Plan(r.scenario, r.options.SelfTestFault != "weak cold servers") {
+		select {
+		case <-stop:
+			return
+		case <-time.After(action.At - r.now()):
+		}
+		r.perform(action, &background)
+	}
+}
+
+func (r *runner) membersAt(indexes []int) []*member {
+	var members []*member
+	for _, index := range indexes {
+		members = append(members, r.members[index])
+	}
+	return members
+}
+
+// act does one step of the plan.
+func (r *runner) perform(action Action, background *sync.WaitGroup) {
+	now := r.now()
+	if action.Fault >= 0 {
+		fault := r.scenario.Faults[action.Fault]
+		r.mu.Lock()
+		r.injectedFaults = append(r.injectedFaults, InjectedFault{At: now.Seconds(), Kind: fault.Kind, Detail: fmt.Sprint(fault.Target, fault.Groups, fault.Server)})
+		r.mu.Unlock()
+	}
+	r.options.Log.Info().Stringer("act", action.Kind).Ints("places", action.Members).Str("server", action.Server).Dur("at", now).Msg("step")
+	members := r.membersAt(action.Members)
+	inBackground := func(task func()) {
+		background.Add(1)
+		go func() { defer background.Done(); task() }()
+	}
+	switch action.Kind {
+	case ActKill:
+		signal := syscall.SIGKILL
+		if action.Term {
+			signal = syscall.SIGTERM
+		}
+		for _, m := range members {
+			r.recordFault(m, map[bool]string{true: "term", false: "kill"}[action.Term], true)
+			inBackground(func() { m.stop(signal, 5*time.Second) })
+		}
+	case ActLaunch:
+		inBackground(func() {
+			for _, m := range members {
+				m.stop(syscall.SIGKILL, time.Second)
+				if err := r.launch(m); err != nil {
+					r.options.Log.Error().Err(err).Str("softswitch", m.name).Msg("restart")
+				}
+			}
+			r.waitReady(members)
+			for _, m := range members {
+				r.recordFault(m, "", false)
+			}
+		})
+	case ActPause:
+		for _, m := range members {
+			r.recordFault(m, "pause", true)
+			m.signal(syscall.SIGSTOP)
+		}
+	case ActResume:
+		for _, m := range members {
+			m.signal(syscall.SIGCONT)
+		}
+		inBackground(func() {
+			r.waitReady(members)
+			for _, m := range members {
+				r.recordFault(m, "", false)
+			}
+		})
+	case ActNetworkConditions:
+		r.relay.SetConditions(action.Conditions)
+		r.mu.Lock()
+		r.tierChecker.SetConditions(now, action.Conditions)
+		r.mu.Unlock()
+	case ActReset:
+		indexes := map[int]bool{}
+		for _, index := range action.Members {
+			indexes[index] = true
+		}
+		r.servers[action.Server].resetConns(indexes, false)
+	case ActStall:
+		r.servers[action.Server].setStalled(action.Members, action.Stall)
+	case ActSlow:
+		r.servers[action.Server].setSlowdown(action.Factor)
+	case ActMaintenance:
+		inBackground(func() { r.requestMaintenance(action) })
+	case ActServerStatus:
+		if action.Withdraw {
+			r.mu.Lock()
+			r.checker.RecordRetirement(action.Server, now)
+			r.mu.Unlock()
+		}
+		if !action.Withdraw || r.options.SelfTestFault != "unheard drains" {
+			var since int64
+			if action.Status == "in_service" {
+				since = time.Now().UnixMilli()
+			}
+			r.channel.publish(false, serverChange{name: action.Server, status: action.Status, sinceMS: since})
+		}
+		if action.Status == "terminated" {
+			r.servers[action.Server].resetConns(nil, true)
+		}
+	}
+}
+
+// hinder says that a softswitch is in trouble from now on, or no more.
+func (r *runner) recordFault(m *member, kind string, begins bool) {
+	now := r.now()
+	m.markFaultSpan(now, begins)
+	r.mu.Lock()
+	r.tierChecker.RecordFault(now, m.index, kind, begins)
+	r.mu.Unlock()
+}
--- a/internal/lab/fleet.go
+++ b/internal/lab/member.go
@@ -5,7 +5,6 @@
 	"fmt"
 	"io"
 	"maps"
-	"net"
 	"net/http"
 	"os"
 	"os/exec"
@@ -37,41 +36,6 @@
 	earlierCounters                map[string]int64 // those alone
 }
 
-// freePort asks the system for a free port on a host, for a program that will listen there itself.
-func freePort(network, host string) (string, error) {
-	switch network {
-	case "udp":
-		conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.ParseIP(host)})
-		if err != nil {
-			return "", err
-		}
-		defer conn.Close()
-		return conn.LocalAddr().String(), nil
-	}
-	listener, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
-	if err != nil {
-		return "", err
-	}
-	defer listener.Close()
-	return listener.Addr().String(), nil
-}
-
-// listenEach opens a TCP listener on a free port of each host, one for each softswitch; all or none.
-func listenEach(hosts []string) ([]net.Listener, error) {
-	var listeners []net.Listener
-	for _, host := range hosts {
-		listener, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
-		if err != nil {
-			for _, opened := range listeners {
-				opened.Close()
-			}
-			return nil, err
-		}
-		listeners = append(listeners, listener)
-	}
-	return listeners, nil
-}
-
 // start runs the program with a configuration written anew, so that it knows the list as it is now. The child is
 // in a process group of its own and dies with the lab's thread that started it.
 func (m *member) start(binary string, config []byte, membersFile string) error {
--- /dev/null
+++ b/internal/lab/operator.go
@@ -0,0 +1,70 @@
+package lab
+
+import (
+	"encoding/json"
+	"net/http"
+	"net/url"
+	"slices"
+	"syscall"
+	"time"
+
+	"elmseam/internal/maintenance"
+	"elmseam/internal/mgmt"
+)
+
+// maintain asks a softswitch's door for maintenance, or withdraws it; one that is not settled yet is asked again.
+func (r *runner) requestMaintenance(action Action) {
+	method := http.MethodPost
+	if action.Withdraw {
+		method = http.MethodDelete
+	}
+	names := url.Values{}
+	for _, m := range r.membersAt(action.Members) {
+		names.Add("member", m.name)
+	}
+	for deadline := r.now() + 10*time.Second; r.now() < deadline; time.Sleep(100 * time.Millisecond) {
+		status, _ := r.members[action.Via].callAdmin(method, "/ops/maintenance?"+names.Encode())
+		if status == http.StatusAccepted {
+			return
+		}
+	}
+	r.options.Log.Error().Str("via", r.members[action.Via].name).Msg("no order for maintenance was taken")
+}
+
+// work is the lab's operator: a softswitch that is ready for work is worked on, and then released, or started anew.
+func (r *runner) operateMaintenance(m *member) {
+	status, text := m.callAdmin(http.MethodGet, "/ops/maintenance")
+	var maintenanceStatus mgmt.MaintenanceStatus
+	if status != http.StatusOK || json.Unmarshal(text, &maintenanceStatus) != nil {
+		return
+	}
+	grantIndex := slices.IndexFunc(maintenanceStatus.Granted, func(request mgmt.MaintenanceRequest) bool { return request.Index == m.index })
+	granted := grantIndex >= 0 && maintenanceStatus.HoldsGrant
+	ready := granted && maintenanceStatus.Granted[grantIndex].Stage == maintenance.Ready.String()
+	r.mu.Lock()
+	r.tierChecker.RecordMaintenance(r.now(), m.index, granted, ready)
+	start := ready && !m.underMaintenance && r.scenario.WorkDuration.Duration > 0
+	m.underMaintenance = ready && (m.underMaintenance || start)
+	r.mu.Unlock()
+	if !start {
+		return
+	}
+	go func() {
+		select {
+		case <-time.After(r.scenario.WorkDuration.Duration):
+		case <-r.finished:
+			return
+		}
+		if r.scenario.WorkMethod == "restart" {
+			r.recordFault(m, "work", true)
+			m.stop(syscall.SIGTERM, 5*time.Second)
+			if err := r.launch(m); err != nil {
+				r.options.Log.Error().Err(err).Str("softswitch", m.name).Msg("restart")
+			}
+			r.waitReady([]*member{m})
+			r.recordFault(m, "", false)
+			return
+		}
+		m.callAdmin(http.MethodDelete, "/ops/maintenance?member="+m.name)
+	}()
+}
--- a/internal/lab/plan.go
+++ b/internal/lab/plan.go
@@ -42,7 +42,7 @@
 	Stall      bool
 	Factor     float64
 	Status     string
-	Retire     bool
+	Withdraw     bool
 	Via        int
 	Conditions NetworkConditions
 }
@@ -87,9 +87,9 @@
 			addAction(Action{At: end, Kind: ActSlow, Fault: i, Server: fault.Server, Factor: 1})
 		case "drain", "gone":
 			status := map[string]string{"drain": "terminating", "gone": "terminated"}[fault.Kind]
-			addAction(Action{At: fault.At.Duration, Kind: ActServerStatus, Fault: i, Server: fault.Server, Status: status, Retire: true})
+			addAction(Action{At: fault.At.Duration, Kind: ActServerStatus, Fault: i, Server: fault.Server, Status: status, Withdraw: true})
 		case "maintain", "withdraw":
-			addAction(Action{At: fault.At.Duration, Kind: ActMaintenance, Fault: i, Members: members, Via: s.indexByName[fault.Via], Retire: fault.Kind == "withdraw"})
+			addAction(Action{At: fault.At.Duration, Kind: ActMaintenance, Fault: i, Members: members, Via: s.indexByName[fault.Via], Withdraw: fault.Kind == "withdraw"})
 		default: // of the network
 			conditionChanges = append(conditionChanges, fault.At.Duration)
 			if fault.Duration.Duration > 0 {
--- /dev/null
+++ b/internal/lab/result.go
@@ -0,0 +1,167 @@
+package lab
+
+import (
+	"fmt"
+	"os"
+	"slices"
+	"strings"
+	"time"
+)
+
+// Result is what a run saw.
+type Result struct {
+	Scenario       string          `json:"scenario"`
+	Passed         bool            `json:"held"`
+	Violations     []Violation     `json:"breaches"`
+	Offered        int             `json:"offered"`
+	Served         int             `json:"served"`
+	Refused        int             `json:"refused"`
+	Lost           int             `json:"lost"`
+	Excused        int             `json:"excused"`
+	Unsent         int             `json:"unsent"` // set-ups no softswitch could be reached for
+	MaxLag         time.Duration   `json:"lag_max_ns"`
+	LagSpans       int             `json:"blind_spans"`
+	AdminServed    int64           `json:"door_served"` // the softswitches' own count, all lives
+	Datagrams      map[string]int  `json:"datagrams"`
+	Starts         map[string]int  `json:"starts"`
+	InjectedFaults []InjectedFault `json:"faults"`
+
+	// Of membership, where it is on.
+	Detections          []*Detection      `json:"detections,omitempty"`
+	FalseDeaths         []FalseDeath      `json:"false_deaths,omitempty"`
+	MembershipCounters  map[string]int64  `json:"members,omitempty"`     // the doors' figures, all softswitches and lives together
+	MaintenanceCounters map[string]int64  `json:"maintenance,omitempty"` // and these
+	KnowledgeCounters   map[string]int64  `json:"knowledge,omitempty"`   // and these
+	BudgetCounters      map[string]int64  `json:"parts,omitempty"`
+	MaintenanceRuns     []*MaintenanceRun `json:"works,omitempty"`
+	Recoveries          []*RecoveryStats  `json:"returns,omitempty"` // of softswitches that were killed and started again
+	MaxOut              int               `json:"most_out"`          // softswitches out for work at one sample
+	Elapsed             time.Duration     `json:"span_ns"`           // from the load's start to the end
+
+	seconds  []SecondStats
+	servers  []string
+	views    [][]string
+	ready    [][]bool    // by second, by softswitch: ready at the second's last sample
+	capacity [][]float64 // by second, by server: what it could do
+}
+
+func (r *runner) result() *Result {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	res := &Result{Scenario: r.scenario.Name, Violations: r.checker.Violations(), Unsent: r.unsent, MaxLag: r.maxLag, LagSpans: r.lagSpans,
+		seconds: r.checker.PerSecond(), servers: r.serverOrder, Starts: map[string]int{}, InjectedFaults: r.injectedFaults,
+		MembershipCounters: map[string]int64{}, MaintenanceCounters: map[string]int64{}, KnowledgeCounters: map[string]int64{}, BudgetCounters: map[string]int64{}, ready: r.readyBySecond, views: r.viewsBySecond, Detections: r.tierChecker.detections, FalseDeaths: r.tierChecker.falseDeaths, MaintenanceRuns: r.tierChecker.maintenanceRuns, MaxOut: r.tierChecker.maxOut, Elapsed: r.now()}
+	res.Violations = append(res.Violations, r.tierChecker.Violations()...)
+	for _, fault := range r.scenario.Faults {
+		for _, index := range r.scenario.memberIndexes(fault.Target) {
+			if recovery := r.checker.Recovery(index, fault.At.Duration+fault.Duration.Duration, recoverySeconds); fault.Kind == "kill" && fault.Duration.Duration > 0 && recovery != nil {
+				res.Recoveries = append(res.Recoveries, recovery)
+			}
+		}
+	}
+	for i := range res.seconds {
+		var row []float64
+		for _, name := range r.serverOrder {
+			row = append(row, r.capacity(name, time.Duration(i)*time.Second))
+		}
+		res.capacity = append(res.capacity, row)
+	}
+	for _, s := range res.seconds {
+		res.Offered += s.Offered
+		res.Served += s.Served
+		res.Refused += s.Refused
+		res.Lost += s.Lost
+		res.Excused += s.Excused
+	}
+	restarted := false
+	sumsByGroup := map[string]map[string]int64{"members": res.MembershipCounters, "maintenance": res.MaintenanceCounters, "knowledge": res.KnowledgeCounters, "parts": res.BudgetCounters}
+	for _, m := range r.members {
+		res.AdminServed += m.counters["answered"]
+		for key, value := range m.counters {
+			group, name, _ := strings.Cut(key, ".")
+			if sums := sumsByGroup[group]; sums != nil && monotonicCounters[name] {
+				sums[name] += value
+			}
+		}
+		res.Starts[m.name] = m.starts
+		restarted = restarted || m.starts > 1
+	}
+	counters := &r.relay.Counters
+	res.Datagrams = map[string]int{"passed": int(counters.Forwarded.Load()), "dropped": int(counters.Dropped.Load()),
+		"doubled": int(counters.Duplicated.Load()), "strangers": int(counters.UnknownSender.Load()), "oversized": int(counters.Oversized.Load()),
+		"bytes": int(counters.Bytes.Load())}
+	if counters.Oversized.Load() > 0 {
+		res.Violations = append(res.Violations, Violation{Rule: "datagram over 256 bytes", Count: int(counters.Oversized.Load())})
+	}
+	// The doors count what they answered; with no restart the lab must agree with them within the tolerance.
+	if diff := float64(res.AdminServed - int64(res.Served)); !restarted &&
+		abs(diff) > r.scenario.Tolerance*float64(max(res.Served, 1))+2 {
+		res.Violations = append(res.Violations, Violation{Rule: "counts disagree with the doors", Count: 1,
+			Detail: fmt.Sprintf("lab %d served, doors %d", res.Served, res.AdminServed)})
+	}
+	res.Passed = len(res.Violations) == 0
+	return res
+}
+
+// returnSeconds are the seconds for which one that came back is compared with its peers.
+const recoverySeconds = 5
+
+// protocols are those of the tier whose figures the doors show.
+var counterGroups = []string{"members", "maintenance", "knowledge", "parts"}
+
+// summed are the figures of these that count up, so that those of all lives add up.
+var monotonicCounters = map[string]bool{"probes": true, "indirect": true, "acks": true, "nacks": true, "failed": true,
+	"told": true, "stale": true, "unlisted": true, "answered": true, "claims": true, "inherited": true, "expired": true, "borrowed": true, "lent": true,
+	"suspicions": true, "deaths": true, "refutations": true, "stalls": true, "sent": true, "sent_bytes": true, "heard": true,
+	"asked": true, "granted": true, "renewed": true, "lost": true, "yes": true, "no": true, "dropped_garbled": true, "dropped_version": true, "dropped_stranger": true, "dropped_flood": true, "unwritten": true}
+
+func abs(f float64) float64 {
+	if f < 0 {
+		return -f
+	}
+	return f
+}
+
+// WriteTable writes the per-second table as CSV: offered, served, refused, lost, excused, whether the lab lagged,
+// for each server the attempts that reached it and its capacity, and for each softswitch whether it was ready and, where
+// membership is on, what it held of each of the tier, by the first letters of the states.
+func (res *Result) WriteTable(path string) error {
+	var b strings.Builder
+	b.WriteString("second,offered,served,refused,lost,excused,blind")
+	for _, s := range res.servers {
+		fmt.Fprintf(&b, ",load:%s,capacity:%s", s, s)
+	}
+	tierSize := 0
+	if len(res.ready) > 0 {
+		tierSize = len(res.ready[0])
+	}
+	for i := range tierSize {
+		fmt.Fprintf(&b, ",ready:%s", MemberName(i))
+	}
+	hasViews := slices.ContainsFunc(res.views, func(v []string) bool { return len(v) > 0 })
+	for i := range tierSize {
+		if hasViews {
+			fmt.Fprintf(&b, ",view:%s", MemberName(i))
+		}
+	}
+	b.WriteString("\n")
+	for i, s := range res.seconds {
+		fmt.Fprintf(&b, "%d,%d,%d,%d,%d,%d,%t", i, s.Offered, s.Served, s.Refused, s.Lost, s.Excused, s.Lagged)
+		for k, name := range res.servers {
+			fmt.Fprintf(&b, ",%d,%.0f", s.Arrivals[name], res.capacity[i][k])
+		}
+		for k := range tierSize {
+			ready := i < len(res.ready) && res.ready[i][k]
+			fmt.Fprintf(&b, ",%d", map[bool]int{true: 1}[ready])
+		}
+		for k := range tierSize {
+			if hasViews && i < len(res.views) && len(res.views[i]) > 0 {
+				fmt.Fprintf(&b, ",%s", res.views[i][k])
+			} else if hasViews {
+				b.WriteString(",")
+			}
+		}
+		b.WriteString("\n")
+	}
+	return os.WriteFile(path, []byte(b.String()), 0o644)
+}
--- /dev/null
+++ b/internal/lab/run_test.go
@@ -0,0 +1,166 @@
+package lab
+
+import (
+	"net"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strconv"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// program builds the softswitch once for the stories that start processes of it.
+func buildSoftswitch(t *testing.T) string {
+	t.Helper()
+	if testing.Short() {
+		t.Skip("starts processes")
+	}
+	bin := filepath.Join(t.TempDir(), "elmseam")
+	if out, err := exec.Command("go", "build", "-o", bin, "elmseam/cmd/elmseam").CombinedOutput(); err != nil {
+		t.Fatalf("build: %v\n%s", err, out)
+	}
+	return bin
+}
+
+func shortScenario(name string, faults ...Fault) *Scenario {
+	return &Scenario{Name: name, Duration: Duration{4 * time.Second}, Seed: 1, Softswitches: 3, PeersEnabled: true,
+		GiveUp:  Duration{time.Second},
+		Servers: []Server{{Name: "s1", Capacity: 400}, {Name: "s2", Capacity: 400}},
+		Load:    []LoadStep{{Rate: 120}}, Faults: faults}
+}
+
+// A fleet that the lab kills, pauses and cuts apart keeps every rule; the lab accounts for what the faults cost,
+// agrees with the doors, gets past a port taken under it, and leaves no process behind.
+func TestFleetUnderFaults(t *testing.T) {
+	bin := buildSoftswitch(t)
+	scenario := shortScenario("faults",
+		Fault{At: Duration{time.Second}, Kind: "kill", Target: []string{"n2"}, Duration: Duration{time.Second}},
+		Fault{At: Duration{time.Second}, Kind: "partition", Groups: [][]string{{"n1"}, {"n2", "n3"}}, Duration: Duration{2 * time.Second}},
+		Fault{At: Duration{1500 * ms}, Kind: "pause", Target: []string{"n3"}, Duration: Duration{1500 * ms}},
+		Fault{At: Duration{2 * time.Second}, Kind: "reset", Target: []string{"n1"}, Server: "s1"})
+	if err := scenario.Check(); err != nil {
+		t.Fatal(err)
+	}
+	outDir := t.TempDir()
+	rules, err := parseRules([]byte(DefaultSettings))
+	if err != nil {
+		t.Fatal(err)
+	}
+	run := newRunner(scenario, Options{Binary: bin, OutDir: outDir}, rules, DefaultSettings)
+	// The first port handed to n1 is taken by another program before n1 listens there: it gets new ones.
+	taken, err := net.Listen("tcp", "127.0.1.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer taken.Close()
+	first := true
+	run.pickPort = func(network, host string) (string, error) {
+		if first && network == "tcp" {
+			first = false
+			return taken.Addr().String(), nil
+		}
+		return freePort(network, host)
+	}
+	res, err := run.run()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !res.Passed || res.Served < res.Offered/2 || res.Starts["n2"] != 2 || res.Starts["n1"] != 2 {
+		t.Fatalf("held %v, breaches %+v; served %d of %d; starts %v", res.Passed, res.Violations, res.Served, res.Offered, res.Starts)
+	}
+	if err := res.WriteTable(filepath.Join(outDir, "seconds.csv")); err != nil {
+		t.Fatal(err)
+	}
+	assertNoProcesses(t, outDir)
+}
+
+// noneLeft fails where a softswitch that the lab started is still there.
+func assertNoProcesses(t *testing.T, outDir string) {
+	t.Helper()
+	entries, _ := os.ReadDir("/proc")
+	for _, entry := range entries {
+		env, err := os.ReadFile(filepath.Join("/proc", entry.Name(), "environ"))
+		if pid, _ := strconv.Atoi(entry.Name()); err == nil && strings.Contains(string(env), "ROUTER_CONFIG="+outDir) {
+			syscall.Kill(pid, syscall.SIGKILL)
+			t.Errorf("process %d outlived the lab", pid)
+		}
+	}
+}
+
+// The judge catches a fleet that its world misled: drains that the channel kept back, and servers weaker and colder
+// than the channel said. Both are the lab's faults on purpose; what is seen is that the judge sees them.
+func TestFleetWithSelfTestFaults(t *testing.T) {
+	bin := buildSoftswitch(t)
+	for _, test := range []struct {
+		fault, wantRule string
+		s               *Scenario
+	}{
+		{"unheard drains", "new attempt at a retired server",
+			shortScenario("unheard", Fault{At: Duration{time.Second}, Kind: "drain", Server: "s1"}, Fault{At: Duration{time.Second}, Kind: "drain", Server: "s2"})},
+		{"weak cold servers", "cold server pushed over", func() *Scenario {
+			scenario := shortScenario("untold")
+			scenario.Servers = []Server{{Name: "s1", Capacity: 100, StartAt: Duration{time.Second}}}
+			scenario.Load = []LoadStep{{Rate: 300}}
+			return scenario
+		}()},
+	} {
+		if err := test.s.Check(); err != nil {
+			t.Fatal(err)
+		}
+		res, err := Run(test.s, Options{Binary: bin, OutDir: t.TempDir(), SelfTestFault: test.fault})
+		if err != nil {
+			t.Fatal(err)
+		}
+		found := false
+		for _, violation := range res.Violations {
+			found = found || violation.Rule == test.wantRule
+		}
+		if res.Passed || !found {
+			t.Errorf("%s: breaches %+v, want %q; seconds %+v", test.fault, res.Violations, test.wantRule, res.seconds)
+		}
+	}
+}
+
+// Processes that know their tier: with three in ten datagrams lost, doubled and late, a killed one is held dead by all and
+// there again once it is back, one cut off is back when the cut has healed, and all agree in the end. All three are taken
+// out for work, one at a time, each once, though the one asked dies at once and one is cut off; no call is lost for it.
+func TestFleetWithMembership(t *testing.T) {
+	bin := buildSoftswitch(t)
+	scenario := shortScenario("members",
+		Fault{At: Duration{time.Second}, Kind: "loss", Probability: 0.3, Duration: Duration{6 * time.Second}},
+		Fault{At: Duration{time.Second}, Kind: "duplicate", Probability: 0.2, Duration: Duration{6 * time.Second}},
+		Fault{At: Duration{time.Second}, Kind: "reorder", Delay: Duration{30 * ms}, Duration: Duration{6 * time.Second}},
+		Fault{At: Duration{1500 * ms}, Kind: "kill", Target: []string{"n2"}, Duration: Duration{6 * time.Second}},
+		Fault{At: Duration{8500 * ms}, Kind: "maintain", Target: []string{"n1", "n2", "n3"}, Via: "n2"},
+		Fault{At: Duration{8900 * ms}, Kind: "kill", Target: []string{"n2"}, Duration: Duration{time.Second}},
+		Fault{At: Duration{10500 * ms}, Kind: "partition", Groups: [][]string{{"n1"}, {"n2", "n3"}}, Duration: Duration{1500 * ms}})
+	scenario.Duration, scenario.ConvergenceTime, scenario.SampleInterval = Duration{12500 * ms}, Duration{12 * time.Second}, Duration{100 * ms}
+	scenario.MaintenanceBudget, scenario.WorkDuration, scenario.WorkMethod, scenario.ExpectMaintained = 1, Duration{100 * ms}, "release", []string{"n1", "n2", "n3"}
+	scenario.Membership = map[string]any{"period": "200ms", "timeout": "80ms", "stall": "300ms",
+		"maintenance": map[string]any{"enabled": true, "lease": "4s", "work": "6s", "round": "250ms"}}
+	if err := scenario.Check(); err != nil {
+		t.Fatal(err)
+	}
+	outDir := t.TempDir()
+	res, err := Run(scenario, Options{Binary: bin, OutDir: outDir})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !res.Passed || len(res.Detections) != 2 || res.Detections[0].AllDead < 0 || res.Detections[0].AllAvailable < 0 {
+		t.Errorf("held %v, breaches %+v, detections %+v", res.Passed, res.Violations, *res.Detections[0])
+	}
+	if res.Datagrams["dropped"] == 0 || res.Datagrams["passed"] == 0 || res.MembershipCounters["heard"] == 0 || res.MembershipCounters["dropped_stranger"] != 0 {
+		t.Errorf("datagrams %v, doors %v", res.Datagrams, res.MembershipCounters)
+	}
+	path := filepath.Join(outDir, "seconds.csv")
+	if err := res.WriteTable(path); err != nil {
+		t.Fatal(err)
+	}
+	if text, _ := os.ReadFile(path); !strings.Contains(string(text), "view:n3") || !strings.Contains(string(text), "aaa") {
+		t.Errorf("no views in the table:\n%s", text)
+	}
+	assertNoProcesses(t, outDir)
+}
--- /dev/null
+++ b/internal/lab/sampling.go
@@ -0,0 +1,66 @@
+package lab
+
+import (
+	"sync"
+	"time"
+)
+
+// sampler reads every door at the scenario's pace and keeps, for each second, who was ready.
+func (r *runner) sampleLoop(stop chan struct{}) {
+	ticker := time.NewTicker(r.scenario.SampleInterval.Duration)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-stop:
+			return
+		case <-ticker.C:
+		}
+		var wg sync.WaitGroup
+		for _, m := range r.members {
+			wg.Add(1)
+			go func() { defer wg.Done(); m.sample() }()
+		}
+		wg.Wait()
+		second := int(r.now() / time.Second)
+		r.mu.Lock()
+		for len(r.readyBySecond) <= second {
+			r.readyBySecond = append(r.readyBySecond, make([]bool, len(r.members)))
+		}
+		for i, m := range r.members {
+			r.readyBySecond[second][i] = m.isReady()
+		}
+		r.mu.Unlock()
+		r.readViews()
+		r.mu.Lock()
+		if r.scenario.MaintenanceBudget > 0 {
+			r.tierChecker.CheckMaintenanceBudget(r.now(), r.scenario.MaintenanceBudget, func(place int) bool { return !r.members[place].isReady() })
+		}
+		for len(r.viewsBySecond) <= second {
+			r.viewsBySecond = append(r.viewsBySecond, nil)
+		}
+		r.viewsBySecond[second] = r.tierChecker.StateInitials()
+		r.mu.Unlock()
+	}
+}
+
+// look takes in what each softswitch says of its tier, where membership is on.
+func (r *runner) readViews() {
+	if r.scenario.Membership == nil {
+		return
+	}
+	var wg sync.WaitGroup
+	for i, m := range r.members {
+		wg.Go(func() {
+			view, ok := m.readView()
+			r.mu.Lock()
+			if ok {
+				r.tierChecker.RecordView(r.now(), i, view)
+			}
+			r.mu.Unlock()
+			if r.scenario.MaintenanceBudget > 0 {
+				r.operateMaintenance(m)
+			}
+		})
+	}
+	wg.Wait()
+}
--- a/internal/lab/server.go
+++ b/internal/lab/standin_server.go
@@ -14,7 +14,7 @@
 type serverObserver interface {
 	now() time.Duration
 	attemptReceived(server string, id uint64)
-	attemptEnded(server string, id uint64, how AttemptOutcome)
+	attemptEnded(server string, id uint64, outcome AttemptOutcome)
 	capacity(server string, at time.Duration) float64
 }
 
--- a/internal/lab/views.go
+++ b/internal/lab/tier_checker.go
@@ -50,14 +50,14 @@
 	detections       []*Detection
 	falseDeaths      []FalseDeath
 	maintenanceRuns  []*MaintenanceRun
-	requestEnded     map[int]bool // its last request is
+	endedRequests     map[int]bool // its last request is
 	maxOut           int
 	violations       map[string]*Violation
 }
 
 // NewTierChecker follows so many softswitches.
 func NewTierChecker(tierSize int) *TierChecker {
-	c := &TierChecker{lastViews: make([]View, tierSize), faulted: make([]bool, tierSize), violations: make(map[string]*Violation), requestEnded: make(map[int]bool), partitionEndedAt: -1}
+	c := &TierChecker{lastViews: make([]View, tierSize), faulted: make([]bool, tierSize), violations: make(map[string]*Violation), endedRequests: make(map[int]bool), partitionEndedAt: -1}
 	for range tierSize {
 		c.faultEndedAt = append(c.faultEndedAt, -1)
 	}
--- /dev/null
+++ b/internal/lab/tier_checker_test.go
@@ -0,0 +1,81 @@
+package lab
+
+import (
+	"testing"
+	"time"
+)
+
+// Each rule on the views is seen broken by a story, and held by its lawful twin; a death is false only where the one held
+// dead was there and could be heard.
+func TestTierCheckerViolations(t *testing.T) {
+	view := func(share float64, states ...string) View { return View{States: states, ColdShare: share} }
+	allRunning := func(int) bool { return true }
+	for _, test := range []struct {
+		name, want string
+		deaths     int
+		events     func(checker *TierChecker)
+	}{
+		{"agreement", "", 0, func(checker *TierChecker) {
+			for observer := range 3 {
+				checker.RecordView(0, observer, view(1, "alive", "draining", "alive"))
+			}
+			checker.CheckConvergence(ms, allRunning)
+		}},
+		{"one believed dead", "views disagree", 1, func(checker *TierChecker) {
+			for observer := range 3 {
+				checker.RecordView(0, observer, view(1, "alive", "alive", []string{"dead", "alive", "alive"}[observer]))
+			}
+			checker.CheckConvergence(ms, allRunning)
+		}},
+		{"a dead one believed there", "views disagree", 0, func(checker *TierChecker) {
+			checker.RecordFault(0, 2, "kill", true)
+			checker.RecordView(ms, 0, view(1, "alive", "alive", "dead"))
+			checker.RecordView(ms, 1, view(1, "alive", "alive", "alive"))
+			checker.CheckConvergence(2*ms, func(index int) bool { return index != 2 })
+		}},
+		{"bold without a majority", "too bold without a majority", 0, func(checker *TierChecker) {
+			checker.SetConditions(0, NetworkConditions{Groups: map[int]int{0: 0, 1: 1, 2: 1}})
+			checker.RecordView(ms, 0, view(1, "alive", "dead", "dead"))
+		}},
+		{"careful without a majority", "", 0, func(checker *TierChecker) {
+			checker.SetConditions(0, NetworkConditions{Groups: map[int]int{0: 0, 1: 1, 2: 1}})
+			checker.RecordView(ms, 0, view(1.0/3, "alive", "dead", "dead"))
+		}},
+		{"a death after a cut", "", 1, func(checker *TierChecker) {
+			checker.SetConditions(0, NetworkConditions{Groups: map[int]int{0: 0, 1: 1, 2: 1}})
+			checker.SetConditions(ms, NetworkConditions{})
+			checker.RecordView(2*ms, 0, view(1, "alive", "alive", "dead")) // the cut's
+			checker.RecordView(time.Minute, 1, view(1, "alive", "alive", "dead"))
+		}},
+	} {
+		checker := NewTierChecker(3)
+		test.events(checker)
+		got := ""
+		for _, violation := range checker.Violations() {
+			got += violation.Rule
+		}
+		if got != test.want || len(checker.falseDeaths) != test.deaths {
+			t.Errorf("%s: broken %q, want %q; false deaths %v, want %d", test.name, got, test.want, checker.falseDeaths, test.deaths)
+		}
+	}
+}
+
+// A trouble is followed from the first who suspects it to the last who holds the softswitch there again.
+func TestTierCheckerDetectionTimes(t *testing.T) {
+	checker := NewTierChecker(3)
+	checker.RecordFault(10*ms, 2, "kill", true)
+	for i, states := range [][2]string{{"alive", "alive"}, {"suspect", "alive"}, {"suspect", "suspect"}, {"dead", "suspect"}, {"dead", "dead"}} {
+		for observer, state := range states {
+			checker.RecordView(time.Duration(20+10*i)*ms, observer, View{States: []string{"alive", "alive", state}, ColdShare: 1})
+		}
+	}
+	checker.RecordFault(100*ms, 2, "", false)
+	for observer := range 2 {
+		checker.RecordView(time.Duration(110+10*observer)*ms, observer, View{States: []string{"alive", "alive", "alive"}, ColdShare: 1})
+	}
+	detection := *checker.detections[0]
+	if want := (Detection{Softswitch: "n3", Kind: "kill", At: 10 * ms, Suspected: 20 * ms, AllSuspected: 30 * ms, Dead: 40 * ms, AllDead: 50 * ms,
+		Ended: 100 * ms, AllAvailable: 20 * ms, index: 2}); detection != want {
+		t.Errorf("%+v, want %+v", detection, want)
+	}
+}
