--- a/internal/lab/caller.go
+++ b/internal/lab/caller.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// The callers' binary messages (PROTOCOL, "Messages").
+// The callers' binary messages (PROTOCOL, "Messages"): message types, then parameter codes.
 const (
 	msgSetUp   = 1
 	msgAnswer  = 9
@@ -26,35 +26,42 @@
 	paramDesc     = 61
 )
 
-// callerEvents is what a caller's connection tells the runner.
+// callerObserver receives what happens on callers' connections. The runner implements it.
 type callerObserver interface {
 	now() time.Duration
 	setUpSent(id uint64, memberIndex int, giveUp time.Duration)
 	finalAnswer(id uint64, served bool, desc string)
 	setUpUnanswered(id uint64, memberIndex int)
-	setUpNotWritten(id uint64) // not written whole after all
+	// setUpNotWritten takes back setUpSent: the set-up could not be written to the connection whole.
+	setUpNotWritten(id uint64)
 }
 
-// callerConn is one connection of callers to one softswitch: set-ups go out, answers come back on one reader.
+// callerConn is one callers' connection to one softswitch. Several set-ups can be pending on it; one goroutine reads
+// the answers.
 type callerConn struct {
-	memberIndex int
-	observer    callerObserver
-	conn        net.Conn
-	mu          sync.Mutex
-	pending     map[uint64]time.Duration // set-ups without a final answer, and their give-up
-	done        chan struct{}
+	memberIndex int // the softswitch that the connection goes to
+	// observer is told of set-ups sent, answered and given up.
+	observer callerObserver
+	conn     net.Conn
+	mu       sync.Mutex               // guards pending, and the writes of set-ups and give-ups
+	pending  map[uint64]time.Duration // set-ups without a final answer, and the time at which each is given up
+	done     chan struct{}            // closed when the reader has ended
 }
 
+// dialCaller connects to a softswitch's caller address and starts the connection's reader.
 func dialCaller(address string, memberIndex int, observer callerObserver) (*callerConn, error) {
 	conn, err := net.DialTimeout("tcp", address, 500*time.Millisecond)
 	if err != nil {
 		return nil, err
 	}
-	caller := &callerConn{memberIndex: memberIndex, observer: observer, conn: conn, pending: make(map[uint64]time.Duration), done: make(chan struct{})}
+	caller := &callerConn{memberIndex: memberIndex, observer: observer, conn: conn,
+		pending: make(map[uint64]time.Duration), done: make(chan struct{})}
 	go caller.read()
 	return caller, nil
 }
 
+// setUpMessage encodes a set-up. giveUp is the time that the caller waits, sent in milliseconds. The called number is
+// derived from the id.
 func setUpMessage(id uint64, class string, giveUp time.Duration) []byte {
 	message := binary.BigEndian.AppendUint64([]byte{0, 0, msgSetUp}, id)
 	appendParam := func(code byte, value string) {
@@ -69,6 +76,7 @@
 	return message
 }
 
+// releaseMessage encodes a release with a Q.850 cause.
 func releaseMessage(id uint64, cause byte) []byte {
 	message := binary.BigEndian.AppendUint64([]byte{0, 0, msgRelease}, id)
 	message = append(message, paramCause, 0, 1, cause)
@@ -76,16 +84,18 @@
 	return message
 }
 
+// write sends a whole message, or fails after 200 ms.
 func (c *callerConn) write(message []byte) error {
 	c.conn.SetWriteDeadline(time.Now().Add(200 * time.Millisecond))
 	_, err := c.conn.Write(message)
 	return err
 }
 
-// setUp sends a set-up and gives it up when its caller stops waiting.
+// setUp sends a set-up, and releases it with Q.850 cause 16 (normal clearing) if it has no final answer after
+// giveUpAfter.
 func (c *callerConn) setUp(id uint64, class string, giveUpAfter time.Duration) error {
 	giveUp := c.observer.now() + giveUpAfter
-	c.observer.setUpSent(id, c.memberIndex, giveUp) // before the write: its answer may come back at once
+	c.observer.setUpSent(id, c.memberIndex, giveUp) // before the write, because the answer may arrive at once
 	c.mu.Lock()
 	c.pending[id] = giveUp
 	err := c.write(setUpMessage(id, class, giveUpAfter))
@@ -112,6 +122,8 @@
 	return nil
 }
 
+// read handles answers and releases until the connection ends; set-ups still pending then are reported as unanswered.
+// A release of a call that is no longer pending is acknowledged.
 func (c *callerConn) read() {
 	defer close(c.done)
 	r := bufio.NewReaderSize(c.conn, 16<<10)
@@ -150,7 +162,8 @@
 	}
 }
 
-// param finds a parameter's value in a message's parameters.
+// findParam returns the value of the first parameter with the given code, or "" if there is none or the parameters
+// are malformed.
 func findParam(params []byte, code byte) string {
 	for len(params) >= 3 {
 		n := int(binary.BigEndian.Uint16(params[1:3]))
@@ -165,11 +178,13 @@
 	return ""
 }
 
-// madeBy says whether a description is one that a stand-in made for this call.
+// isStandInDescription reports whether an answer's description was made by a stand-in server for the call with this
+// id.
 func isStandInDescription(description string, id uint64) bool {
 	return strings.HasPrefix(description, "lab:") && strings.HasSuffix(description, fmt.Sprintf(":%016x", id))
 }
 
+// close closes the connection and waits for its reader.
 func (c *callerConn) close() {
 	c.conn.Close()
 	<-c.done
--- a/internal/lab/checker.go
+++ b/internal/lab/checker.go
@@ -7,71 +7,78 @@
 	"time"
 )
 
-// How an attempt ended, as its server saw it.
+// AttemptOutcome is how an attempt ended, as its server saw it.
 type AttemptOutcome int
 
+// The outcomes of an attempt.
 const (
-	Answered        AttemptOutcome = iota // the server answered: the call stands
-	Refused                               // the server refused it
-	Cancelled                             // the softswitch gave it up: the release gap applies
-	ConnectionReset                       // its connection ended under it: the release gap applies
+	Answered        AttemptOutcome = iota // the server answered: the call is established
+	Refused                               // the server refused the attempt
+	Cancelled                             // the softswitch cancelled the attempt: the release guard applies
+	ConnectionReset                       // the attempt's connection ended: the release guard applies
 )
 
-// Violation is a broken invariant: its first moment, how often it was seen, and what was seen first.
+// Violation is a rule that was broken: when it was first seen, how often, and the detail of the first time.
 type Violation struct {
-	Rule   string
+	Rule   string        // the rule, in the words of the verdict
 	First  time.Duration // since the start of the run
-	Count  int
-	Detail string
+	Count  int           // how often the violation was seen
+	Detail string        // of the first time
 }
 
 // SecondStats is one row of the per-second table.
 type SecondStats struct {
+	// Set-ups: Offered by the second in which they were sent, the other counts by the second of their end. Excused
+	// set-ups stayed unanswered because of a fault that the lab injected.
 	Offered, Served, Refused, Lost, Excused int
 	Arrivals                                map[string]int // attempts that reached each server
-	Lagged                                  bool           // the lab lagged: timing was not judged
+	Lagged                                  bool           // the lab itself lagged, so that timing was not checked
 }
 
-// Checker holds what the lab sees of the fleet from outside against the rules. It does no I/O and reads no clock: every
-// event carries its time, as an offset from the start of the run. Events must come in the order of their times
-// within one call and one server; the runner feeds them under one lock.
+// Checker checks what the lab sees of the fleet from outside against the rules. It does no I/O and reads no clock:
+// every event carries its time as an offset from the start of the run. Events of one call or one server must come in
+// the order of their times; the runner passes all events in under one lock.
 type Checker struct {
 	rules      Rules
-	setUps     map[uint64]*setUpState
-	calls      map[uint64]*callState // by the id that servers see, which is the set-up's
+	setUps     map[uint64]*setUpState // by the call's id
+	calls      map[uint64]*callState  // by the id that servers see, which is the set-up's id
 	servers    map[string]*serverState
-	violations map[string]*Violation
-	seconds    []SecondStats
-	lagSpans   [][2]time.Duration // spans in which the lab itself lagged
+	violations map[string]*Violation // by rule
+	seconds    []SecondStats         // index: second of the run
+	lagSpans   [][2]time.Duration    // start and end of each span in which the lab itself lagged
 }
 
+// setUpState is what the checker knows of a caller's set-up.
 type setUpState struct {
-	sent, giveUp time.Duration
-	memberIndex  int // softswitch
-	finalAnswers int
-	resolved     bool // judged, answered or excused
-	served       bool
+	sent, giveUp time.Duration // times; giveUp is when the caller stops waiting
+	memberIndex  int           // the softswitch that the set-up was sent to
+	finalAnswers int           // final answers received so far
+	resolved     bool          // answered, given up or excused
+	served       bool          // the call was established
 }
 
+// callState is what the checker knows of a call's attempts at servers.
 type callState struct {
-	outstandingAt string        // server with an attempt out; "" none
-	attempts      int           // in all
-	guardFrom     time.Duration // end of the last attempt that calls for the release gap; -1 none
+	outstandingAt string        // server with an outstanding attempt; "" if there is none
+	attempts      int           // attempts so far
+	guardFrom     time.Duration // end of the last attempt to which the release guard applies; -1 if none
 }
 
+// serverState is what the checker knows of a server.
 type serverState struct {
-	retiredAt      time.Duration // since it drains or is gone; -1 not
-	startedAt      time.Duration // cold start; -1 warm from the beginning
-	capacity       float64       // set-ups a second when warm
-	recentAttempts []time.Duration
+	retiredAt      time.Duration   // when all softswitches had been told that the server drains or is gone; -1: not told
+	startedAt      time.Duration   // time of a cold start; -1 for a server that is warm from the beginning
+	capacity       float64         // set-ups a second when warm
+	recentAttempts []time.Duration // times of the attempts in the cold budget's last window
 }
 
-// NewChecker makes a judge for these rules.
+// NewChecker makes a checker for these rules.
 func NewChecker(rules Rules) *Checker {
 	return &Checker{rules: rules, setUps: make(map[uint64]*setUpState), calls: make(map[uint64]*callState),
 		servers: make(map[string]*serverState), violations: make(map[string]*Violation)}
 }
 
+// secondAt returns the row of the second that contains a time, and makes the rows up to it.
 func (c *Checker) secondAt(at time.Duration) *SecondStats {
 	i := max(0, int(at/time.Second))
 	for len(c.seconds) <= i {
@@ -80,6 +87,8 @@
 	return &c.seconds[i]
 }
 
+// recordViolation counts a violation of a rule and keeps the detail of the first one. A violation inside a span of
+// the lab's own lag is ignored.
 func (c *Checker) recordViolation(rule string, at time.Duration, format string, args ...any) {
 	if c.inLagSpan(at) {
 		return
@@ -92,7 +101,7 @@
 	violation.Count++
 }
 
-// RecordLag marks a span in which the lab lagged: no timing rule is judged inside it.
+// RecordLag marks a span in which the lab lagged: no rule is checked inside the span.
 func (c *Checker) RecordLag(from, to time.Duration) {
 	c.lagSpans = append(c.lagSpans, [2]time.Duration{from, to})
 	for second := from / time.Second; second <= to/time.Second; second++ {
@@ -100,6 +109,7 @@
 	}
 }
 
+// inLagSpan reports whether a time lies in a span of the lab's lag, widened by the slack on both sides.
 func (c *Checker) inLagSpan(at time.Duration) bool {
 	for _, span := range c.lagSpans {
 		if at >= span[0]-c.rules.Slack && at <= span[1]+c.rules.Slack {
@@ -109,25 +119,28 @@
 	return false
 }
 
-// AddServer names a server. started is the moment of a cold start, or negative for one warm from the beginning.
+// AddServer registers a server. startedAt is the time of a cold start, or negative for a server that is warm from the
+// beginning; capacity is in set-ups a second when warm.
 func (c *Checker) AddServer(name string, capacity float64, startedAt time.Duration) {
 	c.servers[name] = &serverState{retiredAt: -1, startedAt: startedAt, capacity: capacity}
 }
 
-// Retire says that a server has been told draining or gone, at the moment the last softswitch was told.
+// RecordRetirement records that a server has been reported as draining or gone. at is when the last softswitch was
+// told.
 func (c *Checker) RecordRetirement(name string, at time.Duration) {
 	if s := c.servers[name]; s != nil && s.retiredAt < 0 {
 		s.retiredAt = at
 	}
 }
 
-// RecordSetUp is a caller's set-up to a softswitch, written whole, that its caller waits for until giveUp.
+// RecordSetUp records a caller's set-up that was sent to a softswitch whole; the caller waits for the answer until
+// giveUp.
 func (c *Checker) RecordSetUp(at time.Duration, id uint64, memberIndex int, giveUp time.Duration) {
 	c.setUps[id] = &setUpState{sent: at, giveUp: giveUp, memberIndex: memberIndex}
 	c.secondAt(at).Offered++
 }
 
-// Withdraw takes back a set-up that could not be written whole after all: nothing is owed for it.
+// Withdraw takes back a set-up that could not be written whole: no answer is expected for it.
 func (c *Checker) Withdraw(id uint64) {
 	if s := c.setUps[id]; s != nil {
 		c.secondAt(s.sent).Offered--
@@ -135,7 +148,8 @@
 	}
 }
 
-// RecordFinalAnswer is a final answer to a set-up: served says it stands, else it was refused.
+// RecordFinalAnswer records a final answer to a set-up: served says that the call is established, otherwise the
+// set-up was refused.
 func (c *Checker) RecordFinalAnswer(at time.Duration, id uint64, served bool) {
 	s := c.setUps[id]
 	if s == nil {
@@ -148,7 +162,7 @@
 		return
 	}
 	if s.resolved && !served {
-		return // the refusal of one given up, crossing
+		return // a refusal that crossed the caller's give-up
 	}
 	s.resolved = true
 	if s.served = served; served {
@@ -158,16 +172,18 @@
 	}
 }
 
-// RecoveryStats is how a softswitch served that came back: its share of the set-ups sent to it that were answered, and its peers'
-// of theirs, in each second since its first call.
+// RecoveryStats compares a restarted softswitch with the other softswitches: the share of the set-ups sent to it that
+// were answered and the same share of the set-ups sent to the others, for each second since its first call after the
+// restart.
 type RecoveryStats struct {
-	Name  string
-	First time.Duration // its first call
-	Share []float64     // negative: no call came in that second
-	Peers []float64
+	Name  string        // of the restarted softswitch
+	First time.Duration // time of the first call after the restart
+	Share []float64     // index: second since First; -1 for a second without calls
+	Peers []float64     // as Share, for all other softswitches together
 }
 
-// Recovery says how the softswitch at a place served in so many seconds from its first call after a moment on; nil: none came.
+// Recovery compares a softswitch with the others in the given number of seconds from its first call at or after a
+// time; it returns nil if no such call came.
 func (c *Checker) Recovery(index int, after time.Duration, seconds int) *RecoveryStats {
 	first := time.Duration(-1)
 	for _, s := range c.setUps {
@@ -178,7 +194,8 @@
 	if first < 0 {
 		return nil
 	}
-	stats := &RecoveryStats{Name: MemberName(index), First: first, Share: make([]float64, seconds), Peers: make([]float64, seconds)}
+	stats := &RecoveryStats{Name: MemberName(index), First: first, Share: make([]float64, seconds),
+		Peers: make([]float64, seconds)}
 	offered, served := make([][2]float64, seconds), make([][2]float64, seconds)
 	for _, s := range c.setUps {
 		i := int((s.sent - first) / time.Second)
@@ -203,8 +220,9 @@
 	return stats
 }
 
-// RecordUnanswered says that a set-up's caller gave up without a final answer, or lost its connection. excused says that
-// a fault the lab made (a kill, a pause, a stop) stood in its way; such a set-up is counted, not judged.
+// RecordUnanswered records that a set-up's caller gave up without a final answer, or lost its connection. excused
+// says that a fault that the lab injected (a kill, a pause, a stop) prevented the answer; such a set-up is counted,
+// but is no violation.
 func (c *Checker) RecordUnanswered(at time.Duration, id uint64, excused bool) {
 	s := c.setUps[id]
 	if s == nil || s.resolved {
@@ -217,13 +235,13 @@
 	}
 	c.secondAt(at).Lost++
 	if at+c.rules.Slack < s.giveUp {
-		c.recordViolation("set-up lost", at, "call %016x: its connection ended with no answer", id)
+		c.recordViolation("set-up lost", at, "call %016x: the caller's connection ended without an answer", id)
 	} else {
 		c.recordViolation("no final answer before give-up", at, "call %016x sent at %v", id, s.sent)
 	}
 }
 
-// RecordAttempt says that an attempt of a call reached a server whole.
+// RecordAttempt records that an attempt of a call reached a server whole.
 func (c *Checker) RecordAttempt(at time.Duration, server string, id uint64) {
 	call := c.calls[id]
 	if call == nil {
@@ -235,10 +253,10 @@
 	}
 	call.attempts++
 	if call.attempts == c.rules.MaxAttempts+1 {
-		c.recordViolation("too many attempts", at, "call %016x: %d", id, call.attempts)
+		c.recordViolation("too many attempts", at, "call %016x: %d attempts", id, call.attempts)
 	}
 	if call.guardFrom >= 0 && at+c.rules.Slack < call.guardFrom+c.rules.ReleaseGuard {
-		c.recordViolation("release gap", at, "call %016x again after %v", id, at-call.guardFrom)
+		c.recordViolation("release gap", at, "call %016x sent again after %v", id, at-call.guardFrom)
 	}
 	call.outstandingAt = server
 	c.secondAt(at).Arrivals[server]++
@@ -248,12 +266,14 @@
 		return
 	}
 	if s.retiredAt >= 0 && at > s.retiredAt+c.rules.DrainGrace+c.rules.Slack {
-		c.recordViolation("new attempt at a retired server", at, "call %016x at %s, %v after it was told", id, server, at-s.retiredAt)
+		c.recordViolation("new attempt at a retired server", at,
+			"call %016x at %s, %v after the softswitches were told", id, server, at-s.retiredAt)
 	}
 	c.checkColdBudget(at, server, s)
 }
 
-// cold holds a just-started server to its budget over every window: tip-multiple x present capacity x window.
+// checkColdBudget checks that a server that has just started gets at most tip-multiple x present capacity x window
+// attempts in every window, plus ColdSlack.
 func (c *Checker) checkColdBudget(at time.Duration, name string, s *serverState) {
 	if s.startedAt < 0 || at-s.startedAt > c.rules.Ramp+c.rules.TipWindow {
 		s.recentAttempts = nil
@@ -265,11 +285,12 @@
 	s.recentAttempts = slices.Delete(s.recentAttempts, 0, i)
 	budget := c.rules.TipMultiple * c.Capacity(name, at) * c.rules.TipWindow.Seconds()
 	if attempts := len(s.recentAttempts); float64(attempts) > budget+float64(c.rules.ColdSlack) {
-		c.recordViolation("cold server pushed over", at, "%s: %d attempts in %v, budget %.1f", name, attempts, c.rules.TipWindow, budget)
+		c.recordViolation("cold server pushed over", at, "%s: %d attempts in %v, budget %.1f", name, attempts,
+			c.rules.TipWindow, budget)
 	}
 }
 
-// Capacity is what a server can do at a moment, in set-ups a second, as the judge holds it to.
+// Capacity returns what a server can handle at a time, in set-ups a second, as the checker sees it.
 func (c *Checker) Capacity(name string, at time.Duration) float64 {
 	s := c.servers[name]
 	if s == nil {
@@ -278,7 +299,7 @@
 	return c.rules.RampedCapacity(s.capacity, s.startedAt, at)
 }
 
-// RecordAttemptEnd says that an attempt ended at its server, and how.
+// RecordAttemptEnd records that an attempt ended at its server, and how.
 func (c *Checker) RecordAttemptEnd(at time.Duration, server string, id uint64, outcome AttemptOutcome) {
 	call := c.calls[id]
 	if call == nil || call.outstandingAt != server {
@@ -290,7 +311,8 @@
 	}
 }
 
-// CheckOpen judges what is still open at the end of a run: a set-up unanswered past its give-up is a breach.
+// CheckOpen checks the set-ups that are still unanswered at the end of a run: a set-up past its give-up is a
+// violation.
 func (c *Checker) CheckOpen(at time.Duration) {
 	for id, s := range c.setUps {
 		if !s.resolved && at > s.giveUp+c.rules.Slack {
@@ -299,15 +321,15 @@
 	}
 }
 
-// Violations are the broken invariants, first seen first.
+// Violations returns the violated rules, ordered by the time of the first violation.
 func (c *Checker) Violations() []Violation {
 	var violations []Violation
 	for _, violation := range c.violations {
 		violations = append(violations, *violation)
 	}
-	slices.SortFunc(violations, func(a, violation Violation) int { return int(a.First - violation.First) })
+	slices.SortFunc(violations, func(a, b Violation) int { return int(a.First - b.First) })
 	return violations
 }
 
-// PerSecond are the rows of the per-second table.
+// PerSecond returns the rows of the per-second table.
 func (c *Checker) PerSecond() []SecondStats { return c.seconds }
--- a/internal/lab/checker_test.go
+++ b/internal/lab/checker_test.go
@@ -5,11 +5,13 @@
 	"time"
 )
 
+// testRules are the rules of DefaultSettings.
 var testRules = Rules{MaxAttempts: 4, ReleaseGuard: 200 * time.Millisecond, DrainGrace: 250 * time.Millisecond,
 	TipMultiple: 2.5, TipWindow: time.Second, ColdFrom: 0.3, Ramp: 14 * time.Second, Slack: 50 * time.Millisecond, ColdSlack: 3}
 
 const ms = time.Millisecond
 
+// violatedRules returns the rules of the checker's violations.
 func violatedRules(checker *Checker) []string {
 	var names []string
 	for _, violation := range checker.Violations() {
@@ -18,30 +20,30 @@
 	return names
 }
 
-// Each invariant is seen broken by a story that breaks it, and held by its twin that doesn't.
+// Each rule is reported, and no other rule, for a sequence of events that violates it.
 func TestCheckerReportsEachViolation(t *testing.T) {
 	for _, test := range []struct {
 		name, want string
 		events     func(checker *Checker)
 	}{
-		{"two answers", "two final answers", func(checker *Checker) {
+		{"two final answers", "two final answers", func(checker *Checker) {
 			checker.RecordSetUp(0, 1, 0, 1500*ms)
 			checker.RecordFinalAnswer(10*ms, 1, true)
 			checker.RecordFinalAnswer(20*ms, 1, false)
 		}},
-		{"none before give-up", "no final answer before give-up", func(checker *Checker) {
+		{"no answer before give-up", "no final answer before give-up", func(checker *Checker) {
 			checker.RecordSetUp(0, 1, 0, 1500*ms)
 			checker.RecordUnanswered(1500*ms, 1, false)
 		}},
-		{"none at the end", "no final answer before give-up", func(checker *Checker) {
+		{"no answer at the end of the run", "no final answer before give-up", func(checker *Checker) {
 			checker.RecordSetUp(0, 1, 0, 1500*ms)
 			checker.CheckOpen(2 * time.Second)
 		}},
-		{"lost with its connection", "set-up lost", func(checker *Checker) {
+		{"caller connection lost", "set-up lost", func(checker *Checker) {
 			checker.RecordSetUp(0, 1, 0, 1500*ms)
 			checker.RecordUnanswered(100*ms, 1, false)
 		}},
-		{"two out", "two attempts out", func(checker *Checker) {
+		{"two outstanding attempts", "two attempts out", func(checker *Checker) {
 			checker.RecordAttempt(0, "a", 1)
 			checker.RecordAttempt(5*ms, "b", 1)
 		}},
@@ -52,7 +54,7 @@
 				checker.RecordAttemptEnd(at+ms, "a", 1, Refused)
 			}
 		}},
-		{"again too soon", "release gap", func(checker *Checker) {
+		{"sent again within the release guard", "release gap", func(checker *Checker) {
 			checker.RecordAttempt(0, "a", 1)
 			checker.RecordAttemptEnd(10*ms, "a", 1, ConnectionReset)
 			checker.RecordAttempt(100*ms, "b", 1)
@@ -61,8 +63,8 @@
 			checker.RecordRetirement("a", 0)
 			checker.RecordAttempt(400*ms, "a", 1)
 		}},
-		{"a cold server flooded", "cold server pushed over", func(checker *Checker) {
-			checker.AddServer("c", 100, 0) // 30 a second at first: a budget of 75 in a second
+		{"more than the cold-server budget", "cold server pushed over", func(checker *Checker) {
+			checker.AddServer("c", 100, 0) // capacity 30 a second at first, so the budget is 75 attempts in a second
 			for i := range 90 {
 				checker.RecordAttempt(time.Duration(i)*10*ms, "c", uint64(i+10))
 			}
@@ -73,11 +75,12 @@
 		checker.AddServer("b", 100, -1)
 		test.events(checker)
 		if got := violatedRules(checker); len(got) != 1 || got[0] != test.want {
-			t.Errorf("%s: broken %v, want %q", test.name, got, test.want)
+			t.Errorf("%s: violated %v, want %q", test.name, got, test.want)
 		}
 	}
 }
 
+// A run that keeps every rule, some only within the slack, has no violation.
 func TestCheckerAcceptsCorrectRun(t *testing.T) {
 	checker := NewChecker(testRules)
 	checker.AddServer("a", 100, -1)
@@ -85,38 +88,38 @@
 	checker.RecordSetUp(0, 1, 0, 1500*ms)
 	checker.RecordAttempt(0, "a", 1)
 	checker.RecordAttemptEnd(10*ms, "a", 1, ConnectionReset)
-	checker.RecordAttempt(260*ms, "a", 1) // after the gap
+	checker.RecordAttempt(260*ms, "a", 1) // after the release guard
 	checker.RecordAttemptEnd(270*ms, "a", 1, Answered)
 	checker.RecordFinalAnswer(271*ms, 1, true)
 	checker.RecordSetUp(0, 2, 0, 1500*ms)
-	checker.RecordUnanswered(300*ms, 2, true) // excused: a fault of the lab's stood in its way
+	checker.RecordUnanswered(300*ms, 2, true) // excused: a fault that the lab injected prevented the answer
 	checker.RecordRetirement("a", 300*ms)
-	checker.RecordAttempt(590*ms, "a", 3) // within the grace and its slack
-	for i := range 70 {                   // within the cold budget, with the slack for chance
+	checker.RecordAttempt(590*ms, "a", 3) // within the drain grace and the slack
+	for i := range 70 {                   // within the cold-server budget, with the slack for chance
 		checker.RecordAttempt(time.Duration(i)*10*ms, "c", uint64(i+10))
 	}
 	checker.CheckOpen(3 * time.Second)
 	if got := violatedRules(checker); len(got) > 0 {
-		t.Fatalf("broken %v", got)
+		t.Fatalf("violated %v", got)
 	}
 	if s := checker.PerSecond()[0]; s.Offered != 2 || s.Served != 1 || s.Excused != 1 || s.Arrivals["c"] != 70 {
 		t.Fatalf("second 0: %+v", s)
 	}
 }
 
-// Where the lab lagged, a lateness is its own, not the fleet's.
+// While the lab itself lags, a late answer is the lab's delay and not the fleet's.
 func TestCheckerIgnoresViolationsDuringLag(t *testing.T) {
 	checker := NewChecker(testRules)
 	checker.RecordSetUp(0, 1, 0, 1500*ms)
 	checker.RecordLag(1400*ms, 1600*ms)
 	checker.RecordUnanswered(1500*ms, 1, false)
 	if got := violatedRules(checker); len(got) > 0 {
-		t.Fatalf("broken %v", got)
+		t.Fatalf("violated %v", got)
 	}
 }
 
-// One that came back is compared with its peers by the second in which each set-up was sent, from its first call after it
-// was started again; what came to it before is not its return.
+// A restarted softswitch is compared with its peers by the second in which each set-up was sent, from the first call
+// after the restart on; earlier calls don't count.
 func TestRecoveryStats(t *testing.T) {
 	checker := NewChecker(Rules{Slack: 50 * ms})
 	id := uint64(0)
@@ -132,10 +135,11 @@
 	}
 	recordCall(6500*ms, 2, true)
 	stats := checker.Recovery(1, 4000*ms, 3)
-	if stats == nil || stats.First != 5000*ms || stats.Share[0] != 0.75 || stats.Peers[0] != 0.25 || stats.Share[1] != -1 || stats.Peers[1] != 1 || stats.Peers[2] != -1 {
+	if stats == nil || stats.First != 5000*ms || stats.Share[0] != 0.75 || stats.Peers[0] != 0.25 ||
+		stats.Share[1] != -1 || stats.Peers[1] != 1 || stats.Peers[2] != -1 {
 		t.Errorf("%+v", stats)
 	}
 	if checker.Recovery(1, 6000*ms, 3) != nil {
-		t.Error("a return without a call")
+		t.Error("recovery of a softswitch that got no call")
 	}
 }
--- a/internal/lab/command_channel.go
+++ b/internal/lab/command_channel.go
@@ -11,42 +11,47 @@
 	"time"
 )
 
-// channel is the command channel (PROTOCOL, "The command channel"): the list of servers as numbered events, served
-// as server-sent events on a listener for each softswitch, each told the addresses reserved for it.
+// commandChannel is the command channel (PROTOCOL, "The command channel"). It sends the list of servers as numbered
+// server-sent events. It has a listener for each softswitch, and each softswitch reads the server addresses that are
+// reserved for it.
 type commandChannel struct {
-	mu            sync.Mutex
-	events        []listEvent
-	changed       chan struct{} // closed and replaced at each new event
-	listeners     []net.Listener
+	mu        sync.Mutex     // guards events and changed
+	events    []listEvent    // the event with cursor n has index n-1
+	changed   chan struct{}  // closed and replaced at each new event
+	listeners []net.Listener // by softswitch
+	// serverAddress returns the address at which a softswitch reaches a server.
 	serverAddress func(server string, memberIndex int) string
 	wg            sync.WaitGroup
-	done          chan struct{}
+	done          chan struct{} // closed to end the channel
 }
 
+// listEvent is one event of the server list: a full list (snapshot) or changes to it.
 type listEvent struct {
 	snapshot bool
 	changes  []serverChange
 }
 
+// serverChange is a server's new status on the channel: in_service, terminating or terminated.
 type serverChange struct {
 	name, status string
-	sinceMS      int64 // Unix milliseconds of a late start, or 0
+	sinceMS      int64 // start time of a server that starts late, in Unix milliseconds; otherwise 0
 }
 
+// newCommandChannel opens a listener on each host, one for each softswitch, and serves them.
 func newCommandChannel(hosts []string, serverAddress func(string, int) string) (*commandChannel, error) {
-	channel := &commandChannel{changed: make(chan struct{}), serverAddress: serverAddress, done: make(chan struct{})}
+	ch := &commandChannel{changed: make(chan struct{}), serverAddress: serverAddress, done: make(chan struct{})}
 	var err error
-	if channel.listeners, err = listenEach(hosts); err != nil {
+	if ch.listeners, err = listenEach(hosts); err != nil {
 		return nil, err
 	}
-	for i, l := range channel.listeners {
-		channel.wg.Add(1)
-		go channel.accept(i, l)
+	for i, listener := range ch.listeners {
+		ch.wg.Add(1)
+		go ch.accept(i, listener)
 	}
-	return channel, nil
+	return ch, nil
 }
 
-// tell adds an event to the channel. It counts as told from now on.
+// publish adds an event to the channel. A softswitch that is started from now on gets the event in its configuration.
 func (ch *commandChannel) publish(snapshot bool, changes ...serverChange) {
 	ch.mu.Lock()
 	ch.events = append(ch.events, listEvent{snapshot, changes})
@@ -55,19 +60,22 @@
 	ch.mu.Unlock()
 }
 
-// event is the text of the event with this number, as a softswitch is to read it.
+// eventText returns the event with a cursor as JSON, with the server addresses for one softswitch. The caller holds
+// mu.
 func (ch *commandChannel) eventText(cursor int, memberIndex int) string {
 	event := ch.events[cursor-1]
 	endpoints := []map[string]any{}
 	for _, c := range event.changes {
-		endpoints = append(endpoints, map[string]any{"name": c.name, "address": ch.serverAddress(c.name, memberIndex), "zone": "lab",
-			"type": "std", "group": 0, "status": c.status, "weight": 1, "since_ms": c.sinceMS})
+		endpoints = append(endpoints, map[string]any{"name": c.name, "address": ch.serverAddress(c.name, memberIndex),
+			"zone": "lab", "type": "std", "group": 0, "status": c.status, "weight": 1, "since_ms": c.sinceMS})
 	}
-	text, _ := json.Marshal(map[string]any{"cursor": cursor, "nodes": map[string]any{"index": cursor, "snapshot": event.snapshot, "endpoints": endpoints}})
+	text, _ := json.Marshal(map[string]any{"cursor": cursor,
+		"nodes": map[string]any{"index": cursor, "snapshot": event.snapshot, "endpoints": endpoints}})
 	return string(text)
 }
 
-// known is what a softswitch that starts now is told in its configuration.
+// initialState returns the channel's state for the configuration of a softswitch that starts now: the last cursor and
+// all events.
 func (ch *commandChannel) initialState(memberIndex int) map[string]any {
 	ch.mu.Lock()
 	defer ch.mu.Unlock()
@@ -78,6 +86,7 @@
 	return map[string]any{"cursor": len(ch.events), "cmds": cmds}
 }
 
+// accept serves a softswitch's connections until its listener is closed.
 func (ch *commandChannel) accept(memberIndex int, listener net.Listener) {
 	defer ch.wg.Done()
 	for {
@@ -90,6 +99,8 @@
 	}
 }
 
+// serve answers one request with the stream of events after the request's Last-Event-ID, and a keepalive comment
+// every second.
 func (ch *commandChannel) serve(memberIndex int, conn net.Conn) {
 	defer ch.wg.Done()
 	defer conn.Close()
@@ -141,6 +152,7 @@
 	}
 }
 
+// close closes the listeners and streams and waits for them.
 func (ch *commandChannel) close() {
 	select {
 	case <-ch.done:
--- a/internal/lab/environment.go
+++ b/internal/lab/environment.go
@@ -11,9 +11,12 @@
 	"time"
 )
 
+// loopbackAddress returns the loopback address of a softswitch in one of the lab's networks: 1 softswitches, 2
+// stand-in servers, 3 command channel, 4 relay.
 func loopbackAddress(network, index int) string { return fmt.Sprintf("127.0.%d.%d", network, index+1) }
 
-// build starts the stand-ins, the channel, the relay and the softswitches, and waits until every softswitch is ready.
+// startAll starts the stand-in servers, the command channel, the relay and the softswitches, and waits until every
+// softswitch is ready.
 func (r *runner) startAll() error {
 	tierSize := r.scenario.Softswitches
 	var hosts [4][]string
@@ -40,7 +43,8 @@
 		r.serverOrder = append(r.serverOrder, config.Name)
 	}
 	var err error
-	if r.channel, err = newCommandChannel(hosts[2], func(name string, from int) string { return r.servers[name].addressFor(from) }); err != nil {
+	if r.channel, err = newCommandChannel(hosts[2],
+		func(name string, memberIndex int) string { return r.servers[name].addressFor(memberIndex) }); err != nil {
 		return err
 	}
 	var initial []serverChange
@@ -89,8 +93,8 @@
 			return err
 		}
 	}
-	// A port that another program took since it was picked ends a softswitch at its start: it gets new ones,
-	// at most three times, before it is known to any peer or caller.
+	// If another program takes a port between its choice and the softswitch's start, the softswitch's process exits.
+	// It gets new ports, at most three times; no peer or caller knows the softswitch's ports yet.
 	for attempt := 0; ; attempt++ {
 		err := r.waitReady(r.members)
 		var exited *exitedAtStart
@@ -104,21 +108,22 @@
 		if m.mgmtAddr, err = r.pickPort("tcp", hosts[0][m.index]); err != nil {
 			return err
 		}
-		r.options.Log.Warn().Str("softswitch", m.name).Msg("ended at its start; new ports")
+		r.options.Log.Warn().Str("softswitch", m.name).Msg("process exited before it was ready; starting with new ports")
 		if err := r.launch(m); err != nil {
 			return err
 		}
 	}
 }
 
-// endedAtStart is a softswitch whose process ended before it was ready.
+// exitedAtStart is the error for a softswitch whose process exited before it was ready.
 type exitedAtStart struct{ member *member }
 
+// Error names the softswitch and the log of its process.
 func (e *exitedAtStart) Error() string {
-	return fmt.Sprintf("%s ended at its start; its log is %s", e.member.name, filepath.Join(e.member.dir, "log.jsonl"))
+	return fmt.Sprintf("%s exited before it was ready; its log is %s", e.member.name, filepath.Join(e.member.dir, "log.jsonl"))
 }
 
-// launch starts a member with a configuration of now.
+// launch starts a member's process with a configuration that contains the present list of servers.
 func (r *runner) launch(m *member) error {
 	var peers []string
 	allPeersAddr := ""
@@ -130,9 +135,12 @@
 	if err != nil {
 		return err
 	}
-	return m.start(r.options.Binary, memberConfig(m, seed, r.channel.listeners[m.index].Addr().String(), r.channel.initialState(m.index), peers, allPeersAddr, settings), r.membersFile)
+	return m.start(r.options.Binary,
+		memberConfig(m, seed, r.channel.listeners[m.index].Addr().String(), r.channel.initialState(m.index),
+			peers, allPeersAddr, settings), r.membersFile)
 }
 
+// waitReady waits until all the given members are ready, at most for the scenario's start timeout.
 func (r *runner) waitReady(members []*member) error {
 	deadline := time.Now().Add(r.scenario.StartTimeout.Duration)
 	for _, m := range members {
@@ -149,6 +157,8 @@
 	return nil
 }
 
+// teardown closes the callers' connections and ends the processes, the stand-in servers, the command channel and the
+// relay.
 func (r *runner) teardown() {
 	r.connMu.Lock()
 	for _, conns := range r.callerConns {
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// faults plays the plan. What waits for softswitches to be ready runs beside it, so that no step is late for it.
+// runFaults executes the plan's actions at their times. Work that waits for softswitches to become ready runs in the
+// background, so that it delays no later action.
 func (r *runner) runFaults(stop chan struct{}) {
 	var background sync.WaitGroup
 	defer background.Wait()
@@ -21,6 +22,7 @@
 	}
 }
 
+// membersAt returns the members with the given indexes.
 func (r *runner) membersAt(indexes []int) []*member {
 	var members []*member
 	for _, index := range indexes {
@@ -29,16 +31,18 @@
 	return members
 }
 
-// act does one step of the plan.
+// perform executes one action of the plan. Tasks that wait run in goroutines counted by background.
 func (r *runner) perform(action Action, background *sync.WaitGroup) {
 	now := r.now()
 	if action.Fault >= 0 {
 		fault := r.scenario.Faults[action.Fault]
 		r.mu.Lock()
-		r.injectedFaults = append(r.injectedFaults, InjectedFault{At: now.Seconds(), Kind: fault.Kind, Detail: fmt.Sprint(fault.Target, fault.Groups, fault.Server)})
+		r.injectedFaults = append(r.injectedFaults,
+			InjectedFault{At: now.Seconds(), Kind: fault.Kind, Detail: fmt.Sprint(fault.Target, fault.Groups, fault.Server)})
 		r.mu.Unlock()
 	}
-	r.options.Log.Info().Stringer("act", action.Kind).Ints("places", action.Members).Str("server", action.Server).Dur("at", now).Msg("step")
+	r.options.Log.Info().Stringer("act", action.Kind).Ints("places", action.Members).
+		Str("server", action.Server).Dur("at", now).Msg("step")
 	members := r.membersAt(action.Members)
 	inBackground := func(task func()) {
 		background.Add(1)
@@ -59,7 +63,7 @@
 			for _, m := range members {
 				m.stop(syscall.SIGKILL, time.Second)
 				if err := r.launch(m); err != nil {
-					r.options.Log.Error().Err(err).Str("softswitch", m.name).Msg("restart")
+					r.options.Log.Error().Err(err).Str("softswitch", m.name).Msg("restart failed")
 				}
 			}
 			r.waitReady(members)
@@ -118,7 +122,7 @@
 	}
 }
 
-// hinder says that a softswitch is in trouble from now on, or no more.
+// recordFault records that the lab begins (begins true) or ceases to disturb a softswitch by a fault of this kind.
 func (r *runner) recordFault(m *member, kind string, begins bool) {
 	now := r.now()
 	m.markFaultSpan(now, begins)
--- a/internal/lab/listeners.go
+++ b/internal/lab/listeners.go
@@ -2,7 +2,8 @@
 
 import "net"
 
-// freePort asks the system for a free port on a host, for a program that will listen there itself.
+// freePort returns an address with a port that is free on a host now, for a program that will listen there itself.
+// Another program can take the port first.
 func freePort(network, host string) (string, error) {
 	switch network {
 	case "udp":
@@ -21,7 +22,8 @@
 	return listener.Addr().String(), nil
 }
 
-// listenEach opens a TCP listener on a free port of each host, one for each softswitch; all or none.
+// listenEach opens a TCP listener on a free port of each host, one host for each softswitch. If one fails, none stays
+// open.
 func listenEach(hosts []string) ([]net.Listener, error) {
 	var listeners []net.Listener
 	for _, host := range hosts {
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// load sends set-ups at the scenario's rate, to the softswitches that are ready, in turn; it measures its own lag
-// and tells the judge where it lagged so that no timing is judged there.
+// generateLoad sends set-ups at the scenario's rate to the ready softswitches, in turn or by their shares. It
+// measures its own lag and reports lag above MaxLag to the checker, so that no timing is checked there.
 func (r *runner) generateLoad() {
 	const tick = 5 * time.Millisecond
 	due, next, class := 0.0, 0, 0
@@ -44,7 +44,8 @@
 	}
 }
 
-// whose turn it is by shares: each gains its share, and who has most gives all of one turn (smooth weighted round robin).
+// nextByShare picks the next softswitch by smooth weighted round robin: each softswitch's credit grows by its share,
+// and the softswitch with the highest credit is picked and pays the sum of all shares.
 func nextByShare(credit, shares []float64) (best int) {
 	total := 0.0
 	for i, share := range shares {
@@ -57,7 +58,8 @@
 	return best
 }
 
-// send sends one set-up to the next ready softswitch, on one of its callers' connections.
+// sendSetUp sends one set-up to the next ready softswitch, on one of the callers' connections to it. It reports
+// whether a softswitch could be reached.
 func (r *runner) sendSetUp(next *int, class string) bool {
 	for range len(r.members) {
 		index := *next % len(r.members)
@@ -77,7 +79,8 @@
 	return false
 }
 
-// conn is a caller's connection to a softswitch, dialled anew where the last one has ended.
+// connTo returns a callers' connection to a softswitch, dialled anew if the last one in this slot has ended; nil if
+// the dial fails.
 func (r *runner) connTo(index, slot int) *callerConn {
 	r.connMu.Lock()
 	defer r.connMu.Unlock()
--- a/internal/lab/maintenance_checker.go
+++ b/internal/lab/maintenance_checker.go
@@ -2,17 +2,18 @@
 
 import "time"
 
-// MaintenanceRun is one time that a softswitch was out for work. Times are since the start of the run; negative: it did not come to
-// that.
+// MaintenanceRun is one time that a softswitch was out of service for maintenance. Times are since the start of the
+// run; a negative time: the event was not seen.
 type MaintenanceRun struct {
 	Softswitch string        `json:"softswitch"`
-	OutAt      time.Duration `json:"out_ns"`   // it sends its callers away
-	ReadyAt    time.Duration `json:"ready_ns"` // nothing is left on it
-	BackAt     time.Duration `json:"back_ns"`  // it holds its slot no more
-	index      int
+	OutAt      time.Duration `json:"out_ns"`   // the softswitch is granted maintenance and sends its callers away
+	ReadyAt    time.Duration `json:"ready_ns"` // no call or connection remains on the softswitch
+	BackAt     time.Duration `json:"back_ns"`  // the softswitch no longer holds its maintenance slot
+	index      int           // of the softswitch
 }
 
-// RecordMaintenance takes in what a softswitch says of itself: that it is out, and ready for work.
+// RecordMaintenance records what a softswitch says of itself: whether it is out of service for maintenance, and ready
+// for the work.
 func (c *TierChecker) RecordMaintenance(at time.Duration, index int, outOfService, ready bool) {
 	var current *MaintenanceRun
 	for _, run := range c.maintenanceRuns {
@@ -35,25 +36,29 @@
 	}
 }
 
-// CheckMaintenanceBudget judges how many softswitches are out for work, by their readiness as it is seen from outside. Those that the lab itself
-// hinders, or has just ceased to, are not counted; one that the lab's operator works on is.
+// CheckMaintenanceBudget checks how many softswitches are out for maintenance, by their readiness as seen from
+// outside. A softswitch that the lab itself disturbs, or has just ceased to disturb, is not counted, unless the
+// disturbance is the lab operator's maintenance work.
 func (c *TierChecker) CheckMaintenanceBudget(at time.Duration, budget int, unready func(index int) bool) {
 	outOfService := 0
 	for index := range c.lastViews {
 		switch {
 		case c.faulted[index] && !c.underMaintenance(index):
-		case !c.faulted[index] && c.faultEndedAt[index] >= 0 && at < c.faultEndedAt[index]+recoveryGrace && !c.underMaintenance(index):
+		case !c.faulted[index] && c.faultEndedAt[index] >= 0 && at < c.faultEndedAt[index]+recoveryGrace &&
+			!c.underMaintenance(index):
 		case unready(index):
 			outOfService++
 		}
 	}
 	if outOfService > budget {
-		c.recordViolation("more out than the budget", at, "%d of at most %d are not ready", outOfService, budget)
+		c.recordViolation("more out than the budget", at,
+			"%d softswitches are not ready, at most %d may be out for maintenance", outOfService, budget)
 	}
 	c.maxOut = max(c.maxOut, outOfService)
 }
 
-// atWork says whether the last trouble of a softswitch is its operator's, and not over.
+// underMaintenance reports whether the last fault recorded for a softswitch is the operator's maintenance work, and
+// has not ended.
 func (c *TierChecker) underMaintenance(index int) bool {
 	for i := len(c.detections) - 1; i >= 0; i-- {
 		if d := c.detections[i]; d.index == index {
@@ -63,7 +68,8 @@
 	return false
 }
 
-// CheckMaintained judges that each of some softswitches has been ready for work exactly once, and is back.
+// CheckMaintained checks that each of the given softswitches has been ready for maintenance exactly once, and is back
+// in service.
 func (c *TierChecker) CheckMaintained(at time.Duration, indexes []int) {
 	for _, index := range indexes {
 		readyRuns, back := 0, true
@@ -74,7 +80,8 @@
 			}
 		}
 		if readyRuns != 1 || !back {
-			c.recordViolation("not maintained once", at, "%s was ready for work %d times, and is back: %t", MemberName(index), readyRuns, back)
+			c.recordViolation("not maintained once", at, "%s was ready for maintenance %d times; back in service: %t",
+				MemberName(index), readyRuns, back)
 		}
 	}
 }
--- a/internal/lab/member.go
+++ b/internal/lab/member.go
@@ -19,31 +19,35 @@
 	"elmseam/internal/mgmt"
 )
 
-// member is one softswitch process of the fleet, always under the same name and addresses.
+// member is one softswitch process of the fleet. A restarted process keeps the member's name and addresses.
 type member struct {
-	index                          int
-	name                           string
+	index int // place in the fleet, from 0
+	name  string
+	// Addresses for callers, for the admin endpoint and for datagrams between softswitches.
 	listenAddr, mgmtAddr, peerAddr string
-	dir                            string
-	underMaintenance               bool // the lab's operator is at work on it
-	mu                             sync.Mutex
-	cmd                            *exec.Cmd
-	exited                         chan struct{}
-	faultSpans                     [][2]time.Duration // spans in which a fault of the lab stood in its way; an open one ends at -1
-	ready                          bool               // at the last sample
-	starts                         int
-	counters                       map[string]int64 // its door's at the last sample, with those of earlier lives
-	earlierCounters                map[string]int64 // those alone
+	// dir holds the configuration and the log of the process.
+	dir              string
+	underMaintenance bool          // the lab's operator works on the member; guarded by the runner's lock
+	mu               sync.Mutex    // guards the fields below
+	cmd              *exec.Cmd     // the present or last process
+	exited           chan struct{} // closed when that process has exited
+	// faultSpans are the spans in which a fault that the lab injected disturbs the member: start and end; -1 as the
+	// end of a span that is still open.
+	faultSpans      [][2]time.Duration
+	ready           bool             // at the last sample
+	starts          int              // processes started so far
+	counters        map[string]int64 // counters of the admin endpoint at the last sample, plus those of earlier processes
+	earlierCounters map[string]int64 // counters of earlier processes alone
 }
 
-// start runs the program with a configuration written anew, so that it knows the list as it is now. The child is
-// in a process group of its own and dies with the lab's thread that started it.
+// start runs the program with a newly written configuration, which has the present list of servers. The child is in
+// its own process group, and the kernel kills it when the lab's thread that started it ends.
 func (m *member) start(binary string, config []byte, membersFile string) error {
 	path := filepath.Join(m.dir, "config.json")
 	if err := os.WriteFile(path, config, 0o600); err != nil {
 		return err
 	}
-	signalling := filepath.Join(m.dir, "signalling.toml") // the second front stays off
+	signalling := filepath.Join(m.dir, "signalling.toml") // the M3UA protocol stays off
 	if err := os.WriteFile(signalling, []byte("enabled = false\n"), 0o600); err != nil {
 		return err
 	}
@@ -70,7 +74,7 @@
 	return nil
 }
 
-// signal sends a signal to the member's process group; it says whether there was one.
+// signal sends a signal to the member's process group and reports whether a running process got it.
 func (m *member) signal(sig syscall.Signal) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -85,7 +89,8 @@
 	return syscall.Kill(-m.cmd.Process.Pid, sig) == nil
 }
 
-// stop kills the member and waits for its end, at most a while.
+// stop signals the member's process, continuing it first if it is paused, and waits for its exit. After the timeout
+// the process is killed.
 func (m *member) stop(sig syscall.Signal, timeout time.Duration) {
 	m.signal(syscall.SIGCONT)
 	m.signal(sig)
@@ -103,6 +108,7 @@
 	}
 }
 
+// running reports whether the member has a process that has not exited.
 func (m *member) running() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -117,7 +123,7 @@
 	}
 }
 
-// trouble opens or closes a span in which the member is hindered by the lab.
+// markFaultSpan opens or closes a span in which the lab disturbs the member.
 func (m *member) markFaultSpan(at time.Duration, begins bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -130,7 +136,7 @@
 	}
 }
 
-// hindered says whether a span of trouble meets [from, to].
+// disturbedDuring reports whether a span of faults overlaps [from, to].
 func (m *member) disturbedDuring(from, to time.Duration) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -142,9 +148,10 @@
 	return false
 }
 
+// adminClient makes the requests to the softswitches' admin endpoints.
 var adminClient = &http.Client{Timeout: 300 * time.Millisecond}
 
-// sample reads the member's door: readiness, and the figures.
+// sample reads readiness and counters from the member's admin endpoint.
 func (m *member) sample() {
 	ready := false
 	if response, err := adminClient.Get("http://" + m.mgmtAddr + "/ops/readiness"); err == nil {
@@ -178,7 +185,7 @@
 	m.mu.Unlock()
 }
 
-// call calls the member's door.
+// callAdmin makes a request to the member's admin endpoint; status 0 means that the request failed.
 func (m *member) callAdmin(method, path string) (status int, text []byte) {
 	request, err := http.NewRequest(method, "http://"+m.mgmtAddr+path, nil)
 	if err != nil {
@@ -193,7 +200,7 @@
 	return response.StatusCode, text
 }
 
-// view reads what the member's door says of its tier.
+// readView reads the member's view of its tier from the admin endpoint.
 func (m *member) readView() (v View, ok bool) {
 	status, text := m.callAdmin(http.MethodGet, "/ops/members")
 	var tier mgmt.TierStatus
@@ -207,14 +214,16 @@
 	return v, true
 }
 
+// isReady returns the readiness at the last sample.
 func (m *member) isReady() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.ready
 }
 
-// configure is the configuration a member is started with (DEPLOY, "What a softswitch is told").
-func memberConfig(m *member, seed uint64, channelAddr string, initialState map[string]any, peers []string, allPeersAddr string, settings json.RawMessage) []byte {
+// memberConfig returns the JSON configuration that a member is started with (DEPLOY, "What a softswitch is told").
+func memberConfig(m *member, seed uint64, channelAddr string, initialState map[string]any, peers []string,
+	allPeersAddr string, settings json.RawMessage) []byte {
 	config := map[string]any{"name": m.name, "listen": m.listenAddr, "mgmt": m.mgmtAddr, "seed": fmt.Sprintf("%016x", seed),
 		"limits":  map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 1024},
 		"channel": channelAddr, "known": initialState, "settings": settings}
--- a/internal/lab/network_conditions.go
+++ b/internal/lab/network_conditions.go
@@ -5,23 +5,24 @@
 	"time"
 )
 
-// NetworkConditions is what happens to datagrams between softswitches now. It does no I/O; the relay asks it of each datagram.
+// NetworkConditions describes what the simulated network does to datagrams between softswitches at present. It does
+// no I/O; the relay calls Deliver for each datagram.
 type NetworkConditions struct {
-	Groups    map[int]int // softswitch → group; those in different groups don't hear each other
-	OneWay    bool        // only datagrams from group 0 to the others are dropped
-	Loss      float64
-	Duplicate float64
-	Delay     time.Duration
-	Reorder   time.Duration // each datagram held a random share of this
+	Groups    map[int]int   // softswitch index -> group; groups don't reach each other; nil: no partition
+	OneWay    bool          // only datagrams from group 0 to the other groups are dropped
+	Loss      float64       // probability that a datagram is dropped
+	Duplicate float64       // probability that a datagram is sent twice
+	Delay     time.Duration // added to every datagram
+	Reorder   time.Duration // each datagram is delayed by a further random time below this
 }
 
-// Delivery is what becomes of one datagram: dropped, or sent once or twice after these delays.
+// Delivery is what becomes of one datagram: it is dropped, or sent once or twice after these delays.
 type Delivery struct {
 	Drop   bool
 	Delays []time.Duration
 }
 
-// Deliver says what becomes of a datagram from one softswitch to another.
+// Deliver decides what becomes of a datagram from one softswitch to another.
 func (c *NetworkConditions) Deliver(from, to int, rng *rand.Rand) Delivery {
 	if c.Groups != nil {
 		fromGroup, toGroup := c.Groups[from], c.Groups[to]
--- a/internal/lab/observations.go
+++ b/internal/lab/observations.go
@@ -2,19 +2,21 @@
 
 import "time"
 
+// attemptReceived implements serverObserver: it passes the attempt to the checker.
 func (r *runner) attemptReceived(server string, id uint64) {
 	r.mu.Lock()
 	r.checker.RecordAttempt(r.now(), server, id)
 	r.mu.Unlock()
 }
 
+// attemptEnded implements serverObserver: it passes the end of the attempt to the checker.
 func (r *runner) attemptEnded(server string, id uint64, outcome AttemptOutcome) {
 	r.mu.Lock()
 	r.checker.RecordAttemptEnd(r.now(), server, id, outcome)
 	r.mu.Unlock()
 }
 
-// capacity is what a stand-in can do at a moment: cold from its start, warm after the ramp.
+// capacity returns what a stand-in server can handle at a time, in set-ups a second: it ramps up after a late start.
 func (r *runner) capacity(server string, at time.Duration) float64 {
 	config := r.servers[server]
 	startedAt := time.Duration(-1)
@@ -24,12 +26,15 @@
 	return r.checker.rules.RampedCapacity(config.Capacity, startedAt, at)
 }
 
+// setUpSent implements callerObserver: it passes the set-up to the checker.
 func (r *runner) setUpSent(id uint64, memberIndex int, giveUp time.Duration) {
 	r.mu.Lock()
 	r.checker.RecordSetUp(r.now(), id, memberIndex, giveUp)
 	r.mu.Unlock()
 }
 
+// finalAnswer implements callerObserver. It also checks that the description of an established call was made by a
+// stand-in server for that call.
 func (r *runner) finalAnswer(id uint64, served bool, desc string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -39,12 +44,15 @@
 	r.checker.RecordFinalAnswer(r.now(), id, served)
 }
 
+// setUpNotWritten implements callerObserver: it withdraws the set-up at the checker.
 func (r *runner) setUpNotWritten(id uint64) {
 	r.mu.Lock()
 	r.checker.Withdraw(id)
 	r.mu.Unlock()
 }
 
+// setUpUnanswered implements callerObserver. The set-up is excused if the lab disturbed its softswitch at a
+// time between one second before the earliest time at which the set-up can have been sent, and now.
 func (r *runner) setUpUnanswered(id uint64, memberIndex int) {
 	now := r.now()
 	r.mu.Lock()
--- a/internal/lab/operator.go
+++ b/internal/lab/operator.go
@@ -12,7 +12,8 @@
 	"elmseam/internal/mgmt"
 )
 
-// maintain asks a softswitch's door for maintenance, or withdraws it; one that is not settled yet is asked again.
+// requestMaintenance requests maintenance of softswitches at an admin endpoint, or withdraws the requests. A request
+// that is not accepted is repeated for up to 10 s.
 func (r *runner) requestMaintenance(action Action) {
 	method := http.MethodPost
 	if action.Withdraw {
@@ -28,17 +29,19 @@
 			return
 		}
 	}
-	r.options.Log.Error().Str("via", r.members[action.Via].name).Msg("no order for maintenance was taken")
+	r.options.Log.Error().Str("via", r.members[action.Via].name).Msg("maintenance request not accepted")
 }
 
-// work is the lab's operator: a softswitch that is ready for work is worked on, and then released, or started anew.
+// operateMaintenance plays the operator: when a softswitch is ready for maintenance, the operator works on it for the
+// scenario's work duration, and then releases it or restarts its process.
 func (r *runner) operateMaintenance(m *member) {
 	status, text := m.callAdmin(http.MethodGet, "/ops/maintenance")
 	var maintenanceStatus mgmt.MaintenanceStatus
 	if status != http.StatusOK || json.Unmarshal(text, &maintenanceStatus) != nil {
 		return
 	}
-	grantIndex := slices.IndexFunc(maintenanceStatus.Granted, func(request mgmt.MaintenanceRequest) bool { return request.Index == m.index })
+	grantIndex := slices.IndexFunc(maintenanceStatus.Granted,
+		func(request mgmt.MaintenanceRequest) bool { return request.Index == m.index })
 	granted := grantIndex >= 0 && maintenanceStatus.HoldsGrant
 	ready := granted && maintenanceStatus.Granted[grantIndex].Stage == maintenance.Ready.String()
 	r.mu.Lock()
@@ -59,7 +62,7 @@
 			r.recordFault(m, "work", true)
 			m.stop(syscall.SIGTERM, 5*time.Second)
 			if err := r.launch(m); err != nil {
-				r.options.Log.Error().Err(err).Str("softswitch", m.name).Msg("restart")
+				r.options.Log.Error().Err(err).Str("softswitch", m.name).Msg("restart failed")
 			}
 			r.waitReady([]*member{m})
 			r.recordFault(m, "", false)
--- a/internal/lab/plan.go
+++ b/internal/lab/plan.go
@@ -6,54 +6,57 @@
 	"time"
 )
 
-// ActionKind is what the lab does at one moment of a run.
+// ActionKind is the kind of an action of the lab.
 type ActionKind int
 
+// The kinds of actions. Members, Server and the other capitalised words are fields of Action.
 const (
-	ActKill              ActionKind = iota // SIGKILL (or SIGTERM where Term) to Places; they are in trouble from now on
-	ActLaunch                              // Places started again under their names and addresses; out of trouble once ready
-	ActPause                               // SIGSTOP to Places
-	ActResume                              // SIGCONT to Places; out of trouble once ready
-	ActNetworkConditions                   // the relay's weather becomes Weather
-	ActReset                               // the connections between Places and Server reset
-	ActStall                               // those connections silent (Stall) or speaking again
-	ActSlow                                // Server works Factor times slower (1: as it should)
-	ActMaintenance                         // Places asked for, or withdrawn (Retire), at the door of Via
-	ActServerStatus                        // Server told Status on the command channel; Retire where it drains or goes
+	ActKill              ActionKind = iota // SIGKILL, or SIGTERM if Term, to Members; they count as disturbed from now on
+	ActLaunch                              // Members started again; they count as disturbed until they are ready
+	ActPause                               // SIGSTOP to Members; they count as disturbed from now on
+	ActResume                              // SIGCONT to Members; they count as disturbed until they are ready
+	ActNetworkConditions                   // the relay applies Conditions
+	ActReset                               // the connections between Members and Server reset
+	ActStall                               // those connections left silent (Stall true), or answered again
+	ActSlow                                // Server works Factor times slower (1: normal speed)
+	ActMaintenance                         // maintenance of Members requested or (Withdraw) withdrawn at Via
+	ActServerStatus                        // Server's Status published on the command channel
 )
 
+// actionKindNames are the kinds' names in the log.
 var actionKindNames = [...]string{"kill", "launch", "pause", "resume", "weather", "reset", "stall", "slow", "order", "tell"}
 
+// String returns the kind's name in the log.
 func (k ActionKind) String() string {
 	if k >= 0 && int(k) < len(actionKindNames) {
 		return actionKindNames[k]
 	}
-	return fmt.Sprintf("Act(%d)", int(k))
+	return fmt.Sprintf("ActionKind(%d)", int(k))
 }
 
-// Action is one step of a run's plan.
+// Action is one step of a run's plan. Which fields count depends on the kind.
 type Action struct {
-	At         time.Duration
+	At         time.Duration // since the start of the run
 	Kind       ActionKind
-	Fault      int // the fault it comes from, by place in the scenario; -1 for a server's late start
-	Members    []int
+	Fault      int   // index of the scenario's fault that causes the action; -1 for a server's late start
+	Members    []int // indexes of softswitches
 	Server     string
-	Term       bool
+	Term       bool // SIGTERM instead of SIGKILL
 	Stall      bool
-	Factor     float64
-	Status     string
-	Withdraw     bool
-	Via        int
+	Factor     float64 // of a server's service time
+	Status     string  // as on the command channel
+	Withdraw   bool    // withdraws a maintenance request; with ActServerStatus: the server drains or is gone
+	Via        int     // index of a softswitch
 	Conditions NetworkConditions
 }
 
-// network are the kinds of fault that change the relay's weather.
+// networkFaultKinds are the kinds of fault that change the network conditions.
 var networkFaultKinds = []string{"partition", "loss", "duplicate", "delay", "reorder"}
 
-// Plan turns a checked scenario into the actions of its run, in the order of their times (those of one moment in
-// the order of the faults). It does no I/O. Faults of the network overlap: at each moment the weather is all the
-// network faults standing then, together (chances of loss compound, delays add, the latest partition holds).
-// tellStarts says whether the late starts of servers are told on the channel.
+// Plan turns a checked scenario into the actions of its run, ordered by time; actions of the same time are in the
+// order of their faults. It does no I/O. Network faults can overlap: the conditions at a time combine all network
+// faults that are active then (probabilities of loss compound, delays add up, the latest partition applies).
+// announceStarts says whether the late starts of servers are published on the command channel.
 func Plan(s *Scenario, announceStarts bool) []Action {
 	var plan []Action
 	addAction := func(a Action) { plan = append(plan, a) }
@@ -80,17 +83,20 @@
 		case "reset":
 			addAction(Action{At: fault.At.Duration, Kind: ActReset, Fault: i, Members: members, Server: fault.Server})
 		case "stall":
-			addAction(Action{At: fault.At.Duration, Kind: ActStall, Fault: i, Members: members, Server: fault.Server, Stall: true})
+			addAction(Action{At: fault.At.Duration, Kind: ActStall, Fault: i, Members: members, Server: fault.Server,
+				Stall: true})
 			addAction(Action{At: end, Kind: ActStall, Fault: i, Members: members, Server: fault.Server})
 		case "slow":
 			addAction(Action{At: fault.At.Duration, Kind: ActSlow, Fault: i, Server: fault.Server, Factor: fault.Factor})
 			addAction(Action{At: end, Kind: ActSlow, Fault: i, Server: fault.Server, Factor: 1})
 		case "drain", "gone":
 			status := map[string]string{"drain": "terminating", "gone": "terminated"}[fault.Kind]
-			addAction(Action{At: fault.At.Duration, Kind: ActServerStatus, Fault: i, Server: fault.Server, Status: status, Withdraw: true})
+			addAction(Action{At: fault.At.Duration, Kind: ActServerStatus, Fault: i, Server: fault.Server,
+				Status: status, Withdraw: true})
 		case "maintain", "withdraw":
-			addAction(Action{At: fault.At.Duration, Kind: ActMaintenance, Fault: i, Members: members, Via: s.indexByName[fault.Via], Withdraw: fault.Kind == "withdraw"})
-		default: // of the network
+			addAction(Action{At: fault.At.Duration, Kind: ActMaintenance, Fault: i, Members: members,
+				Via: s.indexByName[fault.Via], Withdraw: fault.Kind == "withdraw"})
+		default: // network faults
 			conditionChanges = append(conditionChanges, fault.At.Duration)
 			if fault.Duration.Duration > 0 {
 				conditionChanges = append(conditionChanges, end)
@@ -104,7 +110,8 @@
 	if announceStarts {
 		for _, server := range s.Servers {
 			if server.StartAt.Duration > 0 {
-				addAction(Action{At: server.StartAt.Duration, Kind: ActServerStatus, Fault: -1, Server: server.Name, Status: "in_service"})
+				addAction(Action{At: server.StartAt.Duration, Kind: ActServerStatus, Fault: -1, Server: server.Name,
+					Status: "in_service"})
 			}
 		}
 	}
@@ -117,12 +124,13 @@
 	return plan
 }
 
-// weather is the weather at a moment: every network fault that stands then, together. A fault with no For stands to
+// conditionsAt combines all network faults that are active at a time. A fault without a duration stays active until
 // the end of the run.
 func (s *Scenario) conditionsAt(at time.Duration) NetworkConditions {
 	var conditions NetworkConditions
 	for _, fault := range s.Faults {
-		if !slices.Contains(networkFaultKinds, fault.Kind) || at < fault.At.Duration || (fault.Duration.Duration > 0 && at >= fault.At.Duration+fault.Duration.Duration) {
+		if !slices.Contains(networkFaultKinds, fault.Kind) || at < fault.At.Duration ||
+			(fault.Duration.Duration > 0 && at >= fault.At.Duration+fault.Duration.Duration) {
 			continue
 		}
 		switch fault.Kind {
@@ -146,17 +154,18 @@
 	return conditions
 }
 
-// faultAt is the first network fault that begins or ends at a moment.
+// networkFaultAt returns the index of the first network fault that begins or ends at a time, or -1.
 func (s *Scenario) networkFaultAt(at time.Duration) int {
 	for i, fault := range s.Faults {
-		if slices.Contains(networkFaultKinds, fault.Kind) && (fault.At.Duration == at || fault.At.Duration+fault.Duration.Duration == at) {
+		if slices.Contains(networkFaultKinds, fault.Kind) &&
+			(fault.At.Duration == at || fault.At.Duration+fault.Duration.Duration == at) {
 			return i
 		}
 	}
 	return -1
 }
 
-// places are the softswitches of these names, by place.
+// memberIndexes returns the indexes of the softswitches with these names.
 func (s *Scenario) memberIndexes(names []string) []int {
 	var indexes []int
 	for _, name := range names {
--- a/internal/lab/plan_test.go
+++ b/internal/lab/plan_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// The plan overlaps the network's faults: the weather at each moment is all of them that stand then.
+// The conditions at each time combine all network faults that are active then.
 func TestPlanCombinesNetworkFaults(t *testing.T) {
 	scenario := shortScenario("plan",
 		Fault{At: Duration{time.Second}, Kind: "loss", Probability: 0.5, Duration: Duration{2 * time.Second}},
@@ -23,24 +23,26 @@
 	for _, action := range Plan(scenario, true) {
 		kinds = append(kinds, action.Kind)
 		if action.Kind == ActNetworkConditions {
-			conditions = append(conditions, fmt.Sprintf("%v loss %.2f cut %v", action.At, action.Conditions.Loss, action.Conditions.Groups))
+			conditions = append(conditions, fmt.Sprintf("%v loss %.2f groups %v", action.At, action.Conditions.Loss,
+				action.Conditions.Groups))
 		}
 		if action.Kind == ActKill && action.Fault == 4 && len(action.Members) != 3 {
-			t.Errorf("a restart kills %v, want every softswitch", action.Members)
+			t.Errorf("a restart kills %v, want all softswitches", action.Members)
 		}
 	}
-	wantConditions := []string{"1s loss 0.50 cut map[]", "2s loss 0.75 cut map[0:0 1:1 2:1]", "3s loss 0.50 cut map[0:0 1:1 2:1]",
-		"4s loss 0.00 cut map[0:0 1:1 2:1]"}
+	wantConditions := []string{"1s loss 0.50 groups map[]", "2s loss 0.75 groups map[0:0 1:1 2:1]",
+		"3s loss 0.50 groups map[0:0 1:1 2:1]", "4s loss 0.00 groups map[0:0 1:1 2:1]"}
 	if fmt.Sprint(conditions) != fmt.Sprint(wantConditions) {
-		t.Errorf("weather %q, want %q", conditions, wantConditions)
+		t.Errorf("conditions %q, want %q", conditions, wantConditions)
 	}
-	wantKinds := []ActionKind{ActNetworkConditions, ActKill, ActKill, ActLaunch, ActNetworkConditions, ActServerStatus, ActNetworkConditions, ActNetworkConditions}
+	wantKinds := []ActionKind{ActNetworkConditions, ActKill, ActKill, ActLaunch, ActNetworkConditions,
+		ActServerStatus, ActNetworkConditions, ActNetworkConditions}
 	if fmt.Sprint(kinds) != fmt.Sprint(wantKinds) {
-		t.Errorf("acts %v, want %v", kinds, wantKinds)
+		t.Errorf("action kinds %v, want %v", kinds, wantKinds)
 	}
 	for _, action := range Plan(scenario, false) {
 		if action.Kind == ActServerStatus {
-			t.Error("a late start told where the lab keeps it back")
+			t.Error("a late start is published although announceStarts is false")
 		}
 	}
 }
--- a/internal/lab/plot.go
+++ b/internal/lab/plot.go
@@ -10,15 +10,15 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// InjectedFault is a fault as it was made, for the table and the plots.
+// InjectedFault is a fault that the lab injected, for the verdict and the plots.
 type InjectedFault struct {
-	At     float64 `json:"at_s"`
+	At     float64 `json:"at_s"` // seconds since the start of the run
 	Kind   string  `json:"kind"`
-	Detail string  `json:"what"`
+	Detail string  `json:"what"` // the fault's targets, groups and server
 }
 
-// WritePlots draws two PNG pictures: attempts that reached each server a second, and the answers a second
-// (served, refused, lost, excused), both with the faults marked as grey lines.
+// WritePlots draws two PNG pictures: the attempts a second that reached each server, and the outcomes of set-ups a
+// second (served, refused, lost, excused). Both show the injected faults as dashed grey lines.
 func (res *Result) WritePlots(loadPath, answersPath string) error {
 	load := map[string]func(SecondStats) float64{}
 	for _, s := range res.servers {
@@ -37,6 +37,7 @@
 	return res.plot(answersPath, "answers", "set-ups a second", kinds, answers)
 }
 
+// plot draws a line over the seconds of the run for each name; values returns a line's value for a second.
 func (res *Result) plot(path, title, yLabel string, names []string, values map[string]func(SecondStats) float64) error {
 	p := plot.New()
 	p.Title.Text = fmt.Sprintf("%s: %s", res.Scenario, title)
@@ -71,7 +72,8 @@
 	return p.Save(16*vg.Centimeter, 9*vg.Centimeter, path)
 }
 
-// PlotGrowth draws how a figure grows with the size of a tier, a line for each name; the sizes on a logarithmic axis.
+// PlotGrowth draws how a value grows with the size of a tier, with a line for each name. The axis of the sizes is
+// logarithmic; values has pairs of size and value.
 func PlotGrowth(path, title, yLabel string, names []string, values map[string][][2]float64) error {
 	p := plot.New()
 	p.Title.Text = title
--- a/internal/lab/relay.go
+++ b/internal/lab/relay.go
@@ -9,33 +9,36 @@
 	"time"
 )
 
-// MaxDatagram is the largest datagram between softswitches (PROTOCOL, "Between softswitches").
+// MaxDatagram is the size in bytes of the largest datagram between softswitches (PROTOCOL, "Between softswitches").
 const MaxDatagram = 256
 
-// Relay carries the datagrams between softswitches. Each softswitch is told the relay's address for each peer, and
-// for peers_all; the relay knows a sender by its source address and passes a datagram on from the address that the
-// receiver knows for the sender, so that no kernel or root feature is needed for a partition.
+// Relay carries the datagrams between softswitches under the simulated network conditions. Each softswitch is
+// configured with an address of the relay for each peer and for peers_all. The relay knows a sender by its source
+// address and forwards the datagram from the address that the receiver has for the sender, so that a partition needs
+// no kernel feature and no root rights.
 type Relay struct {
-	peerConns      []*net.UDPConn // the address that stands for each softswitch
-	allPeersConn   *net.UDPConn   // peers_all
-	memberAddrs    []*net.UDPAddr // each softswitch's peer_listen
-	memberBySource map[string]int // source address → softswitch
-	mu             sync.Mutex
+	peerConns      []*net.UDPConn // by softswitch: the socket at which its peers reach it
+	allPeersConn   *net.UDPConn   // the socket for peers_all
+	memberAddrs    []*net.UDPAddr // by softswitch: its peer_listen address
+	memberBySource map[string]int // source address -> index of the softswitch
+	mu             sync.Mutex     // guards conditions and rand
 	conditions     NetworkConditions
 	rand           *rand.Rand
-	stop           chan struct{}
+	stop           chan struct{} // closed to end the relay
 	wg             sync.WaitGroup
 	Counters       RelayCounters
 }
 
-// RelayCounters are the relay's figures.
+// RelayCounters are the relay's counters, of datagrams except for Bytes.
 type RelayCounters struct {
 	Forwarded, Dropped, Duplicated, UnknownSender, Oversized, Bytes atomic.Int64
 }
 
-// NewRelay opens a face for each of the softswitches whose peer_listen addresses are given, on hosts of its own.
+// NewRelay opens a socket on each of the hosts, one for each of the softswitches whose peer_listen addresses are
+// given, and one for peers_all on allHost.
 func NewRelay(hosts []string, allHost string, memberAddrs []*net.UDPAddr, seed uint64) (*Relay, error) {
-	r := &Relay{memberAddrs: memberAddrs, memberBySource: make(map[string]int), rand: rand.New(rand.NewPCG(seed, 0x72656c)), stop: make(chan struct{})}
+	r := &Relay{memberAddrs: memberAddrs, memberBySource: make(map[string]int),
+		rand: rand.New(rand.NewPCG(seed, 0x72656c)), stop: make(chan struct{})}
 	for i, addr := range memberAddrs {
 		r.memberBySource[addr.String()] = i
 	}
@@ -68,7 +71,8 @@
 	return r, nil
 }
 
-// PeerAddresses are the addresses each softswitch is told for its peers, by place; All is the one for peers_all.
+// PeerAddresses returns the addresses with which the softswitches are configured for their peers, by index of the
+// peer.
 func (r *Relay) PeerAddresses() []string {
 	var addresses []string
 	for _, conn := range r.peerConns {
@@ -77,16 +81,18 @@
 	return addresses
 }
 
-// AllPeersAddress is the address told for peers_all.
+// AllPeersAddress returns the address for peers_all.
 func (r *Relay) AllPeersAddress() string { return r.allPeersConn.LocalAddr().String() }
 
-// SetConditions changes the weather.
+// SetConditions changes the network conditions for datagrams that arrive from now on.
 func (r *Relay) SetConditions(conditions NetworkConditions) {
 	r.mu.Lock()
 	r.conditions = conditions
 	r.mu.Unlock()
 }
 
+// serve forwards the datagrams that arrive at a socket to its destinations, but not back to the sender, until the
+// socket is closed.
 func (r *Relay) serve(conn *net.UDPConn, destinations []int) {
 	defer r.wg.Done()
 	buffer := make([]byte, 64<<10)
@@ -116,6 +122,7 @@
 	}
 }
 
+// forward delivers one datagram, or drops it, as the present conditions decide.
 func (r *Relay) forward(src, dst int, data []byte) {
 	r.mu.Lock()
 	delivery := r.conditions.Deliver(src, dst, r.rand)
@@ -152,7 +159,7 @@
 	}
 }
 
-// Close ends the relay and waits for it.
+// Close closes the sockets and waits for their readers. Delayed datagrams are dropped.
 func (r *Relay) Close() {
 	select {
 	case <-r.stop:
--- a/internal/lab/result.go
+++ b/internal/lab/result.go
@@ -8,53 +8,64 @@
 	"time"
 )
 
-// Result is what a run saw.
+// Result is the outcome of a run. Counts are of set-ups unless the field says otherwise.
 type Result struct {
-	Scenario       string          `json:"scenario"`
-	Passed         bool            `json:"held"`
-	Violations     []Violation     `json:"breaches"`
-	Offered        int             `json:"offered"`
-	Served         int             `json:"served"`
-	Refused        int             `json:"refused"`
-	Lost           int             `json:"lost"`
-	Excused        int             `json:"excused"`
-	Unsent         int             `json:"unsent"` // set-ups no softswitch could be reached for
-	MaxLag         time.Duration   `json:"lag_max_ns"`
-	LagSpans       int             `json:"blind_spans"`
-	AdminServed    int64           `json:"door_served"` // the softswitches' own count, all lives
-	Datagrams      map[string]int  `json:"datagrams"`
-	Starts         map[string]int  `json:"starts"`
+	Scenario   string      `json:"scenario"`
+	Passed     bool        `json:"held"` // no rule was violated
+	Violations []Violation `json:"breaches"`
+	Offered    int         `json:"offered"`
+	Served     int         `json:"served"`
+	Refused    int         `json:"refused"` // answered with a refusal
+	Lost       int         `json:"lost"`    // not answered, and not excused
+	Excused    int         `json:"excused"` // not answered because of an injected fault
+	// Unsent counts the set-ups for which no softswitch could be reached.
+	Unsent   int           `json:"unsent"`
+	MaxLag   time.Duration `json:"lag_max_ns"`  // greatest lag of the lab's load generator
+	LagSpans int           `json:"blind_spans"` // spans of lag in which no rule was checked
+	// AdminServed is the number of answered calls by the softswitches' own counters, over all their processes.
+	AdminServed    int64           `json:"door_served"`
+	Datagrams      map[string]int  `json:"datagrams"` // the relay's counters
+	Starts         map[string]int  `json:"starts"`    // processes started, by softswitch
 	InjectedFaults []InjectedFault `json:"faults"`
 
-	// Of membership, where it is on.
-	Detections          []*Detection      `json:"detections,omitempty"`
-	FalseDeaths         []FalseDeath      `json:"false_deaths,omitempty"`
-	MembershipCounters  map[string]int64  `json:"members,omitempty"`     // the doors' figures, all softswitches and lives together
-	MaintenanceCounters map[string]int64  `json:"maintenance,omitempty"` // and these
-	KnowledgeCounters   map[string]int64  `json:"knowledge,omitempty"`   // and these
+	// The fields below are filled if membership is on.
+	Detections  []*Detection `json:"detections,omitempty"`
+	FalseDeaths []FalseDeath `json:"false_deaths,omitempty"`
+	// Counters from the admin endpoints, summed over all softswitches and all their processes.
+	MembershipCounters  map[string]int64  `json:"members,omitempty"`
+	MaintenanceCounters map[string]int64  `json:"maintenance,omitempty"`
+	KnowledgeCounters   map[string]int64  `json:"knowledge,omitempty"`
 	BudgetCounters      map[string]int64  `json:"parts,omitempty"`
 	MaintenanceRuns     []*MaintenanceRun `json:"works,omitempty"`
-	Recoveries          []*RecoveryStats  `json:"returns,omitempty"` // of softswitches that were killed and started again
-	MaxOut              int               `json:"most_out"`          // softswitches out for work at one sample
-	Elapsed             time.Duration     `json:"span_ns"`           // from the load's start to the end
+	Recoveries          []*RecoveryStats  `json:"returns,omitempty"` // of softswitches that were killed and restarted
+	// MaxOut is the greatest number of softswitches that were out for maintenance in one sample.
+	MaxOut  int           `json:"most_out"`
+	Elapsed time.Duration `json:"span_ns"` // from the start of the load to the end of the run
 
 	seconds  []SecondStats
 	servers  []string
-	views    [][]string
+	views    [][]string  // by second, by softswitch: the states it reports, as initials
 	ready    [][]bool    // by second, by softswitch: ready at the second's last sample
-	capacity [][]float64 // by second, by server: what it could do
+	capacity [][]float64 // by second, by server: set-ups a second that the server can handle
 }
 
+// result collects the run's counts and adds the violations that show only at the end: oversized datagrams, and counts
+// that differ from those of the admin endpoints.
 func (r *runner) result() *Result {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	res := &Result{Scenario: r.scenario.Name, Violations: r.checker.Violations(), Unsent: r.unsent, MaxLag: r.maxLag, LagSpans: r.lagSpans,
-		seconds: r.checker.PerSecond(), servers: r.serverOrder, Starts: map[string]int{}, InjectedFaults: r.injectedFaults,
-		MembershipCounters: map[string]int64{}, MaintenanceCounters: map[string]int64{}, KnowledgeCounters: map[string]int64{}, BudgetCounters: map[string]int64{}, ready: r.readyBySecond, views: r.viewsBySecond, Detections: r.tierChecker.detections, FalseDeaths: r.tierChecker.falseDeaths, MaintenanceRuns: r.tierChecker.maintenanceRuns, MaxOut: r.tierChecker.maxOut, Elapsed: r.now()}
+	res := &Result{Scenario: r.scenario.Name, Violations: r.checker.Violations(), Unsent: r.unsent, MaxLag: r.maxLag,
+		LagSpans: r.lagSpans, seconds: r.checker.PerSecond(), servers: r.serverOrder, Starts: map[string]int{},
+		InjectedFaults: r.injectedFaults, MembershipCounters: map[string]int64{},
+		MaintenanceCounters: map[string]int64{}, KnowledgeCounters: map[string]int64{},
+		BudgetCounters: map[string]int64{}, ready: r.readyBySecond, views: r.viewsBySecond,
+		Detections: r.tierChecker.detections, FalseDeaths: r.tierChecker.falseDeaths,
+		MaintenanceRuns: r.tierChecker.maintenanceRuns, MaxOut: r.tierChecker.maxOut, Elapsed: r.now()}
 	res.Violations = append(res.Violations, r.tierChecker.Violations()...)
 	for _, fault := range r.scenario.Faults {
 		for _, index := range r.scenario.memberIndexes(fault.Target) {
-			if recovery := r.checker.Recovery(index, fault.At.Duration+fault.Duration.Duration, recoverySeconds); fault.Kind == "kill" && fault.Duration.Duration > 0 && recovery != nil {
+			if recovery := r.checker.Recovery(index, fault.At.Duration+fault.Duration.Duration,
+				recoverySeconds); fault.Kind == "kill" && fault.Duration.Duration > 0 && recovery != nil {
 				res.Recoveries = append(res.Recoveries, recovery)
 			}
 		}
@@ -74,7 +85,8 @@
 		res.Excused += s.Excused
 	}
 	restarted := false
-	sumsByGroup := map[string]map[string]int64{"members": res.MembershipCounters, "maintenance": res.MaintenanceCounters, "knowledge": res.KnowledgeCounters, "parts": res.BudgetCounters}
+	sumsByGroup := map[string]map[string]int64{"members": res.MembershipCounters,
+		"maintenance": res.MaintenanceCounters, "knowledge": res.KnowledgeCounters, "parts": res.BudgetCounters}
 	for _, m := range r.members {
 		res.AdminServed += m.counters["answered"]
 		for key, value := range m.counters {
@@ -88,33 +100,39 @@
 	}
 	counters := &r.relay.Counters
 	res.Datagrams = map[string]int{"passed": int(counters.Forwarded.Load()), "dropped": int(counters.Dropped.Load()),
-		"doubled": int(counters.Duplicated.Load()), "strangers": int(counters.UnknownSender.Load()), "oversized": int(counters.Oversized.Load()),
-		"bytes": int(counters.Bytes.Load())}
+		"doubled": int(counters.Duplicated.Load()), "strangers": int(counters.UnknownSender.Load()),
+		"oversized": int(counters.Oversized.Load()), "bytes": int(counters.Bytes.Load())}
 	if counters.Oversized.Load() > 0 {
-		res.Violations = append(res.Violations, Violation{Rule: "datagram over 256 bytes", Count: int(counters.Oversized.Load())})
+		res.Violations = append(res.Violations,
+			Violation{Rule: "datagram over 256 bytes", Count: int(counters.Oversized.Load())})
 	}
-	// The doors count what they answered; with no restart the lab must agree with them within the tolerance.
+	// If no softswitch was restarted, the lab's count must agree with the admin endpoints' count within the
+	// tolerance.
 	if diff := float64(res.AdminServed - int64(res.Served)); !restarted &&
 		abs(diff) > r.scenario.Tolerance*float64(max(res.Served, 1))+2 {
 		res.Violations = append(res.Violations, Violation{Rule: "counts disagree with the doors", Count: 1,
-			Detail: fmt.Sprintf("lab %d served, doors %d", res.Served, res.AdminServed)})
+			Detail: fmt.Sprintf("the lab counted %d served set-ups, the admin endpoints %d", res.Served, res.AdminServed)})
 	}
 	res.Passed = len(res.Violations) == 0
 	return res
 }
 
-// returnSeconds are the seconds for which one that came back is compared with its peers.
+// recoverySeconds is the number of seconds for which a restarted softswitch is compared with the others.
 const recoverySeconds = 5
 
-// protocols are those of the tier whose figures the doors show.
+// counterGroups are the prefixes of the tier protocols' counters at the admin endpoints.
 var counterGroups = []string{"members", "maintenance", "knowledge", "parts"}
 
-// summed are the figures of these that count up, so that those of all lives add up.
-var monotonicCounters = map[string]bool{"probes": true, "indirect": true, "acks": true, "nacks": true, "failed": true,
-	"told": true, "stale": true, "unlisted": true, "answered": true, "claims": true, "inherited": true, "expired": true, "borrowed": true, "lent": true,
-	"suspicions": true, "deaths": true, "refutations": true, "stalls": true, "sent": true, "sent_bytes": true, "heard": true,
-	"asked": true, "granted": true, "renewed": true, "lost": true, "yes": true, "no": true, "dropped_garbled": true, "dropped_version": true, "dropped_stranger": true, "dropped_flood": true, "unwritten": true}
+// monotonicCounters are the counters of these groups that only grow in a process, so that the values of all processes
+// can be summed.
+var monotonicCounters = map[string]bool{"probes": true, "indirect": true, "acks": true, "nacks": true,
+	"failed": true, "told": true, "stale": true, "unlisted": true, "answered": true, "claims": true,
+	"inherited": true, "expired": true, "borrowed": true, "lent": true, "suspicions": true, "deaths": true,
+	"refutations": true, "stalls": true, "sent": true, "sent_bytes": true, "heard": true, "asked": true,
+	"granted": true, "renewed": true, "lost": true, "yes": true, "no": true, "dropped_garbled": true,
+	"dropped_version": true, "dropped_stranger": true, "dropped_flood": true, "unwritten": true}
 
+// abs returns the absolute value.
 func abs(f float64) float64 {
 	if f < 0 {
 		return -f
@@ -122,9 +140,9 @@
 	return f
 }
 
-// WriteTable writes the per-second table as CSV: offered, served, refused, lost, excused, whether the lab lagged,
-// for each server the attempts that reached it and its capacity, and for each softswitch whether it was ready and, where
-// membership is on, what it held of each of the tier, by the first letters of the states.
+// WriteTable writes the per-second table as CSV: the set-ups offered, served, refused, lost and excused; whether the
+// lab lagged; for each server the attempts that reached it and its capacity; for each softswitch whether it was ready
+// and, if membership is on, the states that it reports for the tier's members, as initials.
 func (res *Result) WriteTable(path string) error {
 	var b strings.Builder
 	b.WriteString("second,offered,served,refused,lost,excused,blind")
--- a/internal/lab/rules.go
+++ b/internal/lab/rules.go
@@ -2,27 +2,32 @@
 
 import "time"
 
-// Rules are the figures the judge holds a whole fleet to. They come from the settings that the softswitches are given
-// (WIRE section 9, PROTOCOL "The rules on sockets"); every time limit is extended by Slack.
+// Rules are the limits that the checker applies to a whole fleet. They come from the settings that the softswitches
+// are given (WIRE section 9, PROTOCOL "The rules on sockets"); every time limit is extended by Slack.
 type Rules struct {
-	MaxAttempts  int           // attempts of one call, all softswitches together
-	ReleaseGuard time.Duration // family-info.release-guard-us: after a cancel or reset, before the call is sent again
-	DrainGrace   time.Duration // obligations.drain-grace-us: nothing new to a draining or gone server after it
-	TipMultiple  float64       // obligations.tip-multiple
-	TipWindow    time.Duration // obligations.tip-after-us: the window of the cold-server budget
-	ColdFrom     float64       // obligations.cold-from: the share of its capacity a server starts at
-	Ramp         time.Duration // obligations.ramp-time-us: warm after this
-	Slack        time.Duration // 50 ms on sockets
-	ColdSlack    int           // attempts over the budget that chance may bring
+	MaxAttempts int // attempts of one call at all servers, of all softswitches together
+	// ReleaseGuard is the wait after a cancel or a reset before the call is sent again
+	// (family-info.release-guard-us).
+	ReleaseGuard time.Duration
+	// DrainGrace is the time after which a server that drains or is gone gets no new attempt
+	// (obligations.drain-grace-us).
+	DrainGrace time.Duration
+	// TipMultiple times the present capacity is the rate allowed to a cold server (obligations.tip-multiple).
+	TipMultiple float64
+	TipWindow   time.Duration // window of the cold-server budget (obligations.tip-after-us)
+	ColdFrom    float64       // share of its capacity that a server starts with (obligations.cold-from)
+	Ramp        time.Duration // time from a server's start until it is warm (obligations.ramp-time-us)
+	Slack       time.Duration // extension of every time limit; 50 ms on sockets
+	ColdSlack   int           // attempts above the cold-server budget that chance may cause
 }
 
-// RampedCapacity is what a server of a capacity that started at a moment (negative: warm from the beginning) can do at
-// another: it grows in a straight line from cold-from of its capacity to all of it after the ramp. The lab's
-// stand-ins warm up that way; WIRE leaves the way open.
+// RampedCapacity returns what a server can handle at a time, in set-ups a second. startedAt is the time of its cold
+// start; negative: warm from the beginning. The capacity grows linearly from the share ColdFrom to all of it over
+// Ramp. The lab's stand-in servers warm up that way; WIRE does not prescribe the curve.
 func (r Rules) RampedCapacity(capacity float64, startedAt, at time.Duration) float64 {
 	switch {
 	case startedAt >= 0 && at < startedAt:
-		return 0 // not there yet
+		return 0 // not started yet
 	case startedAt < 0 || at-startedAt >= r.Ramp || r.Ramp <= 0:
 		return capacity
 	}
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -12,57 +12,61 @@
 	"github.com/rs/zerolog"
 )
 
-// Options are how a run is made, apart from the scenario.
+// Options are the parameters of a run that are not in the scenario.
 type Options struct {
-	Binary string // the softswitch program
+	Binary string // path of the softswitch program
 	OutDir string // folder for the table, the verdict and each softswitch's configuration and log
 	Log    zerolog.Logger
 
-	// SelfTestFault makes the lab's own world lie, so that tests see the judge catch a fleet that was misled: "unheard
-	// drains" tells the judge of a drain that the channel keeps back; "weak cold servers" holds a server to a tenth of
-	// its capacity, cold from the beginning, at the judge, while the channel lists it warm and it serves at all of it.
+	// SelfTestFault makes the lab mislead the fleet on purpose, so that tests can see the checker report it. "unheard
+	// drains": the checker is told of drains that the command channel does not publish. "weak cold servers": the
+	// checker takes a server for a tenth of its capacity and cold from the beginning, while the command channel lists
+	// it as warm and it serves at its whole capacity.
 	SelfTestFault string
 
-	// Stop, where it is closed, ends the run early: every process and socket of the lab is closed all the same,
-	// and Run returns ErrLab.
+	// Stop, once closed, ends the run early. Every process and socket of the lab is closed then too, and Run returns
+	// ErrLab.
 	Stop <-chan struct{}
 }
 
-// ErrLab is an error of the lab itself, not of the fleet.
+// ErrLab is the error of a run that failed because of the lab itself, not of the fleet.
 var ErrLab = errors.New("lab failed")
 
-// runner is one run: the world round the fleet.
+// runner executes one run: it holds the fleet and everything that the lab simulates around it.
 type runner struct {
-	scenario       *Scenario
-	options        Options
-	mu             sync.Mutex // over the judge and the counts
+	scenario *Scenario
+	options  Options
+	// mu guards checker, tierChecker and the counts, and startedAt while the run starts.
+	mu             sync.Mutex
 	checker        *Checker
 	tierChecker    *TierChecker
-	finished       chan struct{} // the run's faults and samples are over
-	startedAt      time.Time
-	members        []*member
-	servers        map[string]*standInServer
-	serverOrder    []string
+	finished       chan struct{}             // closed at the end of the run
+	startedAt      time.Time                 // the load's start; before it, the start of the lab
+	members        []*member                 // by index
+	servers        map[string]*standInServer // by name
+	serverOrder    []string                  // names, in the order of the scenario
 	channel        *commandChannel
-	membersFile    string // the softswitches' members file
+	membersFile    string // path of the members file that all softswitches read
 	relay          *Relay
 	settings       json.RawMessage
-	unsent         int
+	unsent         int // set-ups for which no softswitch could be reached
 	injectedFaults []InjectedFault
-	readyBySecond  [][]bool
-	viewsBySecond  [][]string // by second, by softswitch: its view's letters at the second's last sample
-	maxLag         time.Duration
-	lagSpans       int
+	readyBySecond  [][]bool      // by second, by softswitch
+	viewsBySecond  [][]string    // by second, by softswitch: state initials of its view at the second's last sample
+	maxLag         time.Duration // of the load generator
+	lagSpans       int           // number of lag spans
 	rand           *rand.Rand
-	pickPort       func(network, host string) (string, error) // a free port; freePort but in tests
-	callerConns    [][]*callerConn
-	connMu         sync.Mutex
+	pickPort       func(network, host string) (string, error) // picks a free port; tests replace it
+	// callerConns has Scenario.CallerConns connections for each softswitch; an entry may be nil.
+	callerConns [][]*callerConn
+	connMu      sync.Mutex // guards callerConns
 }
 
+// now returns the time since the start of the run.
 func (r *runner) now() time.Duration { return time.Since(r.startedAt) }
 
-// Run plays a scenario against real processes of the program. The error is ErrLab's where the lab itself failed;
-// a fleet that broke an invariant is a Result that has not held.
+// Run executes a scenario against real processes of the program. The error is ErrLab if the lab itself failed; a
+// fleet that violated a rule gives a Result that has not passed.
 func Run(scenario *Scenario, options Options) (*Result, error) {
 	settings := scenario.Settings
 	if settings == "" {
@@ -75,11 +79,15 @@
 	return newRunner(scenario, options, rules, settings).run()
 }
 
+// newRunner makes a runner without starting anything.
 func newRunner(scenario *Scenario, options Options, rules Rules, settings string) *runner {
-	return &runner{scenario: scenario, options: options, checker: NewChecker(rules), servers: make(map[string]*standInServer), settings: json.RawMessage(settings),
-		tierChecker: NewTierChecker(scenario.Softswitches), finished: make(chan struct{}), pickPort: freePort, rand: rand.New(rand.NewPCG(scenario.Seed, 0x63616c6c))}
+	return &runner{scenario: scenario, options: options, checker: NewChecker(rules),
+		servers: make(map[string]*standInServer), settings: json.RawMessage(settings),
+		tierChecker: NewTierChecker(scenario.Softswitches), finished: make(chan struct{}),
+		pickPort: freePort, rand: rand.New(rand.NewPCG(scenario.Seed, 0x63616c6c))}
 }
 
+// run starts the environment, executes the scenario and tears the environment down.
 func (r *runner) run() (*Result, error) {
 	if err := os.MkdirAll(r.options.OutDir, 0o755); err != nil {
 		return nil, fmt.Errorf("%w: %v", ErrLab, err)
@@ -95,7 +103,7 @@
 	return r.result(), nil
 }
 
-// play drives the load, the faults and the samples until the end of the run.
+// execute runs the load, the faults and the samples until the end of the run, and then the checks of the final state.
 func (r *runner) execute() error {
 	r.mu.Lock()
 	r.startedAt = time.Now()
@@ -108,7 +116,8 @@
 	go func() { defer wg.Done(); r.runFaults(stop) }()
 	r.generateLoad()
 	select {
-	case <-time.After(max(r.scenario.QuietPeriod.Duration+r.scenario.GiveUp.Duration, r.scenario.lastFaultEnd()+r.scenario.ConvergenceTime.Duration-r.now())):
+	case <-time.After(max(r.scenario.QuietPeriod.Duration+r.scenario.GiveUp.Duration,
+		r.scenario.lastFaultEnd()+r.scenario.ConvergenceTime.Duration-r.now())):
 	case <-r.options.Stop:
 	}
 	close(stop)
@@ -116,7 +125,7 @@
 	wg.Wait()
 	select {
 	case <-r.options.Stop:
-		return errors.New("stopped from outside")
+		return errors.New("stopped before the end of the run")
 	default:
 	}
 	for _, m := range r.members {
@@ -128,7 +137,7 @@
 	if r.scenario.ConvergenceTime.Duration > 0 {
 		r.readViews()
 		r.mu.Lock()
-		r.tierChecker.CheckConvergence(r.now(), func(place int) bool { return r.members[place].running() })
+		r.tierChecker.CheckConvergence(r.now(), func(index int) bool { return r.members[index].running() })
 		r.tierChecker.CheckMaintained(r.now(), r.scenario.memberIndexes(r.scenario.ExpectMaintained))
 		r.mu.Unlock()
 	}
--- a/internal/lab/run_test.go
+++ b/internal/lab/run_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// program builds the softswitch once for the stories that start processes of it.
+// buildSoftswitch builds the softswitch program for tests that start its processes.
 func buildSoftswitch(t *testing.T) string {
 	t.Helper()
 	if testing.Short() {
@@ -25,6 +25,7 @@
 	return bin
 }
 
+// shortScenario returns a scenario of 4 s with three softswitches and two servers.
 func shortScenario(name string, faults ...Fault) *Scenario {
 	return &Scenario{Name: name, Duration: Duration{4 * time.Second}, Seed: 1, Softswitches: 3, PeersEnabled: true,
 		GiveUp:  Duration{time.Second},
@@ -32,13 +33,15 @@
 		Load:    []LoadStep{{Rate: 120}}, Faults: faults}
 }
 
-// A fleet that the lab kills, pauses and cuts apart keeps every rule; the lab accounts for what the faults cost,
-// agrees with the doors, gets past a port taken under it, and leaves no process behind.
+// A fleet whose members are killed, paused and partitioned keeps every rule. The lab excuses the set-ups that the
+// faults cost, agrees with the softswitches' own counts, retries when another program takes a port, and leaves no
+// process behind.
 func TestFleetUnderFaults(t *testing.T) {
 	bin := buildSoftswitch(t)
 	scenario := shortScenario("faults",
 		Fault{At: Duration{time.Second}, Kind: "kill", Target: []string{"n2"}, Duration: Duration{time.Second}},
-		Fault{At: Duration{time.Second}, Kind: "partition", Groups: [][]string{{"n1"}, {"n2", "n3"}}, Duration: Duration{2 * time.Second}},
+		Fault{At: Duration{time.Second}, Kind: "partition", Groups: [][]string{{"n1"}, {"n2", "n3"}},
+			Duration: Duration{2 * time.Second}},
 		Fault{At: Duration{1500 * ms}, Kind: "pause", Target: []string{"n3"}, Duration: Duration{1500 * ms}},
 		Fault{At: Duration{2 * time.Second}, Kind: "reset", Target: []string{"n1"}, Server: "s1"})
 	if err := scenario.Check(); err != nil {
@@ -50,7 +53,7 @@
 		t.Fatal(err)
 	}
 	run := newRunner(scenario, Options{Binary: bin, OutDir: outDir}, rules, DefaultSettings)
-	// The first port handed to n1 is taken by another program before n1 listens there: it gets new ones.
+	// Another program takes the first port chosen for n1 before n1 listens there; n1 gets new ports.
 	taken, err := net.Listen("tcp", "127.0.1.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -69,7 +72,8 @@
 		t.Fatal(err)
 	}
 	if !res.Passed || res.Served < res.Offered/2 || res.Starts["n2"] != 2 || res.Starts["n1"] != 2 {
-		t.Fatalf("held %v, breaches %+v; served %d of %d; starts %v", res.Passed, res.Violations, res.Served, res.Offered, res.Starts)
+		t.Fatalf("passed %v, violations %+v; served %d of %d; starts %v", res.Passed, res.Violations, res.Served,
+			res.Offered, res.Starts)
 	}
 	if err := res.WriteTable(filepath.Join(outDir, "seconds.csv")); err != nil {
 		t.Fatal(err)
@@ -77,7 +81,7 @@
 	assertNoProcesses(t, outDir)
 }
 
-// noneLeft fails where a softswitch that the lab started is still there.
+// assertNoProcesses fails if a softswitch that the lab started is still running, and kills it.
 func assertNoProcesses(t *testing.T, outDir string) {
 	t.Helper()
 	entries, _ := os.ReadDir("/proc")
@@ -90,8 +94,8 @@
 	}
 }
 
-// The judge catches a fleet that its world misled: drains that the channel kept back, and servers weaker and colder
-// than the channel said. Both are the lab's faults on purpose; what is seen is that the judge sees them.
+// The checker reports the violations of a fleet that the lab misleads on purpose: drains that the command channel
+// does not publish, and servers that are weaker and colder than the command channel says.
 func TestFleetWithSelfTestFaults(t *testing.T) {
 	bin := buildSoftswitch(t)
 	for _, test := range []struct {
@@ -99,7 +103,8 @@
 		s               *Scenario
 	}{
 		{"unheard drains", "new attempt at a retired server",
-			shortScenario("unheard", Fault{At: Duration{time.Second}, Kind: "drain", Server: "s1"}, Fault{At: Duration{time.Second}, Kind: "drain", Server: "s2"})},
+			shortScenario("unheard", Fault{At: Duration{time.Second}, Kind: "drain", Server: "s1"},
+				Fault{At: Duration{time.Second}, Kind: "drain", Server: "s2"})},
 		{"weak cold servers", "cold server pushed over", func() *Scenario {
 			scenario := shortScenario("untold")
 			scenario.Servers = []Server{{Name: "s1", Capacity: 100, StartAt: Duration{time.Second}}}
@@ -119,14 +124,15 @@
 			found = found || violation.Rule == test.wantRule
 		}
 		if res.Passed || !found {
-			t.Errorf("%s: breaches %+v, want %q; seconds %+v", test.fault, res.Violations, test.wantRule, res.seconds)
+			t.Errorf("%s: violations %+v, want %q; seconds %+v", test.fault, res.Violations, test.wantRule, res.seconds)
 		}
 	}
 }
 
-// Processes that know their tier: with three in ten datagrams lost, doubled and late, a killed one is held dead by all and
-// there again once it is back, one cut off is back when the cut has healed, and all agree in the end. All three are taken
-// out for work, one at a time, each once, though the one asked dies at once and one is cut off; no call is lost for it.
+// Membership and maintenance with datagrams lost (30%), duplicated and reordered: all members see a killed member
+// dead and then available again, a member cut off is available again after the partition, and all views agree in the
+// end. All three members are maintained, one at a time, each once, although the member that was asked dies at once
+// and another one is cut off; no call is lost for the maintenance.
 func TestFleetWithMembership(t *testing.T) {
 	bin := buildSoftswitch(t)
 	scenario := shortScenario("members",
@@ -136,9 +142,12 @@
 		Fault{At: Duration{1500 * ms}, Kind: "kill", Target: []string{"n2"}, Duration: Duration{6 * time.Second}},
 		Fault{At: Duration{8500 * ms}, Kind: "maintain", Target: []string{"n1", "n2", "n3"}, Via: "n2"},
 		Fault{At: Duration{8900 * ms}, Kind: "kill", Target: []string{"n2"}, Duration: Duration{time.Second}},
-		Fault{At: Duration{10500 * ms}, Kind: "partition", Groups: [][]string{{"n1"}, {"n2", "n3"}}, Duration: Duration{1500 * ms}})
-	scenario.Duration, scenario.ConvergenceTime, scenario.SampleInterval = Duration{12500 * ms}, Duration{12 * time.Second}, Duration{100 * ms}
-	scenario.MaintenanceBudget, scenario.WorkDuration, scenario.WorkMethod, scenario.ExpectMaintained = 1, Duration{100 * ms}, "release", []string{"n1", "n2", "n3"}
+		Fault{At: Duration{10500 * ms}, Kind: "partition", Groups: [][]string{{"n1"}, {"n2", "n3"}},
+			Duration: Duration{1500 * ms}})
+	scenario.Duration, scenario.ConvergenceTime, scenario.SampleInterval = Duration{12500 * ms},
+		Duration{12 * time.Second}, Duration{100 * ms}
+	scenario.MaintenanceBudget, scenario.WorkDuration, scenario.WorkMethod, scenario.ExpectMaintained = 1,
+		Duration{100 * ms}, "release", []string{"n1", "n2", "n3"}
 	scenario.Membership = map[string]any{"period": "200ms", "timeout": "80ms", "stall": "300ms",
 		"maintenance": map[string]any{"enabled": true, "lease": "4s", "work": "6s", "round": "250ms"}}
 	if err := scenario.Check(); err != nil {
@@ -150,10 +159,11 @@
 		t.Fatal(err)
 	}
 	if !res.Passed || len(res.Detections) != 2 || res.Detections[0].AllDead < 0 || res.Detections[0].AllAvailable < 0 {
-		t.Errorf("held %v, breaches %+v, detections %+v", res.Passed, res.Violations, *res.Detections[0])
+		t.Errorf("passed %v, violations %+v, detections %+v", res.Passed, res.Violations, *res.Detections[0])
 	}
-	if res.Datagrams["dropped"] == 0 || res.Datagrams["passed"] == 0 || res.MembershipCounters["heard"] == 0 || res.MembershipCounters["dropped_stranger"] != 0 {
-		t.Errorf("datagrams %v, doors %v", res.Datagrams, res.MembershipCounters)
+	if res.Datagrams["dropped"] == 0 || res.Datagrams["passed"] == 0 || res.MembershipCounters["heard"] == 0 ||
+		res.MembershipCounters["dropped_stranger"] != 0 {
+		t.Errorf("datagrams %v, membership counters %v", res.Datagrams, res.MembershipCounters)
 	}
 	path := filepath.Join(outDir, "seconds.csv")
 	if err := res.WriteTable(path); err != nil {
--- a/internal/lab/sampling.go
+++ b/internal/lab/sampling.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// sampler reads every door at the scenario's pace and keeps, for each second, who was ready.
+// sampleLoop samples every admin endpoint at the scenario's interval and records, for each second, which softswitches
+// were ready and the states that they reported. It also checks the maintenance budget.
 func (r *runner) sampleLoop(stop chan struct{}) {
 	ticker := time.NewTicker(r.scenario.SampleInterval.Duration)
 	defer ticker.Stop()
@@ -33,7 +34,8 @@
 		r.readViews()
 		r.mu.Lock()
 		if r.scenario.MaintenanceBudget > 0 {
-			r.tierChecker.CheckMaintenanceBudget(r.now(), r.scenario.MaintenanceBudget, func(place int) bool { return !r.members[place].isReady() })
+			r.tierChecker.CheckMaintenanceBudget(r.now(), r.scenario.MaintenanceBudget,
+				func(index int) bool { return !r.members[index].isReady() })
 		}
 		for len(r.viewsBySecond) <= second {
 			r.viewsBySecond = append(r.viewsBySecond, nil)
@@ -43,7 +45,7 @@
 	}
 }
 
-// look takes in what each softswitch says of its tier, where membership is on.
+// readViews reads each softswitch's view of its tier and its maintenance status, if membership is on.
 func (r *runner) readViews() {
 	if r.scenario.Membership == nil {
 		return
--- a/internal/lab/scenario_faults.go
+++ b/internal/lab/scenario_faults.go
@@ -7,20 +7,25 @@
 	"time"
 )
 
-// Fault is one entry of the schedule. Which fields count depends on the kind:
+// Fault is one scheduled fault. Which fields count depends on the kind:
 //
-//	kill, term         target softswitches; restarted under the same name and address after For (0: never)
-//	pause              target softswitches stopped (SIGSTOP) for For
-//	restart            every softswitch killed at once, all restarted after For
-//	partition          datagrams between Groups dropped for For; OneWay drops only from the first group to the others
-//	loss, duplicate    datagrams dropped or doubled with chance Share for For
-//	delay, reorder     datagrams held By (reorder: a random share of By, so they pass each other) for For
-//	reset, stall       the connections between target softswitches and Server reset, or left silent for For
-//	slow               Server works Factor times slower for For
-//	drain, gone        Server told draining or gone on the command channel
-//	maintain, withdraw target softswitches asked for, or withdrawn, at the door of Via
+//	kill, term         the Target softswitches' processes end (SIGKILL or SIGTERM); they are restarted under the
+//	                   same names and addresses after Duration (0: never)
+//	pause              the Target softswitches are stopped (SIGSTOP) for Duration
+//	restart            every softswitch is killed at once, and all are restarted after Duration
+//	partition          datagrams between Groups are dropped for Duration; with OneWay only those from the first
+//	                   group to the others
+//	loss, duplicate    datagrams are dropped or sent twice with Probability, for Duration
+//	delay, reorder     datagrams are delayed by Delay for Duration (reorder: by a random part of Delay, so that
+//	                   they overtake each other)
+//	reset, stall       the connections between the Target softswitches and Server are reset, or left silent for
+//	                   Duration
+//	slow               Server works Factor times slower for Duration
+//	drain, gone        the command channel reports Server as draining or gone
+//	maintain, withdraw maintenance of the Target softswitches is requested or withdrawn at the admin endpoint
+//	                   of Via
 type Fault struct {
-	At          Duration   `toml:"at"`
+	At          Duration   `toml:"at"` // since the start of the load
 	Kind        string     `toml:"kind"`
 	Target      []string   `toml:"target"`
 	Server      string     `toml:"server"`
@@ -33,8 +38,9 @@
 	Via         string     `toml:"via"`
 }
 
-// RandomFault draws Count faults of a kind at moments in [From, To): softswitches, servers and the sides of a partition
-// are chosen from the seed, and whether it is one-way; For, Share, By and Factor are every one's.
+// RandomFault draws Count faults of a kind at times in [From, To). The seed decides the softswitches, the servers,
+// the groups of a partition and whether the partition is one-way; Duration, Probability, Delay and Factor are the
+// same for all faults drawn.
 type RandomFault struct {
 	Kind        string   `toml:"kind"`
 	Count       int      `toml:"count"`
@@ -46,28 +52,32 @@
 	Factor      float64  `toml:"factor"`
 }
 
-// drawn are the kinds that can be drawn. What the channel tells, and what operators ask for, is the scenario's to say.
-var randomFaultKinds = []string{"kill", "term", "pause", "partition", "loss", "duplicate", "delay", "reorder", "reset", "stall", "slow"}
+// randomFaultKinds are the kinds that can be drawn. Changes of the server list and requests for maintenance have to
+// be scheduled explicitly.
+var randomFaultKinds = []string{"kill", "term", "pause", "partition", "loss", "duplicate", "delay", "reorder",
+	"reset", "stall", "slow"}
 
+// faultKinds are all kinds of scheduled faults.
 var faultKinds = []string{"kill", "term", "pause", "restart", "partition", "loss", "duplicate", "delay", "reorder",
 	"reset", "stall", "slow", "drain", "gone", "maintain", "withdraw"}
 
+// checkFault checks one fault. The error begins with the name of the invalid field.
 func (s *Scenario) checkFault(fault Fault, serverNames map[string]bool) error {
 	if !slices.Contains(faultKinds, fault.Kind) {
-		return fmt.Errorf("kind: %q is none of %v", fault.Kind, faultKinds)
+		return fmt.Errorf("kind: %q is not one of %v", fault.Kind, faultKinds)
 	}
 	if fault.At.Duration < 0 || fault.At.Duration > s.Duration.Duration {
 		return fmt.Errorf("at: %v, not within the run", fault.At)
 	}
-	for _, t := range fault.Target {
-		if _, ok := s.indexByName[t]; !ok {
-			return fmt.Errorf("target: no softswitch %q", t)
+	for _, name := range fault.Target {
+		if _, ok := s.indexByName[name]; !ok {
+			return fmt.Errorf("target: no softswitch %q", name)
 		}
 	}
-	for _, g := range fault.Groups {
-		for _, t := range g {
-			if _, ok := s.indexByName[t]; !ok {
-				return fmt.Errorf("groups: no softswitch %q", t)
+	for _, group := range fault.Groups {
+		for _, name := range group {
+			if _, ok := s.indexByName[name]; !ok {
+				return fmt.Errorf("groups: no softswitch %q", name)
 			}
 		}
 	}
@@ -88,7 +98,7 @@
 		}
 	case "partition":
 		if len(fault.Groups) < 2 {
-			return fmt.Errorf("groups: %d, at least two", len(fault.Groups))
+			return fmt.Errorf("groups: %d groups, want at least two", len(fault.Groups))
 		}
 	case "loss", "duplicate":
 		if fault.Probability <= 0 || fault.Probability > 1 {
@@ -107,28 +117,29 @@
 		}
 	}
 	if fault.Duration.Duration < 0 {
-		return fmt.Errorf("for: %v", fault.Duration)
+		return fmt.Errorf("for: %v, negative", fault.Duration)
 	}
 	return nil
 }
 
-// draw turns the random faults into timed ones, the same for the same seed.
+// drawRandomFaults adds the random faults to Faults, the same ones for the same seed.
 func (s *Scenario) drawRandomFaults() error {
 	rng := rand.New(rand.NewPCG(s.Seed, 0x6c6162))
 	for i, spec := range s.RandomFaults {
 		switch {
 		case !slices.Contains(randomFaultKinds, spec.Kind):
-			return fmt.Errorf("random_fault[%d].kind: %q is none of %v", i, spec.Kind, randomFaultKinds)
+			return fmt.Errorf("random_fault[%d].kind: %q is not one of %v", i, spec.Kind, randomFaultKinds)
 		case spec.Kind == "partition" && s.Softswitches < 2:
-			return fmt.Errorf("random_fault[%d].kind: a partition of one softswitch", i)
+			return fmt.Errorf("random_fault[%d].kind: a partition needs at least two softswitches", i)
 		case spec.Count < 1 || spec.Count > 64:
 			return fmt.Errorf("random_fault[%d].count: %d, not in [1, 64]", i, spec.Count)
 		case spec.To.Duration <= spec.From.Duration || spec.To.Duration > s.Duration.Duration:
-			return fmt.Errorf("random_fault[%d].to: %v, not after from and within the run", i, spec.To)
+			return fmt.Errorf("random_fault[%d].to: %v, want a time after from and within the run", i, spec.To)
 		}
 		for range spec.Count {
 			at := spec.From.Duration + time.Duration(rng.Int64N(int64(spec.To.Duration-spec.From.Duration)))
-			fault := Fault{At: Duration{at}, Kind: spec.Kind, Duration: spec.Duration, Probability: spec.Probability, Delay: spec.Delay, Factor: spec.Factor,
+			fault := Fault{At: Duration{at}, Kind: spec.Kind, Duration: spec.Duration, Probability: spec.Probability,
+				Delay: spec.Delay, Factor: spec.Factor,
 				Target: []string{MemberName(rng.IntN(s.Softswitches))}, Server: s.Servers[rng.IntN(len(s.Servers))].Name}
 			if spec.Kind == "partition" {
 				fault.Groups, fault.OneWay = s.randomGroups(rng), rng.IntN(2) == 0
@@ -139,7 +150,7 @@
 	return nil
 }
 
-// sides are two, neither empty, drawn at random.
+// randomGroups splits the softswitches at random into two groups; neither is empty.
 func (s *Scenario) randomGroups(rng *rand.Rand) [][]string {
 	groups := make([][]string, 2)
 	order, firstSize := rng.Perm(s.Softswitches), 1+rng.IntN(s.Softswitches-1)
@@ -153,7 +164,7 @@
 	return groups
 }
 
-// lastFault is when the last fault has ended.
+// lastFaultEnd returns the time at which the last fault has ended.
 func (s *Scenario) lastFaultEnd() (at time.Duration) {
 	for _, f := range s.Faults {
 		at = max(at, f.At.Duration+f.Duration.Duration)
--- a/internal/lab/scenario_test.go
+++ b/internal/lab/scenario_test.go
@@ -9,6 +9,8 @@
 	"time"
 )
 
+// An invalid scenario gives one line that begins with the field, and every scenario in lab/scenarios is valid.
+// Set-ups are distributed by the shares.
 func TestReadScenario(t *testing.T) {
 	dir := t.TempDir()
 	for _, test := range []struct{ text, field string }{
@@ -33,25 +35,26 @@
 		}
 	}
 	if len(shipped) < 40 {
-		t.Errorf("%d scenarios shipped", len(shipped))
+		t.Errorf("%d scenarios in lab/scenarios, want at least 40", len(shipped))
 	}
 	credit, got := make([]float64, 3), [3]int{}
 	for range 120 {
 		got[nextByShare(credit, []float64{10, 1, 1})]++
 	}
 	if got != [3]int{100, 10, 10} {
-		t.Errorf("of 120 set-ups by shares of 10, 1 and 1 go %v", got)
+		t.Errorf("120 set-ups by shares of 10, 1 and 1 are distributed as %v", got)
 	}
 }
 
-// Faults of every kind that can be drawn make sense when they are, and are the same for the same seed.
+// Faults drawn at random are valid for every kind that can be drawn, and the same for the same seed.
 func TestRandomFaults(t *testing.T) {
 	draw := func(seed uint64) []Fault {
 		scenario := shortScenario("random")
 		scenario.Seed = seed
 		for _, kind := range randomFaultKinds {
-			scenario.RandomFaults = append(scenario.RandomFaults, RandomFault{Kind: kind, Count: 5, To: Duration{3 * time.Second}, Duration: Duration{time.Second},
-				Probability: 0.2, Delay: Duration{10 * ms}, Factor: 3})
+			scenario.RandomFaults = append(scenario.RandomFaults,
+				RandomFault{Kind: kind, Count: 5, To: Duration{3 * time.Second}, Duration: Duration{time.Second},
+					Probability: 0.2, Delay: Duration{10 * ms}, Factor: 3})
 		}
 		if err := scenario.Check(); err != nil {
 			t.Fatal(err)
@@ -59,12 +62,13 @@
 		return scenario.Faults
 	}
 	faults, repeated, other := draw(1), draw(1), draw(2)
-	if fmt.Sprint(faults) != fmt.Sprint(repeated) || fmt.Sprint(faults) == fmt.Sprint(other) || len(faults) != 5*len(randomFaultKinds) {
-		t.Errorf("%d faults; the same seed draws the same: %t", len(faults), fmt.Sprint(faults) == fmt.Sprint(repeated))
+	if fmt.Sprint(faults) != fmt.Sprint(repeated) || fmt.Sprint(faults) == fmt.Sprint(other) ||
+		len(faults) != 5*len(randomFaultKinds) {
+		t.Errorf("%d faults; same seed draws the same faults: %t", len(faults), fmt.Sprint(faults) == fmt.Sprint(repeated))
 	}
 	for _, fault := range faults {
 		if fault.Kind == "partition" && (len(fault.Groups[0]) == 0 || len(fault.Groups[1]) == 0) {
-			t.Errorf("a partition with one side: %v", fault.Groups)
+			t.Errorf("a partition with an empty group: %v", fault.Groups)
 		}
 	}
 }
--- a/internal/lab/settings.go
+++ b/internal/lab/settings.go
@@ -7,48 +7,51 @@
 	"time"
 )
 
-// DefaultSettings are the lab's own settings for the softswitches, where a scenario names none: one class, four attempts,
-// the release gap, the drain grace and the cold-server budget of the deployment.
+// DefaultSettings are the softswitches' settings in scenarios that name none: one class, four attempts, and the
+// release guard, the drain grace and the cold-server budget of the deployment.
 const DefaultSettings = `{"request-classes":[{"name":"voice","effect":"free","gain":1,"objective-us":1000000,"hard-limit-us":3000000}],
  "family-info":{"own-number":-1,"release-guard-us":200000,"retransmit-us":500000},
  "limits":{"max-attempts":4,"max-open":100,"connect-timeout-us":500000,"retry-after":true,"max-retry-after-us":2000000,"cancel":true},
  "load-report":{"columns":["spare","total","cut_by"],"via":"inline"},
  "obligations":{"cold-from":0.3,"ramp-time-us":14000000,"tip-multiple":2.5,"tip-after-us":1000000,"drain-grace-us":250000}}`
 
-// rulesOf reads the rules' figures from the settings.
+// parseRules reads the rules' limits from a settings object.
 func parseRules(settings []byte) (Rules, error) {
 	var parsed struct {
-		Family struct {
-			Release float64 `json:"release-guard-us"`
+		FamilyInfo struct {
+			ReleaseGuard float64 `json:"release-guard-us"`
 		} `json:"family-info"`
 		Limits struct {
-			Attempts int `json:"max-attempts"`
+			MaxAttempts int `json:"max-attempts"`
 		} `json:"limits"`
-		Duties struct {
-			ColdFrom float64 `json:"cold-from"`
-			Ramp     float64 `json:"ramp-time-us"`
-			Multiple float64 `json:"tip-multiple"`
-			After    float64 `json:"tip-after-us"`
-			Grace    float64 `json:"drain-grace-us"`
+		Obligations struct {
+			ColdFrom    float64 `json:"cold-from"`
+			Ramp        float64 `json:"ramp-time-us"`
+			TipMultiple float64 `json:"tip-multiple"`
+			TipAfter    float64 `json:"tip-after-us"`
+			DrainGrace  float64 `json:"drain-grace-us"`
 		} `json:"obligations"`
 	}
 	if err := json.Unmarshal(settings, &parsed); err != nil {
 		return Rules{}, fmt.Errorf("settings: %w", err)
 	}
 	microseconds := func(value float64) time.Duration { return time.Duration(value * float64(time.Microsecond)) }
-	rules := Rules{MaxAttempts: parsed.Limits.Attempts, ReleaseGuard: microseconds(parsed.Family.Release), DrainGrace: microseconds(parsed.Duties.Grace),
-		TipMultiple: parsed.Duties.Multiple, TipWindow: microseconds(parsed.Duties.After), ColdFrom: parsed.Duties.ColdFrom, Ramp: microseconds(parsed.Duties.Ramp),
+	rules := Rules{MaxAttempts: parsed.Limits.MaxAttempts, ReleaseGuard: microseconds(parsed.FamilyInfo.ReleaseGuard),
+		DrainGrace:  microseconds(parsed.Obligations.DrainGrace),
+		TipMultiple: parsed.Obligations.TipMultiple, TipWindow: microseconds(parsed.Obligations.TipAfter),
+		ColdFrom: parsed.Obligations.ColdFrom, Ramp: microseconds(parsed.Obligations.Ramp),
 		Slack: 50 * time.Millisecond, ColdSlack: 3}
 	if rules.DrainGrace == 0 {
 		rules.DrainGrace = 250 * time.Millisecond
 	}
 	if rules.MaxAttempts <= 0 || rules.TipMultiple <= 0 || rules.TipWindow <= 0 {
-		return rules, errors.New("settings: limits.max-attempts and obligations.tip-multiple, tip-after-us are needed")
+		return rules, errors.New("settings: limits.max-attempts and obligations.tip-multiple, tip-after-us must be positive")
 	}
 	return rules, nil
 }
 
-// settingsOf are the settings with what differs from one softswitch to another: its number in the tier.
+// memberSettings returns the settings object for one softswitch: its own index ("me") and the size of the tier
+// differ.
 func (r *runner) memberSettings(index int) (json.RawMessage, error) {
 	var settings map[string]any
 	if err := json.Unmarshal(r.settings, &settings); err != nil {
--- a/internal/lab/standin_server.go
+++ b/internal/lab/standin_server.go
@@ -10,7 +10,8 @@
 	"time"
 )
 
-// observer is what the stand-ins tell the runner; the runner feeds the judge under its lock.
+// serverObserver receives what happens at the stand-in servers. The runner implements it, and passes the events to
+// the checker under its lock.
 type serverObserver interface {
 	now() time.Duration
 	attemptReceived(server string, id uint64)
@@ -18,29 +19,32 @@
 	capacity(server string, at time.Duration) float64
 }
 
-// standIn is an activation server as PROTOCOL describes it, with a listener for each softswitch, so that it knows
-// who sends: JSON lines, one processor that works set-ups in turn, a number of lines, calls that stand for a time.
+// standInServer plays an activation server as PROTOCOL describes it. It has a listener for each softswitch, so that
+// it knows the sender, and speaks JSON lines. One processor works on set-ups in turn; a limited number of lines holds
+// calls that stay established for HoldTime.
 type standInServer struct {
 	Server
 	observer         serverObserver
-	mu               sync.Mutex
+	mu               sync.Mutex     // guards the fields below except listeners, and serverConn.pending
 	listeners        []net.Listener // by softswitch
 	conns            map[*serverConn]bool
-	busyUntil        time.Duration
+	busyUntil        time.Duration // when the processor has worked off the set-ups accepted so far
 	establishedCalls int
-	slowdown         float64
-	stalledMembers   map[int]bool
-	removed          bool
+	slowdown         float64      // factor on the service time; 1: normal speed
+	stalledMembers   map[int]bool // softswitches whose connections are left silent
+	removed          bool         // accepts no connections any more
 	wg               sync.WaitGroup
 }
 
+// serverConn is a connection from one softswitch.
 type serverConn struct {
 	net.Conn
-	memberIndex int // softswitch
-	mu          sync.Mutex
+	memberIndex int             // the softswitch
+	mu          sync.Mutex      // serialises writes
 	pending     map[uint64]bool // set-ups not yet answered
 }
 
+// send writes one line.
 func (c *serverConn) send(format string, args ...any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -48,8 +52,10 @@
 	fmt.Fprintf(c.Conn, format+"\n", args...)
 }
 
+// newStandInServer opens a listener on each host, one for each softswitch, and serves them.
 func newStandInServer(config Server, observer serverObserver, hosts []string) (*standInServer, error) {
-	server := &standInServer{Server: config, observer: observer, conns: make(map[*serverConn]bool), slowdown: 1, stalledMembers: make(map[int]bool)}
+	server := &standInServer{Server: config, observer: observer, conns: make(map[*serverConn]bool), slowdown: 1,
+		stalledMembers: make(map[int]bool)}
 	var err error
 	if server.listeners, err = listenEach(hosts); err != nil {
 		return nil, err
@@ -61,11 +67,12 @@
 	return server, nil
 }
 
-// address is where a softswitch is told to find this server.
+// addressFor returns the address at which a softswitch reaches this server.
 func (s *standInServer) addressFor(memberIndex int) string {
 	return s.listeners[memberIndex].Addr().String()
 }
 
+// accept serves a softswitch's connections; each one gets a load report at once.
 func (s *standInServer) accept(memberIndex int, listener net.Listener) {
 	defer s.wg.Done()
 	for {
@@ -88,19 +95,21 @@
 	}
 }
 
-// report is a load report in the columns of the lab's settings.
+// loadReport returns a load report with the columns of DefaultSettings.
 func (s *standInServer) loadReport() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return fmt.Sprintf("spare:%d;total:%d;cut_by:0", max(0, s.Lines-s.establishedCalls), s.Lines)
 }
 
+// serverMessage is a line from a softswitch.
 type serverMessage struct {
 	Op    string `json:"op"`
 	Call  string `json:"call"`
 	Cause int    `json:"why"`
 }
 
+// serve handles a connection's lines until the connection ends; the attempts pending then ended by a reset.
 func (s *standInServer) serve(c *serverConn) {
 	defer s.wg.Done()
 	reader := bufio.NewReaderSize(c, 16<<10)
@@ -144,6 +153,8 @@
 	}
 }
 
+// handleOffer queues a set-up for the processor, or refuses it: as blocked if no line is free, as swamped if the wait
+// would be too long. A stalled connection gets no answer.
 func (s *standInServer) handleOffer(c *serverConn, id uint64) {
 	s.observer.attemptReceived(s.Name, id)
 	now := s.observer.now()
@@ -163,7 +174,8 @@
 	s.mu.Unlock()
 	if full || swamped {
 		note := map[bool]string{true: "blocked", false: "swamped"}[full]
-		s.endAttempt(c, id, Refused, fmt.Sprintf(`{"op":"end","call":"%016x","with":{"note":%q,"load":%q},"why":34}`, id, note, s.loadReport()))
+		s.endAttempt(c, id, Refused, fmt.Sprintf(`{"op":"end","call":"%016x","with":{"note":%q,"load":%q},"why":34}`,
+			id, note, s.loadReport()))
 		return
 	}
 	time.AfterFunc(startAt+serviceTime-now, func() {
@@ -174,7 +186,8 @@
 		}
 		s.establishedCalls++
 		s.mu.Unlock()
-		if !s.endAttempt(c, id, Answered, fmt.Sprintf(`{"op":"accept","call":"%016x","with":{"load":%q},"desc":"lab:%s:%016x"}`, id, s.loadReport(), s.Name, id)) {
+		if !s.endAttempt(c, id, Answered, fmt.Sprintf(`{"op":"accept","call":"%016x","with":{"load":%q},"desc":"lab:%s:%016x"}`,
+			id, s.loadReport(), s.Name, id)) {
 			s.releaseLine()
 			return
 		}
@@ -185,7 +198,8 @@
 	})
 }
 
-// hangUp frees a line. A server that was full tells every open connection that it has one again, unasked.
+// releaseLine frees a line when a call ends. A server that had no free line reports the free line on every open
+// connection.
 func (s *standInServer) releaseLine() {
 	s.mu.Lock()
 	s.establishedCalls--
@@ -203,7 +217,8 @@
 	}
 }
 
-// finish ends a pending set-up with an answer, if it is still pending.
+// endAttempt sends the reply that ends a pending set-up. It reports false, and sends nothing, if the set-up is no
+// longer pending.
 func (s *standInServer) endAttempt(c *serverConn, id uint64, outcome AttemptOutcome, reply string) bool {
 	s.mu.Lock()
 	wasPending := c.pending[id]
@@ -217,7 +232,8 @@
 	return true
 }
 
-// cut resets the connections from the given softswitches (all where from is nil); gone also stops accepting.
+// resetConns resets the connections from the given softswitches, or all connections if members is nil. remove also
+// makes the server refuse new connections.
 func (s *standInServer) resetConns(members map[int]bool, remove bool) {
 	s.mu.Lock()
 	if remove {
@@ -238,7 +254,7 @@
 	}
 }
 
-// stall leaves the connections from the given softswitches silent, or lets them speak again.
+// setStalled leaves the connections from the given softswitches silent, or ends that.
 func (s *standInServer) setStalled(members []int, stalled bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -247,12 +263,14 @@
 	}
 }
 
+// setSlowdown sets the factor on the service time.
 func (s *standInServer) setSlowdown(factor float64) {
 	s.mu.Lock()
 	s.slowdown = factor
 	s.mu.Unlock()
 }
 
+// close closes the listeners and resets all connections.
 func (s *standInServer) close() {
 	for _, listener := range s.listeners {
 		listener.Close()
--- a/internal/lab/tier_checker.go
+++ b/internal/lab/tier_checker.go
@@ -6,64 +6,69 @@
 	"time"
 )
 
-// View is what one softswitch's door says of its tier at a moment: its state for each, by place.
+// View is what one softswitch's admin endpoint says of its tier at a time.
 type View struct {
-	States    []string
-	Majority  bool
-	ColdShare float64
+	States    []string // state of each member, by index
+	Majority  bool     // whether the softswitch sees a majority of the tier
+	ColdShare float64  // factor on its quota of a cold server's budget, 0 to 1
 }
 
-func isDown(state string) bool      { return state == "dead" || state == "left" }
+// isDown reports whether a state means that the member takes no part.
+func isDown(state string) bool { return state == "dead" || state == "left" }
+
+// isAvailable reports whether a state means that the member takes part.
 func isAvailable(state string) bool { return state == "alive" || state == "draining" }
 
-// Detection is how the others saw a softswitch that the lab killed, stopped or paused. Times are since the trouble
-// began, for Back since it ended; negative: it was not seen.
+// Detection is how the other softswitches saw one that the lab killed, stopped or paused. Unless a field says
+// otherwise, times are since the start of the fault; a negative time: the event was not seen.
 type Detection struct {
 	Softswitch   string        `json:"softswitch"`
 	Kind         string        `json:"kind"`
-	At           time.Duration `json:"at_ns"`
-	Suspected    time.Duration `json:"suspected_ns"` // some other holds it for suspect or worse
-	AllSuspected time.Duration `json:"known_ns"`     // every other that runs holds it for suspect or worse
-	Dead         time.Duration `json:"dead_ns"`      // some other holds it dead or left
-	AllDead      time.Duration `json:"all_dead_ns"`  // every other that runs does
-	Ended        time.Duration `json:"ended_ns"`     // when the trouble ended, since the start of the run
-	AllAvailable time.Duration `json:"back_ns"`      // every other that runs holds it there again
-	index        int
+	At           time.Duration `json:"at_ns"`        // start of the fault, since the start of the run
+	Suspected    time.Duration `json:"suspected_ns"` // first other member reports the softswitch suspect, dead or left
+	AllSuspected time.Duration `json:"known_ns"`     // all other running members report it suspect, dead or left
+	Dead         time.Duration `json:"dead_ns"`      // first other member reports it dead or left
+	AllDead      time.Duration `json:"all_dead_ns"`  // all other running members report it dead or left
+	Ended        time.Duration `json:"ended_ns"`     // end of the fault, since the start of the run
+	AllAvailable time.Duration `json:"back_ns"`      // all other running members report it available; time since Ended
+	index        int           // of the softswitch
 }
 
-// FalseDeath is a softswitch held dead that was there and could be heard.
+// FalseDeath is a softswitch that another member reported dead although it was running and could be reached.
 type FalseDeath struct {
 	At     time.Duration `json:"at_ns"`
-	By, Of string
+	By, Of string        // By is the member that reported, Of the softswitch
 }
 
-// aftermath is how long after a trouble or a cut has ended what is held of those it met may still come from it.
+// recoveryGrace is the time after the end of a fault or a partition in which members' views can still be due to it.
 const recoveryGrace = 3 * time.Second
 
-// TierChecker follows the softswitches' views of each other. Like the judge it does no I/O and reads no clock.
+// TierChecker checks the softswitches' views of each other. Like Checker, it does no I/O and reads no clock.
 type TierChecker struct {
-	lastViews        []View // each one's last; no states: none seen in this life
-	faulted          []bool
-	faultEndedAt     []time.Duration // its last trouble ended; -1: it had none
-	conditions       NetworkConditions
-	partitionEndedAt time.Duration // -1: none has
+	lastViews        []View            // each softswitch's last view; no states: none seen since its process started
+	faulted          []bool            // by index: the lab disturbs the softswitch at present
+	faultEndedAt     []time.Duration   // by index: when the last fault ended; -1: there was none
+	conditions       NetworkConditions // of the network at present
+	partitionEndedAt time.Duration     // when the last partition ended; -1: none has
 	detections       []*Detection
 	falseDeaths      []FalseDeath
 	maintenanceRuns  []*MaintenanceRun
-	endedRequests     map[int]bool // its last request is
-	maxOut           int
-	violations       map[string]*Violation
+	endedRequests    map[int]bool          // not used
+	maxOut           int                   // greatest number of softswitches out for maintenance in one sample
+	violations       map[string]*Violation // by rule
 }
 
-// NewTierChecker follows so many softswitches.
+// NewTierChecker makes a checker for a tier of the given size.
 func NewTierChecker(tierSize int) *TierChecker {
-	c := &TierChecker{lastViews: make([]View, tierSize), faulted: make([]bool, tierSize), violations: make(map[string]*Violation), endedRequests: make(map[int]bool), partitionEndedAt: -1}
+	c := &TierChecker{lastViews: make([]View, tierSize), faulted: make([]bool, tierSize),
+		violations: make(map[string]*Violation), endedRequests: make(map[int]bool), partitionEndedAt: -1}
 	for range tierSize {
 		c.faultEndedAt = append(c.faultEndedAt, -1)
 	}
 	return c
 }
 
+// recordViolation counts a violation of a rule and keeps the detail of the first one.
 func (c *TierChecker) recordViolation(rule string, at time.Duration, format string, args ...any) {
 	violation := c.violations[rule]
 	if violation == nil {
@@ -73,7 +78,8 @@
 	violation.Count++
 }
 
-// RecordFault says that the lab begins to hinder a softswitch, or has ceased to. A kill ends what it held.
+// RecordFault records that the lab begins or ceases to disturb a softswitch. Any fault but a pause ends the process,
+// and so discards its last view.
 func (c *TierChecker) RecordFault(at time.Duration, index int, kind string, begins bool) {
 	switch {
 	case begins:
@@ -93,7 +99,7 @@
 	}
 }
 
-// SetConditions says how the datagrams between softswitches fare from now on.
+// SetConditions records the network conditions from a time on.
 func (c *TierChecker) SetConditions(at time.Duration, conditions NetworkConditions) {
 	if c.conditions.Groups != nil && conditions.Groups == nil {
 		c.partitionEndedAt = at
@@ -101,12 +107,15 @@
 	c.conditions = conditions
 }
 
-// apart says whether two softswitches can't be held to hear each other.
+// maybeSeparated reports whether two softswitches may not have reached each other, because of a present or recent
+// partition.
 func (c *TierChecker) maybeSeparated(a, b int, at time.Duration) bool {
-	return c.conditions.Groups != nil && c.conditions.Groups[a] != c.conditions.Groups[b] || c.partitionEndedAt >= 0 && at < c.partitionEndedAt+recoveryGrace
+	return c.conditions.Groups != nil && c.conditions.Groups[a] != c.conditions.Groups[b] ||
+		c.partitionEndedAt >= 0 && at < c.partitionEndedAt+recoveryGrace
 }
 
-// RecordView takes in what a softswitch says of its tier.
+// RecordView records a softswitch's view of its tier. It checks that a softswitch without a majority reduces its
+// quota of cold servers' budgets, and looks for false deaths.
 func (c *TierChecker) RecordView(at time.Duration, observer int, view View) {
 	previous := c.lastViews[observer]
 	if len(view.States) != len(c.lastViews) || c.faulted[observer] {
@@ -119,15 +128,18 @@
 			available++
 		}
 	}
-	if majority := 2*available > len(view.States); view.ColdShare > 1 || !majority && view.ColdShare > float64(available)/float64(len(view.States))+1e-9 {
-		c.recordViolation("too bold without a majority", at, "%s sees %d of %d there and takes %.2f of its part of a cold server's budget",
+	if majority := 2*available > len(view.States); view.ColdShare > 1 ||
+		!majority && view.ColdShare > float64(available)/float64(len(view.States))+1e-9 {
+		c.recordViolation("too bold without a majority", at,
+			"%s sees %d of %d members available and uses %.2f of its quota of a cold server's budget",
 			MemberName(observer), available, len(view.States), view.ColdShare)
 	}
 	for subject, state := range view.States {
 		if subject == observer || state != "dead" || len(previous.States) > 0 && previous.States[subject] == "dead" {
 			continue
 		}
-		if !c.faulted[subject] && (c.faultEndedAt[subject] < 0 || at > c.faultEndedAt[subject]+recoveryGrace) && !c.maybeSeparated(observer, subject, at) {
+		if !c.faulted[subject] && (c.faultEndedAt[subject] < 0 || at > c.faultEndedAt[subject]+recoveryGrace) &&
+			!c.maybeSeparated(observer, subject, at) {
 			c.falseDeaths = append(c.falseDeaths, FalseDeath{at, MemberName(observer), MemberName(subject)})
 		}
 	}
@@ -136,7 +148,7 @@
 	}
 }
 
-// follow looks how far the others are with a trouble.
+// updateDetection records how far the other running members have noticed a fault or its end.
 func (c *TierChecker) updateDetection(at time.Duration, d *Detection) {
 	observers, suspecting, holdingDead, available := 0, 0, 0, 0
 	for observer, view := range c.lastViews {
@@ -169,36 +181,37 @@
 	}
 }
 
-// CheckConvergence judges the views at the end of a run, long enough after its last fault: those that run hold each other there, and
-// those that don't down.
+// CheckConvergence checks the views at the end of a run, long enough after the last fault: all running softswitches
+// must report the running members as available and the others as down.
 func (c *TierChecker) CheckConvergence(at time.Duration, running func(index int) bool) {
 	for observer, view := range c.lastViews {
 		if !running(observer) {
 			continue
 		}
 		if len(view.States) == 0 {
-			c.recordViolation("views disagree", at, "%s shows none", MemberName(observer))
+			c.recordViolation("views disagree", at, "%s reports no view of the tier", MemberName(observer))
 			continue
 		}
 		for subject, state := range view.States {
 			if runs := running(subject); runs && !isAvailable(state) || !runs && !isDown(state) {
-				c.recordViolation("views disagree", at, "%s holds %s %s, and it runs: %t", MemberName(observer), MemberName(subject), state, runs)
+				c.recordViolation("views disagree", at, "%s reports %s as %s; process running: %t",
+					MemberName(observer), MemberName(subject), state, runs)
 			}
 		}
 	}
 }
 
-// Violations are the broken invariants, first seen first.
+// Violations returns the violated rules, ordered by the time of the first violation.
 func (c *TierChecker) Violations() []Violation {
 	var violations []Violation
 	for _, violation := range c.violations {
 		violations = append(violations, *violation)
 	}
-	slices.SortFunc(violations, func(a, violation Violation) int { return int(a.First - violation.First) })
+	slices.SortFunc(violations, func(a, b Violation) int { return int(a.First - b.First) })
 	return violations
 }
 
-// StateInitials are each softswitch's last view, a letter for each softswitch of the tier.
+// StateInitials returns each softswitch's last view as the initials of the members' states.
 func (c *TierChecker) StateInitials() []string {
 	var rows []string
 	for _, view := range c.lastViews {
