--- a/internal/lab/checker_test.go
+++ b/internal/lab/checker_test.go
@@ -118,8 +118,8 @@
 	}
 }
 
-// A restarted softswitch is compared with its peers by the second in which each set-up was sent, from the first call
-// after the restart on; earlier calls don't count.
+// A restarted softswitch is compared with the other softswitches by the second in which each set-up was sent, from the
+// first call after the restart on; earlier calls don't count.
 func TestRecoveryStats(t *testing.T) {
 	checker := NewChecker(Rules{Slack: 50 * ms})
 	id := uint64(0)
