--- /dev/null
+++ b/internal/lab/load.go
@@ -0,0 +1,105 @@
+package lab
+
+import "time"
+
+// generateLoad sends set-ups at the scenario's rate to the ready softswitches, in turn or by their shares. It
+// measures its own lag and reports lag above MaxLag to the checker, so that no timing is checked there.
+func (r *runner) generateLoad() {
+	const tick = 5 * time.Millisecond
+	due, next, class := 0.0, 0, 0
+	credit := make([]float64, len(r.members))
+	tickAt := time.Duration(0)
+	for tickAt < r.scenario.Duration.Duration {
+		select {
+		case <-r.options.Stop:
+			return
+		default:
+		}
+		now := r.now()
+		if lag := now - tickAt; lag > r.scenario.MaxLag.Duration {
+			r.mu.Lock()
+			r.checker.RecordLag(tickAt, now)
+			r.lagSpans++
+			r.mu.Unlock()
+		}
+		if lag := now - tickAt; lag > r.maxLag {
+			r.maxLag = lag
+		}
+		due += r.scenario.RateAt(tickAt) * tick.Seconds()
+		for ; due >= 1; due-- {
+			if shares := r.scenario.SharesAt(tickAt); shares != nil {
+				next = nextByShare(credit, shares)
+			}
+			if !r.sendSetUp(&next, r.scenario.Classes[class%len(r.scenario.Classes)]) {
+				r.mu.Lock()
+				r.unsent++
+				r.mu.Unlock()
+			}
+			class++
+		}
+		tickAt += tick
+		if d := tickAt - r.now(); d > 0 {
+			time.Sleep(d)
+		}
+	}
+}
+
+// nextByShare picks the next softswitch by smooth weighted round robin: each softswitch's credit grows by its share,
+// and the softswitch with the highest credit is picked and pays the sum of all shares.
+func nextByShare(credit, shares []float64) (best int) {
+	total := 0.0
+	for i, share := range shares {
+		credit[i] += share
+		if total += share; credit[i] > credit[best] {
+			best = i
+		}
+	}
+	credit[best] -= total
+	return best
+}
+
+// sendSetUp sends one set-up to the next ready softswitch, on one of the callers' connections to it. It reports
+// whether a softswitch could be reached.
+func (r *runner) sendSetUp(next *int, class string) bool {
+	for range len(r.members) {
+		index := *next % len(r.members)
+		*next++
+		m := r.members[index]
+		if !m.isReady() {
+			continue
+		}
+		conn := r.connTo(index, *next%r.scenario.CallerConns)
+		if conn == nil {
+			continue
+		}
+		if conn.setUp(r.rand.Uint64()|1, class, r.scenario.GiveUp.Duration) == nil {
+			return true
+		}
+	}
+	return false
+}
+
+// connTo returns a callers' connection to a softswitch, dialled anew if the last one in this slot has ended; nil if
+// the dial fails.
+func (r *runner) connTo(index, slot int) *callerConn {
+	r.connMu.Lock()
+	defer r.connMu.Unlock()
+	for len(r.callerConns[index]) < r.scenario.CallerConns {
+		r.callerConns[index] = append(r.callerConns[index], nil)
+	}
+	conn := r.callerConns[index][slot]
+	if conn != nil {
+		select {
+		case <-conn.done:
+			conn = nil
+		default:
+			return conn
+		}
+	}
+	conn, err := dialCaller(r.members[index].listenAddr, index, r)
+	if err != nil {
+		return nil
+	}
+	r.callerConns[index][slot] = conn
+	return conn
+}
--- /dev/null
+++ b/internal/lab/maintenance_checker.go
@@ -0,0 +1,87 @@
+package lab
+
+import "time"
+
+// MaintenanceRun is one time that a softswitch was out of service for maintenance. Times are since the start of the
+// run; a negative time: the event was not seen.
+type MaintenanceRun struct {
+	Softswitch string        `json:"softswitch"`
+	OutAt      time.Duration `json:"out_ns"`   // the softswitch is granted maintenance and sends its callers away
+	ReadyAt    time.Duration `json:"ready_ns"` // no call or connection remains on the softswitch
+	BackAt     time.Duration `json:"back_ns"`  // the softswitch no longer holds its maintenance slot
+	index      int           // of the softswitch
+}
+
+// RecordMaintenance records what a softswitch says of itself: whether it is out of service for maintenance, and ready
+// for the work.
+func (c *TierChecker) RecordMaintenance(at time.Duration, index int, outOfService, ready bool) {
+	var current *MaintenanceRun
+	for _, run := range c.maintenanceRuns {
+		if run.index == index && run.BackAt < 0 {
+			current = run
+		}
+	}
+	if outOfService && current == nil {
+		current = &MaintenanceRun{Softswitch: MemberName(index), OutAt: at, ReadyAt: -1, BackAt: -1, index: index}
+		c.maintenanceRuns = append(c.maintenanceRuns, current)
+	}
+	if current == nil {
+		return
+	}
+	if ready && current.ReadyAt < 0 {
+		current.ReadyAt = at
+	}
+	if !outOfService {
+		current.BackAt = at
+	}
+}
+
+// CheckMaintenanceBudget checks how many softswitches are out for maintenance, by their readiness as seen from
+// outside. A softswitch that the lab itself disturbs, or has just ceased to disturb, is not counted, unless the
+// disturbance is the lab operator's maintenance work.
+func (c *TierChecker) CheckMaintenanceBudget(at time.Duration, budget int, unready func(index int) bool) {
+	outOfService := 0
+	for index := range c.lastViews {
+		switch {
+		case c.faulted[index] && !c.underMaintenance(index):
+		case !c.faulted[index] && c.faultEndedAt[index] >= 0 && at < c.faultEndedAt[index]+recoveryGrace &&
+			!c.underMaintenance(index):
+		case unready(index):
+			outOfService++
+		}
+	}
+	if outOfService > budget {
+		c.recordViolation("more out than the budget", at,
+			"%d softswitches are not ready, at most %d may be out for maintenance", outOfService, budget)
+	}
+	c.maxOut = max(c.maxOut, outOfService)
+}
+
+// underMaintenance reports whether the last fault recorded for a softswitch is the operator's maintenance work, and
+// has not ended.
+func (c *TierChecker) underMaintenance(index int) bool {
+	for i := len(c.detections) - 1; i >= 0; i-- {
+		if d := c.detections[i]; d.index == index {
+			return d.Kind == "work" && d.Ended < 0
+		}
+	}
+	return false
+}
+
+// CheckMaintained checks that each of the given softswitches has been ready for maintenance exactly once, and is back
+// in service.
+func (c *TierChecker) CheckMaintained(at time.Duration, indexes []int) {
+	for _, index := range indexes {
+		readyRuns, back := 0, true
+		for _, run := range c.maintenanceRuns {
+			if run.index == index && run.ReadyAt >= 0 {
+				readyRuns++
+				back = run.BackAt >= 0
+			}
+		}
+		if readyRuns != 1 || !back {
+			c.recordViolation("not maintained once", at, "%s was ready for maintenance %d times; back in service: %t",
+				MemberName(index), readyRuns, back)
+		}
+	}
+}
--- a/internal/lab/plan.go
+++ b/internal/lab/plan.go
@@ -6,105 +6,112 @@
 	"time"
 )
 
-// ActionKind is what the lab does at one moment of a run.
+// ActionKind is the kind of an action of the lab.
 type ActionKind int
 
+// The kinds of actions. Members, Server and the other capitalised words are fields of Action.
 const (
-	ActKill              ActionKind = iota // SIGKILL (or SIGTERM where Term) to Places; they are in trouble from now on
-	ActLaunch                              // Places started again under their names and addresses; out of trouble once ready
-	ActPause                               // SIGSTOP to Places
-	ActResume                              // SIGCONT to Places; out of trouble once ready
-	ActNetworkConditions                   // the relay's weather becomes Weather
-	ActReset                               // the connections between Places and Server reset
-	ActStall                               // those connections silent (Stall) or speaking again
-	ActSlow                                // Server works Factor times slower (1: as it should)
-	ActMaintenance                         // Places asked for, or withdrawn (Retire), at the door of Via
-	ActServerStatus                        // Server told Status on the command channel; Retire where it drains or goes
+	ActKill              ActionKind = iota // SIGKILL, or SIGTERM if Term, to Members; they count as disturbed from now on
+	ActLaunch                              // Members started again; they count as disturbed until they are ready
+	ActPause                               // SIGSTOP to Members; they count as disturbed from now on
+	ActResume                              // SIGCONT to Members; they count as disturbed until they are ready
+	ActNetworkConditions                   // the relay applies Conditions
+	ActReset                               // the connections between Members and Server reset
+	ActStall                               // those connections left silent (Stall true), or answered again
+	ActSlow                                // Server works Factor times slower (1: normal speed)
+	ActMaintenance                         // maintenance of Members requested or (Withdraw) withdrawn at Via
+	ActServerStatus                        // Server's Status published on the command channel
 )
 
-var actNames = [...]string{"kill", "launch", "pause", "resume", "weather", "reset", "stall", "slow", "order", "tell"}
+// actionKindNames are the kinds' names in the log.
+var actionKindNames = [...]string{"kill", "launch", "pause", "resume", "weather", "reset", "stall", "slow", "order", "tell"}
 
-func (a ActionKind) String() string {
-	if a >= 0 && int(a) < len(actNames) {
-		return actNames[a]
+// String returns the kind's name in the log.
+func (k ActionKind) String() string {
+	if k >= 0 && int(k) < len(actionKindNames) {
+		return actionKindNames[k]
 	}
-	return fmt.Sprintf("Act(%d)", int(a))
+	return fmt.Sprintf("ActionKind(%d)", int(k))
 }
 
-// Action is one step of a run's plan.
+// Action is one step of a run's plan. Which fields count depends on the kind.
 type Action struct {
-	At         time.Duration
+	At         time.Duration // since the start of the run
 	Kind       ActionKind
-	Fault      int // the fault it comes from, by place in the scenario; -1 for a server's late start
-	Members    []int
+	Fault      int   // index of the scenario's fault that causes the action; -1 for a server's late start
+	Members    []int // indexes of softswitches
 	Server     string
-	Term       bool
+	Term       bool // SIGTERM instead of SIGKILL
 	Stall      bool
-	Factor     float64
-	Status     string
-	Retire     bool
-	Via        int
+	Factor     float64 // of a server's service time
+	Status     string  // as on the command channel
+	Withdraw   bool    // withdraws a maintenance request; with ActServerStatus: the server drains or is gone
+	Via        int     // index of a softswitch
 	Conditions NetworkConditions
 }
 
-// network are the kinds of fault that change the relay's weather.
-var network = []string{"partition", "loss", "duplicate", "delay", "reorder"}
+// networkFaultKinds are the kinds of fault that change the network conditions.
+var networkFaultKinds = []string{"partition", "loss", "duplicate", "delay", "reorder"}
 
-// Plan turns a checked scenario into the actions of its run, in the order of their times (those of one moment in
-// the order of the faults). It does no I/O. Faults of the network overlap: at each moment the weather is all the
-// network faults standing then, together (chances of loss compound, delays add, the latest partition holds).
-// tellStarts says whether the late starts of servers are told on the channel.
-func Plan(s *Scenario, tellStarts bool) []Action {
+// Plan turns a checked scenario into the actions of its run, ordered by time; actions of the same time are in the
+// order of their faults. It does no I/O. Network faults can overlap: the conditions at a time combine all network
+// faults that are active then (probabilities of loss compound, delays add up, the latest partition applies).
+// announceStarts says whether the late starts of servers are published on the command channel.
+func Plan(s *Scenario, announceStarts bool) []Action {
 	var plan []Action
-	add := func(a Action) { plan = append(plan, a) }
-	all := make([]int, s.Softswitches)
-	for i := range all {
-		all[i] = i
+	addAction := func(a Action) { plan = append(plan, a) }
+	allMembers := make([]int, s.Softswitches)
+	for i := range allMembers {
+		allMembers[i] = i
 	}
-	var weatherAt []time.Duration
-	for i, f := range s.Faults {
-		places := s.places(f.Target)
-		end := f.At.Duration + f.Duration.Duration
-		switch f.Kind {
+	var conditionChanges []time.Duration
+	for i, fault := range s.Faults {
+		members := s.memberIndexes(fault.Target)
+		end := fault.At.Duration + fault.Duration.Duration
+		switch fault.Kind {
 		case "kill", "term", "restart":
-			if f.Kind == "restart" {
-				places = all
+			if fault.Kind == "restart" {
+				members = allMembers
 			}
-			add(Action{At: f.At.Duration, Kind: ActKill, Fault: i, Members: places, Term: f.Kind == "term"})
-			if f.Duration.Duration > 0 {
-				add(Action{At: end, Kind: ActLaunch, Fault: i, Members: places})
+			addAction(Action{At: fault.At.Duration, Kind: ActKill, Fault: i, Members: members, Term: fault.Kind == "term"})
+			if fault.Duration.Duration > 0 {
+				addAction(Action{At: end, Kind: ActLaunch, Fault: i, Members: members})
 			}
 		case "pause":
-			add(Action{At: f.At.Duration, Kind: ActPause, Fault: i, Members: places})
-			add(Action{At: end, Kind: ActResume, Fault: i, Members: places})
+			addAction(Action{At: fault.At.Duration, Kind: ActPause, Fault: i, Members: members})
+			addAction(Action{At: end, Kind: ActResume, Fault: i, Members: members})
 		case "reset":
-			add(Action{At: f.At.Duration, Kind: ActReset, Fault: i, Members: places, Server: f.Server})
+			addAction(Action{At: fault.At.Duration, Kind: ActReset, Fault: i, Members: members, Server: fault.Server})
 		case "stall":
-			add(Action{At: f.At.Duration, Kind: ActStall, Fault: i, Members: places, Server: f.Server, Stall: true})
-			add(Action{At: end, Kind: ActStall, Fault: i, Members: places, Server: f.Server})
+			addAction(Action{At: fault.At.Duration, Kind: ActStall, Fault: i, Members: members, Server: fault.Server,
+				Stall: true})
+			addAction(Action{At: end, Kind: ActStall, Fault: i, Members: members, Server: fault.Server})
 		case "slow":
-			add(Action{At: f.At.Duration, Kind: ActSlow, Fault: i, Server: f.Server, Factor: f.Factor})
-			add(Action{At: end, Kind: ActSlow, Fault: i, Server: f.Server, Factor: 1})
+			addAction(Action{At: fault.At.Duration, Kind: ActSlow, Fault: i, Server: fault.Server, Factor: fault.Factor})
+			addAction(Action{At: end, Kind: ActSlow, Fault: i, Server: fault.Server, Factor: 1})
 		case "drain", "gone":
-			status := map[string]string{"drain": "terminating", "gone": "terminated"}[f.Kind]
-			add(Action{At: f.At.Duration, Kind: ActServerStatus, Fault: i, Server: f.Server, Status: status, Retire: true})
+			status := map[string]string{"drain": "terminating", "gone": "terminated"}[fault.Kind]
+			addAction(Action{At: fault.At.Duration, Kind: ActServerStatus, Fault: i, Server: fault.Server,
+				Status: status, Withdraw: true})
 		case "maintain", "withdraw":
-			add(Action{At: f.At.Duration, Kind: ActMaintenance, Fault: i, Members: places, Via: s.names[f.Via], Retire: f.Kind == "withdraw"})
-		default: // of the network
-			weatherAt = append(weatherAt, f.At.Duration)
-			if f.Duration.Duration > 0 {
-				weatherAt = append(weatherAt, end)
+			addAction(Action{At: fault.At.Duration, Kind: ActMaintenance, Fault: i, Members: members,
+				Via: s.indexByName[fault.Via], Withdraw: fault.Kind == "withdraw"})
+		default: // network faults
+			conditionChanges = append(conditionChanges, fault.At.Duration)
+			if fault.Duration.Duration > 0 {
+				conditionChanges = append(conditionChanges, end)
 			}
 		}
 	}
-	slices.Sort(weatherAt)
-	for _, at := range slices.Compact(weatherAt) {
-		add(Action{At: at, Kind: ActNetworkConditions, Fault: s.faultAt(at), Conditions: s.weather(at)})
+	slices.Sort(conditionChanges)
+	for _, at := range slices.Compact(conditionChanges) {
+		addAction(Action{At: at, Kind: ActNetworkConditions, Fault: s.networkFaultAt(at), Conditions: s.conditionsAt(at)})
 	}
-	if tellStarts {
-		for _, v := range s.Servers {
-			if v.StartAt.Duration > 0 {
-				add(Action{At: v.StartAt.Duration, Kind: ActServerStatus, Fault: -1, Server: v.Name, Status: "in_service"})
+	if announceStarts {
+		for _, server := range s.Servers {
+			if server.StartAt.Duration > 0 {
+				addAction(Action{At: server.StartAt.Duration, Kind: ActServerStatus, Fault: -1, Server: server.Name,
+					Status: "in_service"})
 			}
 		}
 	}
@@ -117,50 +124,52 @@
 	return plan
 }
 
-// weather is the weather at a moment: every network fault that stands then, together. A fault with no For stands to
+// conditionsAt combines all network faults that are active at a time. A fault without a duration stays active until
 // the end of the run.
-func (s *Scenario) weather(at time.Duration) NetworkConditions {
-	var w NetworkConditions
-	for _, f := range s.Faults {
-		if !slices.Contains(network, f.Kind) || at < f.At.Duration || (f.Duration.Duration > 0 && at >= f.At.Duration+f.Duration.Duration) {
+func (s *Scenario) conditionsAt(at time.Duration) NetworkConditions {
+	var conditions NetworkConditions
+	for _, fault := range s.Faults {
+		if !slices.Contains(networkFaultKinds, fault.Kind) || at < fault.At.Duration ||
+			(fault.Duration.Duration > 0 && at >= fault.At.Duration+fault.Duration.Duration) {
 			continue
 		}
-		switch f.Kind {
+		switch fault.Kind {
 		case "partition":
-			w.Groups, w.OneWay = map[int]int{}, f.OneWay
-			for g, names := range f.Groups {
-				for _, p := range s.places(names) {
-					w.Groups[p] = g
+			conditions.Groups, conditions.OneWay = map[int]int{}, fault.OneWay
+			for group, names := range fault.Groups {
+				for _, index := range s.memberIndexes(names) {
+					conditions.Groups[index] = group
 				}
 			}
 		case "loss":
-			w.Loss = 1 - (1-w.Loss)*(1-f.Probability)
+			conditions.Loss = 1 - (1-conditions.Loss)*(1-fault.Probability)
 		case "duplicate":
-			w.Duplicate = max(w.Duplicate, f.Probability)
+			conditions.Duplicate = max(conditions.Duplicate, fault.Probability)
 		case "delay":
-			w.Delay += f.Delay.Duration
+			conditions.Delay += fault.Delay.Duration
 		case "reorder":
-			w.Reorder = max(w.Reorder, f.Delay.Duration)
+			conditions.Reorder = max(conditions.Reorder, fault.Delay.Duration)
 		}
 	}
-	return w
+	return conditions
 }
 
-// faultAt is the first network fault that begins or ends at a moment.
-func (s *Scenario) faultAt(at time.Duration) int {
-	for i, f := range s.Faults {
-		if slices.Contains(network, f.Kind) && (f.At.Duration == at || f.At.Duration+f.Duration.Duration == at) {
+// networkFaultAt returns the index of the first network fault that begins or ends at a time, or -1.
+func (s *Scenario) networkFaultAt(at time.Duration) int {
+	for i, fault := range s.Faults {
+		if slices.Contains(networkFaultKinds, fault.Kind) &&
+			(fault.At.Duration == at || fault.At.Duration+fault.Duration.Duration == at) {
 			return i
 		}
 	}
 	return -1
 }
 
-// places are the softswitches of these names, by place.
-func (s *Scenario) places(names []string) []int {
-	var out []int
-	for _, n := range names {
-		out = append(out, s.names[n])
+// memberIndexes returns the indexes of the softswitches with these names.
+func (s *Scenario) memberIndexes(names []string) []int {
+	var indexes []int
+	for _, name := range names {
+		indexes = append(indexes, s.indexByName[name])
 	}
-	return out
+	return indexes
 }
