--- a/cmd/elmseamctl/lab.go
+++ b/cmd/elmseamctl/lab.go
@@ -17,10 +17,10 @@
 
 // The exit codes of lab run.
 const (
-	labHeld   = 0
-	labBroken = 1 // an invariant is broken
-	labBad    = 2 // the scenario makes no sense
-	labFailed = 3 // the lab itself failed
+	labExitPassed    = 0
+	labExitViolation = 1 // an invariant is broken
+	labExitInvalid   = 2 // the scenario makes no sense
+	labExitFailed    = 3 // the lab itself failed
 )
 
 func labCommand() *cobra.Command {
@@ -31,15 +31,15 @@
 		Short: "Plays a scenario file against processes of the program, and judges what it sees from outside",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			s, err := lab.ReadScenario(args[0])
+			scenario, err := lab.ReadScenario(args[0])
 			if err != nil {
 				fmt.Fprintln(os.Stderr, "elmseamctl:", err)
-				return outcome(labBad)
+				return exitCode(labExitInvalid)
 			}
 			if out == "" {
-				out = filepath.Join(os.TempDir(), "elmseam-lab-"+s.Name)
+				out = filepath.Join(os.TempDir(), "elmseam-lab-"+scenario.Name)
 			}
-			log := zerolog.New(os.Stderr).With().Timestamp().Str("scenario", s.Name).Logger()
+			log := zerolog.New(os.Stderr).With().Timestamp().Str("scenario", scenario.Name).Logger()
 			interrupted := make(chan os.Signal, 1)
 			signal.Notify(interrupted, os.Interrupt, syscall.SIGTERM, syscall.SIGHUP)
 			defer signal.Stop(interrupted)
@@ -49,25 +49,25 @@
 					close(stop)
 				}
 			}()
-			res, err := lab.Run(s, lab.Options{Binary: binary, OutDir: out, Log: log, Stop: stop})
+			result, err := lab.Run(scenario, lab.Options{Binary: binary, OutDir: out, Log: log, Stop: stop})
 			if errors.Is(err, lab.ErrLab) {
 				fmt.Fprintln(os.Stderr, "elmseamctl:", err)
-				return outcome(labFailed)
+				return exitCode(labExitFailed)
 			}
 			if err != nil {
 				fmt.Fprintln(os.Stderr, "elmseamctl:", err)
-				return outcome(labBad)
+				return exitCode(labExitInvalid)
 			}
-			text, _ := json.MarshalIndent(res, "", "  ")
+			text, _ := json.MarshalIndent(result, "", "  ")
 			if err := errors.Join(os.WriteFile(filepath.Join(out, "verdict.json"), text, 0o644),
-				res.WriteTable(filepath.Join(out, "seconds.csv")),
-				res.WritePlots(filepath.Join(out, "load.png"), filepath.Join(out, "answers.png"))); err != nil {
+				result.WriteTable(filepath.Join(out, "seconds.csv")),
+				result.WritePlots(filepath.Join(out, "load.png"), filepath.Join(out, "answers.png"))); err != nil {
 				fmt.Fprintln(os.Stderr, "elmseamctl:", err)
-				return outcome(labFailed)
+				return exitCode(labExitFailed)
 			}
-			printVerdict(c, res, out)
-			if !res.Passed {
-				return outcome(labBroken)
+			printVerdict(c, result, out)
+			if !result.Passed {
+				return exitCode(labExitViolation)
 			}
 			return nil
 		},
@@ -78,16 +78,16 @@
 	return cmd
 }
 
-func printVerdict(c *cobra.Command, res *lab.Result, out string) {
-	w := c.OutOrStdout()
-	fmt.Fprintf(w, "%s: offered %d, served %d, refused %d, lost %d, excused %d, unsent %d; lab lag at most %v, %d spans not judged\n",
-		res.Scenario, res.Offered, res.Served, res.Refused, res.Lost, res.Excused, res.Unsent, res.MaxLag, res.LagSpans)
-	for _, b := range res.Violations {
-		fmt.Fprintf(w, "BROKEN %s: first at %v, %d times: %s\n", b.Rule, b.First, b.Count, b.Detail)
+func printVerdict(cmd *cobra.Command, result *lab.Result, out string) {
+	output := cmd.OutOrStdout()
+	fmt.Fprintf(output, "%s: offered %d, served %d, refused %d, lost %d, excused %d, unsent %d; lab lag at most %v, %d spans not judged\n",
+		result.Scenario, result.Offered, result.Served, result.Refused, result.Lost, result.Excused, result.Unsent, result.MaxLag, result.LagSpans)
+	for _, violation := range result.Violations {
+		fmt.Fprintf(output, "BROKEN %s: first at %v, %d times: %s\n", violation.Rule, violation.First, violation.Count, violation.Detail)
 	}
 	verdict := "held"
-	if !res.Passed {
+	if !result.Passed {
 		verdict = "broken"
 	}
-	fmt.Fprintf(w, "%s; table and logs in %s\n", verdict, out)
+	fmt.Fprintf(output, "%s; table and logs in %s\n", verdict, out)
 }
--- a/cmd/elmseamctl/main.go
+++ b/cmd/elmseamctl/main.go
@@ -13,15 +13,15 @@
 // The exit codes.
 const (
 	exitPassed     = 0
-	exitBroken     = 1 // a rule is broken: a counterexample was found, or plays
+	exitViolation  = 1 // a rule is broken: a counterexample was found, or plays
 	exitIncomplete = 2 // none was found, and not every state was looked at
 	exitUsage      = 3 // the command, a flag or a file makes no sense
 )
 
 // outcome ends the program with a code other than that of bad usage.
-type outcome int
+type exitCode int
 
-func (o outcome) Error() string { return fmt.Sprintf("exit code %d", int(o)) }
+func (o exitCode) Error() string { return fmt.Sprintf("exit code %d", int(o)) }
 
 func main() { os.Exit(run(os.Args[1:])) }
 
@@ -35,12 +35,12 @@
 	root.AddCommand(checkCommand(), labCommand(), membersCommand(), maintenanceCommand(), serversCommand())
 	root.SetArgs(args)
 	err := root.Execute()
-	var o outcome
+	var code exitCode
 	switch {
 	case err == nil:
 		return exitPassed
-	case errors.As(err, &o):
-		return int(o)
+	case errors.As(err, &code):
+		return int(code)
 	}
 	fmt.Fprintln(os.Stderr, "elmseamctl:", err)
 	return exitUsage
--- a/cmd/elmseamctl/main_test.go
+++ b/cmd/elmseamctl/main_test.go
@@ -17,17 +17,17 @@
 
 // members prints a line for each of the tier, and its exit code tells whether a majority is seen.
 func TestMembersCommand(t *testing.T) {
-	heard := int64(200)
+	age := int64(200)
 	view := mgmt.TierStatus{Self: 0, Majority: true, ColdShare: 1, Members: []mgmt.MemberStatus{{Index: 0, State: "alive", Incarnation: 7},
-		{Index: 1, Address: "127.0.0.2:7946", State: "suspect", LastDatagramAgeMS: &heard}, {Index: 2, State: "unknown"}}}
+		{Index: 1, Address: "127.0.0.2:7946", State: "suspect", LastDatagramAgeMS: &age}, {Index: 2, State: "unknown"}}}
 	status := http.StatusOK
-	door := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(status)
 		json.NewEncoder(w).Encode(view)
 	}))
-	defer door.Close()
-	address := strings.TrimPrefix(door.URL, "http://")
-	got, err := askTier(address, time.Second)
+	defer server.Close()
+	address := strings.TrimPrefix(server.URL, "http://")
+	got, err := fetchTierStatus(address, time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,9 +38,9 @@
 			t.Errorf("no %q in\n%s", want, &text)
 		}
 	}
-	for want, spoil := range map[int]func(){exitPassed: func() {}, exitBroken: func() { view.Majority = false }, exitUsage: func() { status = http.StatusNotFound }} {
+	for want, modify := range map[int]func(){exitPassed: func() {}, exitViolation: func() { view.Majority = false }, exitUsage: func() { status = http.StatusNotFound }} {
 		view.Majority, status = true, http.StatusOK
-		spoil()
+		modify()
 		if got := run([]string{"members", address}); got != want {
 			t.Errorf("exit code %d, want %d", got, want)
 		}
@@ -51,11 +51,11 @@
 // drains by a peer's word alone.
 func TestServersCommand(t *testing.T) {
 	age := int64(300)
-	view := mgmt.ServersStatus{Self: 1, QuotasActive: true, Servers: []mgmt.ServerStatus{{Name: "hlr-1", State: "ready",
+	view := mgmt.ServersStatus{Self: 1, AnyCold: true, Servers: []mgmt.ServerStatus{{Name: "hlr-1", State: "ready",
 		Reports: []mgmt.MemberReport{{Index: 0, HoldBackAgeMS: &age, Rate: 12.5, MinSetUpTimeUS: 8800, AgeMS: 700}, {Index: 1, Draining: true}}}},
 		Quotas: []mgmt.Quota{{Index: 0, Usable: 3, Holders: []int{-1, 0, 0, 1, 1, 1, 0, -1}}}}
-	door := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { json.NewEncoder(w).Encode(view) }))
-	defer door.Close()
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { json.NewEncoder(w).Encode(view) }))
+	defer server.Close()
 	var text strings.Builder
 	printServers(&text, view)
 	for _, want := range []string{"hlr-1", "700ms", "300ms ago", "8.8ms", "1 (itself)", "none", "3 of 8", "own 0 0 1 1 1 0 -"} {
@@ -63,10 +63,10 @@
 			t.Errorf("no %q in\n%s", want, &text)
 		}
 	}
-	for want, spoil := range map[int]func(s *mgmt.ServerStatus){exitPassed: func(*mgmt.ServerStatus) {}, exitBroken: func(s *mgmt.ServerStatus) { s.FailingShare = 0.9 }} {
+	for want, modify := range map[int]func(s *mgmt.ServerStatus){exitPassed: func(*mgmt.ServerStatus) {}, exitViolation: func(s *mgmt.ServerStatus) { s.FailingShare = 0.9 }} {
 		view.Servers[0].FailingShare = 0
-		spoil(&view.Servers[0])
-		if got := run([]string{"servers", strings.TrimPrefix(door.URL, "http://")}); got != want {
+		modify(&view.Servers[0])
+		if got := run([]string{"servers", strings.TrimPrefix(server.URL, "http://")}); got != want {
 			t.Errorf("exit code %d, want %d", got, want)
 		}
 	}
@@ -82,13 +82,13 @@
 		}
 		return path
 	}
-	small := []string{"check", "--servers=1", "--calls=1", "--attempts=2", "--faults=1"}
-	for name, c := range map[string]struct {
+	smallCheck := []string{"check", "--servers=1", "--calls=1", "--attempts=2", "--faults=1"}
+	for name, tc := range map[string]struct {
 		args []string
 		want int
 	}{
-		"complete":     {small, exitPassed},
-		"incomplete":   {append(small[:len(small):len(small)], "--depth=2", "--walks=3"), exitIncomplete},
+		"complete":     {smallCheck, exitPassed},
+		"incomplete":   {append(smallCheck[:len(smallCheck):len(smallCheck)], "--depth=2", "--walks=3"), exitIncomplete},
 		"no command":   {nil, exitUsage},
 		"no flag":      {[]string{"check", "--servants=1"}, exitUsage},
 		"too many":     {[]string{"check", "--servers=99"}, exitUsage},
@@ -96,23 +96,23 @@
 		"no file":      {[]string{"check", "replay", filepath.Join(dir, "none")}, exitUsage},
 		"no trace":     {[]string{"check", "replay", file("text", "nothing\n")}, exitUsage},
 		"help":         {[]string{"check", "--help"}, exitPassed},
-		"bad scenario": {[]string{"lab", "run", file("s.toml", "name = \"x\"\nduration = \"5s\"\nsoftswitches = 0\n")}, labBad},
+		"bad scenario": {[]string{"lab", "run", file("s.toml", "name = \"x\"\nduration = \"5s\"\nsoftswitches = 0\n")}, labExitInvalid},
 		"no program": {[]string{"lab", "run", "--binary", filepath.Join(dir, "none"), "--out", dir, file("t.toml",
-			"name = \"x\"\nduration = \"1s\"\nsoftswitches = 1\n[[server]]\nname = \"s\"\ncapacity = 10\n[[load]]\nrate = 1\n")}, labFailed},
+			"name = \"x\"\nduration = \"1s\"\nsoftswitches = 1\n[[server]]\nname = \"s\"\ncapacity = 10\n[[load]]\nrate = 1\n")}, labExitFailed},
 	} {
-		if got := run(c.args); got != c.want {
-			t.Errorf("%s: exit code %d, want %d", name, got, c.want)
+		if got := run(tc.args); got != tc.want {
+			t.Errorf("%s: exit code %d, want %d", name, got, tc.want)
 		}
 	}
 }
 
 // Each play of a trial has a seed of its own: medians of one play said five times are none.
-func TestPlaysDiffer(t *testing.T) {
-	all, err := outcomes(swarm.Experiment{Members: 5, Limits: membership.Defaults(), WarmUp: 5 * time.Second, Measured: time.Second, Kill: true}, 4)
+func TestRunsUseDifferentSeeds(t *testing.T) {
+	results, err := runExperiments(swarm.Experiment{Members: 5, Limits: membership.Defaults(), WarmUp: 5 * time.Second, Measured: time.Second, Kill: true}, 4)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if all[0] == all[1] && all[1] == all[2] && all[2] == all[3] {
-		t.Errorf("four plays of one outcome: %+v", all[0])
+	if results[0] == results[1] && results[1] == results[2] && results[2] == results[3] {
+		t.Errorf("four plays of one outcome: %+v", results[0])
 	}
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -64,11 +64,11 @@
 	PeerListen string   // where datagrams of the tier come
 	Peers      []string // its softswitches' addresses, by number
 
-	keys map[string]json.RawMessage // of the file, outermost
+	topLevelKeys map[string]json.RawMessage // of the file, outermost
 }
 
 // file is the form of the configuration file.
-type file struct {
+type configFile struct {
 	Name   string `json:"name"`
 	Listen string `json:"listen"`
 	Mgmt   string `json:"mgmt"`
@@ -81,7 +81,7 @@
 	Peers      []string `json:"peers"`
 
 	Channel string `json:"channel"`
-	Known   struct {
+	Initial struct {
 		Cursor int64          `json:"cursor"`
 		Cmds   []feed.Command `json:"cmds"`
 	} `json:"known"`
@@ -98,124 +98,124 @@
 	if err != nil {
 		return nil, fmt.Errorf("ROUTER_CONFIG: %w", err)
 	}
-	var f file
-	if err := json.Unmarshal(text, &f); err != nil {
+	var parsed configFile
+	if err := json.Unmarshal(text, &parsed); err != nil {
 		return nil, fmt.Errorf("ROUTER_CONFIG: %w", err)
 	}
 	var keys map[string]json.RawMessage
 	if err := json.Unmarshal(text, &keys); err != nil {
 		return nil, fmt.Errorf("ROUTER_CONFIG: %w", err)
 	}
-	if v := getenv("ROUTER_NAME"); v != "" {
-		f.Name = v
+	if value := getenv("ROUTER_NAME"); value != "" {
+		parsed.Name = value
 	}
-	if v := getenv("ROUTER_LISTEN"); v != "" {
-		f.Listen = v
+	if value := getenv("ROUTER_LISTEN"); value != "" {
+		parsed.Listen = value
 	}
-	if v := getenv("ROUTER_MGMT"); v != "" {
-		f.Mgmt = v
+	if value := getenv("ROUTER_MGMT"); value != "" {
+		parsed.Mgmt = value
 	}
-	c, err := build(f)
+	cfg, err := build(parsed)
 	if err == nil {
-		c.keys = keys
+		cfg.topLevelKeys = keys
 	}
-	return c, err
+	return cfg, err
 }
 
 // build checks the fields and fills the limits.
-func build(f file) (*Config, error) {
-	c := &Config{Name: f.Name, Listen: f.Listen, Mgmt: f.Mgmt, CommandChannel: f.Channel, Cursor: f.Known.Cursor, InitialCommands: f.Known.Cmds,
-		PeerListen: f.PeerListen, Peers: f.Peers}
-	if c.Name == "" {
+func build(parsed configFile) (*Config, error) {
+	cfg := &Config{Name: parsed.Name, Listen: parsed.Listen, Mgmt: parsed.Mgmt, CommandChannel: parsed.Channel, Cursor: parsed.Initial.Cursor, InitialCommands: parsed.Initial.Cmds,
+		PeerListen: parsed.PeerListen, Peers: parsed.Peers}
+	if cfg.Name == "" {
 		return nil, fmt.Errorf("name: missing")
 	}
-	for _, a := range []struct{ field, address string }{{"listen", f.Listen}, {"channel", f.Channel}} {
-		if _, _, err := net.SplitHostPort(a.address); err != nil {
-			return nil, fmt.Errorf("%s: %w", a.field, err)
+	for _, entry := range []struct{ field, address string }{{"listen", parsed.Listen}, {"channel", parsed.Channel}} {
+		if _, _, err := net.SplitHostPort(entry.address); err != nil {
+			return nil, fmt.Errorf("%s: %w", entry.field, err)
 		}
 	}
-	if f.Mgmt != "" {
-		if _, _, err := net.SplitHostPort(f.Mgmt); err != nil {
+	if parsed.Mgmt != "" {
+		if _, _, err := net.SplitHostPort(parsed.Mgmt); err != nil {
 			return nil, fmt.Errorf("mgmt: %w", err)
 		}
 	}
 	var err error
-	if c.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
-		return nil, fmt.Errorf("seed: %q is not hex", f.Seed)
+	if cfg.Seed, err = strconv.ParseUint(parsed.Seed, 16, 64); err != nil {
+		return nil, fmt.Errorf("seed: %q is not hex", parsed.Seed)
 	}
-	if f.Limits.MemoryMB <= 0 {
-		return nil, fmt.Errorf("limits.memory_mb: %d", f.Limits.MemoryMB)
+	if parsed.Limits.MemoryMB <= 0 {
+		return nil, fmt.Errorf("limits.memory_mb: %d", parsed.Limits.MemoryMB)
 	}
-	if f.Limits.Sockets < leastSockets {
-		return nil, fmt.Errorf("limits.sockets: %d, %d are needed", f.Limits.Sockets, leastSockets)
+	if parsed.Limits.Sockets < minSockets {
+		return nil, fmt.Errorf("limits.sockets: %d, %d are needed", parsed.Limits.Sockets, minSockets)
 	}
-	for i, cmd := range c.InitialCommands {
+	for i, cmd := range cfg.InitialCommands {
 		if _, err := cmd.List(func(string) core.Protocol { return "" }, true); err != nil {
 			return nil, fmt.Errorf("known.cmds[%d]: %w", i, err)
 		}
 	}
-	if len(f.Settings) == 0 {
+	if len(parsed.Settings) == 0 {
 		return nil, fmt.Errorf("settings: missing")
 	}
-	if err = settings.Validate(f.Settings); err != nil {
+	if err = settings.Validate(parsed.Settings); err != nil {
 		return nil, err
 	}
-	if c.Settings, err = settings.Decode(f.Settings); err != nil {
+	if cfg.Settings, err = settings.Decode(parsed.Settings); err != nil {
 		return nil, err
 	}
-	if c.Deployment, err = settings.DecodeDeployment(f.Settings); err != nil {
+	if cfg.Deployment, err = settings.DecodeDeployment(parsed.Settings); err != nil {
 		return nil, err
 	}
-	if _, err = elmseam.New(c.Settings, c.Seed); err != nil {
+	if _, err = elmseam.New(cfg.Settings, cfg.Seed); err != nil {
 		return nil, err
 	}
-	c.Limits = limits(f, c.Deployment)
-	return c, nil
+	cfg.Limits = buildLimits(parsed, cfg.Deployment)
+	return cfg, nil
 }
 
 // Reload reads the configuration again: it must hold what the earlier one held. The classes of the earlier one keep their places.
 func Reload(getenv func(string) string, old *Config) (*Config, error) {
-	c, err := Load(getenv)
+	cfg, err := Load(getenv)
 	if err != nil {
 		return nil, err
 	}
-	for _, key := range slices.Sorted(maps.Keys(old.keys)) { // what the environment says stands in for none
-		if v, there := c.keys[key]; !there || string(v) == "null" {
+	for _, key := range slices.Sorted(maps.Keys(old.topLevelKeys)) { // what the environment says stands in for none
+		if value, found := cfg.topLevelKeys[key]; !found || string(value) == "null" {
 			return nil, fmt.Errorf("%s: missing", key)
 		}
 	}
-	settings.KeepClassIndexes(old.Deployment, &c.Deployment, &c.Settings, old.Settings)
-	return c, nil
+	settings.KeepClassIndexes(old.Deployment, &cfg.Deployment, &cfg.Settings, old.Settings)
+	return cfg, nil
 }
 
-const leastSockets = 32
+const minSockets = 32
 
 // scarceSockets is where descriptors begin to be scarce. A few go to the program itself: its streams and pollers, listeners,
 // the command channel, a dial that is broken off.
 const (
-	scarceSockets = 200
-	ownSockets    = 14
+	scarceSocketsBelow = 200
+	reservedSockets    = 14
 )
 
 // endedSize is about what it takes to remember a call that is over, in bytes.
-const endedSize = 128
+const endedCallBytes = 128
 
 // limits fills the one set of limits, from what the platform tells where it does.
-func limits(f file, n settings.Deployment) Limits {
-	message := 16 << 10
-	memory := int64(f.Limits.MemoryMB) << 20
-	callers := f.Limits.Sockets / 2       // callers that behave hold a third; a quarter may come to the second front
-	if f.Limits.Sockets < scarceSockets { // servers need the rest
-		callers = f.Limits.Sockets * 2 / 5
+func buildLimits(parsed configFile, deployment settings.Deployment) Limits {
+	maxMessageSize := 16 << 10
+	memoryBytes := int64(parsed.Limits.MemoryMB) << 20
+	maxCallers := parsed.Limits.Sockets / 2         // callers that behave hold a third; a quarter may come to the second front
+	if parsed.Limits.Sockets < scarceSocketsBelow { // servers need the rest
+		maxCallers = parsed.Limits.Sockets * 2 / 5
 	}
-	l := Limits{
+	all := Limits{
 		Core: core.Limits{
 			AnswerMargin:        15 * time.Millisecond,
 			Rebind:              100 * time.Millisecond, // a crossing close shows within 50 ms
 			MinRedial:           100 * time.Millisecond,
 			MaxRedial:           500 * time.Millisecond,
 			ConnsPerServer:      map[core.Protocol]int{platform.Protocol: 2},
-			MaxServerConns:      f.Limits.Sockets - callers - ownSockets,
+			MaxServerConns:      parsed.Limits.Sockets - maxCallers - reservedSockets,
 			UnresponsiveAfter:   100 * time.Millisecond, // any answer takes less where the server isn't pressed
 			MaxRemovedServers:   16,
 			MaxPendingReleases:  1000,
@@ -229,21 +229,21 @@
 			MaxTransferredCalls: 4000, // they fit into one message
 			HandOverGrace:       100 * time.Millisecond,
 			StopGrace:           700 * time.Millisecond,
-			MaxStopWait:         max(n.MaxWait, 3*time.Second) + 600*time.Millisecond,
-			StopLinger:          60 * time.Millisecond, // what crosses a close does so within 50 ms
-			MaxCallerConns:      callers - callers/8,   // the rest are on their way in or out
+			MaxStopWait:         max(deployment.MaxWait, 3*time.Second) + 600*time.Millisecond,
+			StopLinger:          60 * time.Millisecond,     // what crosses a close does so within 50 ms
+			MaxCallerConns:      maxCallers - maxCallers/8, // the rest are on their way in or out
 			NewConnGrace:        250 * time.Millisecond,
-			MaxOpen:             n.MaxOpenCalls,
-			MaxEndedCalls:       int(memory / 8 / endedSize),
-			Probe:               probe.Limits{Permitted: n.ProbesEnabled, Rate: 1, Burst: 2, Timeout: 1500 * time.Millisecond},
+			MaxOpen:             deployment.MaxOpenCalls,
+			MaxEndedCalls:       int(memoryBytes / 8 / endedCallBytes),
+			Probe:               probe.Limits{Permitted: deployment.ProbesEnabled, Rate: 1, Burst: 2, Timeout: 1500 * time.Millisecond},
 			MaxRoutes:           10000,
-			RetryHint:           max(n.MinAim/4, 50*time.Millisecond), // a redial can still stand in time
-			EndedCallTTL:        max(n.MaxWait, 10*time.Second) * 6,
+			RetryHint:           max(deployment.MinAim/4, 50*time.Millisecond), // a redial can still stand in time
+			EndedCallTTL:        max(deployment.MaxWait, 10*time.Second) * 6,
 		},
 		CallerConn: link.Limits{
-			InitialBufferSize: 4 << 10, MaxMessageSize: message, MaxQueuedBytes: 1 << 20,
+			InitialBufferSize: 4 << 10, MaxMessageSize: maxMessageSize, MaxQueuedBytes: 1 << 20,
 			WriteTimeout: 5 * time.Second, FlushTimeout: 50 * time.Millisecond,
-			MessageTimeout: 2500 * time.Millisecond, IdleTimeout: max(n.MaxWait, 10*time.Second) + 2*time.Second,
+			MessageTimeout: 2500 * time.Millisecond, IdleTimeout: max(deployment.MaxWait, 10*time.Second) + 2*time.Second,
 			LingerTimeout: 250 * time.Millisecond, MaxLingerBytes: 256 << 10,
 		},
 		Feed: feed.Limits{
@@ -251,30 +251,30 @@
 			RenewAfter: 5 * time.Second, // what is told counts as heard after 7 s
 			RetryDelay: 100 * time.Millisecond, MaxEventSize: 1 << 20, InitialBufferSize: 4 << 10,
 		},
-		DialTimeout:    n.ConnectTimeout,
+		DialTimeout:    deployment.ConnectTimeout,
 		ConfirmTimeout: 15 * time.Second, // T1 of Q.764 at its least
-		MaxCallers:     callers,
+		MaxCallers:     maxCallers,
 		EventQueue:     4096,
 		StatsInterval:  50 * time.Millisecond, // they may be 0.5 s old
-		Mgmt:           mgmt.Limits{MaxConns: min(16, f.Limits.Sockets/16), MaxRequestSize: 8 << 10, ReadTimeout: 2 * time.Second, WriteTimeout: time.Second, MaxStatsAge: 2 * time.Second, MaxOrders: 16},
+		Mgmt:           mgmt.Limits{MaxConns: min(16, parsed.Limits.Sockets/16), MaxRequestSize: 8 << 10, ReadTimeout: 2 * time.Second, WriteTimeout: time.Second, MaxStatsAge: 2 * time.Second, MaxOrders: 16},
 		HandOver: handover.Limits{
 			HelloTimeout: time.Second, ExitTimeout: 2 * time.Second, WriteTimeout: time.Second, MaxMessageSize: 128 << 10, MaxQueuedBytes: 4 << 20, MaxEndedCalls: 4096,
 		},
 		Peers:       peers.Limits{Queue: 256, Rate: 400, Retry: 100 * time.Millisecond},
-		MemoryLimit: memory * 6 / 10,
+		MemoryLimit: memoryBytes * 6 / 10,
 		GCPercent:   200,
 	}
 	// Callers that read nothing and set-ups that stay open hold no more than a quarter of the memory each.
-	l.ServerConn = l.CallerConn
-	l.ServerConn.LineTimeout, l.ServerConn.MaxSilence = 500*time.Millisecond, 3*time.Second
-	l.ServerConn.LingerTimeout = 50 * time.Millisecond // they close at once; a descriptor may be needed
-	l.CallerConn.MaxQueuedBytes = min(l.CallerConn.MaxQueuedBytes, max(int(memory/4)/callers, 2*message))
-	l.Core.MaxCallBytes = int(memory / 4)
-	if l.DialTimeout <= 0 {
-		l.DialTimeout = 500 * time.Millisecond
+	all.ServerConn = all.CallerConn
+	all.ServerConn.LineTimeout, all.ServerConn.MaxSilence = 500*time.Millisecond, 3*time.Second
+	all.ServerConn.LingerTimeout = 50 * time.Millisecond // they close at once; a descriptor may be needed
+	all.CallerConn.MaxQueuedBytes = min(all.CallerConn.MaxQueuedBytes, max(int(memoryBytes/4)/maxCallers, 2*maxMessageSize))
+	all.Core.MaxCallBytes = int(memoryBytes / 4)
+	if all.DialTimeout <= 0 {
+		all.DialTimeout = 500 * time.Millisecond
 	}
-	if l.Core.MaxOpen <= 0 {
-		l.Core.MaxOpen = 20000
+	if all.Core.MaxOpen <= 0 {
+		all.Core.MaxOpen = 20000
 	}
-	return l
+	return all
 }
--- a/internal/mgmt/maintenance.go
+++ b/internal/mgmt/maintenance.go
@@ -36,107 +36,107 @@
 }
 
 // maintenance does what is asked of the tier's maintenance.
-func (d *AdminServer) maintenance(method string, names []string) (status int, text string, allow []string) {
-	f := d.Snapshot()
-	if time.Since(f.At) > d.Limits.MaxStatsAge {
+func (s *AdminServer) handleMaintenance(method string, names []string) (status int, text string, allow []string) {
+	snapshot := s.Snapshot()
+	if time.Since(snapshot.At) > s.Limits.MaxStatsAge {
 		return http.StatusServiceUnavailable, "no figures of late\n", nil
 	}
-	w := f.Maintenance
-	if w == nil {
+	stats := snapshot.Maintenance
+	if stats == nil {
 		return http.StatusNotFound, "ordered maintenance is off\n", nil
 	}
 	if method == http.MethodGet {
-		return http.StatusOK, maintenanceJSON(*w), nil
+		return http.StatusOK, maintenanceJSON(*stats), nil
 	}
 	if method != http.MethodPost && method != http.MethodDelete {
 		return http.StatusMethodNotAllowed, "GET, POST or DELETE only\n", []string{http.MethodGet, http.MethodPost, http.MethodDelete}
 	}
 	var members []int
 	for _, name := range names {
-		m := d.memberOf(*w, name)
-		if m < 0 {
+		index := s.memberIndex(*stats, name)
+		if index < 0 {
 			return http.StatusNotFound, fmt.Sprintf("member: no softswitch %.40q in this tier\n", name), nil
 		}
-		members = append(members, m)
+		members = append(members, index)
 	}
-	var ev maintenance.Event = maintenance.Request{Members: members}
+	var event maintenance.Event = maintenance.Request{Members: members}
 	switch {
 	case len(members) == 0:
 		return http.StatusBadRequest, "member: missing; ?member=NAME, as often as needed\n", nil
 	case method == http.MethodDelete:
-		ev = maintenance.Cancel{Members: members}
-	case !w.Recovered:
+		event = maintenance.Cancel{Members: members}
+	case !stats.Recovered:
 		return http.StatusServiceUnavailable, "just started, and still asking what the tier has granted\n", nil
 	}
-	if !d.order(core.MaintenanceRequest{Event: ev}) {
+	if !s.enqueue(core.MaintenanceRequest{Event: event}) {
 		return http.StatusServiceUnavailable, "too many orders wait\n", nil
 	}
-	d.Log.Info().Str("method", method).Ints("members", members).Msg("order of an operator: maintenance")
+	s.Log.Info().Str("method", method).Ints("members", members).Msg("order of an operator: maintenance")
 	return http.StatusAccepted, "", nil
 }
 
 // memberOf finds a softswitch by its name, its address among the peers or its number; -1: there is none.
-func (d *AdminServer) memberOf(w core.MaintenanceStats, name string) int {
+func (s *AdminServer) memberIndex(stats core.MaintenanceStats, name string) int {
 	if name == "" {
 		return -1
 	}
-	if m := slices.Index(w.Names, name); m >= 0 {
-		return m
+	if index := slices.Index(stats.Names, name); index >= 0 {
+		return index
 	}
-	if m := slices.Index(d.Peers.Addresses(), name); m >= 0 {
-		return m
+	if index := slices.Index(s.Peers.Addresses(), name); index >= 0 {
+		return index
 	}
-	if m, err := strconv.Atoi(name); err == nil && m >= 0 && m < len(w.Records) {
-		return m
+	if index, err := strconv.Atoi(name); err == nil && index >= 0 && index < len(stats.Records) {
+		return index
 	}
 	return -1
 }
 
-func maintenanceJSON(w core.MaintenanceStats) string {
-	m := MaintenanceStatus{Self: w.Self, Recovered: w.Recovered, Budget: w.Budget, HoldsGrant: w.Slot >= 0, Queue: []MaintenanceRequest{}, Granted: []MaintenanceRequest{}, Ended: []MaintenanceRequest{}}
-	one := func(n int) MaintenanceRequest {
-		e := w.Records[n]
-		r := MaintenanceRequest{Index: n, Name: w.Names[n], Stage: e.Stage.String(), RequestedAt: time.UnixMilli(int64(e.RequestedAt)).UTC(), Restarts: e.Restarts}
-		if e.Stage == maintenance.Draining || e.Stage == maintenance.Ready {
-			r.Slot, r.Epoch = int(e.Slot), e.Epoch
+func maintenanceJSON(stats core.MaintenanceStats) string {
+	status := MaintenanceStatus{Self: stats.Self, Recovered: stats.Recovered, Budget: stats.Budget, HoldsGrant: stats.Slot >= 0, Queue: []MaintenanceRequest{}, Granted: []MaintenanceRequest{}, Ended: []MaintenanceRequest{}}
+	requestOf := func(index int) MaintenanceRequest {
+		record := stats.Records[index]
+		request := MaintenanceRequest{Index: index, Name: stats.Names[index], Stage: record.Stage.String(), RequestedAt: time.UnixMilli(int64(record.RequestedAt)).UTC(), Restarts: record.Restarts}
+		if record.Stage == maintenance.Draining || record.Stage == maintenance.Ready {
+			request.Slot, request.Epoch = int(record.Slot), record.Epoch
 		}
-		return r
+		return request
 	}
-	for _, n := range w.Queue {
-		m.Queue = append(m.Queue, one(n))
+	for _, index := range stats.Queue {
+		status.Queue = append(status.Queue, requestOf(index))
 	}
-	for n, e := range w.Records {
+	for index, record := range stats.Records {
 		switch {
-		case e.Stage == maintenance.Draining, e.Stage == maintenance.Ready:
-			m.Granted = append(m.Granted, one(n))
-		case e.Stage != maintenance.None && e.Stage.Ended():
-			m.Ended = append(m.Ended, one(n))
+		case record.Stage == maintenance.Draining, record.Stage == maintenance.Ready:
+			status.Granted = append(status.Granted, requestOf(index))
+		case record.Stage != maintenance.None && record.Stage.Ended():
+			status.Ended = append(status.Ended, requestOf(index))
 		}
 	}
-	b, _ := json.Marshal(m)
-	return string(b) + "\n"
+	encoded, _ := json.Marshal(status)
+	return string(encoded) + "\n"
 }
 
 // workText shows the figures of maintenance, one a line.
-func workText(w core.MaintenanceStats) string {
-	var b strings.Builder
-	f := w.Counters
-	out := 0
-	for _, e := range w.Records {
-		if e.Stage == maintenance.Draining || e.Stage == maintenance.Ready {
-			out++
+func maintenanceStatsText(stats core.MaintenanceStats) string {
+	var text strings.Builder
+	counters := stats.Counters
+	granted := 0
+	for _, record := range stats.Records {
+		if record.Stage == maintenance.Draining || record.Stage == maintenance.Ready {
+			granted++
 		}
 	}
-	for _, l := range []struct {
+	for _, line := range []struct {
 		name  string
 		value uint64
 	}{
-		{"waiting", uint64(len(w.Queue))}, {"out", uint64(out)}, {"budget", uint64(w.Budget)},
-		{"asked", f.Rounds}, {"granted", f.Granted}, {"renewed", f.Renewed}, {"lost", f.Expired}, {"yes", f.VotesGranted}, {"no", f.VotesRefused},
-		{"sent", f.Sent}, {"sent_bytes", f.SentBytes}, {"dropped_garbled", f.Malformed}, {"dropped_version", f.VersionMismatches},
-		{"dropped_stranger", f.UnknownSenders},
+		{"waiting", uint64(len(stats.Queue))}, {"out", uint64(granted)}, {"budget", uint64(stats.Budget)},
+		{"asked", counters.Rounds}, {"granted", counters.Granted}, {"renewed", counters.Renewed}, {"lost", counters.Expired}, {"yes", counters.VotesGranted}, {"no", counters.VotesRefused},
+		{"sent", counters.Sent}, {"sent_bytes", counters.SentBytes}, {"dropped_garbled", counters.Malformed}, {"dropped_version", counters.VersionMismatches},
+		{"dropped_stranger", counters.UnknownSenders},
 	} {
-		fmt.Fprintf(&b, "app.maintenance.%s=%d\n", l.name, l.value)
+		fmt.Fprintf(&text, "app.maintenance.%s=%d\n", line.name, line.value)
 	}
-	return b.String()
+	return text.String()
 }
--- a/internal/mgmt/members.go
+++ b/internal/mgmt/members.go
@@ -32,45 +32,45 @@
 }
 
 // membersJSON shows the tier.
-func membersJSON(f loop.Snapshot, addresses []string) string {
-	m := f.Members
-	now := membership.Time(f.At.UnixNano())
-	ms := func(since membership.Time) int64 { return max(int64((now-since)/time.Millisecond), 0) }
-	t := TierStatus{Self: m.Self, Health: m.Health, Majority: m.Majority(), ColdShare: m.ColdShare}
-	for i, e := range m.Members {
-		one := MemberStatus{Index: i, State: e.State.String(), Incarnation: e.Incarnation}
+func membersJSON(snapshot loop.Snapshot, addresses []string) string {
+	stats := snapshot.Members
+	now := membership.Time(snapshot.At.UnixNano())
+	ageMS := func(since membership.Time) int64 { return max(int64((now-since)/time.Millisecond), 0) }
+	status := TierStatus{Self: stats.Self, Health: stats.Health, Majority: stats.Majority(), ColdShare: stats.ColdShare}
+	for i, entry := range stats.Members {
+		member := MemberStatus{Index: i, State: entry.State.String(), Incarnation: entry.Incarnation}
 		if i < len(addresses) {
-			one.Address = addresses[i]
+			member.Address = addresses[i]
 		}
-		if e.Since > 0 {
-			one.StateAgeMS = ms(e.Since)
+		if entry.Since > 0 {
+			member.StateAgeMS = ageMS(entry.Since)
 		}
-		if e.LastReceived > 0 {
-			heard := ms(e.LastReceived)
-			one.LastDatagramAgeMS = &heard
+		if entry.LastReceived > 0 {
+			age := ageMS(entry.LastReceived)
+			member.LastDatagramAgeMS = &age
 		}
-		t.Members = append(t.Members, one)
+		status.Members = append(status.Members, member)
 	}
-	b, _ := json.Marshal(t)
-	return string(b) + "\n"
+	encoded, _ := json.Marshal(status)
+	return string(encoded) + "\n"
 }
 
 // memberText shows the figures of membership, one a line.
-func memberText(m core.MemberStats, c peers.Counters) string {
-	var b strings.Builder
-	for _, l := range []struct {
+func membershipStatsText(stats core.MemberStats, socket peers.Counters) string {
+	var text strings.Builder
+	for _, line := range []struct {
 		name  string
 		value uint64
 	}{
-		{"tier", uint64(m.TierSize)}, {"there", uint64(m.Available)}, {"suspects", uint64(m.Suspects)}, {"down", uint64(m.Down)},
-		{"unknown", uint64(m.Unknown)}, {"health", uint64(m.Health)},
-		{"probes", m.Probes}, {"indirect", m.Indirect}, {"acks", m.Acks}, {"nacks", m.Nacks}, {"failed", m.Failed},
-		{"suspicions", m.Suspicions}, {"deaths", m.Deaths}, {"refutations", m.Refutations}, {"stalls", m.Stalls},
-		{"sent", m.Sent}, {"sent_bytes", m.SentBytes}, {"heard", m.Received},
-		{"dropped_garbled", m.Malformed}, {"dropped_version", m.VersionMismatches}, {"dropped_stranger", m.UnknownSenders + c.UnknownSenders},
-		{"dropped_flood", c.RateLimited}, {"unwritten", c.SendDrops},
+		{"tier", uint64(stats.TierSize)}, {"there", uint64(stats.Available)}, {"suspects", uint64(stats.Suspects)}, {"down", uint64(stats.Down)},
+		{"unknown", uint64(stats.Unknown)}, {"health", uint64(stats.Health)},
+		{"probes", stats.Probes}, {"indirect", stats.Indirect}, {"acks", stats.Acks}, {"nacks", stats.Nacks}, {"failed", stats.Failed},
+		{"suspicions", stats.Suspicions}, {"deaths", stats.Deaths}, {"refutations", stats.Refutations}, {"stalls", stats.Stalls},
+		{"sent", stats.Sent}, {"sent_bytes", stats.SentBytes}, {"heard", stats.Received},
+		{"dropped_garbled", stats.Malformed}, {"dropped_version", stats.VersionMismatches}, {"dropped_stranger", stats.UnknownSenders + socket.UnknownSenders},
+		{"dropped_flood", socket.RateLimited}, {"unwritten", socket.SendDrops},
 	} {
-		fmt.Fprintf(&b, "app.members.%s=%d\n", l.name, l.value)
+		fmt.Fprintf(&text, "app.members.%s=%d\n", line.name, line.value)
 	}
-	return b.String()
+	return text.String()
 }
--- a/internal/mgmt/mgmt.go
+++ b/internal/mgmt/mgmt.go
@@ -41,22 +41,22 @@
 
 	orders chan core.Event
 	mu     sync.Mutex
-	open   []net.Conn // that have not made their call, oldest first
+	conns  []net.Conn // that have not made their call, oldest first
 }
 
 // Serve serves until the listener is closed.
-func (d *AdminServer) Serve(l net.Listener) {
-	d.orders = make(chan core.Event, d.Limits.MaxOrders)
-	defer close(d.orders)
+func (s *AdminServer) Serve(listener net.Listener) {
+	s.orders = make(chan core.Event, s.Limits.MaxOrders)
+	defer close(s.orders)
 	go func() { // in the order they came
-		for order := range d.orders {
-			d.Post(order)
+		for order := range s.orders {
+			s.Post(order)
 		}
 	}()
-	var calls sync.WaitGroup
-	defer calls.Wait()
+	var requests sync.WaitGroup
+	defer requests.Wait()
 	for {
-		conn, err := l.Accept()
+		conn, err := listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
@@ -64,127 +64,127 @@
 			time.Sleep(10 * time.Millisecond)
 			continue
 		}
-		d.enter(conn)
-		calls.Go(func() {
-			defer d.leave(conn)
-			d.serve(conn)
+		s.addConn(conn)
+		requests.Go(func() {
+			defer s.removeConn(conn)
+			s.serveConn(conn)
 		})
 	}
 }
 
 // enter takes a caller in. Silent ones hold up nobody: where there are too many, the oldest has to go.
-func (d *AdminServer) enter(conn net.Conn) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if len(d.open) >= d.Limits.MaxConns {
-		d.open[0].Close()
-		d.open = d.open[1:]
-	}
-	d.open = append(d.open, conn)
+func (s *AdminServer) addConn(conn net.Conn) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if len(s.conns) >= s.Limits.MaxConns {
+		s.conns[0].Close()
+		s.conns = s.conns[1:]
+	}
+	s.conns = append(s.conns, conn)
 }
 
-func (d *AdminServer) leave(conn net.Conn) {
+func (s *AdminServer) removeConn(conn net.Conn) {
 	conn.Close()
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	for i, have := range d.open {
-		if have == conn {
-			d.open = append(d.open[:i], d.open[i+1:]...)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for i, other := range s.conns {
+		if other == conn {
+			s.conns = append(s.conns[:i], s.conns[i+1:]...)
 			return
 		}
 	}
 }
 
 // serve answers one call.
-func (d *AdminServer) serve(conn net.Conn) {
-	conn.SetReadDeadline(time.Now().Add(d.Limits.ReadTimeout))
-	limited := &io.LimitedReader{R: conn, N: int64(d.Limits.MaxRequestSize)}
+func (s *AdminServer) serveConn(conn net.Conn) {
+	conn.SetReadDeadline(time.Now().Add(s.Limits.ReadTimeout))
+	limited := &io.LimitedReader{R: conn, N: int64(s.Limits.MaxRequestSize)}
 	req, err := http.ReadRequest(bufio.NewReaderSize(limited, 1<<10))
-	var timeout net.Error
+	var netErr net.Error
 	switch {
 	case err == io.EOF: // it has left, or tried whether the door is there
 		return
-	case errors.As(err, &timeout) && timeout.Timeout():
-		d.answer(conn, http.StatusRequestTimeout, "no call came in time\n")
+	case errors.As(err, &netErr) && netErr.Timeout():
+		s.writeResponse(conn, http.StatusRequestTimeout, "no call came in time\n")
 	case err != nil && limited.N <= 0:
-		d.answer(conn, http.StatusRequestHeaderFieldsTooLarge, "the call is too long\n")
+		s.writeResponse(conn, http.StatusRequestHeaderFieldsTooLarge, "the call is too long\n")
 	case err != nil:
-		d.answer(conn, http.StatusBadRequest, "the call can't be read\n")
+		s.writeResponse(conn, http.StatusBadRequest, "the call can't be read\n")
 	default:
-		status, text, allow := d.call(req.Method, req.URL.Path, req.URL.Query()["member"])
-		d.answer(conn, status, text, allow...)
+		status, text, allow := s.handle(req.Method, req.URL.Path, req.URL.Query()["member"])
+		s.writeResponse(conn, status, text, allow...)
 	}
 }
 
 // call does what is asked for. Allow is set where the method is not the path's.
-func (d *AdminServer) call(method, path string, members []string) (status int, text string, allow []string) {
-	want := http.MethodGet
-	if path == pathDrain || path == pathResume {
-		want = http.MethodPost
+func (s *AdminServer) handle(method, path string, members []string) (status int, text string, allow []string) {
+	wantMethod := http.MethodGet
+	if path == pathDrainStart || path == pathDrainStop {
+		wantMethod = http.MethodPost
 	}
 	switch path {
-	case pathWork:
-		return d.maintenance(method, members)
-	case pathReady, pathStats, pathMembers, pathServers, pathDrain, pathResume:
+	case pathMaintenance:
+		return s.handleMaintenance(method, members)
+	case pathReady, pathStats, pathMembers, pathServers, pathDrainStart, pathDrainStop:
 	default:
 		return http.StatusNotFound, "no such call\n", nil
 	}
-	if method != want {
-		return http.StatusMethodNotAllowed, want + " only\n", []string{want}
+	if method != wantMethod {
+		return http.StatusMethodNotAllowed, wantMethod + " only\n", []string{wantMethod}
 	}
-	f := d.Snapshot()
-	if want == http.MethodGet {
-		if time.Since(f.At) > d.Limits.MaxStatsAge {
+	snapshot := s.Snapshot()
+	if wantMethod == http.MethodGet {
+		if time.Since(snapshot.At) > s.Limits.MaxStatsAge {
 			return http.StatusServiceUnavailable, "no figures of late\n", nil
 		}
 		switch path {
 		case pathStats:
-			text := StatsText(f.Stats, d.ClassNames())
-			if f.Probes != nil {
-				text += probeText(*f.Probes)
+			text := StatsText(snapshot.Stats, s.ClassNames())
+			if snapshot.Probes != nil {
+				text += probeStatsText(*snapshot.Probes)
 			}
-			if f.Members != nil {
-				text += memberText(*f.Members, d.Peers.Counters())
+			if snapshot.Members != nil {
+				text += membershipStatsText(*snapshot.Members, s.Peers.Counters())
 			}
-			if f.Maintenance != nil {
-				text += workText(*f.Maintenance)
+			if snapshot.Maintenance != nil {
+				text += maintenanceStatsText(*snapshot.Maintenance)
 			}
-			if f.Knowledge != nil {
-				text += knowText(*f.Knowledge)
+			if snapshot.Knowledge != nil {
+				text += knowledgeStatsText(*snapshot.Knowledge)
 			}
-			if f.Quotas != nil {
-				text += partText(*f.Quotas)
+			if snapshot.Quotas != nil {
+				text += quotaStatsText(*snapshot.Quotas)
 			}
 			return http.StatusOK, text, nil
 		case pathServers:
-			if f.Knowledge == nil && f.Quotas == nil {
+			if snapshot.Knowledge == nil && snapshot.Quotas == nil {
 				return http.StatusNotFound, "knowledge and parts are off\n", nil
 			}
-			return http.StatusOK, serversJSON(f), nil
+			return http.StatusOK, serversJSON(snapshot), nil
 		case pathMembers:
-			if f.Members == nil {
+			if snapshot.Members == nil {
 				return http.StatusNotFound, "membership is off\n", nil
 			}
-			return http.StatusOK, membersJSON(f, d.Peers.Addresses()), nil
+			return http.StatusOK, membersJSON(snapshot, s.Peers.Addresses()), nil
 		}
-		return readiness(f.Stats)
+		return readiness(snapshot.Stats)
 	}
-	on := path == pathDrain
-	if f.Stopping {
+	on := path == pathDrainStart
+	if snapshot.Stopping {
 		return http.StatusServiceUnavailable, "stopping\n", nil
 	}
-	if !d.order(core.Drain{On: on}) {
+	if !s.enqueue(core.Drain{On: on}) {
 		return http.StatusServiceUnavailable, "too many orders wait\n", nil
 	}
-	d.SetDraining(on)
-	d.Log.Info().Bool("drain", on).Msg("order of an operator")
+	s.SetDraining(on)
+	s.Log.Info().Bool("drain", on).Msg("order of an operator")
 	return http.StatusOK, "", nil
 }
 
 // order has the loop take an order in, behind those before. It says no where too many wait.
-func (d *AdminServer) order(ev core.Event) bool {
+func (s *AdminServer) enqueue(event core.Event) bool {
 	select {
-	case d.orders <- ev:
+	case s.orders <- event:
 		return true
 	default:
 		return false
@@ -192,37 +192,37 @@
 }
 
 // readiness says whether this process can serve, and what is in the way.
-func readiness(f core.Stats) (int, string, []string) {
-	why := "no server can be reached\n"
+func readiness(stats core.Stats) (int, string, []string) {
+	reason := "no server can be reached\n"
 	switch {
-	case f.Ready:
+	case stats.Ready:
 		return http.StatusOK, "ready\n", nil
-	case f.Stopping:
-		why = "stopping\n"
-	case f.Maintenance != nil && f.Maintenance.Slot >= 0:
-		why = "out for maintenance\n"
-	case f.Draining:
-		why = "drained by an operator\n"
-	}
-	return http.StatusServiceUnavailable, why, nil
+	case stats.Stopping:
+		reason = "stopping\n"
+	case stats.Maintenance != nil && stats.Maintenance.Slot >= 0:
+		reason = "out for maintenance\n"
+	case stats.Draining:
+		reason = "drained by an operator\n"
+	}
+	return http.StatusServiceUnavailable, reason, nil
 }
 
 // answer writes an answer and ends the connection so that it can be read.
-func (d *AdminServer) answer(conn net.Conn, status int, text string, allow ...string) {
-	conn.SetDeadline(time.Now().Add(d.Limits.WriteTimeout))
-	head := http.Header{"Content-Type": {"text/plain; charset=utf-8"}}
+func (s *AdminServer) writeResponse(conn net.Conn, status int, text string, allow ...string) {
+	conn.SetDeadline(time.Now().Add(s.Limits.WriteTimeout))
+	header := http.Header{"Content-Type": {"text/plain; charset=utf-8"}}
 	if len(allow) > 0 {
-		head["Allow"] = allow
+		header["Allow"] = allow
 	}
-	res := http.Response{
-		StatusCode: status, ProtoMajor: 1, ProtoMinor: 1, Header: head, Close: true,
+	response := http.Response{
+		StatusCode: status, ProtoMajor: 1, ProtoMinor: 1, Header: header, Close: true,
 		ContentLength: int64(len(text)), Body: io.NopCloser(strings.NewReader(text)),
 	}
 	w := bufio.NewWriter(conn)
-	if res.Write(w) != nil || w.Flush() != nil {
+	if response.Write(w) != nil || w.Flush() != nil {
 		return
 	}
-	if c, ok := conn.(interface{ CloseWrite() error }); ok && c.CloseWrite() == nil {
-		io.CopyN(io.Discard, conn, int64(d.Limits.MaxRequestSize))
+	if closer, ok := conn.(interface{ CloseWrite() error }); ok && closer.CloseWrite() == nil {
+		io.CopyN(io.Discard, conn, int64(s.Limits.MaxRequestSize))
 	}
 }
--- a/internal/mgmt/servers_test.go
+++ b/internal/mgmt/servers_test.go
@@ -12,24 +12,24 @@
 
 // In a great tier each server is told of by hundreds: the newest are shown, in order, and how many there are beside. All of
 // them made an answer of megabytes.
-func TestServersShowTheNewest(t *testing.T) {
-	var told []knowledge.ObserverEntry
-	for m := range 300 {
-		told = append(told, knowledge.ObserverEntry{Observer: m, At: knowledge.Time(1000+m%150) * knowledge.Time(time.Millisecond)})
+func TestServersShowNewestReports(t *testing.T) {
+	var reports []knowledge.ObserverEntry
+	for observer := range 300 {
+		reports = append(reports, knowledge.ObserverEntry{Observer: observer, At: knowledge.Time(1000+observer%150) * knowledge.Time(time.Millisecond)})
 	}
-	f := loop.Snapshot{At: time.Unix(2, 0)}
-	f.Knowledge = &core.KnowledgeStats{Servers: []core.ServerKnowledge{{Name: "s", Reports: told}, {Name: "t", Reports: told[:2]}}}
-	var s ServersStatus
-	if err := json.Unmarshal([]byte(serversJSON(f)), &s); err != nil {
+	snapshot := loop.Snapshot{At: time.Unix(2, 0)}
+	snapshot.Knowledge = &core.KnowledgeStats{Servers: []core.ServerKnowledge{{Name: "s", Reports: reports}, {Name: "t", Reports: reports[:2]}}}
+	var status ServersStatus
+	if err := json.Unmarshal([]byte(serversJSON(snapshot)), &status); err != nil {
 		t.Fatal(err)
 	}
-	one, two := s.Servers[0], s.Servers[1]
-	if len(one.Reports) != toldShown || one.Omitted != 300-toldShown || len(two.Reports) != 2 || two.Omitted != 0 {
-		t.Fatalf("%d shown and %d beside, %d and %d", len(one.Reports), one.Omitted, len(two.Reports), two.Omitted)
+	many, few := status.Servers[0], status.Servers[1]
+	if len(many.Reports) != maxReportsShown || many.OmittedReports != 300-maxReportsShown || len(few.Reports) != 2 || few.OmittedReports != 0 {
+		t.Fatalf("%d shown and %d beside, %d and %d", len(many.Reports), many.OmittedReports, len(few.Reports), few.OmittedReports)
 	}
-	for i, e := range one.Reports {
-		if e.AgeMS > 1000-150+toldShown/2 || i > 0 && e.Index <= one.Reports[i-1].Index {
-			t.Errorf("entry %d: of %d, %d ms old", i, e.Index, e.AgeMS)
+	for i, report := range many.Reports {
+		if report.AgeMS > 1000-150+maxReportsShown/2 || i > 0 && report.Index <= many.Reports[i-1].Index {
+			t.Errorf("entry %d: of %d, %d ms old", i, report.Index, report.AgeMS)
 		}
 	}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -12,44 +12,44 @@
 )
 
 // micros is a time on the wire.
-type micros float64
+type microseconds float64
 
-func (m micros) duration() time.Duration {
+func (m microseconds) duration() time.Duration {
 	return time.Duration(float64(m) * float64(time.Microsecond))
 }
 
 // bootInfo is what the wire tells of a deployment; keys that are not named here are ignored.
-type bootInfo struct {
+type wireSettings struct {
 	Discovery      string  `json:"discovery"`
 	OverShareWorth float64 `json:"over-share-worth"`
 	FamilyInfo     struct {
-		ClassCells   [][]int `json:"class-cells"`
-		OwnNumber    int     `json:"own-number"`
-		ReleaseGuard micros  `json:"release-guard-us"`
-		Retransmit   micros  `json:"retransmit-us"`
+		ClassCells   [][]int      `json:"class-cells"`
+		OwnNumber    int          `json:"own-number"`
+		ReleaseGuard microseconds `json:"release-guard-us"`
+		Retransmit   microseconds `json:"retransmit-us"`
 	} `json:"family-info"`
 	Limits struct {
-		Cancel        bool   `json:"cancel"`
-		MaxAttempts   int    `json:"max-attempts"`
-		MaxRetryAfter micros `json:"max-retry-after-us"`
-		RetryAfter    bool   `json:"retry-after"`
+		Cancel        bool         `json:"cancel"`
+		MaxAttempts   int          `json:"max-attempts"`
+		MaxRetryAfter microseconds `json:"max-retry-after-us"`
+		RetryAfter    bool         `json:"retry-after"`
 	} `json:"limits"`
 	LoadReport struct {
 		Columns []string `json:"columns"`
 		Via     string   `json:"via"`
 	} `json:"load-report"`
 	Obligations struct {
-		ColdFrom    float64 `json:"cold-from"`
-		RampTime    micros  `json:"ramp-time-us"`
-		TipAfter    micros  `json:"tip-after-us"`
-		TipMultiple float64 `json:"tip-multiple"`
+		ColdFrom    float64      `json:"cold-from"`
+		RampTime    microseconds `json:"ramp-time-us"`
+		TipAfter    microseconds `json:"tip-after-us"`
+		TipMultiple float64      `json:"tip-multiple"`
 	} `json:"obligations"`
 	Classes []struct {
-		Name      string  `json:"name"`
-		Effect    string  `json:"effect"`
-		Gain      float64 `json:"gain"`
-		HardLimit micros  `json:"hard-limit-us"`
-		Objective micros  `json:"objective-us"`
+		Name      string       `json:"name"`
+		Effect    string       `json:"effect"`
+		Gain      float64      `json:"gain"`
+		HardLimit microseconds `json:"hard-limit-us"`
+		Objective microseconds `json:"objective-us"`
 	} `json:"request-classes"`
 	Tenants []struct {
 		Name      string  `json:"name"`
@@ -58,7 +58,7 @@
 	} `json:"tenants"`
 }
 
-var figures = map[string]elmseam.LoadMetric{
+var loadMetrics = map[string]elmseam.LoadMetric{
 	"spare":       elmseam.LoadMetricFreeLines,
 	"total":       elmseam.LoadMetricTotalLines,
 	"outstanding": elmseam.LoadMetricOutstanding,
@@ -70,9 +70,9 @@
 }
 
 // LoadMetric is what a value of a load report means, by its name.
-func LoadMetric(name string) elmseam.LoadMetric { return figures[name] }
+func LoadMetric(name string) elmseam.LoadMetric { return loadMetrics[name] }
 
-var repeats = map[string]elmseam.RetryPolicy{
+var retryPolicies = map[string]elmseam.RetryPolicy{
 	"free":        elmseam.RetryAlways,
 	"guarded":     elmseam.RetryGuarded,
 	"single_shot": elmseam.RetryNever,
@@ -80,12 +80,12 @@
 
 // Decode reads the settings that the decision module starts with.
 func Decode(text []byte) (elmseam.Settings, error) {
-	var info bootInfo
+	var info wireSettings
 	info.FamilyInfo.OwnNumber = -1
 	if err := json.Unmarshal(text, &info); err != nil {
 		return elmseam.Settings{}, fmt.Errorf("settings: %w", err)
 	}
-	s := elmseam.Settings{
+	decoded := elmseam.Settings{
 		OverShareWorth:     info.OverShareWorth,
 		MaxAttempts:        info.Limits.MaxAttempts,
 		CanCancel:          info.Limits.Cancel,
@@ -99,28 +99,28 @@
 		ListOnRequest:      info.Discovery == "ask",
 	}
 	if info.Limits.RetryAfter {
-		s.MaxRetryAfter = info.Limits.MaxRetryAfter.duration()
+		decoded.MaxRetryAfter = info.Limits.MaxRetryAfter.duration()
 	}
 	if info.LoadReport.Via != "off" {
 		for _, name := range info.LoadReport.Columns {
-			s.ReportMetrics = append(s.ReportMetrics, figures[name])
+			decoded.ReportMetrics = append(decoded.ReportMetrics, loadMetrics[name])
 		}
 	}
-	for i, c := range info.Classes {
-		repeat, known := repeats[c.Effect]
-		if !known && c.Effect != "" {
-			return s, fmt.Errorf("settings: class %d: unknown effect %q", i, c.Effect)
+	for i, entry := range info.Classes {
+		retry, found := retryPolicies[entry.Effect]
+		if !found && entry.Effect != "" {
+			return decoded, fmt.Errorf("settings: class %d: unknown effect %q", i, entry.Effect)
 		}
-		class := elmseam.Class{Aim: c.Objective.duration(), Deadline: c.HardLimit.duration(), Worth: c.Gain, Retry: repeat}
+		class := elmseam.Class{Aim: entry.Objective.duration(), Deadline: entry.HardLimit.duration(), Worth: entry.Gain, Retry: retry}
 		if i < len(info.FamilyInfo.ClassCells) {
 			class.Cells = info.FamilyInfo.ClassCells[i]
 		}
-		s.Classes = append(s.Classes, class)
+		decoded.Classes = append(decoded.Classes, class)
 	}
-	for _, t := range info.Tenants {
-		s.Tenants = append(s.Tenants, elmseam.Tenant{Name: t.Name, Allowance: t.Allowance})
+	for _, tenant := range info.Tenants {
+		decoded.Tenants = append(decoded.Tenants, elmseam.Tenant{Name: tenant.Name, Allowance: tenant.Allowance})
 	}
-	return s, nil
+	return decoded, nil
 }
 
 // Deployment is what a softswitch on sockets needs beside the decisions.
@@ -150,43 +150,43 @@
 }
 
 // ClassIndexes are the classes that calls may be of, with their places.
-func (n Deployment) ClassIndexes() map[string]int {
-	names := make(map[string]int)
-	for i, c := range n.Classes {
+func (d Deployment) ClassIndexes() map[string]int {
+	indexes := make(map[string]int)
+	for i, c := range d.Classes {
 		if !c.Removed {
-			names[c.Name] = i
+			indexes[c.Name] = i
 		}
 	}
-	return names
+	return indexes
 }
 
 // KeepClassIndexes gives the classes the places they had in an earlier configuration, as calls in hand know them by
 // their place. Those that are no more keep theirs.
-func KeepClassIndexes(old Deployment, n *Deployment, s *elmseam.Settings, was elmseam.Settings) {
-	place := n.ClassIndexes()
+func KeepClassIndexes(old Deployment, current *Deployment, currentSettings *elmseam.Settings, oldSettings elmseam.Settings) {
+	indexes := current.ClassIndexes()
 	var classes []Class
-	var rules []elmseam.Class
-	for i, c := range old.Classes {
-		at, there := place[c.Name]
-		if !there {
-			c.Removed = true
-			classes, rules = append(classes, c), append(rules, was.Classes[i])
+	var moduleClasses []elmseam.Class
+	for i, class := range old.Classes {
+		index, found := indexes[class.Name]
+		if !found {
+			class.Removed = true
+			classes, moduleClasses = append(classes, class), append(moduleClasses, oldSettings.Classes[i])
 			continue
 		}
-		delete(place, c.Name)
-		classes, rules = append(classes, n.Classes[at]), append(rules, s.Classes[at])
+		delete(indexes, class.Name)
+		classes, moduleClasses = append(classes, current.Classes[index]), append(moduleClasses, currentSettings.Classes[index])
 	}
-	for i, c := range n.Classes {
-		if at, there := place[c.Name]; there && at == i {
-			classes, rules = append(classes, c), append(rules, s.Classes[i])
+	for i, class := range current.Classes {
+		if index, found := indexes[class.Name]; found && index == i {
+			classes, moduleClasses = append(classes, class), append(moduleClasses, currentSettings.Classes[i])
 		}
 	}
-	n.Classes, s.Classes = classes, rules
+	current.Classes, currentSettings.Classes = classes, moduleClasses
 }
 
 // needed are the keys that the settings of a softswitch must hold, by the object they stand in. A file that was cut
 // short and closed again would else be taken for one that asks for zeros.
-var needed = map[string][]string{
+var requiredKeys = map[string][]string{
 	"":                {"request-classes", "family-info", "limits", "load-report", "obligations"},
 	"family-info":     {"own-number", "release-guard-us", "retransmit-us"},
 	"limits":          {"max-attempts", "max-open", "connect-timeout-us", "retry-after", "max-retry-after-us", "cancel"},
@@ -202,11 +202,11 @@
 	if err := json.Unmarshal(text, &top); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	if err := holds(text, "", "settings."); err != nil {
+	if err := checkRequiredKeys(text, "", "settings."); err != nil {
 		return err
 	}
-	for _, part := range []string{"family-info", "limits", "load-report", "obligations"} {
-		if err := holds(top[part], part, "settings."+part+"."); err != nil {
+	for _, section := range []string{"family-info", "limits", "load-report", "obligations"} {
+		if err := checkRequiredKeys(top[section], section, "settings."+section+"."); err != nil {
 			return err
 		}
 	}
@@ -216,85 +216,85 @@
 	}
 	for i, class := range classes {
 		field := fmt.Sprintf("settings.request-classes[%d].", i)
-		if err := holds(class, "request-classes", field); err != nil {
+		if err := checkRequiredKeys(class, "request-classes", field); err != nil {
 			return err
 		}
-		var c struct {
-			HardLimit micros `json:"hard-limit-us"`
+		var limit struct {
+			HardLimit microseconds `json:"hard-limit-us"`
 		}
-		if err := json.Unmarshal(class, &c); err != nil || c.HardLimit.duration() <= 0 {
-			return fmt.Errorf("%shard-limit-us: %v is not over 0", field, float64(c.HardLimit))
+		if err := json.Unmarshal(class, &limit); err != nil || limit.HardLimit.duration() <= 0 {
+			return fmt.Errorf("%shard-limit-us: %v is not over 0", field, float64(limit.HardLimit))
 		}
 	}
-	var l struct {
+	var limits struct {
 		MaxAttempts int `json:"max-attempts"`
 	}
-	if err := json.Unmarshal(top["limits"], &l); err != nil || l.MaxAttempts <= 0 {
-		return fmt.Errorf("settings.limits.max-attempts: %d is not over 0", l.MaxAttempts)
+	if err := json.Unmarshal(top["limits"], &limits); err != nil || limits.MaxAttempts <= 0 {
+		return fmt.Errorf("settings.limits.max-attempts: %d is not over 0", limits.MaxAttempts)
 	}
-	return agrees(text)
+	return checkConsistency(text)
 }
 
 // agrees says whether settings contradict themselves: one that is in force by chance would decide.
-func agrees(text []byte) error {
-	var info bootInfo
+func checkConsistency(text []byte) error {
+	var info wireSettings
 	if err := json.Unmarshal(text, &info); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
 	if len(info.Classes) == 0 {
 		return fmt.Errorf("settings.request-classes: no class")
 	}
-	names := make(map[string]bool)
-	for i, c := range info.Classes {
-		if names[c.Name] {
-			return fmt.Errorf("settings.request-classes[%d].name: %q is there twice", i, c.Name)
+	seen := make(map[string]bool)
+	for i, class := range info.Classes {
+		if seen[class.Name] {
+			return fmt.Errorf("settings.request-classes[%d].name: %q is there twice", i, class.Name)
 		}
-		names[c.Name] = true
+		seen[class.Name] = true
 	}
-	clear(names)
+	clear(seen)
 	for i, name := range info.LoadReport.Columns {
-		if names[name] {
+		if seen[name] {
 			return fmt.Errorf("settings.load-report.columns[%d]: %q is there twice", i, name)
 		}
-		names[name] = true
+		seen[name] = true
 	}
-	clear(names)
+	clear(seen)
 	shares := 0.0
-	for i, t := range info.Tenants {
+	for i, tenant := range info.Tenants {
 		field := fmt.Sprintf("settings.tenants[%d].", i)
 		switch {
-		case t.Name == "":
+		case tenant.Name == "":
 			return fmt.Errorf("%sname: missing", field)
-		case names[t.Name]:
-			return fmt.Errorf("%sname: %q is there twice", field, t.Name)
-		case !(t.Allowance >= 0):
-			return fmt.Errorf("%sallowance-per-s: %v is negative", field, t.Allowance)
-		case !(t.Share >= 0):
-			return fmt.Errorf("%sshare: %v is negative", field, t.Share)
+		case seen[tenant.Name]:
+			return fmt.Errorf("%sname: %q is there twice", field, tenant.Name)
+		case !(tenant.Allowance >= 0):
+			return fmt.Errorf("%sallowance-per-s: %v is negative", field, tenant.Allowance)
+		case !(tenant.Share >= 0):
+			return fmt.Errorf("%sshare: %v is negative", field, tenant.Share)
 		}
-		names[t.Name] = true
-		if shares += t.Share; shares > 1+rounding {
+		seen[tenant.Name] = true
+		if shares += tenant.Share; shares > 1+shareTolerance {
 			return fmt.Errorf("%sshare: with those before it the shares come to %.3g, which is over 1", field, shares)
 		}
 	}
-	if w := info.OverShareWorth; !(w >= 0 && w <= 1) {
-		return fmt.Errorf("settings.over-share-worth: %v is no part of a call's worth", w)
+	if worth := info.OverShareWorth; !(worth >= 0 && worth <= 1) {
+		return fmt.Errorf("settings.over-share-worth: %v is no part of a call's worth", worth)
 	}
 	return nil
 }
 
 // rounding is what shares, told with a few digits, may be over 1 together.
-const rounding = 0.01
+const shareTolerance = 0.01
 
 // holds names the first key that an object lacks.
-func holds(text []byte, part, field string) error {
-	var have map[string]json.RawMessage
-	if err := json.Unmarshal(text, &have); err != nil {
-		return fmt.Errorf("%s: %w", strings.TrimSuffix(field, "."), err)
+func checkRequiredKeys(text []byte, section, prefix string) error {
+	var object map[string]json.RawMessage
+	if err := json.Unmarshal(text, &object); err != nil {
+		return fmt.Errorf("%s: %w", strings.TrimSuffix(prefix, "."), err)
 	}
-	for _, key := range needed[part] {
-		if v, there := have[key]; !there || string(v) == "null" {
-			return fmt.Errorf("%s%s: missing", field, key)
+	for _, key := range requiredKeys[section] {
+		if value, found := object[key]; !found || string(value) == "null" {
+			return fmt.Errorf("%s%s: missing", prefix, key)
 		}
 	}
 	return nil
@@ -304,16 +304,16 @@
 func DecodeDeployment(text []byte) (Deployment, error) {
 	var info struct {
 		FamilyInfo struct {
-			ClassCells [][]int   `json:"class-cells"`
-			ClassHold  []micros  `json:"class-hold-us"`
-			Widths     []float64 `json:"widths"`
+			ClassCells [][]int        `json:"class-cells"`
+			ClassHold  []microseconds `json:"class-hold-us"`
+			Widths     []float64      `json:"widths"`
 		} `json:"family-info"`
 		Limits struct {
-			Connect   micros `json:"connect-timeout-us"`
-			KeepAlive micros `json:"keepalive-us"`
-			MaxOpen   int    `json:"max-open"`
-			Peers     bool   `json:"peer-messages"`
-			Probes    bool   `json:"probes"`
+			Connect   microseconds `json:"connect-timeout-us"`
+			KeepAlive microseconds `json:"keepalive-us"`
+			MaxOpen   int          `json:"max-open"`
+			Peers     bool         `json:"peer-messages"`
+			Probes    bool         `json:"probes"`
 		} `json:"limits"`
 		Me         *float64 `json:"me"`
 		Zone       *float64 `json:"zone"`
@@ -322,15 +322,15 @@
 			Columns []string `json:"columns"`
 		} `json:"load-report"`
 		Classes []struct {
-			Name      string `json:"name"`
-			HardLimit micros `json:"hard-limit-us"`
-			Objective micros `json:"objective-us"`
+			Name      string       `json:"name"`
+			HardLimit microseconds `json:"hard-limit-us"`
+			Objective microseconds `json:"objective-us"`
 		} `json:"request-classes"`
 	}
 	if err := json.Unmarshal(text, &info); err != nil {
 		return Deployment{}, fmt.Errorf("settings: %w", err)
 	}
-	n := Deployment{
+	d := Deployment{
 		ReportMetrics:       info.LoadReport.Columns,
 		ConnectTimeout:      info.Limits.Connect.duration(),
 		KeepAlive:           info.Limits.KeepAlive.duration(),
@@ -342,16 +342,16 @@
 		ProbesEnabled:       info.Limits.Probes,
 	}
 	if info.Zone != nil {
-		n.Zone = int(min(max(*info.Zone, -1), 127))
+		d.Zone = int(min(max(*info.Zone, -1), 127))
 	}
 	if info.Me != nil {
-		n.Self = int(*info.Me)
+		d.Self = int(*info.Me)
 	}
-	for i, c := range info.Classes {
-		if c.Name == "" {
-			return n, fmt.Errorf("settings: request-classes[%d].name: missing", i)
+	for i, entry := range info.Classes {
+		if entry.Name == "" {
+			return d, fmt.Errorf("settings: request-classes[%d].name: missing", i)
 		}
-		class := Class{Name: c.Name, MaxWait: c.HardLimit.duration()}
+		class := Class{Name: entry.Name, MaxWait: entry.HardLimit.duration()}
 		if i < len(info.FamilyInfo.ClassCells) {
 			class.Cells = info.FamilyInfo.ClassCells[i]
 		}
@@ -359,16 +359,16 @@
 			class.Lines = info.FamilyInfo.Widths[i]
 		}
 		if i < len(info.FamilyInfo.ClassHold) {
-			n.MaxMeanHold = max(n.MaxMeanHold, info.FamilyInfo.ClassHold[i].duration())
+			d.MaxMeanHold = max(d.MaxMeanHold, info.FamilyInfo.ClassHold[i].duration())
 		}
-		n.Classes = append(n.Classes, class)
-		n.MaxWait = max(n.MaxWait, class.MaxWait)
-		if aim := c.Objective.duration(); aim > 0 && (n.MinAim == 0 || aim < n.MinAim) {
-			n.MinAim = aim
+		d.Classes = append(d.Classes, class)
+		d.MaxWait = max(d.MaxWait, class.MaxWait)
+		if aim := entry.Objective.duration(); aim > 0 && (d.MinAim == 0 || aim < d.MinAim) {
+			d.MinAim = aim
 		}
 	}
-	if names := n.ClassIndexes(); len(names) < len(n.Classes) {
-		return n, fmt.Errorf("settings: request-classes: %d names for %d classes", len(names), len(n.Classes))
+	if indexes := d.ClassIndexes(); len(indexes) < len(d.Classes) {
+		return d, fmt.Errorf("settings: request-classes: %d names for %d classes", len(indexes), len(d.Classes))
 	}
-	return n, nil
+	return d, nil
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -10,7 +10,7 @@
 )
 
 // text are settings like a deployment's with tenants, whose reports tell of the wait and of no share to hold back.
-const text = `{"request-classes":[{"name":"view","effect":"free","gain":1,"objective-us":1500000,"hard-limit-us":9000000},
+const validSettings = `{"request-classes":[{"name":"view","effect":"free","gain":1,"objective-us":1500000,"hard-limit-us":9000000},
   {"name":"sign","effect":"free","gain":3,"objective-us":1500000,"hard-limit-us":9000000}],
  "family-info":{"own-number":-1,"release-guard-us":300000,"retransmit-us":800000},
  "limits":{"max-attempts":5,"max-open":100,"connect-timeout-us":500000,"retry-after":true,"max-retry-after-us":2000000,"cancel":true},
@@ -18,12 +18,12 @@
  "tip-multiple":3,"tip-after-us":1000000},"over-share-worth":0.1,
  "tenants":[{"name":"a","share":0.54,"allowance-per-s":40},{"name":"b","share":0.46,"allowance-per-s":20}]}`
 
-func TestWholeNamesWhatContradicts(t *testing.T) {
-	if err := Validate([]byte(text)); err != nil {
+func TestValidateNamesInvalidField(t *testing.T) {
+	if err := Validate([]byte(validSettings)); err != nil {
 		t.Fatal(err)
 	}
 	for field, change := range map[string][2]string{
-		"request-classes:":            {text[strings.Index(text, "[{"):strings.Index(text, ",\n \"family-info")], "[]"},
+		"request-classes:":            {validSettings[strings.Index(validSettings, "[{"):strings.Index(validSettings, ",\n \"family-info")], "[]"},
 		"request-classes[1].name:":    {`"sign"`, `"view"`},
 		"load-report.columns[2]:":     {`"recent_ms"`, `"spare"`},
 		"tenants[1].share:":           {"0.46", "0.6"},
@@ -37,24 +37,24 @@
 		"obligations.tip-after-us:":   {`,"tip-after-us":1000000`, ""},
 		"family-info.retransmit-us:":  {`800000`, "null"},
 	} {
-		bad := strings.Replace(text, change[0], change[1], 1)
-		err := Validate([]byte(bad))
-		if bad == text || err == nil || !strings.HasPrefix(err.Error(), "settings."+field) || strings.Contains(err.Error(), "\n") {
+		invalid := strings.Replace(validSettings, change[0], change[1], 1)
+		err := Validate([]byte(invalid))
+		if invalid == validSettings || err == nil || !strings.HasPrefix(err.Error(), "settings."+field) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v", field, err)
 		}
 	}
 }
 
 // Without a share to hold back the report still has a figure that the module goes by, whatever the other columns are.
-func TestDecodeWithoutAHoldBackShare(t *testing.T) {
-	set, err := Decode([]byte(text))
+func TestDecodeWithoutHoldBackShare(t *testing.T) {
+	decoded, err := Decode([]byte(validSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if want := []elmseam.LoadMetric{elmseam.LoadMetricFreeLines, elmseam.LoadMetricTotalLines, elmseam.LoadMetricWait}; !slices.Equal(set.ReportMetrics, want) {
-		t.Errorf("report %v, want %v", set.ReportMetrics, want)
+	if want := []elmseam.LoadMetric{elmseam.LoadMetricFreeLines, elmseam.LoadMetricTotalLines, elmseam.LoadMetricWait}; !slices.Equal(decoded.ReportMetrics, want) {
+		t.Errorf("report %v, want %v", decoded.ReportMetrics, want)
 	}
-	if got, want := fmt.Sprint(set.Tenants, set.OverShareWorth), "[{a 40} {b 20}] 0.1"; got != want {
+	if got, want := fmt.Sprint(decoded.Tenants, decoded.OverShareWorth), "[{a 40} {b 20}] 0.1"; got != want {
 		t.Errorf("tenants %s, want %s", got, want)
 	}
 }
