--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,4 +1,4 @@
-// Package config reads what a softswitch is told at its start, and holds every limit it keeps.
+// Package config reads a softswitch's configuration file, environment variables and TOML files, and fixes its sizes, counts and times.
 package config
 
 import (
@@ -9,65 +9,33 @@
 	"os"
 	"slices"
 	"strconv"
-	"time"
 
 	"elmseam"
 	"elmseam/internal/core"
 	"elmseam/internal/feed"
-	"elmseam/internal/handover"
-	"elmseam/internal/link"
-	"elmseam/internal/maintenance"
-	"elmseam/internal/membership"
-	"elmseam/internal/mgmt"
-	"elmseam/internal/peers"
-	"elmseam/internal/platform"
-	"elmseam/internal/probe"
 	"elmseam/internal/settings"
 )
 
-// Limits are all sizes, counts and times. They are filled by Load, at the start and for each reload, and handed down.
-type Limits struct {
-	Core       core.Limits
-	CallerConn link.Limits // of a caller's connection
-
-	ServerConn link.Limits
-
-	Feed           feed.Limits
-	DialTimeout    time.Duration // to connect to a server
-	ConfirmTimeout time.Duration // a release not confirmed by then is sent again
-	MaxCallers     int           // connections of callers at once
-	EventQueue     int           // events that wait for the core
-	StatsInterval  time.Duration // between snapshots of the figures
-	Mgmt           mgmt.Limits
-
-	HandOver    handover.Limits
-	Peers       peers.Limits
-	Membership  membership.Limits  // filled by Tier, from the members' file
-	Maintenance maintenance.Limits // and so are these
-	MemoryLimit int64              // bytes the garbage collector aims to stay under
-	GCPercent   int                // per cent that the heap may grow by before that
-}
-
-// Config is all that a softswitch is told.
+// Config is the complete configuration of a softswitch.
 type Config struct {
-	Name            string
-	Listen          string
-	Mgmt            string // where operators call; empty: nowhere
-	Seed            uint64
-	CommandChannel  string
-	Cursor          int64
-	InitialCommands []feed.Command
-	Settings        elmseam.Settings
-	Deployment      settings.Deployment
+	Name            string              // name of this softswitch
+	Listen          string              // host:port that callers connect to
+	Mgmt            string              // host:port of the admin endpoint; empty: no admin endpoint
+	Seed            uint64              // seed of the random decisions
+	CommandChannel  string              // host:port of the command channel
+	Cursor          int64               // position in the command channel after InitialCommands
+	InitialCommands []feed.Command      // commands of the channel that the file already contains
+	Settings        elmseam.Settings    // settings of the decision module
+	Deployment      settings.Deployment // settings of the sockets
 	Limits          Limits
 
-	PeerListen string   // where datagrams of the tier come
-	Peers      []string // its softswitches' addresses, by number
+	PeerListen string   // host:port on which the tier's datagrams arrive
+	Peers      []string // addresses of the tier's softswitches, by index
 
-	topLevelKeys map[string]json.RawMessage // of the file, outermost
+	topLevelKeys map[string]json.RawMessage // top-level keys of the configuration file
 }
 
-// file is the form of the configuration file.
+// configFile is the JSON form of the configuration file.
 type configFile struct {
 	Name   string `json:"name"`
 	Listen string `json:"listen"`
@@ -88,7 +56,8 @@
 	Settings json.RawMessage `json:"settings"`
 }
 
-// Load reads the configuration that the environment names. An error is one line that names the field.
+// Load reads the configuration file that the environment variable ROUTER_CONFIG names; ROUTER_NAME, ROUTER_LISTEN and ROUTER_MGMT
+// override its fields. The text of an error is one line that names the field.
 func Load(getenv func(string) string) (*Config, error) {
 	path := getenv("ROUTER_CONFIG")
 	if path == "" {
@@ -122,7 +91,7 @@
 	return cfg, err
 }
 
-// build checks the fields and fills the limits.
+// build checks the fields of a configuration file and derives the limits from them.
 func build(parsed configFile) (*Config, error) {
 	cfg := &Config{Name: parsed.Name, Listen: parsed.Listen, Mgmt: parsed.Mgmt, CommandChannel: parsed.Channel, Cursor: parsed.Initial.Cursor, InitialCommands: parsed.Initial.Cmds,
 		PeerListen: parsed.PeerListen, Peers: parsed.Peers}
@@ -141,13 +110,13 @@
 	}
 	var err error
 	if cfg.Seed, err = strconv.ParseUint(parsed.Seed, 16, 64); err != nil {
-		return nil, fmt.Errorf("seed: %q is not hex", parsed.Seed)
+		return nil, fmt.Errorf("seed: %q is not a hexadecimal number", parsed.Seed)
 	}
 	if parsed.Limits.MemoryMB <= 0 {
-		return nil, fmt.Errorf("limits.memory_mb: %d", parsed.Limits.MemoryMB)
+		return nil, fmt.Errorf("limits.memory_mb: %d is not positive", parsed.Limits.MemoryMB)
 	}
 	if parsed.Limits.Sockets < minSockets {
-		return nil, fmt.Errorf("limits.sockets: %d, %d are needed", parsed.Limits.Sockets, minSockets)
+		return nil, fmt.Errorf("limits.sockets: %d is too few, at least %d are needed", parsed.Limits.Sockets, minSockets)
 	}
 	for i, cmd := range cfg.InitialCommands {
 		if _, err := cmd.List(func(string) core.Protocol { return "" }, true); err != nil {
@@ -173,13 +142,14 @@
 	return cfg, nil
 }
 
-// Reload reads the configuration again: it must hold what the earlier one held. The classes of the earlier one keep their places.
+// Reload reads the configuration again. The new file must contain every top-level key of the old one. The classes of the old
+// configuration keep their indexes.
 func Reload(getenv func(string) string, old *Config) (*Config, error) {
 	cfg, err := Load(getenv)
 	if err != nil {
 		return nil, err
 	}
-	for _, key := range slices.Sorted(maps.Keys(old.topLevelKeys)) { // what the environment says stands in for none
+	for _, key := range slices.Sorted(maps.Keys(old.topLevelKeys)) { // a value from the environment doesn't replace a missing key
 		if value, found := cfg.topLevelKeys[key]; !found || string(value) == "null" {
 			return nil, fmt.Errorf("%s: missing", key)
 		}
@@ -187,94 +157,3 @@
 	settings.KeepClassIndexes(old.Deployment, &cfg.Deployment, &cfg.Settings, old.Settings)
 	return cfg, nil
 }
-
-const minSockets = 32
-
-// scarceSockets is where descriptors begin to be scarce. A few go to the program itself: its streams and pollers, listeners,
-// the command channel, a dial that is broken off.
-const (
-	scarceSocketsBelow = 200
-	reservedSockets    = 14
-)
-
-// endedSize is about what it takes to remember a call that is over, in bytes.
-const endedCallBytes = 128
-
-// limits fills the one set of limits, from what the platform tells where it does.
-func buildLimits(parsed configFile, deployment settings.Deployment) Limits {
-	maxMessageSize := 16 << 10
-	memoryBytes := int64(parsed.Limits.MemoryMB) << 20
-	maxCallers := parsed.Limits.Sockets / 2         // callers that behave hold a third; a quarter may come to the second front
-	if parsed.Limits.Sockets < scarceSocketsBelow { // servers need the rest
-		maxCallers = parsed.Limits.Sockets * 2 / 5
-	}
-	all := Limits{
-		Core: core.Limits{
-			AnswerMargin:        15 * time.Millisecond,
-			Rebind:              100 * time.Millisecond, // a crossing close shows within 50 ms
-			MinRedial:           100 * time.Millisecond,
-			MaxRedial:           500 * time.Millisecond,
-			ConnsPerServer:      map[core.Protocol]int{platform.Protocol: 2},
-			MaxServerConns:      parsed.Limits.Sockets - maxCallers - reservedSockets,
-			UnresponsiveAfter:   100 * time.Millisecond, // any answer takes less where the server isn't pressed
-			MaxRemovedServers:   16,
-			MaxPendingReleases:  1000,
-			ServerLostAfter:     5 * time.Second,        // releases are owed 8 s after the end at the latest
-			ReportedDrainTTL:    10 * time.Second,       // a list is up to 7 s late
-			DrainGrace:          500 * time.Millisecond, // the front asks every 0.1 s and sends new ones for 0.2 s more
-			DrainRefuseAfter:    1500 * time.Millisecond,
-			DrainCheckInterval:  20 * time.Millisecond,
-			DrainIdle:           20 * time.Millisecond,
-			Transient:           map[core.Protocol]bool{platform.Protocol: true},
-			MaxTransferredCalls: 4000, // they fit into one message
-			HandOverGrace:       100 * time.Millisecond,
-			StopGrace:           700 * time.Millisecond,
-			MaxStopWait:         max(deployment.MaxWait, 3*time.Second) + 600*time.Millisecond,
-			StopLinger:          60 * time.Millisecond,     // what crosses a close does so within 50 ms
-			MaxCallerConns:      maxCallers - maxCallers/8, // the rest are on their way in or out
-			NewConnGrace:        250 * time.Millisecond,
-			MaxOpen:             deployment.MaxOpenCalls,
-			MaxEndedCalls:       int(memoryBytes / 8 / endedCallBytes),
-			Probe:               probe.Limits{Permitted: deployment.ProbesEnabled, Rate: 1, Burst: 2, Timeout: 1500 * time.Millisecond},
-			MaxRoutes:           10000,
-			RetryHint:           max(deployment.MinAim/4, 50*time.Millisecond), // a redial can still stand in time
-			EndedCallTTL:        max(deployment.MaxWait, 10*time.Second) * 6,
-		},
-		CallerConn: link.Limits{
-			InitialBufferSize: 4 << 10, MaxMessageSize: maxMessageSize, MaxQueuedBytes: 1 << 20,
-			WriteTimeout: 5 * time.Second, FlushTimeout: 50 * time.Millisecond,
-			MessageTimeout: 2500 * time.Millisecond, IdleTimeout: max(deployment.MaxWait, 10*time.Second) + 2*time.Second,
-			LingerTimeout: 250 * time.Millisecond, MaxLingerBytes: 256 << 10,
-		},
-		Feed: feed.Limits{
-			ConnectTimeout: time.Second, ReadTimeout: 2500 * time.Millisecond, // a comment comes each second
-			RenewAfter: 5 * time.Second, // what is told counts as heard after 7 s
-			RetryDelay: 100 * time.Millisecond, MaxEventSize: 1 << 20, InitialBufferSize: 4 << 10,
-		},
-		DialTimeout:    deployment.ConnectTimeout,
-		ConfirmTimeout: 15 * time.Second, // T1 of Q.764 at its least
-		MaxCallers:     maxCallers,
-		EventQueue:     4096,
-		StatsInterval:  50 * time.Millisecond, // they may be 0.5 s old
-		Mgmt:           mgmt.Limits{MaxConns: min(16, parsed.Limits.Sockets/16), MaxRequestSize: 8 << 10, ReadTimeout: 2 * time.Second, WriteTimeout: time.Second, MaxStatsAge: 2 * time.Second, MaxOrders: 16},
-		HandOver: handover.Limits{
-			HelloTimeout: time.Second, ExitTimeout: 2 * time.Second, WriteTimeout: time.Second, MaxMessageSize: 128 << 10, MaxQueuedBytes: 4 << 20, MaxEndedCalls: 4096,
-		},
-		Peers:       peers.Limits{Queue: 256, Rate: 400, Retry: 100 * time.Millisecond},
-		MemoryLimit: memoryBytes * 6 / 10,
-		GCPercent:   200,
-	}
-	// Callers that read nothing and set-ups that stay open hold no more than a quarter of the memory each.
-	all.ServerConn = all.CallerConn
-	all.ServerConn.LineTimeout, all.ServerConn.MaxSilence = 500*time.Millisecond, 3*time.Second
-	all.ServerConn.LingerTimeout = 50 * time.Millisecond // they close at once; a descriptor may be needed
-	all.CallerConn.MaxQueuedBytes = min(all.CallerConn.MaxQueuedBytes, max(int(memoryBytes/4)/maxCallers, 2*maxMessageSize))
-	all.Core.MaxCallBytes = int(memoryBytes / 4)
-	if all.DialTimeout <= 0 {
-		all.DialTimeout = 500 * time.Millisecond
-	}
-	if all.Core.MaxOpen <= 0 {
-		all.Core.MaxOpen = 20000
-	}
-	return all
-}
--- /dev/null
+++ b/internal/config/limits.go
@@ -0,0 +1,136 @@
+package config
+
+import (
+	"time"
+
+	"elmseam/internal/core"
+	"elmseam/internal/feed"
+	"elmseam/internal/handover"
+	"elmseam/internal/link"
+	"elmseam/internal/maintenance"
+	"elmseam/internal/membership"
+	"elmseam/internal/mgmt"
+	"elmseam/internal/peers"
+	"elmseam/internal/platform"
+	"elmseam/internal/probe"
+	"elmseam/internal/settings"
+)
+
+// Limits holds all sizes, counts and times of a softswitch. Load fills it at the start and at each reload; the other packages receive
+// their part of it.
+type Limits struct {
+	Core       core.Limits
+	CallerConn link.Limits // limits of a caller's connection
+
+	ServerConn link.Limits // limits of a connection to a server
+
+	Feed           feed.Limits
+	DialTimeout    time.Duration // longest time to connect to a server
+	ConfirmTimeout time.Duration // wait for the confirmation of a release (M3UA) before the release is sent again
+	MaxCallers     int           // max. simultaneous connections of callers
+	EventQueue     int           // max. events that wait for the core
+	StatsInterval  time.Duration // time between two snapshots of the statistics
+	Mgmt           mgmt.Limits
+
+	HandOver    handover.Limits
+	Peers       peers.Limits
+	Membership  membership.Limits  // filled by TierConfig from the members file
+	Maintenance maintenance.Limits // filled by TierConfig from the members file
+	MemoryLimit int64              // soft memory limit of the Go runtime, in bytes
+	GCPercent   int                // heap growth, in per cent, that triggers a garbage collection (GOGC)
+}
+
+// minSockets is the lowest number of file descriptors (limits.sockets in the configuration file) that the softswitch starts with.
+const minSockets = 32
+
+const (
+	// scarceSocketsBelow is the number of file descriptors below which callers get a smaller share of them, so that enough remain for
+	// servers.
+	scarceSocketsBelow = 200
+
+	// reservedSockets is the number of file descriptors for the process itself: standard streams, pollers, listeners, the command
+	// channel and a dial that is being aborted.
+	reservedSockets = 14
+)
+
+// endedCallBytes is the approximate memory, in bytes, that one remembered ended call takes.
+const endedCallBytes = 128
+
+// buildLimits derives all limits from the configuration file and the deployment's settings; the rest are constants.
+func buildLimits(parsed configFile, deployment settings.Deployment) Limits {
+	maxMessageSize := 16 << 10
+	memoryBytes := int64(parsed.Limits.MemoryMB) << 20
+	maxCallers := parsed.Limits.Sockets / 2         // well-behaved callers use a third; up to a quarter may come over the M3UA protocol
+	if parsed.Limits.Sockets < scarceSocketsBelow { // with few descriptors, connections to servers need the larger share
+		maxCallers = parsed.Limits.Sockets * 2 / 5
+	}
+	limits := Limits{
+		Core: core.Limits{
+			AnswerMargin:        15 * time.Millisecond,
+			Rebind:              100 * time.Millisecond, // a close that crosses a set-up is seen within 50 ms
+			MinRedial:           100 * time.Millisecond,
+			MaxRedial:           500 * time.Millisecond,
+			ConnsPerServer:      map[core.Protocol]int{platform.Protocol: 2},
+			MaxServerConns:      parsed.Limits.Sockets - maxCallers - reservedSockets,
+			UnresponsiveAfter:   100 * time.Millisecond, // a server that isn't overloaded answers sooner
+			MaxRemovedServers:   16,
+			MaxPendingReleases:  1000,
+			ServerLostAfter:     5 * time.Second,        // a release is due 8 s after the end of its call at the latest
+			ReportedDrainTTL:    10 * time.Second,       // a server list arrives up to 7 s late
+			DrainGrace:          500 * time.Millisecond, // the platform polls readiness every 0.1 s and sends new callers for 0.2 s more
+			DrainRefuseAfter:    1500 * time.Millisecond,
+			DrainCheckInterval:  20 * time.Millisecond,
+			DrainIdle:           20 * time.Millisecond,
+			Transient:           map[core.Protocol]bool{platform.Protocol: true},
+			MaxTransferredCalls: 4000, // this many calls fit into one hand-over message
+			HandOverGrace:       100 * time.Millisecond,
+			StopGrace:           700 * time.Millisecond,
+			MaxStopWait:         max(deployment.MaxWait, 3*time.Second) + 600*time.Millisecond,
+			StopLinger:          60 * time.Millisecond,     // data that crosses a close arrives within 50 ms
+			MaxCallerConns:      maxCallers - maxCallers/8, // the remaining eighth is for connections being opened or closed
+			NewConnGrace:        250 * time.Millisecond,
+			MaxOpen:             deployment.MaxOpenCalls,
+			MaxEndedCalls:       int(memoryBytes / 8 / endedCallBytes),
+			Probe:               probe.Limits{Permitted: deployment.ProbesEnabled, Rate: 1, Burst: 2, Timeout: 1500 * time.Millisecond},
+			MaxRoutes:           10000,
+			RetryHint:           max(deployment.MinAim/4, 50*time.Millisecond), // after this wait a new set-up can still succeed within the aim
+			EndedCallTTL:        max(deployment.MaxWait, 10*time.Second) * 6,
+		},
+		CallerConn: link.Limits{
+			InitialBufferSize: 4 << 10, MaxMessageSize: maxMessageSize, MaxQueuedBytes: 1 << 20,
+			WriteTimeout: 5 * time.Second, FlushTimeout: 50 * time.Millisecond,
+			MessageTimeout: 2500 * time.Millisecond, IdleTimeout: max(deployment.MaxWait, 10*time.Second) + 2*time.Second,
+			LingerTimeout: 250 * time.Millisecond, MaxLingerBytes: 256 << 10,
+		},
+		Feed: feed.Limits{
+			ConnectTimeout: time.Second, ReadTimeout: 2500 * time.Millisecond, // the channel sends a comment every second
+			RenewAfter: 5 * time.Second, // an update counts as received 7 s after it was sent
+			RetryDelay: 100 * time.Millisecond, MaxEventSize: 1 << 20, InitialBufferSize: 4 << 10,
+		},
+		DialTimeout:    deployment.ConnectTimeout,
+		ConfirmTimeout: 15 * time.Second, // lower limit of timer T1 in ITU-T Q.764
+		MaxCallers:     maxCallers,
+		EventQueue:     4096,
+		StatsInterval:  50 * time.Millisecond, // statistics may be up to 0.5 s old
+		Mgmt:           mgmt.Limits{MaxConns: min(16, parsed.Limits.Sockets/16), MaxRequestSize: 8 << 10, ReadTimeout: 2 * time.Second, WriteTimeout: time.Second, MaxStatsAge: 2 * time.Second, MaxOrders: 16},
+		HandOver: handover.Limits{
+			HelloTimeout: time.Second, ExitTimeout: 2 * time.Second, WriteTimeout: time.Second, MaxMessageSize: 128 << 10, MaxQueuedBytes: 4 << 20, MaxEndedCalls: 4096,
+		},
+		Peers:       peers.Limits{Queue: 256, Rate: 400, Retry: 100 * time.Millisecond},
+		MemoryLimit: memoryBytes * 6 / 10,
+		GCPercent:   200,
+	}
+	// Data queued for callers that don't read, and the data of open calls, take at most a quarter of the memory each.
+	limits.ServerConn = limits.CallerConn
+	limits.ServerConn.LineTimeout, limits.ServerConn.MaxSilence = 500*time.Millisecond, 3*time.Second
+	limits.ServerConn.LingerTimeout = 50 * time.Millisecond // servers close at once, and the descriptor may be needed for another connection
+	limits.CallerConn.MaxQueuedBytes = min(limits.CallerConn.MaxQueuedBytes, max(int(memoryBytes/4)/maxCallers, 2*maxMessageSize))
+	limits.Core.MaxCallBytes = int(memoryBytes / 4)
+	if limits.DialTimeout <= 0 {
+		limits.DialTimeout = 500 * time.Millisecond
+	}
+	if limits.Core.MaxOpen <= 0 {
+		limits.Core.MaxOpen = 20000
+	}
+	return limits
+}
--- a/internal/config/members.go
+++ b/internal/config/members.go
@@ -19,75 +19,77 @@
 	"elmseam/internal/peers"
 )
 
-// MembersFile is the file that tells whether this softswitch takes part in its tier's membership, and how. What it leaves
-// out is membership.Defaults.
+// MembersFile is the members file (deploy/members.toml): whether this softswitch takes part in its tier's membership, and with
+// which limits. Keys that the file omits have the values of membership.Defaults.
 type MembersFile struct {
 	Enabled        bool     `toml:"enabled"`
-	Period         duration `toml:"period"`
-	ProbeTimeout   duration `toml:"timeout"`
-	IndirectProbes int      `toml:"indirect"`
-	SuspicionMin   float64  `toml:"suspicion_min"`
-	SuspicionMax   float64  `toml:"suspicion_max"`
-	Confirmations  int      `toml:"confirm"`
-	RetransmitMult int      `toml:"retransmit"`
-	MaxHealth      int      `toml:"health"`
-	StallThreshold duration `toml:"stall"`
-	ReclaimPeriods int      `toml:"reclaim"`
+	Period         duration `toml:"period"`        // time between two probes
+	ProbeTimeout   duration `toml:"timeout"`       // wait for the answer to a direct probe
+	IndirectProbes int      `toml:"indirect"`      // members asked to probe indirectly after that
+	SuspicionMin   float64  `toml:"suspicion_min"` // min. suspicion time, in periods times the logarithm of the tier's size
+	SuspicionMax   float64  `toml:"suspicion_max"` // max. suspicion time (no confirmations), as a multiple of the min.; 1: always the min.
+	Confirmations  int      `toml:"confirm"`       // independent confirmations that shorten a suspicion to the min.
+	RetransmitMult int      `toml:"retransmit"`    // transmissions of an update, times the logarithm of the tier's size
+	MaxHealth      int      `toml:"health"`        // max. local health multiplier; 0: local health is not used
+	StallThreshold duration `toml:"stall"`         // lateness of an own timer that counts as a pause of this process; 0: never
+	ReclaimPeriods int      `toml:"reclaim"`       // periods between two probes of members considered dead
 
 	Maintenance Maintenance `toml:"maintenance"`
 	Quotas      Quotas      `toml:"parts"`
 	Knowledge   Knowledge   `toml:"knowledge"`
 }
 
-// Knowledge is the part of the file that tells whether this softswitch shares what it has seen of the servers with its tier.
-// What it leaves out is knowledge.Defaults.
+// Knowledge is the [knowledge] table of the members file: whether this softswitch shares its observations of the servers with its
+// tier. Keys that the file omits have the values of knowledge.Defaults.
 type Knowledge struct {
 	Enabled      bool     `toml:"enabled"`
-	HalfLife     duration `toml:"half_life"`
-	SlowHalfLife duration `toml:"lasting"`
-	MaxAge       duration `toml:"forget"`
-	Fanout       int      `toml:"ask"`
+	HalfLife     duration `toml:"half_life"` // age at which a load report's weight is halved
+	SlowHalfLife duration `toml:"lasting"`   // the same for rates and failures, which change slowly
+	MaxAge       duration `toml:"forget"`    // age from which an entry is ignored
+	Fanout       int      `toml:"ask"`       // members that a newly started softswitch queries
 }
 
+// limits returns the limits of the knowledge protocol: the defaults with the values of the table.
 func (k Knowledge) limits() knowledge.Limits {
 	l := knowledge.Defaults()
 	l.HalfLife, l.SlowHalfLife, l.MaxAge, l.Fanout = k.HalfLife.Duration, k.SlowHalfLife.Duration, k.MaxAge.Duration, k.Fanout
 	return l
 }
 
-// Quotas is the part of the file that tells whether parts of a just-started server's budget move between softswitches. What
-// it leaves out is budget.Defaults.
+// Quotas is the [parts] table of the members file: whether units of a cold server's budget move between softswitches. Keys that
+// the file omits have the values of budget.Defaults.
 type Quotas struct {
 	Enabled    bool     `toml:"enabled"`
-	Lease      duration `toml:"lease"`
-	MaxDrift   float64  `toml:"drift"`
-	MaxMembers int      `toml:"members"`
+	Lease      duration `toml:"lease"`   // lease of a unit; after its expiry a dead member's units are granted to others
+	MaxDrift   float64  `toml:"drift"`   // max. fraction by which the rates of the members' clocks differ
+	MaxMembers int      `toml:"members"` // largest tier in which units move
 }
 
+// limits returns the limits of the budget protocol: the defaults with the values of the table.
 func (p Quotas) limits() budgets.Limits {
 	l := budgets.Defaults()
 	l.Lease, l.MaxDrift, l.MaxMembers = p.Lease.Duration, p.MaxDrift, p.MaxMembers
 	return l
 }
 
-// Maintenance is the part of the file that tells whether this softswitch takes part in its tier's ordered maintenance. What
-// it leaves out is maintenance.Defaults.
+// Maintenance is the [maintenance] table of the members file: whether this softswitch takes part in its tier's ordered maintenance.
+// Keys that the file omits have the values of maintenance.Defaults.
 type Maintenance struct {
 	Enabled      bool         `toml:"enabled"`
-	Budget       countOrShare `toml:"budget"`
-	Lease        duration     `toml:"lease"`
-	WorkLease    duration     `toml:"work"`
-	RoundTimeout duration     `toml:"round"`
-	MaxDrift     float64      `toml:"drift"`
+	Budget       countOrShare `toml:"budget"` // members that may be out for maintenance at the same time
+	Lease        duration     `toml:"lease"`  // lease of the slot of a draining member
+	WorkLease    duration     `toml:"work"`   // lease of the slot of a member that is ready for work
+	RoundTimeout duration     `toml:"round"`  // time in which a majority has to answer
+	MaxDrift     float64      `toml:"drift"`  // max. fraction by which the rates of the members' clocks differ
 }
 
-// budget is a count, or a share of the tier: 2 or "20%".
+// countOrShare is a number of members (2) or a share of the tier ("20%").
 type countOrShare struct {
-	Count int
-	Share float64
+	Count int     // number of members, used while Share is 0
+	Share float64 // fraction of the tier's size, 0 to 1
 }
 
-// UnmarshalTOML reads a number or a text.
+// UnmarshalTOML reads an integer, or a string with a percentage.
 func (b *countOrShare) UnmarshalTOML(v any) error {
 	*b = countOrShare{}
 	switch v := v.(type) {
@@ -102,10 +104,10 @@
 			}
 		}
 	}
-	return fmt.Errorf("maintenance.budget: %v is neither a number nor a share such as \"20%%\"", v)
+	return fmt.Errorf("maintenance.budget: %v is neither an integer nor a percentage such as \"20%%\"", v)
 }
 
-// of is the budget of a tier: at least one.
+// forTier returns the number of members for a tier of the given size. A share gives at least 1 and at most maintenance.Slots.
 func (b countOrShare) forTier(tier int) int {
 	if b.Share > 0 {
 		return min(max(int(b.Share*float64(tier)), 1), maintenance.Slots)
@@ -113,6 +115,7 @@
 	return b.Count
 }
 
+// limits returns the limits of the maintenance protocol for a tier of the given size: the defaults with the values of the table.
 func (m Maintenance) limits(tier int) maintenance.Limits {
 	l := maintenance.Defaults()
 	l.Budget, l.Lease, l.WorkLease = m.Budget.forTier(tier), m.Lease.Duration, m.WorkLease.Duration
@@ -120,20 +123,20 @@
 	return l
 }
 
-// MaintenanceBudget is how many of a tier may be out for work at once, by the file.
+// MaintenanceBudget returns the number of members of a tier of the given size that may be out for maintenance at the same time.
 func (m MembersFile) MaintenanceBudget(tier int) int { return m.Maintenance.Budget.forTier(tier) }
 
-// duration is a time written as text.
+// duration is a time.Duration that is written as text in a TOML file.
 type duration struct{ time.Duration }
 
-// UnmarshalText reads "500ms" and the like.
+// UnmarshalText parses a text such as "500ms" with time.ParseDuration.
 func (d *duration) UnmarshalText(b []byte) (err error) {
 	d.Duration, err = time.ParseDuration(string(b))
 	return err
 }
 
-// LoadMembers reads the file. Without one that was not named there is no membership. An error is one line that names
-// the field.
+// LoadMembers reads the members file. Explicit says that an operator named the path: otherwise the file may be missing, and
+// membership is then off. The text of an error is one line that names the field.
 func LoadMembers(path string, explicit bool) (MembersFile, error) {
 	text, err := os.ReadFile(path)
 	switch {
@@ -149,7 +152,7 @@
 	return file, nil
 }
 
-// ParseMembers reads the file's text. An error is one line that names the field.
+// ParseMembers parses the text of a members file. The text of an error is one line that names the field.
 func ParseMembers(text string) (MembersFile, error) {
 	membershipDefaults := membership.Defaults()
 	file := MembersFile{
@@ -192,6 +195,7 @@
 	return file, file.limits().Check()
 }
 
+// limits returns the limits of the membership protocol: the defaults with the values of the file.
 func (m MembersFile) limits() membership.Limits {
 	l := membership.Defaults()
 	l.Period, l.Timeout, l.Indirect = m.Period.Duration, m.ProbeTimeout.Duration, m.IndirectProbes
@@ -200,9 +204,10 @@
 	return l
 }
 
-// TierConfig is what the socket of the tier's datagrams is told, and how the core joins: membership and, where the file says
-// so, maintenance. Needed are the platform's addresses and the own number; an error names the field. Permitted says
-// whether the settings allow datagrams at all.
+// TierConfig returns the configuration of the tier's datagram socket and the events that start the tier's protocols in the core:
+// membership and, where the members file enables them, maintenance, knowledge and the cold servers' quotas. It fills
+// Limits.Membership and Limits.Maintenance. The configuration must contain the peers' addresses and the own index; an error names
+// the field. Permitted is false where the settings don't allow datagrams between softswitches.
 func (c *Config) TierConfig(file MembersFile) (socket peers.Config, startEvents []core.Event, permitted bool, err error) {
 	if !c.Deployment.PeerMessagesEnabled {
 		return socket, startEvents, false, nil
@@ -212,7 +217,7 @@
 	case count == 0:
 		return socket, startEvents, true, errors.New("peers: missing")
 	case c.Deployment.TierSize != 0 && c.Deployment.TierSize != count:
-		return socket, startEvents, true, fmt.Errorf("peers: %d of them, settings.peers-total says %d", count, c.Deployment.TierSize)
+		return socket, startEvents, true, fmt.Errorf("peers: %d addresses, but settings.peers-total is %d", count, c.Deployment.TierSize)
 	}
 	socket = peers.Config{Listen: c.PeerListen, Peers: c.Peers, Self: c.Deployment.Self, Limits: c.Limits.Peers}
 	startEvents = append(startEvents, core.StartMembership{Config: membership.Config{Self: c.Deployment.Self, TierSize: len(c.Peers), Limits: c.Limits.Membership, Seed: c.Seed}})
--- a/internal/config/signalling.go
+++ b/internal/config/signalling.go
@@ -11,14 +11,15 @@
 	"elmseam/internal/platform"
 )
 
-// SignallingFile is the file that tells of the second front. The platform knows nothing of it.
+// SignallingFile is the signalling file (deploy/m3ua.toml), which configures the M3UA protocol and its BGP announcements. The
+// platform doesn't know this file.
 type SignallingFile struct {
 	Enabled bool            `toml:"enabled"`
 	M3UA    m3ua.FileConfig `toml:"m3ua"`
 	BGP     bgp.Config      `toml:"bgp"`
 }
 
-// LoadSignalling reads the file. An error is one line that names the field.
+// LoadSignalling reads the signalling file. The text of an error is one line that names the field.
 func LoadSignalling(path string) (s SignallingFile, err error) {
 	meta, err := toml.DecodeFile(path, &s)
 	if err != nil {
@@ -35,14 +36,14 @@
 	return s, nil
 }
 
-// Platform is what the platform's front is told.
+// Platform returns the configuration of the platform protocol.
 func (c *Config) Platform() platform.Config {
 	return platform.Config{
 		Deployment: c.Deployment, CallerConn: c.Limits.CallerConn, ServerConn: c.Limits.ServerConn, DialTimeout: c.Limits.DialTimeout, MaxCallers: c.Limits.MaxCallers,
 	}
 }
 
-// M3UA is what the second front is told beside its file.
+// M3UA returns the configuration of the M3UA protocol: the [m3ua] table of the signalling file and the limits.
 func (c *Config) M3UA(file m3ua.FileConfig) m3ua.Config {
 	return m3ua.Config{
 		FileConfig: file, Deployment: c.Deployment, CallerConn: c.Limits.CallerConn, ServerConn: c.Limits.ServerConn,
@@ -50,7 +51,7 @@
 	}
 }
 
-// BGP are the limits of the BGP speaker.
+// BGP returns the limits of the BGP speaker.
 func (l Limits) BGP() bgp.Limits {
 	return bgp.Limits{
 		ConnectTimeout: l.Feed.ConnectTimeout, RetryMin: 250 * time.Millisecond, RetryMax: 30 * time.Second,
--- a/internal/mgmt/maintenance.go
+++ b/internal/mgmt/maintenance.go
@@ -13,29 +13,30 @@
 	"elmseam/internal/maintenance"
 )
 
-// MaintenanceStatus is the answer of /ops/maintenance: the tier's requests as this softswitch knows them.
+// MaintenanceStatus is the answer of /ops/maintenance: the tier's maintenance requests that this softswitch knows.
 type MaintenanceStatus struct {
-	Self       int                  `json:"self"`    // own number
-	Recovered  bool                 `json:"settled"` // it takes requests and grants; else it has just started and is still asking
-	Budget     int                  `json:"budget"`  // softswitches that may be out at once
-	HoldsGrant bool                 `json:"holds"`   // it is out itself
-	Queue      []MaintenanceRequest `json:"queue"`   // that wait, in their order
-	Granted    []MaintenanceRequest `json:"out"`     // that are out
-	Ended      []MaintenanceRequest `json:"over"`    // each one's last that is over
+	Self       int                  `json:"self"`    // own index
+	Recovered  bool                 `json:"settled"` // this softswitch accepts requests and votes on grants; false: newly started, still asking the tier for its grants
+	Budget     int                  `json:"budget"`  // max. members out for maintenance at the same time
+	HoldsGrant bool                 `json:"holds"`   // this softswitch is out for maintenance itself
+	Queue      []MaintenanceRequest `json:"queue"`   // waiting requests, in the order in which they will be granted
+	Granted    []MaintenanceRequest `json:"out"`     // granted requests: their members are out for maintenance
+	Ended      []MaintenanceRequest `json:"over"`    // ended requests, the last one of each member
 }
 
-// MaintenanceRequest is one for a softswitch of the tier.
+// MaintenanceRequest is a maintenance request for one member of the tier.
 type MaintenanceRequest struct {
 	Index       int       `json:"number"`
-	Name        string    `json:"name"` // empty: not told yet
+	Name        string    `json:"name"` // empty: not yet known
 	Stage       string    `json:"stage"`
 	RequestedAt time.Time `json:"asked"`
-	Restarts    uint32    `json:"tries"`           // times that it had to begin again
-	Slot        int       `json:"slot,omitempty"`  // that it is out by
-	Epoch       uint64    `json:"epoch,omitempty"` // of that grant: a later one has a higher
+	Restarts    uint32    `json:"tries"`           // how often the request was started again
+	Slot        int       `json:"slot,omitempty"`  // number of the granted slot
+	Epoch       uint64    `json:"epoch,omitempty"` // epoch of the grant; later grants have higher epochs
 }
 
-// maintenance does what is asked of the tier's maintenance.
+// handleMaintenance carries out a request to /ops/maintenance: GET shows the status, POST requests maintenance of the members with the
+// given names, DELETE cancels or ends it. The results are those of handle.
 func (s *AdminServer) handleMaintenance(method string, names []string) (status int, text string, allow []string) {
 	snapshot := s.Snapshot()
 	if time.Since(snapshot.At) > s.Limits.MaxStatsAge {
@@ -71,11 +72,12 @@
 	if !s.enqueue(core.MaintenanceRequest{Event: event}) {
 		return http.StatusServiceUnavailable, "too many orders wait\n", nil
 	}
-	s.Log.Info().Str("method", method).Ints("members", members).Msg("order of an operator: maintenance")
+	s.Log.Info().Str("method", method).Ints("members", members).Msg("operator order: maintenance")
 	return http.StatusAccepted, "", nil
 }
 
-// memberOf finds a softswitch by its name, its address among the peers or its number; -1: there is none.
+// memberIndex returns the index of the member with the given name, peer address or index, in this order of precedence; -1: no such
+// member.
 func (s *AdminServer) memberIndex(stats core.MaintenanceStats, name string) int {
 	if name == "" {
 		return -1
@@ -92,6 +94,7 @@
 	return -1
 }
 
+// maintenanceJSON formats the answer of /ops/maintenance.
 func maintenanceJSON(stats core.MaintenanceStats) string {
 	status := MaintenanceStatus{Self: stats.Self, Recovered: stats.Recovered, Budget: stats.Budget, HoldsGrant: stats.Slot >= 0, Queue: []MaintenanceRequest{}, Granted: []MaintenanceRequest{}, Ended: []MaintenanceRequest{}}
 	requestOf := func(index int) MaintenanceRequest {
@@ -117,7 +120,7 @@
 	return string(encoded) + "\n"
 }
 
-// workText shows the figures of maintenance, one a line.
+// maintenanceStatsText formats the counters of maintenance as lines "app.maintenance.NAME=VALUE".
 func maintenanceStatsText(stats core.MaintenanceStats) string {
 	var text strings.Builder
 	counters := stats.Counters
--- a/internal/mgmt/members.go
+++ b/internal/mgmt/members.go
@@ -12,26 +12,26 @@
 	"elmseam/internal/peers"
 )
 
-// TierStatus is the answer of /ops/members: what this softswitch holds of its tier.
+// TierStatus is the answer of /ops/members: this softswitch's view of its tier.
 type TierStatus struct {
-	Self      int            `json:"self"`      // own number
-	Health    int            `json:"health"`    // local health multiplier, 0 the best
-	Majority  bool           `json:"majority"`  // more than half of the tier is there
-	ColdShare float64        `json:"coldShare"` // part of its own part of a cold server's budget that it takes
-	Members   []MemberStatus `json:"members"`   // by number
+	Self      int            `json:"self"`      // own index
+	Health    int            `json:"health"`    // local health multiplier; 0 is best
+	Majority  bool           `json:"majority"`  // more than half of the tier is available
+	ColdShare float64        `json:"coldShare"` // fraction of its own quota of a cold server's budget that this softswitch uses, over 0 to 1
+	Members   []MemberStatus `json:"members"`   // by index
 }
 
-// MemberStatus is one softswitch of the tier as this one holds it.
+// MemberStatus is the state of one member of the tier in this softswitch's view.
 type MemberStatus struct {
 	Index             int    `json:"number"`
 	Address           string `json:"address"`
 	State             string `json:"state"`       // unknown, alive, draining, suspect, dead or left
-	Incarnation       uint64 `json:"incarnation"` // 0: none heard of
-	StateAgeMS        int64  `json:"forMs"`       // it has been in this state, in milliseconds
-	LastDatagramAgeMS *int64 `json:"heardMs"`     // since its last datagram; null: none came, or it is this one
+	Incarnation       uint64 `json:"incarnation"` // 0: not known
+	StateAgeMS        int64  `json:"forMs"`       // time in this state, in milliseconds
+	LastDatagramAgeMS *int64 `json:"heardMs"`     // time since its last datagram, in milliseconds; null: none received, or this softswitch itself
 }
 
-// membersJSON shows the tier.
+// membersJSON formats the answer of /ops/members. Addresses are the members' addresses, by index.
 func membersJSON(snapshot loop.Snapshot, addresses []string) string {
 	stats := snapshot.Members
 	now := membership.Time(snapshot.At.UnixNano())
@@ -55,7 +55,7 @@
 	return string(encoded) + "\n"
 }
 
-// memberText shows the figures of membership, one a line.
+// membershipStatsText formats the counters of membership and of the tier's socket as lines "app.members.NAME=VALUE".
 func membershipStatsText(stats core.MemberStats, socket peers.Counters) string {
 	var text strings.Builder
 	for _, line := range []struct {
--- a/internal/mgmt/mgmt.go
+++ b/internal/mgmt/mgmt.go
@@ -1,5 +1,5 @@
-// Package mgmt is the operators' door: HTTP/1.1, one call a connection. It answers from what the loop has published
-// last and waits for nothing else, so it answers however busy the softswitch is.
+// Package mgmt is the admin endpoint for operators: HTTP/1.1 with one request per connection. The server answers from the last
+// snapshot that the event loop has published and waits for nothing else, so it answers even while the softswitch is busy.
 package mgmt
 
 import (
@@ -19,36 +19,36 @@
 	"elmseam/internal/peers"
 )
 
-// Limits are the door's sizes and times.
+// Limits are the sizes and times of the admin endpoint.
 type Limits struct {
-	MaxConns       int           // at once; one more takes the place of the one that has been silent longest
-	MaxRequestSize int           // bytes of a call
-	ReadTimeout    time.Duration // to the end of a call
-	WriteTimeout   time.Duration // and of its answer
-	MaxStatsAge    time.Duration // figures that are older are not shown
-	MaxOrders      int           // orders to drain or go on that may wait for the loop
+	MaxConns       int           // max. open connections; a further one replaces the oldest
+	MaxRequestSize int           // max. bytes of a request
+	ReadTimeout    time.Duration // longest time until a request has been read
+	WriteTimeout   time.Duration // longest time until the response has been written
+	MaxStatsAge    time.Duration // older snapshots are not shown
+	MaxOrders      int           // max. operator orders (drain, resume, maintenance) that wait for the event loop
 }
 
-// AdminServer serves operators.
+// AdminServer serves the admin endpoint. Its exported fields are set before Serve is called.
 type AdminServer struct {
 	Limits      Limits
-	Snapshot    func() loop.Snapshot
-	ClassNames  func() []string     // of the classes, by place
-	SetDraining func(on bool)       // takes effect at once
-	Post        func(ev core.Event) // may wait
-	Peers       *peers.Socket       // nil: there is no membership
+	Snapshot    func() loop.Snapshot // returns the last snapshot of the event loop
+	ClassNames  func() []string      // returns the names of the classes, by index
+	SetDraining func(on bool)        // switches draining; takes effect at once
+	Post        func(ev core.Event)  // sends an event to the event loop; may block
+	Peers       *peers.Socket        // socket of the tier's datagrams; nil: membership is off
 	Log         zerolog.Logger
 
-	orders chan core.Event
-	mu     sync.Mutex
-	conns  []net.Conn // that have not made their call, oldest first
+	orders chan core.Event // orders of operators that wait for the event loop
+	mu     sync.Mutex      // guards conns
+	conns  []net.Conn      // open connections, oldest first
 }
 
-// Serve serves until the listener is closed.
+// Serve accepts connections and answers their requests until the listener is closed, and then waits for the requests in progress.
 func (s *AdminServer) Serve(listener net.Listener) {
 	s.orders = make(chan core.Event, s.Limits.MaxOrders)
 	defer close(s.orders)
-	go func() { // in the order they came
+	go func() { // one goroutine, so that orders keep their sequence
 		for order := range s.orders {
 			s.Post(order)
 		}
@@ -60,7 +60,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // out of descriptors, say
+		if err != nil { // for example, out of file descriptors
 			time.Sleep(10 * time.Millisecond)
 			continue
 		}
@@ -72,7 +72,7 @@
 	}
 }
 
-// enter takes a caller in. Silent ones hold up nobody: where there are too many, the oldest has to go.
+// addConn registers a connection. At MaxConns connections the oldest is closed, so that silent clients can't block the endpoint.
 func (s *AdminServer) addConn(conn net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -83,6 +83,7 @@
 	s.conns = append(s.conns, conn)
 }
 
+// removeConn closes a connection and removes it from the open connections.
 func (s *AdminServer) removeConn(conn net.Conn) {
 	conn.Close()
 	s.mu.Lock()
@@ -95,14 +96,14 @@
 	}
 }
 
-// serve answers one call.
+// serveConn reads the request of a connection and answers it.
 func (s *AdminServer) serveConn(conn net.Conn) {
 	conn.SetReadDeadline(time.Now().Add(s.Limits.ReadTimeout))
 	limited := &io.LimitedReader{R: conn, N: int64(s.Limits.MaxRequestSize)}
 	req, err := http.ReadRequest(bufio.NewReaderSize(limited, 1<<10))
 	var netErr net.Error
 	switch {
-	case err == io.EOF: // it has left, or tried whether the door is there
+	case err == io.EOF: // the client closed without a request, for example after a check that the port is open
 		return
 	case errors.As(err, &netErr) && netErr.Timeout():
 		s.writeResponse(conn, http.StatusRequestTimeout, "no call came in time\n")
@@ -116,7 +117,8 @@
 	}
 }
 
-// call does what is asked for. Allow is set where the method is not the path's.
+// handle carries out a request and returns the status and the text of the response. Members are the values of the query parameter
+// "member". Allow lists the permitted methods where the path doesn't permit the request's method; else it is nil.
 func (s *AdminServer) handle(method, path string, members []string) (status int, text string, allow []string) {
 	wantMethod := http.MethodGet
 	if path == pathDrainStart || path == pathDrainStop {
@@ -177,11 +179,11 @@
 		return http.StatusServiceUnavailable, "too many orders wait\n", nil
 	}
 	s.SetDraining(on)
-	s.Log.Info().Bool("drain", on).Msg("order of an operator")
+	s.Log.Info().Bool("drain", on).Msg("operator order: drain")
 	return http.StatusOK, "", nil
 }
 
-// order has the loop take an order in, behind those before. It says no where too many wait.
+// enqueue puts an order of an operator into the queue to the event loop. It returns false where the queue is full.
 func (s *AdminServer) enqueue(event core.Event) bool {
 	select {
 	case s.orders <- event:
@@ -191,7 +193,7 @@
 	}
 }
 
-// readiness says whether this process can serve, and what is in the way.
+// readiness answers /ops/readiness: whether this process can serve and, if not, why.
 func readiness(stats core.Stats) (int, string, []string) {
 	reason := "no server can be reached\n"
 	switch {
@@ -207,7 +209,8 @@
 	return http.StatusServiceUnavailable, reason, nil
 }
 
-// answer writes an answer and ends the connection so that it can be read.
+// writeResponse writes a response and closes the connection for writing. It then reads what the client still sends, because closing a
+// connection with unread data resets it, and the client could lose the response.
 func (s *AdminServer) writeResponse(conn net.Conn, status int, text string, allow ...string) {
 	conn.SetDeadline(time.Now().Add(s.Limits.WriteTimeout))
 	header := http.Header{"Content-Type": {"text/plain; charset=utf-8"}}
--- a/internal/mgmt/servers.go
+++ b/internal/mgmt/servers.go
@@ -15,55 +15,57 @@
 	"elmseam/internal/loop"
 )
 
-// ServersStatus is the answer of /ops/servers: what the tier knows of each server, by whom and how old, and who holds which part
-// of the budgets of those that are cold.
+// ServersStatus is the answer of /ops/servers: what each member of the tier has reported of each server and how old the reports are,
+// and which member holds which units of the budgets of cold servers.
 type ServersStatus struct {
-	Self    int            `json:"self"`    // own number
-	Servers []ServerStatus `json:"servers"` // as listed; none where knowledge is off
-	AnyCold bool           `json:"active"`  // a server is cold, and parts of its budget are held
-	Quotas  []Quota        `json:"parts"`   // by member; none where they don't move
+	Self    int            `json:"self"`    // own index
+	Servers []ServerStatus `json:"servers"` // in the order of the server list; empty: knowledge is off
+	AnyCold bool           `json:"active"`  // a server is cold, and members hold units of its budget
+	Quotas  []Quota        `json:"parts"`   // by member; empty: the quotas are fixed
 }
 
-// ServerStatus is one of the own list.
+// ServerStatus is what is known of one server of the own list.
 type ServerStatus struct {
 	Name           string         `json:"name"`
 	State          string         `json:"state"`             // ready, draining or gone
-	DrainReported  bool           `json:"heard"`             // it is held for draining by a peer's newer list alone
-	HoldBackShare  float64        `json:"share"`             // of new set-ups to be held back, of all that is known
-	MeanRate       float64        `json:"rate"`              // set-ups a second that another softswitch takes from there, on the mean
-	FailingShare   float64        `json:"failing"`           // share of the others' weight that holds it for failing
-	AllowedRate    float64        `json:"allowed,omitempty"` // while it is cold: set-ups a second of a warm one that may be used here
-	Reports        []MemberReport `json:"told"`              // the newest, by number
-	OmittedReports int            `json:"more,omitempty"`    // others that have told, and aren't shown
+	DrainReported  bool           `json:"heard"`             // draining only by another member's newer list, not by the own list
+	HoldBackShare  float64        `json:"share"`             // fraction of new set-ups to hold back, from all reports, 0 to 1
+	MeanRate       float64        `json:"rate"`              // mean number of set-ups per second that the server takes from another member
+	FailingShare   float64        `json:"failing"`           // share of the other members, by weight, that consider the server failing
+	AllowedRate    float64        `json:"allowed,omitempty"` // while the server is cold: set-ups per second of its budget that this softswitch may use
+	Reports        []MemberReport `json:"told"`              // the newest reports, by index of the member
+	OmittedReports int            `json:"more,omitempty"`    // number of older reports that are not shown
 }
 
-// toldShown are the entries shown of a server: in a tier of hundreds all of them are megabytes, and most are old.
+// maxReportsShown limits the reports shown of each server. In a tier of hundreds of members all reports would take megabytes, and most
+// of them are old.
 const maxReportsShown = 64
 
-// MemberReport is what one softswitch has seen of a server.
+// MemberReport is what one member has observed of a server.
 type MemberReport struct {
 	Index          int     `json:"number"`
-	HoldBackShare  float64 `json:"share"`
-	HoldBackAgeMS  *int64  `json:"shareMs"` // age of that report, in milliseconds; null: none came
-	Rate           float64 `json:"rate"`
-	Lines          float64 `json:"lines"`
-	FailureWeight  int     `json:"bad"`
-	MinSetUpTimeUS int64   `json:"floorUs"` // shortest set-up time, in microseconds; 0: none stood yet
-	Draining       bool    `json:"drains"`
-	AgeMS          int64   `json:"ageMs"` // it was so then; 0: the own
+	HoldBackShare  float64 `json:"share"`   // fraction of new set-ups that the server last asked this member to hold back, 0 to 1
+	HoldBackAgeMS  *int64  `json:"shareMs"` // age of the hold-back share, in milliseconds; null: none received
+	Rate           float64 `json:"rate"`    // set-ups per second that the server takes from this member when warm; 0: not known
+	Lines          float64 `json:"lines"`   // lines of the server; 0: not known
+	FailureWeight  int     `json:"bad"`     // weight of the consecutive failed attempts
+	MinSetUpTimeUS int64   `json:"floorUs"` // shortest set-up time, in microseconds; 0: no call was established yet
+	Draining       bool    `json:"drains"`  // the member's list says that the server drains
+	AgeMS          int64   `json:"ageMs"`   // age of the report, in milliseconds; 0: this softswitch's own
 }
 
-// Quota is one softswitch's part of cold servers' budgets, in eighths.
+// Quota is one member's quota of the budgets of cold servers. A quota has budget.Units units.
 type Quota struct {
-	Index   int   `json:"number"`
-	Usable  int   `json:"use"`     // eighths that this softswitch may use
-	Lent    int   `json:"lent"`    // of its own, to others
-	Holders []int `json:"holders"` // by eighth, as this one has granted them; -1: nobody, the first is the owner's
+	Index   int   `json:"number"`  // index of the member whose quota it is
+	Usable  int   `json:"use"`     // units that this softswitch may use
+	Lent    int   `json:"lent"`    // own units lent to other members
+	Holders []int `json:"holders"` // by unit, the holder that this softswitch has granted it to; -1: none. The first unit always belongs to the member itself
 }
 
+// phaseNames are the states of a server as /ops/servers shows them.
 var phaseNames = map[elmseam.Phase]string{elmseam.Gone: "gone", elmseam.Ready: "ready", elmseam.Draining: "draining"}
 
-// serversJSON shows what the tier knows.
+// serversJSON formats the answer of /ops/servers.
 func serversJSON(snapshot loop.Snapshot) string {
 	now := knowledge.Time(snapshot.At.UnixNano())
 	ageMS := func(at knowledge.Time) int64 { return max(int64((now-at)/time.Millisecond), 0) }
@@ -75,10 +77,10 @@
 		for _, known := range snapshot.Knowledge.Servers {
 			entry := ServerStatus{Name: known.Name, State: phaseNames[known.Phase], DrainReported: known.DrainReported, HoldBackShare: known.View.HoldBackShare, MeanRate: known.View.Rate,
 				FailingShare: known.View.FailingShare, AllowedRate: max(known.ColdRate, 0), Reports: []MemberReport{}}
-			newest := slices.SortedStableFunc(slices.Values(known.Reports), func(a, encoded knowledge.ObserverEntry) int { return cmp.Compare(encoded.At, a.At) })
+			newest := slices.SortedStableFunc(slices.Values(known.Reports), func(a, b knowledge.ObserverEntry) int { return cmp.Compare(b.At, a.At) })
 			entry.OmittedReports = max(len(newest)-maxReportsShown, 0)
 			newest = newest[:len(newest)-entry.OmittedReports]
-			slices.SortFunc(newest, func(a, encoded knowledge.ObserverEntry) int { return a.Observer - encoded.Observer })
+			slices.SortFunc(newest, func(a, b knowledge.ObserverEntry) int { return a.Observer - b.Observer })
 			for _, observed := range newest {
 				report := MemberReport{Index: observed.Observer, HoldBackShare: observed.HoldBackShare, Rate: observed.Rate, Lines: observed.Lines, FailureWeight: observed.FailureWeight,
 					MinSetUpTimeUS: observed.MinSetUpTime.Microseconds(), Draining: observed.DrainingSince > 0, AgeMS: ageMS(observed.At)}
@@ -105,7 +107,7 @@
 	return string(encoded) + "\n"
 }
 
-// lines writes figures down, one a line.
+// statLines formats the values of a group as lines "app.GROUP.NAME=VALUE".
 func statLines(group string, values []statValue) string {
 	var text strings.Builder
 	for _, value := range values {
@@ -114,17 +116,19 @@
 	return text.String()
 }
 
+// statValue is a counter or gauge and its name in /ops/stats.
 type statValue struct {
 	name  string
 	value uint64
 }
 
-// knowText shows the figures of knowledge, partText those of parts.
+// knowledgeStatsText formats the counters of knowledge.
 func knowledgeStatsText(stats core.KnowledgeStats) string {
 	return statLines("knowledge", []statValue{{"told", stats.EntriesSent}, {"heard", stats.EntriesReceived}, {"stale", stats.Stale}, {"unlisted", stats.Unlisted}, {"asked", stats.QueriesSent},
 		{"answered", stats.QueriesAnswered}, {"sent", stats.Sent}, {"sent_bytes", stats.SentBytes}, {"dropped_garbled", stats.Malformed}, {"dropped_stranger", stats.UnknownSenders}})
 }
 
+// quotaStatsText formats the counters of the cold servers' quotas.
 func quotaStatsText(stats core.QuotaStats) string {
 	return statLines("parts", []statValue{{"claims", stats.Claims}, {"granted", stats.Granted}, {"inherited", stats.TakenOver}, {"expired", stats.Expired},
 		{"borrowed", stats.Borrowed}, {"lent", stats.Lent}, {"yes", stats.VotesGranted}, {"no", stats.VotesRefused}, {"sent", stats.Sent}, {"sent_bytes", stats.SentBytes},
--- a/internal/mgmt/servers_test.go
+++ b/internal/mgmt/servers_test.go
@@ -10,8 +10,8 @@
 	"elmseam/internal/loop"
 )
 
-// In a great tier each server is told of by hundreds: the newest are shown, in order, and how many there are beside. All of
-// them made an answer of megabytes.
+// In a large tier hundreds of members report each server. Only the newest reports are shown, in order, and the number of the others:
+// an answer with all of them took megabytes.
 func TestServersShowNewestReports(t *testing.T) {
 	var reports []knowledge.ObserverEntry
 	for observer := range 300 {
@@ -25,11 +25,11 @@
 	}
 	many, few := status.Servers[0], status.Servers[1]
 	if len(many.Reports) != maxReportsShown || many.OmittedReports != 300-maxReportsShown || len(few.Reports) != 2 || few.OmittedReports != 0 {
-		t.Fatalf("%d shown and %d beside, %d and %d", len(many.Reports), many.OmittedReports, len(few.Reports), few.OmittedReports)
+		t.Fatalf("%d shown and %d omitted, then %d and %d", len(many.Reports), many.OmittedReports, len(few.Reports), few.OmittedReports)
 	}
 	for i, report := range many.Reports {
 		if report.AgeMS > 1000-150+maxReportsShown/2 || i > 0 && report.Index <= many.Reports[i-1].Index {
-			t.Errorf("entry %d: of %d, %d ms old", i, report.Index, report.AgeMS)
+			t.Errorf("report %d: of member %d, %d ms old", i, report.Index, report.AgeMS)
 		}
 	}
 }
--- a/internal/mgmt/stats.go
+++ b/internal/mgmt/stats.go
@@ -8,7 +8,7 @@
 	"elmseam/internal/probe"
 )
 
-// The calls there are.
+// Paths of the admin endpoint.
 const (
 	pathReady       = "/ops/readiness"
 	pathStats       = "/ops/stats"
@@ -19,7 +19,7 @@
 	pathDrainStop   = "/ops/drain/stop"
 )
 
-// StatsText shows figures, one a line. Classes go by their names.
+// StatsText formats statistics as lines "app.NAME=VALUE". Names are the names of the classes, by index.
 func StatsText(stats core.Stats, names []string) string {
 	var text strings.Builder
 	for i, name := range names {
@@ -40,7 +40,7 @@
 	return text.String()
 }
 
-// probeText shows the figures of probes, one a line.
+// probeStatsText formats the counters of connection probes.
 func probeStatsText(counters probe.Counters) string {
 	return statLines("probes", []statValue{{"sent", counters.Sent}, {"answered", counters.Answered}, {"failed", counters.Failed}, {"held", counters.RateLimited}, {"late", counters.Late}})
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,4 @@
-// Package settings reads what a deployment tells each softswitch of itself, in the form that the
-// simulator and the platform share.
+// Package settings decodes and validates the settings of a deployment, in the JSON form that the simulator and the platform share.
 package settings
 
 import (
@@ -11,14 +10,15 @@
 	"elmseam"
 )
 
-// micros is a time on the wire.
+// microseconds is a time as the settings have it: a number of microseconds.
 type microseconds float64
 
+// duration converts the time to a time.Duration.
 func (m microseconds) duration() time.Duration {
 	return time.Duration(float64(m) * float64(time.Microsecond))
 }
 
-// bootInfo is what the wire tells of a deployment; keys that are not named here are ignored.
+// wireSettings is the JSON form of the settings that concern the decision module. Other keys are ignored.
 type wireSettings struct {
 	Discovery      string  `json:"discovery"`
 	OverShareWorth float64 `json:"over-share-worth"`
@@ -58,6 +58,7 @@
 	} `json:"tenants"`
 }
 
+// loadMetrics maps the names of a load report's values to their meanings.
 var loadMetrics = map[string]elmseam.LoadMetric{
 	"spare":       elmseam.LoadMetricFreeLines,
 	"total":       elmseam.LoadMetricTotalLines,
@@ -69,16 +70,17 @@
 	"cut_by":      elmseam.LoadMetricHoldBackShare,
 }
 
-// LoadMetric is what a value of a load report means, by its name.
+// LoadMetric returns the meaning of a value of a load report by its name; LoadMetricUnknown for other names.
 func LoadMetric(name string) elmseam.LoadMetric { return loadMetrics[name] }
 
+// retryPolicies maps the values of a class's key "effect" to retry policies.
 var retryPolicies = map[string]elmseam.RetryPolicy{
 	"free":        elmseam.RetryAlways,
 	"guarded":     elmseam.RetryGuarded,
 	"single_shot": elmseam.RetryNever,
 }
 
-// Decode reads the settings that the decision module starts with.
+// Decode decodes the settings of the decision module. It doesn't check them for missing keys: see Validate.
 func Decode(text []byte) (elmseam.Settings, error) {
 	var info wireSettings
 	info.FamilyInfo.OwnNumber = -1
@@ -123,33 +125,33 @@
 	return decoded, nil
 }
 
-// Deployment is what a softswitch on sockets needs beside the decisions.
+// Deployment holds the settings that a softswitch on sockets needs beside those of the decision module.
 type Deployment struct {
-	Classes             []Class       // in order
+	Classes             []Class       // classes of call, by index
 	ReportMetrics       []string      // names of the values of a load report, in order
-	ConnectTimeout      time.Duration // a connection not made by then counts as unreachable
-	KeepAlive           time.Duration // idle connections are closed by the far side after this
-	MaxWait             time.Duration // of a caller of any class
-	MinAim              time.Duration // the shortest time that a class is wanted to stand within
-	MaxMeanHold         time.Duration // the longest that calls of a class last on average
-	MaxOpenCalls        int           // calls that may be open at once
-	Self                int           // the own number in the tier; -1: not told
-	Zone                int           // the own zone; -1: not told
-	TierSize            int           // softswitches in the tier; 0: not told
-	PeerMessagesEnabled bool          // datagrams between them are permitted
-	ProbesEnabled       bool          // tests of servers are
+	ConnectTimeout      time.Duration // a server that takes longer to connect to counts as unreachable
+	KeepAlive           time.Duration // the peer closes a connection that has been idle for this time
+	MaxWait             time.Duration // longest MaxWait of all classes
+	MinAim              time.Duration // shortest aim of all classes: the time within which a call should be established
+	MaxMeanHold         time.Duration // longest mean holding time of all classes
+	MaxOpenCalls        int           // max. calls open at the same time
+	Self                int           // own index in the tier; -1: not given
+	Zone                int           // own zone; -1: not given
+	TierSize            int           // number of softswitches in the tier; 0: not given
+	PeerMessagesEnabled bool          // datagrams between softswitches are permitted
+	ProbesEnabled       bool          // probes of connections to servers are permitted
 }
 
-// Class is a class of call as callers name it.
+// Class is a class of call under the name that callers use.
 type Class struct {
 	Name    string
-	MaxWait time.Duration // how long a caller waits at most
-	Cells   []int         // that may be its first choice; none listed: any
-	Lines   float64       // lines a call takes; 0: not told
-	Removed bool          // taken out by a new configuration: calls in hand still have it
+	MaxWait time.Duration // time after which the caller gives up
+	Cells   []int         // cells (server groups) of the first choice; empty: any
+	Lines   float64       // lines that a call takes; 0: not given
+	Removed bool          // not in the current configuration; calls in progress may still have this class
 }
 
-// ClassIndexes are the classes that calls may be of, with their places.
+// ClassIndexes returns the indexes of the classes by name, without removed classes.
 func (d Deployment) ClassIndexes() map[string]int {
 	indexes := make(map[string]int)
 	for i, c := range d.Classes {
@@ -160,8 +162,9 @@
 	return indexes
 }
 
-// KeepClassIndexes gives the classes the places they had in an earlier configuration, as calls in hand know them by
-// their place. Those that are no more keep theirs.
+// KeepClassIndexes reorders the classes of the current configuration so that each class keeps the index it had in the old one, because
+// calls in progress refer to their class by index. Classes that the current configuration lacks keep their index and are marked as
+// removed; new classes follow at the end.
 func KeepClassIndexes(old Deployment, current *Deployment, currentSettings *elmseam.Settings, oldSettings elmseam.Settings) {
 	indexes := current.ClassIndexes()
 	var classes []Class
@@ -184,8 +187,8 @@
 	current.Classes, currentSettings.Classes = classes, moduleClasses
 }
 
-// needed are the keys that the settings of a softswitch must hold, by the object they stand in. A file that was cut
-// short and closed again would else be taken for one that asks for zeros.
+// requiredKeys lists the keys that the settings must contain, by the object that contains them; "" is the outermost object. Without
+// this check a truncated file whose braces were closed again would be read as settings of zero.
 var requiredKeys = map[string][]string{
 	"":                {"request-classes", "family-info", "limits", "load-report", "obligations"},
 	"family-info":     {"own-number", "release-guard-us", "retransmit-us"},
@@ -195,8 +198,8 @@
 	"request-classes": {"name", "effect", "gain", "hard-limit-us", "objective-us"},
 }
 
-// Validate says whether settings hold every key that is needed, and figures that calls can live by. An error is one
-// line that names the field.
+// Validate checks that the settings contain every required key, that limits which have to be positive are, and that the settings don't
+// contradict themselves. The text of an error is one line that names the field.
 func Validate(text []byte) error {
 	var top map[string]json.RawMessage
 	if err := json.Unmarshal(text, &top); err != nil {
@@ -223,38 +226,38 @@
 			HardLimit microseconds `json:"hard-limit-us"`
 		}
 		if err := json.Unmarshal(class, &limit); err != nil || limit.HardLimit.duration() <= 0 {
-			return fmt.Errorf("%shard-limit-us: %v is not over 0", field, float64(limit.HardLimit))
+			return fmt.Errorf("%shard-limit-us: %v is not positive", field, float64(limit.HardLimit))
 		}
 	}
 	var limits struct {
 		MaxAttempts int `json:"max-attempts"`
 	}
 	if err := json.Unmarshal(top["limits"], &limits); err != nil || limits.MaxAttempts <= 0 {
-		return fmt.Errorf("settings.limits.max-attempts: %d is not over 0", limits.MaxAttempts)
+		return fmt.Errorf("settings.limits.max-attempts: %d is not positive", limits.MaxAttempts)
 	}
 	return checkConsistency(text)
 }
 
-// agrees says whether settings contradict themselves: one that is in force by chance would decide.
+// checkConsistency returns an error where the settings contradict themselves, since only one of two contradictory values would take effect.
 func checkConsistency(text []byte) error {
 	var info wireSettings
 	if err := json.Unmarshal(text, &info); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
 	if len(info.Classes) == 0 {
-		return fmt.Errorf("settings.request-classes: no class")
+		return fmt.Errorf("settings.request-classes: no classes")
 	}
 	seen := make(map[string]bool)
 	for i, class := range info.Classes {
 		if seen[class.Name] {
-			return fmt.Errorf("settings.request-classes[%d].name: %q is there twice", i, class.Name)
+			return fmt.Errorf("settings.request-classes[%d].name: duplicate class %q", i, class.Name)
 		}
 		seen[class.Name] = true
 	}
 	clear(seen)
 	for i, name := range info.LoadReport.Columns {
 		if seen[name] {
-			return fmt.Errorf("settings.load-report.columns[%d]: %q is there twice", i, name)
+			return fmt.Errorf("settings.load-report.columns[%d]: duplicate column %q", i, name)
 		}
 		seen[name] = true
 	}
@@ -266,7 +269,7 @@
 		case tenant.Name == "":
 			return fmt.Errorf("%sname: missing", field)
 		case seen[tenant.Name]:
-			return fmt.Errorf("%sname: %q is there twice", field, tenant.Name)
+			return fmt.Errorf("%sname: duplicate tenant %q", field, tenant.Name)
 		case !(tenant.Allowance >= 0):
 			return fmt.Errorf("%sallowance-per-s: %v is negative", field, tenant.Allowance)
 		case !(tenant.Share >= 0):
@@ -274,19 +277,19 @@
 		}
 		seen[tenant.Name] = true
 		if shares += tenant.Share; shares > 1+shareTolerance {
-			return fmt.Errorf("%sshare: with those before it the shares come to %.3g, which is over 1", field, shares)
+			return fmt.Errorf("%sshare: the shares up to this tenant sum to %.3g, which is more than 1", field, shares)
 		}
 	}
 	if worth := info.OverShareWorth; !(worth >= 0 && worth <= 1) {
-		return fmt.Errorf("settings.over-share-worth: %v is no part of a call's worth", worth)
+		return fmt.Errorf("settings.over-share-worth: %v is not between 0 and 1", worth)
 	}
 	return nil
 }
 
-// rounding is what shares, told with a few digits, may be over 1 together.
+// shareTolerance is how far the sum of the tenants' shares may exceed 1, because the shares are rounded to a few digits.
 const shareTolerance = 0.01
 
-// holds names the first key that an object lacks.
+// checkRequiredKeys returns an error that names the first required key that the JSON object text lacks. Prefix is put before the key.
 func checkRequiredKeys(text []byte, section, prefix string) error {
 	var object map[string]json.RawMessage
 	if err := json.Unmarshal(text, &object); err != nil {
@@ -300,7 +303,7 @@
 	return nil
 }
 
-// DecodeDeployment reads the part of the settings that concerns sockets. Keys it doesn't name are ignored.
+// DecodeDeployment decodes the settings that concern sockets. Other keys are ignored.
 func DecodeDeployment(text []byte) (Deployment, error) {
 	var info struct {
 		FamilyInfo struct {
@@ -368,7 +371,7 @@
 		}
 	}
 	if indexes := d.ClassIndexes(); len(indexes) < len(d.Classes) {
-		return d, fmt.Errorf("settings: request-classes: %d names for %d classes", len(indexes), len(d.Classes))
+		return d, fmt.Errorf("settings: request-classes: %d different names for %d classes", len(indexes), len(d.Classes))
 	}
 	return d, nil
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -9,7 +9,7 @@
 	"elmseam"
 )
 
-// text are settings like a deployment's with tenants, whose reports tell of the wait and of no share to hold back.
+// validSettings are the settings of a deployment with tenants, whose load reports contain the wait and no hold-back share.
 const validSettings = `{"request-classes":[{"name":"view","effect":"free","gain":1,"objective-us":1500000,"hard-limit-us":9000000},
   {"name":"sign","effect":"free","gain":3,"objective-us":1500000,"hard-limit-us":9000000}],
  "family-info":{"own-number":-1,"release-guard-us":300000,"retransmit-us":800000},
@@ -18,6 +18,7 @@
  "tip-multiple":3,"tip-after-us":1000000},"over-share-worth":0.1,
  "tenants":[{"name":"a","share":0.54,"allowance-per-s":40},{"name":"b","share":0.46,"allowance-per-s":20}]}`
 
+// Each change makes the valid settings invalid; the error must be one line that starts with the name of the field.
 func TestValidateNamesInvalidField(t *testing.T) {
 	if err := Validate([]byte(validSettings)); err != nil {
 		t.Fatal(err)
@@ -45,7 +46,7 @@
 	}
 }
 
-// Without a share to hold back the report still has a figure that the module goes by, whatever the other columns are.
+// Load reports without a hold-back share still contain a value that the decision module uses, whatever the other columns are.
 func TestDecodeWithoutHoldBackShare(t *testing.T) {
 	decoded, err := Decode([]byte(validSettings))
 	if err != nil {
