--- a/cmd/elmseamctl/check.go
+++ b/cmd/elmseamctl/check.go
@@ -13,7 +13,8 @@
 	"elmseam/internal/explore"
 )
 
-// checkCommand explores; its child plays a trace again.
+// checkCommand returns the command "check", which explores the states of a model, and its subcommand "replay", which
+// replays a trace.
 func checkCommand() *cobra.Command {
 	var cfg explore.Config
 	var bounds explore.Bounds
@@ -21,13 +22,13 @@
 	var tracePath string
 	cmd := &cobra.Command{
 		Use:   "check",
-		Short: "Explore what a few calls can meet, and hold it against the rules",
-		Long: `Explores every state that a few calls at a few servers can come to, by the reducer and the decisions that the
-softswitch itself runs, and holds what they ask of the sockets against the rules. Things happen at the instants at
-which a timer is due, before or after it, and after a pause; timers that are due together come in every order.
+		Short: "Explore all states of a small model, and check its invariants",
+		Long: `Explores every state that a few calls at a few servers can reach, with the reducer and the decision module that the
+softswitch itself runs, and checks the invariants on their effects. Actions occur at the instant at which a timer
+expires, before or after the timer, and after a pause; timers that expire together fire in every order.
 
-Exit codes: 0 every state was looked at and no rule is broken; 1 a rule is broken; 2 no rule is broken in the states
-that were looked at, and there are more; 3 the command makes no sense.`,
+Exit codes: 0 all states explored, no invariant violated; 1 an invariant is violated; 2 no invariant violated in the
+explored states, but there are more states; 3 invalid command, flag or file.`,
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			bounds.Memory = memoryMiB << 20
@@ -41,23 +42,23 @@
 		},
 	}
 	flags := cmd.Flags()
-	flags.StringVar(&cfg.Model, "model", explore.ModelCalls, "what is explored: calls, circuits of the second front; members of a tier, their works, or their parts of budgets")
-	flags.IntVar(&cfg.Servers, "servers", 2, "servers, circuits, or members")
-	flags.IntVar(&cfg.Calls, "calls", 2, "calls, or periods of turmoil")
-	flags.IntVar(&cfg.Attempts, "attempts", 4, "attempts that a call may have")
-	flags.IntVar(&cfg.Faults, "faults", 1, "disturbances in all: resets, lost connections, changes of the list, give-ups ...")
-	flags.IntVar(&cfg.Pauses, "pauses", 1, "times that 120 ms pass with no timer due")
-	flags.DurationVar(&cfg.GiveUp, "wait", time.Second, "how long a caller waits")
-	flags.Uint64Var(&cfg.Seed, "seed", 0, "of the decisions, and of the walks")
-	flags.IntVar(&bounds.Depth, "depth", 0, "stop after so many things that happen one after the other (0: at none)")
-	flags.DurationVar(&bounds.Time, "time", 5*time.Minute, "stop after this time (0: at none)")
-	flags.Int64Var(&memoryMiB, "memory", 1024, "stop when the states seen fill so many MiB")
-	flags.IntVar(&bounds.Workers, "workers", 0, "at work at once (0: one a processor)")
-	flags.IntVar(&bounds.Walks, "walks", 0, "where it stops early, sample so many ways to the end")
-	flags.StringVar(&tracePath, "trace", "", "write a counterexample to this file (default: to the output)")
+	flags.StringVar(&cfg.Model, "model", explore.ModelCalls, "model to explore: calls, circuits (of M3UA), members (of a tier), works (their maintenance) or parts (their quotas of budgets)")
+	flags.IntVar(&cfg.Servers, "servers", 2, "number of servers, circuits or members")
+	flags.IntVar(&cfg.Calls, "calls", 2, "number of calls, or of 500 ms periods in which faults occur")
+	flags.IntVar(&cfg.Attempts, "attempts", 4, "max. attempts of a call")
+	flags.IntVar(&cfg.Faults, "faults", 1, "max. faults in total: resets, lost connections, changes of the server list, give-ups ...")
+	flags.IntVar(&cfg.Pauses, "pauses", 1, "max. pauses: 120 ms pass although no timer expires")
+	flags.DurationVar(&cfg.GiveUp, "wait", time.Second, "time after which a caller gives up")
+	flags.Uint64Var(&cfg.Seed, "seed", 0, "seed of the decision module and of the random walks")
+	flags.IntVar(&bounds.Depth, "depth", 0, "stop at this number of successive actions (0: no limit)")
+	flags.DurationVar(&bounds.Time, "time", 5*time.Minute, "stop after this time (0: no limit)")
+	flags.Int64Var(&memoryMiB, "memory", 1024, "stop when the visited states take this many MiB")
+	flags.IntVar(&bounds.Workers, "workers", 0, "number of parallel workers (0: one per processor)")
+	flags.IntVar(&bounds.Walks, "walks", 0, "number of random walks to a terminal state after an incomplete exploration")
+	flags.StringVar(&tracePath, "trace", "", "file for the counterexample (default: standard output)")
 	cmd.AddCommand(&cobra.Command{
 		Use:   "replay FILE",
-		Short: "Play a trace again, and say what happens",
+		Short: "Replay a trace, and print its actions",
 		Args:  cobra.ExactArgs(1),
 		RunE:  func(cmd *cobra.Command, args []string) error { return replay(cmd.OutOrStdout(), args[0]) },
 	})
@@ -65,9 +66,9 @@
 	return cmd
 }
 
-// report says what was explored, and what was not.
+// printReport prints the result of an exploration and writes the counterexample, if any.
 func printReport(out io.Writer, cfg explore.Config, result *explore.Report, tracePath string) error {
-	fmt.Fprintf(out, "%s: %d servers, %d calls, %d attempts, %d faults, %d pauses: %d states, %d steps, %d ends, %v, %d MiB\n",
+	fmt.Fprintf(out, "%s: %d servers, %d calls, %d attempts, %d faults, %d pauses: %d states, %d steps, %d terminal states, %v, %d MiB\n",
 		cfg.Model, cfg.Servers, cfg.Calls, cfg.Attempts, cfg.Faults, cfg.Pauses, result.States, result.Steps, result.TerminalStates, result.Elapsed.Round(time.Millisecond), result.Memory>>20)
 	if result.Counterexample != nil {
 		fmt.Fprintf(out, "BROKEN %v, in %d steps\n", &result.Counterexample.Violation, len(result.Counterexample.Actions))
@@ -77,17 +78,18 @@
 		return exitCode(exitViolation)
 	}
 	if result.Complete {
-		fmt.Fprintf(out, "complete: every state that can be reached, %d things deep; no rule is broken\n", result.Depth)
+		fmt.Fprintf(out, "complete: all reachable states explored, up to %d actions deep; no invariant is violated\n", result.Depth)
 		return nil
 	}
-	fmt.Fprintf(out, "INCOMPLETE, stopped by the bound on %s: every state up to %d things deep, some beyond", result.StopReason, result.Depth)
+	fmt.Fprintf(out, "INCOMPLETE, stopped by the bound on %s: all states up to %d actions deep explored, and some deeper ones", result.StopReason, result.Depth)
 	if result.Walks > 0 {
-		fmt.Fprintf(out, ", %d ways sampled to the end", result.Walks)
+		fmt.Fprintf(out, ", %d random walks to a terminal state", result.Walks)
 	}
-	fmt.Fprintln(out, "; no rule is broken in these")
+	fmt.Fprintln(out, "; no invariant is violated in these")
 	return exitCode(exitIncomplete)
 }
 
+// writeTrace writes a trace to the file path, or to out where path is empty.
 func writeTrace(out io.Writer, trace *explore.Trace, path string) error {
 	if path == "" {
 		return trace.Write(out)
@@ -104,7 +106,7 @@
 	return file.Close()
 }
 
-// replay plays a trace again.
+// replay replays the trace in the file path and prints each action with its time.
 func replay(out io.Writer, path string) error {
 	file, err := os.Open(path)
 	if err != nil {
@@ -127,6 +129,6 @@
 		fmt.Fprintf(out, "BROKEN %v\n", violation)
 		return exitCode(exitViolation)
 	}
-	fmt.Fprintln(out, "no rule is broken")
+	fmt.Fprintln(out, "no invariant is violated")
 	return nil
 }
--- a/cmd/elmseamctl/lab.go
+++ b/cmd/elmseamctl/lab.go
@@ -15,20 +15,21 @@
 	"elmseam/internal/lab"
 )
 
-// The exit codes of lab run.
+// Exit codes of "lab run".
 const (
-	labExitPassed    = 0
-	labExitViolation = 1 // an invariant is broken
-	labExitInvalid   = 2 // the scenario makes no sense
+	labExitPassed    = 0 // no invariant was violated
+	labExitViolation = 1 // an invariant was violated
+	labExitInvalid   = 2 // the scenario is invalid
 	labExitFailed    = 3 // the lab itself failed
 )
 
+// labCommand returns the command "lab" with its subcommands "run" and "tier".
 func labCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "lab", Short: "Runs several softswitches with stand-ins round them, and injects faults"}
+	cmd := &cobra.Command{Use: "lab", Short: "Runs several softswitches with stand-ins for their callers and servers, and injects faults"}
 	var binary, out string
 	run := &cobra.Command{
 		Use:   "run SCENARIO",
-		Short: "Plays a scenario file against processes of the program, and judges what it sees from outside",
+		Short: "Runs a scenario file against processes of the softswitch, and checks invariants on what is visible from outside",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			scenario, err := lab.ReadScenario(args[0])
@@ -72,15 +73,16 @@
 			return nil
 		},
 	}
-	run.Flags().StringVar(&binary, "binary", "bin/elmseam", "the softswitch program")
-	run.Flags().StringVar(&out, "out", "", "folder for the table, the verdict and the softswitches' logs")
+	run.Flags().StringVar(&binary, "binary", "bin/elmseam", "path of the softswitch program")
+	run.Flags().StringVar(&out, "out", "", "directory for the table, the verdict and the softswitches' logs (default: in the temporary directory)")
 	cmd.AddCommand(run, tierCommand())
 	return cmd
 }
 
+// printVerdict prints the counts, the violated invariants and the verdict of a lab run.
 func printVerdict(cmd *cobra.Command, result *lab.Result, out string) {
 	output := cmd.OutOrStdout()
-	fmt.Fprintf(output, "%s: offered %d, served %d, refused %d, lost %d, excused %d, unsent %d; lab lag at most %v, %d spans not judged\n",
+	fmt.Fprintf(output, "%s: offered %d, served %d, refused %d, lost %d, excused %d, unsent %d; max. lag of the lab %v, %d time spans not checked\n",
 		result.Scenario, result.Offered, result.Served, result.Refused, result.Lost, result.Excused, result.Unsent, result.MaxLag, result.LagSpans)
 	for _, violation := range result.Violations {
 		fmt.Fprintf(output, "BROKEN %s: first at %v, %d times: %s\n", violation.Rule, violation.First, violation.Count, violation.Detail)
--- a/cmd/elmseamctl/main.go
+++ b/cmd/elmseamctl/main.go
@@ -1,5 +1,5 @@
-// Command elmseamctl is for operators and developers: it checks the reducers that the softswitch runs, plays fleets of
-// softswitches in the lab, and shows what a running one holds of its tier.
+// Command elmseamctl is the tool of operators and developers. It explores the states of the softswitch's reducers, runs
+// several softswitches in the lab, and shows a running softswitch's view of its tier and of the servers.
 package main
 
 import (
@@ -10,21 +10,23 @@
 	"github.com/spf13/cobra"
 )
 
-// The exit codes.
+// Exit codes of all commands except "lab run".
 const (
-	exitPassed     = 0
-	exitViolation  = 1 // a rule is broken: a counterexample was found, or plays
-	exitIncomplete = 2 // none was found, and not every state was looked at
-	exitUsage      = 3 // the command, a flag or a file makes no sense
+	exitPassed     = 0 // success
+	exitViolation  = 1 // an invariant is violated, or the softswitch reports an unhealthy state
+	exitIncomplete = 2 // no violation found, but not every state was explored
+	exitUsage      = 3 // invalid command, flag or file, or the admin endpoint gave no usable answer
 )
 
-// outcome ends the program with a code other than that of bad usage.
+// exitCode is an error that ends the program with this code instead of exitUsage and without a message.
 type exitCode int
 
+// Error implements error.
 func (o exitCode) Error() string { return fmt.Sprintf("exit code %d", int(o)) }
 
 func main() { os.Exit(run(os.Args[1:])) }
 
+// run executes the command line and returns the exit code.
 func run(args []string) int {
 	root := &cobra.Command{
 		Use: "elmseamctl", Short: "Tools for operators and developers of elmseam",
--- a/cmd/elmseamctl/main_test.go
+++ b/cmd/elmseamctl/main_test.go
@@ -15,7 +15,8 @@
 	"elmseam/internal/swarm"
 )
 
-// members prints a line for each of the tier, and its exit code tells whether a majority is seen.
+// The command "members" prints a line for each member of the tier, and its exit code shows whether the softswitch sees
+// a majority.
 func TestMembersCommand(t *testing.T) {
 	age := int64(200)
 	view := mgmt.TierStatus{Self: 0, Majority: true, ColdShare: 1, Members: []mgmt.MemberStatus{{Index: 0, State: "alive", Incarnation: 7},
@@ -47,8 +48,8 @@
 	}
 }
 
-// servers prints who knows what of each server, and who holds which part; its exit code tells of one that fails, or that
-// drains by a peer's word alone.
+// The command "servers" prints the members' reports of each server and the holders of each quota. Its exit code shows
+// whether a server is considered failing.
 func TestServersCommand(t *testing.T) {
 	age := int64(300)
 	view := mgmt.ServersStatus{Self: 1, AnyCold: true, Servers: []mgmt.ServerStatus{{Name: "hlr-1", State: "ready",
@@ -72,7 +73,7 @@
 	}
 }
 
-// The exit code tells what came of it: scripts and CI go by it alone.
+// Scripts and CI use only the exit code, so each kind of result has to have its own.
 func TestExitCodes(t *testing.T) {
 	dir := t.TempDir()
 	file := func(name, text string) string {
@@ -106,13 +107,13 @@
 	}
 }
 
-// Each play of a trial has a seed of its own: medians of one play said five times are none.
+// Each run of an experiment has a different seed; with equal seeds the median would be that of a single run.
 func TestRunsUseDifferentSeeds(t *testing.T) {
 	results, err := runExperiments(swarm.Experiment{Members: 5, Limits: membership.Defaults(), WarmUp: 5 * time.Second, Measured: time.Second, Kill: true}, 4)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if results[0] == results[1] && results[1] == results[2] && results[2] == results[3] {
-		t.Errorf("four plays of one outcome: %+v", results[0])
+		t.Errorf("four runs with the same outcome: %+v", results[0])
 	}
 }
--- a/cmd/elmseamctl/maintenance.go
+++ b/cmd/elmseamctl/maintenance.go
@@ -15,16 +15,18 @@
 	"elmseam/internal/mgmt"
 )
 
-// maintenanceCommand asks a softswitch's door for maintenance of the tier.
+// maintenanceCommand returns the command "maintenance", which requests, cancels and shows the tier's maintenance at the
+// admin endpoint of a softswitch.
 func maintenanceCommand() *cobra.Command {
 	var timeout time.Duration
 	cmd := &cobra.Command{
 		Use:   "maintenance",
-		Short: "Has softswitches of a tier taken out for work in turn, at any one's operators' door",
-		Long: `Exit codes: 0 it was taken in, or shown; 1 the softswitch asked is not settled yet, ask again or another one;
-3 the door gave no answer, ordered maintenance is off there, or the command makes no sense.`,
+		Short: "Takes softswitches of a tier out for maintenance in turn, through the admin endpoint of any of them",
+		Long: `Exit codes: 0 the request was accepted, or the status shown; 1 the softswitch can't accept requests now, for example
+because it is newly started: try again, or another softswitch; 3 no answer from the admin endpoint, ordered maintenance
+is off there, or the command is invalid.`,
 	}
-	cmd.PersistentFlags().DurationVar(&timeout, "wait", 2*time.Second, "how long to wait for the door's answer")
+	cmd.PersistentFlags().DurationVar(&timeout, "wait", 2*time.Second, "time to wait for the admin endpoint's answer")
 	newOrderCommand := func(use, short, method string) *cobra.Command {
 		return &cobra.Command{Use: use, Short: short, Args: cobra.MinimumNArgs(2), RunE: func(c *cobra.Command, args []string) error {
 			status, text, err := requestMaintenance(method, args[0], args[1:], timeout)
@@ -41,9 +43,9 @@
 		}}
 	}
 	cmd.AddCommand(
-		newOrderCommand("request ADDRESS MEMBER...", "Asks for maintenance of members, by name, peers' address or number", http.MethodPost),
-		newOrderCommand("cancel ADDRESS MEMBER...", "Withdraws requests; of a member that is ready for work it says that the work is done", http.MethodDelete),
-		&cobra.Command{Use: "status ADDRESS", Short: "Shows the queue, and who is out", Args: cobra.ExactArgs(1), RunE: func(c *cobra.Command, args []string) error {
+		newOrderCommand("request ADDRESS MEMBER...", "Requests maintenance of members, given by name, peer address or index", http.MethodPost),
+		newOrderCommand("cancel ADDRESS MEMBER...", "Withdraws requests; for a member that is ready for work, reports that the work is done", http.MethodDelete),
+		&cobra.Command{Use: "status ADDRESS", Short: "Shows the waiting requests, and the members that are out for maintenance", Args: cobra.ExactArgs(1), RunE: func(c *cobra.Command, args []string) error {
 			status, text, err := requestMaintenance(http.MethodGet, args[0], nil, timeout)
 			if err != nil {
 				return err
@@ -58,13 +60,15 @@
 	return cmd
 }
 
+// requestMaintenance sends a maintenance request for the given members to the admin endpoint at address.
 func requestMaintenance(method, address string, members []string, timeout time.Duration) (status int, text string, err error) {
 	return adminRequest(method, address, "/ops/maintenance?"+url.Values{"member": members}.Encode(), timeout)
 }
 
+// printMaintenance prints the granted, waiting and ended requests, in this order.
 func printMaintenance(out io.Writer, status mgmt.MaintenanceStatus) {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(table, "MEMBER\tNAME\tSTAGE\tASKED\tTRIES\tEPOCH")
+	fmt.Fprintln(table, "MEMBER\tNAME\tSTAGE\tREQUESTED\tRESTARTS\tEPOCH")
 	for _, requests := range [][]mgmt.MaintenanceRequest{status.Granted, status.Queue, status.Ended} {
 		for _, request := range requests {
 			fmt.Fprintf(table, "%d\t%s\t%s\t%s\t%d\t%d\n", request.Index, request.Name, request.Stage, request.RequestedAt.Format(time.RFC3339), request.Restarts, request.Epoch)
@@ -73,7 +77,7 @@
 	table.Flush()
 	note := ""
 	if !status.Recovered {
-		note = "; NOT settled yet: it grants nothing and takes no request"
+		note = "; NEWLY STARTED: accepts no requests and votes on no grants yet"
 	}
-	fmt.Fprintf(out, "%d out of at most %d%s\n", len(status.Granted), status.Budget, note)
+	fmt.Fprintf(out, "%d members out for maintenance, at most %d allowed%s\n", len(status.Granted), status.Budget, note)
 }
--- a/cmd/elmseamctl/members.go
+++ b/cmd/elmseamctl/members.go
@@ -13,15 +13,16 @@
 	"elmseam/internal/mgmt"
 )
 
-// membersCommand prints what a softswitch holds of its tier.
+// membersCommand returns the command "members", which prints a softswitch's view of its tier.
 func membersCommand() *cobra.Command {
 	var timeout time.Duration
 	cmd := &cobra.Command{
 		Use:   "members ADDRESS",
-		Short: "Prints what the softswitch whose operators' door is at ADDRESS (host:port) holds of its tier",
-		Long: `Asks one softswitch's door for its view of the tier, and prints a line a member.
+		Short: "Prints the view of the tier of the softswitch whose admin endpoint is at ADDRESS (host:port)",
+		Long: `Asks the admin endpoint of one softswitch for its view of the tier, and prints one line for each member.
 
-Exit codes: 0 it sees a majority of the tier; 1 it doesn't; 3 the door gave no answer, or membership is off there.`,
+Exit codes: 0 the softswitch sees a majority of the tier; 1 it doesn't; 3 no answer from the admin endpoint, or
+membership is off there.`,
 		Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			status, err := fetchTierStatus(args[0], timeout)
@@ -35,11 +36,11 @@
 			return nil
 		},
 	}
-	cmd.Flags().DurationVar(&timeout, "wait", 2*time.Second, "how long to wait for the door's answer")
+	cmd.Flags().DurationVar(&timeout, "wait", 2*time.Second, "time to wait for the admin endpoint's answer")
 	return cmd
 }
 
-// askTier asks a door for what it holds of its tier.
+// fetchTierStatus fetches /ops/members from the admin endpoint at address.
 func fetchTierStatus(address string, timeout time.Duration) (tier mgmt.TierStatus, err error) {
 	status, text, err := adminRequest(http.MethodGet, address, "/ops/members", timeout)
 	if err != nil {
@@ -49,12 +50,12 @@
 		return tier, fmt.Errorf("%s: %d: %.80s", address, status, text)
 	}
 	if err := json.Unmarshal([]byte(text), &tier); err != nil {
-		return tier, fmt.Errorf("%s: not a view of a tier: %w", address, err)
+		return tier, fmt.Errorf("%s: invalid answer of /ops/members: %w", address, err)
 	}
 	return tier, nil
 }
 
-// callDoor calls a softswitch's door.
+// adminRequest sends a request to the admin endpoint at address. It reads at most 1 MiB of the answer.
 func adminRequest(method, address, path string, timeout time.Duration) (status int, text string, err error) {
 	req, err := http.NewRequest(method, "http://"+address+path, nil)
 	if err != nil {
@@ -70,9 +71,10 @@
 	return res.StatusCode, string(body), err
 }
 
+// printTier prints the members of the tier and a summary line.
 func printTier(out io.Writer, status mgmt.TierStatus) {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(table, "MEMBER\tADDRESS\tSTATE\tFOR\tHEARD\tINCARNATION")
+	fmt.Fprintln(table, "MEMBER\tADDRESS\tSTATE\tFOR\tLAST DATAGRAM\tINCARNATION")
 	for _, member := range status.Members {
 		lastReceived := "never"
 		switch {
@@ -88,9 +90,10 @@
 	if !status.Majority {
 		majority = "sees NO majority"
 	}
-	fmt.Fprintf(out, "%s; takes %.2f of its part of a cold server's budget; local health %d\n", majority, status.ColdShare, status.Health)
+	fmt.Fprintf(out, "%s; uses %.2f of its quota of a cold server's budget; local health multiplier %d\n", majority, status.ColdShare, status.Health)
 }
 
+// formatMS formats a number of milliseconds as a duration, rounded to 100 ms.
 func formatMS(n int64) string {
 	return (time.Duration(n) * time.Millisecond).Round(100 * time.Millisecond).String()
 }
--- a/cmd/elmseamctl/servers.go
+++ b/cmd/elmseamctl/servers.go
@@ -14,17 +14,17 @@
 	"elmseam/internal/mgmt"
 )
 
-// serversCommand prints what a softswitch's tier knows of the servers.
+// serversCommand returns the command "servers", which prints what a softswitch and its tier know of the servers.
 func serversCommand() *cobra.Command {
 	var timeout time.Duration
 	cmd := &cobra.Command{
 		Use:   "servers ADDRESS",
-		Short: "Prints what is known of each server, by whom and how old, and who holds which part of a cold one's budget",
-		Long: `Asks one softswitch's door (host:port) for what its tier knows of the servers, and prints a line a server and
-observer; then, where parts of cold servers' budgets move, a line a softswitch's part.
+		Short: "Prints the members' reports of each server, and which member holds which units of cold servers' budgets",
+		Long: `Asks the admin endpoint (host:port) of one softswitch what its tier knows of the servers, and prints one line for each
+server and reporting member; then, where units of cold servers' budgets move, one line for each member's quota.
 
-Exit codes: 0 no server is held for failing, nor for draining by a peer's word alone; 1 one is; 3 the door gave no
-answer, or knowledge and parts are off there.`,
+Exit codes: 0 no server is considered failing, or draining only by another member's report; 1 a server is; 3 no answer
+from the admin endpoint, or knowledge and parts are both off there.`,
 		Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			status, text, err := adminRequest(http.MethodGet, args[0], "/ops/servers", timeout)
@@ -36,7 +36,7 @@
 			}
 			var view mgmt.ServersStatus
 			if err := json.Unmarshal([]byte(text), &view); err != nil {
-				return fmt.Errorf("%s: not a view of servers: %w", args[0], err)
+				return fmt.Errorf("%s: invalid answer of /ops/servers: %w", args[0], err)
 			}
 			if !printServers(cmd.OutOrStdout(), view) {
 				return exitCode(exitViolation)
@@ -44,21 +44,22 @@
 			return nil
 		},
 	}
-	cmd.Flags().DurationVar(&timeout, "wait", 2*time.Second, "how long to wait for the door's answer")
+	cmd.Flags().DurationVar(&timeout, "wait", 2*time.Second, "time to wait for the admin endpoint's answer")
 	return cmd
 }
 
-// printServers says no where a server is held for failing, or for draining by a peer's word alone.
+// printServers prints the servers and the quotas. It returns false if a server is considered failing by more than half
+// of the other members' weight, or draining only by another member's report.
 func printServers(out io.Writer, status mgmt.ServersStatus) (healthy bool) {
 	healthy = true
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	if len(status.Servers) > 0 {
-		fmt.Fprintln(table, "SERVER\tSTATE\tBY\tAGE\tHOLD BACK\tREPORT\tRATE\tLINES\tBAD\tWAY")
+		fmt.Fprintln(table, "SERVER\tSTATE\tMEMBER\tAGE\tHOLD-BACK SHARE\tHOLD-BACK AGE\tRATE\tLINES\tFAILING\tMIN SET-UP TIME")
 	}
 	for _, server := range status.Servers {
 		state := server.State
 		if server.DrainReported {
-			state += " (heard)"
+			state += " (reported)"
 		}
 		healthy = healthy && !server.DrainReported && server.FailingShare <= 0.5
 		fmt.Fprintf(table, "%s\t%s\tall\t\t%.2f\t\t%.1f\t\t%.2f\t\n", server.Name, state, server.HoldBackShare, server.MeanRate, server.FailingShare)
@@ -78,7 +79,7 @@
 				time.Duration(report.MinSetUpTimeUS)*time.Microsecond)
 		}
 		if server.OmittedReports > 0 {
-			fmt.Fprintf(table, "\t\t%d others\n", server.OmittedReports)
+			fmt.Fprintf(table, "\t\t%d others not shown\n", server.OmittedReports)
 		}
 	}
 	table.Flush()
@@ -86,7 +87,7 @@
 		return healthy
 	}
 	table = tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(table, "PART OF\tUSED HERE\tLENT\tGRANTED TO, BY EIGHTH")
+	fmt.Fprintln(table, "QUOTA OF\tUSABLE HERE\tLENT\tGRANTED TO, BY UNIT")
 	for _, quota := range status.Quotas {
 		var holders []string
 		for unit, holder := range quota.Holders {
@@ -103,7 +104,7 @@
 	}
 	table.Flush()
 	if !status.AnyCold {
-		fmt.Fprintln(out, "no server is cold: no part is held")
+		fmt.Fprintln(out, "no server is cold: no units are held")
 	}
 	return healthy
 }
--- a/cmd/elmseamctl/tier.go
+++ b/cmd/elmseamctl/tier.go
@@ -17,14 +17,14 @@
 	"elmseam/internal/swarm"
 )
 
-// tierCommand measures membership in discrete-event time.
+// tierCommand returns the command "lab tier", which measures membership in a discrete-event simulation.
 func tierCommand() *cobra.Command {
 	var out string
 	var sizes []int
 	var runs int
 	cmd := &cobra.Command{
 		Use:   "tier",
-		Short: "Measures membership at many members in discrete-event time: detection, load and false deaths, as tables and plots",
+		Short: "Measures membership of large tiers in a discrete-event simulation: detection, load and false deaths, as tables and plots",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if runs < 1 || runs > 100 || len(sizes) == 0 || slices.Min(sizes) < 3 || slices.Max(sizes) > 2000 {
@@ -37,13 +37,13 @@
 			return errors.Join(reportFalseDeaths(w, runs), reportKnowledge(w, runs))
 		},
 	}
-	cmd.Flags().StringVar(&out, "out", ".", "folder for the plots")
-	cmd.Flags().IntSliceVar(&sizes, "sizes", []int{10, 100, 1000}, "members")
-	cmd.Flags().IntVar(&runs, "plays", 5, "of each trial, with seeds of their own")
+	cmd.Flags().StringVar(&out, "out", ".", "directory for the plots")
+	cmd.Flags().IntSliceVar(&sizes, "sizes", []int{10, 100, 1000}, "numbers of members")
+	cmd.Flags().IntVar(&runs, "plays", 5, "runs of each experiment, each with a different seed")
 	return cmd
 }
 
-// outcomes runs so many plays of a trial, as many at once as there are processors.
+// runExperiments runs an experiment several times with the seeds 1, 2, ..., in parallel on all processors.
 func runExperiments(experiment swarm.Experiment, runs int) ([]swarm.Outcome, error) {
 	results, errs := make([]swarm.Outcome, runs), make([]error, runs)
 	slots := make(chan struct{}, runtime.GOMAXPROCS(0))
@@ -61,7 +61,7 @@
 	return results, errors.Join(errs...)
 }
 
-// middle is the median of a figure.
+// median returns the median of a value of the outcomes.
 func median(outcomes []swarm.Outcome, value func(swarm.Outcome) float64) float64 {
 	var values []float64
 	for _, outcome := range outcomes {
@@ -71,13 +71,15 @@
 	return values[len(values)/2]
 }
 
+// maxDatagramDelay is the longest delay of a datagram in the experiments.
 const maxDatagramDelay = 5 * time.Millisecond
 
-// growth measures how detection and load grow with the tier.
+// reportScaling measures how the detection time and the load grow with the size of the tier, and writes a table to w
+// and plots to outDir.
 func reportScaling(w io.Writer, sizes []int, runs int, outDir string) error {
 	limits := membership.Defaults()
-	fmt.Fprintf(w, "Medians of %d plays; times in periods of %v after a kill.\n\n", runs, limits.Period)
-	fmt.Fprintln(w, "| members | loss | datagrams a member and s | bytes a member and s | first suspicion | first holds it dead | all do | at most |")
+	fmt.Fprintf(w, "Medians of %d runs; times after a kill in protocol periods of %v.\n\n", runs, limits.Period)
+	fmt.Fprintln(w, "| members | loss | datagrams per member and s | bytes per member and s | first suspicion | first considers it dead | all consider it dead | max. of all |")
 	fmt.Fprintln(w, "| --- | --- | --- | --- | --- | --- | --- | --- |")
 	detection, load := map[string][][2]float64{}, map[string][][2]float64{}
 	var names []string
@@ -110,18 +112,18 @@
 		}
 	}
 	return errors.Join(
-		lab.PlotGrowth(filepath.Join(outDir, "tier-detection.png"), "a kill until all hold the member dead", "protocol periods", names, detection),
-		lab.PlotGrowth(filepath.Join(outDir, "tier-load.png"), "what a member sends", "bytes a second", names, load))
+		lab.PlotGrowth(filepath.Join(outDir, "tier-detection.png"), "time from a kill until all consider the member dead", "protocol periods", names, detection),
+		lab.PlotGrowth(filepath.Join(outDir, "tier-load.png"), "load sent by a member", "bytes per second", names, load))
 }
 
-// told measures what it costs that members tell each other of servers, and how fresh what they know is.
+// reportKnowledge measures how many bytes the sharing of knowledge of servers costs, and how old the newest reports are.
 func reportKnowledge(w io.Writer, runs int) error {
-	fmt.Fprintf(w, "\nWhat members know of servers, medians of %d plays of 20 s, each 30 s after the start.\n\n", runs)
-	fmt.Fprintln(w, "| members | servers | a report comes to each | loss | datagrams a member and s | bytes | bytes without | newest own report | newest known |")
+	fmt.Fprintf(w, "\nKnowledge of servers, medians of %d runs of 20 s, each 30 s after the start.\n\n", runs)
+	fmt.Fprintln(w, "| members | servers | report to each member | loss | datagrams per member and s | bytes | bytes without knowledge | age of newest own report | age of newest known report |")
 	fmt.Fprintln(w, "| --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 	for _, config := range []struct {
 		members, servers int
-		hear             time.Duration
+		interval         time.Duration
 		loss             float64
 	}{{5, 3, 200 * time.Millisecond, 0}, {8, 3, 200 * time.Millisecond, 0}, {8, 3, 200 * time.Millisecond, 0.3},
 		{300, 24, 10 * time.Second, 0}, {300, 24, 10 * time.Second, 0.3}} {
@@ -130,23 +132,24 @@
 		if err != nil {
 			return err
 		}
-		experiment.Servers, experiment.ReportInterval = config.servers, config.hear
+		experiment.Servers, experiment.ReportInterval = config.servers, config.interval
 		with, err := runExperiments(experiment, runs)
 		if err != nil {
 			return err
 		}
 		bytes := func(outcome swarm.Outcome) float64 { return outcome.ByteRate }
-		fmt.Fprintf(w, "| %d | %d | every %v | %.0f %% | %.1f | %.0f | %.0f | %.1f s | %.1f s |\n", config.members, config.servers, config.hear, 100*config.loss,
+		fmt.Fprintf(w, "| %d | %d | every %v | %.0f %% | %.1f | %.0f | %.0f | %.1f s | %.1f s |\n", config.members, config.servers, config.interval, 100*config.loss,
 			median(with, func(outcome swarm.Outcome) float64 { return outcome.DatagramRate }), median(with, bytes), median(without, bytes),
 			median(with, func(outcome swarm.Outcome) float64 { return outcome.OwnAge.Seconds() }), median(with, func(outcome swarm.Outcome) float64 { return outcome.AnyAge.Seconds() }))
 	}
 	return nil
 }
 
-// badly measures whom members that do badly have held dead, step by step from SWIM alone.
+// reportFalseDeaths measures how often available members are considered dead while others are impaired, for plain SWIM
+// and for each extension added to it (swarm.Variants).
 func reportFalseDeaths(w io.Writer, runs int) error {
-	fmt.Fprintf(w, "\nMembers held dead that were there and did well, in %d plays of 120 s with 32 members; suspicions beside.\n\n", runs)
-	fmt.Fprint(w, "| trouble |")
+	fmt.Fprintf(w, "\nUnimpaired members considered dead, in %d runs of 120 s with 32 members; suspicions in brackets.\n\n", runs)
+	fmt.Fprint(w, "| impairment |")
 	for _, variant := range swarm.Variants {
 		fmt.Fprintf(w, " %s |", variant.Name)
 	}
@@ -156,30 +159,30 @@
 	}
 	fmt.Fprintln(w)
 	base := swarm.Experiment{Members: 32, MaxDelay: maxDatagramDelay, WarmUp: 20 * time.Second, Measured: 120 * time.Second}
-	for _, trouble := range []struct {
+	for _, impairment := range []struct {
 		name  string
 		apply func(*swarm.Experiment)
 	}{
 		{"30 % of the datagrams lost", func(experiment *swarm.Experiment) { experiment.Loss = 0.3 }},
-		{"8 stand still for 2 s of every 2.25 s", func(experiment *swarm.Experiment) {
+		{"8 paused for 2 s of every 2.25 s", func(experiment *swarm.Experiment) {
 			experiment.Impaired, experiment.PauseDuration, experiment.PauseInterval = 8, 2*time.Second, 2250*time.Millisecond
 		}},
-		{"8 stand still for 4 s of every 5 s", func(experiment *swarm.Experiment) {
+		{"8 paused for 4 s of every 5 s", func(experiment *swarm.Experiment) {
 			experiment.Impaired, experiment.PauseDuration, experiment.PauseInterval = 8, 4*time.Second, 5*time.Second
 		}},
-		{"8 stand still for 8 s of every 9 s", func(experiment *swarm.Experiment) {
+		{"8 paused for 8 s of every 9 s", func(experiment *swarm.Experiment) {
 			experiment.Impaired, experiment.PauseDuration, experiment.PauseInterval = 8, 8*time.Second, 9*time.Second
 		}},
-		{"8 take in all 600 ms late", func(experiment *swarm.Experiment) {
+		{"8 receive everything 600 ms late", func(experiment *swarm.Experiment) {
 			experiment.Impaired, experiment.SlowDelay = 8, 600*time.Millisecond
 		}},
 	} {
-		fmt.Fprintf(w, "| %s |", trouble.name)
+		fmt.Fprintf(w, "| %s |", impairment.name)
 		for _, variant := range swarm.Variants {
 			experiment := base
 			experiment.Limits = membership.Defaults()
 			variant.Change(&experiment.Limits)
-			trouble.apply(&experiment)
+			impairment.apply(&experiment)
 			results, err := runExperiments(experiment, runs)
 			if err != nil {
 				return err
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,5 +1,5 @@
-// Command simhost runs the decision module under the simulator: batches of events come in on standard
-// input, and a reply to each goes out on standard output.
+// Command simhost runs the decision module under the simulator: it reads batches of events from standard input and
+// writes a reply to each batch to standard output.
 package main
 
 import (
@@ -27,7 +27,7 @@
 			return host.Serve(bufio.NewReader(os.Stdin), out, out.Flush)
 		},
 	}
-	cmd.Flags().BoolVar(&members, "members", false, "instances take part in their tier's membership, where the settings permit peer messages")
+	cmd.Flags().BoolVar(&members, "members", false, "let the instances take part in their tier's membership where the settings permit peer messages")
 	if err := cmd.Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "simhost:", err)
 		os.Exit(1)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,4 +1,5 @@
-// Package config reads a softswitch's configuration file, environment variables and TOML files, and fixes its sizes, counts and times.
+// Package config reads a softswitch's configuration file, environment variables and TOML files, and fixes its sizes,
+// counts and times.
 package config
 
 import (
@@ -56,8 +57,8 @@
 	Settings json.RawMessage `json:"settings"`
 }
 
-// Load reads the configuration file that the environment variable ROUTER_CONFIG names; ROUTER_NAME, ROUTER_LISTEN and ROUTER_MGMT
-// override its fields. The text of an error is one line that names the field.
+// Load reads the configuration file that the environment variable ROUTER_CONFIG names; ROUTER_NAME, ROUTER_LISTEN and
+// ROUTER_MGMT override its fields. The text of an error is one line that names the field.
 func Load(getenv func(string) string) (*Config, error) {
 	path := getenv("ROUTER_CONFIG")
 	if path == "" {
@@ -142,8 +143,8 @@
 	return cfg, nil
 }
 
-// Reload reads the configuration again. The new file must contain every top-level key of the old one. The classes of the old
-// configuration keep their indexes.
+// Reload reads the configuration again. The new file must contain every top-level key of the old one. The classes of
+// the old configuration keep their indexes.
 func Reload(getenv func(string) string, old *Config) (*Config, error) {
 	cfg, err := Load(getenv)
 	if err != nil {
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -16,8 +16,8 @@
 	"elmseam/internal/settings"
 )
 
-// Limits holds all sizes, counts and times of a softswitch. Load fills it at the start and at each reload; the other packages receive
-// their part of it.
+// Limits holds all sizes, counts and times of a softswitch. Load fills it at the start and at each reload; the other
+// packages receive their part of it.
 type Limits struct {
 	Core       core.Limits
 	CallerConn link.Limits // limits of a caller's connection
@@ -40,16 +40,17 @@
 	GCPercent   int                // heap growth, in per cent, that triggers a garbage collection (GOGC)
 }
 
-// minSockets is the lowest number of file descriptors (limits.sockets in the configuration file) that the softswitch starts with.
+// minSockets is the lowest number of file descriptors (limits.sockets in the configuration file) that the softswitch
+// starts with.
 const minSockets = 32
 
 const (
-	// scarceSocketsBelow is the number of file descriptors below which callers get a smaller share of them, so that enough remain for
-	// servers.
+	// scarceSocketsBelow is the number of file descriptors below which callers get a smaller share of them, so that
+	// enough remain for servers.
 	scarceSocketsBelow = 200
 
-	// reservedSockets is the number of file descriptors for the process itself: standard streams, pollers, listeners, the command
-	// channel and a dial that is being aborted.
+	// reservedSockets is the number of file descriptors for the process itself: standard streams, pollers, listeners,
+	// the command channel and a dial that is being aborted.
 	reservedSockets = 14
 )
 
--- a/internal/config/members.go
+++ b/internal/config/members.go
@@ -19,8 +19,8 @@
 	"elmseam/internal/peers"
 )
 
-// MembersFile is the members file (deploy/members.toml): whether this softswitch takes part in its tier's membership, and with
-// which limits. Keys that the file omits have the values of membership.Defaults.
+// MembersFile is the members file (deploy/members.toml): whether this softswitch takes part in its tier's membership,
+// and with which limits. Keys that the file omits have the values of membership.Defaults.
 type MembersFile struct {
 	Enabled        bool     `toml:"enabled"`
 	Period         duration `toml:"period"`        // time between two probes
@@ -39,8 +39,8 @@
 	Knowledge   Knowledge   `toml:"knowledge"`
 }
 
-// Knowledge is the [knowledge] table of the members file: whether this softswitch shares its observations of the servers with its
-// tier. Keys that the file omits have the values of knowledge.Defaults.
+// Knowledge is the [knowledge] table of the members file: whether this softswitch shares its observations of the
+// servers with its tier. Keys that the file omits have the values of knowledge.Defaults.
 type Knowledge struct {
 	Enabled      bool     `toml:"enabled"`
 	HalfLife     duration `toml:"half_life"` // age at which a load report's weight is halved
@@ -56,8 +56,8 @@
 	return l
 }
 
-// Quotas is the [parts] table of the members file: whether units of a cold server's budget move between softswitches. Keys that
-// the file omits have the values of budget.Defaults.
+// Quotas is the [parts] table of the members file: whether units of a cold server's budget move between softswitches.
+// Keys that the file omits have the values of budget.Defaults.
 type Quotas struct {
 	Enabled    bool     `toml:"enabled"`
 	Lease      duration `toml:"lease"`   // lease of a unit; after its expiry a dead member's units are granted to others
@@ -72,8 +72,8 @@
 	return l
 }
 
-// Maintenance is the [maintenance] table of the members file: whether this softswitch takes part in its tier's ordered maintenance.
-// Keys that the file omits have the values of maintenance.Defaults.
+// Maintenance is the [maintenance] table of the members file: whether this softswitch takes part in its tier's ordered
+// maintenance. Keys that the file omits have the values of maintenance.Defaults.
 type Maintenance struct {
 	Enabled      bool         `toml:"enabled"`
 	Budget       countOrShare `toml:"budget"` // members that may be out for maintenance at the same time
@@ -107,7 +107,8 @@
 	return fmt.Errorf("maintenance.budget: %v is neither an integer nor a percentage such as \"20%%\"", v)
 }
 
-// forTier returns the number of members for a tier of the given size. A share gives at least 1 and at most maintenance.Slots.
+// forTier returns the number of members for a tier of the given size. A share gives at least 1 and at most
+// maintenance.Slots.
 func (b countOrShare) forTier(tier int) int {
 	if b.Share > 0 {
 		return min(max(int(b.Share*float64(tier)), 1), maintenance.Slots)
@@ -115,7 +116,8 @@
 	return b.Count
 }
 
-// limits returns the limits of the maintenance protocol for a tier of the given size: the defaults with the values of the table.
+// limits returns the limits of the maintenance protocol for a tier of the given size: the defaults with the values of
+// the table.
 func (m Maintenance) limits(tier int) maintenance.Limits {
 	l := maintenance.Defaults()
 	l.Budget, l.Lease, l.WorkLease = m.Budget.forTier(tier), m.Lease.Duration, m.WorkLease.Duration
@@ -123,7 +125,8 @@
 	return l
 }
 
-// MaintenanceBudget returns the number of members of a tier of the given size that may be out for maintenance at the same time.
+// MaintenanceBudget returns the number of members of a tier of the given size that may be out for maintenance at the
+// same time.
 func (m MembersFile) MaintenanceBudget(tier int) int { return m.Maintenance.Budget.forTier(tier) }
 
 // duration is a time.Duration that is written as text in a TOML file.
@@ -135,8 +138,8 @@
 	return err
 }
 
-// LoadMembers reads the members file. Explicit says that an operator named the path: otherwise the file may be missing, and
-// membership is then off. The text of an error is one line that names the field.
+// LoadMembers reads the members file. Explicit says that an operator named the path: otherwise the file may be missing,
+// and membership is then off. The text of an error is one line that names the field.
 func LoadMembers(path string, explicit bool) (MembersFile, error) {
 	text, err := os.ReadFile(path)
 	switch {
@@ -204,10 +207,10 @@
 	return l
 }
 
-// TierConfig returns the configuration of the tier's datagram socket and the events that start the tier's protocols in the core:
-// membership and, where the members file enables them, maintenance, knowledge and the cold servers' quotas. It fills
-// Limits.Membership and Limits.Maintenance. The configuration must contain the peers' addresses and the own index; an error names
-// the field. Permitted is false where the settings don't allow datagrams between softswitches.
+// TierConfig returns the configuration of the tier's datagram socket and the events that start the tier's protocols in
+// the core: membership and, where the members file enables them, maintenance, knowledge and the cold servers' quotas.
+// It fills Limits.Membership and Limits.Maintenance. The configuration must contain the peers' addresses and the own
+// index; an error names the field. Permitted is false where the settings don't allow datagrams between softswitches.
 func (c *Config) TierConfig(file MembersFile) (socket peers.Config, startEvents []core.Event, permitted bool, err error) {
 	if !c.Deployment.PeerMessagesEnabled {
 		return socket, startEvents, false, nil
--- a/internal/config/signalling.go
+++ b/internal/config/signalling.go
@@ -11,8 +11,8 @@
 	"elmseam/internal/platform"
 )
 
-// SignallingFile is the signalling file (deploy/m3ua.toml), which configures the M3UA protocol and its BGP announcements. The
-// platform doesn't know this file.
+// SignallingFile is the signalling file (deploy/m3ua.toml), which configures the M3UA protocol and its BGP
+// announcements. The platform doesn't know this file.
 type SignallingFile struct {
 	Enabled bool            `toml:"enabled"`
 	M3UA    m3ua.FileConfig `toml:"m3ua"`
--- a/internal/mgmt/maintenance.go
+++ b/internal/mgmt/maintenance.go
@@ -35,8 +35,8 @@
 	Epoch       uint64    `json:"epoch,omitempty"` // epoch of the grant; later grants have higher epochs
 }
 
-// handleMaintenance carries out a request to /ops/maintenance: GET shows the status, POST requests maintenance of the members with the
-// given names, DELETE cancels or ends it. The results are those of handle.
+// handleMaintenance carries out a request to /ops/maintenance: GET shows the status, POST requests maintenance of the
+// members with the given names, DELETE cancels or ends it. The results are those of handle.
 func (s *AdminServer) handleMaintenance(method string, names []string) (status int, text string, allow []string) {
 	snapshot := s.Snapshot()
 	if time.Since(snapshot.At) > s.Limits.MaxStatsAge {
@@ -76,8 +76,8 @@
 	return http.StatusAccepted, "", nil
 }
 
-// memberIndex returns the index of the member with the given name, peer address or index, in this order of precedence; -1: no such
-// member.
+// memberIndex returns the index of the member with the given name, peer address or index, in this order of precedence;
+// -1: no such member.
 func (s *AdminServer) memberIndex(stats core.MaintenanceStats, name string) int {
 	if name == "" {
 		return -1
--- a/internal/mgmt/mgmt.go
+++ b/internal/mgmt/mgmt.go
@@ -1,5 +1,6 @@
-// Package mgmt is the admin endpoint for operators: HTTP/1.1 with one request per connection. The server answers from the last
-// snapshot that the event loop has published and waits for nothing else, so it answers even while the softswitch is busy.
+// Package mgmt is the admin endpoint for operators: HTTP/1.1 with one request per connection. The server answers from
+// the last snapshot that the event loop has published and waits for nothing else, so it answers even while the
+// softswitch is busy.
 package mgmt
 
 import (
@@ -44,7 +45,8 @@
 	conns  []net.Conn      // open connections, oldest first
 }
 
-// Serve accepts connections and answers their requests until the listener is closed, and then waits for the requests in progress.
+// Serve accepts connections and answers their requests until the listener is closed, and then waits for the requests in
+// progress.
 func (s *AdminServer) Serve(listener net.Listener) {
 	s.orders = make(chan core.Event, s.Limits.MaxOrders)
 	defer close(s.orders)
@@ -72,7 +74,8 @@
 	}
 }
 
-// addConn registers a connection. At MaxConns connections the oldest is closed, so that silent clients can't block the endpoint.
+// addConn registers a connection. At MaxConns connections the oldest is closed, so that silent clients can't block the
+// endpoint.
 func (s *AdminServer) addConn(conn net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -117,8 +120,9 @@
 	}
 }
 
-// handle carries out a request and returns the status and the text of the response. Members are the values of the query parameter
-// "member". Allow lists the permitted methods where the path doesn't permit the request's method; else it is nil.
+// handle carries out a request and returns the status and the text of the response. Members are the values of the query
+// parameter "member". Allow lists the permitted methods where the path doesn't permit the request's method; else it is
+// nil.
 func (s *AdminServer) handle(method, path string, members []string) (status int, text string, allow []string) {
 	wantMethod := http.MethodGet
 	if path == pathDrainStart || path == pathDrainStop {
@@ -209,8 +213,8 @@
 	return http.StatusServiceUnavailable, reason, nil
 }
 
-// writeResponse writes a response and closes the connection for writing. It then reads what the client still sends, because closing a
-// connection with unread data resets it, and the client could lose the response.
+// writeResponse writes a response and closes the connection for writing. It then reads what the client still sends,
+// because closing a connection with unread data resets it, and the client could lose the response.
 func (s *AdminServer) writeResponse(conn net.Conn, status int, text string, allow ...string) {
 	conn.SetDeadline(time.Now().Add(s.Limits.WriteTimeout))
 	header := http.Header{"Content-Type": {"text/plain; charset=utf-8"}}
--- a/internal/mgmt/servers.go
+++ b/internal/mgmt/servers.go
@@ -15,8 +15,8 @@
 	"elmseam/internal/loop"
 )
 
-// ServersStatus is the answer of /ops/servers: what each member of the tier has reported of each server and how old the reports are,
-// and which member holds which units of the budgets of cold servers.
+// ServersStatus is the answer of /ops/servers: what each member of the tier has reported of each server and how old the
+// reports are, and which member holds which units of the budgets of cold servers.
 type ServersStatus struct {
 	Self    int            `json:"self"`    // own index
 	Servers []ServerStatus `json:"servers"` // in the order of the server list; empty: knowledge is off
@@ -37,8 +37,8 @@
 	OmittedReports int            `json:"more,omitempty"`    // number of older reports that are not shown
 }
 
-// maxReportsShown limits the reports shown of each server. In a tier of hundreds of members all reports would take megabytes, and most
-// of them are old.
+// maxReportsShown limits the reports shown of each server. In a tier of hundreds of members all reports would take
+// megabytes, and most of them are old.
 const maxReportsShown = 64
 
 // MemberReport is what one member has observed of a server.
--- a/internal/mgmt/servers_test.go
+++ b/internal/mgmt/servers_test.go
@@ -10,8 +10,8 @@
 	"elmseam/internal/loop"
 )
 
-// In a large tier hundreds of members report each server. Only the newest reports are shown, in order, and the number of the others:
-// an answer with all of them took megabytes.
+// In a large tier hundreds of members report each server. Only the newest reports are shown, in order, and the number
+// of the others: an answer with all of them took megabytes.
 func TestServersShowNewestReports(t *testing.T) {
 	var reports []knowledge.ObserverEntry
 	for observer := range 300 {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,4 +1,5 @@
-// Package settings decodes and validates the settings of a deployment, in the JSON form that the simulator and the platform share.
+// Package settings decodes and validates the settings of a deployment, in the JSON form that the simulator and the
+// platform share.
 package settings
 
 import (
@@ -162,9 +163,9 @@
 	return indexes
 }
 
-// KeepClassIndexes reorders the classes of the current configuration so that each class keeps the index it had in the old one, because
-// calls in progress refer to their class by index. Classes that the current configuration lacks keep their index and are marked as
-// removed; new classes follow at the end.
+// KeepClassIndexes reorders the classes of the current configuration so that each class keeps the index it had in the
+// old one, because calls in progress refer to their class by index. Classes that the current configuration lacks keep
+// their index and are marked as removed; new classes follow at the end.
 func KeepClassIndexes(old Deployment, current *Deployment, currentSettings *elmseam.Settings, oldSettings elmseam.Settings) {
 	indexes := current.ClassIndexes()
 	var classes []Class
@@ -187,8 +188,8 @@
 	current.Classes, currentSettings.Classes = classes, moduleClasses
 }
 
-// requiredKeys lists the keys that the settings must contain, by the object that contains them; "" is the outermost object. Without
-// this check a truncated file whose braces were closed again would be read as settings of zero.
+// requiredKeys lists the keys that the settings must contain, by the object that contains them; "" is the outermost
+// object. Without this check a truncated file whose braces were closed again would be read as settings of zero.
 var requiredKeys = map[string][]string{
 	"":                {"request-classes", "family-info", "limits", "load-report", "obligations"},
 	"family-info":     {"own-number", "release-guard-us", "retransmit-us"},
@@ -198,8 +199,8 @@
 	"request-classes": {"name", "effect", "gain", "hard-limit-us", "objective-us"},
 }
 
-// Validate checks that the settings contain every required key, that limits which have to be positive are, and that the settings don't
-// contradict themselves. The text of an error is one line that names the field.
+// Validate checks that the settings contain every required key, that limits which have to be positive are, and that the
+// settings don't contradict themselves. The text of an error is one line that names the field.
 func Validate(text []byte) error {
 	var top map[string]json.RawMessage
 	if err := json.Unmarshal(text, &top); err != nil {
@@ -238,7 +239,8 @@
 	return checkConsistency(text)
 }
 
-// checkConsistency returns an error where the settings contradict themselves, since only one of two contradictory values would take effect.
+// checkConsistency returns an error where the settings contradict themselves, since only one of two contradictory
+// values would take effect.
 func checkConsistency(text []byte) error {
 	var info wireSettings
 	if err := json.Unmarshal(text, &info); err != nil {
@@ -289,7 +291,8 @@
 // shareTolerance is how far the sum of the tenants' shares may exceed 1, because the shares are rounded to a few digits.
 const shareTolerance = 0.01
 
-// checkRequiredKeys returns an error that names the first required key that the JSON object text lacks. Prefix is put before the key.
+// checkRequiredKeys returns an error that names the first required key that the JSON object text lacks. Prefix is put
+// before the key.
 func checkRequiredKeys(text []byte, section, prefix string) error {
 	var object map[string]json.RawMessage
 	if err := json.Unmarshal(text, &object); err != nil {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -9,7 +9,8 @@
 	"elmseam"
 )
 
-// validSettings are the settings of a deployment with tenants, whose load reports contain the wait and no hold-back share.
+// validSettings are the settings of a deployment with tenants, whose load reports contain the wait and no hold-back
+// share.
 const validSettings = `{"request-classes":[{"name":"view","effect":"free","gain":1,"objective-us":1500000,"hard-limit-us":9000000},
   {"name":"sign","effect":"free","gain":3,"objective-us":1500000,"hard-limit-us":9000000}],
  "family-info":{"own-number":-1,"release-guard-us":300000,"retransmit-us":800000},
@@ -46,7 +47,8 @@
 	}
 }
 
-// Load reports without a hold-back share still contain a value that the decision module uses, whatever the other columns are.
+// Load reports without a hold-back share still contain a value that the decision module uses, whatever the other
+// columns are.
 func TestDecodeWithoutHoldBackShare(t *testing.T) {
 	decoded, err := Decode([]byte(validSettings))
 	if err != nil {
