--- a/cmd/elmseamctl/check.go
+++ b/cmd/elmseamctl/check.go
@@ -42,7 +42,8 @@
 		},
 	}
 	flags := cmd.Flags()
-	flags.StringVar(&cfg.Model, "model", explore.ModelCalls, "model to explore: calls, circuits (of M3UA), members (of a tier), works (their maintenance) or parts (their quotas of budgets)")
+	flags.StringVar(&cfg.Model, "model", explore.ModelCalls,
+		"model to explore: calls, circuits (of M3UA), members (of a tier), works (their maintenance) or parts (their quotas of budgets)")
 	flags.IntVar(&cfg.Servers, "servers", 2, "number of servers, circuits or members")
 	flags.IntVar(&cfg.Calls, "calls", 2, "number of calls, or of 500 ms periods in which faults occur")
 	flags.IntVar(&cfg.Attempts, "attempts", 4, "max. attempts of a call")
@@ -69,7 +70,8 @@
 // printReport prints the result of an exploration and writes the counterexample, if any.
 func printReport(out io.Writer, cfg explore.Config, result *explore.Report, tracePath string) error {
 	fmt.Fprintf(out, "%s: %d servers, %d calls, %d attempts, %d faults, %d pauses: %d states, %d steps, %d terminal states, %v, %d MiB\n",
-		cfg.Model, cfg.Servers, cfg.Calls, cfg.Attempts, cfg.Faults, cfg.Pauses, result.States, result.Steps, result.TerminalStates, result.Elapsed.Round(time.Millisecond), result.Memory>>20)
+		cfg.Model, cfg.Servers, cfg.Calls, cfg.Attempts, cfg.Faults, cfg.Pauses, result.States, result.Steps,
+		result.TerminalStates, result.Elapsed.Round(time.Millisecond), result.Memory>>20)
 	if result.Counterexample != nil {
 		fmt.Fprintf(out, "BROKEN %v, in %d steps\n", &result.Counterexample.Violation, len(result.Counterexample.Actions))
 		if err := writeTrace(out, result.Counterexample, tracePath); err != nil {
@@ -81,7 +83,9 @@
 		fmt.Fprintf(out, "complete: all reachable states explored, up to %d actions deep; no invariant is violated\n", result.Depth)
 		return nil
 	}
-	fmt.Fprintf(out, "INCOMPLETE, stopped by the bound on %s: all states up to %d actions deep explored, and some deeper ones", result.StopReason, result.Depth)
+	fmt.Fprintf(out,
+		"INCOMPLETE, stopped by the bound on %s: all states up to %d actions deep explored, and some deeper ones",
+		result.StopReason, result.Depth)
 	if result.Walks > 0 {
 		fmt.Fprintf(out, ", %d random walks to a terminal state", result.Walks)
 	}
--- a/cmd/elmseamctl/lab.go
+++ b/cmd/elmseamctl/lab.go
@@ -74,7 +74,8 @@
 		},
 	}
 	run.Flags().StringVar(&binary, "binary", "bin/elmseam", "path of the softswitch program")
-	run.Flags().StringVar(&out, "out", "", "directory for the table, the verdict and the softswitches' logs (default: in the temporary directory)")
+	run.Flags().StringVar(&out, "out", "",
+		"directory for the table, the verdict and the softswitches' logs (default: in the temporary directory)")
 	cmd.AddCommand(run, tierCommand())
 	return cmd
 }
@@ -82,8 +83,10 @@
 // printVerdict prints the counts, the violated invariants and the verdict of a lab run.
 func printVerdict(cmd *cobra.Command, result *lab.Result, out string) {
 	output := cmd.OutOrStdout()
-	fmt.Fprintf(output, "%s: offered %d, served %d, refused %d, lost %d, excused %d, unsent %d; max. lag of the lab %v, %d time spans not checked\n",
-		result.Scenario, result.Offered, result.Served, result.Refused, result.Lost, result.Excused, result.Unsent, result.MaxLag, result.LagSpans)
+	fmt.Fprintf(output,
+		"%s: offered %d, served %d, refused %d, lost %d, excused %d, unsent %d; max. lag of the lab %v, %d time spans not checked\n",
+		result.Scenario, result.Offered, result.Served, result.Refused, result.Lost, result.Excused, result.Unsent,
+		result.MaxLag, result.LagSpans)
 	for _, violation := range result.Violations {
 		fmt.Fprintf(output, "BROKEN %s: first at %v, %d times: %s\n", violation.Rule, violation.First, violation.Count, violation.Detail)
 	}
--- a/cmd/elmseamctl/main_test.go
+++ b/cmd/elmseamctl/main_test.go
@@ -39,7 +39,8 @@
 			t.Errorf("no %q in\n%s", want, &text)
 		}
 	}
-	for want, modify := range map[int]func(){exitPassed: func() {}, exitViolation: func() { view.Majority = false }, exitUsage: func() { status = http.StatusNotFound }} {
+	for want, modify := range map[int]func(){exitPassed: func() {}, exitViolation: func() { view.Majority = false },
+		exitUsage: func() { status = http.StatusNotFound }} {
 		view.Majority, status = true, http.StatusOK
 		modify()
 		if got := run([]string{"members", address}); got != want {
@@ -64,7 +65,8 @@
 			t.Errorf("no %q in\n%s", want, &text)
 		}
 	}
-	for want, modify := range map[int]func(s *mgmt.ServerStatus){exitPassed: func(*mgmt.ServerStatus) {}, exitViolation: func(s *mgmt.ServerStatus) { s.FailingShare = 0.9 }} {
+	for want, modify := range map[int]func(s *mgmt.ServerStatus){exitPassed: func(*mgmt.ServerStatus) {},
+		exitViolation: func(s *mgmt.ServerStatus) { s.FailingShare = 0.9 }} {
 		view.Servers[0].FailingShare = 0
 		modify(&view.Servers[0])
 		if got := run([]string{"servers", strings.TrimPrefix(server.URL, "http://")}); got != want {
@@ -109,7 +111,8 @@
 
 // Each run of an experiment has a different seed; with equal seeds the median would be that of a single run.
 func TestRunsUseDifferentSeeds(t *testing.T) {
-	results, err := runExperiments(swarm.Experiment{Members: 5, Limits: membership.Defaults(), WarmUp: 5 * time.Second, Measured: time.Second, Kill: true}, 4)
+	results, err := runExperiments(swarm.Experiment{Members: 5, Limits: membership.Defaults(), WarmUp: 5 * time.Second,
+		Measured: time.Second, Kill: true}, 4)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/elmseamctl/maintenance.go
+++ b/cmd/elmseamctl/maintenance.go
@@ -44,19 +44,22 @@
 	}
 	cmd.AddCommand(
 		newOrderCommand("request ADDRESS MEMBER...", "Requests maintenance of members, given by name, peer address or index", http.MethodPost),
-		newOrderCommand("cancel ADDRESS MEMBER...", "Withdraws requests; for a member that is ready for work, reports that the work is done", http.MethodDelete),
-		&cobra.Command{Use: "status ADDRESS", Short: "Shows the waiting requests, and the members that are out for maintenance", Args: cobra.ExactArgs(1), RunE: func(c *cobra.Command, args []string) error {
-			status, text, err := requestMaintenance(http.MethodGet, args[0], nil, timeout)
-			if err != nil {
-				return err
-			}
-			var view mgmt.MaintenanceStatus
-			if status != http.StatusOK || json.Unmarshal([]byte(text), &view) != nil {
-				return fmt.Errorf("%s: %d: %.80s", args[0], status, strings.TrimSpace(text))
-			}
-			printMaintenance(c.OutOrStdout(), view)
-			return nil
-		}})
+		newOrderCommand("cancel ADDRESS MEMBER...",
+			"Withdraws requests; for a member that is ready for work, reports that the work is done", http.MethodDelete),
+		&cobra.Command{Use: "status ADDRESS",
+			Short: "Shows the waiting requests, and the members that are out for maintenance", Args: cobra.ExactArgs(1),
+			RunE: func(c *cobra.Command, args []string) error {
+				status, text, err := requestMaintenance(http.MethodGet, args[0], nil, timeout)
+				if err != nil {
+					return err
+				}
+				var view mgmt.MaintenanceStatus
+				if status != http.StatusOK || json.Unmarshal([]byte(text), &view) != nil {
+					return fmt.Errorf("%s: %d: %.80s", args[0], status, strings.TrimSpace(text))
+				}
+				printMaintenance(c.OutOrStdout(), view)
+				return nil
+			}})
 	return cmd
 }
 
@@ -71,7 +74,8 @@
 	fmt.Fprintln(table, "MEMBER\tNAME\tSTAGE\tREQUESTED\tRESTARTS\tEPOCH")
 	for _, requests := range [][]mgmt.MaintenanceRequest{status.Granted, status.Queue, status.Ended} {
 		for _, request := range requests {
-			fmt.Fprintf(table, "%d\t%s\t%s\t%s\t%d\t%d\n", request.Index, request.Name, request.Stage, request.RequestedAt.Format(time.RFC3339), request.Restarts, request.Epoch)
+			fmt.Fprintf(table, "%d\t%s\t%s\t%s\t%d\t%d\n", request.Index, request.Name, request.Stage,
+				request.RequestedAt.Format(time.RFC3339), request.Restarts, request.Epoch)
 		}
 	}
 	table.Flush()
--- a/cmd/elmseamctl/members.go
+++ b/cmd/elmseamctl/members.go
@@ -83,14 +83,16 @@
 		case member.LastDatagramAgeMS != nil:
 			lastReceived = formatMS(*member.LastDatagramAgeMS) + " ago"
 		}
-		fmt.Fprintf(table, "%d\t%s\t%s\t%s\t%s\t%d\n", member.Index, member.Address, member.State, formatMS(member.StateAgeMS), lastReceived, member.Incarnation)
+		fmt.Fprintf(table, "%d\t%s\t%s\t%s\t%s\t%d\n", member.Index, member.Address, member.State,
+			formatMS(member.StateAgeMS), lastReceived, member.Incarnation)
 	}
 	table.Flush()
 	majority := "sees a majority"
 	if !status.Majority {
 		majority = "sees NO majority"
 	}
-	fmt.Fprintf(out, "%s; uses %.2f of its quota of a cold server's budget; local health multiplier %d\n", majority, status.ColdShare, status.Health)
+	fmt.Fprintf(out, "%s; uses %.2f of its quota of a cold server's budget; local health multiplier %d\n", majority,
+		status.ColdShare, status.Health)
 }
 
 // formatMS formats a number of milliseconds as a duration, rounded to 100 ms.
--- a/cmd/elmseamctl/servers.go
+++ b/cmd/elmseamctl/servers.go
@@ -62,7 +62,8 @@
 			state += " (reported)"
 		}
 		healthy = healthy && !server.DrainReported && server.FailingShare <= 0.5
-		fmt.Fprintf(table, "%s\t%s\tall\t\t%.2f\t\t%.1f\t\t%.2f\t\n", server.Name, state, server.HoldBackShare, server.MeanRate, server.FailingShare)
+		fmt.Fprintf(table, "%s\t%s\tall\t\t%.2f\t\t%.1f\t\t%.2f\t\n", server.Name, state, server.HoldBackShare,
+			server.MeanRate, server.FailingShare)
 		for _, report := range server.Reports {
 			observer, holdBackAge := fmt.Sprint(report.Index), "none"
 			if report.Index == status.Self {
@@ -75,7 +76,8 @@
 			if report.Draining {
 				drainNote = "drains"
 			}
-			fmt.Fprintf(table, "\t%s\t%s\t%s\t%.2f\t%s\t%.1f\t%.0f\t%d\t%v\n", drainNote, observer, formatMS(report.AgeMS), report.HoldBackShare, holdBackAge, report.Rate, report.Lines, report.FailureWeight,
+			fmt.Fprintf(table, "\t%s\t%s\t%s\t%.2f\t%s\t%.1f\t%.0f\t%d\t%v\n", drainNote, observer,
+				formatMS(report.AgeMS), report.HoldBackShare, holdBackAge, report.Rate, report.Lines, report.FailureWeight,
 				time.Duration(report.MinSetUpTimeUS)*time.Microsecond)
 		}
 		if server.OmittedReports > 0 {
--- a/cmd/elmseamctl/tier.go
+++ b/cmd/elmseamctl/tier.go
@@ -79,7 +79,8 @@
 func reportScaling(w io.Writer, sizes []int, runs int, outDir string) error {
 	limits := membership.Defaults()
 	fmt.Fprintf(w, "Medians of %d runs; times after a kill in protocol periods of %v.\n\n", runs, limits.Period)
-	fmt.Fprintln(w, "| members | loss | datagrams per member and s | bytes per member and s | first suspicion | first considers it dead | all consider it dead | max. of all |")
+	fmt.Fprintln(w,
+		"| members | loss | datagrams per member and s | bytes per member and s | first suspicion | first considers it dead | all consider it dead | max. of all |")
 	fmt.Fprintln(w, "| --- | --- | --- | --- | --- | --- | --- | --- |")
 	detection, load := map[string][][2]float64{}, map[string][][2]float64{}
 	var names []string
@@ -112,14 +113,16 @@
 		}
 	}
 	return errors.Join(
-		lab.PlotGrowth(filepath.Join(outDir, "tier-detection.png"), "time from a kill until all consider the member dead", "protocol periods", names, detection),
+		lab.PlotGrowth(filepath.Join(outDir, "tier-detection.png"), "time from a kill until all consider the member dead",
+			"protocol periods", names, detection),
 		lab.PlotGrowth(filepath.Join(outDir, "tier-load.png"), "load sent by a member", "bytes per second", names, load))
 }
 
 // reportKnowledge measures how many bytes the sharing of knowledge of servers costs, and how old the newest reports are.
 func reportKnowledge(w io.Writer, runs int) error {
 	fmt.Fprintf(w, "\nKnowledge of servers, medians of %d runs of 20 s, each 30 s after the start.\n\n", runs)
-	fmt.Fprintln(w, "| members | servers | report to each member | loss | datagrams per member and s | bytes | bytes without knowledge | age of newest own report | age of newest known report |")
+	fmt.Fprintln(w,
+		"| members | servers | report to each member | loss | datagrams per member and s | bytes | bytes without knowledge | age of newest own report | age of newest known report |")
 	fmt.Fprintln(w, "| --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 	for _, config := range []struct {
 		members, servers int
@@ -127,7 +130,8 @@
 		loss             float64
 	}{{5, 3, 200 * time.Millisecond, 0}, {8, 3, 200 * time.Millisecond, 0}, {8, 3, 200 * time.Millisecond, 0.3},
 		{300, 24, 10 * time.Second, 0}, {300, 24, 10 * time.Second, 0.3}} {
-		experiment := swarm.Experiment{Members: config.members, Limits: membership.Defaults(), Loss: config.loss, MaxDelay: maxDatagramDelay, WarmUp: 30 * time.Second, Measured: 20 * time.Second}
+		experiment := swarm.Experiment{Members: config.members, Limits: membership.Defaults(), Loss: config.loss,
+			MaxDelay: maxDatagramDelay, WarmUp: 30 * time.Second, Measured: 20 * time.Second}
 		without, err := runExperiments(experiment, runs)
 		if err != nil {
 			return err
@@ -138,9 +142,11 @@
 			return err
 		}
 		bytes := func(outcome swarm.Outcome) float64 { return outcome.ByteRate }
-		fmt.Fprintf(w, "| %d | %d | every %v | %.0f %% | %.1f | %.0f | %.0f | %.1f s | %.1f s |\n", config.members, config.servers, config.interval, 100*config.loss,
+		fmt.Fprintf(w, "| %d | %d | every %v | %.0f %% | %.1f | %.0f | %.0f | %.1f s | %.1f s |\n", config.members,
+			config.servers, config.interval, 100*config.loss,
 			median(with, func(outcome swarm.Outcome) float64 { return outcome.DatagramRate }), median(with, bytes), median(without, bytes),
-			median(with, func(outcome swarm.Outcome) float64 { return outcome.OwnAge.Seconds() }), median(with, func(outcome swarm.Outcome) float64 { return outcome.AnyAge.Seconds() }))
+			median(with, func(outcome swarm.Outcome) float64 { return outcome.OwnAge.Seconds() }),
+			median(with, func(outcome swarm.Outcome) float64 { return outcome.AnyAge.Seconds() }))
 	}
 	return nil
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -94,7 +94,8 @@
 
 // build checks the fields of a configuration file and derives the limits from them.
 func build(parsed configFile) (*Config, error) {
-	cfg := &Config{Name: parsed.Name, Listen: parsed.Listen, Mgmt: parsed.Mgmt, CommandChannel: parsed.Channel, Cursor: parsed.Initial.Cursor, InitialCommands: parsed.Initial.Cmds,
+	cfg := &Config{Name: parsed.Name, Listen: parsed.Listen, Mgmt: parsed.Mgmt, CommandChannel: parsed.Channel,
+		Cursor: parsed.Initial.Cursor, InitialCommands: parsed.Initial.Cmds,
 		PeerListen: parsed.PeerListen, Peers: parsed.Peers}
 	if cfg.Name == "" {
 		return nil, fmt.Errorf("name: missing")
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -113,9 +113,11 @@
 		MaxCallers:     maxCallers,
 		EventQueue:     4096,
 		StatsInterval:  50 * time.Millisecond, // statistics may be up to 0.5 s old
-		Mgmt:           mgmt.Limits{MaxConns: min(16, parsed.Limits.Sockets/16), MaxRequestSize: 8 << 10, ReadTimeout: 2 * time.Second, WriteTimeout: time.Second, MaxStatsAge: 2 * time.Second, MaxOrders: 16},
+		Mgmt: mgmt.Limits{MaxConns: min(16, parsed.Limits.Sockets/16), MaxRequestSize: 8 << 10,
+			ReadTimeout: 2 * time.Second, WriteTimeout: time.Second, MaxStatsAge: 2 * time.Second, MaxOrders: 16},
 		HandOver: handover.Limits{
-			HelloTimeout: time.Second, ExitTimeout: 2 * time.Second, WriteTimeout: time.Second, MaxMessageSize: 128 << 10, MaxQueuedBytes: 4 << 20, MaxEndedCalls: 4096,
+			HelloTimeout: time.Second, ExitTimeout: 2 * time.Second, WriteTimeout: time.Second, MaxMessageSize: 128 << 10,
+			MaxQueuedBytes: 4 << 20, MaxEndedCalls: 4096,
 		},
 		Peers:       peers.Limits{Queue: 256, Rate: 400, Retry: 100 * time.Millisecond},
 		MemoryLimit: memoryBytes * 6 / 10,
--- a/internal/config/members.go
+++ b/internal/config/members.go
@@ -159,17 +159,22 @@
 func ParseMembers(text string) (MembersFile, error) {
 	membershipDefaults := membership.Defaults()
 	file := MembersFile{
-		Period: duration{membershipDefaults.Period}, ProbeTimeout: duration{membershipDefaults.Timeout}, IndirectProbes: membershipDefaults.Indirect, SuspicionMin: membershipDefaults.SuspicionMin,
-		SuspicionMax: membershipDefaults.SuspicionMax, Confirmations: membershipDefaults.Confirm, RetransmitMult: membershipDefaults.Retransmit, MaxHealth: membershipDefaults.MaxHealth,
+		Period: duration{membershipDefaults.Period}, ProbeTimeout: duration{membershipDefaults.Timeout},
+		IndirectProbes: membershipDefaults.Indirect, SuspicionMin: membershipDefaults.SuspicionMin,
+		SuspicionMax: membershipDefaults.SuspicionMax, Confirmations: membershipDefaults.Confirm,
+		RetransmitMult: membershipDefaults.Retransmit, MaxHealth: membershipDefaults.MaxHealth,
 		StallThreshold: duration{membershipDefaults.StallThreshold}, ReclaimPeriods: membershipDefaults.ReclaimPeriods,
 	}
 	maintenanceDefaults := maintenance.Defaults()
-	file.Maintenance = Maintenance{Budget: countOrShare{Count: maintenanceDefaults.Budget}, Lease: duration{maintenanceDefaults.Lease}, WorkLease: duration{maintenanceDefaults.WorkLease},
+	file.Maintenance = Maintenance{Budget: countOrShare{Count: maintenanceDefaults.Budget},
+		Lease: duration{maintenanceDefaults.Lease}, WorkLease: duration{maintenanceDefaults.WorkLease},
 		RoundTimeout: duration{maintenanceDefaults.Round}, MaxDrift: maintenanceDefaults.MaxDrift}
 	budgetDefaults := budgets.Defaults()
 	file.Quotas = Quotas{Lease: duration{budgetDefaults.Lease}, MaxDrift: budgetDefaults.MaxDrift, MaxMembers: budgetDefaults.MaxMembers}
 	knowledgeDefaults := knowledge.Defaults()
-	file.Knowledge = Knowledge{HalfLife: duration{knowledgeDefaults.HalfLife}, SlowHalfLife: duration{knowledgeDefaults.SlowHalfLife}, MaxAge: duration{knowledgeDefaults.MaxAge}, Fanout: knowledgeDefaults.Fanout}
+	file.Knowledge = Knowledge{HalfLife: duration{knowledgeDefaults.HalfLife},
+		SlowHalfLife: duration{knowledgeDefaults.SlowHalfLife}, MaxAge: duration{knowledgeDefaults.MaxAge},
+		Fanout: knowledgeDefaults.Fanout}
 	meta, err := toml.Decode(text, &file)
 	if err != nil {
 		return file, err
@@ -223,17 +228,21 @@
 		return socket, startEvents, true, fmt.Errorf("peers: %d addresses, but settings.peers-total is %d", count, c.Deployment.TierSize)
 	}
 	socket = peers.Config{Listen: c.PeerListen, Peers: c.Peers, Self: c.Deployment.Self, Limits: c.Limits.Peers}
-	startEvents = append(startEvents, core.StartMembership{Config: membership.Config{Self: c.Deployment.Self, TierSize: len(c.Peers), Limits: c.Limits.Membership, Seed: c.Seed}})
+	startEvents = append(startEvents, core.StartMembership{Config: membership.Config{Self: c.Deployment.Self,
+		TierSize: len(c.Peers), Limits: c.Limits.Membership, Seed: c.Seed}})
 	if file.Maintenance.Enabled {
 		c.Limits.Maintenance = file.Maintenance.limits(len(c.Peers))
-		startEvents = append(startEvents, core.StartMaintenance{Config: maintenance.Config{Self: c.Deployment.Self, TierSize: len(c.Peers), Zone: c.Deployment.Zone, Name: c.Name,
+		startEvents = append(startEvents, core.StartMaintenance{Config: maintenance.Config{Self: c.Deployment.Self,
+			TierSize: len(c.Peers), Zone: c.Deployment.Zone, Name: c.Name,
 			Limits: c.Limits.Maintenance, Seed: c.Seed}})
 	}
 	if file.Knowledge.Enabled {
-		startEvents = append(startEvents, core.StartKnowledge{Config: knowledge.Config{Self: c.Deployment.Self, TierSize: len(c.Peers), Limits: file.Knowledge.limits(), Seed: c.Seed}})
+		startEvents = append(startEvents, core.StartKnowledge{Config: knowledge.Config{Self: c.Deployment.Self,
+			TierSize: len(c.Peers), Limits: file.Knowledge.limits(), Seed: c.Seed}})
 	}
 	if file.Quotas.Enabled {
-		startEvents = append(startEvents, core.StartBudget{Config: budgets.Config{Self: c.Deployment.Self, TierSize: len(c.Peers), Limits: file.Quotas.limits(), Seed: c.Seed}})
+		startEvents = append(startEvents, core.StartBudget{Config: budgets.Config{Self: c.Deployment.Self,
+			TierSize: len(c.Peers), Limits: file.Quotas.limits(), Seed: c.Seed}})
 	}
 	return socket, startEvents, true, nil
 }
--- a/internal/config/signalling.go
+++ b/internal/config/signalling.go
@@ -39,7 +39,8 @@
 // Platform returns the configuration of the platform protocol.
 func (c *Config) Platform() platform.Config {
 	return platform.Config{
-		Deployment: c.Deployment, CallerConn: c.Limits.CallerConn, ServerConn: c.Limits.ServerConn, DialTimeout: c.Limits.DialTimeout, MaxCallers: c.Limits.MaxCallers,
+		Deployment: c.Deployment, CallerConn: c.Limits.CallerConn, ServerConn: c.Limits.ServerConn,
+		DialTimeout: c.Limits.DialTimeout, MaxCallers: c.Limits.MaxCallers,
 	}
 }
 
--- a/internal/mgmt/maintenance.go
+++ b/internal/mgmt/maintenance.go
@@ -96,10 +96,13 @@
 
 // maintenanceJSON formats the answer of /ops/maintenance.
 func maintenanceJSON(stats core.MaintenanceStats) string {
-	status := MaintenanceStatus{Self: stats.Self, Recovered: stats.Recovered, Budget: stats.Budget, HoldsGrant: stats.Slot >= 0, Queue: []MaintenanceRequest{}, Granted: []MaintenanceRequest{}, Ended: []MaintenanceRequest{}}
+	status := MaintenanceStatus{Self: stats.Self, Recovered: stats.Recovered, Budget: stats.Budget,
+		HoldsGrant: stats.Slot >= 0, Queue: []MaintenanceRequest{}, Granted: []MaintenanceRequest{},
+		Ended: []MaintenanceRequest{}}
 	requestOf := func(index int) MaintenanceRequest {
 		record := stats.Records[index]
-		request := MaintenanceRequest{Index: index, Name: stats.Names[index], Stage: record.Stage.String(), RequestedAt: time.UnixMilli(int64(record.RequestedAt)).UTC(), Restarts: record.Restarts}
+		request := MaintenanceRequest{Index: index, Name: stats.Names[index], Stage: record.Stage.String(),
+			RequestedAt: time.UnixMilli(int64(record.RequestedAt)).UTC(), Restarts: record.Restarts}
 		if record.Stage == maintenance.Draining || record.Stage == maintenance.Ready {
 			request.Slot, request.Epoch = int(record.Slot), record.Epoch
 		}
@@ -135,8 +138,10 @@
 		value uint64
 	}{
 		{"waiting", uint64(len(stats.Queue))}, {"out", uint64(granted)}, {"budget", uint64(stats.Budget)},
-		{"asked", counters.Rounds}, {"granted", counters.Granted}, {"renewed", counters.Renewed}, {"lost", counters.Expired}, {"yes", counters.VotesGranted}, {"no", counters.VotesRefused},
-		{"sent", counters.Sent}, {"sent_bytes", counters.SentBytes}, {"dropped_garbled", counters.Malformed}, {"dropped_version", counters.VersionMismatches},
+		{"asked", counters.Rounds}, {"granted", counters.Granted}, {"renewed", counters.Renewed},
+		{"lost", counters.Expired}, {"yes", counters.VotesGranted}, {"no", counters.VotesRefused},
+		{"sent", counters.Sent}, {"sent_bytes", counters.SentBytes}, {"dropped_garbled", counters.Malformed},
+		{"dropped_version", counters.VersionMismatches},
 		{"dropped_stranger", counters.UnknownSenders},
 	} {
 		fmt.Fprintf(&text, "app.maintenance.%s=%d\n", line.name, line.value)
--- a/internal/mgmt/members.go
+++ b/internal/mgmt/members.go
@@ -67,7 +67,8 @@
 		{"probes", stats.Probes}, {"indirect", stats.Indirect}, {"acks", stats.Acks}, {"nacks", stats.Nacks}, {"failed", stats.Failed},
 		{"suspicions", stats.Suspicions}, {"deaths", stats.Deaths}, {"refutations", stats.Refutations}, {"stalls", stats.Stalls},
 		{"sent", stats.Sent}, {"sent_bytes", stats.SentBytes}, {"heard", stats.Received},
-		{"dropped_garbled", stats.Malformed}, {"dropped_version", stats.VersionMismatches}, {"dropped_stranger", stats.UnknownSenders + socket.UnknownSenders},
+		{"dropped_garbled", stats.Malformed}, {"dropped_version", stats.VersionMismatches},
+		{"dropped_stranger", stats.UnknownSenders + socket.UnknownSenders},
 		{"dropped_flood", socket.RateLimited}, {"unwritten", socket.SendDrops},
 	} {
 		fmt.Fprintf(&text, "app.members.%s=%d\n", line.name, line.value)
--- a/internal/mgmt/servers.go
+++ b/internal/mgmt/servers.go
@@ -75,14 +75,18 @@
 	}
 	if snapshot.Knowledge != nil {
 		for _, known := range snapshot.Knowledge.Servers {
-			entry := ServerStatus{Name: known.Name, State: phaseNames[known.Phase], DrainReported: known.DrainReported, HoldBackShare: known.View.HoldBackShare, MeanRate: known.View.Rate,
+			entry := ServerStatus{Name: known.Name, State: phaseNames[known.Phase], DrainReported: known.DrainReported,
+				HoldBackShare: known.View.HoldBackShare, MeanRate: known.View.Rate,
 				FailingShare: known.View.FailingShare, AllowedRate: max(known.ColdRate, 0), Reports: []MemberReport{}}
-			newest := slices.SortedStableFunc(slices.Values(known.Reports), func(a, b knowledge.ObserverEntry) int { return cmp.Compare(b.At, a.At) })
+			newest := slices.SortedStableFunc(slices.Values(known.Reports), func(a, b knowledge.ObserverEntry) int {
+				return cmp.Compare(b.At, a.At)
+			})
 			entry.OmittedReports = max(len(newest)-maxReportsShown, 0)
 			newest = newest[:len(newest)-entry.OmittedReports]
 			slices.SortFunc(newest, func(a, b knowledge.ObserverEntry) int { return a.Observer - b.Observer })
 			for _, observed := range newest {
-				report := MemberReport{Index: observed.Observer, HoldBackShare: observed.HoldBackShare, Rate: observed.Rate, Lines: observed.Lines, FailureWeight: observed.FailureWeight,
+				report := MemberReport{Index: observed.Observer, HoldBackShare: observed.HoldBackShare,
+					Rate: observed.Rate, Lines: observed.Lines, FailureWeight: observed.FailureWeight,
 					MinSetUpTimeUS: observed.MinSetUpTime.Microseconds(), Draining: observed.DrainingSince > 0, AgeMS: ageMS(observed.At)}
 				if observed.HoldBackShareAt > 0 {
 					age := ageMS(observed.HoldBackShareAt)
@@ -124,13 +128,17 @@
 
 // knowledgeStatsText formats the counters of knowledge.
 func knowledgeStatsText(stats core.KnowledgeStats) string {
-	return statLines("knowledge", []statValue{{"told", stats.EntriesSent}, {"heard", stats.EntriesReceived}, {"stale", stats.Stale}, {"unlisted", stats.Unlisted}, {"asked", stats.QueriesSent},
-		{"answered", stats.QueriesAnswered}, {"sent", stats.Sent}, {"sent_bytes", stats.SentBytes}, {"dropped_garbled", stats.Malformed}, {"dropped_stranger", stats.UnknownSenders}})
+	return statLines("knowledge", []statValue{{"told", stats.EntriesSent}, {"heard", stats.EntriesReceived},
+		{"stale", stats.Stale}, {"unlisted", stats.Unlisted}, {"asked", stats.QueriesSent},
+		{"answered", stats.QueriesAnswered}, {"sent", stats.Sent}, {"sent_bytes", stats.SentBytes},
+		{"dropped_garbled", stats.Malformed}, {"dropped_stranger", stats.UnknownSenders}})
 }
 
 // quotaStatsText formats the counters of the cold servers' quotas.
 func quotaStatsText(stats core.QuotaStats) string {
-	return statLines("parts", []statValue{{"claims", stats.Claims}, {"granted", stats.Granted}, {"inherited", stats.TakenOver}, {"expired", stats.Expired},
-		{"borrowed", stats.Borrowed}, {"lent", stats.Lent}, {"yes", stats.VotesGranted}, {"no", stats.VotesRefused}, {"sent", stats.Sent}, {"sent_bytes", stats.SentBytes},
+	return statLines("parts", []statValue{{"claims", stats.Claims}, {"granted", stats.Granted},
+		{"inherited", stats.TakenOver}, {"expired", stats.Expired},
+		{"borrowed", stats.Borrowed}, {"lent", stats.Lent}, {"yes", stats.VotesGranted}, {"no", stats.VotesRefused},
+		{"sent", stats.Sent}, {"sent_bytes", stats.SentBytes},
 		{"dropped_garbled", stats.Malformed}, {"dropped_stranger", stats.UnknownSenders}})
 }
--- a/internal/mgmt/servers_test.go
+++ b/internal/mgmt/servers_test.go
@@ -15,10 +15,12 @@
 func TestServersShowNewestReports(t *testing.T) {
 	var reports []knowledge.ObserverEntry
 	for observer := range 300 {
-		reports = append(reports, knowledge.ObserverEntry{Observer: observer, At: knowledge.Time(1000+observer%150) * knowledge.Time(time.Millisecond)})
+		reports = append(reports, knowledge.ObserverEntry{Observer: observer,
+			At: knowledge.Time(1000+observer%150) * knowledge.Time(time.Millisecond)})
 	}
 	snapshot := loop.Snapshot{At: time.Unix(2, 0)}
-	snapshot.Knowledge = &core.KnowledgeStats{Servers: []core.ServerKnowledge{{Name: "s", Reports: reports}, {Name: "t", Reports: reports[:2]}}}
+	snapshot.Knowledge = &core.KnowledgeStats{Servers: []core.ServerKnowledge{{Name: "s", Reports: reports},
+		{Name: "t", Reports: reports[:2]}}}
 	var status ServersStatus
 	if err := json.Unmarshal([]byte(serversJSON(snapshot)), &status); err != nil {
 		t.Fatal(err)
