--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -94,7 +94,7 @@
 			MaxEndedCalls:       int(memoryBytes / 8 / endedCallBytes),
 			Probe:               probe.Limits{Permitted: deployment.ProbesEnabled, Rate: 1, Burst: 2, Timeout: 1500 * time.Millisecond},
 			MaxRoutes:           10000,
-			RetryHint:           max(deployment.MinAim/4, 50*time.Millisecond), // after this wait a new set-up can still succeed within the aim
+			RetryHint:           max(deployment.MinAim/4, 50*time.Millisecond), // leaves time for a new set-up within the aim
 			EndedCallTTL:        max(deployment.MaxWait, 10*time.Second) * 6,
 		},
 		CallerConn: link.Limits{
@@ -126,7 +126,8 @@
 	// Data queued for callers that don't read, and the data of open calls, take at most a quarter of the memory each.
 	limits.ServerConn = limits.CallerConn
 	limits.ServerConn.LineTimeout, limits.ServerConn.MaxSilence = 500*time.Millisecond, 3*time.Second
-	limits.ServerConn.LingerTimeout = 50 * time.Millisecond // servers close at once, and the descriptor may be needed for another connection
+	// Servers close at once, and the descriptor may be needed for another connection.
+	limits.ServerConn.LingerTimeout = 50 * time.Millisecond
 	limits.CallerConn.MaxQueuedBytes = min(limits.CallerConn.MaxQueuedBytes, max(int(memoryBytes/4)/maxCallers, 2*maxMessageSize))
 	limits.Core.MaxCallBytes = int(memoryBytes / 4)
 	if limits.DialTimeout <= 0 {
--- a/internal/mgmt/members.go
+++ b/internal/mgmt/members.go
@@ -17,7 +17,7 @@
 	Self      int            `json:"self"`      // own index
 	Health    int            `json:"health"`    // local health multiplier; 0 is best
 	Majority  bool           `json:"majority"`  // more than half of the tier is available
-	ColdShare float64        `json:"coldShare"` // fraction of its own quota of a cold server's budget that this softswitch uses, over 0 to 1
+	ColdShare float64        `json:"coldShare"` // fraction used of the own quota of a cold server's budget, over 0 to 1
 	Members   []MemberStatus `json:"members"`   // by index
 }
 
@@ -28,7 +28,7 @@
 	State             string `json:"state"`       // unknown, alive, draining, suspect, dead or left
 	Incarnation       uint64 `json:"incarnation"` // 0: not known
 	StateAgeMS        int64  `json:"forMs"`       // time in this state, in milliseconds
-	LastDatagramAgeMS *int64 `json:"heardMs"`     // time since its last datagram, in milliseconds; null: none received, or this softswitch itself
+	LastDatagramAgeMS *int64 `json:"heardMs"`     // age of its last datagram, in milliseconds; null: none received, or this softswitch
 }
 
 // membersJSON formats the answer of /ops/members. Addresses are the members' addresses, by index.
--- a/internal/mgmt/servers.go
+++ b/internal/mgmt/servers.go
@@ -32,7 +32,7 @@
 	HoldBackShare  float64        `json:"share"`             // fraction of new set-ups to hold back, from all reports, 0 to 1
 	MeanRate       float64        `json:"rate"`              // mean number of set-ups per second that the server takes from another member
 	FailingShare   float64        `json:"failing"`           // share of the other members, by weight, that consider the server failing
-	AllowedRate    float64        `json:"allowed,omitempty"` // while the server is cold: set-ups per second of its budget that this softswitch may use
+	AllowedRate    float64        `json:"allowed,omitempty"` // set-ups per second that this softswitch may use of a cold server's budget
 	Reports        []MemberReport `json:"told"`              // the newest reports, by index of the member
 	OmittedReports int            `json:"more,omitempty"`    // number of older reports that are not shown
 }
@@ -56,10 +56,13 @@
 
 // Quota is one member's quota of the budgets of cold servers. A quota has budget.Units units.
 type Quota struct {
-	Index   int   `json:"number"`  // index of the member whose quota it is
-	Usable  int   `json:"use"`     // units that this softswitch may use
-	Lent    int   `json:"lent"`    // own units lent to other members
-	Holders []int `json:"holders"` // by unit, the holder that this softswitch has granted it to; -1: none. The first unit always belongs to the member itself
+	Index  int `json:"number"` // index of the member whose quota it is
+	Usable int `json:"use"`    // units that this softswitch may use
+	Lent   int `json:"lent"`   // own units lent to other members
+
+	// Holders are the members to which this softswitch has granted the units, by unit; -1: none. The first unit always
+	// belongs to the member itself.
+	Holders []int `json:"holders"`
 }
 
 // phaseNames are the states of a server as /ops/servers shows them.
