--- a/internal/mgmt/servers.go
+++ b/internal/mgmt/servers.go
@@ -15,118 +15,133 @@
 	"elmseam/internal/loop"
 )
 
-// ServersStatus is the answer of /ops/servers: what the tier knows of each server, by whom and how old, and who holds which part
-// of the budgets of those that are cold.
+// ServersStatus is the answer of /ops/servers: what each member of the tier has reported of each server and how old the
+// reports are, and which member holds which units of the budgets of cold servers.
 type ServersStatus struct {
-	Self         int            `json:"self"`    // own number
-	Servers      []ServerStatus `json:"servers"` // as listed; none where knowledge is off
-	QuotasActive bool           `json:"active"`  // a server is cold, and parts of its budget are held
-	Quotas       []Quota        `json:"parts"`   // by member; none where they don't move
+	Self    int            `json:"self"`    // own index
+	Servers []ServerStatus `json:"servers"` // in the order of the server list; empty: knowledge is off
+	AnyCold bool           `json:"active"`  // a server is cold, and members hold units of its budget
+	Quotas  []Quota        `json:"parts"`   // by member; empty: the quotas are fixed
 }
 
-// ServerStatus is one of the own list.
+// ServerStatus is what is known of one server of the own list.
 type ServerStatus struct {
-	Name          string         `json:"name"`
-	State         string         `json:"state"`             // ready, draining or gone
-	DrainReported bool           `json:"heard"`             // it is held for draining by a peer's newer list alone
-	HoldBackShare float64        `json:"share"`             // of new set-ups to be held back, of all that is known
-	MeanRate      float64        `json:"rate"`              // set-ups a second that another softswitch takes from there, on the mean
-	FailingShare  float64        `json:"failing"`           // share of the others' weight that holds it for failing
-	AllowedRate   float64        `json:"allowed,omitempty"` // while it is cold: set-ups a second of a warm one that may be used here
-	Reports       []MemberReport `json:"told"`              // the newest, by number
-	Omitted       int            `json:"more,omitempty"`    // others that have told, and aren't shown
+	Name           string         `json:"name"`
+	State          string         `json:"state"`             // ready, draining or gone
+	DrainReported  bool           `json:"heard"`             // draining only by another member's newer list, not by the own list
+	HoldBackShare  float64        `json:"share"`             // fraction of new set-ups to hold back, from all reports, 0 to 1
+	MeanRate       float64        `json:"rate"`              // mean number of set-ups per second that the server takes from another member
+	FailingShare   float64        `json:"failing"`           // share of the other members, by weight, that consider the server failing
+	AllowedRate    float64        `json:"allowed,omitempty"` // set-ups per second that this softswitch may use of a cold server's budget
+	Reports        []MemberReport `json:"told"`              // the newest reports, by index of the member
+	OmittedReports int            `json:"more,omitempty"`    // number of older reports that are not shown
 }
 
-// toldShown are the entries shown of a server: in a tier of hundreds all of them are megabytes, and most are old.
-const toldShown = 64
+// maxReportsShown limits the reports shown of each server. In a tier of hundreds of members all reports would take
+// megabytes, and most of them are old.
+const maxReportsShown = 64
 
-// MemberReport is what one softswitch has seen of a server.
+// MemberReport is what one member has observed of a server.
 type MemberReport struct {
 	Index          int     `json:"number"`
-	HoldBackShare  float64 `json:"share"`
-	HoldBackAgeMS  *int64  `json:"shareMs"` // age of that report, in milliseconds; null: none came
-	Rate           float64 `json:"rate"`
-	Lines          float64 `json:"lines"`
-	FailureWeight  int     `json:"bad"`
-	MinSetUpTimeUS int64   `json:"floorUs"` // shortest set-up time, in microseconds; 0: none stood yet
-	Draining       bool    `json:"drains"`
-	AgeMS          int64   `json:"ageMs"` // it was so then; 0: the own
+	HoldBackShare  float64 `json:"share"`   // fraction of new set-ups that the server last asked this member to hold back, 0 to 1
+	HoldBackAgeMS  *int64  `json:"shareMs"` // age of the hold-back share, in milliseconds; null: none received
+	Rate           float64 `json:"rate"`    // set-ups per second that the server takes from this member when warm; 0: not known
+	Lines          float64 `json:"lines"`   // lines of the server; 0: not known
+	FailureWeight  int     `json:"bad"`     // weight of the consecutive failed attempts
+	MinSetUpTimeUS int64   `json:"floorUs"` // shortest set-up time, in microseconds; 0: no call was established yet
+	Draining       bool    `json:"drains"`  // the member's list says that the server drains
+	AgeMS          int64   `json:"ageMs"`   // age of the report, in milliseconds; 0: this softswitch's own
 }
 
-// Quota is one softswitch's part of cold servers' budgets, in eighths.
+// Quota is one member's quota of the budgets of cold servers. A quota has budget.Units units.
 type Quota struct {
-	Index   int   `json:"number"`
-	Usable  int   `json:"use"`     // eighths that this softswitch may use
-	Lent    int   `json:"lent"`    // of its own, to others
-	Holders []int `json:"holders"` // by eighth, as this one has granted them; -1: nobody, the first is the owner's
+	Index  int `json:"number"` // index of the member whose quota it is
+	Usable int `json:"use"`    // units that this softswitch may use
+	Lent   int `json:"lent"`   // own units lent to other members
+
+	// Holders are the members to which this softswitch has granted the units, by unit; -1: none. The first unit always
+	// belongs to the member itself.
+	Holders []int `json:"holders"`
 }
 
+// phaseNames are the states of a server as /ops/servers shows them.
 var phaseNames = map[elmseam.Phase]string{elmseam.Gone: "gone", elmseam.Ready: "ready", elmseam.Draining: "draining"}
 
-// serversJSON shows what the tier knows.
-func serversJSON(f loop.Snapshot) string {
-	now := knowledge.Time(f.At.UnixNano())
-	ms := func(at knowledge.Time) int64 { return max(int64((now-at)/time.Millisecond), 0) }
-	s := ServersStatus{Servers: []ServerStatus{}, Quotas: []Quota{}}
-	if f.Members != nil {
-		s.Self = f.Members.Self
+// serversJSON formats the answer of /ops/servers.
+func serversJSON(snapshot loop.Snapshot) string {
+	now := knowledge.Time(snapshot.At.UnixNano())
+	ageMS := func(at knowledge.Time) int64 { return max(int64((now-at)/time.Millisecond), 0) }
+	status := ServersStatus{Servers: []ServerStatus{}, Quotas: []Quota{}}
+	if snapshot.Members != nil {
+		status.Self = snapshot.Members.Self
 	}
-	if f.Knowledge != nil {
-		for _, k := range f.Knowledge.Servers {
-			one := ServerStatus{Name: k.Name, State: phaseNames[k.Phase], DrainReported: k.DrainReported, HoldBackShare: k.View.HoldBackShare, MeanRate: k.View.Rate,
-				FailingShare: k.View.FailingShare, AllowedRate: max(k.ColdRate, 0), Reports: []MemberReport{}}
-			newest := slices.SortedStableFunc(slices.Values(k.Reports), func(a, b knowledge.ObserverEntry) int { return cmp.Compare(b.At, a.At) })
-			one.Omitted = max(len(newest)-toldShown, 0)
-			newest = newest[:len(newest)-one.Omitted]
+	if snapshot.Knowledge != nil {
+		for _, known := range snapshot.Knowledge.Servers {
+			entry := ServerStatus{Name: known.Name, State: phaseNames[known.Phase], DrainReported: known.DrainReported,
+				HoldBackShare: known.View.HoldBackShare, MeanRate: known.View.Rate,
+				FailingShare: known.View.FailingShare, AllowedRate: max(known.ColdRate, 0), Reports: []MemberReport{}}
+			newest := slices.SortedStableFunc(slices.Values(known.Reports), func(a, b knowledge.ObserverEntry) int {
+				return cmp.Compare(b.At, a.At)
+			})
+			entry.OmittedReports = max(len(newest)-maxReportsShown, 0)
+			newest = newest[:len(newest)-entry.OmittedReports]
 			slices.SortFunc(newest, func(a, b knowledge.ObserverEntry) int { return a.Observer - b.Observer })
-			for _, t := range newest {
-				told := MemberReport{Index: t.Observer, HoldBackShare: t.HoldBackShare, Rate: t.Rate, Lines: t.Lines, FailureWeight: t.FailureWeight,
-					MinSetUpTimeUS: t.MinSetUpTime.Microseconds(), Draining: t.DrainingSince > 0, AgeMS: ms(t.At)}
-				if t.HoldBackShareAt > 0 {
-					age := ms(t.HoldBackShareAt)
-					told.HoldBackAgeMS = &age
+			for _, observed := range newest {
+				report := MemberReport{Index: observed.Observer, HoldBackShare: observed.HoldBackShare,
+					Rate: observed.Rate, Lines: observed.Lines, FailureWeight: observed.FailureWeight,
+					MinSetUpTimeUS: observed.MinSetUpTime.Microseconds(), Draining: observed.DrainingSince > 0, AgeMS: ageMS(observed.At)}
+				if observed.HoldBackShareAt > 0 {
+					age := ageMS(observed.HoldBackShareAt)
+					report.HoldBackAgeMS = &age
 				}
-				one.Reports = append(one.Reports, told)
+				entry.Reports = append(entry.Reports, report)
 			}
-			s.Servers = append(s.Servers, one)
+			status.Servers = append(status.Servers, entry)
 		}
 	}
-	if f.Quotas != nil {
-		s.QuotasActive = f.Quotas.Active
-		for m, p := range f.Quotas.Quotas {
-			one := Quota{Index: m, Usable: p.Usable.Count(), Lent: p.Lent.Count()}
-			for u := range budget.Units {
-				one.Holders = append(one.Holders, p.Grants[u].Holder)
+	if snapshot.Quotas != nil {
+		status.AnyCold = snapshot.Quotas.Active
+		for index, quota := range snapshot.Quotas.Quotas {
+			entry := Quota{Index: index, Usable: quota.Usable.Count(), Lent: quota.Lent.Count()}
+			for unit := range budget.Units {
+				entry.Holders = append(entry.Holders, quota.Grants[unit].Holder)
 			}
-			s.Quotas = append(s.Quotas, one)
+			status.Quotas = append(status.Quotas, entry)
 		}
 	}
-	b, _ := json.Marshal(s)
-	return string(b) + "\n"
+	encoded, _ := json.Marshal(status)
+	return string(encoded) + "\n"
 }
 
-// lines writes figures down, one a line.
-func lines(protocol string, figures []figure) string {
-	var b strings.Builder
-	for _, l := range figures {
-		fmt.Fprintf(&b, "app.%s.%s=%d\n", protocol, l.name, l.value)
+// statLines formats the values of a group as lines "app.GROUP.NAME=VALUE".
+func statLines(group string, values []statValue) string {
+	var text strings.Builder
+	for _, value := range values {
+		fmt.Fprintf(&text, "app.%s.%s=%d\n", group, value.name, value.value)
 	}
-	return b.String()
+	return text.String()
 }
 
-type figure struct {
+// statValue is a counter or gauge and its name in /ops/stats.
+type statValue struct {
 	name  string
 	value uint64
 }
 
-// knowText shows the figures of knowledge, partText those of parts.
-func knowText(f core.KnowledgeStats) string {
-	return lines("knowledge", []figure{{"told", f.EntriesSent}, {"heard", f.EntriesReceived}, {"stale", f.Stale}, {"unlisted", f.Unlisted}, {"asked", f.QueriesSent},
-		{"answered", f.QueriesAnswered}, {"sent", f.Sent}, {"sent_bytes", f.SentBytes}, {"dropped_garbled", f.Malformed}, {"dropped_stranger", f.UnknownSenders}})
+// knowledgeStatsText formats the counters of knowledge.
+func knowledgeStatsText(stats core.KnowledgeStats) string {
+	return statLines("knowledge", []statValue{{"told", stats.EntriesSent}, {"heard", stats.EntriesReceived},
+		{"stale", stats.Stale}, {"unlisted", stats.Unlisted}, {"asked", stats.QueriesSent},
+		{"answered", stats.QueriesAnswered}, {"sent", stats.Sent}, {"sent_bytes", stats.SentBytes},
+		{"dropped_garbled", stats.Malformed}, {"dropped_stranger", stats.UnknownSenders}})
 }
 
-func partText(f core.QuotaStats) string {
-	return lines("parts", []figure{{"claims", f.Claims}, {"granted", f.Granted}, {"inherited", f.TakenOver}, {"expired", f.Expired},
-		{"borrowed", f.Borrowed}, {"lent", f.Lent}, {"yes", f.VotesGranted}, {"no", f.VotesRefused}, {"sent", f.Sent}, {"sent_bytes", f.SentBytes},
-		{"dropped_garbled", f.Malformed}, {"dropped_stranger", f.UnknownSenders}})
+// quotaStatsText formats the counters of the cold servers' quotas.
+func quotaStatsText(stats core.QuotaStats) string {
+	return statLines("parts", []statValue{{"claims", stats.Claims}, {"granted", stats.Granted},
+		{"inherited", stats.TakenOver}, {"expired", stats.Expired},
+		{"borrowed", stats.Borrowed}, {"lent", stats.Lent}, {"yes", stats.VotesGranted}, {"no", stats.VotesRefused},
+		{"sent", stats.Sent}, {"sent_bytes", stats.SentBytes},
+		{"dropped_garbled", stats.Malformed}, {"dropped_stranger", stats.UnknownSenders}})
 }
