--- a/internal/swarm/trial.go
+++ b/internal/swarm/experiment.go
@@ -37,71 +37,71 @@
 }
 
 // Run runs a trial: the same one has the same outcome on any machine.
-func (t Experiment) Run() (Outcome, error) {
-	o := Outcome{FirstSuspected: -1, FirstDead: -1, AllDead: -1}
-	s, err := New(Config{Servers: t.Servers, ReportInterval: t.ReportInterval, Members: t.Members, Limits: t.Limits, Seed: t.Seed, Delays: func(_ Time, _, _ int, r *rand.Rand) []time.Duration {
-		if r.Float64() < t.Loss {
+func (e Experiment) Run() (Outcome, error) {
+	outcome := Outcome{FirstSuspected: -1, FirstDead: -1, AllDead: -1}
+	sim, err := New(Config{Servers: e.Servers, ReportInterval: e.ReportInterval, Members: e.Members, Limits: e.Limits, Seed: e.Seed, Delays: func(_ Time, _, _ int, r *rand.Rand) []time.Duration {
+		if r.Float64() < e.Loss {
 			return nil
 		}
-		return []time.Duration{time.Millisecond/2 + time.Duration(r.Int64N(int64(max(t.MaxDelay, 1))))}
+		return []time.Duration{time.Millisecond/2 + time.Duration(r.Int64N(int64(max(e.MaxDelay, 1))))}
 	}})
 	if err != nil {
-		return o, err
+		return outcome, err
 	}
 	const victim = 0 // and the troubled ones are the last
-	s.Run(Epoch + t.WarmUp)
-	began, killed, dead := s.Counters(), Time(0), make([]bool, t.Members)
-	rode := s.PiggybackBytes()
-	s.OnChange = func(at Time, observer int, c membership.StateChanged) {
+	sim.Run(Epoch + e.WarmUp)
+	startCounters, killedAt, heldDead := sim.Counters(), Time(0), make([]bool, e.Members)
+	startPiggybackBytes := sim.PiggybackBytes()
+	sim.OnChange = func(at Time, observer int, change membership.StateChanged) {
 		switch {
-		case killed > 0 && c.Member == victim:
-			if o.FirstSuspected < 0 && (c.New == membership.Suspect || c.New == membership.Dead) {
-				o.FirstSuspected = at - killed
+		case killedAt > 0 && change.Member == victim:
+			if outcome.FirstSuspected < 0 && (change.New == membership.Suspect || change.New == membership.Dead) {
+				outcome.FirstSuspected = at - killedAt
 			}
-			dead[observer] = c.New == membership.Dead
-			if o.FirstDead < 0 && dead[observer] {
-				o.FirstDead = at - killed
+			heldDead[observer] = change.New == membership.Dead
+			if outcome.FirstDead < 0 && heldDead[observer] {
+				outcome.FirstDead = at - killedAt
 			}
-		case c.New == membership.Dead && c.Member < t.Members-t.Impaired:
-			o.FalseDeaths++
+		case change.New == membership.Dead && change.Member < e.Members-e.Impaired:
+			outcome.FalseDeaths++
 		}
 	}
-	troubled := func(do func(m int)) {
-		for m := t.Members - t.Impaired; m < t.Members; m++ {
-			do(m)
+	forEachImpaired := func(apply func(member int)) {
+		for member := e.Members - e.Impaired; member < e.Members; member++ {
+			apply(member)
 		}
 	}
-	troubled(func(m int) { s.Slow(m, t.SlowDelay) })
-	for end := s.Now() + t.Measured; s.Now() < end; {
-		if t.PauseInterval <= 0 {
-			s.Run(end)
+	forEachImpaired(func(member int) { sim.Slow(member, e.SlowDelay) })
+	for end := sim.Now() + e.Measured; sim.Now() < end; {
+		if e.PauseInterval <= 0 {
+			sim.Run(end)
 			break
 		}
-		s.Run(min(s.Now()+t.PauseInterval-t.PauseDuration, end))
-		troubled(s.Pause)
-		s.Run(min(s.Now()+t.PauseDuration, end))
-		troubled(s.Resume)
+		sim.Run(min(sim.Now()+e.PauseInterval-e.PauseDuration, end))
+		forEachImpaired(sim.Pause)
+		sim.Run(min(sim.Now()+e.PauseDuration, end))
+		forEachImpaired(sim.Resume)
 	}
-	f := s.Counters()
-	per := float64(t.Members) * t.Measured.Seconds()
-	o.DatagramRate, o.ByteRate = float64(f.Sent-began.Sent)/per, float64(f.SentBytes-began.SentBytes)/per
-	o.Suspicions = f.Suspicions - began.Suspicions
-	o.ByteRate += float64(s.PiggybackBytes()-rode) / per
-	o.OwnAge, o.AnyAge = s.ReportAges()
-	if !t.Kill {
-		return o, nil
+	endCounters := sim.Counters()
+	memberSeconds := float64(e.Members) * e.Measured.Seconds()
+	outcome.DatagramRate, outcome.ByteRate = float64(endCounters.Sent-startCounters.Sent)/memberSeconds, float64(endCounters.SentBytes-startCounters.SentBytes)/memberSeconds
+	outcome.Suspicions = endCounters.Suspicions - startCounters.Suspicions
+	outcome.ByteRate += float64(sim.PiggybackBytes()-startPiggybackBytes) / memberSeconds
+	outcome.OwnAge, outcome.AnyAge = sim.ReportAges()
+	if !e.Kill {
+		return outcome, nil
 	}
-	killed = s.Now()
-	s.Kill(victim)
-	dead[victim] = true
-	for step, most := t.Limits.Period/5, killed+200*t.Limits.Period; s.Now() < most; {
-		s.Run(s.Now() + step)
-		if !slices.Contains(dead, false) {
-			o.AllDead = s.Now() - killed
+	killedAt = sim.Now()
+	sim.Kill(victim)
+	heldDead[victim] = true
+	for step, deadline := e.Limits.Period/5, killedAt+200*e.Limits.Period; sim.Now() < deadline; {
+		sim.Run(sim.Now() + step)
+		if !slices.Contains(heldDead, false) {
+			outcome.AllDead = sim.Now() - killedAt
 			break
 		}
 	}
-	return o, nil
+	return outcome, nil
 }
 
 // Variant is a way to set the limits, by name.
--- /dev/null
+++ b/internal/swarm/knowledge.go
@@ -0,0 +1,89 @@
+package swarm
+
+import (
+	"math"
+	"time"
+
+	"elmseam/internal/datagram"
+	"elmseam/internal/knowledge"
+	"elmseam/internal/membership"
+)
+
+// know begins a member's part in what the tier knows of servers. Datagrams of its own, after a start, are left out.
+func (s *Simulation) startKnowledge(member int) (err error) {
+	state := &s.members[member]
+	if s.cfg.Servers == 0 {
+		return nil
+	}
+	state.knowledge, _, err = knowledge.New(knowledge.Config{Self: member, TierSize: s.cfg.Members, Limits: knowledge.Defaults(), Seed: s.rng.Uint64()}, s.now+state.clockSkew)
+	state.observations, state.observedAt = make(map[uint32]knowledge.Observation), s.now
+	for server := range s.cfg.Servers {
+		state.observations[uint32(server)*2654435761] = knowledge.Observation{Rate: 1, Lines: 1000, MinSetUpTime: 20 * time.Millisecond}
+	}
+	return err
+}
+
+// ride has a member's own reports, as they have come by now, ride on a datagram.
+func (s *Simulation) appendPiggyback(member int, data []byte) []byte {
+	state := &s.members[member]
+	if state.knowledge == nil {
+		return data
+	}
+	elapsed := s.now - state.observedAt
+	for server := range s.cfg.Servers { // in order, so that a run is the same each time
+		key := uint32(server) * 2654435761
+		if s.rng.Float64() < 1-math.Exp(-float64(elapsed)/float64(s.cfg.ReportInterval)) {
+			observation := state.observations[key]
+			observation.HoldBackShare, observation.HoldBackShareAt = s.rng.Float64(), s.now-time.Duration(s.rng.Float64()*float64(elapsed))+state.clockSkew
+			state.observations[key] = observation
+		}
+	}
+	state.observedAt = s.now
+	state.knowledge.Step(s.now+state.clockSkew, knowledge.LocalObservations{Servers: state.observations})
+	return state.knowledge.AppendPiggyback(s.now+state.clockSkew, data)
+}
+
+// rider takes what rides on a datagram off it.
+func (s *Simulation) takePiggyback(member int, ev membership.Event) membership.Event {
+	datagramEvent, isDatagram := ev.(membership.Datagram)
+	if state := &s.members[member]; isDatagram && state.knowledge != nil {
+		if bare, piggyback, err := datagram.SplitPiggyback(datagramEvent.Data); err == nil {
+			datagramEvent.Data = bare
+			if len(piggyback) > 0 {
+				state.knowledge.Step(s.now+state.clockSkew, knowledge.Piggyback{From: datagramEvent.From, Data: piggyback})
+			}
+		}
+		return datagramEvent
+	}
+	return ev
+}
+
+// ReportAges says how old, on the mean over members and servers, the newest report is that a member has of a server: its own,
+// and any that it knows. Who has none is left out.
+func (s *Simulation) ReportAges() (own, newest time.Duration) {
+	var sums, counts [2]float64
+	for _, state := range s.members {
+		if state.reducer == nil || state.knowledge == nil {
+			continue
+		}
+		for key, observation := range state.observations {
+			reportedAt := state.knowledge.View(s.now+state.clockSkew, key).HoldBackShareAt
+			for i, at := range []Time{observation.HoldBackShareAt, max(observation.HoldBackShareAt, reportedAt)} {
+				if at > 0 {
+					sums[i], counts[i] = sums[i]+float64(s.now+state.clockSkew-at), counts[i]+1
+				}
+			}
+		}
+	}
+	return time.Duration(sums[0] / max(counts[0], 1)), time.Duration(sums[1] / max(counts[1], 1))
+}
+
+// PiggybackBytes are the bytes that rode on datagrams, all members together.
+func (s *Simulation) PiggybackBytes() (total uint64) {
+	for _, state := range s.members {
+		if state.knowledge != nil {
+			total += state.knowledge.Counters().SentBytes
+		}
+	}
+	return total
+}
--- a/internal/swarm/swarm.go
+++ b/internal/swarm/swarm.go
@@ -33,22 +33,22 @@
 
 // what happens next.
 type event struct {
-	at   Time
-	seq  uint64 // of events of one instant, as they came about
-	to   int
-	life int // of the member that a timer is of
-	ev   membership.Event
+	at          Time
+	seq         uint64 // of events of one instant, as they came about
+	to          int
+	incarnation int // of the member that a timer is of
+	input       membership.Event
 }
 
-type events []event
+type eventQueue []event
 
-func (e events) Len() int { return len(e) }
-func (e events) Less(i, j int) bool {
+func (e eventQueue) Len() int { return len(e) }
+func (e eventQueue) Less(i, j int) bool {
 	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].seq < e[j].seq
 }
-func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
-func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
-func (e *events) Pop() any {
+func (e eventQueue) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+func (e *eventQueue) Push(x any)   { *e = append(*e, x.(event)) }
+func (e *eventQueue) Pop() any {
 	old := *e
 	last := old[len(old)-1]
 	*e = old[:len(old)-1]
@@ -56,17 +56,17 @@
 }
 
 // member is one of the tier.
-type member struct {
-	r      *membership.Reducer // nil: killed
-	life   int
-	paused bool
-	held   []event // what came while it was paused
-	slow   time.Duration
-	skew   time.Duration       // of its clock
-	before membership.Counters // of earlier lives
-	knows  *knowledge.Reducer  // nil: nothing is told of servers
-	seen   map[uint32]knowledge.Observation
-	seenAt Time
+type memberState struct {
+	reducer         *membership.Reducer // nil: killed
+	incarnation     int
+	paused          bool
+	waiting         []event // what came while it was paused
+	inputDelay      time.Duration
+	clockSkew       time.Duration       // of its clock
+	earlierCounters membership.Counters // of earlier lives
+	knowledge       *knowledge.Reducer  // nil: nothing is told of servers
+	observations    map[uint32]knowledge.Observation
+	observedAt      Time
 }
 
 // Simulation is a run.
@@ -74,8 +74,8 @@
 	cfg     Config
 	now     Time
 	seq     uint64
-	queue   events
-	members []member
+	queue   eventQueue
+	members []memberState
 	rng     *rand.Rand
 
 	// OnChange, unless nil, hears of every change of a state that a member holds of another.
@@ -87,9 +87,9 @@
 	if cfg.Delays == nil {
 		cfg.Delays = func(Time, int, int, *rand.Rand) []time.Duration { return []time.Duration{time.Millisecond} }
 	}
-	s := &Simulation{cfg: cfg, now: Epoch, members: make([]member, cfg.Members), rng: rand.New(rand.NewPCG(cfg.Seed, 0x737761))}
-	for m := range s.members {
-		if err := s.Start(m); err != nil {
+	s := &Simulation{cfg: cfg, now: Epoch, members: make([]memberState, cfg.Members), rng: rand.New(rand.NewPCG(cfg.Seed, 0x737761))}
+	for member := range s.members {
+		if err := s.Start(member); err != nil {
 			return nil, err
 		}
 	}
@@ -100,132 +100,134 @@
 func (s *Simulation) Now() Time { return s.now }
 
 // Start starts a member that was killed, as nothing but its number and the clock.
-func (s *Simulation) Start(m int) error {
-	r, out, err := membership.New(membership.Config{Self: m, TierSize: s.cfg.Members, Limits: s.cfg.Limits, Seed: s.rng.Uint64()}, s.now+s.members[m].skew)
+func (s *Simulation) Start(member int) error {
+	reducer, effects, err := membership.New(membership.Config{Self: member, TierSize: s.cfg.Members, Limits: s.cfg.Limits, Seed: s.rng.Uint64()}, s.now+s.members[member].clockSkew)
 	if err != nil {
 		return err
 	}
-	s.members[m].r = r
-	s.members[m].life++
-	if err := s.know(m); err != nil {
+	s.members[member].reducer = reducer
+	s.members[member].incarnation++
+	if err := s.startKnowledge(member); err != nil {
 		return err
 	}
-	s.carry(m, out)
+	s.applyEffects(member, effects)
 	return nil
 }
 
 // Kill ends a member without a word.
-func (s *Simulation) Kill(m int) {
-	e := &s.members[m]
-	if e.r == nil {
+func (s *Simulation) Kill(member int) {
+	state := &s.members[member]
+	if state.reducer == nil {
 		return
 	}
-	e.before = add(e.before, e.r.Counters())
-	e.r, e.paused, e.held = nil, false, nil
+	state.earlierCounters = addCounters(state.earlierCounters, state.reducer.Counters())
+	state.reducer, state.paused, state.waiting = nil, false, nil
 }
 
 // Pause stops a member: what is for it waits, but for the datagrams, of which a socket holds only so many.
-func (s *Simulation) Pause(m int) { s.members[m].paused = true }
+func (s *Simulation) Pause(member int) { s.members[member].paused = true }
 
 // socketHolds is how many datagrams wait for a member that is stopped.
-const socketHolds = 128
+const maxWaitingDatagrams = 128
 
 // Resume lets a stopped member go on: its timers that are overdue come first, then the datagrams.
-func (s *Simulation) Resume(m int) {
-	e := &s.members[m]
-	held := e.held
-	e.paused, e.held = false, nil
-	for _, timers := range []bool{true, false} {
-		for _, h := range held {
-			if _, due := h.ev.(membership.TimerFired); due == timers {
-				h.at = s.now
-				s.push(h)
+func (s *Simulation) Resume(member int) {
+	state := &s.members[member]
+	waiting := state.waiting
+	state.paused, state.waiting = false, nil
+	for _, wantTimers := range []bool{true, false} {
+		for _, waitingEvent := range waiting {
+			if _, isTimer := waitingEvent.input.(membership.TimerFired); isTimer == wantTimers {
+				waitingEvent.at = s.now
+				s.schedule(waitingEvent)
 			}
 		}
 	}
 }
 
 // Slow has a member take in each event so much later.
-func (s *Simulation) Slow(m int, by time.Duration) { s.members[m].slow = by }
+func (s *Simulation) Slow(member int, delay time.Duration) { s.members[member].inputDelay = delay }
 
 // Skew has a member's clock be off by so much from its next start on.
-func (s *Simulation) Skew(m int, by time.Duration) { s.members[m].skew = by }
+func (s *Simulation) Skew(member int, skew time.Duration) { s.members[member].clockSkew = skew }
 
 // Inject hands a member an event of its own.
-func (s *Simulation) Inject(m int, ev membership.Event) {
-	if r := s.members[m].r; r != nil {
-		s.carry(m, r.Step(s.now+s.members[m].skew, ev))
+func (s *Simulation) Inject(member int, ev membership.Event) {
+	if reducer := s.members[member].reducer; reducer != nil {
+		s.applyEffects(member, reducer.Step(s.now+s.members[member].clockSkew, ev))
 	}
 }
 
 // Running says whether a member is there: neither killed nor stopped.
-func (s *Simulation) Running(m int) bool { return s.members[m].r != nil && !s.members[m].paused }
+func (s *Simulation) Running(member int) bool {
+	return s.members[member].reducer != nil && !s.members[member].paused
+}
 
 // Member is a member's reducer; nil if it is killed.
-func (s *Simulation) Member(m int) *membership.Reducer { return s.members[m].r }
+func (s *Simulation) Member(member int) *membership.Reducer { return s.members[member].reducer }
 
 // StateOf is what one member holds of another.
-func (s *Simulation) StateOf(observer, of int) membership.Member {
-	return s.members[observer].r.Members()[of]
+func (s *Simulation) StateOf(observer, subject int) membership.Member {
+	return s.members[observer].reducer.Members()[subject]
 }
 
 // Counters are the sums over all members and lives.
-func (s *Simulation) Counters() (f membership.Counters) {
-	for _, e := range s.members {
-		f = add(f, e.before)
-		if e.r != nil {
-			f = add(f, e.r.Counters())
+func (s *Simulation) Counters() (total membership.Counters) {
+	for _, state := range s.members {
+		total = addCounters(total, state.earlierCounters)
+		if state.reducer != nil {
+			total = addCounters(total, state.reducer.Counters())
 		}
 	}
-	return f
+	return total
 }
 
 // Run lets time pass up to an instant.
 func (s *Simulation) Run(until Time) {
 	for len(s.queue) > 0 && s.queue[0].at <= until {
-		e := heap.Pop(&s.queue).(event)
-		s.now = max(s.now, e.at)
-		to := &s.members[e.to]
-		_, datagram := e.ev.(membership.Datagram)
+		next := heap.Pop(&s.queue).(event)
+		s.now = max(s.now, next.at)
+		target := &s.members[next.to]
+		_, isDatagram := next.input.(membership.Datagram)
 		switch {
-		case to.r == nil, !datagram && e.life != to.life:
-		case to.paused:
-			if !datagram || len(to.held) < socketHolds {
-				to.held = append(to.held, e)
+		case target.reducer == nil, !isDatagram && next.incarnation != target.incarnation:
+		case target.paused:
+			if !isDatagram || len(target.waiting) < maxWaitingDatagrams {
+				target.waiting = append(target.waiting, next)
 			}
 		default:
-			s.carry(e.to, to.r.Step(s.now+to.skew, s.rider(e.to, e.ev)))
+			s.applyEffects(next.to, target.reducer.Step(s.now+target.clockSkew, s.takePiggyback(next.to, next.input)))
 		}
 	}
 	s.now = max(s.now, until)
 }
 
-func (s *Simulation) push(e event) {
+func (s *Simulation) schedule(e event) {
 	s.seq++
 	e.seq = s.seq
 	heap.Push(&s.queue, e)
 }
 
 // carry carries a member's effects out.
-func (s *Simulation) carry(m int, out []membership.Effect) {
-	for _, e := range out {
+func (s *Simulation) applyEffects(member int, effects []membership.Effect) {
+	for _, e := range effects {
 		switch e := e.(type) {
 		case membership.Send:
-			data := s.ride(m, e.Data)
-			for _, d := range s.cfg.Delays(s.now, m, e.To, s.rng) {
-				s.push(event{at: s.now + d + s.members[e.To].slow, to: e.To, ev: membership.Datagram{From: m, Data: data}})
+			data := s.appendPiggyback(member, e.Data)
+			for _, delay := range s.cfg.Delays(s.now, member, e.To, s.rng) {
+				s.schedule(event{at: s.now + delay + s.members[e.To].inputDelay, to: e.To, input: membership.Datagram{From: member, Data: data}})
 			}
 		case membership.Timer:
-			s.push(event{at: e.At - s.members[m].skew + s.members[m].slow, to: m, life: s.members[m].life, ev: membership.TimerFired{Token: e.Token}})
+			s.schedule(event{at: e.At - s.members[member].clockSkew + s.members[member].inputDelay, to: member, incarnation: s.members[member].incarnation, input: membership.TimerFired{Token: e.Token}})
 		case membership.StateChanged:
-			if s.OnChange != nil && e.Member != m {
-				s.OnChange(s.now, m, e)
+			if s.OnChange != nil && e.Member != member {
+				s.OnChange(s.now, member, e)
 			}
 		}
 	}
 }
 
-func add(a, b membership.Counters) membership.Counters {
+func addCounters(a, b membership.Counters) membership.Counters {
 	a.Probes += b.Probes
 	a.Indirect += b.Indirect
 	a.Acks += b.Acks
--- a/internal/swarm/swarm_test.go
+++ b/internal/swarm/swarm_test.go
@@ -10,14 +10,14 @@
 
 // What members tell each other of servers rides on membership's datagrams: no more of these go out, and who hears of a
 // server itself every ten seconds knows far newer reports of others.
-func TestToldWithoutDatagramsOfItsOwn(t *testing.T) {
-	trial := Experiment{Members: 30, Limits: membership.Defaults(), Seed: 1, MaxDelay: 5 * time.Millisecond, WarmUp: 15 * time.Second, Measured: 10 * time.Second}
-	without, err := trial.Run()
+func TestPiggybackAddsNoDatagrams(t *testing.T) {
+	experiment := Experiment{Members: 30, Limits: membership.Defaults(), Seed: 1, MaxDelay: 5 * time.Millisecond, WarmUp: 15 * time.Second, Measured: 10 * time.Second}
+	without, err := experiment.Run()
 	if err != nil {
 		t.Fatal(err)
 	}
-	trial.Servers, trial.ReportInterval = 8, 10*time.Second
-	with, err := trial.Run()
+	experiment.Servers, experiment.ReportInterval = 8, 10*time.Second
+	with, err := experiment.Run()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	batchHeader = 20
-	replyHeader = 12
-	eventSize   = 48
-	actionSize  = 16
-	entrySize   = 23
+	batchHeaderSize  = 20
+	replyHeaderSize  = 12
+	eventRecordSize  = 48
+	actionRecordSize = 16
+	listEntrySize    = 23
 )
 
-var le = binary.LittleEndian
+var byteOrder = binary.LittleEndian
 
 // Batch is one frame of events.
 type Batch struct {
@@ -28,13 +28,13 @@
 }
 
 // Len is the number of records.
-func (b *Batch) Len() int { return len(b.events) / eventSize }
+func (b *Batch) Len() int { return len(b.events) / eventRecordSize }
 
 // record is record i, its code first.
-func (b *Batch) record(i int) []byte { return b.events[i*eventSize : (i+1)*eventSize] }
+func (b *Batch) record(i int) []byte { return b.events[i*eventRecordSize : (i+1)*eventRecordSize] }
 
 // span is a stretch of the tail, of count items of the given size.
-func (b *Batch) span(offset, count, size uint32) ([]byte, error) {
+func (b *Batch) tailBytes(offset, count, size uint32) ([]byte, error) {
 	end := uint64(offset) + uint64(count)*uint64(size)
 	if end > uint64(len(b.tail)) {
 		return nil, fmt.Errorf("%d x %d bytes at %d reach beyond the tail of %d", count, size, offset, len(b.tail))
@@ -45,23 +45,23 @@
 // ReadBatch reads one frame. It returns io.EOF at an end of input between frames. Memory grows with
 // what has come in, not with the length that the header claims.
 func ReadBatch(r io.Reader) (*Batch, error) {
-	var head [batchHeader]byte
-	if _, err := io.ReadFull(r, head[:]); err != nil {
+	var header [batchHeaderSize]byte
+	if _, err := io.ReadFull(r, header[:]); err != nil {
 		if err == io.EOF {
 			return nil, io.EOF
 		}
 		return nil, fmt.Errorf("batch header: %w", err)
 	}
-	b := &Batch{Seq: le.Uint32(head[0:]), Clock: le.Uint64(head[12:])}
-	length, count := le.Uint32(head[4:]), le.Uint32(head[8:])
-	if uint64(count)*eventSize > uint64(length) {
+	b := &Batch{Seq: byteOrder.Uint32(header[0:]), Clock: byteOrder.Uint64(header[12:])}
+	length, count := byteOrder.Uint32(header[4:]), byteOrder.Uint32(header[8:])
+	if uint64(count)*eventRecordSize > uint64(length) {
 		return nil, fmt.Errorf("batch %d: %d records do not fit into %d bytes", b.Seq, count, length)
 	}
 	var body bytes.Buffer
 	if n, err := io.CopyN(&body, r, int64(length)); err != nil {
-		return nil, fmt.Errorf("batch %d record %d: frame cut short: %w", b.Seq, n/eventSize, err)
+		return nil, fmt.Errorf("batch %d record %d: frame cut short: %w", b.Seq, n/eventRecordSize, err)
 	}
-	b.events, b.tail = body.Bytes()[:count*eventSize], body.Bytes()[count*eventSize:]
+	b.events, b.tail = body.Bytes()[:count*eventRecordSize], body.Bytes()[count*eventRecordSize:]
 	return b, nil
 }
 
@@ -72,35 +72,35 @@
 }
 
 // add appends a record of the given code and returns it to be filled in.
-func (p *Reply) add(code byte) []byte {
-	var blank [actionSize]byte
+func (r *Reply) addRecord(code byte) []byte {
+	var blank [actionRecordSize]byte
 	blank[0] = code
-	p.records = append(p.records, blank[:]...)
-	return p.records[len(p.records)-actionSize:]
+	r.records = append(r.records, blank[:]...)
+	return r.records[len(r.records)-actionRecordSize:]
 }
 
 // addText appends a record whose only field is a text in the tail.
-func (p *Reply) addText(code byte, text string) {
-	rec := p.add(code)
-	le.PutUint32(rec[1:], uint32(len(p.tail)))
-	le.PutUint32(rec[5:], uint32(len(text)))
-	p.tail = append(p.tail, text...)
+func (r *Reply) addTextRecord(code byte, text string) {
+	rec := r.addRecord(code)
+	byteOrder.PutUint32(rec[1:], uint32(len(r.tail)))
+	byteOrder.PutUint32(rec[5:], uint32(len(text)))
+	r.tail = append(r.tail, text...)
 }
 
 // WriteTo writes the reply to the batch of the given number and empties it.
-func (p *Reply) WriteTo(w io.Writer, seq uint32) error {
-	var head [replyHeader]byte
-	le.PutUint32(head[0:], seq)
-	le.PutUint32(head[4:], uint32(len(p.records)/actionSize))
-	le.PutUint32(head[8:], uint32(len(p.records)+len(p.tail)))
-	for _, part := range [][]byte{head[:], p.records, p.tail} {
+func (r *Reply) WriteTo(w io.Writer, seq uint32) error {
+	var header [replyHeaderSize]byte
+	byteOrder.PutUint32(header[0:], seq)
+	byteOrder.PutUint32(header[4:], uint32(len(r.records)/actionRecordSize))
+	byteOrder.PutUint32(header[8:], uint32(len(r.records)+len(r.tail)))
+	for _, part := range [][]byte{header[:], r.records, r.tail} {
 		if _, err := w.Write(part); err != nil {
 			return fmt.Errorf("reply to batch %d: %w", seq, err)
 		}
 	}
-	p.records, p.tail = p.records[:0], p.tail[:0]
+	r.records, r.tail = r.records[:0], r.tail[:0]
 	return nil
 }
 
 // float reads an f32.
-func float(b []byte) float64 { return float64(math.Float32frombits(le.Uint32(b))) }
+func decodeFloat32(b []byte) float64 { return float64(math.Float32frombits(byteOrder.Uint32(b))) }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -12,7 +12,7 @@
 )
 
 // unhex reads hex digits, with spaces anywhere and +N for N zero bytes.
-func unhex(t testing.TB, text string) []byte {
+func decodeHex(t testing.TB, text string) []byte {
 	t.Helper()
 	var out []byte
 	for _, word := range strings.Fields(text) {
@@ -34,20 +34,20 @@
 }
 
 const (
-	worked = "0c000000 f0000000 05000000 5a5c800000000000" +
+	exampleBatch = "0c000000 f0000000 05000000 5a5c800000000000" +
 		" 19 0300 +45" +
 		" 12 c4913a5d 0000 00009644 640ad2557c3bf091 00000000 0100 80a90300 e02e0000 00008043 00006442 +7" +
 		" 15 4d000000 +43" +
 		" 19 0500 +45" +
 		" 18 192b6f0e +43"
-	goodSettings = `{"request-classes": [{"effect": "free", "objective-us": 2000000, "hard-limit-us": 9000000,
+	validSettings = `{"request-classes": [{"effect": "free", "objective-us": 2000000, "hard-limit-us": 9000000,
 		"gain": 1, "name": "a"}], "limits": {"max-attempts": 4, "retry-after": true, "max-retry-after-us": 2000000},
 		"load-report": {"columns": ["spare", "total", "recent_ms", "new-thing"], "via": "inline"},
 		"some-new-key": {"a": [1]}, "family-info": {"own-number": -1, "release-guard-us": 300000}}`
 )
 
-func TestReadWorkedBatch(t *testing.T) {
-	b, err := ReadBatch(bytes.NewReader(unhex(t, worked)))
+func TestReadBatch(t *testing.T) {
+	b, err := ReadBatch(bytes.NewReader(decodeHex(t, exampleBatch)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -63,11 +63,11 @@
 	}
 }
 
-func TestDecodeWorkedRecords(t *testing.T) {
+func TestDecodeEvents(t *testing.T) {
 	h := NewHost()
-	h.lists[0] = decodeEntries(unhex(t, "0a124a07 2b23 00 00 0000 01 0000803f 0000000000000000"+
+	h.serverLists[0] = decodeListEntries(decodeHex(t, "0a124a07 2b23 00 00 0000 01 0000803f 0000000000000000"+
 		" 0a9011f2 5423 01 00 0000 02 0000c03f 20145d0000000000"))
-	server := serverID(unhex(t, "0a124a07 2b23"))
+	server := decodeServerID(decodeHex(t, "0a124a07 2b23"))
 	tests := []struct {
 		name string
 		rec  string
@@ -78,26 +78,26 @@
 		}},
 		{"outcome", "14 c4913a5d 01 00 44480000 00000000 0a 0a124a07 2b23 03 cdcccc3e 0000a03f 00000c43 00000000 +9",
 			func(ev elmseam.Event) bool {
-				o := ev.(elmseam.Outcome)
-				return o.Final && o.Cause == elmseam.CauseEnded && o.Server == server && len(o.Report) == 3 && o.Report[2] == 140
+				outcome := ev.(elmseam.Outcome)
+				return outcome.Final && outcome.Cause == elmseam.CauseEnded && outcome.Server == server && len(outcome.Report) == 3 && outcome.Report[2] == 140
 			}},
 		{"full for 500 ms", "14 c4913a5d 00 00 44480000 431f0000 1e 0a124a07 2b23 00 +25", func(ev elmseam.Event) bool {
-			o := ev.(elmseam.Outcome)
-			return o.Refusal == elmseam.RefusalProcessor && o.Wait == 500*time.Millisecond && !o.Final
+			outcome := ev.(elmseam.Outcome)
+			return outcome.Refusal == elmseam.RefusalProcessor && outcome.Wait == 500*time.Millisecond && !outcome.Final
 		}},
 		{"health", "10 0a9011f2 5423 0a 78050000 03 cdcccc3e 0000a03f 00000c43 00000000 +19", func(ev elmseam.Event) bool {
 			return ev.(elmseam.Health).OK
 		}},
 		{"list", "16 29000000 00000000 02 +38", func(ev elmseam.Event) bool {
-			l := ev.(elmseam.ListFull)
-			return l.Cached && len(l.Entries) == 2 && l.Entries[1].Phase == elmseam.Draining &&
-				l.Entries[1].Started == 6100000*time.Microsecond
+			list := ev.(elmseam.ListFull)
+			return list.Cached && len(list.Entries) == 2 && list.Entries[1].Phase == elmseam.Draining &&
+				list.Entries[1].Started == 6100000*time.Microsecond
 		}},
 		{"gone", "18 192b6f0e +43", func(ev elmseam.Event) bool { return ev == elmseam.CallerGone{Call: 0x0e6f2b19} }},
 		{"due", "15 4d000000 +43", func(ev elmseam.Event) bool { return ev == elmseam.TimerFired{Token: 77} }},
 	}
 	for _, tt := range tests {
-		ev, err := h.decode(unhex(t, tt.rec))
+		ev, err := h.decodeEvent(decodeHex(t, tt.rec))
 		if err != nil {
 			t.Errorf("%s: %v", tt.name, err)
 		} else if !tt.want(ev) {
@@ -106,21 +106,21 @@
 	}
 }
 
-func TestEncodeWorkedActions(t *testing.T) {
+func TestEncodeActions(t *testing.T) {
 	h := NewHost()
 	h.current = 3
-	h.encode(elmseam.Send{Call: 0x5d3a91c4, Server: serverID(unhex(t, "0a124a07 2b23")), Timeout: 80 * time.Millisecond})
-	h.encode(elmseam.SetTimer{Token: 77, At: 0x87fd7a * time.Microsecond})
+	h.encodeAction(elmseam.Send{Call: 0x5d3a91c4, Server: decodeServerID(decodeHex(t, "0a124a07 2b23")), Timeout: 80 * time.Millisecond})
+	h.encodeAction(elmseam.SetTimer{Token: 77, At: 0x87fd7a * time.Microsecond})
 	h.current = 5
-	h.encode(elmseam.Refuse{Call: 0x0e6f2b19, RetryAfter: 250 * time.Millisecond})
-	h.encode(elmseam.Fail{Call: 0x5d3a91c4})
-	h.encode(elmseam.Cancel{Call: 0x5d3a91c4, Attempt: 2})
-	h.encode(elmseam.Subscribe{})
+	h.encodeAction(elmseam.Refuse{Call: 0x0e6f2b19, RetryAfter: 250 * time.Millisecond})
+	h.encodeAction(elmseam.Fail{Call: 0x5d3a91c4})
+	h.encodeAction(elmseam.Cancel{Call: 0x5d3a91c4, Attempt: 2})
+	h.encodeAction(elmseam.Subscribe{})
 	var out bytes.Buffer
 	if err := h.reply.WriteTo(&out, 12); err != nil {
 		t.Fatal(err)
 	}
-	want := unhex(t, "0c000000 08000000 80000000 10 0300 +13 11 c4913a5d 0a124a07 2b23 80380100 +1"+
+	want := decodeHex(t, "0c000000 08000000 80000000 10 0300 +13 11 c4913a5d 0a124a07 2b23 80380100 +1"+
 		" 12 4d000000 7afd870000000000 +3 10 0500 +13 1a 192b6f0e 90d00300 +7 14 c4913a5d +11"+
 		" 15 c4913a5d 02 +10 18 01 +14")
 	if !bytes.Equal(out.Bytes(), want) {
@@ -129,26 +129,26 @@
 }
 
 // start is a batch that starts instance 3 with the given settings.
-func start(text string) []byte {
-	var b []byte
-	put := func(n uint32) { b = le.AppendUint32(b, n) }
-	put(1)
-	put(uint32(2*eventSize + len(text)))
-	put(2)
-	b = le.AppendUint64(b, 1000000)
-	b = append(b, evTo, 3, 0)
-	b = append(b, make([]byte, eventSize-3)...)
-	up := make([]byte, eventSize)
-	up[0] = evUp
-	le.PutUint32(up[13:], uint32(len(text)))
-	return append(append(b, up...), text...)
+func startBatch(settingsText string) []byte {
+	var batch []byte
+	putUint32 := func(n uint32) { batch = byteOrder.AppendUint32(batch, n) }
+	putUint32(1)
+	putUint32(uint32(2*eventRecordSize + len(settingsText)))
+	putUint32(2)
+	batch = byteOrder.AppendUint64(batch, 1000000)
+	batch = append(batch, eventSelectInstance, 3, 0)
+	batch = append(batch, make([]byte, eventRecordSize-3)...)
+	startRecord := make([]byte, eventRecordSize)
+	startRecord[0] = eventStarted
+	byteOrder.PutUint32(startRecord[13:], uint32(len(settingsText)))
+	return append(append(batch, startRecord...), settingsText...)
 }
 
-func TestStartWithSettings(t *testing.T) {
+func TestStartChecksSettings(t *testing.T) {
 	tests := []struct {
 		name, text, want string
 	}{
-		{"good", goodSettings, ""},
+		{"good", validSettings, ""},
 		{"not JSON", "hello", "settings"},
 		{"no class", "{}", "no class"},
 		{"unknown effect", `{"request-classes": [{"effect": "odd"}]}`, "effect"},
@@ -157,33 +157,33 @@
 	}
 	for _, tt := range tests {
 		var out bytes.Buffer
-		if err := NewHost().Serve(bytes.NewReader(start(tt.text)), &out, func() error { return nil }); err != nil {
+		if err := NewHost().Serve(bytes.NewReader(startBatch(tt.text)), &out, func() error { return nil }); err != nil {
 			t.Errorf("%s: %v", tt.name, err)
 		}
-		failed := bytes.Contains(out.Bytes(), []byte{acBroken})
+		failed := bytes.Contains(out.Bytes(), []byte{actionInstanceFailed})
 		if failed != (tt.want != "") || !bytes.Contains(out.Bytes(), []byte(tt.want)) {
 			t.Errorf("%s: reply %q, want a failure that names %q", tt.name, out.Bytes(), tt.want)
 		}
 	}
 }
 
-func TestBadFrames(t *testing.T) {
-	whole := unhex(t, worked)
-	span := append(unhex(t, "01000000 30000000 01000000 +8"), unhex(t, "13 00000000 00000000 ffffff7f +35")...)
+func TestInvalidFrames(t *testing.T) {
+	validFrame := decodeHex(t, exampleBatch)
+	listBeyondTail := append(decodeHex(t, "01000000 30000000 01000000 +8"), decodeHex(t, "13 00000000 00000000 ffffff7f +35")...)
 	tests := []struct {
 		name  string
 		input []byte
 		want  string // in the error; empty: none
 	}{
 		{"nothing", nil, ""},
-		{"header cut short", whole[:7], "header"},
-		{"record cut short", whole[:batchHeader+eventSize+5], "batch 12 record 1"},
-		{"claims 4 GB", unhex(t, "01000000 ffffffff 00000000 +8"), "cut short"},
-		{"more records than bytes", unhex(t, "01000000 30000000 ffffff00 +8 +48"), "do not fit"},
-		{"list beyond the tail", span, "batch 1 record 0"},
-		{"list number", append(unhex(t, "01000000 30000000 01000000 +8"), unhex(t, "13 10000000 +43")...), "list 16"},
-		{"unknown event", append(unhex(t, "01000000 30000000 01000000 +8"), unhex(t, "63 +47")...), "code 99"},
-		{"update without a list", append(unhex(t, "01000000 30000000 01000000 +8"), unhex(t, "16 +47")...), "no list 0"},
+		{"header cut short", validFrame[:7], "header"},
+		{"record cut short", validFrame[:batchHeaderSize+eventRecordSize+5], "batch 12 record 1"},
+		{"claims 4 GB", decodeHex(t, "01000000 ffffffff 00000000 +8"), "cut short"},
+		{"more records than bytes", decodeHex(t, "01000000 30000000 ffffff00 +8 +48"), "do not fit"},
+		{"list beyond the tail", listBeyondTail, "batch 1 record 0"},
+		{"list number", append(decodeHex(t, "01000000 30000000 01000000 +8"), decodeHex(t, "13 10000000 +43")...), "list 16"},
+		{"unknown event", append(decodeHex(t, "01000000 30000000 01000000 +8"), decodeHex(t, "63 +47")...), "code 99"},
+		{"update without a list", append(decodeHex(t, "01000000 30000000 01000000 +8"), decodeHex(t, "16 +47")...), "no list 0"},
 	}
 	for _, tt := range tests {
 		err := NewHost().Serve(bytes.NewReader(tt.input), io.Discard, func() error { return nil })
@@ -197,19 +197,19 @@
 }
 
 // Instances share nothing: one that is killed and started again in a batch knows nothing of before.
-func TestKilledAndStartedInOneBatch(t *testing.T) {
+func TestKillAndStartInOneBatch(t *testing.T) {
 	h := NewHost()
-	if err := h.Serve(bytes.NewReader(start(goodSettings)), io.Discard, func() error { return nil }); err != nil {
+	if err := h.Serve(bytes.NewReader(startBatch(validSettings)), io.Discard, func() error { return nil }); err != nil {
 		t.Fatal(err)
 	}
 	before := h.instances[3]
-	frame := start(goodSettings)
-	killed := make([]byte, eventSize)
-	killed[0] = evKilled
-	at := batchHeader + eventSize
-	frame = append(frame[:at:at], append(killed, frame[at:]...)...)
-	le.PutUint32(frame[4:], le.Uint32(frame[4:])+eventSize)
-	le.PutUint32(frame[8:], 3)
+	frame := startBatch(validSettings)
+	killRecord := make([]byte, eventRecordSize)
+	killRecord[0] = eventKilled
+	insertAt := batchHeaderSize + eventRecordSize
+	frame = append(frame[:insertAt:insertAt], append(killRecord, frame[insertAt:]...)...)
+	byteOrder.PutUint32(frame[4:], byteOrder.Uint32(frame[4:])+eventRecordSize)
+	byteOrder.PutUint32(frame[8:], 3)
 	if err := h.Serve(bytes.NewReader(frame), io.Discard, func() error { return nil }); err != nil {
 		t.Fatal(err)
 	}
@@ -219,11 +219,11 @@
 }
 
 // A panic in the module becomes the wire's failure action with its text.
-func TestPanicIsReported(t *testing.T) {
+func TestPanicReportsFailure(t *testing.T) {
 	h := NewHost()
 	h.current = 3
 	h.instances[3] = new(elmseam.Controller) // not made by New: it has no settings
-	frame := unhex(t, "01000000 60000000 02000000 +8 19 0300 +45 12 +47")
+	frame := decodeHex(t, "01000000 60000000 02000000 +8 19 0300 +45 12 +47")
 	var out bytes.Buffer
 	if err := h.Serve(bytes.NewReader(frame), &out, func() error { return nil }); err != nil {
 		t.Fatal(err)
@@ -234,10 +234,10 @@
 }
 
 func FuzzServe(f *testing.F) {
-	f.Add(unhex(f, worked))
-	f.Add(start(goodSettings))
-	f.Add(unhex(f, "01000000 00000000 00000000 5a5c800000000000"))
-	f.Add(append(start(goodSettings), unhex(f, worked)...))
+	f.Add(decodeHex(f, exampleBatch))
+	f.Add(startBatch(validSettings))
+	f.Add(decodeHex(f, "01000000 00000000 00000000 5a5c800000000000"))
+	f.Add(append(startBatch(validSettings), decodeHex(f, exampleBatch)...))
 	f.Fuzz(func(t *testing.T, input []byte) {
 		// An error is fine, a panic or an endless loop is not.
 		_ = NewHost().Serve(bytes.NewReader(input), io.Discard, func() error { return nil })
