--- a/internal/swarm/experiment.go
+++ b/internal/swarm/experiment.go
@@ -8,35 +8,49 @@
 	"elmseam/internal/membership"
 )
 
-// Experiment is an experiment: a tier that has come together, then a trouble, and what it took to see it.
+// Experiment describes a measurement of the membership protocol: a tier warms up, runs under impairments for a measured
+// time, and may then lose a member, whose detection is timed.
 type Experiment struct {
-	Members        int
-	Limits         membership.Limits
-	Seed           uint64
-	Loss           float64       // share of the datagrams
-	MaxDelay       time.Duration // of each, at most; a datagram takes any part of it
-	WarmUp         time.Duration // before it is measured
-	Measured       time.Duration // that is measured
-	Kill           bool          // a member, when the load has been measured for Span; then it goes on until all hold it dead
-	Impaired       int           // members that do badly:
-	PauseDuration  time.Duration // they stand still together for so long,
-	PauseInterval  time.Duration // so often;
-	SlowDelay      time.Duration // they take in all so much later
-	Servers        int           // of which members tell each other
-	ReportInterval time.Duration // between two reports of one that a member has itself
+	Members  int               // size of the tier
+	Limits   membership.Limits // limits of the membership protocol
+	Seed     uint64            // seed of all random numbers of the run
+	Loss     float64           // share of the datagrams that is lost, 0 to 1
+	MaxDelay time.Duration     // a datagram takes 0.5 ms plus a random time below MaxDelay
+	WarmUp   time.Duration     // time before the measurement starts
+	Measured time.Duration     // length of the measurement
+	// Kill has member 0 killed after the measurement. The run then goes on until all other members hold member 0 dead, but
+	// no longer than 200 protocol periods.
+	Kill           bool
+	Impaired       int           // number of members that are paused and slowed, the last of the tier
+	PauseDuration  time.Duration // how long the impaired members are paused together
+	PauseInterval  time.Duration // time from one pause to the next, pause included; 0: no pauses
+	SlowDelay      time.Duration // delay of every input of an impaired member
+	Servers        int           // number of servers whose load reports members share; 0: none
+	ReportInterval time.Duration // mean time between two load reports that a member receives from a server
 }
 
-// Outcome is what a trial saw. Times are since the kill; negative: it did not come to that.
+// Outcome is the result of an experiment. FirstSuspected, FirstDead and AllDead count from the kill; a negative time means
+// that the event did not occur.
 type Outcome struct {
-	DatagramRate, ByteRate    float64       // a member and second, sent, before the kill
-	FirstSuspected, FirstDead time.Duration // by the first other member
-	AllDead                   time.Duration // by every one
-	FalseDeaths               int           // a member held dead that is not troubled, by any
-	Suspicions                uint64        // in the measured span, all members together
-	OwnAge, AnyAge            time.Duration // of the newest report of a server that a member has itself, or knows of, on the mean
+	// DatagramRate and ByteRate are the datagrams and bytes sent per member and second during the measurement. ByteRate
+	// includes piggybacked bytes.
+	DatagramRate, ByteRate float64
+	// FirstSuspected and FirstDead are the times until the first other member suspects the killed member and until the
+	// first other member holds it dead.
+	FirstSuspected, FirstDead time.Duration
+	// AllDead is the time until all other members hold the killed member dead.
+	AllDead time.Duration
+	// FalseDeaths counts how often, from the start of the measurement on, a member came to hold a running, unimpaired
+	// member dead.
+	FalseDeaths int
+	// Suspicions is the number of suspicions during the measurement, summed over all members.
+	Suspicions uint64
+	// OwnAge and AnyAge are the mean ages of the newest load report of a server that a member received itself and of the
+	// newest report that it knows of; see Simulation.ReportAges.
+	OwnAge, AnyAge time.Duration
 }
 
-// Run runs a trial: the same one has the same outcome on any machine.
+// Run runs the experiment. The same experiment has the same outcome on any machine.
 func (e Experiment) Run() (Outcome, error) {
 	outcome := Outcome{FirstSuspected: -1, FirstDead: -1, AllDead: -1}
 	sim, err := New(Config{Servers: e.Servers, ReportInterval: e.ReportInterval, Members: e.Members, Limits: e.Limits, Seed: e.Seed, Delays: func(_ Time, _, _ int, r *rand.Rand) []time.Duration {
@@ -48,7 +62,7 @@
 	if err != nil {
 		return outcome, err
 	}
-	const victim = 0 // and the troubled ones are the last
+	const victim = 0 // never one of the impaired members, which are the last
 	sim.Run(Epoch + e.WarmUp)
 	startCounters, killedAt, heldDead := sim.Counters(), Time(0), make([]bool, e.Members)
 	startPiggybackBytes := sim.PiggybackBytes()
@@ -104,15 +118,15 @@
 	return outcome, nil
 }
 
-// Variant is a way to set the limits, by name.
+// Variant is a named change of the default limits.
 type Variant struct {
-	Name   string
-	Change func(*membership.Limits)
+	Name   string                   // heading of the variant in reports
+	Change func(*membership.Limits) // applies the variant to the default limits
 }
 
-// Variants are the steps from plain SWIM to what is shipped.
+// Variants are the steps from plain SWIM to the default limits, each with more of the protocol's extensions switched on.
 var Variants = []Variant{
 	{"SWIM alone", func(l *membership.Limits) { l.MaxHealth, l.SuspicionMax, l.StallThreshold = 0, 1, 0 }},
 	{"with Lifeguard", func(l *membership.Limits) { l.StallThreshold = 0 }},
-	{"and own pauses noticed", func(*membership.Limits) {}},
+	{"with Lifeguard and stall detection", func(*membership.Limits) {}},
 }
--- a/internal/swarm/knowledge.go
+++ b/internal/swarm/knowledge.go
@@ -9,7 +9,9 @@
 	"elmseam/internal/membership"
 )
 
-// know begins a member's part in what the tier knows of servers. Datagrams of its own, after a start, are left out.
+// startKnowledge creates the knowledge reducer of a member that starts, if the configuration has servers, and gives the
+// member an observation of each server. The datagrams that knowledge itself sends after a start are not simulated. Server
+// keys are the server numbers spread over 32 bits by a multiplicative hash.
 func (s *Simulation) startKnowledge(member int) (err error) {
 	state := &s.members[member]
 	if s.cfg.Servers == 0 {
@@ -23,14 +25,16 @@
 	return err
 }
 
-// ride has a member's own reports, as they have come by now, ride on a datagram.
+// appendPiggyback updates a member's own observations and returns the datagram with piggybacked knowledge added. Since the
+// last update, a load report has come from each server with the probability of a Poisson process with the mean interval
+// Config.ReportInterval, at a uniformly distributed time.
 func (s *Simulation) appendPiggyback(member int, data []byte) []byte {
 	state := &s.members[member]
 	if state.knowledge == nil {
 		return data
 	}
 	elapsed := s.now - state.observedAt
-	for server := range s.cfg.Servers { // in order, so that a run is the same each time
+	for server := range s.cfg.Servers { // in a fixed order, so that runs are reproducible
 		key := uint32(server) * 2654435761
 		if s.rng.Float64() < 1-math.Exp(-float64(elapsed)/float64(s.cfg.ReportInterval)) {
 			observation := state.observations[key]
@@ -43,7 +47,8 @@
 	return state.knowledge.AppendPiggyback(s.now+state.clockSkew, data)
 }
 
-// rider takes what rides on a datagram off it.
+// takePiggyback passes the knowledge piggybacked on a datagram to the member's knowledge reducer and returns the datagram
+// without the piggybacked data. Any other event is returned unchanged.
 func (s *Simulation) takePiggyback(member int, ev membership.Event) membership.Event {
 	datagramEvent, isDatagram := ev.(membership.Datagram)
 	if state := &s.members[member]; isDatagram && state.knowledge != nil {
@@ -58,8 +63,9 @@
 	return ev
 }
 
-// ReportAges says how old, on the mean over members and servers, the newest report is that a member has of a server: its own,
-// and any that it knows. Who has none is left out.
+// ReportAges returns the mean age, over members and servers, of the newest load report that a member received from a server
+// itself (own), and of the newest report that the member knows of, its own or one reported by another member (newest).
+// Killed members, and servers of which a member has no report, are left out of the mean.
 func (s *Simulation) ReportAges() (own, newest time.Duration) {
 	var sums, counts [2]float64
 	for _, state := range s.members {
@@ -78,7 +84,7 @@
 	return time.Duration(sums[0] / max(counts[0], 1)), time.Duration(sums[1] / max(counts[1], 1))
 }
 
-// PiggybackBytes are the bytes that rode on datagrams, all members together.
+// PiggybackBytes returns the number of piggybacked bytes that the members have sent, each in its latest incarnation.
 func (s *Simulation) PiggybackBytes() (total uint64) {
 	for _, state := range s.members {
 		if state.knowledge != nil {
--- a/internal/swarm/swarm.go
+++ b/internal/swarm/swarm.go
@@ -1,6 +1,7 @@
-// Package swarm runs a tier of membership reducers in discrete-event time, with a network that loses, delays and cuts,
-// and members that are killed, started anew, stopped and slowed. It does no I/O and reads no clock: a run is a function of
-// its configuration, whatever the machine. It measures what processes on sockets can't show at a thousand members.
+// Package swarm is a discrete-event simulation of a tier of membership reducers. The simulated network can lose, delay,
+// duplicate and partition; members can be killed, restarted, paused and slowed down. The package does no I/O and reads no
+// clock, so a run depends on its configuration only, not on the machine. The simulation reaches tiers of a thousand
+// members, which are too many for processes on sockets.
 package swarm
 
 import (
@@ -12,34 +13,36 @@
 	"elmseam/internal/membership"
 )
 
-// Time is an instant of the run's clock, as the members see it.
+// Time is an instant of the simulated clock, counted like the clock of the members from the Unix epoch.
 type Time = membership.Time
 
-// Epoch is the instant at which a run begins: members take their incarnations from the clock.
+// Epoch is the instant at which a run begins. It is not zero because members take their incarnations from the clock.
 const Epoch = Time(1_700_000_000 * int64(time.Second))
 
-// Config is a run's.
+// Config describes a run.
 type Config struct {
-	Members int
-	Limits  membership.Limits
-	Seed    uint64
-	// Delays says after which delays a datagram arrives: none, it is lost; two, it is doubled. Nil: after 1 ms.
+	Members int               // size of the tier
+	Limits  membership.Limits // limits of the membership protocol, the same for all members
+	Seed    uint64            // seed of all random numbers of the run
+	// Delays returns the delays after which a datagram sent at the given instant arrives, one delay per copy: no delay
+	// means that the datagram is lost, two that the datagram is duplicated. If Delays is nil, every datagram arrives once, after 1 ms.
 	Delays func(at Time, from, to int, r *rand.Rand) []time.Duration
-	// Servers are those of which each member tells the others (internal/knowledge); 0: nothing is told. Hear is how long
-	// passes, on the mean, between two reports that a member has of one.
-	Servers        int
+	// Servers is the number of servers whose load reports the members share by internal/knowledge; 0: knowledge is off.
+	Servers int
+	// ReportInterval is the mean time between two load reports that a member itself receives from a server.
 	ReportInterval time.Duration
 }
 
-// what happens next.
+// event is an input to a member at a simulated instant.
 type event struct {
 	at          Time
-	seq         uint64 // of events of one instant, as they came about
-	to          int
-	incarnation int // of the member that a timer is of
+	seq         uint64 // order of scheduling, which decides between events of one instant
+	to          int    // index of the member that gets the event
+	incarnation int    // incarnation of the member that set the timer; unused for datagrams
 	input       membership.Event
 }
 
+// eventQueue is a heap of events, ordered by time and then by order of scheduling.
 type eventQueue []event
 
 func (e eventQueue) Len() int { return len(e) }
@@ -55,34 +58,34 @@
 	return last
 }
 
-// member is one of the tier.
+// memberState is a member of the tier with its simulated impairments.
 type memberState struct {
-	reducer         *membership.Reducer // nil: killed
-	incarnation     int
+	reducer         *membership.Reducer // nil: the member is killed
+	incarnation     int                 // number of starts so far
 	paused          bool
-	waiting         []event // what came while it was paused
-	inputDelay      time.Duration
-	clockSkew       time.Duration       // of its clock
-	earlierCounters membership.Counters // of earlier lives
-	knowledge       *knowledge.Reducer  // nil: nothing is told of servers
-	observations    map[uint32]knowledge.Observation
-	observedAt      Time
+	waiting         []event                          // events that came while the member was paused
+	inputDelay      time.Duration                    // delay added to every datagram and timer of the member
+	clockSkew       time.Duration                    // how far the member's clock is ahead of the simulated clock
+	earlierCounters membership.Counters              // counters of earlier incarnations
+	knowledge       *knowledge.Reducer               // nil: the members share no knowledge of servers
+	observations    map[uint32]knowledge.Observation // own observations of servers, by server key
+	observedAt      Time                             // when the observations were last updated
 }
 
-// Simulation is a run.
+// Simulation is a run of a simulated tier.
 type Simulation struct {
 	cfg     Config
 	now     Time
-	seq     uint64
+	seq     uint64 // sequence number of the event scheduled last
 	queue   eventQueue
 	members []memberState
 	rng     *rand.Rand
 
-	// OnChange, unless nil, hears of every change of a state that a member holds of another.
+	// OnChange, unless nil, is called for every change of the state that a member holds of another member.
 	OnChange func(at Time, observer int, c membership.StateChanged)
 }
 
-// New begins a run: all members start at the same instant.
+// New returns a run at Epoch. All members start at that instant.
 func New(cfg Config) (*Simulation, error) {
 	if cfg.Delays == nil {
 		cfg.Delays = func(Time, int, int, *rand.Rand) []time.Duration { return []time.Duration{time.Millisecond} }
@@ -96,10 +99,10 @@
 	return s, nil
 }
 
-// Now is the run's time.
+// Now returns the simulated time.
 func (s *Simulation) Now() Time { return s.now }
 
-// Start starts a member that was killed, as nothing but its number and the clock.
+// Start starts a member, without any state from an earlier incarnation: the member has only its index and the clock.
 func (s *Simulation) Start(member int) error {
 	reducer, effects, err := membership.New(membership.Config{Self: member, TierSize: s.cfg.Members, Limits: s.cfg.Limits, Seed: s.rng.Uint64()}, s.now+s.members[member].clockSkew)
 	if err != nil {
@@ -114,7 +117,7 @@
 	return nil
 }
 
-// Kill ends a member without a word.
+// Kill ends a member without notice to the other members.
 func (s *Simulation) Kill(member int) {
 	state := &s.members[member]
 	if state.reducer == nil {
@@ -124,13 +127,14 @@
 	state.reducer, state.paused, state.waiting = nil, false, nil
 }
 
-// Pause stops a member: what is for it waits, but for the datagrams, of which a socket holds only so many.
+// Pause stops a member until Resume. Its events wait meanwhile; of the datagrams, those beyond maxWaitingDatagrams waiting
+// events are dropped, as by the buffer of a socket.
 func (s *Simulation) Pause(member int) { s.members[member].paused = true }
 
-// socketHolds is how many datagrams wait for a member that is stopped.
+// maxWaitingDatagrams is the number of waiting events from which on datagrams for a paused member are dropped.
 const maxWaitingDatagrams = 128
 
-// Resume lets a stopped member go on: its timers that are overdue come first, then the datagrams.
+// Resume ends a member's pause. The overdue timers are delivered first, then the waiting datagrams.
 func (s *Simulation) Resume(member int) {
 	state := &s.members[member]
 	waiting := state.waiting
@@ -145,33 +149,34 @@
 	}
 }
 
-// Slow has a member take in each event so much later.
+// Slow delays every datagram and timer of a member that is scheduled after the call by the given time.
 func (s *Simulation) Slow(member int, delay time.Duration) { s.members[member].inputDelay = delay }
 
-// Skew has a member's clock be off by so much from its next start on.
+// Skew sets how far a member's clock is ahead of the simulated clock. Call Skew while the member is killed, so that the
+// clock of a running member doesn't jump.
 func (s *Simulation) Skew(member int, skew time.Duration) { s.members[member].clockSkew = skew }
 
-// Inject hands a member an event of its own.
+// Inject passes an event to a member at once, unless the member is killed.
 func (s *Simulation) Inject(member int, ev membership.Event) {
 	if reducer := s.members[member].reducer; reducer != nil {
 		s.applyEffects(member, reducer.Step(s.now+s.members[member].clockSkew, ev))
 	}
 }
 
-// Running says whether a member is there: neither killed nor stopped.
+// Running reports whether a member is neither killed nor paused.
 func (s *Simulation) Running(member int) bool {
 	return s.members[member].reducer != nil && !s.members[member].paused
 }
 
-// Member is a member's reducer; nil if it is killed.
+// Member returns the reducer of a member, or nil if the member is killed.
 func (s *Simulation) Member(member int) *membership.Reducer { return s.members[member].reducer }
 
-// StateOf is what one member holds of another.
+// StateOf returns what the observer holds of another member. The observer must not be killed.
 func (s *Simulation) StateOf(observer, subject int) membership.Member {
 	return s.members[observer].reducer.Members()[subject]
 }
 
-// Counters are the sums over all members and lives.
+// Counters returns the sums of the counters over all members and all their incarnations.
 func (s *Simulation) Counters() (total membership.Counters) {
 	for _, state := range s.members {
 		total = addCounters(total, state.earlierCounters)
@@ -182,7 +187,7 @@
 	return total
 }
 
-// Run lets time pass up to an instant.
+// Run handles all events up to and including the given instant and advances the simulated time to that instant.
 func (s *Simulation) Run(until Time) {
 	for len(s.queue) > 0 && s.queue[0].at <= until {
 		next := heap.Pop(&s.queue).(event)
@@ -202,13 +207,14 @@
 	s.now = max(s.now, until)
 }
 
+// schedule adds an event to the queue, after all events of the same instant.
 func (s *Simulation) schedule(e event) {
 	s.seq++
 	e.seq = s.seq
 	heap.Push(&s.queue, e)
 }
 
-// carry carries a member's effects out.
+// applyEffects schedules the datagrams and timers that a member asks for and reports its state changes of other members.
 func (s *Simulation) applyEffects(member int, effects []membership.Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
@@ -227,6 +233,7 @@
 	}
 }
 
+// addCounters returns the sums of two sets of counters.
 func addCounters(a, b membership.Counters) membership.Counters {
 	a.Probes += b.Probes
 	a.Indirect += b.Indirect
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -1,4 +1,10 @@
-// Package wire speaks the simulator's binary wire and maps it to the library's events and actions.
+// Package wire is the adapter between the simulator and the decision module. It reads the simulator's binary batches of
+// event records, hands the events to one elmseam.Controller per simulated instance, and writes the resulting actions as
+// binary replies.
+//
+// All integers are little-endian, floats are IEEE 754 single precision, and offsets into a frame's tail are in bytes.
+// A batch is a header, event records of fixed size, and a tail that holds data of variable length; a reply has the same
+// structure with action records.
 package wire
 
 import (
@@ -6,9 +12,9 @@
 	"encoding/binary"
 	"fmt"
 	"io"
-	"math"
 )
 
+// Sizes of the parts of a frame, in bytes.
 const (
 	batchHeaderSize  = 20
 	replyHeaderSize  = 12
@@ -17,33 +23,34 @@
 	listEntrySize    = 23
 )
 
+// byteOrder is the byte order of all integers in a frame.
 var byteOrder = binary.LittleEndian
 
-// Batch is one frame of events.
+// Batch is one frame of event records.
 type Batch struct {
-	Seq    uint32
-	Clock  uint64 // microseconds
-	events []byte
-	tail   []byte
+	Seq    uint32 // sequence number, repeated in the reply
+	Clock  uint64 // simulated time of all events in the batch, in microseconds
+	events []byte // event records, each of eventRecordSize bytes
+	tail   []byte // data of variable length that the records refer to
 }
 
-// Len is the number of records.
+// Len returns the number of event records.
 func (b *Batch) Len() int { return len(b.events) / eventRecordSize }
 
-// record is record i, its code first.
+// record returns event record i. Its first byte is the event code.
 func (b *Batch) record(i int) []byte { return b.events[i*eventRecordSize : (i+1)*eventRecordSize] }
 
-// span is a stretch of the tail, of count items of the given size.
+// tailBytes returns the part of the tail that starts at offset and holds count items of size bytes each.
 func (b *Batch) tailBytes(offset, count, size uint32) ([]byte, error) {
 	end := uint64(offset) + uint64(count)*uint64(size)
 	if end > uint64(len(b.tail)) {
-		return nil, fmt.Errorf("%d x %d bytes at %d reach beyond the tail of %d", count, size, offset, len(b.tail))
+		return nil, fmt.Errorf("%d x %d bytes at offset %d reach beyond the tail of %d bytes", count, size, offset, len(b.tail))
 	}
 	return b.tail[offset:end], nil
 }
 
-// ReadBatch reads one frame. It returns io.EOF at an end of input between frames. Memory grows with
-// what has come in, not with the length that the header claims.
+// ReadBatch reads one frame. It returns io.EOF if the input ends between frames. Memory use grows with the bytes that
+// were received, not with the length that the header claims.
 func ReadBatch(r io.Reader) (*Batch, error) {
 	var header [batchHeaderSize]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
@@ -65,13 +72,13 @@
 	return b, nil
 }
 
-// Reply collects the actions that answer a batch.
+// Reply collects the action records that answer a batch.
 type Reply struct {
-	records []byte
-	tail    []byte
+	records []byte // action records, each of actionRecordSize bytes
+	tail    []byte // data of variable length that the records refer to
 }
 
-// add appends a record of the given code and returns it to be filled in.
+// addRecord appends a zeroed record with the given action code and returns the record for the caller to fill in.
 func (r *Reply) addRecord(code byte) []byte {
 	var blank [actionRecordSize]byte
 	blank[0] = code
@@ -79,7 +86,7 @@
 	return r.records[len(r.records)-actionRecordSize:]
 }
 
-// addText appends a record whose only field is a text in the tail.
+// addTextRecord appends a record whose only field refers to a text, and appends the text to the tail.
 func (r *Reply) addTextRecord(code byte, text string) {
 	rec := r.addRecord(code)
 	byteOrder.PutUint32(rec[1:], uint32(len(r.tail)))
@@ -87,7 +94,7 @@
 	r.tail = append(r.tail, text...)
 }
 
-// WriteTo writes the reply to the batch of the given number and empties it.
+// WriteTo writes the reply to the batch with sequence number seq and then empties the reply.
 func (r *Reply) WriteTo(w io.Writer, seq uint32) error {
 	var header [replyHeaderSize]byte
 	byteOrder.PutUint32(header[0:], seq)
@@ -101,6 +108,3 @@
 	r.records, r.tail = r.records[:0], r.tail[:0]
 	return nil
 }
-
-// float reads an f32.
-func decodeFloat32(b []byte) float64 { return float64(math.Float32frombits(byteOrder.Uint32(b))) }
--- a/internal/wire/membership.go
+++ b/internal/wire/membership.go
@@ -6,20 +6,21 @@
 	"elmseam/internal/settings"
 )
 
-// member is an instance's part in its tier's membership.
+// member is an instance that takes part in the membership protocol of its tier.
 type member struct {
-	reducer   *membership.Reducer
-	timers    map[uint32]membership.Token // by the wire's token
-	lastToken uint32
+	reducer   *membership.Reducer         // membership state machine of the instance
+	timers    map[uint32]membership.Token // pending membership timers, by the timer token on the wire
+	lastToken uint32                      // timer token used last; tokens are counted down from the highest number
 }
 
-// EnableMembership has every instance that starts from now on take part in its tier's membership, where the settings permit peer
-// messages. The simulator prices them; the adapter has them off unless it is told otherwise.
+// EnableMembership makes every instance that starts after the call take part in the membership protocol of its tier, if
+// the instance's settings permit peer messages. Membership is off by default, because the simulator charges for peer
+// messages.
 func (h *Host) EnableMembership(l membership.Limits) { h.membershipLimits = &l }
 
-// join begins the part of the current instance.
+// startMembership makes the current instance a member of its tier, if membership is enabled and permitted by the settings.
 func (h *Host) startMembership(settingsText []byte, seed uint64, now elmseam.Time) {
-	delete(h.members, h.current)
+	delete(h.members, h.currentInstance)
 	if h.membershipLimits == nil {
 		return
 	}
@@ -33,21 +34,22 @@
 		return
 	}
 	m := &member{reducer: reducer, timers: make(map[uint32]membership.Token)}
-	h.members[h.current] = m
+	h.members[h.currentInstance] = m
 	h.applyMembershipEffects(m, effects)
 }
 
-// step hands the current instance's part an event, if it has one.
+// stepMembership passes an event to the membership reducer of the current instance, if the instance is a member.
 func (h *Host) stepMembership(now elmseam.Time, ev membership.Event) {
-	if m := h.members[h.current]; m != nil {
+	if m := h.members[h.currentInstance]; m != nil {
 		h.applyMembershipEffects(m, m.reducer.Step(now, ev))
 	}
 }
 
-// due hands a timer on that is membership's. Its tokens are counted down from the top; a call of the same number, should
-// one ever come, is woken beside it, which changes nothing.
+// fireMembershipTimer passes the timer with the given token to the membership reducer, if the timer belongs to membership.
+// Membership takes its tokens from the highest number downwards. A call whose id equals such a token also gets the timer
+// event, which has no effect on the call.
 func (h *Host) fireMembershipTimer(now elmseam.Time, token uint32) {
-	if m := h.members[h.current]; m != nil {
+	if m := h.members[h.currentInstance]; m != nil {
 		if membershipToken, found := m.timers[token]; found {
 			delete(m.timers, token)
 			h.applyMembershipEffects(m, m.reducer.Step(now, membership.TimerFired{Token: membershipToken}))
@@ -55,7 +57,8 @@
 	}
 }
 
-// carry writes down what membership asks for, and tells the controller how careful to be.
+// applyMembershipEffects appends the peer messages and timers that membership asks for to the reply. When the state of a
+// member changes, the function sets the fraction of its cold-server quota that the controller may use.
 func (h *Host) applyMembershipEffects(m *member, effects []membership.Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
@@ -71,14 +74,14 @@
 			m.timers[m.lastToken] = e.Token
 			h.encodeAction(elmseam.SetTimer{Token: m.lastToken, At: e.At})
 		case membership.StateChanged:
-			if controller := h.instances[h.current]; controller != nil {
+			if controller := h.instances[h.currentInstance]; controller != nil {
 				controller.SetColdQuotaFraction(m.reducer.View().ColdQuotaFactor())
 			}
 		}
 	}
 }
 
-// peerData reads a message of another instance.
+// decodePeerData decodes a message from another instance. The message itself is in the tail.
 func (b *Batch) decodePeerData(rec []byte) (membership.Datagram, error) {
 	data, err := b.tailBytes(byteOrder.Uint32(rec[3:]), byteOrder.Uint32(rec[7:]), 1)
 	return membership.Datagram{From: int(byteOrder.Uint16(rec[1:])), Data: data}, err
--- a/internal/wire/membership_test.go
+++ b/internal/wire/membership_test.go
@@ -10,7 +10,7 @@
 	"elmseam/internal/membership"
 )
 
-// frame is a batch of records with a tail.
+// encodeBatch returns a batch with the given clock, in microseconds, the records, each padded to its full size, and the tail.
 func encodeBatch(clock uint64, records [][]byte, tail []byte) []byte {
 	b := byteOrder.AppendUint32(nil, 1)
 	b = byteOrder.AppendUint32(b, uint32(len(records)*eventRecordSize+len(tail)))
@@ -22,16 +22,17 @@
 	return append(b, tail...)
 }
 
-// Two instances of one tier find each other by announcements and timers on the wire, in the simulator's time; where the
-// adapter is not told to, or the settings don't permit it, nothing of that kind is written.
+// TestMembershipExchange checks that two instances of a tier come to hold each other alive by peer messages and timers on
+// the wire, in simulated time, and that no peer message is written where membership is not enabled or the settings don't
+// permit peer messages.
 func TestMembershipExchange(t *testing.T) {
-	settings := func(me int, permitted bool) string {
+	settingsFor := func(self int, permitted bool) string {
 		return strings.Replace(strings.Replace(validSettings, `"max-attempts": 4`, fmt.Sprintf(`"max-attempts": 4, "peer-messages": %t`, permitted), 1),
-			`{"request-classes"`, fmt.Sprintf(`{"me": %d, "peers-total": 2, "request-classes"`, me), 1)
+			`{"request-classes"`, fmt.Sprintf(`{"me": %d, "peers-total": 2, "request-classes"`, self), 1)
 	}
-	for _, c := range []struct{ told, permitted, want bool }{{true, true, true}, {false, true, false}, {true, false, false}} {
+	for _, c := range []struct{ enabled, permitted, want bool }{{true, true, true}, {false, true, false}, {true, false, false}} {
 		h := NewHost()
-		if c.told {
+		if c.enabled {
 			h.EnableMembership(membership.Defaults())
 		}
 		type pendingTimer struct {
@@ -49,7 +50,7 @@
 			}
 			reply := out.Bytes()
 			actionCount := int(byteOrder.Uint32(reply[4:]))
-			actionRecords, tail := reply[replyHeaderSize:replyHeaderSize+actionCount*actionRecordSize], reply[replyHeaderSize+actionCount*actionRecordSize:]
+			actionRecords, replyTail := reply[replyHeaderSize:replyHeaderSize+actionCount*actionRecordSize], reply[replyHeaderSize+actionCount*actionRecordSize:]
 			instance := uint16(0)
 			for ; len(actionRecords) > 0; actionRecords = actionRecords[actionRecordSize:] {
 				switch actionRecords[0] {
@@ -59,17 +60,17 @@
 					timers = append(timers, pendingTimer{byteOrder.Uint64(actionRecords[5:]), instance, byteOrder.Uint32(actionRecords[1:])})
 				case actionPeerData:
 					peerMessages++
-					data := tail[byteOrder.Uint32(actionRecords[3:]):][:byteOrder.Uint32(actionRecords[7:])]
-					peerRecord := byteOrder.AppendUint16([]byte{eventPeerData}, instance) // instances are numbered as they are in the tier
+					data := replyTail[byteOrder.Uint32(actionRecords[3:]):][:byteOrder.Uint32(actionRecords[7:])]
+					peerRecord := byteOrder.AppendUint16([]byte{eventPeerData}, instance) // the instance number is the member's index in the tier
 					peerRecord = byteOrder.AppendUint32(byteOrder.AppendUint32(peerRecord, 0), uint32(len(data)))
 					serveBatch(clock, [][]byte{byteOrder.AppendUint16([]byte{eventSelectInstance}, byteOrder.Uint16(actionRecords[1:])), peerRecord}, data)
 				}
 			}
 		}
 		for i := range 2 {
-			tail := settings(i, c.permitted)
-			startRecord := byteOrder.AppendUint32(byteOrder.AppendUint32(append([]byte{eventStarted}, make([]byte, 8)...), 0), uint32(len(tail)))
-			serveBatch(1e9, [][]byte{byteOrder.AppendUint16([]byte{eventSelectInstance}, uint16(i)), startRecord}, []byte(tail))
+			settingsText := settingsFor(i, c.permitted)
+			startRecord := byteOrder.AppendUint32(byteOrder.AppendUint32(append([]byte{eventStarted}, make([]byte, 8)...), 0), uint32(len(settingsText)))
+			serveBatch(1e9, [][]byte{byteOrder.AppendUint16([]byte{eventSelectInstance}, uint16(i)), startRecord}, []byte(settingsText))
 		}
 		for range 200 {
 			if len(timers) == 0 {
@@ -81,7 +82,7 @@
 			serveBatch(next.at, [][]byte{byteOrder.AppendUint16([]byte{eventSelectInstance}, next.instance), byteOrder.AppendUint32([]byte{eventTimerFired}, next.token)}, nil)
 		}
 		if (peerMessages > 0) != c.want {
-			t.Errorf("%+v: %d announcements", c, peerMessages)
+			t.Errorf("%+v: %d peer messages", c, peerMessages)
 		}
 		for i := range 2 {
 			if m := h.members[uint16(i)]; (m != nil) != c.want || m != nil && m.reducer.Members()[1-i].State != membership.Alive {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -11,7 +11,7 @@
 	"elmseam"
 )
 
-// unhex reads hex digits, with spaces anywhere and +N for N zero bytes.
+// decodeHex decodes bytes written as hex digits with spaces between bytes; +N stands for N zero bytes.
 func decodeHex(t testing.TB, text string) []byte {
 	t.Helper()
 	var out []byte
@@ -26,13 +26,14 @@
 		}
 		b, err := hex.DecodeString(word)
 		if err != nil {
-			t.Fatalf("bad hex %q: %v", word, err)
+			t.Fatalf("invalid hex %q: %v", word, err)
 		}
 		out = append(out, b...)
 	}
 	return out
 }
 
+// Inputs of several tests.
 const (
 	exampleBatch = "0c000000 f0000000 05000000 5a5c800000000000" +
 		" 19 0300 +45" +
@@ -46,6 +47,7 @@
 		"some-new-key": {"a": [1]}, "family-info": {"own-number": -1, "release-guard-us": 300000}}`
 )
 
+// TestReadBatch checks the header of an example batch and one of its arrivals.
 func TestReadBatch(t *testing.T) {
 	b, err := ReadBatch(bytes.NewReader(decodeHex(t, exampleBatch)))
 	if err != nil {
@@ -63,6 +65,7 @@
 	}
 }
 
+// TestDecodeEvents checks the decoding of example records of the events for a controller, arrivals excepted.
 func TestDecodeEvents(t *testing.T) {
 	h := NewHost()
 	h.serverLists[0] = decodeListEntries(decodeHex(t, "0a124a07 2b23 00 00 0000 01 0000803f 0000000000000000"+
@@ -73,7 +76,7 @@
 		rec  string
 		want func(elmseam.Event) bool
 	}{
-		{"standing", "17 c4913a5d 0a124a07 2b23 00 22240000 +32", func(ev elmseam.Event) bool {
+		{"established", "17 c4913a5d 0a124a07 2b23 00 22240000 +32", func(ev elmseam.Event) bool {
 			return ev == elmseam.Established{Call: 0x5d3a91c4, Server: server, SetUpTime: 9250 * time.Microsecond}
 		}},
 		{"outcome", "14 c4913a5d 01 00 44480000 00000000 0a 0a124a07 2b23 03 cdcccc3e 0000a03f 00000c43 00000000 +9",
@@ -81,7 +84,7 @@
 				outcome := ev.(elmseam.Outcome)
 				return outcome.Final && outcome.Cause == elmseam.CauseEnded && outcome.Server == server && len(outcome.Report) == 3 && outcome.Report[2] == 140
 			}},
-		{"full for 500 ms", "14 c4913a5d 00 00 44480000 431f0000 1e 0a124a07 2b23 00 +25", func(ev elmseam.Event) bool {
+		{"processor full for 500 ms", "14 c4913a5d 00 00 44480000 431f0000 1e 0a124a07 2b23 00 +25", func(ev elmseam.Event) bool {
 			outcome := ev.(elmseam.Outcome)
 			return outcome.Refusal == elmseam.RefusalProcessor && outcome.Wait == 500*time.Millisecond && !outcome.Final
 		}},
@@ -93,8 +96,8 @@
 			return list.Cached && len(list.Entries) == 2 && list.Entries[1].Phase == elmseam.Draining &&
 				list.Entries[1].Started == 6100000*time.Microsecond
 		}},
-		{"gone", "18 192b6f0e +43", func(ev elmseam.Event) bool { return ev == elmseam.CallerGone{Call: 0x0e6f2b19} }},
-		{"due", "15 4d000000 +43", func(ev elmseam.Event) bool { return ev == elmseam.TimerFired{Token: 77} }},
+		{"caller gone", "18 192b6f0e +43", func(ev elmseam.Event) bool { return ev == elmseam.CallerGone{Call: 0x0e6f2b19} }},
+		{"timer fired", "15 4d000000 +43", func(ev elmseam.Event) bool { return ev == elmseam.TimerFired{Token: 77} }},
 	}
 	for _, tt := range tests {
 		ev, err := h.decodeEvent(decodeHex(t, tt.rec))
@@ -106,12 +109,13 @@
 	}
 }
 
+// TestEncodeActions checks the bytes of a reply with actions of two instances.
 func TestEncodeActions(t *testing.T) {
 	h := NewHost()
-	h.current = 3
+	h.currentInstance = 3
 	h.encodeAction(elmseam.Send{Call: 0x5d3a91c4, Server: decodeServerID(decodeHex(t, "0a124a07 2b23")), Timeout: 80 * time.Millisecond})
 	h.encodeAction(elmseam.SetTimer{Token: 77, At: 0x87fd7a * time.Microsecond})
-	h.current = 5
+	h.currentInstance = 5
 	h.encodeAction(elmseam.Refuse{Call: 0x0e6f2b19, RetryAfter: 250 * time.Millisecond})
 	h.encodeAction(elmseam.Fail{Call: 0x5d3a91c4})
 	h.encodeAction(elmseam.Cancel{Call: 0x5d3a91c4, Attempt: 2})
@@ -128,7 +132,7 @@
 	}
 }
 
-// start is a batch that starts instance 3 with the given settings.
+// startBatch returns a batch that starts instance 3 with the given settings.
 func startBatch(settingsText string) []byte {
 	var batch []byte
 	putUint32 := func(n uint32) { batch = byteOrder.AppendUint32(batch, n) }
@@ -144,11 +148,12 @@
 	return append(append(batch, startRecord...), settingsText...)
 }
 
+// TestStartChecksSettings checks that invalid settings fail the instance with a reason, and that unknown keys are ignored.
 func TestStartChecksSettings(t *testing.T) {
 	tests := []struct {
 		name, text, want string
 	}{
-		{"good", validSettings, ""},
+		{"valid", validSettings, ""},
 		{"not JSON", "hello", "settings"},
 		{"no class", "{}", "no class"},
 		{"unknown effect", `{"request-classes": [{"effect": "odd"}]}`, "effect"},
@@ -162,27 +167,29 @@
 		}
 		failed := bytes.Contains(out.Bytes(), []byte{actionInstanceFailed})
 		if failed != (tt.want != "") || !bytes.Contains(out.Bytes(), []byte(tt.want)) {
-			t.Errorf("%s: reply %q, want a failure that names %q", tt.name, out.Bytes(), tt.want)
+			t.Errorf("%s: reply %q, want a failure that contains %q (no failure if empty)", tt.name, out.Bytes(), tt.want)
 		}
 	}
 }
 
+// TestInvalidFrames checks that malformed input ends Serve with an error that says where the fault is, and that empty
+// input ends Serve without an error.
 func TestInvalidFrames(t *testing.T) {
 	validFrame := decodeHex(t, exampleBatch)
 	listBeyondTail := append(decodeHex(t, "01000000 30000000 01000000 +8"), decodeHex(t, "13 00000000 00000000 ffffff7f +35")...)
 	tests := []struct {
 		name  string
 		input []byte
-		want  string // in the error; empty: none
+		want  string // part of the error; empty: no error
 	}{
-		{"nothing", nil, ""},
+		{"empty input", nil, ""},
 		{"header cut short", validFrame[:7], "header"},
 		{"record cut short", validFrame[:batchHeaderSize+eventRecordSize+5], "batch 12 record 1"},
 		{"claims 4 GB", decodeHex(t, "01000000 ffffffff 00000000 +8"), "cut short"},
 		{"more records than bytes", decodeHex(t, "01000000 30000000 ffffff00 +8 +48"), "do not fit"},
 		{"list beyond the tail", listBeyondTail, "batch 1 record 0"},
-		{"list number", append(decodeHex(t, "01000000 30000000 01000000 +8"), decodeHex(t, "13 10000000 +43")...), "list 16"},
-		{"unknown event", append(decodeHex(t, "01000000 30000000 01000000 +8"), decodeHex(t, "63 +47")...), "code 99"},
+		{"list number too high", append(decodeHex(t, "01000000 30000000 01000000 +8"), decodeHex(t, "13 10000000 +43")...), "list 16"},
+		{"unknown event code", append(decodeHex(t, "01000000 30000000 01000000 +8"), decodeHex(t, "63 +47")...), "code 99"},
 		{"update without a list", append(decodeHex(t, "01000000 30000000 01000000 +8"), decodeHex(t, "16 +47")...), "no list 0"},
 	}
 	for _, tt := range tests {
@@ -191,12 +198,13 @@
 		case tt.want == "" && err != nil:
 			t.Errorf("%s: %v", tt.name, err)
 		case tt.want != "" && (err == nil || !strings.Contains(err.Error(), tt.want)):
-			t.Errorf("%s: error %v, want one that says %q", tt.name, err, tt.want)
+			t.Errorf("%s: error %v, want an error that contains %q", tt.name, err, tt.want)
 		}
 	}
 }
 
-// Instances share nothing: one that is killed and started again in a batch knows nothing of before.
+// TestKillAndStartInOneBatch checks that an instance that is killed and started again within one batch gets a new
+// controller, without the state of the earlier one.
 func TestKillAndStartInOneBatch(t *testing.T) {
 	h := NewHost()
 	if err := h.Serve(bytes.NewReader(startBatch(validSettings)), io.Discard, func() error { return nil }); err != nil {
@@ -214,32 +222,33 @@
 		t.Fatal(err)
 	}
 	if after := h.instances[3]; after == nil || after == before {
-		t.Error("the instance was not made anew")
+		t.Error("the instance kept its controller across the restart")
 	}
 }
 
-// A panic in the module becomes the wire's failure action with its text.
+// TestPanicReportsFailure checks that a panic in the decision module is reported as an instance failure with the panic's text.
 func TestPanicReportsFailure(t *testing.T) {
 	h := NewHost()
-	h.current = 3
-	h.instances[3] = new(elmseam.Controller) // not made by New: it has no settings
+	h.currentInstance = 3
+	h.instances[3] = new(elmseam.Controller) // not made by New, so that it panics for lack of settings
 	frame := decodeHex(t, "01000000 60000000 02000000 +8 19 0300 +45 12 +47")
 	var out bytes.Buffer
 	if err := h.Serve(bytes.NewReader(frame), &out, func() error { return nil }); err != nil {
 		t.Fatal(err)
 	}
 	if !bytes.Contains(out.Bytes(), []byte("panic: ")) || h.instances[3] != nil {
-		t.Errorf("reply %q, want the panic's text", out.Bytes())
+		t.Errorf("reply %q, want the text of the panic", out.Bytes())
 	}
 }
 
+// FuzzServe checks that no input makes Serve panic or loop endlessly.
 func FuzzServe(f *testing.F) {
 	f.Add(decodeHex(f, exampleBatch))
 	f.Add(startBatch(validSettings))
 	f.Add(decodeHex(f, "01000000 00000000 00000000 5a5c800000000000"))
 	f.Add(append(startBatch(validSettings), decodeHex(f, exampleBatch)...))
 	f.Fuzz(func(t *testing.T, input []byte) {
-		// An error is fine, a panic or an endless loop is not.
+		// Malformed input may give an error, but neither a panic nor an endless loop.
 		_ = NewHost().Serve(bytes.NewReader(input), io.Discard, func() error { return nil })
 	})
 }
