--- a/internal/platform/crossings_test.go
+++ b/internal/platform/crossings_test.go
@@ -525,9 +525,10 @@
 }
 
 // Connection attempts to one server time out again and again. The other server must serve the set-ups meanwhile, and the
-// attempts must leave no file descriptors open.
+// attempts must leave no file descriptors open. The long retransmit interval keeps a stall of the test machine from counting
+// as load of the server, for which the controller would refuse set-ups.
 func TestConnectsThatNeverComeUp(t *testing.T) {
-	s := newScenario(t)
+	s := newScenario(t, func(s *scenario) { s.retransmit = testTimeout })
 	s.changeConfig(func(c *Config) { c.DialTimeout = time.Millisecond })
 	deaf := listen(t) // with its backlog full, connects are not answered
 	raw, err := deaf.(*net.TCPListener).SyscallConn()
@@ -542,17 +543,30 @@
 	for tcpInfo(t, deaf).Unacked == 0 { // the handshake may complete after the connect returns
 		time.Sleep(time.Millisecond)
 	}
-	before := leak.OpenDescriptors()
-	s.loop.Post(core.List{Servers: []core.Server{{Name: "t", Address: deaf.Addr().String(), Protocol: Protocol, Cell: 1, Phase: elmseam.Ready}}})
-	for id := core.ID(1); s.dialCount.Load() < 50; id++ {
+	serve := func(id core.ID) {
+		t.Helper()
 		s.callerConn.Write(setUpFrame(id, "voice", "9000", ""))
 		s.wantLine(`"offer"`, fmt.Sprintf(`%x"`, uint64(id)))
 		s.send(acceptLine, id)
 		s.wantFrame(typeAnswer, id, -1)
 	}
+	serve(1) // the answer shows that the caller's connection has been accepted
+	before := leak.OpenDescriptors()
+	s.loop.Post(core.List{Servers: []core.Server{{Name: "t", Address: deaf.Addr().String(), Protocol: Protocol, Cell: 1, Phase: elmseam.Ready}}})
+	for id := core.ID(2); s.dialCount.Load() < 50; id++ {
+		serve(id)
+	}
 	if n := leak.OpenDescriptors(); n > before+1 {
 		t.Errorf("%d descriptors, %d before", n, before)
 	}
+	gate := make(chan struct{}) // keeps the next dial from opening a socket
+	defer close(gate)
+	s.dialGate.Store(&gate)
+	for deadline := time.Now().Add(testTimeout); leak.OpenDescriptors() != before; time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("%d descriptors with no dial in progress, %d before", leak.OpenDescriptors(), before)
+		}
+	}
 }
 
 // A process stops while callers keep sending set-ups on old and new connections. Each set-up must be answered, or cross the
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -43,6 +43,7 @@
 	hook           core.Hook
 	effects        chan core.Effect // effects that are for no single connection
 	tenants        []elmseam.Tenant
+	retransmit     time.Duration                 // retransmit interval; 0: the controller's default
 	dialGate       atomic.Pointer[chan struct{}] // if set, a dial waits until the channel is closed
 	dialCount      atomic.Int64                  // connections to servers begun so far
 }
@@ -58,7 +59,7 @@
 	}
 	c, err := core.New(elmseam.Settings{
 		Classes: []elmseam.Class{{Deadline: 9 * time.Second, Worth: 1}}, MaxAttempts: 4, OwnCell: -1,
-		ReleaseGuard: 50 * time.Millisecond, MaxRetryAfter: 2 * time.Second, Tenants: s.tenants, OverShareWorth: 0.1,
+		RetransmitInterval: s.retransmit, ReleaseGuard: 50 * time.Millisecond, MaxRetryAfter: 2 * time.Second, Tenants: s.tenants, OverShareWorth: 0.1,
 		ReportMetrics: []elmseam.LoadMetric{elmseam.LoadMetricWait},
 	}, 1, s.limits)
 	if err != nil {
