--- a/cmd/elmseam/main.go
+++ b/cmd/elmseam/main.go
@@ -167,7 +167,7 @@
 		defer adminListener.Close()
 		eventLoop.PublishEvery(cfg.Limits.StatsInterval)
 		admin := &mgmt.AdminServer{
-			Limits: cfg.Limits.Mgmt, Snapshot: eventLoop.Snapshot, ClassNames: platformProtocol.Classes,
+			Limits: cfg.Limits.Mgmt, Snapshot: eventLoop.Snapshot, ClassNames: platformProtocol.ClassNames,
 			SetDraining: platformProtocol.SetDraining, Post: eventLoop.Post, Log: log, Peers: tierSocket,
 		}
 		log.Info().Str("mgmt", adminListener.Addr().String()).Msg("admin endpoint listening")
--- a/cmd/elmseamctl/main_test.go
+++ b/cmd/elmseamctl/main_test.go
@@ -19,7 +19,7 @@
 // a majority.
 func TestMembersCommand(t *testing.T) {
 	age := int64(200)
-	view := mgmt.TierStatus{Self: 0, Majority: true, ColdShare: 1, Members: []mgmt.MemberStatus{{Index: 0, State: "alive", Incarnation: 7},
+	view := mgmt.TierStatus{Self: 0, Majority: true, ColdQuotaFraction: 1, Members: []mgmt.MemberStatus{{Index: 0, State: "alive", Incarnation: 7},
 		{Index: 1, Address: "127.0.0.2:7946", State: "suspect", LastDatagramAgeMS: &age}, {Index: 2, State: "unknown"}}}
 	status := http.StatusOK
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -112,7 +112,7 @@
 // Each run of an experiment has a different seed; with equal seeds the median would be that of a single run.
 func TestRunsUseDifferentSeeds(t *testing.T) {
 	results, err := runExperiments(swarm.Experiment{Members: 5, Limits: membership.Defaults(), WarmUp: 5 * time.Second,
-		Measured: time.Second, Kill: true}, 4)
+		MeasureDuration: time.Second, Kill: true}, 4)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/elmseamctl/members.go
+++ b/cmd/elmseamctl/members.go
@@ -92,7 +92,7 @@
 		majority = "sees NO majority"
 	}
 	fmt.Fprintf(out, "%s; uses %.2f of its quota of a cold server's budget; local health multiplier %d\n", majority,
-		status.ColdShare, status.Health)
+		status.ColdQuotaFraction, status.Health)
 }
 
 // formatMS formats a number of milliseconds as a duration, rounded to 100 ms.
--- a/cmd/elmseamctl/tier.go
+++ b/cmd/elmseamctl/tier.go
@@ -89,7 +89,7 @@
 		names = append(names, name)
 		for _, size := range sizes {
 			results, err := runExperiments(swarm.Experiment{Members: size, Limits: limits, Loss: loss, MaxDelay: maxDatagramDelay,
-				WarmUp: 30 * time.Second, Measured: 20 * time.Second, Kill: true}, runs)
+				WarmUp: 30 * time.Second, MeasureDuration: 20 * time.Second, Kill: true}, runs)
 			if err != nil {
 				return err
 			}
@@ -131,7 +131,7 @@
 	}{{5, 3, 200 * time.Millisecond, 0}, {8, 3, 200 * time.Millisecond, 0}, {8, 3, 200 * time.Millisecond, 0.3},
 		{300, 24, 10 * time.Second, 0}, {300, 24, 10 * time.Second, 0.3}} {
 		experiment := swarm.Experiment{Members: config.members, Limits: membership.Defaults(), Loss: config.loss,
-			MaxDelay: maxDatagramDelay, WarmUp: 30 * time.Second, Measured: 20 * time.Second}
+			MaxDelay: maxDatagramDelay, WarmUp: 30 * time.Second, MeasureDuration: 20 * time.Second}
 		without, err := runExperiments(experiment, runs)
 		if err != nil {
 			return err
@@ -146,7 +146,7 @@
 			config.servers, config.interval, 100*config.loss,
 			median(with, func(outcome swarm.Outcome) float64 { return outcome.DatagramRate }), median(with, bytes), median(without, bytes),
 			median(with, func(outcome swarm.Outcome) float64 { return outcome.OwnAge.Seconds() }),
-			median(with, func(outcome swarm.Outcome) float64 { return outcome.AnyAge.Seconds() }))
+			median(with, func(outcome swarm.Outcome) float64 { return outcome.NewestKnownAge.Seconds() }))
 	}
 	return nil
 }
@@ -164,7 +164,7 @@
 		fmt.Fprint(w, " --- |")
 	}
 	fmt.Fprintln(w)
-	base := swarm.Experiment{Members: 32, MaxDelay: maxDatagramDelay, WarmUp: 20 * time.Second, Measured: 120 * time.Second}
+	base := swarm.Experiment{Members: 32, MaxDelay: maxDatagramDelay, WarmUp: 20 * time.Second, MeasureDuration: 120 * time.Second}
 	for _, impairment := range []struct {
 		name  string
 		apply func(*swarm.Experiment)
--- a/controller_test.go
+++ b/controller_test.go
@@ -1592,22 +1592,22 @@
 	h := newHarness(t, settings, 2)
 	s := h.controller.byID[1]
 	h.handle(Health{Server: 1, OK: true, Report: Report{0.2}})
-	h.controller.ApplyTierReport(h.now, 1, TierReport{Share: 0.9, ShareAt: h.now - ms})
+	h.controller.ApplyTierReport(h.now, 1, TierReport{HoldBackShare: 0.9, HoldBackShareAt: h.now - ms})
 	if h.controller.holdBackShare(s) > 0.3 {
 		t.Errorf("an older report of a member counts: share %v", h.controller.holdBackShare(s))
 	}
 	h.advance(ms)
-	h.controller.ApplyTierReport(h.now, 1, TierReport{Share: 0.9, ShareAt: h.now})
+	h.controller.ApplyTierReport(h.now, 1, TierReport{HoldBackShare: 0.9, HoldBackShareAt: h.now})
 	h.controller.now = h.now
 	if h.controller.holdBackShare(s) < 0.8 {
 		t.Errorf("a newer report of a member does not count: share %v", h.controller.holdBackShare(s))
 	}
-	if observation, _ := h.controller.Observed(1, h.now); observation.Share != 0.2 {
+	if observation, _ := h.controller.Observed(1, h.now); observation.HoldBackShare != 0.2 {
 		t.Errorf("a share reported by a member is passed on as an own one: %+v", observation)
 	}
 	id, _ := h.arrive(2)
 	h.handle(Outcome{Call: id, Server: 2, Cause: CauseFull, Refusal: RefusalProcessor, Final: true})
-	h.controller.ApplyTierReport(h.now, 2, TierReport{Share: 0, ShareAt: h.now + ms})
+	h.controller.ApplyTierReport(h.now, 2, TierReport{HoldBackShare: 0, HoldBackShareAt: h.now + ms})
 	if !h.controller.Blocked(2, h.now) {
 		t.Error("a member's report of a low load lifts a block")
 	}
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -70,7 +70,7 @@
 		tier.step(other, MemberAvailability{member, true})
 	}
 	tier.step(member, Demand{tier.demand[member]})
-	tier.step(member, ColdServer{Server: 7, Rate: 10, Until: tier.memberClock(member) + time.Hour})
+	tier.step(member, ColdServer{Server: 7, Rate: 10, ColdUntil: tier.memberClock(member) + time.Hour})
 }
 
 // killMember kills a member and tells the others.
--- a/internal/budget/reducer.go
+++ b/internal/budget/reducer.go
@@ -141,14 +141,14 @@
 // Units of other members' quotas that are used here count at their owners' rates, so no rate should grow with the
 // callers of dead members; the sender of the event decides until when a rate may grow.
 func (r *Reducer) markCold(ev ColdServer) {
-	if ev.Until <= r.now || !(ev.Rate >= 0) {
+	if ev.ColdUntil <= r.now || !(ev.Rate >= 0) {
 		return
 	}
 	c := r.findOrAddServer(ev.Server)
 	if c == nil {
 		return
 	}
-	c.ColdUntil = max(c.ColdUntil, ev.Until)
+	c.ColdUntil = max(c.ColdUntil, ev.ColdUntil)
 	c.Rates[r.cfg.Self] = max(c.Rates[r.cfg.Self], ev.Rate)
 	if r.Transferable() && !r.active {
 		r.active = true
--- a/internal/budget/types.go
+++ b/internal/budget/types.go
@@ -132,9 +132,9 @@
 	// Rate, in set-ups a second, is this member's whole quota of the server's budget. It applies for all of that time
 	// unless a later event gives a greater rate.
 	ColdServer struct {
-		Server uint32
-		Rate   float64
-		Until  Time
+		Server    uint32
+		Rate      float64
+		ColdUntil Time
 	}
 	// Demand says how much of the budgets this member could use now, in multiples of its own quota: 1 is all of its
 	// quota, 2 twice as much.
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -68,7 +68,7 @@
 	limits := Limits{
 		Core: core.Limits{
 			AnswerMargin:        15 * time.Millisecond,
-			Rebind:              100 * time.Millisecond, // a close that crosses a set-up is seen within 50 ms
+			RebindTimeout:       100 * time.Millisecond, // a close that crosses a set-up is seen within 50 ms
 			MinRedial:           100 * time.Millisecond,
 			MaxRedial:           500 * time.Millisecond,
 			ConnsPerServer:      map[core.Protocol]int{platform.Protocol: 2},
@@ -119,7 +119,7 @@
 			HelloTimeout: time.Second, ExitTimeout: 2 * time.Second, WriteTimeout: time.Second, MaxMessageSize: 128 << 10,
 			MaxQueuedBytes: 4 << 20, MaxEndedCalls: 4096,
 		},
-		Peers:       peers.Limits{Queue: 256, Rate: 400, Retry: 100 * time.Millisecond},
+		Peers:       peers.Limits{MaxQueued: 256, MaxReceiveRate: 400, ListenRetryDelay: 100 * time.Millisecond},
 		MemoryLimit: memoryBytes * 6 / 10,
 		GCPercent:   200,
 	}
--- a/internal/config/members.go
+++ b/internal/config/members.go
@@ -94,7 +94,7 @@
 	*b = countOrShare{}
 	switch v := v.(type) {
 	case int64:
-		b.Count = int(min(max(v, -1), maintenance.Slots+1))
+		b.Count = int(min(max(v, -1), maintenance.MaxSlots+1))
 		return nil
 	case string:
 		if percentText, ok := strings.CutSuffix(v, "%"); ok {
@@ -111,7 +111,7 @@
 // maintenance.Slots.
 func (b countOrShare) forTier(tier int) int {
 	if b.Share > 0 {
-		return min(max(int(b.Share*float64(tier)), 1), maintenance.Slots)
+		return min(max(int(b.Share*float64(tier)), 1), maintenance.MaxSlots)
 	}
 	return b.Count
 }
@@ -121,7 +121,7 @@
 func (m Maintenance) limits(tier int) maintenance.Limits {
 	l := maintenance.Defaults()
 	l.Budget, l.Lease, l.WorkLease = m.Budget.forTier(tier), m.Lease.Duration, m.WorkLease.Duration
-	l.Round, l.MaxDrift = m.RoundTimeout.Duration, m.MaxDrift
+	l.RoundTimeout, l.MaxDrift = m.RoundTimeout.Duration, m.MaxDrift
 	return l
 }
 
@@ -159,16 +159,16 @@
 func ParseMembers(text string) (MembersFile, error) {
 	membershipDefaults := membership.Defaults()
 	file := MembersFile{
-		Period: duration{membershipDefaults.Period}, ProbeTimeout: duration{membershipDefaults.Timeout},
-		IndirectProbes: membershipDefaults.Indirect, SuspicionMin: membershipDefaults.SuspicionMin,
-		SuspicionMax: membershipDefaults.SuspicionMax, Confirmations: membershipDefaults.Confirm,
-		RetransmitMult: membershipDefaults.Retransmit, MaxHealth: membershipDefaults.MaxHealth,
+		Period: duration{membershipDefaults.Period}, ProbeTimeout: duration{membershipDefaults.ProbeTimeout},
+		IndirectProbes: membershipDefaults.IndirectProbes, SuspicionMin: membershipDefaults.SuspicionMin,
+		SuspicionMax: membershipDefaults.SuspicionMax, Confirmations: membershipDefaults.Confirmations,
+		RetransmitMult: membershipDefaults.RetransmitMult, MaxHealth: membershipDefaults.MaxHealth,
 		StallThreshold: duration{membershipDefaults.StallThreshold}, ReclaimPeriods: membershipDefaults.ReclaimPeriods,
 	}
 	maintenanceDefaults := maintenance.Defaults()
 	file.Maintenance = Maintenance{Budget: countOrShare{Count: maintenanceDefaults.Budget},
 		Lease: duration{maintenanceDefaults.Lease}, WorkLease: duration{maintenanceDefaults.WorkLease},
-		RoundTimeout: duration{maintenanceDefaults.Round}, MaxDrift: maintenanceDefaults.MaxDrift}
+		RoundTimeout: duration{maintenanceDefaults.RoundTimeout}, MaxDrift: maintenanceDefaults.MaxDrift}
 	budgetDefaults := budgets.Defaults()
 	file.Quotas = Quotas{Lease: duration{budgetDefaults.Lease}, MaxDrift: budgetDefaults.MaxDrift, MaxMembers: budgetDefaults.MaxMembers}
 	knowledgeDefaults := knowledge.Defaults()
@@ -206,9 +206,9 @@
 // limits returns the limits of the membership protocol: the defaults with the values of the file.
 func (m MembersFile) limits() membership.Limits {
 	l := membership.Defaults()
-	l.Period, l.Timeout, l.Indirect = m.Period.Duration, m.ProbeTimeout.Duration, m.IndirectProbes
-	l.SuspicionMin, l.SuspicionMax, l.Confirm = m.SuspicionMin, m.SuspicionMax, m.Confirmations
-	l.Retransmit, l.MaxHealth, l.StallThreshold, l.ReclaimPeriods = m.RetransmitMult, m.MaxHealth, m.StallThreshold.Duration, m.ReclaimPeriods
+	l.Period, l.ProbeTimeout, l.IndirectProbes = m.Period.Duration, m.ProbeTimeout.Duration, m.IndirectProbes
+	l.SuspicionMin, l.SuspicionMax, l.Confirmations = m.SuspicionMin, m.SuspicionMax, m.Confirmations
+	l.RetransmitMult, l.MaxHealth, l.StallThreshold, l.ReclaimPeriods = m.RetransmitMult, m.MaxHealth, m.StallThreshold.Duration, m.ReclaimPeriods
 	return l
 }
 
@@ -227,7 +227,7 @@
 	case c.Deployment.TierSize != 0 && c.Deployment.TierSize != count:
 		return socket, startEvents, true, fmt.Errorf("peers: %d addresses, but settings.peers-total is %d", count, c.Deployment.TierSize)
 	}
-	socket = peers.Config{Listen: c.PeerListen, Peers: c.Peers, Self: c.Deployment.Self, Limits: c.Limits.Peers}
+	socket = peers.Config{ListenAddress: c.PeerListen, Addresses: c.Peers, Self: c.Deployment.Self, Limits: c.Limits.Peers}
 	startEvents = append(startEvents, core.StartMembership{Config: membership.Config{Self: c.Deployment.Self,
 		TierSize: len(c.Peers), Limits: c.Limits.Membership, Seed: c.Seed}})
 	if file.Maintenance.Enabled {
--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -62,7 +62,7 @@
 		if conn.unansweredSince == 0 {
 			conn.unansweredSince = c.now
 		}
-		c.emit(Offer{To: conn.id, ID: k.ID, Class: k.Name, NumberText: k.NumberText, Desc: k.SetUp.Desc, Cell: s.Cell, Until: k.deadline})
+		c.emit(Offer{To: conn.id, ID: k.ID, ClassName: k.ClassName, NumberText: k.NumberText, Desc: k.SetUp.Desc, Cell: s.Cell, Until: k.deadline})
 	}
 }
 
--- a/internal/core/budget.go
+++ b/internal/core/budget.go
@@ -82,7 +82,7 @@
 			isCold = false
 		}
 		if isCold {
-			c.stepBudget(budget.ColdServer{Server: incarnationKey(s), Rate: coldBudget.Quota, Until: coldBudget.Until})
+			c.stepBudget(budget.ColdServer{Server: incarnationKey(s), Rate: coldBudget.Quota, ColdUntil: coldBudget.Until})
 		}
 	}
 	c.applyColdRates()
@@ -130,7 +130,7 @@
 type QuotaStats struct {
 	budget.Counters
 	Enabled bool           // false: the tier is too large to move units
-	Active  bool           // a server is cold
+	AnyCold bool           // a server is cold
 	Quotas  []budget.Quota // by index of the member that the quota belongs to
 }
 
@@ -139,5 +139,5 @@
 	if c.budget == nil {
 		return nil
 	}
-	return &QuotaStats{Counters: c.budget.Counters(), Enabled: c.budget.Transferable(), Active: c.budget.AnyCold(), Quotas: c.budget.Quotas()}
+	return &QuotaStats{Counters: c.budget.Counters(), Enabled: c.budget.Transferable(), AnyCold: c.budget.AnyCold(), Quotas: c.budget.Quotas()}
 }
--- a/internal/core/callers.go
+++ b/internal/core/callers.go
@@ -50,7 +50,7 @@
 	for _, k := range inArrivalOrder(c.calls) {
 		if k.From == id && k.server == nil && !k.answered {
 			k.orphaned = true
-			c.setTimer(c.now+c.limits.Rebind, Token{kind: tokenRebind, call: k.ID, controllerID: k.controllerID})
+			c.setTimer(c.now+c.limits.RebindTimeout, Token{kind: tokenRebind, call: k.ID, controllerID: k.controllerID})
 		}
 	}
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -154,7 +154,7 @@
 		c.endWritten(ev)
 	case NotSent:
 		c.notSent(ev)
-	case List:
+	case ServerList:
 		c.serverList(ev)
 	case Configured:
 		if err := c.controller.Configure(ev.Settings); err != nil {
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -52,7 +52,7 @@
 func newRigWith(t *testing.T, settings elmseam.Settings) *rig {
 	t.Helper()
 	c, err := New(settings, 1, Limits{
-		AnswerMargin: 15 * ms, Rebind: 100 * ms, MinRedial: 100 * ms, MaxRedial: 500 * ms,
+		AnswerMargin: 15 * ms, RebindTimeout: 100 * ms, MinRedial: 100 * ms, MaxRedial: 500 * ms,
 		Probe:           probe.Limits{Permitted: len(settings.Tenants) > 0, Rate: 5, Burst: 2, Timeout: 300 * ms},
 		ServerLostAfter: 6 * time.Second, StopGrace: 700 * ms, MaxStopWait: 9 * time.Second, MaxCallerConns: 100, MaxOpen: 100, MaxCallBytes: 100, EndedCallTTL: time.Minute, ReportedDrainTTL: 5 * time.Second,
 	})
@@ -69,7 +69,7 @@
 
 // list gives the core a full server list in which "a" and "b" have the phases.
 func (r *rig) list(a, b elmseam.Phase) string {
-	return r.step(List{Full: true, Servers: []Server{
+	return r.step(ServerList{Full: true, Servers: []Server{
 		{Name: "a", Address: "a:1", Cell: 0, Phase: a}, {Name: "b", Address: "b:1", Cell: 1, Phase: b},
 	}})
 }
@@ -460,8 +460,8 @@
 	}
 	for i := range 10 {
 		name := fmt.Sprint(i)
-		r.step(List{Servers: []Server{{Name: name, Address: "x:1", Phase: elmseam.Ready}}})
-		r.step(List{Servers: []Server{{Name: name, Address: "x:1", Phase: elmseam.Gone}}})
+		r.step(ServerList{Servers: []Server{{Name: name, Address: "x:1", Phase: elmseam.Ready}}})
+		r.step(ServerList{Servers: []Server{{Name: name, Address: "x:1", Phase: elmseam.Gone}}})
 	}
 	if len(r.core.removed) != 2 || len(r.core.servers) != 2 || len(r.core.serversByID) != 2 || len(r.core.serverOrder) != 2 {
 		t.Errorf("%d removed servers, %d servers, %d ids, %d in order", len(r.core.removed), len(r.core.servers), len(r.core.serversByID), len(r.core.serverOrder))
--- a/internal/core/crossings_test.go
+++ b/internal/core/crossings_test.go
@@ -191,7 +191,7 @@
 	r.advance(ms)
 	r.setUp(3, 5*time.Second)
 	target := r.core.calls[3].attempt.server.Name
-	r.step(List{Servers: []Server{{Name: target, Address: "elsewhere:1", Phase: elmseam.Ready}}})
+	r.step(ServerList{Servers: []Server{{Name: target, Address: "elsewhere:1", Phase: elmseam.Ready}}})
 	r.want(r.step(ServerDown{Server: target, Address: target + ":1"}), "dial-"+target+" ")
 	r.want(r.step(ServerUp{Server: target, Address: "elsewhere:1", Conn: 12}), "offer3@12 ")
 }
@@ -206,7 +206,7 @@
 	r.step(ServerAnswer{Server: "a", ID: 1})
 	r.setUp(2, 5*time.Second) // at server "a"
 	r.step(ServerDown{Server: "b", Conn: 11})
-	r.want(r.step(List{Servers: []Server{
+	r.want(r.step(ServerList{Servers: []Server{
 		{Name: "a", Address: "a:1", Phase: elmseam.Gone}, {Name: "b", Address: "b:1", Cell: 1, Phase: elmseam.Gone},
 		{Name: "c", Address: "a:1", Phase: elmseam.Ready, Started: r.now},
 	}}), "withdraw@10 released1@1 closeconn@10 dial-c ")
@@ -285,13 +285,13 @@
 	stepOffer := func(ev Event) {
 		for _, e := range r.core.Step(r.now, ev) {
 			if o, ok := e.(Offer); ok {
-				offeredClass = o.Class
+				offeredClass = o.ClassName
 			} else if timer, ok := e.(Timer); ok {
 				r.timers = append(r.timers, timer)
 			}
 		}
 	}
-	stepOffer(SetUp{ID: 7, From: 1, Class: 1, Name: "gold", Cell: 0, TimeLeft: 5 * time.Second, At: r.now})
+	stepOffer(SetUp{ID: 7, From: 1, Class: 1, ClassName: "gold", Cell: 0, TimeLeft: 5 * time.Second, At: r.now})
 	if r.step(report); offeredClass != "gold" || !slices.Equal(reported, elmseam.Report{8, 9, 0.5}) {
 		t.Errorf("class %q, report %v", offeredClass, reported)
 	}
@@ -326,7 +326,7 @@
 	r.recordDials = true
 	r.core.limits.MaxServerConns, r.core.limits.ConnsPerServer = 2, map[Protocol]int{"": 2}
 	third := Server{Name: "c", Address: "c:1", Cell: 2, Phase: elmseam.Ready}
-	r.want(r.step(List{Servers: []Server{third}}), "") // no dial before the connection is needed
+	r.want(r.step(ServerList{Servers: []Server{third}}), "") // no dial before the connection is needed
 	r.want(r.setUp(1, 5*time.Second), "offer1@10 ")
 	target := "c"
 	r.core.hook.Decide = func(ev elmseam.Event, actions []elmseam.Action) []elmseam.Action {
--- a/internal/core/knowledge.go
+++ b/internal/core/knowledge.go
@@ -72,7 +72,7 @@
 		return
 	}
 	view := c.knowledge.View(c.now, key)
-	c.controller.ApplyTierReport(c.now, s.id, elmseam.TierReport{Share: view.HoldBackShare, ShareAt: view.HoldBackShareAt, Rate: view.FairRate, Failing: view.Observers > 1 && view.FailingShare > 0.5, RoundTrip: view.MinSetUpTime})
+	c.controller.ApplyTierReport(c.now, s.id, elmseam.TierReport{HoldBackShare: view.HoldBackShare, HoldBackShareAt: view.HoldBackShareAt, Rate: view.FairRate, Failing: view.Observers > 1 && view.FailingShare > 0.5, RoundTrip: view.MinSetUpTime})
 	if report := &s.drainReport; view.DrainingSince > report.listedAt && report.expiry == 0 && s.Phase == elmseam.Ready {
 		report.expiry = c.now + c.limits.ReportedDrainTTL
 		c.setTimer(report.expiry, Token{kind: tokenDrainReport, server: s.Name})
@@ -114,7 +114,7 @@
 			continue
 		}
 		observed, _ := c.controller.Observed(s.id, c.now)
-		observation := knowledge.Observation{HoldBackShare: observed.Share, HoldBackShareAt: observed.ShareAt, Rate: observed.Rate, Lines: observed.TotalLines, FailureWeight: observed.FailureWeight, MinSetUpTime: observed.MinSetUpTime}
+		observation := knowledge.Observation{HoldBackShare: observed.HoldBackShare, HoldBackShareAt: observed.HoldBackShareAt, Rate: observed.Rate, Lines: observed.TotalLines, FailureWeight: observed.FailureWeight, MinSetUpTime: observed.MinSetUpTime}
 		if s.Phase == elmseam.Draining {
 			observation.DrainingSince = s.drainReport.listedAt
 		}
--- a/internal/core/membership.go
+++ b/internal/core/membership.go
@@ -43,10 +43,10 @@
 type MemberStats struct {
 	membership.Counters
 	membership.View
-	Self      int                 // index of this softswitch
-	Members   []membership.Member // by index
-	Health    int                 // local health multiplier; 0 is best
-	ColdShare float64             // fraction, 0 to 1, of its own quota of a cold server's budget that this softswitch uses
+	Self              int                 // index of this softswitch
+	Members           []membership.Member // by index
+	Health            int                 // local health multiplier; 0 is best
+	ColdQuotaFraction float64             // fraction, 0 to 1, of its own quota of a cold server's budget that this softswitch uses
 }
 
 // startMembership starts the membership reducer. A second StartMembership has no effect.
@@ -134,6 +134,6 @@
 	view := c.membership.View()
 	return &MemberStats{
 		Counters: c.membership.Counters(), View: view, Self: c.selfIndex, Members: c.membership.Members(),
-		Health: c.membership.Health(), ColdShare: view.ColdQuotaFactor(),
+		Health: c.membership.Health(), ColdQuotaFraction: view.ColdQuotaFactor(),
 	}
 }
--- a/internal/core/probe.go
+++ b/internal/core/probe.go
@@ -15,9 +15,9 @@
 	// ServerSilent reports that nothing has come on a connection for the duration For. The reader of the connection does not
 	// know whether anything is pending there.
 	ServerSilent struct {
-		Server string
-		Conn   ConnID
-		For    time.Duration
+		Server    string
+		Conn      ConnID
+		SilentFor time.Duration
 	}
 	// ServerProbeAnswer reports the answer of a server to a Probe.
 	ServerProbeAnswer struct {
@@ -59,7 +59,7 @@
 		}
 	}
 	switch {
-	case unansweredSince != 0 && c.now-unansweredSince >= ev.For/2:
+	case unansweredSince != 0 && c.now-unansweredSince >= ev.SilentFor/2:
 		c.replaceConn(s, conn)
 		return
 	case unansweredSince != 0, len(s.established) == 0:
--- a/internal/core/random_test.go
+++ b/internal/core/random_test.go
@@ -152,7 +152,7 @@
 		m := calls[id]
 		switch rnd.IntN(26) {
 		case 24:
-			step(ServerSilent{Server: name, Conn: serverConnID[name], For: time.Duration(rnd.IntN(2000)) * ms})
+			step(ServerSilent{Server: name, Conn: serverConnID[name], SilentFor: time.Duration(rnd.IntN(2000)) * ms})
 		case 25: // the answer to a probe; the last answer comes twice
 			if n := len(probeAnswers); n > 0 {
 				step(probeAnswers[0])
@@ -207,7 +207,7 @@
 		case 20:
 			if rnd.IntN(4) == 0 {
 				phases[name] = []elmseam.Phase{elmseam.Ready, elmseam.Ready, elmseam.Ready, elmseam.Ready, elmseam.Draining, elmseam.Gone}[rnd.IntN(6)]
-				step(List{Servers: []Server{{Name: name, Address: name + ":1", Cell: int(name[0] - 'a'), Phase: phases[name]}}})
+				step(ServerList{Servers: []Server{{Name: name, Address: name + ":1", Cell: int(name[0] - 'a'), Phase: phases[name]}}})
 			}
 		case 21, 22: // an End is written late
 			if len(unwrittenEnds) > 0 {
--- a/internal/core/servers.go
+++ b/internal/core/servers.go
@@ -8,7 +8,7 @@
 )
 
 // serverList handles news of the servers from one source.
-func (c *Core) serverList(ev List) {
+func (c *Core) serverList(ev ServerList) {
 	listed := make(map[string]bool)
 	var changed []*server
 	for _, entry := range ev.Servers {
--- a/internal/core/servers_test.go
+++ b/internal/core/servers_test.go
@@ -15,22 +15,22 @@
 func TestSilentConnectionIsReplacedOnlyIfInUse(t *testing.T) {
 	r := newRig(t)
 	r.recordDials = true
-	silent := ServerSilent{Server: "a", Conn: 10, For: time.Second}
+	silent := ServerSilent{Server: "a", Conn: 10, SilentFor: time.Second}
 	r.want(r.step(silent), "")
 	r.want(r.setUp(1, 5*time.Second), "offer1@10 ")
 	r.advance(400 * ms)
 	r.want(r.step(silent), "")
-	r.want(r.step(ServerSilent{Server: "a", Conn: 99, For: time.Second}), "")
+	r.want(r.step(ServerSilent{Server: "a", Conn: 99, SilentFor: time.Second}), "")
 	r.advance(200 * ms)
 	r.want(r.step(silent), "closeconn@10 dial-a ")
 	r.want(r.step(ServerDown{Server: "a", Conn: 10}), "")
 	r.want(r.advance(201*ms), "offer1@11 ") // after the release guard
 	r.step(ServerAnswer{Server: "b", Conn: 11, ID: 1})
-	r.want(r.step(ServerSilent{Server: "b", Conn: 11, For: time.Second}), "close@11 dial-b ")
-	r.want(r.step(ServerSilent{Server: "b", Conn: 11, For: time.Second}), "")
+	r.want(r.step(ServerSilent{Server: "b", Conn: 11, SilentFor: time.Second}), "close@11 dial-b ")
+	r.want(r.step(ServerSilent{Server: "b", Conn: 11, SilentFor: time.Second}), "")
 	r.step(ServerUp{Server: "b", Address: "b:1", Conn: 12})
 	r.want(r.step(ServerEnd{Server: "b", Conn: 12, ID: 1, Reason: Normal}), "released1@1 ")
-	r.want(r.step(ServerSilent{Server: "b", Conn: 12, For: time.Second}), "")
+	r.want(r.step(ServerSilent{Server: "b", Conn: 12, SilentFor: time.Second}), "")
 
 	// A set-up that the controller has given up counts as unanswered too. Otherwise each further set-up on a dead connection was
 	// lost as well, and a tenth of all calls was refused (0.82 to 0.92 instead of 0.996 of the calls in rate+silent+leave).
@@ -38,8 +38,8 @@
 	r.core.effects = nil
 	r.core.giveUpAttempt(r.core.calls[2], elmseam.CauseCancelled)
 	r.want(r.step(EndWritten{Server: "b", Conn: 12, ID: 2}), "")
-	r.want(r.advance(400*ms)+r.step(ServerSilent{Server: "b", Conn: 12, For: time.Second}), "")
-	r.want(r.advance(100*ms)+r.step(ServerSilent{Server: "b", Conn: 12, For: time.Second}), "close@12 dial-b ")
+	r.want(r.advance(400*ms)+r.step(ServerSilent{Server: "b", Conn: 12, SilentFor: time.Second}), "")
+	r.want(r.advance(100*ms)+r.step(ServerSilent{Server: "b", Conn: 12, SilentFor: time.Second}), "close@12 dial-b ")
 }
 
 // Where the settings permit probes, a silent connection is probed before it is replaced, with one probe at a time and at a limited
@@ -53,7 +53,7 @@
 	r.step(Configured{Settings: elmseam.Settings{Classes: []elmseam.Class{{Deadline: 9 * time.Second}}, MaxAttempts: 4, OwnCell: -1}, Limits: limits})
 	r.core.prober = probe.New(limits.Probe)
 	reportSilence := func(server string, conn ConnID) string {
-		return r.step(ServerSilent{Server: server, Conn: conn, For: 200 * ms})
+		return r.step(ServerSilent{Server: server, Conn: conn, SilentFor: 200 * ms})
 	}
 	answer := func(server string, conn ConnID, id probe.ID) string {
 		return r.step(ServerProbeAnswer{Server: server, Conn: conn, ID: id, Report: Report{{elmseam.LoadMetricWait, 5}}})
@@ -104,7 +104,7 @@
 	r.want(r.setUp(1, 9*time.Second), "offer1@10 ")
 	r.step(ServerAnswer{Server: "a", Conn: 10, ID: 1})
 	r.advance(time.Second)
-	silent := ServerSilent{Server: "a", Conn: 20, For: time.Second}
+	silent := ServerSilent{Server: "a", Conn: 20, SilentFor: time.Second}
 	r.want(r.step(silent), "probe1@20 ")
 	r.want(r.advance(101*ms)+r.setUp(2, 9*time.Second), "offer2@10 ") // without the probe: connection 20, which was used least recently
 	r.step(ServerAnswer{Server: "a", Conn: 10, ID: 2})
--- a/internal/core/tier_test.go
+++ b/internal/core/tier_test.go
@@ -47,7 +47,7 @@
 			return cold
 		}
 		serveFor(10 * time.Second) // the controller measures the rates of both servers
-		r.step(List{Servers: []Server{{Name: "a", Address: "a:1", Phase: 1, Started: r.now}}})
+		r.step(ServerList{Servers: []Server{{Name: "a", Address: "a:1", Phase: 1, Started: r.now}}})
 		r.step(ServerUp{Server: "a", Address: "a:1", Conn: 10})
 		return serveFor(2 * time.Second)
 	}
@@ -151,7 +151,7 @@
 			r.step(ServerEnd{Server: "a", ID: id, Reason: Normal})
 		}
 	}
-	r.step(List{Servers: []Server{{Name: "a", Address: "a:1", Phase: elmseam.Ready, Started: r.now}}})
+	r.step(ServerList{Servers: []Server{{Name: "a", Address: "a:1", Phase: elmseam.Ready, Started: r.now}}})
 	id := ID(400)
 	countSent := func() (n int) { // within 300 ms, in which no timer fires
 		for range 30 {
@@ -186,7 +186,7 @@
 	r := newRig(t)
 	r.startMembership(1)
 	r.step(StartBudget{Config: budget.Config{TierSize: 1, Limits: budget.Defaults(), Seed: 1}})
-	r.step(List{Servers: []Server{{Name: "a", Address: "a:1", Phase: elmseam.Ready, Started: r.now}}})
+	r.step(ServerList{Servers: []Server{{Name: "a", Address: "a:1", Phase: elmseam.Ready, Started: r.now}}})
 	r.step(ServerUp{Server: "a", Address: "a:1", Conn: 10})
 	coldSetUps := 0
 	for id := ID(1); id < 500; id++ {
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -84,7 +84,7 @@
 		ID          ID
 		From        ConnID
 		Class       int    // index of the class in the settings; negative: unknown
-		Name        string // name of the class as the caller wrote it
+		ClassName   string // name of the class as the caller wrote it
 		Tenant      string // name of the tenant; empty: the caller named none
 		Number      uint64 // number called
 		NumberText  string // number called as the caller wrote it
@@ -168,9 +168,9 @@
 		Conn   ConnID
 		ID     ID
 	}
-	// List is news of the servers from one source. Full means that the list replaces all that was known from this source, Cached
+	// ServerList is news of the servers from one source. Full means that the list replaces all that was known from this source, Cached
 	// that the list was stored before a restart.
-	List struct {
+	ServerList struct {
 		Source       string
 		Full, Cached bool
 		Servers      []Server
@@ -231,7 +231,7 @@
 func (Route) event()           {}
 func (EndWritten) event()      {}
 func (NotSent) event()         {}
-func (List) event()            {}
+func (ServerList) event()      {}
 func (Configured) event()      {}
 func (Misconfigured) event()   {}
 func (Drain) event()           {}
@@ -274,7 +274,7 @@
 	Offer struct {
 		To         ConnID
 		ID         ID
-		Class      string // name of the class
+		ClassName  string // name of the class
 		NumberText string
 		Desc       []byte
 		Cell       int
@@ -402,7 +402,7 @@
 // Limits are the times and sizes that the core keeps to.
 type Limits struct {
 	AnswerMargin        time.Duration     // the final answer is given this long before the caller's time limit
-	Rebind              time.Duration     // a set-up whose connection has ended is given up if it does not come again within this time
+	RebindTimeout       time.Duration     // a set-up whose connection has ended is given up if it does not come again within this time
 	MinRedial           time.Duration     // shortest wait between attempts to reach a server
 	MaxRedial           time.Duration     // longest wait between attempts to reach a server
 	ConnsPerServer      map[Protocol]int  // max connections to one server, by its protocol; 1 where the protocol is missing
--- a/internal/explore/actions.go
+++ b/internal/explore/actions.go
@@ -313,7 +313,7 @@
 		server.Phase = phaseReady
 	}
 	dials := server.Dials
-	m.step(core.List{Servers: []core.Server{m.listEntry(index)}})
+	m.step(core.ServerList{Servers: []core.Server{m.listEntry(index)}})
 	if kind == actServerRestart && server.Dials == dials {
 		// The core has not dialled again: its connection attempt to the old address fails.
 		m.step(core.ServerDown{Server: serverName(index)})
--- a/internal/explore/budget.go
+++ b/internal/explore/budget.go
@@ -75,7 +75,7 @@
 		demand = 3
 	}
 	add(budget.Demand{Quotas: demand})
-	add(budget.ColdServer{Server: 1, Rate: 1, Until: t.Now + time.Hour})
+	add(budget.ColdServer{Server: 1, Rate: 1, ColdUntil: t.Now + time.Hour})
 	return process, result
 }
 
--- a/internal/explore/callmodel.go
+++ b/internal/explore/callmodel.go
@@ -102,7 +102,7 @@
 func (c Config) limits() core.Limits {
 	const ms = time.Millisecond
 	return core.Limits{
-		AnswerMargin: 15 * ms, Rebind: 100 * ms, MinRedial: 100 * ms, MaxRedial: 500 * ms, UnresponsiveAfter: 100 * ms, MaxRemovedServers: 4, MaxPendingReleases: 8,
+		AnswerMargin: 15 * ms, RebindTimeout: 100 * ms, MinRedial: 100 * ms, MaxRedial: 500 * ms, UnresponsiveAfter: 100 * ms, MaxRemovedServers: 4, MaxPendingReleases: 8,
 		ServerLostAfter: 5 * time.Second, DrainGrace: 500 * ms, DrainRefuseAfter: 1500 * ms, DrainCheckInterval: time.Minute, DrainIdle: 20 * ms,
 		Transient: map[core.Protocol]bool{}, StopGrace: 700 * ms, MaxStopWait: time.Minute,
 		MaxCallerConns: 8, MaxOpen: 100, MaxCallBytes: 1 << 20, RetryHint: 100 * ms, EndedCallTTL: time.Minute, MaxEndedCalls: 100, MaxRoutes: 4,
@@ -123,7 +123,7 @@
 	model.TimerLimit = model.Now + cfg.GiveUp + timerHorizon
 	model.Calls, model.Servers = make([]Call, cfg.Calls), make([]Server, cfg.Servers)
 	model.connectCaller()
-	list := core.List{Full: true}
+	list := core.ServerList{Full: true}
 	for s := range model.Servers {
 		model.Servers[s].Phase = phaseReady
 		list.Servers = append(list.Servers, model.listEntry(s))
--- a/internal/explore/maintenance.go
+++ b/internal/explore/maintenance.go
@@ -36,7 +36,7 @@
 // the periods in which faults are injected.
 func newMaintenanceModel(cfg Config) *tierModel {
 	limits := maintenance.Defaults()
-	limits.Lease, limits.WorkLease, limits.Round = 2*time.Second, 3*time.Second, 500*time.Millisecond
+	limits.Lease, limits.WorkLease, limits.RoundTimeout = 2*time.Second, 3*time.Second, 500*time.Millisecond
 	return newTierModel(cfg, &maintenanceProtocol{limits, make([]int, cfg.Servers)}, 3*time.Second)
 }
 
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -61,8 +61,8 @@
 // List converts a command to a server list for the core. protocolFor returns the protocol of a server, cached says that the
 // command was stored before the start. Entries with an unknown status or without a name are left out; the error names the last
 // of them.
-func (c Command) List(protocolFor func(name string) core.Protocol, cached bool) (list core.List, err error) {
-	list = core.List{Source: Source, Full: c.Servers.Snapshot, Cached: cached}
+func (c Command) List(protocolFor func(name string) core.Protocol, cached bool) (list core.ServerList, err error) {
+	list = core.ServerList{Source: Source, Full: c.Servers.Snapshot, Cached: cached}
 	for _, endpoint := range c.Servers.Endpoints {
 		phase, known := phases[endpoint.Status]
 		if !known || endpoint.Name == "" {
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -75,10 +75,10 @@
 }
 
 // startFeed runs a feed that has handled events up to id 4, and returns a Go channel with the lists it posts.
-func startFeed(t *testing.T, f *Feed, address string) chan core.List {
+func startFeed(t *testing.T, f *Feed, address string) chan core.ServerList {
 	t.Helper()
-	lists := make(chan core.List, 16)
-	f.Cursor, f.ProtocolFor, f.Log, f.Post = 4, protocolFor, zerolog.Nop(), func(ev core.Event) { lists <- ev.(core.List) }
+	lists := make(chan core.ServerList, 16)
+	f.Cursor, f.ProtocolFor, f.Log, f.Post = 4, protocolFor, zerolog.Nop(), func(ev core.Event) { lists <- ev.(core.ServerList) }
 	f.Follow(address, nil)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -88,7 +88,7 @@
 }
 
 // expectServer waits for a list that has the named server as its only entry.
-func expectServer(t *testing.T, lists chan core.List, name string) {
+func expectServer(t *testing.T, lists chan core.ServerList, name string) {
 	t.Helper()
 	select {
 	case got := <-lists:
--- a/internal/m3ua/caller.go
+++ b/internal/m3ua/caller.go
@@ -181,7 +181,7 @@
 	}
 	if setUp.Class >= 0 { // the index is in range: a class keeps its index when the configuration changes
 		class := c.m3ua.config.Load().Deployment.Classes[setUp.Class]
-		setUp.Name, setUp.TimeLeft = class.Name, class.MaxWait
+		setUp.ClassName, setUp.TimeLeft = class.Name, class.MaxWait
 	}
 	c.m3ua.mu.Lock()
 	id, ok := c.m3ua.callByCircuit[circ]
--- a/internal/m3ua/m3ua.go
+++ b/internal/m3ua/m3ua.go
@@ -133,8 +133,8 @@
 func (m *M3UA) Configure(cfg Config) { m.config.Store(&cfg) }
 
 // Servers returns the list of servers in the signalling file.
-func (m *M3UA) Servers() core.List {
-	l := core.List{Source: Source}
+func (m *M3UA) Servers() core.ServerList {
+	l := core.ServerList{Source: Source}
 	for _, s := range m.FileConfig.Servers {
 		l.Servers = append(l.Servers, core.Server{
 			Name: s.Name, Address: s.Address, Protocol: Protocol, Cell: s.Cell, Phase: elmseam.Ready,
--- a/internal/m3ua/m3ua_test.go
+++ b/internal/m3ua/m3ua_test.go
@@ -131,7 +131,7 @@
 		MaxAttempts: 4, OwnCell: -1, ReleaseGuard: releaseGuard, MaxRetryAfter: 2 * time.Second, RetransmitInterval: 10 * time.Second,
 		ReportMetrics: []elmseam.LoadMetric{elmseam.LoadMetricHoldBackShare},
 	}
-	reducer, err := core.New(controllerSettings, 1, core.Limits{AnswerMargin: 15 * time.Millisecond, Rebind: 100 * time.Millisecond,
+	reducer, err := core.New(controllerSettings, 1, core.Limits{AnswerMargin: 15 * time.Millisecond, RebindTimeout: 100 * time.Millisecond,
 		MinRedial: time.Millisecond, MaxRedial: time.Millisecond, ServerLostAfter: time.Minute, MaxCallerConns: 100, MaxOpen: 10000, MaxCallBytes: 1 << 20, EndedCallTTL: time.Minute})
 	if err != nil {
 		t.Fatal(err)
@@ -161,7 +161,7 @@
 	listener := listen(t)
 	go m3uaProtocol.Serve(listener)
 	eventLoop.Post(m3uaProtocol.Servers())
-	eventLoop.Post(core.List{Source: "test", Full: true, Servers: servers})
+	eventLoop.Post(core.ServerList{Source: "test", Full: true, Servers: servers})
 	return m3uaProtocol, listener.Addr().String()
 }
 
--- a/internal/m3ua/server.go
+++ b/internal/m3ua/server.go
@@ -269,7 +269,7 @@
 // called number cannot be encoded, the message is too long or no circuit is free. It also repeats the RELs whose
 // confirmation is overdue.
 func (s *serverConn) sendSetUp(e core.Offer) []core.Event {
-	category, hasCategory := s.m3ua.categoryOfClass(e.Class)
+	category, hasCategory := s.m3ua.categoryOfClass(e.ClassName)
 	cic, allocated := uint16(0), false
 	s.trunk.withLock(func(now time.Time) {
 		for _, cic := range s.trunk.Overdue(now, s.m3ua.config.Load().ConfirmTimeout) {
--- a/internal/maintenance/codec.go
+++ b/internal/maintenance/codec.go
@@ -63,14 +63,14 @@
 		return msg, nil, err
 	}
 	tierSize := int64(r.cfg.TierSize)
-	if msg.Kind >= numKinds || len(msg.Name) > maxNameLength || msg.Slot >= Slots || msg.Kind == kindRefusal && len(msg.Items) != 3 ||
+	if msg.Kind >= numKinds || len(msg.Name) > maxNameLength || msg.Slot >= MaxSlots || msg.Kind == kindRefusal && len(msg.Items) != 3 ||
 		msg.Kind == kindState && len(msg.Items)%itemsPerGrant != 0 || msg.Kind == kindRecords && len(msg.Items)%itemsPerRecord != 0 {
 		return msg, nil, datagram.ErrMalformed
 	}
 	switch msg.Kind {
 	case kindState:
 		for items := msg.Items; len(items) > 0; items = items[itemsPerGrant:] {
-			if items[0] < 0 || items[0] >= Slots || items[1] < -1 || items[1] >= tierSize || items[2] < 0 {
+			if items[0] < 0 || items[0] >= MaxSlots || items[1] < -1 || items[1] >= tierSize || items[2] < 0 {
 				return msg, nil, datagram.ErrMalformed
 			}
 		}
@@ -78,7 +78,7 @@
 		records = make(map[int]Record)
 		for items := msg.Items; len(items) > 0; items = items[itemsPerRecord:] {
 			record := Record{Generation: uint32(items[1]), RequestedAt: uint64(items[2]), Restarts: uint32(items[3]), Stage: Stage(items[4]), Slot: uint8(items[5]), Epoch: uint64(items[6])}
-			if items[0] < 0 || items[0] >= tierSize || items[4] <= 0 || record.Stage >= numStages || record.Generation == 0 || items[5] < 0 || items[5] >= Slots {
+			if items[0] < 0 || items[0] >= tierSize || items[4] <= 0 || record.Stage >= numStages || record.Generation == 0 || items[5] < 0 || items[5] >= MaxSlots {
 				return msg, nil, datagram.ErrMalformed
 			}
 			records[int(items[0])] = record
--- a/internal/maintenance/lease.go
+++ b/internal/maintenance/lease.go
@@ -110,7 +110,7 @@
 // it that are still granted since the budget was higher.
 func (r *Reducer) usableSlots() int {
 	usable := r.cfg.Limits.Budget
-	for slot := r.cfg.Limits.Budget; slot < Slots; slot++ {
+	for slot := r.cfg.Limits.Budget; slot < MaxSlots; slot++ {
 		if r.isGranted(slot) {
 			usable--
 		}
@@ -128,8 +128,8 @@
 		}
 	}
 	r.sendSlotRequests()
-	r.emit(Timer{At: r.now + r.cfg.Limits.Round/2, Token: Token{kind: tokenResend, seq: r.round.Seq}})
-	r.emit(Timer{At: r.now + r.cfg.Limits.Round, Token: Token{kind: tokenRoundTimeout, seq: r.round.Seq}})
+	r.emit(Timer{At: r.now + r.cfg.Limits.RoundTimeout/2, Token: Token{kind: tokenResend, seq: r.round.Seq}})
+	r.emit(Timer{At: r.now + r.cfg.Limits.RoundTimeout, Token: Token{kind: tokenRoundTimeout, seq: r.round.Seq}})
 	if granted, _ := r.vote(r.cfg.Self, slot, epoch, lease); granted {
 		r.countGrant(r.cfg.Self, r.round.Seq)
 	} else {
@@ -242,11 +242,11 @@
 	if r.lease != nil {
 		r.lease.Granters = nil
 		r.lease.Seq = round.Seq
-		r.emit(Timer{At: r.now + r.cfg.Limits.Round/2, Token: Token{kind: tokenRenew, seq: round.Seq}})
+		r.emit(Timer{At: r.now + r.cfg.Limits.RoundTimeout/2, Token: Token{kind: tokenRenew, seq: round.Seq}})
 		return
 	}
 	r.releaseSlot(round.Slot, round.Epoch)
-	r.retryAt = r.now + r.cfg.Limits.Round + time.Duration(r.rng.Int64N(int64(2*r.cfg.Limits.Round)))
+	r.retryAt = r.now + r.cfg.Limits.RoundTimeout + time.Duration(r.rng.Int64N(int64(2*r.cfg.Limits.RoundTimeout)))
 }
 
 // releaseSlot announces to all members that this member no longer holds a slot by this epoch, now and at the next
--- a/internal/maintenance/maintenance_test.go
+++ b/internal/maintenance/maintenance_test.go
@@ -57,7 +57,7 @@
 // shortLimits returns limits with short leases and rounds.
 func shortLimits() Limits {
 	limits := Defaults()
-	limits.Lease, limits.WorkLease, limits.Round = 2*second, 4*second, 200*time.Millisecond
+	limits.Lease, limits.WorkLease, limits.RoundTimeout = 2*second, 4*second, 200*time.Millisecond
 	return limits
 }
 
@@ -278,7 +278,7 @@
 	tier.kill(0)
 	diedAt := tier.now
 	tier.completeWork(6 * second)
-	if delay := tier.lastDrainAt[1] - diedAt; delay <= 0 || delay > tier.limits.Lease+2*tier.limits.Round {
+	if delay := tier.lastDrainAt[1] - diedAt; delay <= 0 || delay > tier.limits.Lease+2*tier.limits.RoundTimeout {
 		t.Errorf("the next member started to drain %v after the death", delay)
 	}
 	tier.start(0)
--- a/internal/maintenance/recover.go
+++ b/internal/maintenance/recover.go
@@ -27,7 +27,7 @@
 		r.finishRecovery()
 		return
 	}
-	if r.now < r.startedAt+2*r.cfg.Limits.Round {
+	if r.now < r.startedAt+2*r.cfg.Limits.RoundTimeout {
 		return
 	}
 	r.queryRounds++
@@ -105,7 +105,7 @@
 		if remaining <= 0 {
 			continue
 		}
-		expiry := r.now + time.Duration(float64(remaining)*(1+2*r.cfg.Limits.MaxDrift)) + r.cfg.Limits.Round
+		expiry := r.now + time.Duration(float64(remaining)*(1+2*r.cfg.Limits.MaxDrift)) + r.cfg.Limits.RoundTimeout
 		grant := &r.grants[slot]
 		switch {
 		case !r.isGranted(int(slot)):
--- a/internal/maintenance/reducer.go
+++ b/internal/maintenance/reducer.go
@@ -47,9 +47,9 @@
 	names                  []string // of the members
 	available              []bool   // by index: the member is available
 	serving                bool     // this member accepts calls
-	grants                 [Slots]Grant
-	highestEpochs          [Slots]uint64 // the highest epoch that was granted or released, for each slot
-	refusedUntil           [Slots]Time   // until then other members count as having granted the slot, and it is not requested
+	grants                 [MaxSlots]Grant
+	highestEpochs          [MaxSlots]uint64 // the highest epoch that was granted or released, for each slot
+	refusedUntil           [MaxSlots]Time   // until then other members count as having granted the slot, and it is not requested
 	recovered              bool
 	queryNonce             uint32 // identifies the queries of this incarnation; answers to others are ignored
 	queryRounds            uint32 // rounds of queries sent
@@ -93,7 +93,7 @@
 	}
 	r.queryNonce = r.rng.Uint32()
 	r.recovered = r.recovered || !r.guardEnabled(GuardRecover)
-	r.scheduleTick(time.Duration(r.rng.Int64N(int64(cfg.Limits.Round))))
+	r.scheduleTick(time.Duration(r.rng.Int64N(int64(cfg.Limits.RoundTimeout))))
 	return r, r.takeEffects(), nil
 }
 
@@ -124,7 +124,7 @@
 		r.serving = ev.Serving
 		r.advanceOwnRequest()
 	case SetBudget:
-		if ev.Budget >= 1 && ev.Budget <= Slots {
+		if ev.Budget >= 1 && ev.Budget <= MaxSlots {
 			r.cfg.Limits.Budget = ev.Budget
 		}
 	}
@@ -163,7 +163,7 @@
 		r.advanceOwnRequest()
 		r.repeatReleases()
 		r.gossip()
-		r.scheduleTick(r.cfg.Limits.Round)
+		r.scheduleTick(r.cfg.Limits.RoundTimeout)
 	case tokenResend: // half of the round has passed: requests or answers may be lost
 		if r.round != nil && r.round.Seq == token.seq {
 			r.sendSlotRequests()
@@ -242,7 +242,7 @@
 	case kindRefusal:
 		r.highestEpochs[msg.Slot] = max(r.highestEpochs[msg.Slot], uint64(msg.Items[2]))
 		if remaining := time.Duration(msg.Items[1]) * time.Millisecond; msg.Items[0] >= 0 && int(msg.Items[0]) != r.cfg.Self && remaining > 0 {
-			r.refusedUntil[msg.Slot] = r.now + min(remaining, 4*r.cfg.Limits.Round) // capped: the release may be lost
+			r.refusedUntil[msg.Slot] = r.now + min(remaining, 4*r.cfg.Limits.RoundTimeout) // capped: the release may be lost
 		}
 		r.countRefusal(msg.Seq)
 	case kindRelease:
--- a/internal/maintenance/types.go
+++ b/internal/maintenance/types.go
@@ -24,8 +24,8 @@
 // counted and dropped.
 const Version = 0x41
 
-// Slots is the number of slots, and the maximum of the budget B.
-const Slots = 8
+// MaxSlots is the number of slots, and the maximum of the budget B.
+const MaxSlots = 8
 
 // Stage is the progress of a maintenance request.
 type Stage uint8
@@ -59,24 +59,24 @@
 	Budget        int           // B, the maximum number of members out of service at once
 	Lease         time.Duration // lease of a draining member
 	WorkLease     time.Duration // lease of a member that is ready for work: the longest absence during which it keeps its slot
-	Round         time.Duration // time for a majority to answer, and interval between two looks at the queue
+	RoundTimeout  time.Duration // time for a majority to answer, and interval between two looks at the queue
 	MaxDrift      float64       // maximum difference between the rates of two clocks, as a share
 	Transmissions int           // number of times that a change of a record or a release is sent on
 }
 
 // Defaults returns the limits for a tier on the platform.
 func Defaults() Limits {
-	return Limits{Budget: 1, Lease: 6 * time.Second, WorkLease: 5 * time.Minute, Round: 500 * time.Millisecond, MaxDrift: 0.01, Transmissions: 6}
+	return Limits{Budget: 1, Lease: 6 * time.Second, WorkLease: 5 * time.Minute, RoundTimeout: 500 * time.Millisecond, MaxDrift: 0.01, Transmissions: 6}
 }
 
 // Check returns an error that names the first invalid limit, or nil.
 func (l Limits) Check() error {
 	switch {
-	case l.Budget < 1 || l.Budget > Slots:
-		return fmt.Errorf("budget: %d, not in [1, %d]", l.Budget, Slots)
-	case l.Round < 10*time.Millisecond || l.Round > 10*time.Second:
-		return fmt.Errorf("round: %v, not in [10ms, 10s]", l.Round)
-	case l.Lease < 4*l.Round || l.Lease > time.Hour:
+	case l.Budget < 1 || l.Budget > MaxSlots:
+		return fmt.Errorf("budget: %d, not in [1, %d]", l.Budget, MaxSlots)
+	case l.RoundTimeout < 10*time.Millisecond || l.RoundTimeout > 10*time.Second:
+		return fmt.Errorf("round: %v, not in [10ms, 10s]", l.RoundTimeout)
+	case l.Lease < 4*l.RoundTimeout || l.Lease > time.Hour:
 		return fmt.Errorf("lease: %v, not in [4 rounds, 1h]", l.Lease)
 	case l.WorkLease < l.Lease || l.WorkLease > 24*time.Hour:
 		return fmt.Errorf("work: %v, not in [lease, 24h]", l.WorkLease)
@@ -91,7 +91,7 @@
 // maxGrantDuration returns the longest time for which any grant may be in force by any clock: the work lease
 // lengthened by the clock drift, plus two rounds.
 func (l Limits) maxGrantDuration() time.Duration {
-	return time.Duration(float64(l.WorkLease)*(1+2*l.MaxDrift)) + 2*l.Round
+	return time.Duration(float64(l.WorkLease)*(1+2*l.MaxDrift)) + 2*l.RoundTimeout
 }
 
 // safeDuration returns how long a holder relies on a lease, counted from its first request for the lease: the
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -349,7 +349,7 @@
 func TestLimitsCheck(t *testing.T) {
 	for field, invalidate := range map[string]func(*membership.Limits){
 		"period":        func(l *membership.Limits) { l.Period = 0 },
-		"timeout":       func(l *membership.Limits) { l.Timeout = l.Period },
+		"timeout":       func(l *membership.Limits) { l.ProbeTimeout = l.Period },
 		"suspicion_min": func(l *membership.Limits) { l.SuspicionMin = 0 },
 		"datagram":      func(l *membership.Limits) { l.MaxDatagram = 257 },
 	} {
@@ -368,7 +368,7 @@
 	for _, n := range []int{5, 8, 12} {
 		for seed := range uint64(8) {
 			outcome, err := swarm.Experiment{Members: n, Limits: membership.Defaults(), Seed: seed, Loss: 0.3, MaxDelay: 5 * time.Millisecond,
-				WarmUp: 10 * second, Measured: 60 * second}.Run()
+				WarmUp: 10 * second, MeasureDuration: 60 * second}.Run()
 			if err != nil || outcome.FalseDeaths > 0 {
 				t.Errorf("%d members, seed %d: %d false deaths, error %v", n, seed, outcome.FalseDeaths, err)
 			}
@@ -392,7 +392,7 @@
 		variant.change(&l)
 		deaths := 0
 		for seed := range uint64(2) {
-			outcome, err := swarm.Experiment{Members: 32, Limits: l, Seed: seed + 1, MaxDelay: 5 * time.Millisecond, WarmUp: 10 * second, Measured: 60 * second,
+			outcome, err := swarm.Experiment{Members: 32, Limits: l, Seed: seed + 1, MaxDelay: 5 * time.Millisecond, WarmUp: 10 * second, MeasureDuration: 60 * second,
 				Impaired: 8, PauseDuration: 4 * second, PauseInterval: 5 * second}.Run()
 			if err != nil {
 				t.Fatal(err)
--- a/internal/membership/reducer.go
+++ b/internal/membership/reducer.go
@@ -102,7 +102,7 @@
 	r := &Reducer{
 		cfg: cfg, now: now, rng: rand.New(rand.NewPCG(cfg.Seed, 0x6d656d62)),
 		members: make([]Member, cfg.TierSize), suspicions: make([]*suspicion, cfg.TierSize),
-		maxTransmissions: cfg.Limits.Retransmit * int(math.Ceil(math.Log10(float64(cfg.TierSize+1)))),
+		maxTransmissions: cfg.Limits.RetransmitMult * int(math.Ceil(math.Log10(float64(cfg.TierSize+1)))),
 	}
 	r.members[cfg.Self] = Member{State: Alive, Incarnation: max(uint64(now/time.Millisecond), 1), Since: now}
 	r.schedulePeriod(time.Duration(r.rng.Int64N(int64(cfg.Limits.Period))))
@@ -190,7 +190,7 @@
 		r.probe = &probe{Target: target, Seq: r.nextSeq()}
 		r.counters.Probes++
 		r.send(target, message{Kind: kindPing, Seq: r.probe.Seq})
-		r.emit(Timer{At: r.now + r.scaleByHealth(r.cfg.Limits.Timeout), Token: Token{kind: tokenProbeTimeout, seq: r.probe.Seq}})
+		r.emit(Timer{At: r.now + r.scaleByHealth(r.cfg.Limits.ProbeTimeout), Token: Token{kind: tokenProbeTimeout, seq: r.probe.Seq}})
 	}
 	r.reprobeSuspects()
 	if r.periodCount%uint32(r.cfg.Limits.ReclaimPeriods) == 0 {
@@ -225,9 +225,9 @@
 // the price of one datagram. (memberlist tries TCP at this point; there is no TCP between softswitches.)
 func (r *Reducer) probeIndirectly(p *probe) {
 	r.send(p.Target, message{Kind: kindPing, Seq: p.Seq})
-	p.Intermediaries = r.randomAvailable(r.cfg.Limits.Indirect, p.Target)
+	p.Intermediaries = r.randomAvailable(r.cfg.Limits.IndirectProbes, p.Target)
 	for _, m := range p.Intermediaries {
-		r.counters.Indirect++
+		r.counters.IndirectProbes++
 		r.send(m, message{Kind: kindPingReq, Seq: p.Seq, Target: uint16(p.Target)})
 	}
 }
@@ -251,7 +251,7 @@
 		r.adjustHealth(-1)
 		return
 	}
-	r.counters.Failed++
+	r.counters.FailedProbes++
 	if len(p.Intermediaries) > 0 {
 		r.adjustHealth(len(p.Intermediaries) - len(p.Nacked))
 	} else {
@@ -402,7 +402,7 @@
 		r.relayedProbes = append(r.relayedProbes, relayed)
 		r.relayedProbes = r.relayedProbes[max(len(r.relayedProbes)-r.cfg.Limits.MaxRelays, 0):]
 		r.send(target, message{Kind: kindPing, Seq: relayed.Seq})
-		r.emit(Timer{At: r.now + r.cfg.Limits.Timeout, Token: Token{kind: tokenRelayTimeout, seq: relayed.Seq}})
+		r.emit(Timer{At: r.now + r.cfg.Limits.ProbeTimeout, Token: Token{kind: tokenRelayTimeout, seq: relayed.Seq}})
 	case kindAck:
 		r.handleAck(from, msg)
 	case kindNack:
--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -23,7 +23,7 @@
 // to K confirmations, shortens the suspicion and is sent on (Lifeguard, LHA-Suspicion).
 func (r *Reducer) confirmSuspicion(index, observer int) {
 	s := r.suspicions[index]
-	if s == nil || len(s.Observers) > r.cfg.Limits.Confirm || slices.Contains(s.Observers, observer) {
+	if s == nil || len(s.Observers) > r.cfg.Limits.Confirmations || slices.Contains(s.Observers, observer) {
 		return
 	}
 	s.Observers = append(s.Observers, observer)
@@ -57,7 +57,7 @@
 	participants := float64(view.TierSize - view.Down)
 	minTimeout := limits.SuspicionMin * max(1, math.Log10(participants)) * float64(limits.Period)
 	maxTimeout := limits.SuspicionMax * minTimeout
-	required := min(limits.Confirm, int(participants)-2)
+	required := min(limits.Confirmations, int(participants)-2)
 	if required < 1 {
 		return time.Duration(minTimeout)
 	}
--- a/internal/membership/types.go
+++ b/internal/membership/types.go
@@ -53,12 +53,12 @@
 // Limits are the times and counts of the protocol. Check reports an invalid value.
 type Limits struct {
 	Period         time.Duration // protocol period T' (SWIM 3.1); one probe starts in each
-	Timeout        time.Duration // time-out of a direct probe; shorter than Period
-	Indirect       int           // k, the number of members asked to probe on this member's behalf
+	ProbeTimeout   time.Duration // time-out of a direct probe; shorter than Period
+	IndirectProbes int           // k, the number of members asked to probe on this member's behalf
 	SuspicionMin   float64       // α: the shortest suspicion time-out is α·max(1, log10 n) periods
 	SuspicionMax   float64       // β: the time-out without confirmations is β times the shortest; 1 makes it constant
-	Confirm        int           // K, the number of independent confirmations that bring the time-out to its minimum
-	Retransmit     int           // λ: each update is sent λ·⌈log10(n+1)⌉ times
+	Confirmations  int           // K, the number of independent confirmations that bring the time-out to its minimum
+	RetransmitMult int           // λ: each update is sent λ·⌈log10(n+1)⌉ times
 	MaxHealth      int           // S, the maximum of the local health multiplier; 0 disables local health awareness
 	StallThreshold time.Duration // a period timer that fires this much late shows that the process was paused; 0: never
 	ReclaimPeriods int           // periods between two probes of members held dead
@@ -70,8 +70,8 @@
 // Defaults returns the limits for a tier on the platform.
 func Defaults() Limits {
 	return Limits{
-		Period: 500 * time.Millisecond, Timeout: 150 * time.Millisecond, Indirect: 3,
-		SuspicionMin: 4, SuspicionMax: 4, Confirm: 3, Retransmit: 4, MaxHealth: 8,
+		Period: 500 * time.Millisecond, ProbeTimeout: 150 * time.Millisecond, IndirectProbes: 3,
+		SuspicionMin: 4, SuspicionMax: 4, Confirmations: 3, RetransmitMult: 4, MaxHealth: 8,
 		StallThreshold: 400 * time.Millisecond, ReclaimPeriods: 4, MaxDatagram: datagram.MaxSize, MaxRelays: 64, MaxSkew: time.Hour,
 	}
 }
@@ -81,18 +81,18 @@
 	switch {
 	case l.Period < 10*time.Millisecond || l.Period > time.Minute:
 		return fmt.Errorf("period: %v, not in [10ms, 1m]", l.Period)
-	case l.Timeout <= 0 || l.Timeout >= l.Period:
-		return fmt.Errorf("timeout: %v, not over 0 and less than the period", l.Timeout)
-	case l.Indirect < 0 || l.Indirect > 16:
-		return fmt.Errorf("indirect: %d, not in [0, 16]", l.Indirect)
+	case l.ProbeTimeout <= 0 || l.ProbeTimeout >= l.Period:
+		return fmt.Errorf("timeout: %v, not over 0 and less than the period", l.ProbeTimeout)
+	case l.IndirectProbes < 0 || l.IndirectProbes > 16:
+		return fmt.Errorf("indirect: %d, not in [0, 16]", l.IndirectProbes)
 	case !(l.SuspicionMin >= 1 && l.SuspicionMin <= 100):
 		return fmt.Errorf("suspicion_min: %v, not in [1, 100]", l.SuspicionMin)
 	case !(l.SuspicionMax >= 1 && l.SuspicionMax <= 100):
 		return fmt.Errorf("suspicion_max: %v, not in [1, 100]", l.SuspicionMax)
-	case l.Confirm < 0 || l.Confirm > 16:
-		return fmt.Errorf("confirm: %d, not in [0, 16]", l.Confirm)
-	case l.Retransmit < 1 || l.Retransmit > 16:
-		return fmt.Errorf("retransmit: %d, not in [1, 16]", l.Retransmit)
+	case l.Confirmations < 0 || l.Confirmations > 16:
+		return fmt.Errorf("confirm: %d, not in [0, 16]", l.Confirmations)
+	case l.RetransmitMult < 1 || l.RetransmitMult > 16:
+		return fmt.Errorf("retransmit: %d, not in [1, 16]", l.RetransmitMult)
 	case l.MaxHealth < 0 || l.MaxHealth > 64:
 		return fmt.Errorf("health: %d, not in [0, 64]", l.MaxHealth)
 	case l.StallThreshold < 0:
@@ -186,10 +186,10 @@
 // Counters count what the protocol has done since the start.
 type Counters struct {
 	Probes            uint64 // direct probes sent
-	Indirect          uint64 // requests to other members to probe on this member's behalf
+	IndirectProbes    uint64 // requests to other members to probe on this member's behalf
 	Acks              uint64 // probes of this member that were answered
 	Nacks             uint64 // negative answers of members asked to probe: the target did not answer them either
-	Failed            uint64 // probes without any answer
+	FailedProbes      uint64 // probes without any answer
 	Suspicions        uint64 // suspicions started here or learned from other members
 	Deaths            uint64 // transitions of members to Dead
 	Refutations       uint64 // refutations of false information about this member
--- a/internal/membership/updates.go
+++ b/internal/membership/updates.go
@@ -50,7 +50,7 @@
 	r.counters.Refutations++
 	if u.state == Suspect || u.state == Dead {
 		r.adjustHealth(1)
-		r.announceSelf(r.cfg.Limits.Indirect)
+		r.announceSelf(r.cfg.Limits.IndirectProbes)
 	}
 }
 
--- a/internal/mgmt/members.go
+++ b/internal/mgmt/members.go
@@ -14,11 +14,11 @@
 
 // TierStatus is the answer of /ops/members: this softswitch's view of its tier.
 type TierStatus struct {
-	Self      int            `json:"self"`      // own index
-	Health    int            `json:"health"`    // local health multiplier; 0 is best
-	Majority  bool           `json:"majority"`  // more than half of the tier is available
-	ColdShare float64        `json:"coldShare"` // fraction used of the own quota of a cold server's budget, over 0 to 1
-	Members   []MemberStatus `json:"members"`   // by index
+	Self              int            `json:"self"`      // own index
+	Health            int            `json:"health"`    // local health multiplier; 0 is best
+	Majority          bool           `json:"majority"`  // more than half of the tier is available
+	ColdQuotaFraction float64        `json:"coldShare"` // fraction used of the own quota of a cold server's budget, over 0 to 1
+	Members           []MemberStatus `json:"members"`   // by index
 }
 
 // MemberStatus is the state of one member of the tier in this softswitch's view.
@@ -36,7 +36,7 @@
 	stats := snapshot.Members
 	now := membership.Time(snapshot.At.UnixNano())
 	ageMS := func(since membership.Time) int64 { return max(int64((now-since)/time.Millisecond), 0) }
-	status := TierStatus{Self: stats.Self, Health: stats.Health, Majority: stats.Majority(), ColdShare: stats.ColdShare}
+	status := TierStatus{Self: stats.Self, Health: stats.Health, Majority: stats.Majority(), ColdQuotaFraction: stats.ColdQuotaFraction}
 	for i, entry := range stats.Members {
 		member := MemberStatus{Index: i, State: entry.State.String(), Incarnation: entry.Incarnation}
 		if i < len(addresses) {
@@ -64,7 +64,7 @@
 	}{
 		{"tier", uint64(stats.TierSize)}, {"there", uint64(stats.Available)}, {"suspects", uint64(stats.Suspects)}, {"down", uint64(stats.Down)},
 		{"unknown", uint64(stats.Unknown)}, {"health", uint64(stats.Health)},
-		{"probes", stats.Probes}, {"indirect", stats.Indirect}, {"acks", stats.Acks}, {"nacks", stats.Nacks}, {"failed", stats.Failed},
+		{"probes", stats.Probes}, {"indirect", stats.IndirectProbes}, {"acks", stats.Acks}, {"nacks", stats.Nacks}, {"failed", stats.FailedProbes},
 		{"suspicions", stats.Suspicions}, {"deaths", stats.Deaths}, {"refutations", stats.Refutations}, {"stalls", stats.Stalls},
 		{"sent", stats.Sent}, {"sent_bytes", stats.SentBytes}, {"heard", stats.Received},
 		{"dropped_garbled", stats.Malformed}, {"dropped_version", stats.VersionMismatches},
--- a/internal/mgmt/servers.go
+++ b/internal/mgmt/servers.go
@@ -101,7 +101,7 @@
 		}
 	}
 	if snapshot.Quotas != nil {
-		status.AnyCold = snapshot.Quotas.Active
+		status.AnyCold = snapshot.Quotas.AnyCold
 		for index, quota := range snapshot.Quotas.Quotas {
 			entry := Quota{Index: index, Usable: quota.Usable.Count(), Lent: quota.Lent.Count()}
 			for unit := range budget.Units {
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -22,17 +22,17 @@
 
 // Limits are the size limits, rates and times of the socket.
 type Limits struct {
-	Queue int           // max number of datagrams queued for sending; more are dropped
-	Rate  float64       // max number of datagrams received per second, also the max burst; more are dropped
-	Retry time.Duration // wait before trying again to listen: a predecessor may still use the address
+	MaxQueued        int           // max number of datagrams queued for sending; more are dropped
+	MaxReceiveRate   float64       // max number of datagrams received per second, also the max burst; more are dropped
+	ListenRetryDelay time.Duration // wait before trying again to listen: a predecessor may still use the address
 }
 
 // Config is the configuration of the socket.
 type Config struct {
-	Listen string   // own address, IP:port
-	Peers  []string // address of each member of the tier by index, this member included; IP:port
-	Self   int      // index of this member in Peers
-	Limits Limits
+	ListenAddress string   // own address, IP:port
+	Addresses     []string // address of each member of the tier by index, this member included; IP:port
+	Self          int      // index of this member in Peers
+	Limits        Limits
 }
 
 // Counters counts dropped datagrams since the start: received from an address that is no member's, received beyond the rate
@@ -56,12 +56,12 @@
 // New checks the configuration and returns a socket that posts received datagrams with post. An error is a single line that
 // names the invalid field.
 func New(cfg Config, post func(core.Event), log zerolog.Logger) (*Socket, error) {
-	s := &Socket{cfg: cfg, indexByAddr: make(map[netip.AddrPort]int), queue: make(chan core.SendToMember, cfg.Limits.Queue), post: post, log: log}
+	s := &Socket{cfg: cfg, indexByAddr: make(map[netip.AddrPort]int), queue: make(chan core.SendToMember, cfg.Limits.MaxQueued), post: post, log: log}
 	var err error
-	if s.listen, err = netip.ParseAddrPort(cfg.Listen); err != nil {
+	if s.listen, err = netip.ParseAddrPort(cfg.ListenAddress); err != nil {
 		return nil, fmt.Errorf("peer_listen: %w", err)
 	}
-	for i, text := range cfg.Peers {
+	for i, text := range cfg.Addresses {
 		addr, err := netip.ParseAddrPort(text)
 		if err != nil {
 			return nil, fmt.Errorf("peers[%d]: %w", i, err)
@@ -94,7 +94,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(s.cfg.Limits.Retry):
+		case <-time.After(s.cfg.Limits.ListenRetryDelay):
 		}
 		conn, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(s.listen))
 	}
@@ -140,7 +140,7 @@
 // datagram.MaxSize is posted with MaxSize+1 bytes, and membership counts it as malformed.
 func (s *Socket) read(conn *net.UDPConn) {
 	var buf [datagram.MaxSize + 1]byte
-	limiter := rate.NewLimiter(rate.Limit(s.cfg.Limits.Rate), max(int(s.cfg.Limits.Rate), 1))
+	limiter := rate.NewLimiter(rate.Limit(s.cfg.Limits.MaxReceiveRate), max(int(s.cfg.Limits.MaxReceiveRate), 1))
 	for {
 		n, src, err := conn.ReadFromUDPAddrPort(buf[:])
 		if errors.Is(err, net.ErrClosed) {
@@ -162,7 +162,7 @@
 }
 
 // Addresses returns the configured addresses of the tier's members, by index.
-func (s *Socket) Addresses() []string { return s.cfg.Peers }
+func (s *Socket) Addresses() []string { return s.cfg.Addresses }
 
 // Counters returns the current counters.
 func (s *Socket) Counters() Counters {
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -31,7 +31,7 @@
 	occupied, member, outsider := listenUDP(t), listenUDP(t), listenUDP(t)
 	ownAddr := occupied.LocalAddr().String()
 	events := make(chan core.Event, 100)
-	sock, err := New(Config{Listen: ownAddr, Peers: []string{ownAddr, member.LocalAddr().String()}, Limits: Limits{Queue: 2, Rate: 5, Retry: 5 * time.Millisecond}},
+	sock, err := New(Config{ListenAddress: ownAddr, Addresses: []string{ownAddr, member.LocalAddr().String()}, Limits: Limits{MaxQueued: 2, MaxReceiveRate: 5, ListenRetryDelay: 5 * time.Millisecond}},
 		func(ev core.Event) { events <- ev }, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
@@ -87,10 +87,10 @@
 // TestInvalidConfig checks that an invalid configuration is refused with a one-line error that names the field.
 func TestInvalidConfig(t *testing.T) {
 	for want, cfg := range map[string]Config{
-		"peer_listen: ": {Listen: "nowhere", Peers: []string{"127.0.0.1:1"}},
-		"peers[1]: ":    {Listen: "127.0.0.1:1", Peers: []string{"127.0.0.1:1", "x"}},
-		"peers[2]: ":    {Listen: "127.0.0.1:1", Peers: []string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:1"}},
-		"settings.me: ": {Listen: "127.0.0.1:1", Peers: []string{"127.0.0.1:1"}, Self: 1},
+		"peer_listen: ": {ListenAddress: "nowhere", Addresses: []string{"127.0.0.1:1"}},
+		"peers[1]: ":    {ListenAddress: "127.0.0.1:1", Addresses: []string{"127.0.0.1:1", "x"}},
+		"peers[2]: ":    {ListenAddress: "127.0.0.1:1", Addresses: []string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:1"}},
+		"settings.me: ": {ListenAddress: "127.0.0.1:1", Addresses: []string{"127.0.0.1:1"}, Self: 1},
 	} {
 		if _, err := New(cfg, nil, zerolog.Nop()); err == nil || !strings.HasPrefix(err.Error(), want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%v, want one line that starts with %s", err, want)
--- a/internal/platform/crossings_test.go
+++ b/internal/platform/crossings_test.go
@@ -186,7 +186,7 @@
 // addServer adds a second server, t, to the list of servers and returns its listener.
 func (s *scenario) addServer() net.Listener {
 	listener := listen(s.T)
-	s.loop.Post(core.List{Servers: []core.Server{{Name: "t", Address: listener.Addr().String(), Protocol: Protocol, Cell: 1, Phase: elmseam.Ready}}})
+	s.loop.Post(core.ServerList{Servers: []core.Server{{Name: "t", Address: listener.Addr().String(), Protocol: Protocol, Cell: 1, Phase: elmseam.Ready}}})
 	return listener
 }
 
@@ -227,7 +227,7 @@
 			}
 		}
 		t.Run(how+" during the release guard", func(t *testing.T) {
-			s := newScenario(t, func(s *scenario) { s.limits.Rebind = time.Millisecond })
+			s := newScenario(t, func(s *scenario) { s.limits.RebindTimeout = time.Millisecond })
 			other := s.acceptFrom(s.addServer())
 			leaving, staying := s.connectCaller(), s.connectCaller()
 			leaving.conn.Write(setUpFrame(1, "voice", "9000", ""))
@@ -240,7 +240,7 @@
 			other.wantLine(`"offer"`, `0002"`) // after the release guard
 		})
 		t.Run(how+" while waiting for a connection", func(t *testing.T) {
-			s := newScenario(t, func(s *scenario) { s.limits.Rebind = time.Millisecond })
+			s := newScenario(t, func(s *scenario) { s.limits.RebindTimeout = time.Millisecond })
 			s.serverConn.(*net.TCPConn).SetLinger(0)
 			gate := make(chan struct{})
 			s.dialGate.Store(&gate) // the dial continues when gate is closed
@@ -396,7 +396,7 @@
 			<-successor.transfers
 			causeEvent(s)
 			if name == "reset" { // the controller may refuse a set-up after a reset; here it tries the second server
-				s.loop.Post(core.List{Servers: []core.Server{{Name: "s", Address: s.serverListener.Addr().String(), Protocol: Protocol, Phase: elmseam.Gone}}})
+				s.loop.Post(core.ServerList{Servers: []core.Server{{Name: "s", Address: s.serverListener.Addr().String(), Protocol: Protocol, Phase: elmseam.Gone}}})
 				other := s.acceptFrom(s.addServer())
 				other.wantLine(`"offer"`, `0001"`)
 				other.send(acceptLine, 1)
@@ -499,7 +499,7 @@
 	s.send(`{"op":"end","call":"0000000000000002","with":{},"why":41}`) // the set-up waits out the release guard
 	gate := make(chan struct{})
 	s.dialGate.Store(&gate)
-	s.loop.Post(core.List{Full: true, Servers: []core.Server{
+	s.loop.Post(core.ServerList{Full: true, Servers: []core.Server{
 		{Name: "s", Address: s.serverListener.Addr().String(), Protocol: Protocol, Phase: elmseam.Draining},
 		{Name: "t", Address: s.serverListener.Addr().String(), Protocol: Protocol, Cell: 1, Phase: elmseam.Ready},
 	}})
@@ -552,7 +552,7 @@
 	}
 	serve(1) // the answer shows that the caller's connection has been accepted
 	before := leak.OpenDescriptors()
-	s.loop.Post(core.List{Servers: []core.Server{{Name: "t", Address: deaf.Addr().String(), Protocol: Protocol, Cell: 1, Phase: elmseam.Ready}}})
+	s.loop.Post(core.ServerList{Servers: []core.Server{{Name: "t", Address: deaf.Addr().String(), Protocol: Protocol, Cell: 1, Phase: elmseam.Ready}}})
 	for id := core.ID(2); s.dialCount.Load() < 50; id++ {
 		serve(id)
 	}
@@ -654,7 +654,7 @@
 	s.callerConn.Write(releaseFrame(1, 16))
 	s.wantFrame(typeReleaseAck, 1, -1)
 	setPhase := func(phase elmseam.Phase) {
-		s.loop.Post(core.List{Servers: []core.Server{{Name: "s", Address: s.serverListener.Addr().String(), Protocol: Protocol, Phase: phase}}})
+		s.loop.Post(core.ServerList{Servers: []core.Server{{Name: "s", Address: s.serverListener.Addr().String(), Protocol: Protocol, Phase: phase}}})
 	}
 	setPhase(elmseam.Draining)
 	close(gate)
@@ -677,7 +677,7 @@
 	s.send(acceptLine, 1)
 	s.wantFrame(typeAnswer, 1, -1)
 	address := s.serverListener.Addr().String()
-	s.loop.Post(core.List{Servers: []core.Server{
+	s.loop.Post(core.ServerList{Servers: []core.Server{
 		{Name: "s", Address: address, Protocol: Protocol, Phase: elmseam.Gone}, {Name: "t", Address: address, Protocol: Protocol, Phase: elmseam.Ready},
 	}})
 	s.wantFrame(typeRelease, 1, 41)
@@ -717,7 +717,7 @@
 	s.send(`{"op":"end","call":"%016x","with":{},"why":16}`, 9)
 	s.wantFrame(typeRelease, 9, 16)
 	listener := s.addServer()
-	s.loop.Post(core.List{Servers: []core.Server{{Name: "s", Address: s.serverListener.Addr().String(), Protocol: Protocol, Phase: elmseam.Draining}}})
+	s.loop.Post(core.ServerList{Servers: []core.Server{{Name: "s", Address: s.serverListener.Addr().String(), Protocol: Protocol, Phase: elmseam.Draining}}})
 	s.callerConn.Write(setUpFrame(1, "voice", "9000", ""))
 	other := s.acceptFrom(listener)
 	other.wantLine(`"offer"`, `0001"`)
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -63,8 +63,8 @@
 	p.config.Store(&activeConfig{cfg, cfg.Deployment.ClassIndexes()})
 }
 
-// Classes returns the names of the request classes, by class index.
-func (p *Platform) Classes() []string {
+// ClassNames returns the names of the request classes, by class index.
+func (p *Platform) ClassNames() []string {
 	var names []string
 	for _, c := range p.config.Load().Deployment.Classes {
 		names = append(names, c.Name)
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -51,7 +51,7 @@
 // newScenario returns a scenario whose server and caller are connected. options change it before the softswitch starts.
 func newScenario(t *testing.T, options ...func(*scenario)) *scenario {
 	t.Helper()
-	s := &scenario{T: t, effects: make(chan core.Effect, 100), limits: core.Limits{Rebind: 100 * time.Millisecond, MinRedial: time.Millisecond,
+	s := &scenario{T: t, effects: make(chan core.Effect, 100), limits: core.Limits{RebindTimeout: 100 * time.Millisecond, MinRedial: time.Millisecond,
 		MaxRedial: time.Millisecond, ServerLostAfter: time.Minute, MaxCallerConns: 100, MaxOpen: 100, MaxCallBytes: 1 << 20, EndedCallTTL: time.Minute,
 		Transient: map[core.Protocol]bool{Protocol: true}}}
 	for _, option := range options {
@@ -92,7 +92,7 @@
 	t.Cleanup(cancel)
 	go eventLoop.Run(ctx)
 	go platform.Serve(callers)
-	eventLoop.Post(core.List{Full: true, Servers: []core.Server{
+	eventLoop.Post(core.ServerList{Full: true, Servers: []core.Server{
 		{Name: "s", Address: s.serverListener.Addr().String(), Protocol: Protocol, Phase: elmseam.Ready},
 	}})
 	s.acceptServerConn()
--- a/internal/platform/server.go
+++ b/internal/platform/server.go
@@ -73,7 +73,7 @@
 // appendOffer appends the message that offers a set-up to a server. The time left in it is at least 1 ms.
 func appendOffer(b []byte, e core.Offer, now core.Time) []byte {
 	b = fmt.Appendf(b, `{"op":"offer","call":"%016x","with":{"class":`, uint64(e.ID))
-	b = appendString(b, e.Class)
+	b = appendString(b, e.ClassName)
 	if e.NumberText != "" {
 		b = appendString(append(b, `,"key":`...), e.NumberText)
 	}
@@ -133,7 +133,7 @@
 			silent = false
 		case errors.Is(err, os.ErrDeadlineExceeded) && !partial && silenceTimeout > 0:
 			silent = true
-			s.platform.loop.Post(core.ServerSilent{Server: s.name, Conn: s.connID, For: silenceTimeout})
+			s.platform.loop.Post(core.ServerSilent{Server: s.name, Conn: s.connID, SilentFor: silenceTimeout})
 			continue
 		default:
 			return err
@@ -262,7 +262,7 @@
 	for pair := range strings.SplitSeq(text, ";") {
 		name, value, _ := strings.Cut(pair, ":")
 		number, err := strconv.ParseFloat(value, 64)
-		if metric := settings.LoadMetric(name); err == nil && metric != 0 && len(values) < maxReportValues {
+		if metric := settings.LoadMetricByName(name); err == nil && metric != 0 && len(values) < maxReportValues {
 			values = append(values, core.LoadValue{Metric: metric, Value: number})
 		}
 	}
--- a/internal/platform/setup.go
+++ b/internal/platform/setup.go
@@ -15,7 +15,7 @@
 // setUpEvent translates a set-up message. An invalid set-up gets class -1, and the core refuses it. It must not reach a server:
 // on a call without an id, servers close the connection with all other calls on it, and other errors cost them work.
 func (p *Platform) setUpEvent(conn core.ConnID, f frame, receivedAt core.Time) core.SetUp {
-	ev := core.SetUp{ID: f.callID, From: conn, Name: f.class, Tenant: f.tenant, NumberText: f.numberText, Number: numberValue(f.numberText),
+	ev := core.SetUp{ID: f.callID, From: conn, ClassName: f.class, Tenant: f.tenant, NumberText: f.numberText, Number: numberValue(f.numberText),
 		Desc: f.desc, Cell: -1, At: receivedAt}
 	timeLeft, err := strconv.ParseFloat(f.timeLeft, 64)
 	cfg := p.config.Load()
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -71,8 +71,8 @@
 	"cut_by":      elmseam.LoadMetricHoldBackShare,
 }
 
-// LoadMetric returns the meaning of a value of a load report by its name; LoadMetricUnknown for other names.
-func LoadMetric(name string) elmseam.LoadMetric { return loadMetrics[name] }
+// LoadMetricByName returns the meaning of a value of a load report by its name; LoadMetricUnknown for other names.
+func LoadMetricByName(name string) elmseam.LoadMetric { return loadMetrics[name] }
 
 // retryPolicies maps the values of a class's key "effect" to retry policies.
 var retryPolicies = map[string]elmseam.RetryPolicy{
--- a/internal/swarm/experiment.go
+++ b/internal/swarm/experiment.go
@@ -11,13 +11,13 @@
 // Experiment describes a measurement of the membership protocol: a tier warms up, runs under impairments for a measured
 // time, and may then lose a member, whose detection is timed.
 type Experiment struct {
-	Members  int               // size of the tier
-	Limits   membership.Limits // limits of the membership protocol
-	Seed     uint64            // seed of all random numbers of the run
-	Loss     float64           // share of the datagrams that is lost, 0 to 1
-	MaxDelay time.Duration     // a datagram takes 0.5 ms plus a random time below MaxDelay
-	WarmUp   time.Duration     // time before the measurement starts
-	Measured time.Duration     // length of the measurement
+	Members         int               // size of the tier
+	Limits          membership.Limits // limits of the membership protocol
+	Seed            uint64            // seed of all random numbers of the run
+	Loss            float64           // share of the datagrams that is lost, 0 to 1
+	MaxDelay        time.Duration     // a datagram takes 0.5 ms plus a random time below MaxDelay
+	WarmUp          time.Duration     // time before the measurement starts
+	MeasureDuration time.Duration     // length of the measurement
 	// Kill has member 0 killed after the measurement. The run then goes on until all other members hold member 0 dead, but
 	// no longer than 200 protocol periods.
 	Kill           bool
@@ -47,7 +47,7 @@
 	Suspicions uint64
 	// OwnAge and AnyAge are the mean ages of the newest load report of a server that a member received itself and of the
 	// newest report that it knows of; see Simulation.ReportAges.
-	OwnAge, AnyAge time.Duration
+	OwnAge, NewestKnownAge time.Duration
 }
 
 // Run runs the experiment. The same experiment has the same outcome on any machine.
@@ -86,7 +86,7 @@
 		}
 	}
 	forEachImpaired(func(member int) { sim.Slow(member, e.SlowDelay) })
-	for end := sim.Now() + e.Measured; sim.Now() < end; {
+	for end := sim.Now() + e.MeasureDuration; sim.Now() < end; {
 		if e.PauseInterval <= 0 {
 			sim.Run(end)
 			break
@@ -97,11 +97,11 @@
 		forEachImpaired(sim.Resume)
 	}
 	endCounters := sim.Counters()
-	memberSeconds := float64(e.Members) * e.Measured.Seconds()
+	memberSeconds := float64(e.Members) * e.MeasureDuration.Seconds()
 	outcome.DatagramRate, outcome.ByteRate = float64(endCounters.Sent-startCounters.Sent)/memberSeconds, float64(endCounters.SentBytes-startCounters.SentBytes)/memberSeconds
 	outcome.Suspicions = endCounters.Suspicions - startCounters.Suspicions
 	outcome.ByteRate += float64(sim.PiggybackBytes()-startPiggybackBytes) / memberSeconds
-	outcome.OwnAge, outcome.AnyAge = sim.ReportAges()
+	outcome.OwnAge, outcome.NewestKnownAge = sim.ReportAges()
 	if !e.Kill {
 		return outcome, nil
 	}
--- a/internal/swarm/swarm.go
+++ b/internal/swarm/swarm.go
@@ -236,10 +236,10 @@
 // addCounters returns the sums of two sets of counters.
 func addCounters(a, b membership.Counters) membership.Counters {
 	a.Probes += b.Probes
-	a.Indirect += b.Indirect
+	a.IndirectProbes += b.IndirectProbes
 	a.Acks += b.Acks
 	a.Nacks += b.Nacks
-	a.Failed += b.Failed
+	a.FailedProbes += b.FailedProbes
 	a.Suspicions += b.Suspicions
 	a.Deaths += b.Deaths
 	a.Refutations += b.Refutations
--- a/load.go
+++ b/load.go
@@ -28,9 +28,9 @@
 	if s == nil {
 		return
 	}
-	if expiry := report.ShareAt + c.intervals(reportLifetime); report.ShareAt > 0 &&
+	if expiry := report.HoldBackShareAt + c.intervals(reportLifetime); report.HoldBackShareAt > 0 &&
 		expiry > s.shareExpiry && !s.blocked {
-		s.reportedShare, s.shareExpiry = report.Share, expiry
+		s.reportedShare, s.shareExpiry = report.HoldBackShare, expiry
 	}
 	if report.Failing {
 		s.failureWeight = max(s.failureWeight, maxFailureWeight-1)
--- a/tier.go
+++ b/tier.go
@@ -21,12 +21,12 @@
 
 // Observation is what this softswitch has observed of a server itself.
 type Observation struct {
-	Share         float64       // hold-back share of the last report to this softswitch, 0 to 1
-	ShareAt       Time          // time of that report; 0: none
-	Rate          float64       // set-ups per second that the warm server takes from here; 0: unknown
-	TotalLines    float64       // most lines that the server has reported in all; 0: none reported
-	FailureWeight int           // weight of the consecutive failures
-	MinSetUpTime  time.Duration // shortest set-up time, taken for the round trip; 0: no call established yet
+	HoldBackShare   float64       // hold-back share of the last report to this softswitch, 0 to 1
+	HoldBackShareAt Time          // time of that report; 0: none
+	Rate            float64       // set-ups per second that the warm server takes from here; 0: unknown
+	TotalLines      float64       // most lines that the server has reported in all; 0: none reported
+	FailureWeight   int           // weight of the consecutive failures
+	MinSetUpTime    time.Duration // shortest set-up time, taken for the round trip; 0: no call established yet
 }
 
 // Observed returns what this softswitch has observed of a server itself until now, and whether the server is
@@ -37,7 +37,7 @@
 		return observation, false
 	}
 	observation = Observation{
-		Share: s.ownShare, ShareAt: s.ownShareAt, TotalLines: s.maxLines,
+		HoldBackShare: s.ownShare, HoldBackShareAt: s.ownShareAt, TotalLines: s.maxLines,
 		FailureWeight: s.failureWeight, MinSetUpTime: s.minSetUpTime,
 	}
 	switch {
@@ -52,11 +52,11 @@
 
 // TierReport is what the other members of the tier have observed of a server.
 type TierReport struct {
-	Share     float64       // hold-back share that their load reports ask for, 0 to 1
-	ShareAt   Time          // time of the newest of these load reports; 0: none
-	Rate      float64       // mean set-ups per second that the warm server takes from one member; 0: unknown
-	Failing   bool          // whether the server is failing for most members
-	RoundTrip time.Duration // longest round trip to the server of any member; 0: unknown
+	HoldBackShare   float64       // hold-back share that their load reports ask for, 0 to 1
+	HoldBackShareAt Time          // time of the newest of these load reports; 0: none
+	Rate            float64       // mean set-ups per second that the warm server takes from one member; 0: unknown
+	Failing         bool          // whether the server is failing for most members
+	RoundTrip       time.Duration // longest round trip to the server of any member; 0: unknown
 }
 
 // ScaleRates multiplies the rates that this softswitch has counted by factor, after other members of the tier
