--- a/api.go
+++ b/api.go
@@ -24,7 +24,7 @@
 // Phase is the state of a server in the server list.
 type Phase uint8
 
-// The phases of a listed server.
+// The phases of a server. Gone also marks, in a ListDelta, a server that leaves the list.
 const (
 	Gone     Phase = iota // removed from the list
 	Ready                 // takes new calls
@@ -50,7 +50,7 @@
 // RetryPolicy says when an attempt that may have run at a server can be retried.
 type RetryPolicy uint8
 
-// The retry policies.
+// The retry policies, by when a retry is safe.
 const (
 	RetryAlways  RetryPolicy = iota // always
 	RetryGuarded                    // only where the server group drops duplicates, within a window
--- a/budgets.go
+++ b/budgets.go
@@ -11,9 +11,9 @@
 // coldBudgetAllows returns whether this softswitch's budget for a server allows another set-up; a warm
 // server has no such budget. The budget's rate is this softswitch's quota of what the warm server takes,
 // times the share that is surely warm by now, times a safe part of the overload multiple. If every
-// softswitch keeps to its quota, the server is not overloaded. The budget of one softswitch among many is
-// a small part of a set-up, so the budget starts at a random phase: otherwise the first set-ups of all
-// softswitches would come at once.
+// softswitch keeps to its quota, the server is not overloaded. In a large tier the budget of one softswitch
+// is a small fraction of a set-up, so the budget starts at a random phase: otherwise the first set-ups of
+// all softswitches would come at once.
 func (c *Controller) coldBudgetAllows(s *server) bool {
 	if !c.isCold(s) {
 		return true
@@ -47,9 +47,9 @@
 
 // lineAvailable returns whether a server has a line for one more call. Where few lines are free, all
 // softswitches learn of the same lines and compete for them, and each refused set-up costs the server
-// processor time. A softswitch then reuses the lines that its own calls have freed, the last of them for
-// calls of high worth. It tries for other lines the less often the fewer are free, as a newly started
-// softswitch has freed none.
+// processor time. A softswitch then reuses the lines that its own calls have freed, and keeps the last of
+// them for calls of high worth. It also tries for other lines, as a newly started softswitch has freed none,
+// but the less often the fewer are free.
 func (c *Controller) lineAvailable(s *server, call *callState) bool {
 	freeRatio := s.freeLines / max(lowLineShare*s.totalLines, 1)
 	if c.now >= s.lineShortUntil || freeRatio >= 1 {
--- a/calls.go
+++ b/calls.go
@@ -149,8 +149,8 @@
 	c.emit(Refuse{Call: call.id, RetryAfter: min(retryAfter, c.settings.MaxRetryAfter)})
 }
 
-// retry makes another attempt of a call, now or after the release guard, or refuses the call. A call is
-// held for the release guard only if it has enough time left to survive a stall of this softswitch, as
+// retry makes another attempt of a call, now or after the release guard, or refuses the call. A call waits
+// for the release guard to pass only if it has enough time left to survive a stall of this softswitch, as
 // nothing else answers the call meanwhile.
 func (c *Controller) retry(call *callState) {
 	reserve := min(c.intervals(stallReserve), time.Duration(maxStallReserve*float64(call.class.Aim)))
--- a/constants.go
+++ b/constants.go
@@ -25,14 +25,15 @@
 	// back.
 	neededRateShare = 0.5
 
-	// Unanswered set-ups. An idle server is one whose recent reports show a low load.
+	// Unanswered set-ups. An idle server is one whose recent reports show a low load. A set-up shows that an
+	// earlier one is lost if it is answered first and was sent later by overtakeMargin.
 
 	maxUnanswered    = 0.3 // retransmit intervals that a set-up may be unanswered before the next is sent
 	suspectLossAfter = 0.6 // retransmit intervals until an idle server's unanswered set-up counts as lost
 	assumeLossAfter  = 2.0 // retransmit intervals until any unanswered set-up counts as lost
-	overtakeMargin   = 0.2 // retransmit intervals by which an answered set-up must be later to show a loss
+	overtakeMargin   = 0.2 // retransmit intervals
 
-	maxTimeLeftVotes = 20 // votes that the usual time left of a class can collect
+	maxTimeLeftVotes = 20 // limit of the votes for the usual time left of a class (see isLateTry)
 
 	// Failures.
 
@@ -41,7 +42,7 @@
 	busyNumberHold   = 4.0 // retransmit intervals for which calls to a busy number are refused
 	maxBusyNumbers   = 8   // busy numbers remembered
 
-	windowMinShare = 0.1 // requested hold-back share above which a server has a window
+	windowMinShare = 0.1 // requested hold-back share above which a server has a window (see hasWindow)
 
 	// defaultInterval replaces the retransmit interval in deployments without retransmission.
 	defaultInterval = 500 * time.Millisecond
@@ -71,7 +72,7 @@
 	coldSaveTime     = 3.0  // retransmit intervals for which a cold budget of less than one set-up is kept
 	divertBurst      = 3.0  // diverted calls that may go to a server at once
 
-	// Thinning and worth.
+	// Thinning, which holds back a share of the set-ups to a server (see passesThinning), and worth.
 
 	maxCredit             = 3.0  // thinning credit, in set-ups, that a server may save up
 	lowWorthCredit        = 2.0  // credit that a call of low worth needs
--- a/controller.go
+++ b/controller.go
@@ -11,17 +11,17 @@
 	"elmseam/internal/shares"
 )
 
-// Controller decides for one softswitch.
+// Controller decides for one softswitch which server gets which call set-up.
 type Controller struct {
 	settings          Settings
 	servers           []*server // in the order of the list
 	byID              map[ServerID]*server
 	removed           []removedServer // servers removed last, oldest first
 	calls             map[CallID]*callState
-	actions           []Action // actions of the event in progress
-	now               Time     // time of the event in progress
-	minWorth          float64  // least worth of a class
-	retryAfterHint    time.Duration
+	actions           []Action        // actions of the event in progress
+	now               Time            // time of the event in progress
+	minWorth          float64         // least worth of a class
+	retryAfterHint    time.Duration   // hint for the callers of refused calls
 	usualTimes        []usualTimeLeft // by class
 	busyNumbers       [maxBusyNumbers]busyNumber
 	nextBusyNumber    int             // index of the busy number to replace next
@@ -38,7 +38,7 @@
 	subscribed        bool    // a Subscribe action was emitted and has not failed
 	coldQuotaFraction float64 // fraction of its own quota of a cold server's budget that this softswitch uses
 	importedShare     float64 // share of the rates, at importedShareAt, that does not come from own calls
-	importedShareAt   Time
+	importedShareAt   Time    // time at which importedShare was set
 }
 
 // New makes a controller. The seed sets the phases of its budgets, so that the budgets of many
@@ -57,7 +57,7 @@
 }
 
 // Configure replaces the settings and keeps what is known of servers and calls. Invalid settings change
-// nothing. Classes that were there before must keep their indexes.
+// nothing. The classes of the previous settings must keep their indexes.
 func (c *Controller) Configure(settings Settings) error {
 	if err := checkSettings(&settings); err != nil {
 		return fmt.Errorf("elmseam: settings: %w", err)
--- a/controller_test.go
+++ b/controller_test.go
@@ -359,7 +359,7 @@
 // an answer comes.
 func TestUnansweredSetUpStopsFurtherOnes(t *testing.T) {
 	h := newHarness(t, testSettings(), 2)
-	for range 400 { // so many calls that the window alone would admit more
+	for range 400 { // with the rate of these calls, the limit on unanswered set-ups would admit more
 		h.advance(10 * ms)
 		h.establish(1, 20*ms)
 	}
@@ -437,9 +437,9 @@
 	}
 }
 
-// On sockets the clock counts from 1970, in the simulator from the start of the run: rates start with the
-// first event on both. On sockets the rates began with 15 s without calls, and a second choice got half of
-// its rate for half a minute.
+// On sockets the clock counts from 1970, in the simulator from the start of the run. Rates start with the first
+// event in both cases. Otherwise the rates on sockets began with 15 s without calls, and a second choice got
+// half of its rate for half a minute.
 func TestRatesStartAtFirstEvent(t *testing.T) {
 	rateSince := func(epoch Time) float64 {
 		c, err := New(testSettings(), 1)
@@ -501,7 +501,7 @@
 	}
 }
 
-// A stall of the softswitch loses a call that is held for the release guard, so a call is held only with
+// A stall of the softswitch loses a call that waits for the release guard to pass, so a call waits only with
 // time to spare.
 func TestRuleCallHeldOnlyWithTimeToSpare(t *testing.T) {
 	h := newHarness(t, testSettings(), 2)
@@ -907,8 +907,8 @@
 }
 
 // A server that dies and comes back with fewer lines still has its processor, so its budget while cold is
-// based on its former rate. Such a server was taken for a new, small one and stayed idle beside an overrun
-// one.
+// based on its former rate. Such a server was taken for a new, small one and stayed idle while another server
+// was overrun.
 func TestReturningServerKeepsRate(t *testing.T) {
 	settings := testSettings()
 	h := newHarness(t, settings, 2)
@@ -1125,8 +1125,8 @@
 		{"negative deadline", func(s *Settings) { s.Classes[0].Deadline = -1 }, "Deadline"},
 		{"negative guard", func(s *Settings) { s.ReleaseGuard = -1 }, "ReleaseGuard"},
 		{"negative ramp", func(s *Settings) { s.ColdRamp = -1 }, "ColdRamp"},
-		{"cold share over one", func(s *Settings) { s.ColdInitialShare = 2 }, "ColdFrom"},
-		{"only unknown metrics", func(s *Settings) { s.ReportMetrics = []LoadMetric{LoadMetricUnknown} }, "Report"},
+		{"cold share over one", func(s *Settings) { s.ColdInitialShare = 2 }, "ColdInitialShare"},
+		{"only unknown metrics", func(s *Settings) { s.ReportMetrics = []LoadMetric{LoadMetricUnknown} }, "ReportMetrics"},
 	}
 	for _, tt := range tests {
 		settings := testSettings()
@@ -1423,7 +1423,7 @@
 
 // Times follow the settings: on sockets a deployment's aims and intervals are a quarter of the
 // simulator's. With fixed times, the retry-after hint sent callers away for the whole aim, and no call was
-// held for the release guard as none had 2 s left.
+// held until its release guard had passed, as none had 2 s left.
 func TestTimesFollowSettings(t *testing.T) {
 	settings := testSettings()
 	settings.Classes[0].Aim, settings.RetransmitInterval, settings.ReleaseGuard = 320*ms, 125*ms, 100*ms
--- a/internal/core/budget.go
+++ b/internal/core/budget.go
@@ -64,12 +64,12 @@
 	return uint32(xxh3.HashString(s.Name + " " + strconv.FormatInt(int64(s.Started), 10)))
 }
 
-// coldReportPeriod is how long after the start of this softswitch its quota of a cold server is reported again and again. At the
-// start nothing has been counted, so the first reported quota is 0 and without an update would stay 0 until the server is warm.
+// coldReportPeriod is the time from the start of this softswitch for which its quota of a cold server is reported repeatedly. At the
+// start no set-ups have been counted, so the first reported quota is 0, and without an update it would stay 0 until the server is warm.
 const coldReportPeriod = 15 * time.Second
 
-// reportColdServers tells the budget reducer which servers are cold and the quotas of this softswitch: once for each start of a
-// server, and every time within coldReportPeriod.
+// reportColdServers reports the cold servers, with the quotas of this softswitch, to the budget reducer: once for each start of a
+// server, and at every call within coldReportPeriod after the start of this softswitch.
 func (c *Core) reportColdServers() {
 	if c.budget == nil {
 		return
--- a/internal/core/callers.go
+++ b/internal/core/callers.go
@@ -11,8 +11,8 @@
 	id             ConnID
 	protocol       Protocol
 	hadSetUp       bool // the connection has brought a set-up
-	hadEstablished bool // one of its set-ups was established
-	transferred    bool // the connection was transferred to the successor: effects for it go there
+	hadEstablished bool // a set-up from the connection was established
+	transferred    bool // the connection was transferred to the successor, which gets the effects for the connection
 
 	transferUnconfirmed bool // the successor has not confirmed the transfer
 	transferFailed      bool // the transfer failed; the connection is read here again
@@ -25,7 +25,7 @@
 	protocol Protocol
 	id       ID
 	reason   Reason
-	at       Time
+	at       Time // when the release began to wait
 }
 
 // callerUp handles a new connection of a caller.
@@ -43,7 +43,8 @@
 	}
 }
 
-// callerDown handles the end of the connection of a caller. Its set-ups may come again on another connection within Rebind.
+// callerDown handles the end of the connection of a caller. The caller may send its open set-ups again on another connection within
+// RebindTimeout.
 func (c *Core) callerDown(id ConnID) {
 	c.forgetCaller(id)
 	c.forgetPredecessorCalls(id)
@@ -65,7 +66,7 @@
 	case k == nil:
 		_, known := c.ended[ev.ID]
 		switch {
-		case known, ev.SetUpDiscarded:
+		case known, ev.SetUpDiscarded: // no server has the call
 		case c.hasPredecessor:
 			delete(c.predecessorCalls, ev.ID)
 			delete(c.predecessorSetUps, ev.ID)
@@ -82,7 +83,7 @@
 		c.endEstablished(k, Normal, elmseam.Outcome{Cause: elmseam.CauseCancelled})
 	case ev.From == k.From || k.orphaned:
 		c.abandonSetUp(k)
-	} // otherwise another client guessed the id of a set-up that is open on a different connection
+	} // any other end is ignored: its sender guessed the id of a set-up that is open on a different connection
 }
 
 // markUsed records that a caller uses its connection. Releases that waited for a connection go out on it.
--- a/internal/core/calls.go
+++ b/internal/core/calls.go
@@ -35,8 +35,8 @@
 	at Time // when the id was recorded
 }
 
-// setUp handles a set-up from a caller. A set-up with the id of a call that has ended may have been sent again because its answer was lost
-// with a closing connection; as ids are never used twice, it is refused.
+// setUp handles a set-up from a caller. A set-up with the id of a call that has ended is refused, as ids are never used twice: the
+// caller may have sent the set-up again because its answer was lost with a closing connection.
 func (c *Core) setUp(ev SetUp) {
 	from := c.callers[ev.From]
 	if from == nil { // the connection has been closed: the caller sends the set-up again on another
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -29,26 +29,26 @@
 	effects             []Effect             // effects of the current Step
 	calls               map[ID]*call
 	callsByControllerID map[elmseam.CallID]*call
-	openSetUps          int // set-ups without a final answer
-	callBytes           int // size of the numbers and descriptions of all calls, in bytes
-	lastControllerID    elmseam.CallID
+	openSetUps          int            // set-ups without a final answer
+	callBytes           int            // size of the numbers and descriptions of all calls, in bytes
+	lastControllerID    elmseam.CallID // id last given to a call
 	servers             map[string]*server
 	serversByID         map[elmseam.ServerID]*server
-	serverOrder         []*server // in the order in which they came into the list
-	lastServerID        elmseam.ServerID
+	serverOrder         []*server        // in the order in which they came into the list
+	lastServerID        elmseam.ServerID // id last given to a server
 	removed             []removedServer  // servers that have left the list, oldest first
 	withdrawnRoutes     map[string]Route // by the name of the route
 	callers             map[ConnID]*callerConn
-	callerOrder         []*callerConn // oldest first
-	pruneTimerSet       bool          // a timer is set for the next pruneCallers
-	pendingReleases     []*pendingRelease
-	ended               map[ID]Time // calls that ended lately, with the time
-	endedOrder          []endedCall // the same, oldest first
-	stopping            bool        // a Stop or a HandOver has begun
-	stopGraceOver       bool        // new callers need not be expected any more
-	closing             bool        // nothing is pending any more: set-ups are refused until the connections are closed
-	stopped             bool
-	serving             bool // new calls are welcome, as last told by a Serving effect
+	callerOrder         []*callerConn     // oldest first
+	pruneTimerSet       bool              // a timer is set for the next pruneCallers
+	pendingReleases     []*pendingRelease // releases to callers that wait for a connection
+	ended               map[ID]Time       // ids of calls that ended recently, with the time when each id was recorded
+	endedOrder          []endedCall       // the same ids, oldest first
+	stopping            bool              // a Stop or a HandOver has begun
+	stopGraceOver       bool              // the grace period of a Stop or HandOver, in which new callers may still connect, has ended
+	closing             bool              // nothing is pending any more: set-ups are refused until the connections are closed
+	stopped             bool              // the Stopped effect has been given
+	serving             bool              // new calls are welcome, as the last Serving effect said
 	draining            bool
 	drainChangedAt      Time   // when the drain began or ended
 	drainChanges        uint32 // how often a drain began or ended
@@ -63,7 +63,7 @@
 	membership          *membership.Reducer  // nil: no membership, the other members of the tier are unknown
 	selfIndex           int                  // index of this softswitch in the tier
 	maintenance         *maintenance.Reducer // nil: no ordered maintenance
-	drainReasons        drainReasons         // who wants this softswitch drained
+	drainReasons        drainReasons         // who has requested that this softswitch drains
 	startedAt           Time                 // time of the first event
 	takeoverFactors     map[int]float64      // by member that is not available: factor by which its absence raised the rates
 	knowledge           *knowledge.Reducer   // nil: observations of the servers are not shared with the tier
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -74,7 +74,7 @@
 	}})
 }
 
-// step gives the core an event and returns the effects as text, each as a word, the id of its call and the connection. Timers
+// step gives the core an event and returns the effects as text, each as its name, the id of its call and the connection. Timers
 // are kept for advance. A violation fails the test.
 func (r *rig) step(ev Event) string {
 	effects := ""
@@ -162,7 +162,7 @@
 }
 
 // When the connection to a server is reset, the attempt ends and the call is sent to another server only after the release
-// guard. The answer is passed on once, and a late answer from the first server is released there.
+// guard. The answer is passed on once, and a late answer from the first server is followed by a release of the call at that server.
 func TestResetAttemptIsRetriedElsewhereAfterReleaseGuard(t *testing.T) {
 	r := newRig(t)
 	r.want(r.setUp(7, 5*time.Second), "offer7@10 ")
@@ -193,8 +193,8 @@
 	r.want(r.advance(201*ms), "offer7@11 ")
 }
 
-// The final answer is given before the caller's time is up. An answer from the server after it is released there and never
-// passed on.
+// The final answer is given before the caller's time is up. An answer that the server sends later is never passed on, and the call is
+// released at the server.
 func TestFinalAnswerBeforeDeadline(t *testing.T) {
 	r := newRig(t)
 	r.setUp(7, 400*ms)
@@ -240,7 +240,7 @@
 }
 
 // A set-up may be sent just as its connection is closed. The caller sends it again on another connection: it stays one call with one
-// answer. A set-up that does not come again within Rebind is given up.
+// answer. A set-up that the caller does not send again within RebindTimeout is given up.
 func TestSetUpResentOnAnotherConnection(t *testing.T) {
 	r := newRig(t)
 	r.want(r.setUp(7, 5*time.Second)+r.setUp(8, 5*time.Second), "offer7@10 offer8@10 ")
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -12,7 +12,7 @@
 
 // handOver begins to transfer the connections of callers. Their input from now on is read by the successor.
 func (c *Core) handOver() {
-	if c.handingOver || c.closing { // while closing, connections are about to be closed: one in transfer would be lost
+	if c.handingOver || c.closing { // while closing, the connections are about to be closed, and a connection in transfer would be lost
 		return
 	}
 	c.handingOver, c.stopping = true, true
--- a/internal/core/hook.go
+++ b/internal/core/hook.go
@@ -2,10 +2,11 @@
 
 import "elmseam"
 
-// Guard names a guard of the core. Tests disable a guard to check that they detect the violations it prevents.
+// Guard is a set of guards, as a bit set. A guard is a check by which the core enforces a rule of signalling, whatever the controller
+// decides. Tests disable a guard to check that they detect the violations that the guard prevents.
 type Guard uint16
 
-// The guards.
+// The guards, each with the rule that it enforces.
 const (
 	GuardSingleAnswer  Guard = 1 << iota // a set-up gets one final answer
 	GuardSingleAttempt                   // a call has one outstanding attempt at a time
--- a/internal/core/knowledge.go
+++ b/internal/core/knowledge.go
@@ -20,8 +20,8 @@
 
 // drainReport says whether other members report that a server drains, although it is ready in this softswitch's own list.
 type drainReport struct {
-	listedAt Time // when the own server list last named the server
-	expiry   Time // until then the server counts as draining, as a member has news that is later than listedAt; 0: not reported
+	listedAt Time // when this softswitch's own server list last named the server
+	expiry   Time // the server counts as draining until then, as a member's report is later than listedAt; 0: not reported
 }
 
 // startKnowledge starts the knowledge reducer. A second StartKnowledge has no effect.
@@ -65,7 +65,7 @@
 }
 
 // applyTierReport gives the controller what other members report of a server. A reported drain later than the server's last entry
-// in the own list makes the server count as draining for ReportedDrainTTL.
+// in this softswitch's own list makes the server count as draining for ReportedDrainTTL.
 func (c *Core) applyTierReport(key uint32) {
 	s := c.serversByKey()[key]
 	if s == nil {
@@ -80,7 +80,8 @@
 	}
 }
 
-// expireDrainReport ends the effect of a reported drain that the own server list has not confirmed within ReportedDrainTTL.
+// expireDrainReport ends the effect of a reported drain that this softswitch's own server list has not confirmed within
+// ReportedDrainTTL.
 func (c *Core) expireDrainReport(name string) {
 	if s := c.servers[name]; s != nil && s.drainReport.expiry > 0 && c.now >= s.drainReport.expiry {
 		s.drainReport = drainReport{listedAt: c.now}
@@ -161,7 +162,7 @@
 	View          knowledge.View            // the weighed reports of all members
 	Reports       []knowledge.ObserverEntry // the report of each member
 	// ColdRate is the rate of set-ups that the budget of a cold server permits here, in set-ups/s of a warm server. Negative: the
-	// server is not cold, or the own quota applies.
+	// server is not cold, or this softswitch's own quota applies.
 	ColdRate float64
 }
 
--- a/internal/core/maintenance.go
+++ b/internal/core/maintenance.go
@@ -33,7 +33,7 @@
 func (DrainChanged) effect()        {}
 func (MaintenanceProgress) effect() {}
 
-// drainReasons says who wants this softswitch drained. It drains as long as there is at least one reason.
+// drainReasons says who has requested that this softswitch drains. The softswitch drains as long as at least one reason is set.
 type drainReasons struct{ operator, maintenance bool }
 
 // startMaintenance starts the maintenance reducer. A second StartMaintenance has no effect.
--- a/internal/core/probe.go
+++ b/internal/core/probe.go
@@ -12,8 +12,8 @@
 // is replaced, probed or left alone.
 
 type (
-	// ServerSilent reports that nothing has come on a connection for the duration For. The reader of the connection does not
-	// know whether anything is pending there.
+	// ServerSilent reports that nothing has come on a connection for the duration SilentFor. The reader of the connection does
+	// not know whether anything is pending on it.
 	ServerSilent struct {
 		Server    string
 		Conn      ConnID
@@ -37,11 +37,11 @@
 func (ServerProbeAnswer) event() {}
 func (Probe) effect()            {}
 
-// serverSilent handles a connection on which nothing has come for the duration For. If an unanswered set-up went out there at least
-// For/2 ago, the connection counts as dead and is replaced, whether that set-up is still outstanding or was given up meanwhile. If
-// the first unanswered set-up is younger, the connection is judged at the next ServerSilent. Without an unanswered set-up the
-// silence is normal, except at a server with established calls, whose releases may come on any connection: there the connection is
-// probed, or replaced where no probe is permitted.
+// serverSilent handles a connection on which nothing has come for the duration SilentFor. If an unanswered set-up went out on the
+// connection at least SilentFor/2 ago, the connection counts as dead and is replaced, whether that set-up is still outstanding or was
+// given up meanwhile. If the first unanswered set-up was sent later, the connection is judged at the next ServerSilent. Without an
+// unanswered set-up the silence is normal, except at a server with established calls, whose releases may come on any connection: the
+// connection to such a server is probed, or replaced where no probe is permitted.
 func (c *Core) serverSilent(ev ServerSilent) {
 	s := c.servers[ev.Server]
 	if s == nil {
@@ -51,7 +51,7 @@
 	if conn == nil {
 		return
 	}
-	// Time of the first set-up or probe after which nothing came on the connection, or of an older set-up that is outstanding there.
+	// The time of the first set-up or probe after which nothing came on the connection, or of an older set-up that is outstanding on it.
 	unansweredSince := conn.unansweredSince
 	for _, k := range s.outstanding {
 		if k.attempt.conn == conn && (unansweredSince == 0 || k.attempt.startedAt < unansweredSince) {
--- a/internal/core/random_test.go
+++ b/internal/core/random_test.go
@@ -26,7 +26,7 @@
 		ending       bool   // the End of the attempt is not written yet
 		attempts     int
 		finalAnswers int
-		callerGone   bool   // the caller has given up, or is not told about the call
+		callerGone   bool   // the caller has given up, or gets no message about the call
 		badEndAt     Time   // when the last attempt was reset, cancelled or timed out; 0: none was
 		established  string // server on which the call was established; empty: none
 		released     bool
--- a/internal/core/servermsgs.go
+++ b/internal/core/servermsgs.go
@@ -11,7 +11,7 @@
 	Server
 	id               elmseam.ServerID // the controller's id of the server
 	conns            []*serverConn
-	dialing          bool          // a Dial effect has no result yet
+	dialing          bool          // a Dial effect was given and its result has not come
 	backoff          time.Duration // wait before the last redial
 	unreachableSince Time          // when the last connection ended or could not be made; 0: reachable
 	paused           bool          // its own signalling takes no new work
@@ -139,7 +139,7 @@
 		c.giveUpAttempt(k, elmseam.CauseReset)
 	}
 	c.closeMalformedConns(s)
-	if c.wantedConns(s) > 0 { // also so that the server can repeat releases of established calls that were lost
+	if c.wantedConns(s) > 0 { // on a new connection the server can also repeat lost releases of established calls
 		c.dialAhead(s)
 	}
 }
--- a/internal/core/stop.go
+++ b/internal/core/stop.go
@@ -33,9 +33,9 @@
 	}
 }
 
-// beginClosing is reached when nothing is pending any more, and tells the other members that this softswitch leaves. Set-ups that
-// callers sent before they could know of the end may still be on their way: they are refused for StopLinger before the
-// connections are closed.
+// beginClosing begins the end of the process, when nothing is pending any more, and announces to the other members that this
+// softswitch leaves. Set-ups that callers sent before they could know of the end may still arrive: they are refused for StopLinger
+// before the connections are closed.
 func (c *Core) beginClosing() {
 	c.closing = true
 	c.stepMembership(membership.Leave{})
--- a/internal/core/tier_test.go
+++ b/internal/core/tier_test.go
@@ -21,8 +21,8 @@
 	r.step(StartMembership{Config: membership.Config{TierSize: tierSize, Limits: membership.Defaults(), Seed: 1}})
 }
 
-// A member that hears of no other member of its tier uses the fraction of its own quota of a cold server's budget that the available
-// members make up of the tier: a fifth in a tier of five. In a tier of one, and without a tier, the softswitch uses its whole quota.
+// A member that receives nothing from the other members of its tier uses only a fraction of its own quota of a cold server's budget: the
+// available members over all members, a fifth in a tier of five. In a tier of one, and without a tier, it uses its whole quota.
 func TestIsolatedMemberReducesColdServerLoad(t *testing.T) {
 	coldSetUps := func(tierSize int) (n int) {
 		r := newRig(t)
@@ -100,8 +100,8 @@
 	return r.step(MemberDatagram{From: 1, Data: sender.AppendPiggyback(r.now, data)})
 }
 
-// A drain reported by another member stops new set-ups to the server if the report is newer than the own list, and only for
-// ReportedDrainTTL. The own list takes precedence: an older report and a reported hold-back share do not override it.
+// A drain reported by another member stops new set-ups to the server if the report is newer than this softswitch's own server list, and
+// only for ReportedDrainTTL. The own list takes precedence: an older report and a reported hold-back share do not override it.
 func TestDrainReportedByMember(t *testing.T) {
 	r := newRig(t)
 	r.startMembership(2)
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -43,9 +43,9 @@
 	Name     string
 	Address  string
 	Protocol Protocol
-	Cell     int
-	Phase    elmseam.Phase
-	Started  Time // when the process of the server started; another value means another process
+	Cell     int           // the server's cell number, which a call names as its first choice
+	Phase    elmseam.Phase // state of the server
+	Started  Time          // when the process of the server started; another value means another process
 }
 
 // Report is a server's load report. Each value names its metric, because the order of the metrics in the settings may change
@@ -58,7 +58,8 @@
 	Value  float64
 }
 
-// Event is an input of Step. The types below implement it, as do those beside membership, maintenance, knowledge, budget and probes.
+// Event is an input of Step. The types below implement it, as do the event types declared in membership.go, maintenance.go,
+// knowledge.go, budget.go and probe.go.
 type Event interface{ event() }
 
 type (
@@ -83,16 +84,16 @@
 	SetUp struct {
 		ID          ID
 		From        ConnID
-		Class       int    // index of the class in the settings; negative: unknown
-		ClassName   string // name of the class as the caller wrote it
-		Tenant      string // name of the tenant; empty: the caller named none
-		Number      uint64 // number called
-		NumberText  string // number called as the caller wrote it
-		Desc        []byte // description from the caller, passed on to the server unchanged
-		Cell        int    // cell of first choice, -1: none
-		Interrupted bool   // the call was established, was cut and is set up again
-		TimeLeft    time.Duration
-		At          Time // when the last byte of the set-up arrived
+		Class       int           // index of the class in the settings; negative: unknown
+		ClassName   string        // name of the class as the caller wrote it
+		Tenant      string        // name of the tenant; empty: the caller named none
+		Number      uint64        // number called
+		NumberText  string        // number called as the caller wrote it
+		Desc        []byte        // description from the caller, passed on to the server unchanged
+		Cell        int           // cell of first choice, -1: none
+		Interrupted bool          // the call was established, was cut and is set up again
+		TimeLeft    time.Duration // time from At until the caller gives up
+		At          Time          // when the last byte of the set-up arrived
 	}
 	// CallerEnd reports that a caller gives its set-up up or releases an established call.
 	CallerEnd struct {
@@ -168,8 +169,8 @@
 		Conn   ConnID
 		ID     ID
 	}
-	// ServerList is news of the servers from one source. Full means that the list replaces all that was known from this source, Cached
-	// that the list was stored before a restart.
+	// ServerList names servers, with their states, from one source. Full means that the list replaces all that was known from this
+	// source, Cached that the list was stored before a restart.
 	ServerList struct {
 		Source       string
 		Full, Cached bool
@@ -246,8 +247,8 @@
 func (TimerFired) event()      {}
 func (Stop) event()            {}
 
-// Effect is an output of Step, which the loop has to carry out. The types below implement it, as do those beside membership,
-// maintenance and probes.
+// Effect is an output of Step, which the loop has to carry out. The types below implement it, as do the effect types declared in
+// membership.go, maintenance.go and probe.go.
 type Effect interface{ effect() }
 
 type (
@@ -324,14 +325,14 @@
 	}
 	// Serving says whether new calls are welcome.
 	Serving struct{ On bool }
-	// ForgetCall says that a caller's call has ended, or never began, and that the caller is not told.
+	// ForgetCall says that a caller's call has ended, or never began, and that the caller gets no message about it.
 	ForgetCall struct {
 		Protocol Protocol // empty: unknown
 		ID       ID
 	}
 	// CloseListener closes the listener for callers: new connections are refused from then on.
 	CloseListener struct{}
-	// Stopped says that nothing is pending any more after a Stop or a HandOver.
+	// Stopped says that the process can end: after a Stop or a HandOver nothing is pending any more.
 	Stopped struct{}
 	// Violation reports that a guard prevented the violation of a rule, or that a configuration of a part of the core is invalid.
 	Violation struct {
@@ -367,7 +368,7 @@
 	call         ID
 	controllerID elmseam.CallID // the controller's id of that call, as an ID may be used again
 	number       uint32         // token of the controller's timer, number of the attempt, or count of drain changes
-	server       string
+	server       string         // name of the server concerned
 	membership   membership.Token
 	maintenance  maintenance.Token
 	budget       budget.Token
@@ -376,12 +377,13 @@
 	conn         ConnID
 }
 
+// tokenKind is the purpose of a timer.
 type tokenKind uint8
 
 const (
 	tokenController     tokenKind = iota // a timer of the controller
 	tokenDeadline                        // the final answer of a call is due
-	tokenRebind                          // a set-up whose connection ended has not come again in time
+	tokenRebind                          // the caller has not sent a set-up again within RebindTimeout after its connection ended
 	tokenAttemptTimeout                  // an attempt has had no answer
 	tokenReleaseGuard                    // the release guard of a waiting attempt has ended
 	tokenRedial                          // a server may be dialled again
@@ -389,8 +391,8 @@
 	tokenStopGrace                       // the grace of a stop or a hand-over has ended
 	tokenDrainCheck                      // idle connections are closed during a drain
 	tokenMaxStopWait                     // a stop waits no longer for established calls
-	tokenPruneCallers                    // pruneCallers runs again, as connections have passed NewConnGrace
-	tokenStopLinger                      // set-ups have been refused for StopLinger after the end
+	tokenPruneCallers                    // pruneCallers runs again, as connections may have become older than NewConnGrace
+	tokenStopLinger                      // set-ups have been refused for StopLinger after the last call ended
 	tokenMembership                      // a timer of the membership reducer
 	tokenMaintenance                     // a timer of the maintenance reducer
 	tokenBudget                          // a timer of the budget reducer
@@ -402,7 +404,7 @@
 // Limits are the times and sizes that the core keeps to.
 type Limits struct {
 	AnswerMargin        time.Duration     // the final answer is given this long before the caller's time limit
-	RebindTimeout       time.Duration     // a set-up whose connection has ended is given up if it does not come again within this time
+	RebindTimeout       time.Duration     // a set-up whose connection has ended is given up if the caller does not send it again within this time
 	MinRedial           time.Duration     // shortest wait between attempts to reach a server
 	MaxRedial           time.Duration     // longest wait between attempts to reach a server
 	ConnsPerServer      map[Protocol]int  // max connections to one server, by its protocol; 1 where the protocol is missing
--- a/load.go
+++ b/load.go
@@ -192,8 +192,8 @@
 // too long, or a server with a window has more unanswered set-ups than it answers within the limit. The
 // answers thus pace the softswitches, whatever number of redials passes the thinning, and no queue grows
 // at a server that is slow, hung, jammed or gone. The round trip does not count against a server, as it
-// may be as long as the limit; this would do harm where round trips vary more than queues. limitFactor
-// widens the limits for calls of high worth.
+// may be as long as the limit; this exemption would do harm where round trips vary more than queues.
+// limitFactor widens the limits for calls of high worth.
 func (c *Controller) windowFull(s *server, hasWindow bool, limitFactor float64) bool {
 	limit := c.intervals(maxUnanswered * limitFactor)
 	count := 0
--- a/routing.go
+++ b/routing.go
@@ -19,7 +19,7 @@
 }
 
 // route sends a call to a server or refuses the call. A call whose time is nearly up, as after a stall of
-// this softswitch, is refused: each set-up would come back as not sent until the answer is too late.
+// this softswitch, is refused: each set-up would end as not sent, until the final answer comes too late.
 func (c *Controller) route(call *callState) {
 	if c.now >= call.answerBy {
 		c.refuse(call, c.retryAfterHint)
--- a/servers.go
+++ b/servers.go
@@ -10,9 +10,9 @@
 // server is what this softswitch knows of a server.
 type server struct {
 	id      ServerID
-	cell    int
-	phase   Phase
-	started Time
+	cell    int   // cell number from the server list
+	phase   Phase // state from the server list
+	started Time  // start of the server's process; 0: long ago
 
 	reportedShare  float64 // hold-back share of the last report, from the server or from the tier
 	ownShare       float64 // hold-back share of the last report to this softswitch
@@ -50,9 +50,9 @@
 // removedServer is what is remembered of a server that has left the list, as the server may come back.
 type removedServer struct {
 	id             ServerID
-	maxLines, rate float64 // server.maxLines and the last known rate in set-ups per second
-	minSetUpTime   time.Duration
-	removedAt      Time
+	maxLines, rate float64       // server.maxLines and the last known rate in set-ups per second
+	minSetUpTime   time.Duration // server.minSetUpTime
+	removedAt      Time          // time at which the server was dropped
 }
 
 // subscribe asks for the server list where the list comes only on request.
--- a/settings.go
+++ b/settings.go
@@ -21,17 +21,17 @@
 	case settings.MaxRetryAfter < 0:
 		return fmt.Errorf("MaxRetryAfter: negative time %v", settings.MaxRetryAfter)
 	case settings.RetransmitInterval < 0:
-		return fmt.Errorf("ResendGap: negative time %v", settings.RetransmitInterval)
+		return fmt.Errorf("RetransmitInterval: negative time %v", settings.RetransmitInterval)
 	case settings.ReleaseGuard < 0:
 		return fmt.Errorf("ReleaseGuard: negative time %v", settings.ReleaseGuard)
 	case settings.OverloadAfter < 0:
-		return fmt.Errorf("TipAfter: negative time %v", settings.OverloadAfter)
+		return fmt.Errorf("OverloadAfter: negative time %v", settings.OverloadAfter)
 	case settings.ColdRamp < 0:
 		return fmt.Errorf("ColdRamp: negative time %v", settings.ColdRamp)
 	case !(settings.ColdInitialShare >= 0 && settings.ColdInitialShare <= 1):
-		return fmt.Errorf("ColdFrom: %v is no share", settings.ColdInitialShare)
+		return fmt.Errorf("ColdInitialShare: %v, not in [0, 1]", settings.ColdInitialShare)
 	case !(settings.OverloadMultiple >= 0):
-		return fmt.Errorf("TipMultiple: %v is negative", settings.OverloadMultiple)
+		return fmt.Errorf("OverloadMultiple: %v is negative", settings.OverloadMultiple)
 	}
 	for _, metric := range settings.ReportMetrics {
 		if metric != LoadMetricUnknown {
@@ -39,7 +39,7 @@
 		}
 	}
 	if len(settings.ReportMetrics) > 0 {
-		return fmt.Errorf("Report: no known figure among %d", len(settings.ReportMetrics))
+		return fmt.Errorf("ReportMetrics: no known metric among %d", len(settings.ReportMetrics))
 	}
 	return nil
 }
--- a/tier.go
+++ b/tier.go
@@ -26,7 +26,7 @@
 	Rate            float64       // set-ups per second that the warm server takes from here; 0: unknown
 	TotalLines      float64       // most lines that the server has reported in all; 0: none reported
 	FailureWeight   int           // weight of the consecutive failures
-	MinSetUpTime    time.Duration // shortest set-up time, taken for the round trip; 0: no call established yet
+	MinSetUpTime    time.Duration // shortest set-up time, taken for the round trip; 0: no call established
 }
 
 // Observed returns what this softswitch has observed of a server itself until now, and whether the server is
@@ -54,7 +54,7 @@
 type TierReport struct {
 	HoldBackShare   float64       // hold-back share that their load reports ask for, 0 to 1
 	HoldBackShareAt Time          // time of the newest of these load reports; 0: none
-	Rate            float64       // mean set-ups per second that the warm server takes from one member; 0: unknown
+	Rate            float64       // mean set-ups per second per member that the warm server takes; 0: unknown
 	Failing         bool          // whether the server is failing for most members
 	RoundTrip       time.Duration // longest round trip to the server of any member; 0: unknown
 }
