--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -12,8 +12,8 @@
 	r.updateQueue = slices.Insert(r.updateQueue, 0, queuedUpdate{update: u, Seq: r.lastUpdateSeq})
 }
 
-// markTransmitted records that the first count updates of the queue were sent once more, removes those that were sent
-// often enough, and restores the order of the queue.
+// markTransmitted counts one transmission of each of the first count updates of the queue, removes the updates that
+// were sent maxTransmissions times, and restores the order of the queue.
 func (r *Reducer) markTransmitted(count int) {
 	sent := slices.Clone(r.updateQueue[:count])
 	for i := range sent {
--- a/internal/membership/reducer.go
+++ b/internal/membership/reducer.go
@@ -19,10 +19,10 @@
 	DisabledGuards Guard // guards that a check switches off to see a rule violated; no program sets it
 }
 
-// Guard is a part of the protocol that a check can switch off.
+// Guard is a set of parts of the protocol, as a bit set, that a check can switch off.
 type Guard uint8
 
-// The guards.
+// The guards, each with the behaviour that it stands for.
 const (
 	GuardRefute  Guard = 1 << iota // a member refutes false information about itself
 	GuardSuspect                   // a failed probe starts a suspicion
@@ -50,7 +50,7 @@
 // suspicion is a running suspicion of a member.
 type suspicion struct {
 	StartedAt Time
-	Observers []int // members that suspect it, each by its own observation
+	Observers []int // members that suspect the member, each by its own observation
 }
 
 // queuedUpdate is an update to be sent with the next datagrams.
@@ -74,15 +74,15 @@
 	lastSeq          uint32
 	probeOrder       []int // members still to be probed in this round, in a random order
 	nextPeriodAt     Time
-	periodCount      uint32
+	periodCount      uint32 // number of the period scheduled last
 	probe            *probe
 	relayedProbes    []relayedProbe
-	synced           bool   // has received another member's list since the start, the last pause or the last sign of a healed partition
+	synced           bool   // this member has received another member's list since its start, its last pause and the last sign of a healed partition
 	lastSyncPeriod   uint32 // period of the last kindSyncRequest; 0: none was sent
 	syncCursor       int    // index at which the next list sent begins
-	hasLeft          bool
+	hasLeft          bool   // this member has announced that it shuts down
 	counters         Counters
-	maxTransmissions int // of each update
+	maxTransmissions int // number of times that each update is sent
 }
 
 // New returns the reducer of a member and its first effects. The incarnation of the member is the time in
@@ -200,7 +200,7 @@
 }
 
 // nextTarget returns the member to be probed next. Each member is probed once a round, in an order that is shuffled
-// anew for each round, so that some member detects a failure soon and every member does within two rounds (SWIM 4.3).
+// again for each round, so that some member detects a failure soon and every member does within two rounds (SWIM 4.3).
 func (r *Reducer) nextTarget() (int, bool) {
 	for range 2 {
 		for len(r.probeOrder) > 0 {
@@ -221,8 +221,8 @@
 }
 
 // probeIndirectly asks other members to probe the target, as the path from this member to it may be at fault (SWIM
-// 3.1). The direct probe is sent once more too: under datagram loss that halves the number of probes that fail, at
-// the price of one datagram. (memberlist tries TCP at this point; there is no TCP between softswitches.)
+// 3.1). The direct probe is repeated too: under datagram loss the repetition halves the number of probes that fail, at
+// the price of one datagram. (memberlist tries TCP at this point; softswitches have no TCP connections to each other.)
 func (r *Reducer) probeIndirectly(p *probe) {
 	r.send(p.Target, message{Kind: kindPing, Seq: p.Seq})
 	p.Intermediaries = r.randomAvailable(r.cfg.Limits.IndirectProbes, p.Target)
@@ -312,8 +312,8 @@
 	r.schedulePeriod(0)
 }
 
-// setDraining changes the own state to draining or back to alive, with a new incarnation, as other members accept a
-// change only with a higher one.
+// setDraining changes the state of this member to draining or back to alive, with a new incarnation, as other members
+// accept the change only with a higher incarnation.
 func (r *Reducer) setDraining(on bool) {
 	self := r.self()
 	state := Alive
@@ -338,7 +338,7 @@
 	r.announceSelf(r.maxTransmissions)
 }
 
-// announceSelf sends the own state to count members at once; they send it on.
+// announceSelf sends the state of this member to count members at once; they send it on.
 func (r *Reducer) announceSelf(count int) {
 	for _, m := range r.randomAvailable(count, r.cfg.Self) {
 		r.send(m, message{Kind: kindUpdates})
@@ -452,7 +452,7 @@
 // continues where the last one stopped.
 const maxSyncParts = 16
 
-// sendSync sends the states of all members to a member, in parts that are each usable alone.
+// sendSync sends the states of all members to a member, in datagrams of which each can be used without the others.
 func (r *Reducer) sendSync(to int) {
 	var updates []update
 	for i := range r.members {
--- a/internal/membership/types.go
+++ b/internal/membership/types.go
@@ -122,8 +122,8 @@
 	TimerFired struct{ Token Token }
 	// Drain reports that this member starts (On) or ends a drain.
 	Drain struct{ On bool }
-	// Leave reports that this member shuts down in order. After it the reducer starts no probe; its answers carry the state
-	// left, which overrides a death at the same incarnation.
+	// Leave reports that this member shuts down in order. After Leave the reducer starts no probe; its answers carry the
+	// state Left, which overrides Dead at the same incarnation.
 	Leave struct{}
 )
 
@@ -175,7 +175,7 @@
 	tokenRelayTimeout                  // a probe on behalf of another member timed out: a nack is due
 )
 
-// Member is what this member knows of a member.
+// Member is what the reducer's member knows of one member of the tier, itself included.
 type Member struct {
 	State        State
 	Incarnation  uint64
@@ -190,7 +190,7 @@
 	Acks              uint64 // probes of this member that were answered
 	Nacks             uint64 // negative answers of members asked to probe: the target did not answer them either
 	FailedProbes      uint64 // probes without any answer
-	Suspicions        uint64 // suspicions started here or learned from other members
+	Suspicions        uint64 // suspicions started here or reported by other members
 	Deaths            uint64 // transitions of members to Dead
 	Refutations       uint64 // refutations of false information about this member
 	Stalls            uint64 // pauses of this process that were detected
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -5,9 +5,9 @@
 	TierSize  int // configured members
 	Available int // members that are alive or draining
 	Draining  int // draining members, counted in Available too
-	Suspects  int
+	Suspects  int // suspected members
 	Down      int // members that are dead or have left
-	Unknown   int
+	Unknown   int // members of which nothing is known since this member's start
 }
 
 // The methods of View say what a member may do while the views of the members disagree. docs/MEMBERSHIP.md, "While views
