--- a/internal/maintenance/lease.go
+++ b/internal/maintenance/lease.go
@@ -7,14 +7,14 @@
 
 // round is one attempt to get the votes of the tier for a slot, or for the renewal of its lease.
 type round struct {
-	Seq       uint32
+	Seq       uint32 // sequence number, repeated in the answers
 	Slot      int
 	Epoch     uint64
 	StartedAt Time
-	Lease     time.Duration // requested
-	Voters    []int         // other members that are asked
-	Granters  []int         // members that granted the request, this one included
-	Refusals  int
+	Lease     time.Duration // duration of the requested lease
+	Voters    []int         // other members that the request is sent to
+	Granters  []int         // members that granted the request, this member included
+	Refusals  int           // number of members that refused the request
 }
 
 // lease is the lease that this member holds.
--- a/internal/maintenance/maintenance_test.go
+++ b/internal/maintenance/maintenance_test.go
@@ -391,7 +391,7 @@
 	tier.cut = func(from, to int) bool { return from == 0 }
 	tier.step(0, Cancel{Members: []int{0}})
 	tier.cut = nil
-	tier.step(1, Cancel{Members: []int{0}}) // the end of the request is known, but not from the holder
+	tier.step(1, Cancel{Members: []int{0}}) // member 1 knows that the request has ended, but not from the holder
 	tier.kill(0)
 	tier.advance(second)
 	if got := tier.membersOut(); len(got) > 0 {
--- a/internal/maintenance/reducer.go
+++ b/internal/maintenance/reducer.go
@@ -20,10 +20,10 @@
 	DisabledGuards Guard // guards that a check switches off to see a rule violated; no program sets it
 }
 
-// Guard is a part of the protocol that a check can switch off.
+// Guard is a set of parts of the protocol, as a bit set, that a check can switch off.
 type Guard uint8
 
-// The guards.
+// The guards, each with the behaviour that it stands for.
 const (
 	GuardRecover   Guard = 1 << iota // a member that restarts grants nothing until it knows what it may have granted
 	GuardExpiry                      // a holder no longer relies on a lease that has expired
@@ -42,24 +42,24 @@
 	rng                    *rand.Rand
 	effects                []Effect
 	records                []Record // by index of the member
-	remainingTransmissions []int    // of each record
+	remainingTransmissions []int    // by index of the member: how often its record is still sent on
 	zones                  []int8   // of the members; -1: not known
 	names                  []string // of the members
 	available              []bool   // by index: the member is available
 	serving                bool     // this member accepts calls
 	grants                 [MaxSlots]Grant
 	highestEpochs          [MaxSlots]uint64 // the highest epoch that was granted or released, for each slot
-	refusedUntil           [MaxSlots]Time   // until then other members count as having granted the slot, and it is not requested
-	recovered              bool
-	queryNonce             uint32 // identifies the queries of this incarnation; answers to others are ignored
-	queryRounds            uint32 // rounds of queries sent
-	nextQueried            int    // index of the member queried next
+	refusedUntil           [MaxSlots]Time   // by slot: until this time the slot counts as granted by other members and is not requested
+	recovered              bool             // this member knows what it may have granted before its start, and may grant slots
+	queryNonce             uint32           // identifies the queries of this incarnation; answers to others are ignored
+	queryRounds            uint32           // rounds of queries sent
+	nextQueried            int              // index of the member queried next
 	answers                []queryAnswer
 	round                  *round // nil: none is running
 	lease                  *lease // nil: none is held
 	releaseNotices         []releaseNotice
-	retryAt                Time // no new slot is requested before
-	drained                bool // no calls are left on this member, which holds a slot
+	retryAt                Time // no new slot is requested before this time
+	drained                bool // this member holds a slot and has no calls left
 	lastSeq                uint32
 	tickCount              uint32
 	gossipCursor           int // index of the record that is sent next
--- a/internal/maintenance/types.go
+++ b/internal/maintenance/types.go
@@ -178,7 +178,7 @@
 
 const (
 	tokenTick         tokenKind = iota // look at the queue, and gossip
-	tokenResend                        // half of the round has passed: send unanswered requests once more
+	tokenResend                        // half of the round has passed: repeat the unanswered requests
 	tokenRoundTimeout                  // the round has timed out
 	tokenRenew                         // the lease is due for renewal
 	tokenExpiry                        // the lease expires by the clock of this member
@@ -189,7 +189,7 @@
 	Rounds                     uint64 // rounds started to get or renew a slot
 	Granted                    uint64 // slots obtained
 	Renewed                    uint64 // renewals of leases
-	Expired                    uint64 // leases of this member that expired
+	Expired                    uint64 // leases of this member that expired before it renewed or released them
 	VotesGranted, VotesRefused uint64 // votes of this member on requests for slots
 	Sent                       uint64 // datagrams sent
 	SentBytes                  uint64
