--- a/internal/knowledge/knowledge_test.go
+++ b/internal/knowledge/knowledge_test.go
@@ -95,7 +95,7 @@
 }
 
 // A newly started member queries a few members, and others until one has answered; later answers still count. Entries
-// for a server that the own list does not contain are ignored.
+// for a server that the member's own server list does not contain are ignored.
 func TestNewlyStartedMemberQueries(t *testing.T) {
 	const tierSize = 9
 	now := epoch
--- a/internal/knowledge/reducer.go
+++ b/internal/knowledge/reducer.go
@@ -29,7 +29,7 @@
 	// Seen says that a message of this member was received; the fields below are valid only then.
 	Seen        bool
 	Incarnation uint32
-	// MinLag is the min lag of its stamps behind this member's clock, in milliseconds, measured at MinLagAt.
+	// MinLag is the min lag of the other member's stamps behind this member's clock, in milliseconds, measured at MinLagAt.
 	MinLag   int64
 	MinLagAt Time
 	// Entries holds the latest entries by the hash of the server's name.
@@ -69,12 +69,12 @@
 	}
 	r := &Reducer{cfg: cfg, now: now, startedAt: now, rng: rand.New(rand.NewPCG(cfg.Seed, 0x6b6e6f77)), local: make(map[uint32]Observation),
 		observers: make([]observer, cfg.TierSize), available: make([]bool, cfg.TierSize), queried: make(map[int]bool)}
-	r.setTimer(cfg.Limits.RetryInterval / 8) // by then the server list is known
+	r.setTimer(cfg.Limits.RetryInterval / 8) // a wait after which the server list is known
 	return r, r.takeEffects(), nil
 }
 
 // Step handles one event and returns the effects, which have to be carried out in their order. A time before that of
-// the last Step counts as the last one's.
+// the last Step counts as the time of the last Step.
 func (r *Reducer) Step(now Time, ev Event) []Effect {
 	r.now = max(now, r.now)
 	switch ev := ev.(type) {
--- a/internal/knowledge/types.go
+++ b/internal/knowledge/types.go
@@ -6,7 +6,7 @@
 // There is one entry for each pair of server and observer. Only the observer writes the entry, and each new version
 // replaces the one before (a last-writer-wins register for each entry, ordered by the writer's own clock: Johnson and
 // Thomas, RFC 677), so datagrams that are lost, reordered or duplicated do no harm. An entry carries ages instead of
-// times. The receiver adds to them how much longer the datagram was under way than the quickest datagram of the same
+// times. The receiver adds to the ages how much longer the datagram was under way than the quickest datagram of the same
 // sender, so neither clocks that differ nor a late datagram make an old observation look recent. Entries are
 // piggybacked on the probes and answers of membership (internal/datagram.AppendPiggyback); only a newly started
 // member, and the members that answer its queries, send separate datagrams. docs/KNOWLEDGE.md describes the whole
@@ -34,15 +34,15 @@
 type Limits struct {
 	// HalfLife is the age by which the weight of a load report halves.
 	HalfLife time.Duration
-	// SlowHalfLife is the same for observations that change slowly: rates and failures.
+	// SlowHalfLife is the age by which the weight of observations that change slowly halves: rates and failures.
 	SlowHalfLife time.Duration
 	// MaxAge is the age from which on an entry is ignored.
 	MaxAge time.Duration
 	// Fanout is the number of members that a newly started member queries at a time.
 	Fanout int
-	// RetryInterval is the wait before it queries other members if none has answered.
+	// RetryInterval is the wait of a newly started member before it queries other members if none has answered.
 	RetryInterval time.Duration
-	// MaxTries is the max number of times that it sends queries.
+	// MaxTries is the max number of rounds in which a newly started member sends queries.
 	MaxTries int
 	// MaxServers is the max number of entries kept for each observer.
 	MaxServers int
--- a/internal/knowledge/view.go
+++ b/internal/knowledge/view.go
@@ -15,7 +15,7 @@
 	HoldBackShareAt Time
 	// Rate is the mean rate, in set-ups a second, that the server takes from another member when warm; 0: not known.
 	Rate float64
-	// FairRate is the same once this member again handles its fair share of the callers.
+	// FairRate is Rate as it will be once this member, too, handles an equal share of the callers.
 	FairRate float64
 	// FailingShare is the share of the other members' weight that considers the server failing.
 	FailingShare float64
@@ -32,7 +32,7 @@
 // failingThreshold is the weight of failed set-ups in a row from which on a member considers a server failing.
 const failingThreshold = 8
 
-// weight returns the weight of an observation of that age: 1 when new, halved with each half-life.
+// weight returns the weight of an observation of the given age: 1 when new, halved with each half-life.
 func weight(age, halfLife time.Duration) float64 {
 	return math.Exp2(-float64(max(age, 0)) / float64(halfLife))
 }
@@ -112,9 +112,9 @@
 
 // ObserverEntry is an observer's entry for a server, as shown to operators.
 type ObserverEntry struct {
-	Observer int
+	Observer int // index of the member
 	Observation
-	At Time
+	At Time // time of the observation on this member's clock
 }
 
 // Entries returns all entries for a server, ordered by observer, this member's own included.
