--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -174,7 +174,7 @@
 }
 
 // Units of two dead members go to the available members once the leases of the dead have expired, and not before;
-// nobody uses the reserved unit of a dead member. A member that was only paused resumes with its reserved unit alone,
+// no member uses the reserved unit of a dead member. A member that was only paused resumes with its reserved unit alone,
 // and has the other units back within two leases.
 func TestSuccessorsUseUnitsOfDeadMembers(t *testing.T) {
 	tier := newSimTier(t, 5, 0, 1)
--- a/internal/budget/loans.go
+++ b/internal/budget/loans.go
@@ -6,11 +6,12 @@
 	"time"
 )
 
-// A loan involves only two members. The lender holds the units by leases of a majority, counts them as lent from the
-// moment it says so, and goes on renewing the leases. The loan ends, by any clock, before the lease ends and before
-// the lender uses the units again. So a loan needs no third member: neither a lost message nor the death of either
-// member leaves a unit with two users.
+// A loan involves only two members. The lender holds the units by leases that a majority granted, counts the units as
+// lent from the moment it grants the loan, and goes on renewing the leases. The loan ends, by any clock, before the
+// lease ends and before the lender uses the units again. So a loan needs no third member: neither a lost message nor
+// the death of either member leaves a unit with two users.
 
+// Conditions of loans.
 const (
 	borrowThreshold = 0.8 // a member that uses this share of its units requests loans
 	lenderReserve   = 1   // transferable units that a lender keeps beyond those that it uses
--- a/internal/budget/reducer.go
+++ b/internal/budget/reducer.go
@@ -29,7 +29,7 @@
 
 // coldServer is a cold server with the members' quotas of its budget.
 type coldServer struct {
-	Server    uint32    // hash of the name and the start
+	Server    uint32    // hash of the server's name and start
 	ColdUntil Time      // when the server is warm
 	Rates     []float64 // whole quota in set-ups a second, by member; negative: not reported
 }
@@ -54,7 +54,7 @@
 	loanSeq         uint32         // number of the last loan request
 	loanRequestedAt Time           // when that request was sent
 	coldServers     []coldServer
-	demand          float64 // in multiples of this member's quota; negative: not known
+	demand          float64 // last Demand event, in multiples of this member's quota; negative: none has come
 	timerSeq        uint32  // token of the only valid timer
 	active          bool    // a server is cold and rounds run
 	counters        Counters
@@ -97,7 +97,7 @@
 func (r *Reducer) Transferable() bool { return r.cfg.TierSize <= r.cfg.Limits.MaxMembers }
 
 // Step handles one event and returns the effects, which have to be carried out in their order. A time before that of
-// the last Step counts as the last one's.
+// the last Step counts as the time of the last Step.
 func (r *Reducer) Step(now Time, ev Event) []Effect {
 	r.now = max(now, r.now)
 	if !r.Transferable() {
--- a/internal/budget/types.go
+++ b/internal/budget/types.go
@@ -102,7 +102,7 @@
 // Guard is a set of parts of the protocol that a test can switch off.
 type Guard uint8
 
-// The guards. Each describes the protocol with the guard on.
+// The guards, each with the behaviour of the protocol when the guard is on.
 const (
 	GuardExpiry      Guard = 1 << iota // a lease or loan ends on the holder's clock, counted from its request
 	GuardExclusive                     // a unit granted to one member is refused to all others
@@ -128,9 +128,9 @@
 		Member    int
 		Available bool
 	}
-	// ColdServer says that a server, identified by the hash of its name and its start, is cold until the time Until.
-	// Rate, in set-ups a second, is this member's whole quota of the server's budget. It applies for all of that time
-	// unless a later event gives a greater rate.
+	// ColdServer says that a server, identified by the hash of its name and its start, is cold until the time
+	// ColdUntil. Rate, in set-ups a second of the warm server, is this member's whole quota of the server's budget.
+	// The rate applies until ColdUntil unless a later event gives a greater rate.
 	ColdServer struct {
 		Server    uint32
 		Rate      float64
@@ -172,8 +172,8 @@
 // Counters counts events since the start.
 type Counters struct {
 	Claims                     uint64 // rounds of claims sent
-	Granted                    uint64 // units held anew because a majority granted them
-	TakenOver                  uint64 // those among them of other members' quotas
+	Granted                    uint64 // units that a majority granted to this member, renewals not included
+	TakenOver                  uint64 // units counted in Granted that belong to other members' quotas
 	Expired                    uint64 // held units whose lease expired
 	Borrowed                   uint64 // units received in loans, renewals included
 	Lent                       uint64 // units given in loans, renewals included
@@ -187,12 +187,12 @@
 // Quota is this member's knowledge of one member's quota.
 type Quota struct {
 	Usable Mask // units that this member may use now
-	Lent   Mask // units of its own quota that this member has lent
-	// Grants holds what this member, as one of the granting tier, has granted, by unit.
+	Lent   Mask // units that this member has lent, if the quota is its own
+	// Grants holds the grants of the quota's units that this member, as a voter, has made, by unit.
 	Grants [Units]Grant
 }
 
-// Grant is the grant of a unit that this member, as one of the tier, has made.
+// Grant is the grant of a unit that this member, as a voter, has made.
 type Grant struct {
 	Holder      int    // index of the member; -1: none
 	Incarnation uint64 // of the holder
