--- a/internal/circuits/circuits.go
+++ b/internal/circuits/circuits.go
@@ -44,7 +44,7 @@
 // violation shows.
 type Guard uint8
 
-// The guards. Each describes the behaviour with the guard on.
+// The guards, each with the behaviour when the guard is on.
 const (
 	GuardConfirm      Guard = 1 << iota // a circuit that was released here waits for the server's RLC
 	GuardReleaseCount                   // the circuit waits for as many RLCs as RELs were sent
