--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -31,7 +31,7 @@
 type Config struct {
 	ListenAddress string   // own address, IP:port
 	Addresses     []string // address of each member of the tier by index, this member included; IP:port
-	Self          int      // index of this member in Peers
+	Self          int      // index of this member in Addresses
 	Limits        Limits
 }
 
@@ -126,8 +126,8 @@
 	}
 }
 
-// Send queues a datagram. It never blocks: the datagram is dropped if the queue is full. Members have to cope with lost
-// datagrams anyway.
+// Send queues a datagram. Send never blocks: the datagram is dropped if the queue is full, which is harmless because the protocols
+// between members tolerate lost datagrams.
 func (s *Socket) Send(msg core.SendToMember) {
 	select {
 	case s.queue <- msg:
@@ -136,7 +136,7 @@
 	}
 }
 
-// read receives datagrams and posts those of members. A datagram from an unknown sender is only counted. One that exceeds
+// read receives datagrams and posts those of members. A datagram from an unknown sender is only counted. A datagram that exceeds
 // datagram.MaxSize is posted with MaxSize+1 bytes, and membership counts it as malformed.
 func (s *Socket) read(conn *net.UDPConn) {
 	var buf [datagram.MaxSize + 1]byte
