--- a/internal/probe/probe.go
+++ b/internal/probe/probe.go
@@ -49,7 +49,7 @@
 // Verdict says what may be done about a connection that may be dead.
 type Verdict uint8
 
-// The verdicts.
+// The verdicts about a connection.
 const (
 	Forbidden Verdict = iota // no probe may be sent: the connection has to be judged without one
 	Wait                     // a probe is outstanding on the connection, or the rate is used up: try again later
