--- a/internal/swarm/experiment.go
+++ b/internal/swarm/experiment.go
@@ -45,8 +45,8 @@
 	FalseDeaths int
 	// Suspicions is the number of suspicions during the measurement, summed over all members.
 	Suspicions uint64
-	// OwnAge and AnyAge are the mean ages of the newest load report of a server that a member received itself and of the
-	// newest report that it knows of; see Simulation.ReportAges.
+	// OwnAge and NewestKnownAge are the mean ages of the newest load report of a server that a member received itself and of
+	// the newest report that the member knows of; see Simulation.ReportAges.
 	OwnAge, NewestKnownAge time.Duration
 }
 
--- a/internal/swarm/swarm.go
+++ b/internal/swarm/swarm.go
@@ -156,7 +156,7 @@
 // clock of a running member doesn't jump.
 func (s *Simulation) Skew(member int, skew time.Duration) { s.members[member].clockSkew = skew }
 
-// Inject passes an event to a member at once, unless the member is killed.
+// Inject passes an event to a member at the present instant, unless the member is killed.
 func (s *Simulation) Inject(member int, ev membership.Event) {
 	if reducer := s.members[member].reducer; reducer != nil {
 		s.applyEffects(member, reducer.Step(s.now+s.members[member].clockSkew, ev))
