--- a/internal/wire/codes.go
+++ b/internal/wire/codes.go
@@ -4,7 +4,7 @@
 
 // Event codes: the first byte of an event record.
 const (
-	eventHealth         = 16 // a load report that came by itself or by a probe, or a failed probe
+	eventHealth         = 16 // a load report that came unasked or as the answer to a probe, or a failed probe
 	eventKilled         = 17 // the selected instance was killed
 	eventArrival        = 18 // a call arrived
 	eventServerList     = 19 // numbered server list, for later list updates
@@ -35,7 +35,7 @@
 const (
 	scopeDelta  = iota // the entries that changed
 	scopeFull          // the complete list
-	scopeCached        // the complete list, held from before a restart
+	scopeCached        // the complete list, stored before a restart
 	scopeFailed        // the request for the list failed
 )
 
