--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -9,6 +9,7 @@
 // attemptPhase is the progress of an attempt.
 type attemptPhase uint8
 
+// The phases of an attempt, in their order.
 const (
 	attemptWaiting attemptPhase = iota // no offer has gone out: the attempt waits for a connection or for the release guard
 	attemptSent                        // the offer has gone out and the server has not answered
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -299,7 +299,7 @@
 	r.step(ServerEnd{Server: "a", ID: 1})
 	r.step(ServerEnd{Server: "a", ID: 3, Reason: Reset})
 	if r.advance(10 * time.Second); r.core.callBytes != 0 {
-		t.Errorf("%d bytes kept without a call", r.core.callBytes)
+		t.Errorf("callBytes is %d after all calls have ended, want 0", r.core.callBytes)
 	}
 }
 
@@ -435,7 +435,7 @@
 		r.step(ServerEnd{Server: "b", ID: id, Reason: Full})
 	}
 	if len(r.core.ended) != 3 || len(r.core.endedOrder) != 3 || len(r.core.calls) != 0 {
-		t.Errorf("%d and %d ids of ended calls, and %d calls, are kept", len(r.core.ended), len(r.core.endedOrder), len(r.core.calls))
+		t.Errorf("%d and %d ids of ended calls, and %d calls, are kept, want 3, 3 and 0", len(r.core.ended), len(r.core.endedOrder), len(r.core.calls))
 	}
 	r.want(r.setUp(10, 5*time.Second), "rejected10@1 ") // the last ids are kept
 	for i := range 10 {
@@ -464,6 +464,6 @@
 		r.step(ServerList{Servers: []Server{{Name: name, Address: "x:1", Phase: elmseam.Gone}}})
 	}
 	if len(r.core.removed) != 2 || len(r.core.servers) != 2 || len(r.core.serversByID) != 2 || len(r.core.serverOrder) != 2 {
-		t.Errorf("%d removed servers, %d servers, %d ids, %d in order", len(r.core.removed), len(r.core.servers), len(r.core.serversByID), len(r.core.serverOrder))
+		t.Errorf("%d removed servers remembered, and %d servers, %d ids and %d entries of serverOrder kept, want 2 of each", len(r.core.removed), len(r.core.servers), len(r.core.serversByID), len(r.core.serverOrder))
 	}
 }
--- a/internal/core/crossings_test.go
+++ b/internal/core/crossings_test.go
@@ -302,7 +302,7 @@
 	configure(0, 1)
 	reported = nil
 	if r.step(report); reported != nil {
-		t.Errorf("report %v where the settings name no metrics", reported)
+		t.Errorf("report %v where the settings name no metrics, want none", reported)
 	}
 	r.step(ServerDown{Server: "a", Conn: 10})
 	r.want(r.advance(199*ms), "") // the release guard of the settings it arrived under
@@ -314,7 +314,7 @@
 		}
 	}
 	if offeredClass != "gold" {
-		t.Errorf("class %q when sent again", offeredClass)
+		t.Errorf("class %q when the call is sent again, want the class of its arrival, gold", offeredClass)
 	}
 }
 
@@ -347,6 +347,6 @@
 	r.want(r.setUp(4, 5*time.Second), "close@12 dial-b ") // the last connection to "a" is kept for its established call
 	r.want(r.step(ServerDown{Server: "b"})+r.step(ServerDown{Server: "c", Conn: 12}), "rejected4@1 ")
 	if n := r.core.serverConnCount(); n > 2 {
-		t.Errorf("%d connections to servers", n)
+		t.Errorf("%d connections to servers, want at most 2", n)
 	}
 }
--- a/internal/core/ops_test.go
+++ b/internal/core/ops_test.go
@@ -75,17 +75,17 @@
 		t.Errorf("stats of the class %+v, want %+v", stats.Classes[0], want)
 	}
 	if stats.Sends != 1 || stats.Current != 2 || stats.ClusterSize != 2 || stats.ClusterUnhealthy != 1 || !stats.Ready {
-		t.Errorf("stats %+v", stats)
+		t.Errorf("stats %+v, want one offer sent, two current calls, and one of two servers unhealthy", stats)
 	}
 	r.step(Misconfigured{})
 	r.step(Configured{Settings: elmseam.Settings{Classes: make([]elmseam.Class, 2), MaxAttempts: 1, OwnCell: -1}, Limits: r.core.limits})
 	r.list(elmseam.Draining, elmseam.Gone)
 	stats = r.core.Stats(r.now)
 	if len(stats.Classes) != 2 || stats.Classes[0].Answered != 1 || stats.ConfigsLoaded != 1 || stats.ConfigsInvalid != 1 {
-		t.Errorf("stats after new settings %+v", stats)
+		t.Errorf("stats after new settings %+v, want the counters of both classes and of both configurations", stats)
 	}
 	if stats.ClusterSize != 1 || stats.ClusterUnhealthy != 1 || stats.Ready {
-		t.Errorf("stats with one draining server %+v", stats)
+		t.Errorf("stats with one draining server %+v, want the server unhealthy and the process not ready", stats)
 	}
 }
 
--- a/internal/core/random_test.go
+++ b/internal/core/random_test.go
@@ -17,6 +17,7 @@
 	}
 }
 
+// rulesUnderRandomEvents plays random events with the settings and checks the effects.
 func rulesUnderRandomEvents(t *testing.T, settings elmseam.Settings) {
 	rnd := rand.New(rand.NewPCG(7, 7))
 	r := newRigWith(t, settings)
@@ -242,6 +243,6 @@
 	}
 	t.Logf("%d calls, %d established", lastID, establishedCount)
 	if lastID < 5000 || establishedCount < 500 {
-		t.Error("too few calls for the test to mean anything")
+		t.Error("too few calls for the test to cover the rules: want at least 5000, and 500 established")
 	}
 }
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -380,6 +380,7 @@
 // tokenKind is the purpose of a timer.
 type tokenKind uint8
 
+// The purposes of timers, each with what has happened when the timer fires.
 const (
 	tokenController     tokenKind = iota // a timer of the controller
 	tokenDeadline                        // the final answer of a call is due
