--- a/internal/membership/codec.go
+++ b/internal/membership/codec.go
@@ -13,6 +13,7 @@
 // messageKind is the purpose of a datagram.
 type messageKind uint8
 
+// The kinds of messages.
 const (
 	kindPing        messageKind = iota // request for a kindAck with the same sequence number
 	kindPingReq                        // request to probe Target and to answer on its behalf (SWIM's ping-req)
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -90,7 +90,7 @@
 		tier.advance(8 * second)
 		tier.expectAgreement("after restart", membership.Dead)
 		if incarnation := tier.StateOf(0, 3).Incarnation; incarnation <= oldIncarnation {
-			t.Errorf("incarnation %d after %d", incarnation, oldIncarnation)
+			t.Errorf("incarnation %d after the restart, %d before it; want a higher one", incarnation, oldIncarnation)
 		}
 	}
 }
@@ -110,7 +110,7 @@
 	tier.advance(5 * second)
 	tier.expectAgreement("clock set back", membership.Dead)
 	if incarnation := tier.StateOf(0, 3).Incarnation; incarnation <= oldIncarnation {
-		t.Errorf("incarnation %d after %d", incarnation, oldIncarnation)
+		t.Errorf("incarnation %d after the restart, %d before it; want a higher one", incarnation, oldIncarnation)
 	}
 }
 
@@ -229,7 +229,7 @@
 	tier.advance(4 * second)
 	tier.expectAgreement("after leaving", membership.Left)
 	if deaths := tier.Counters().Deaths; deaths != 0 {
-		t.Errorf("%d deaths", deaths)
+		t.Errorf("%d members declared dead, want 0", deaths)
 	}
 }
 
@@ -250,10 +250,10 @@
 	after := tier.Counters()
 	sent := after.Sent - before.Sent
 	if rate := float64(sent) / 270 / 10; rate > 12 {
-		t.Errorf("%.1f datagrams per member and second", rate)
+		t.Errorf("%.1f datagrams per member and second, want at most 12", rate)
 	}
 	if size := (after.SentBytes - before.SentBytes) / sent; size > datagram.MaxSize {
-		t.Errorf("%d bytes per datagram", size)
+		t.Errorf("%d bytes per datagram on average, more than the maximum", size)
 	}
 	tier.advance(60 * second)
 	tier.expectAgreement("after simultaneous restart", membership.Dead)
--- a/internal/membership/reducer.go
+++ b/internal/membership/reducer.go
@@ -137,8 +137,12 @@
 }
 
 // emit appends an effect to those that Step returns.
-func (r *Reducer) emit(e Effect)   { r.effects = append(r.effects, e) }
-func (r *Reducer) self() *Member   { return &r.members[r.cfg.Self] }
+func (r *Reducer) emit(e Effect) { r.effects = append(r.effects, e) }
+
+// self returns the entry of this member.
+func (r *Reducer) self() *Member { return &r.members[r.cfg.Self] }
+
+// nextSeq returns a new sequence number.
 func (r *Reducer) nextSeq() uint32 { r.lastSeq++; return r.lastSeq }
 
 // scaleByHealth multiplies a time by the local health multiplier plus one: a member in bad health gives other members
--- a/internal/membership/types.go
+++ b/internal/membership/types.go
@@ -168,6 +168,7 @@
 // tokenKind is the purpose of a timer.
 type tokenKind uint8
 
+// The purposes of timers.
 const (
 	tokenPeriod       tokenKind = iota // the next protocol period begins
 	tokenProbeTimeout                  // the direct probe timed out
