--- a/internal/maintenance/codec.go
+++ b/internal/maintenance/codec.go
@@ -7,6 +7,7 @@
 // messageKind is the purpose of a datagram.
 type messageKind uint8
 
+// The kinds of messages.
 const (
 	kindSlotRequest messageKind = iota // requests a grant of Slot, or its renewal
 	kindGrant                          // grants the request with the same sequence number
--- a/internal/maintenance/maintenance_test.go
+++ b/internal/maintenance/maintenance_test.go
@@ -217,7 +217,7 @@
 			tier.expectMaintainedOnce(0, 1, 2, 3)
 		}
 		if tier.maxOut != 2 {
-			t.Errorf("%d members were out at once", tier.maxOut)
+			t.Errorf("%d members were out at once, want 2", tier.maxOut)
 		}
 		for _, reducer := range tier.reducers {
 			for m, record := range reducer.Status().Records {
@@ -241,7 +241,7 @@
 	tier.advance(5 * time.Millisecond)
 	tier.step(0, Request{Members: []int{0, 1, 3, 4, 5}})
 	if got := fmt.Sprint(tier.reducers[0].Queue()); got != "[2 3 5 0 4 1]" && got != "[3 5 0 4 1]" { // member 2 may have left the queue for a slot by now
-		t.Errorf("queue %s", got)
+		t.Errorf("queue %s, want [2 3 5 0 4 1] or, once member 2 has its slot, [3 5 0 4 1]", got)
 	}
 }
 
@@ -253,7 +253,7 @@
 	tier.step(3, Request{Members: []int{3, 0}})
 	tier.advance(250 * time.Millisecond)
 	if got := tier.membersOut(); len(got) != 1 {
-		t.Fatalf("members out: %v", got)
+		t.Fatalf("members out: %v, want one", got)
 	}
 	tier.cut = func(from, to int) bool { return (from < 3) != (to < 3) }
 	tier.completeWork(8 * second)
@@ -263,7 +263,7 @@
 	tier.cut = nil
 	tier.completeWork(15 * second)
 	if tier.maxOut != 1 {
-		t.Errorf("%d members were out at once", tier.maxOut)
+		t.Errorf("%d members were out at once, want 1", tier.maxOut)
 	}
 	tier.expectMaintainedOnce(0, 3)
 }
@@ -296,7 +296,7 @@
 		tier.step(0, Request{Members: []int{0, 1}})
 		tier.advance(250 * time.Millisecond)
 		if got := tier.membersOut(); !slices.Equal(got, []int{0}) {
-			t.Fatalf("members out: %v", got)
+			t.Fatalf("members out: %v, want member 0", got)
 		}
 		tier.cut = func(from, _ int) bool { return from == 0 } // the requests were received before; datagrams about the lease are lost
 		tier.kill(2)
@@ -327,7 +327,7 @@
 		}
 	}
 	if got := tier.membersOut(); len(got) != 3 {
-		t.Fatalf("members out: %v", got)
+		t.Fatalf("members out: %v, want three", got)
 	}
 	for m := range tier.reducers {
 		tier.step(m, SetBudget{Budget: 1})
@@ -377,7 +377,7 @@
 	tier.step(0, Request{Members: []int{0, 1}})
 	tier.advance(800 * time.Millisecond)
 	if got := tier.membersOut(); !slices.Equal(got, []int{0}) || tier.reducers[0].Status().Records[0].Stage != Ready {
-		t.Fatalf("members out: %v", got)
+		t.Fatalf("members out: %v, want member 0, ready for work", got)
 	}
 	tier.cut = func(from, to int) bool { return from == 0 }
 	tier.step(0, Cancel{Members: []int{0}})
@@ -395,7 +395,7 @@
 	tier.kill(0)
 	tier.advance(second)
 	if got := tier.membersOut(); len(got) > 0 {
-		t.Errorf("members out: %v", got)
+		t.Errorf("members out: %v, want none until the holder has restarted", got)
 	}
 	tier.start(0)
 	tier.advance(2 * second)
@@ -417,7 +417,7 @@
 		}
 	}
 	if maxSent > 250 { // 59 queries, some repeated, and as many answers to other members
-		t.Errorf("one member sent %d datagrams", maxSent)
+		t.Errorf("one member sent %d datagrams, want at most 250", maxSent)
 	}
 }
 
@@ -435,7 +435,7 @@
 		}
 	}
 	if got := Merge(Record{Generation: 1, RequestedAt: 5, Stage: Draining, Epoch: 9}, Record{Generation: 1, RequestedAt: 4, Stage: Waiting}); got != (Record{Generation: 1, RequestedAt: 4, Stage: Draining, Epoch: 9}) {
-		t.Errorf("merged record %+v", got)
+		t.Errorf("merged record %+v, want one request made at the earlier time", got)
 	}
 }
 
--- a/internal/maintenance/reducer.go
+++ b/internal/maintenance/reducer.go
@@ -139,10 +139,16 @@
 }
 
 // emit appends an effect to those that Step returns.
-func (r *Reducer) emit(e Effect)             { r.effects = append(r.effects, e) }
+func (r *Reducer) emit(e Effect) { r.effects = append(r.effects, e) }
+
+// guardEnabled reports whether a guard is on.
 func (r *Reducer) guardEnabled(g Guard) bool { return r.cfg.DisabledGuards&g == 0 }
-func (r *Reducer) nextSeq() uint32           { r.lastSeq++; return r.lastSeq }
-func (r *Reducer) quorum() int               { return r.cfg.TierSize/2 + 1 }
+
+// nextSeq returns a new sequence number.
+func (r *Reducer) nextSeq() uint32 { r.lastSeq++; return r.lastSeq }
+
+// quorum returns the number of members in a majority of the tier.
+func (r *Reducer) quorum() int { return r.cfg.TierSize/2 + 1 }
 
 // scheduleTick requests the timer of the next tick.
 func (r *Reducer) scheduleTick(delay time.Duration) {
--- a/internal/maintenance/types.go
+++ b/internal/maintenance/types.go
@@ -176,6 +176,7 @@
 // tokenKind is the purpose of a timer.
 type tokenKind uint8
 
+// The purposes of timers.
 const (
 	tokenTick         tokenKind = iota // look at the queue, and gossip
 	tokenResend                        // half of the round has passed: repeat the unanswered requests
