--- a/internal/knowledge/knowledge_test.go
+++ b/internal/knowledge/knowledge_test.go
@@ -133,7 +133,7 @@
 		}
 	}
 	if v := r.View(now, 7); v.Rate != 5 || v.Observers != len(queried) || r.Counters().Unlisted == 0 {
-		t.Errorf("%+v, %+v", v, r.Counters())
+		t.Errorf("%+v, %+v: want a rate of 5 reported by every queried member, and the entries for the unlisted server counted", v, r.Counters())
 	}
 	if effects := r.Step(timer.At, TimerFired{timer.Token}); len(effects) != 0 {
 		t.Errorf("the member queries on after an answer: %v", effects)
@@ -168,7 +168,7 @@
 		bare := datagram.Encode(1, make([]int, 20*i))
 		data := r.AppendPiggyback(epoch+time.Second+time.Duration(i)*ms, bare)
 		if len(data) > datagram.MaxSize {
-			t.Fatalf("%d bytes", len(data))
+			t.Fatalf("datagram of %d bytes with piggybacked data, more than the maximum", len(data))
 		}
 		carrier, piggyback, err := datagram.SplitPiggyback(data)
 		if err != nil || string(carrier) != string(bare) {
@@ -182,7 +182,7 @@
 		t.Errorf("entries of %d of %d servers arrived", n, len(observations))
 	}
 	if e := other.observers[0].Entries[1<<27]; e.HoldBackShare < 0.49 || e.Rate != 100 || e.Lines != 1e5 || e.FailureWeight != 15 || e.MinSetUpTime != time.Second || e.DrainingSince < epoch-20*ms {
-		t.Errorf("%+v", e)
+		t.Errorf("entry %+v, want the observation that was sent, with the failure weight limited to 15", e)
 	}
 	rng := rand.New(rand.NewPCG(1, 1))
 	for range 3000 {
@@ -197,7 +197,7 @@
 		other.Step(epoch+time.Second, Datagram{rng.IntN(4) - 1, data})
 	}
 	if counters := other.Counters(); counters.Malformed < 500 || counters.UnknownSenders == 0 {
-		t.Errorf("%+v", counters)
+		t.Errorf("counters %+v, want at least 500 malformed datagrams and some of unknown senders", counters)
 	}
 }
 
--- a/internal/knowledge/reducer.go
+++ b/internal/knowledge/reducer.go
@@ -308,6 +308,7 @@
 	return m, len(sent)
 }
 
+// The choice of the entries that a message carries (see nextEntries).
 const (
 	// freshHalfLives is the age, in half-lives, up to which a load report is worth its bytes. The entry of a draining
 	// server always is.
--- a/internal/knowledge/types.go
+++ b/internal/knowledge/types.go
@@ -194,6 +194,7 @@
 // kind is the kind of a message. Its values are part of the format.
 type kind uint8
 
+// The kinds of messages.
 const (
 	kindQuery   kind = iota // asks for all entries of the receiver
 	kindEntries             // carries entries of the sender
