--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -13,23 +13,23 @@
 type simTier struct {
 	t        *testing.T
 	rng      *rand.Rand
-	now      time.Duration
+	now      time.Duration // simulated time since the start
 	limits   Limits
-	disabled Guard
+	disabled Guard // guards that are switched off at all members
 	members  []*simMember
-	queue    []pendingEvent
-	drops    func(from, to int) bool
-	delay    func() time.Duration
-	demand   []float64
+	queue    []pendingEvent          // events to be delivered
+	drops    func(from, to int) bool // whether the network loses a datagram that is sent now
+	delay    func() time.Duration    // delay of a datagram that is sent now
+	demand   []float64               // by member: demand that it reports when it starts
 }
 
 // simMember is a member of the simulated tier; r is nil while the member is dead.
 type simMember struct {
 	r           *Reducer
 	clockRate   float64 // pace of its clock, relative to the simulation's time
-	incarnation int
+	incarnation int     // number of starts so far
 	paused      bool
-	deferred    []pendingEvent
+	deferred    []pendingEvent // events that came while the member was paused
 }
 
 // pendingEvent is an event to be delivered at a time.
@@ -189,7 +189,7 @@
 	tier.setAvailable(3, false)
 	tier.run(7 * time.Second)
 	if n := tier.unitsInUse(1) + tier.unitsInUse(3); n != 0 {
-		t.Errorf("%d units of the two members are used a second after, within their leases", n)
+		t.Errorf("%d units of the two members are used a second after they stopped, within their leases, want 0", n)
 	}
 	tier.run(11 * time.Second)
 	for _, owner := range []int{1, 3} {
@@ -363,6 +363,6 @@
 		r.Step(epoch, Datagram{rng.IntN(7) - 1, data})
 	}
 	if counters := r.Counters(); counters.Malformed < 500 || counters.UnknownSenders == 0 {
-		t.Errorf("%+v", counters)
+		t.Errorf("counters %+v, want at least 500 malformed datagrams and some of unknown senders", counters)
 	}
 }
--- a/internal/budget/types.go
+++ b/internal/budget/types.go
@@ -38,6 +38,7 @@
 // Count returns the number of units in the set.
 func (m Mask) Count() int { return bits.OnesCount8(uint8(m)) }
 
+// The units of a quota, by whether they can move.
 const (
 	reservedUnit      Mask = 1                           // used only by the owner of the quota
 	transferableUnits Mask = 1<<Units - 1 - reservedUnit // leased, may move to other members
@@ -215,6 +216,7 @@
 // kind is the kind of a message. Its values are part of the format.
 type kind uint8
 
+// The kinds of messages, with the meaning of Items.
 const (
 	kindClaim  kind = iota // claims units; Items: owner<<Units | units, for each quota
 	kindGrant              // answers a claim; Items: the granted units in the same form
