--- a/internal/circuits/circuits.go
+++ b/internal/circuits/circuits.go
@@ -13,12 +13,13 @@
 // state is the state of a circuit.
 type state uint8
 
+// The states of a circuit.
 const (
-	stateFree             state = iota
-	stateSettingUp              // an IAM was sent, no ANM has arrived
-	stateEstablished            // the server has answered the call
-	stateReleasing              // a REL was sent, or has to be sent on the next connection; waits for the RLC
-	stateAwaitingExtraRLC       // an RLC has arrived, but the REL was sent more than once: another RLC may be on its way
+	stateFree             state = iota // carries no call and may be allocated
+	stateSettingUp                     // an IAM was sent, no ANM has arrived
+	stateEstablished                   // the server has answered the call
+	stateReleasing                     // a REL was sent, or has to be sent on the next connection; waits for the RLC
+	stateAwaitingExtraRLC              // an RLC has arrived, but the REL was sent more than once: another RLC may be on its way
 )
 
 // circuit is one circuit and the call on it.
--- a/internal/circuits/circuits_test.go
+++ b/internal/circuits/circuits_test.go
@@ -37,7 +37,7 @@
 	c.Release(1, now)
 	now = now.Add(confirmTimeout)
 	if cics := c.Overdue(now, confirmTimeout); len(cics) != 1 {
-		t.Fatalf("overdue: %v", cics)
+		t.Fatalf("circuits with an overdue release: %v, want one", cics)
 	}
 	c.Confirmed(0, now)
 	if _, ok := c.Allocate(2); ok {
@@ -58,7 +58,7 @@
 	}
 }
 
-// When a connection ends, messages on their way are lost: outstanding set-ups are given up, their circuits are
+// When a connection ends, messages in transit are lost: outstanding set-ups are given up, their circuits are
 // released on the next connection, and established calls keep their circuits. Circuit numbers out of range change
 // nothing.
 func TestConnLost(t *testing.T) {
@@ -70,7 +70,7 @@
 	c.Release(3, now)
 	c.ConnLost(now)
 	if cics := c.Unconfirmed(now); len(cics) != 2 || len(c.Calls()) != 1 {
-		t.Errorf("unconfirmed %v, calls %v", cics, c.Calls())
+		t.Errorf("circuits to release %v and calls %v after the connection ended, want two circuits and one call", cics, c.Calls())
 	}
 	for _, cic := range []uint16{0, 2, 3, 65535} {
 		c.Confirmed(cic, now)
