--- a/internal/datagram/datagram.go
+++ b/internal/datagram/datagram.go
@@ -28,6 +28,7 @@
 	ErrVersion = errors.New("protocol version not supported")
 )
 
+// CBOR modes of all datagrams. Decoding bounds the size and nesting of the input and rejects indefinite lengths and tags.
 var (
 	encMode = func() cbor.EncMode {
 		m, err := cbor.EncOptions{}.EncMode()
