--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -46,7 +46,7 @@
 		case ev := <-events:
 			return ev
 		case <-time.After(5 * time.Second):
-			t.Fatal("no event")
+			t.Fatal("no event was posted in time")
 			return nil
 		}
 	}
