--- a/internal/wire/membership_test.go
+++ b/internal/wire/membership_test.go
@@ -82,11 +82,11 @@
 			serveBatch(next.at, [][]byte{byteOrder.AppendUint16([]byte{eventSelectInstance}, next.instance), byteOrder.AppendUint32([]byte{eventTimerFired}, next.token)}, nil)
 		}
 		if (peerMessages > 0) != c.want {
-			t.Errorf("%+v: %d peer messages", c, peerMessages)
+			t.Errorf("%+v: %d peer messages were written", c, peerMessages)
 		}
 		for i := range 2 {
 			if m := h.members[uint16(i)]; (m != nil) != c.want || m != nil && m.reducer.Members()[1-i].State != membership.Alive {
-				t.Errorf("%+v: instance %d: %+v", c, i, m)
+				t.Errorf("%+v: instance %d: membership %+v, want the other instance alive, or no membership", c, i, m)
 			}
 		}
 	}
