--- a/controller_test.go
+++ b/controller_test.go
@@ -416,9 +416,9 @@
 	}
 }
 
-// A first choice whose processor was full reports a low load in its first report. In the lab, with three
-// equal servers at twice the load, the calls of the next tenth of a second filled its queue again, and the
-// server was blocked for the rest of each second.
+// A first choice whose processor was full reports a low load in its first report. Without a window after the
+// block, in the lab with three equal servers at twice the load, the calls of the next tenth of a second filled
+// its queue again, and the server was blocked for the rest of each second.
 func TestWindowAfterProcessorFull(t *testing.T) {
 	h := newHarness(t, testSettings(), 1)
 	h.warmUp(1)
@@ -463,8 +463,9 @@
 }
 
 // A live report that asks for a low hold-back share allows nearly as many diverted calls as one that asks
-// for none. In the lab, with two equal servers at a third more than their capacity, the second choice
-// alternated between three times its rate and its rate, and got an eighth of what it could take.
+// for none. With a budget that was not graded, in the lab with two equal servers at a third more than their
+// capacity, the second choice alternated between three times its rate and its rate, and got an eighth of what
+// it could take.
 func TestDivertBudgetGradedByShare(t *testing.T) {
 	settings := testSettings()
 	settings.ReportMetrics = []LoadMetric{LoadMetricHoldBackShare}
@@ -604,9 +605,9 @@
 }
 
 // Set-ups lost on one dead connection do not block a server that reports a low load over its other
-// connections. Two such losses blocked the server for ten retransmit intervals, and a tenth of all calls
-// was refused in a simulated day with silent connections. A server that sends no reports is blocked as
-// before.
+// connections. When these losses counted as failures, two of them blocked the server for ten retransmit
+// intervals, and a tenth of all calls was refused in a simulated day with silent connections. A server that
+// sends no reports is blocked.
 func TestLostSetUpsOfIdleServer(t *testing.T) {
 	for _, reports := range []bool{true, false} {
 		h := newHarness(t, testSettings(), 2)
@@ -628,8 +629,9 @@
 	}
 }
 
-// A server that is blocked for errors gets the calls that would be refused otherwise: with three of four
-// calls failing at such a server, one in eight of all calls was refused. The server gets no call of low
+// A server that is blocked for errors gets the calls that would be refused otherwise. Without this last
+// resort, one in eight of all calls was refused where such a server failed three of four calls. The server
+// gets no call of low
 // worth, none that cannot be retried after it may have run, none while a set-up is unanswered, and none if
 // it is blocked for load or unanswered set-ups.
 func TestLastResort(t *testing.T) {
@@ -907,8 +909,8 @@
 }
 
 // A server that dies and comes back with fewer lines still has its processor, so its budget while cold is
-// based on its former rate. Such a server was taken for a new, small one and stayed idle while another server
-// was overrun.
+// based on its former rate. Guards against taking such a server for a new, small one, which stays idle while
+// another server is overrun.
 func TestReturningServerKeepsRate(t *testing.T) {
 	settings := testSettings()
 	h := newHarness(t, settings, 2)
@@ -1332,8 +1334,9 @@
 	}
 }
 
-// A server's rate before its restart is computed at its last answer. The rate of a server that had been
-// down for some seconds was underestimated by half, and its budget stayed too small until it was warm.
+// A server's rate before its restart is computed at its last answer. Computed at the restart, the rate of a
+// server that had been down for some seconds was underestimated by half, and its budget stayed too small until
+// it was warm.
 func TestRateBeforeRestartIgnoresDownTime(t *testing.T) {
 	h := newHarness(t, testSettings(), 2)
 	h.reportLoad(1, 900, 1000, 0)
@@ -1357,8 +1360,8 @@
 }
 
 // Round trips vary, on sockets by a good part of the retransmit interval: an answer half as late again as
-// the quickest is no sign of a queue. Such answers thinned out calls, and one unanswered set-up held the
-// next ones back.
+// the quickest is no sign of a queue. When such answers counted as one, calls were held back, also by a single
+// set-up that was unanswered for so short a time.
 func TestRoundTripVariation(t *testing.T) {
 	settings := testSettings()
 	settings.RetransmitInterval = 125 * ms
@@ -1402,8 +1405,8 @@
 }
 
 // Calls of high worth are diverted whatever the divert budget, but overdraw it only so far that ordinary
-// calls are not kept out for long. After a few seconds with a loaded first choice, ordinary calls were
-// kept from an idle second one for four more seconds.
+// calls are not kept out for long. With an unlimited overdraft, after a few seconds with a loaded first choice
+// ordinary calls were kept from an idle second choice for four more seconds.
 func TestDivertOverdraftBounded(t *testing.T) {
 	settings := testSettings()
 	settings.Classes = append(settings.Classes, Class{Aim: time.Second, Deadline: 6 * time.Second, Worth: 8})
@@ -1527,8 +1530,8 @@
 	}
 }
 
-// A server that reports no lines and refuses a call for want of one is tried again after a moment. On
-// M3UA, where no report shows a free line, one such refusal kept the server out for good.
+// A server that reports no lines and refuses a call for want of one is tried again after lineShortageHold. On
+// M3UA, where no report shows a free line, one such refusal otherwise kept the server out for good.
 func TestServerWithoutLineReportsRetried(t *testing.T) {
 	h := newHarness(t, testSettings(), 1)
 	id, _ := h.arrive(1)
@@ -1543,8 +1546,8 @@
 
 // A newly started softswitch adopts the rates that other members report, keeps them while it counts its
 // own, and takes no larger quota of a cold server's budget for them than it has counted itself. Without
-// reported rates it diverted calls without limit for three seconds and took the set-up time of a full
-// queue for the round trip.
+// reported rates a newly started softswitch diverted calls without limit for three seconds and took the set-up
+// time of a full queue for the round trip.
 func TestTierReportRates(t *testing.T) {
 	c, err := New(testSettings(), 1)
 	if err != nil {
