--- a/internal/core/callers.go
+++ b/internal/core/callers.go
@@ -72,7 +72,7 @@
 			delete(c.predecessorSetUps, ev.ID)
 			c.rememberEnded(ev.ID) // the predecessor may send a release of the call at the same time
 			c.emit(ToPredecessor{Event: ev})
-		default:
+		default: // the call may be from before a restart, on any server
 			for _, s := range c.serverOrder {
 				c.sendEnd(s, ev.ID)
 			}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -46,7 +46,7 @@
 	endedOrder          []endedCall       // the same ids, oldest first
 	stopping            bool              // a Stop or a HandOver has begun
 	stopGraceOver       bool              // the grace period of a Stop or HandOver, in which new callers may still connect, has ended
-	closing             bool              // nothing is pending any more: set-ups are refused until the connections are closed
+	closing             bool              // the process is about to end: set-ups are refused until the connections are closed
 	stopped             bool              // the Stopped effect has been given
 	serving             bool              // new calls are welcome, as the last Serving effect said
 	draining            bool
--- a/internal/core/drain.go
+++ b/internal/core/drain.go
@@ -3,8 +3,8 @@
 import "elmseam/internal/membership"
 
 // A drain sends callers away while the process goes on. Operators and ordered maintenance can begin and end drains any number of
-// times. New calls cease to be welcome at once, which the health check of the callers' front end shows. The front end notices it only
-// after a while; the set-ups that it still sends until then are served. After DrainGrace, connections of callers without a call
+// times. New calls cease to be welcome at once, which the health check of the callers' front end shows. The front end notices the drain
+// only after a while; the set-ups that it still sends until then are served. After DrainGrace, connections of callers without a call
 // are closed. A connection with established calls stays open, as their releases need it, and set-ups that still arrive on it are
 // refused after DrainRefuseAfter.
 
--- a/internal/core/servers_test.go
+++ b/internal/core/servers_test.go
@@ -33,7 +33,7 @@
 	r.want(r.step(ServerSilent{Server: "b", Conn: 12, SilentFor: time.Second}), "")
 
 	// A set-up that the controller has given up counts as unanswered too. Otherwise each further set-up on a dead connection was
-	// lost as well, and a tenth of all calls was refused (0.82 to 0.92 instead of 0.996 of the calls in rate+silent+leave).
+	// lost too, and a tenth of all calls was refused (0.82 to 0.92 instead of 0.996 of the calls in rate+silent+leave).
 	r.want(r.step(SetUp{ID: 2, From: 1, Cell: 1, TimeLeft: 5 * time.Second, At: r.now}), "offer2@12 ")
 	r.core.effects = nil
 	r.core.giveUpAttempt(r.core.calls[2], elmseam.CauseCancelled)
--- a/internal/core/stop.go
+++ b/internal/core/stop.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// beginClosing begins the end of the process, when nothing is pending any more, and announces to the other members that this
-// softswitch leaves. Set-ups that callers sent before they could know of the end may still arrive: they are refused for StopLinger
+// beginClosing begins the end of the process, when nothing is pending any more or MaxStopWait has passed, and announces to the other
+// members that this softswitch leaves. Set-ups that callers sent before they could know of the end may still arrive: they are refused for StopLinger
 // before the connections are closed.
 func (c *Core) beginClosing() {
 	c.closing = true
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -332,7 +332,7 @@
 	}
 	// CloseListener closes the listener for callers: new connections are refused from then on.
 	CloseListener struct{}
-	// Stopped says that the process can end: after a Stop or a HandOver nothing is pending any more.
+	// Stopped says that the process can end: after a Stop or a HandOver nothing is pending any more, or MaxStopWait has passed.
 	Stopped struct{}
 	// Violation reports that a guard prevented the violation of a rule, or that a configuration of a part of the core is invalid.
 	Violation struct {
