--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -41,7 +41,7 @@
 }
 
 // send sends a datagram with the updates that were transmitted least often. The mandatory updates come first. A
-// member that is suspected or held dead gets its own state first of all, because it can refute only what it receives
+// member that is considered suspect or dead gets its own state first of all, because it can refute only what it receives
 // (Lifeguard, Buddy System).
 func (r *Reducer) send(to int, msg message, mandatory ...update) {
 	if s := r.members[to].State; s == Suspect || s.Down() {
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -53,8 +53,8 @@
 // advance runs the simulation for d of simulated time.
 func (tier *testTier) advance(d time.Duration) { tier.Run(tier.Now() + d) }
 
-// expectAgreement fails the test unless every running member holds all running members available, and all stopped
-// members in stoppedState.
+// expectAgreement fails the test unless every running member considers all running members available, and all stopped
+// members to be in stoppedState.
 func (tier *testTier) expectAgreement(phase string, stoppedState membership.State) {
 	tier.t.Helper()
 	for i := range tier.n {
@@ -64,15 +64,15 @@
 		for j := range tier.n {
 			state := tier.StateOf(i, j).State
 			if tier.Running(j) && !state.Available() || !tier.Running(j) && state != stoppedState {
-				tier.t.Errorf("%s: member %d holds member %d %v; member runs: %t", phase, i, j, state, tier.Running(j))
+				tier.t.Errorf("%s: member %d considers member %d %v; the latter runs: %t", phase, i, j, state, tier.Running(j))
 			}
 		}
 	}
 }
 
-// A killed member is held dead by all members, and available again after its restart: the incarnation of the new
-// process overrides what is known of the old one, although the new process remembers nothing, and also when it
-// restarts within one period. 30% of the datagrams are lost.
+// A killed member is considered dead by all members, and available again after its restart: the incarnation of the new
+// process overrides what is known of the old process, although the new process remembers nothing, and also when the
+// member restarts within one period. 30% of the datagrams are lost.
 func TestKilledMemberReturns(t *testing.T) {
 	for _, downtime := range []time.Duration{20 * second, 100 * time.Millisecond} {
 		tier := startTier(t, 8, 0.3)
@@ -81,7 +81,7 @@
 		tier.Kill(3)
 		tier.advance(downtime)
 		if downtime > second && tier.StateOf(0, 3).State != membership.Dead {
-			t.Errorf("after %v the killed member is held %v", downtime, tier.StateOf(0, 3).State)
+			t.Errorf("after %v the killed member is considered %v, want dead", downtime, tier.StateOf(0, 3).State)
 		}
 		if err := tier.Start(3); err != nil {
 			t.Fatal(err)
@@ -96,7 +96,7 @@
 }
 
 // A member that restarts with its clock set back receives the higher incarnation of its earlier process and chooses
-// one above it. Otherwise no member would hold it available until its clock has caught up.
+// a higher one. Otherwise no member would consider it available until its clock has caught up.
 func TestRestartWithClockSetBack(t *testing.T) {
 	tier := startTier(t, 4, 0)
 	tier.advance(5 * second)
@@ -114,7 +114,7 @@
 	}
 }
 
-// During a partition into three and two of five members, each side holds the other dead. The members of the smaller
+// During a partition into three and two of five members, each side considers the other dead. The members of the smaller
 // side reduce their quota of a cold server's budget, those of the larger side use no more than their own quota. After
 // the partition all members are available.
 func TestPartition(t *testing.T) {
@@ -147,8 +147,8 @@
 	}
 }
 
-// If all datagrams of one member are lost while it receives those of the others, only that member is held dead, and
-// it holds all others available. After the fault it is available again.
+// If all datagrams of one member are lost while it receives those of the others, only that member is considered dead,
+// and it considers all others available. After the fault all members consider it available again.
 func TestOneWayLoss(t *testing.T) {
 	tier := startTier(t, 6, 0)
 	tier.advance(5 * second)
@@ -157,7 +157,7 @@
 	for i := 1; i < 6; i++ {
 		for j := range 6 {
 			if state := tier.StateOf(i, j).State; (state == membership.Dead) != (j == 0) {
-				t.Errorf("member %d holds member %d %v", i, j, state)
+				t.Errorf("member %d considers member %d %v", i, j, state)
 			}
 		}
 	}
@@ -173,7 +173,7 @@
 	tier.advance(5 * second)
 	tier.OnChange = func(_ swarm.Time, observer int, c membership.StateChanged) {
 		if c.New == membership.Dead && observer != 0 && c.Member != 0 {
-			t.Errorf("member %d holds member %d dead", observer, c.Member)
+			t.Errorf("member %d considers member %d dead", observer, c.Member)
 		}
 	}
 	for i := range 20 {
@@ -199,11 +199,11 @@
 	tier.cut = nil
 	tier.advance(20 * second)
 	if state := tier.StateOf(0, 5).State; state != membership.Dead {
-		t.Errorf("the paused member is held %v", state)
+		t.Errorf("the paused member is considered %v, want dead", state)
 	}
 	tier.OnChange = func(_ swarm.Time, observer int, c membership.StateChanged) {
 		if c.New == membership.Dead && c.Member != 5 {
-			t.Errorf("member %d holds member %d dead", observer, c.Member)
+			t.Errorf("member %d considers member %d dead", observer, c.Member)
 		}
 	}
 	tier.Resume(5)
@@ -222,7 +222,7 @@
 	tier.Inject(2, membership.Drain{On: true})
 	tier.advance(4 * second)
 	if state := tier.StateOf(5, 2).State; state != membership.Draining {
-		t.Errorf("the draining member is held %v", state)
+		t.Errorf("the draining member is considered %v, want draining", state)
 	}
 	tier.Inject(2, membership.Leave{})
 	tier.Kill(2)
--- a/internal/membership/reducer.go
+++ b/internal/membership/reducer.go
@@ -285,7 +285,7 @@
 // maxReprobes is the maximum number of suspects that are probed again in one period.
 const maxReprobes = 3
 
-// probeDead probes one of the members held dead: that member may be alive and not know that it was declared dead, as
+// probeDead probes one of the members considered dead: that member may be alive and not know that it was declared dead, as
 // after a partition. The probe carries the state that this member holds of it, so that it refutes before it answers.
 func (r *Reducer) probeDead() {
 	var dead []int
--- a/internal/membership/types.go
+++ b/internal/membership/types.go
@@ -61,7 +61,7 @@
 	RetransmitMult int           // λ: each update is sent λ·⌈log10(n+1)⌉ times
 	MaxHealth      int           // S, the maximum of the local health multiplier; 0 disables local health awareness
 	StallThreshold time.Duration // a period timer that fires this much late shows that the process was paused; 0: never
-	ReclaimPeriods int           // periods between two probes of members held dead
+	ReclaimPeriods int           // periods between two probes of members considered dead
 	MaxDatagram    int           // maximum size of a datagram, in bytes
 	MaxRelays      int           // maximum number of concurrent probes on behalf of other members
 	MaxSkew        time.Duration // an incarnation further ahead of this member's clock is rejected as malformed
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -22,7 +22,7 @@
 // ColdQuotaFactor returns the factor, over 0 and at most 1, that a member applies to its own quota of the budget of a
 // server that has just started.
 //
-// All softswitches share that budget. A member that is held dead, left or suspect may be alive on the other side of a
+// All softswitches share that budget. A member considered dead, left or suspect may be alive on the other side of a
 // partition, or may have restarted, and use its quota: so no other member takes over a quota, whatever the state of
 // its owner. A member that sees no majority may be on the smaller side of a partition, where callers of the other
 // members come to it and increase the traffic that it counts as its own share: it reduces its quota in proportion to
