--- a/internal/knowledge/reducer.go
+++ b/internal/knowledge/reducer.go
@@ -12,7 +12,7 @@
 	"elmseam/internal/datagram"
 )
 
-// errTierSize says that a message comes from a tier with another number of members.
+// errTierSize rejects a message from a tier with another number of members, or of an unknown kind.
 var errTierSize = errors.New("datagram from a tier of another size")
 
 // entry is an observer's latest observation of a server, with times on this member's clock.
--- a/internal/knowledge/types.go
+++ b/internal/knowledge/types.go
@@ -291,8 +291,8 @@
 	return server, obs, n
 }
 
-// check validates a message received in a tier of tierSize members. It returns errTierSize for a message from a tier
-// of another size, and datagram.ErrMalformed for an undecodable one.
+// check validates a message received in a tier of tierSize members. It returns errTierSize for a message of an unknown
+// kind or from a tier of another size, and datagram.ErrMalformed for a message with an undecodable entry.
 func (m message) check(tierSize int) error {
 	if m.Kind >= kindCount || int(m.Tier) != tierSize {
 		return errTierSize
