--- a/internal/budget/reducer.go
+++ b/internal/budget/reducer.go
@@ -17,7 +17,7 @@
 	Seq         uint32       // number of the claims
 	RequestedAt Time         // when the claims were sent
 	Units       []Mask       // units claimed, by owner
-	Votes       [][Units]int // members that granted the unit, by owner and unit
+	Votes       [][Units]int // number of members that granted the unit, by owner and unit
 	Voters      []int        // members that have answered
 }
 
@@ -251,7 +251,7 @@
 	}
 	byOwner := owner == claimant
 	if !byOwner && (owner == r.cfg.Self || r.available[owner] || r.now < r.ownerRefusedAt[owner]+r.cfg.Limits.Lease) {
-		return 0 // the owner is available and claims its units, or has claimed them within the last lease
+		return 0 // the owner is available and claims its units, or has claimed them in vain within the last lease
 	}
 	for unit := 1; unit < Units; unit++ {
 		if units&(1<<unit) == 0 {
