--- a/budgets.go
+++ b/budgets.go
@@ -36,8 +36,8 @@
 }
 
 // coldQuota returns this softswitch's own quota of a cold server's budget, in set-ups per second of the
-// warm server: what the server took from here before its restart, as lines say little of a processor, or
-// else the expected rate without the rates reported by members.
+// warm server: what the server took from here before its restart, as the number of lines says little about
+// the processor, or else the expected rate without the rates reported by members.
 func (c *Controller) coldQuota(s *server) float64 {
 	if s.rateBeforeRestart > 0 {
 		return s.rateBeforeRestart
--- a/internal/swarm/experiment.go
+++ b/internal/swarm/experiment.go
@@ -18,7 +18,7 @@
 	MaxDelay        time.Duration     // a datagram takes 0.5 ms plus a random time below MaxDelay
 	WarmUp          time.Duration     // time before the measurement starts
 	MeasureDuration time.Duration     // length of the measurement
-	// Kill has member 0 killed after the measurement. The run then goes on until all other members hold member 0 dead, but
+	// Kill has member 0 killed after the measurement. The run then goes on until all other members consider member 0 dead, but
 	// no longer than 200 protocol periods.
 	Kill           bool
 	Impaired       int           // number of members that are paused and slowed, the last of the tier
@@ -36,11 +36,11 @@
 	// includes piggybacked bytes.
 	DatagramRate, ByteRate float64
 	// FirstSuspected and FirstDead are the times until the first other member suspects the killed member and until the
-	// first other member holds it dead.
+	// first other member considers it dead.
 	FirstSuspected, FirstDead time.Duration
-	// AllDead is the time until all other members hold the killed member dead.
+	// AllDead is the time until all other members consider the killed member dead.
 	AllDead time.Duration
-	// FalseDeaths counts how often, from the start of the measurement on, a member came to hold a running, unimpaired
+	// FalseDeaths counts how often, from the start of the measurement on, a member came to consider a running, unimpaired
 	// member dead.
 	FalseDeaths int
 	// Suspicions is the number of suspicions during the measurement, summed over all members.
--- a/internal/swarm/swarm.go
+++ b/internal/swarm/swarm.go
@@ -81,7 +81,7 @@
 	members []memberState
 	rng     *rand.Rand
 
-	// OnChange, unless nil, is called for every change of the state that a member holds of another member.
+	// OnChange, unless nil, is called for every change of another member's state in the view of a member.
 	OnChange func(at Time, observer int, c membership.StateChanged)
 }
 
@@ -171,7 +171,7 @@
 // Member returns the reducer of a member, or nil if the member is killed.
 func (s *Simulation) Member(member int) *membership.Reducer { return s.members[member].reducer }
 
-// StateOf returns what the observer holds of another member. The observer must not be killed.
+// StateOf returns what the observer knows of another member. The observer must not be killed.
 func (s *Simulation) StateOf(observer, subject int) membership.Member {
 	return s.members[observer].reducer.Members()[subject]
 }
--- a/internal/wire/membership_test.go
+++ b/internal/wire/membership_test.go
@@ -22,7 +22,7 @@
 	return append(b, tail...)
 }
 
-// TestMembershipExchange checks that two instances of a tier come to hold each other alive by peer messages and timers on
+// TestMembershipExchange checks that two instances of a tier come to consider each other alive by peer messages and timers on
 // the wire, in simulated time, and that no peer message is written where membership is not enabled or the settings don't
 // permit peer messages.
 func TestMembershipExchange(t *testing.T) {
