--- a/internal/platform/caller.go
+++ b/internal/platform/caller.go
@@ -32,7 +32,7 @@
 
 	mu            sync.Mutex
 	closeDeadline time.Time     // when the connection ends at the latest; zero: it is not being closed
-	redirected    bool          // effects are held for the successor, or forwarded to it
+	redirected    bool          // effects are kept in heldEffects or forwarded to the successor, not executed here
 	transferred   bool          // the successor has the connection
 	heldEffects   []core.Effect // effects held while redirected is true and transferred is not
 	doneClosed    bool          // done is closed
--- a/internal/platform/crossings_test.go
+++ b/internal/platform/crossings_test.go
@@ -378,8 +378,8 @@
 	}
 }
 
-// During the transfer of a caller's connection, a server's connection is reset, or a drain is begun and cancelled, or SIGTERM
-// comes again. The caller must get its answer once, through the newer process, and this process must not close the connection.
+// During the transfer of a caller's connection, a server's connection is reset, or a drain is begun and cancelled, or a second
+// SIGTERM arrives. The caller must get its answer once, through the newer process, and this process must not close the connection.
 func TestEventsDuringTransfer(t *testing.T) {
 	for name, causeEvent := range map[string]func(s *scenario){
 		"reset": func(s *scenario) { s.serverConn.(*net.TCPConn).SetLinger(0); s.serverConn.Close() },
@@ -702,7 +702,7 @@
 	}
 	s.callerConn.Write(setUpFrame(1, "voice", "9000", ""))
 	s.wantLine(`"offer"`, `0001"`)
-	time.Sleep(2100 * time.Millisecond) // past the first call's deadline
+	time.Sleep(2100 * time.Millisecond) // until after the first call's deadline
 	s.send(acceptLine, 1)
 	s.wantFrame(typeAnswer, 1, -1)
 }
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -91,7 +91,7 @@
 	case <-timeout:
 		return
 	}
-	for p.openConns.Load() > 0 { // a connection may still be starting; the loop rejects it
+	for p.openConns.Load() > 0 { // a new connection may not have reached the loop yet, which will reject it
 		select {
 		case <-timeout:
 			return
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -310,7 +310,7 @@
 	}
 }
 
-// A caller gives up. The server must be told, and an answer that crosses the give-up must not be passed on.
+// A caller gives up. The server must be notified, and an answer that crosses the give-up must not be passed on.
 func TestCallerGivesUp(t *testing.T) {
 	s := newScenario(t)
 	s.callerConn.Write(setUpFrame(1, "voice", "5000", ""))
@@ -417,6 +417,7 @@
 	}
 }
 
+// isTimeout reports whether an error is the time-out of a network operation.
 func isTimeout(err error) bool {
 	ne, ok := err.(net.Error)
 	return ok && ne.Timeout()
--- a/internal/platform/server.go
+++ b/internal/platform/server.go
@@ -189,7 +189,7 @@
 const (
 	minIntervals     = 3  // intervals that must be observed before any connection counts as silent
 	silenceIntervals = 3  // maximum intervals without a line after which a connection counts as silent
-	maxIntervalDecay = 32 // each interval moves the maximum by 1/32 of the difference towards that interval, if it is shorter
+	maxIntervalDecay = 32 // an interval shorter than the maximum lowers the maximum by 1/32 of their difference
 )
 
 // observe records the time between two state reports on one connection.
