--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -36,7 +36,7 @@
 	done            chan struct{} // closed when Run returns
 	lastConn        atomic.Uint64 // connection id that was given out last
 	start           time.Time
-	epoch           time.Duration // start as the time since the Unix epoch
+	epoch           time.Duration // wall-clock time of start, since the Unix epoch
 	handlers        map[core.ConnID]EffectHandler
 	dialers         map[core.Protocol]Dialer
 	timers          timerHeap         // pending timers
@@ -269,7 +269,8 @@
 	return 0
 }
 
-// timerHeap implements heap.Interface; the timer that fires first is at index 0.
+// timerHeap is a heap of pending timers, ordered by their times; the timer that fires first is at index 0. It implements
+// heap.Interface.
 type timerHeap []core.Timer
 
 func (t timerHeap) Len() int           { return len(t) }
