--- a/internal/link/listen.go
+++ b/internal/link/listen.go
@@ -13,6 +13,7 @@
 	"golang.org/x/sys/unix"
 )
 
+// Times of an Acceptor.
 const (
 	// drainDuration is how long Accept goes on after Drain. TCP handshakes in progress complete within it.
 	drainDuration = 20 * time.Millisecond
@@ -86,8 +87,8 @@
 // Wait waits until Serve has returned and all connections it accepted have ended.
 func (a *Acceptor) Wait() { a.wg.Wait() }
 
-// waitForSlot waits until one more connection may be opened. It does not wait while the acceptor drains: callers in the
-// backlog must be accepted so that they can be told that they are refused.
+// waitForSlot waits until one more connection may be opened. It does not wait while the acceptor drains: the connections in
+// the backlog must be accepted, so that their callers can be sent a refusal.
 func (a *Acceptor) waitForSlot() {
 	for a.activeConns.Load() >= int64(a.maxConns()) {
 		select {
--- a/internal/link/outbox.go
+++ b/internal/link/outbox.go
@@ -10,7 +10,7 @@
 
 // Limits are the size limits and timeouts of a connection.
 type Limits struct {
-	InitialBufferSize int           // initial size of the read buffer, size of the write buffer; bytes
+	InitialBufferSize int           // initial size of the read buffer, and size of the write buffer, in bytes
 	MaxMessageSize    int           // max size of a received message, in bytes
 	MaxQueuedBytes    int           // max bytes queued for writing; beyond it the peer counts as stalled and the connection is closed
 	WriteTimeout      time.Duration // max duration of one write; beyond it the connection is closed
@@ -46,7 +46,7 @@
 	writing      bool      // writeLoop is running
 	writeStarted time.Time // start of the write in progress; zero if there is none
 	closed       bool
-	onFinished   func() // called after the last write; nil until Finish is called
+	onFinished   func() // the function passed to Finish, called after the last write; nil until Finish is called
 }
 
 // NewOutbox returns the outbox of a connection.
@@ -73,7 +73,7 @@
 	}
 }
 
-// Retract removes the retractable item with the given id from the queue. It reports whether the item was still there.
+// Retract removes the retractable item with the given id from the queue. It reports whether the item was still queued.
 func (o *Outbox) Retract(id uint64) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
