--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -191,6 +191,7 @@
 	}
 }
 
+// errTruncated is the error for a message of which the kernel did not deliver all bytes or control data.
 var errTruncated = errors.New("message truncated")
 
 // Receive waits for the next message and returns it with the file attached to it, or nil if there is none.
@@ -303,7 +304,7 @@
 	if err == nil {
 		switch {
 		case m.Kind != Hello || m.Version != Version:
-			refusal = fmt.Sprintf("version %d is spoken here", Version)
+			refusal = fmt.Sprintf("this process requires message version %d", Version)
 		case m.Listen != listen:
 			refusal = fmt.Sprintf("%s is served here", listen)
 		}
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -52,7 +52,7 @@
 	case <-time.After(50 * time.Millisecond):
 	}
 	exited.Store(true)
-	conn.CloseRead() // stands for the end of the older process: its Receive fails and it closes
+	conn.CloseRead() // simulates the end of the older process: its Receive fails and it closes the connection
 	if err := <-result; err == nil || !strings.Contains(err.Error(), ReasonExiting) {
 		t.Errorf("newer process: %v, want an error with the reason", err)
 	}
