--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -58,7 +58,7 @@
 	SinceMS int64  `json:"since_ms"` // start of the server, in milliseconds
 }
 
-// List converts a command to a server list for the core. protocolFor returns the protocol of a server, cached says that the
+// List converts a command to a server list for the core. protocolFor returns the protocol of a server; cached says whether the
 // command was stored before the start. Entries with an unknown status or without a name are left out; the error names the last
 // of them.
 func (c Command) List(protocolFor func(name string) core.Protocol, cached bool) (list core.ServerList, err error) {
@@ -302,6 +302,7 @@
 	r.conn.Close()
 }
 
+// Errors of reader.
 var (
 	errBadResponse = errors.New("unexpected HTTP response")
 	errTooLong     = errors.New("line or event too long")
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -24,6 +24,7 @@
 // testTimeout limits the wait for expected events. It only runs out when a test fails.
 const testTimeout = 10 * time.Second
 
+// testLimits are the limits of the tested feeds.
 var testLimits = Limits{ConnectTimeout: time.Second, ReadTimeout: time.Second, RenewAfter: time.Minute, RetryDelay: time.Millisecond, MaxEventSize: 4096, InitialBufferSize: 16}
 
 // protocolFor is the ProtocolFor of the tested feeds.
