--- a/internal/bgp/speaker.go
+++ b/internal/bgp/speaker.go
@@ -17,7 +17,7 @@
 	"elmseam/internal/link"
 )
 
-// Config is the [bgp] table of the front's configuration file.
+// Config is the [bgp] table of the signalling file (deploy/m3ua.toml).
 type Config struct {
 	AS       uint32 `toml:"as"`        // own AS number
 	RouterID string `toml:"router_id"` // BGP identifier, an IPv4 address
