--- a/internal/m3ua/isup.go
+++ b/internal/m3ua/isup.go
@@ -24,11 +24,12 @@
 	optUserUser = 0x20 // part of the call's description; a description of over 255 bytes takes several of these parameters, in order
 )
 
+// Sizes of parts of an ISUP message, in bytes, and the maximum length of a called number.
 const (
 	isupHeaderSize = 3   // circuit identification code and message type
 	iamFixedSize   = 5   // nature of connection, forward call indicators, calling party's category, transmission medium
 	maxOptionSize  = 255 // bytes in an optional parameter
-	maxDigits      = 64  // digits in a called number
+	maxDigits      = 64  // digits of a called number
 )
 
 // isupMessage is a parsed ISUP message. Only the fields that its kind carries are set.
--- a/internal/m3ua/m3ua_test.go
+++ b/internal/m3ua/m3ua_test.go
@@ -26,6 +26,7 @@
 	"elmseam/internal/settings"
 )
 
+// Times of the tests.
 const (
 	testTimeout      = 20 * time.Second      // limit for events that must occur; a passing test does not wait it out
 	testReleaseGuard = 20 * time.Millisecond // release guard of the core under test
@@ -33,8 +34,10 @@
 	clientPC         = 300
 )
 
+// testDeployment are the settings of the sockets in the tests: one class.
 var testDeployment = settings.Deployment{Classes: []settings.Class{{Name: "voice", MaxWait: 5 * time.Second}}}
 
+// testLimits are the limits of all connections in the tests.
 var testLimits = link.Limits{InitialBufferSize: 256, MaxMessageSize: 16 << 10, MaxQueuedBytes: 1 << 20, WriteTimeout: time.Second, FlushTimeout: 50 * time.Millisecond,
 	MessageTimeout: testTimeout, IdleTimeout: testTimeout, LingerTimeout: 100 * time.Millisecond, MaxLingerBytes: 1 << 16}
 
@@ -45,6 +48,7 @@
 	mu sync.Mutex
 }
 
+// newTestPeer returns a test peer that reads from and writes to a connection.
 func newTestPeer(c net.Conn) *testPeer {
 	return &testPeer{Conn: c, in: link.NewBuffer(256, 16<<10)}
 }
@@ -198,6 +202,7 @@
 	return p, nil
 }
 
+// mustAcceptASP is like acceptASP, but fails the test on an error and closes the association when the test ends.
 func mustAcceptASP(t *testing.T, l net.Listener) *testPeer {
 	t.Helper()
 	p, err := acceptASP(l)
@@ -356,6 +361,7 @@
 	}
 }
 
+// hasError reports whether an ERR has the given error code.
 func hasError(m message, code uint32) bool {
 	n, ok := m.getUint32(tagErrorCode)
 	return ok && n == code
@@ -403,7 +409,7 @@
 	}
 }
 
-// TestIdleAndMalformedAssociations guards against connections that occupy a caller's place for any time: those that send
+// TestIdleAndMalformedAssociations guards against connections that occupy a caller's slot for any time: those that send
 // nothing, stop within a message, send a message byte by byte, or never become up must be closed in time, while an idle
 // association that is up stays open. If the framing is lost, the peer must be able to read the ERR before the close,
 // even if it sent more data after the malformed message.
--- a/internal/m3ua/message.go
+++ b/internal/m3ua/message.go
@@ -64,6 +64,7 @@
 	statusASPending  = 1<<16 | 4
 )
 
+// Version of the protocol, sizes in bytes, and the service indicator of the payload (RFC 4666, 3.1 and 3.3.1).
 const (
 	version                = 1
 	headerSize             = 8
@@ -79,6 +80,7 @@
 	fatal  bool // the framing is lost: nothing after this message can be read
 }
 
+// Error returns the description of the error.
 func (e *protocolError) Error() string { return e.detail }
 
 // errIncomplete is returned by parseMessage when the buffer does not yet hold a whole message.
