--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -44,6 +44,7 @@
 // starts with.
 const minSockets = 32
 
+// Numbers of file descriptors that decide how many callers and servers can be connected.
 const (
 	// scarceSocketsBelow is the number of file descriptors below which callers get a smaller share of them, so that
 	// enough remain for servers.
@@ -68,7 +69,7 @@
 	limits := Limits{
 		Core: core.Limits{
 			AnswerMargin:        15 * time.Millisecond,
-			RebindTimeout:       100 * time.Millisecond, // a close that crosses a set-up is seen within 50 ms
+			RebindTimeout:       100 * time.Millisecond, // a close that crosses a set-up is noticed within 50 ms
 			MinRedial:           100 * time.Millisecond,
 			MaxRedial:           500 * time.Millisecond,
 			ConnsPerServer:      map[core.Protocol]int{platform.Protocol: 2},
@@ -78,7 +79,7 @@
 			MaxPendingReleases:  1000,
 			ServerLostAfter:     5 * time.Second,        // a release is due 8 s after the end of its call at the latest
 			ReportedDrainTTL:    10 * time.Second,       // a server list arrives up to 7 s late
-			DrainGrace:          500 * time.Millisecond, // the platform polls readiness every 0.1 s and sends new callers for 0.2 s more
+			DrainGrace:          500 * time.Millisecond, // the platform polls readiness every 0.1 s and then still sends new callers for 0.2 s
 			DrainRefuseAfter:    1500 * time.Millisecond,
 			DrainCheckInterval:  20 * time.Millisecond,
 			DrainIdle:           20 * time.Millisecond,
@@ -123,11 +124,11 @@
 		MemoryLimit: memoryBytes * 6 / 10,
 		GCPercent:   200,
 	}
-	// Data queued for callers that don't read, and the data of open calls, take at most a quarter of the memory each.
 	limits.ServerConn = limits.CallerConn
 	limits.ServerConn.LineTimeout, limits.ServerConn.MaxSilence = 500*time.Millisecond, 3*time.Second
 	// Servers close at once, and the descriptor may be needed for another connection.
 	limits.ServerConn.LingerTimeout = 50 * time.Millisecond
+	// Data queued for callers that don't read, and the data of open calls, take at most a quarter of the memory each.
 	limits.CallerConn.MaxQueuedBytes = min(limits.CallerConn.MaxQueuedBytes, max(int(memoryBytes/4)/maxCallers, 2*maxMessageSize))
 	limits.Core.MaxCallBytes = int(memoryBytes / 4)
 	if limits.DialTimeout <= 0 {
--- a/internal/config/members.go
+++ b/internal/config/members.go
@@ -138,8 +138,8 @@
 	return err
 }
 
-// LoadMembers reads the members file. Explicit says that an operator named the path: otherwise the file may be missing,
-// and membership is then off. The text of an error is one line that names the field.
+// LoadMembers reads the members file. explicit says that an operator named the path. If not, the file may be missing, and
+// membership is then off. The text of an error is one line that names the field.
 func LoadMembers(path string, explicit bool) (MembersFile, error) {
 	text, err := os.ReadFile(path)
 	switch {
@@ -214,8 +214,9 @@
 
 // TierConfig returns the configuration of the tier's datagram socket and the events that start the tier's protocols in
 // the core: membership and, where the members file enables them, maintenance, knowledge and the cold servers' quotas.
-// It fills Limits.Membership and Limits.Maintenance. The configuration must contain the peers' addresses and the own
-// index; an error names the field. Permitted is false where the settings don't allow datagrams between softswitches.
+// It fills Limits.Membership and Limits.Maintenance. The configuration must contain the peers' addresses and this
+// softswitch's index; an error names the field. permitted is false if the settings don't allow datagrams between
+// softswitches.
 func (c *Config) TierConfig(file MembersFile) (socket peers.Config, startEvents []core.Event, permitted bool, err error) {
 	if !c.Deployment.PeerMessagesEnabled {
 		return socket, startEvents, false, nil
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -11,10 +11,10 @@
 	"elmseam"
 )
 
-// microseconds is a time as the settings have it: a number of microseconds.
+// microseconds is a duration in the form of the settings: a number of microseconds.
 type microseconds float64
 
-// duration converts the time to a time.Duration.
+// duration converts the number to a time.Duration.
 func (m microseconds) duration() time.Duration {
 	return time.Duration(float64(m) * float64(time.Microsecond))
 }
@@ -291,8 +291,8 @@
 // shareTolerance is how far the sum of the tenants' shares may exceed 1, because the shares are rounded to a few digits.
 const shareTolerance = 0.01
 
-// checkRequiredKeys returns an error that names the first required key that the JSON object text lacks. Prefix is put
-// before the key.
+// checkRequiredKeys returns an error that names the first required key that the JSON object text lacks, with prefix
+// before the key. section is the object's key in requiredKeys.
 func checkRequiredKeys(text []byte, section, prefix string) error {
 	var object map[string]json.RawMessage
 	if err := json.Unmarshal(text, &object); err != nil {
