--- a/internal/mgmt/members.go
+++ b/internal/mgmt/members.go
@@ -31,7 +31,7 @@
 	LastDatagramAgeMS *int64 `json:"heardMs"`     // age of its last datagram, in milliseconds; null: none received, or this softswitch
 }
 
-// membersJSON formats the answer of /ops/members. Addresses are the members' addresses, by index.
+// membersJSON formats the answer of /ops/members. addresses are the members' addresses, by index.
 func membersJSON(snapshot loop.Snapshot, addresses []string) string {
 	stats := snapshot.Members
 	now := membership.Time(snapshot.At.UnixNano())
--- a/internal/mgmt/servers.go
+++ b/internal/mgmt/servers.go
@@ -24,7 +24,7 @@
 	Quotas  []Quota        `json:"parts"`   // by member; empty: the quotas are fixed
 }
 
-// ServerStatus is what is known of one server of the own list.
+// ServerStatus is what this softswitch knows of one server in its list.
 type ServerStatus struct {
 	Name           string         `json:"name"`
 	State          string         `json:"state"`             // ready, draining or gone
--- a/internal/mgmt/stats.go
+++ b/internal/mgmt/stats.go
@@ -19,7 +19,7 @@
 	pathDrainStop   = "/ops/drain/stop"
 )
 
-// StatsText formats statistics as lines "app.NAME=VALUE". Names are the names of the classes, by index.
+// StatsText formats statistics as lines "app.NAME=VALUE". names are the names of the classes, by index.
 func StatsText(stats core.Stats, names []string) string {
 	var text strings.Builder
 	for i, name := range names {
