--- a/internal/platform/caller.go
+++ b/internal/platform/caller.go
@@ -23,14 +23,14 @@
 	connID        core.ConnID
 	conn          net.Conn
 	outbox        *link.Outbox
-	lingerTimeout time.Duration
+	lingerTimeout time.Duration      // longest time between the half-close and the end of the connection
 	writeTimeout  time.Duration      // longest time that one write may take
 	closing       atomic.Bool        // the connection is being closed gracefully
 	transferring  atomic.Bool        // the connection is to be read no further, so that it can be transferred
 	transfer      chan core.Transfer // receives the core's order to transfer the connection
 	done          chan struct{}      // closed when the connection begins to close
 
-	mu            sync.Mutex
+	mu            sync.Mutex    // guards the fields below
 	closeDeadline time.Time     // when the connection ends at the latest; zero: it is not being closed
 	redirected    bool          // effects are kept in heldEffects or forwarded to the successor, not executed here
 	transferred   bool          // the successor has the connection
--- a/internal/platform/server.go
+++ b/internal/platform/server.go
@@ -22,7 +22,7 @@
 // server is a connection to a server. It is the loop.EffectHandler of that connection; readLines is its receiving side.
 type server struct {
 	platform *Platform
-	name     string // of the server
+	name     string // name of the server
 	connID   core.ConnID
 	outbox   *link.Outbox
 
@@ -180,7 +180,7 @@
 // own choice. When several such intervals have passed without a line from a server, the set-ups outstanding on the connection
 // will not be answered either. One detector serves all connections, so a new connection uses the intervals seen before it.
 type silenceDetector struct {
-	mu          sync.Mutex
+	mu          sync.Mutex    // guards the fields below
 	maxInterval time.Duration // recent maximum of the time between two reports
 	intervals   int           // number of intervals observed
 }
