--- a/internal/link/listen.go
+++ b/internal/link/listen.go
@@ -30,7 +30,7 @@
 	slotFreed   chan struct{}  // receives a value when a connection has ended
 	wg          sync.WaitGroup // counts Serve and each connection's goroutine
 
-	mu           sync.Mutex
+	mu           sync.Mutex // guards the fields below
 	listener     net.Listener
 	drainStarted chan struct{} // closed by the first Drain
 	draining     bool
--- a/internal/link/outbox.go
+++ b/internal/link/outbox.go
@@ -40,7 +40,7 @@
 	limits Limits
 	writer *bufio.Writer
 
-	mu           sync.Mutex
+	mu           sync.Mutex // guards the fields below
 	queue        []Item
 	queuedBytes  int       // total size of the items in queue
 	writing      bool      // writeLoop is running
