--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -89,10 +89,10 @@
 	readBuf []byte
 	writeMu sync.Mutex // serializes the writes of writeLoop and SendFile
 
-	mu          sync.Mutex
-	queue       [][]byte // encoded messages
-	queuedBytes int      // total size of queue
-	writing     bool     // writeLoop is running
+	mu          sync.Mutex // guards the fields below
+	queue       [][]byte   // encoded messages
+	queuedBytes int        // total size of queue
+	writing     bool       // writeLoop is running
 	closed      bool
 }
 
