--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -88,7 +88,7 @@
 	cursorMu   sync.Mutex     // guards Cursor
 	sampledLog zerolog.Logger // for events that the channel can cause at any rate
 
-	mu              sync.Mutex
+	mu              sync.Mutex // guards the fields below
 	address         string
 	initialCommands []Command // commands received along with address and not handled yet
 	disconnect      func()    // cancels the context of the current connection
@@ -293,7 +293,7 @@
 	stopAfterFunc  func() bool // detaches the connection from the context whose end closes it
 	chunked        bool
 	chunkRemaining int    // unread bytes of the current chunk
-	lineBuf        []byte // the current line, as far as read
+	lineBuf        []byte // the part of the current line that was read
 }
 
 // close closes the connection.
