--- a/internal/bgp/speaker.go
+++ b/internal/bgp/speaker.go
@@ -59,7 +59,7 @@
 	routesMu sync.Mutex
 	routes   map[netip.Prefix]map[string]bool // prefix -> addresses of the peers that announce it
 
-	mu       sync.Mutex
+	mu       sync.Mutex        // guards the fields below
 	serving  bool              // the service prefix is to be announced
 	sessions map[*session]bool // the established sessions
 }
@@ -306,8 +306,8 @@
 	return nil
 }
 
-// updateRoute records that a peer announces or withdraws a prefix. It reports whether the prefix became reachable or
-// unreachable by that. The caller holds routesMu.
+// updateRoute records that a peer announces or withdraws a prefix. It reports whether the prefix thereby became reachable
+// or unreachable. The caller holds routesMu.
 func (s *Speaker) updateRoute(prefix netip.Prefix, peer string, reachable bool) bool {
 	announcers := s.routes[prefix]
 	switch {
