--- a/internal/m3ua/server.go
+++ b/internal/m3ua/server.go
@@ -25,7 +25,7 @@
 	return &trunk{route: route, Circuits: circuits.New(circuitCount)}
 }
 
-// withLock calls the function with the trunk's mutex held.
+// withLock calls change with the current time while it holds the trunk's mutex.
 func (t *trunk) withLock(change func(now time.Time)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
