--- a/internal/config/members.go
+++ b/internal/config/members.go
@@ -108,7 +108,7 @@
 }
 
 // forTier returns the number of members for a tier of the given size. A share gives at least 1 and at most
-// maintenance.Slots.
+// maintenance.MaxSlots.
 func (b countOrShare) forTier(tier int) int {
 	if b.Share > 0 {
 		return min(max(int(b.Share*float64(tier)), 1), maintenance.MaxSlots)
