--- a/internal/mgmt/servers.go
+++ b/internal/mgmt/servers.go
@@ -32,7 +32,7 @@
 	HoldBackShare  float64        `json:"share"`             // fraction of new set-ups to hold back, from all reports, 0 to 1
 	MeanRate       float64        `json:"rate"`              // mean number of set-ups per second that the server takes from another member
 	FailingShare   float64        `json:"failing"`           // share of the other members, by weight, that consider the server failing
-	AllowedRate    float64        `json:"allowed,omitempty"` // set-ups per second that this softswitch may use of a cold server's budget
+	AllowedRate    float64        `json:"allowed,omitempty"` // set-ups per second, of a warm server, that this softswitch may use of a cold server's budget
 	Reports        []MemberReport `json:"told"`              // the newest reports, by index of the member
 	OmittedReports int            `json:"more,omitempty"`    // number of older reports that are not shown
 }
