--- a/internal/lab/caller.go
+++ b/internal/lab/caller.go
@@ -32,7 +32,7 @@
 	setUpSent(id uint64, memberIndex int, giveUp time.Duration)
 	finalAnswer(id uint64, served bool, desc string)
 	setUpUnanswered(id uint64, memberIndex int)
-	// setUpNotWritten takes back setUpSent: the set-up could not be written to the connection whole.
+	// setUpNotWritten withdraws an earlier setUpSent: the set-up could not be written to the connection whole.
 	setUpNotWritten(id uint64)
 }
 
@@ -40,7 +40,7 @@
 // the answers.
 type callerConn struct {
 	memberIndex int // the softswitch that the connection goes to
-	// observer is told of set-ups sent, answered and given up.
+	// observer is notified of set-ups sent, answered and given up.
 	observer callerObserver
 	conn     net.Conn
 	mu       sync.Mutex               // guards pending, and the writes of set-ups and give-ups
--- a/internal/lab/checker.go
+++ b/internal/lab/checker.go
@@ -66,7 +66,7 @@
 
 // serverState is what the checker knows of a server.
 type serverState struct {
-	retiredAt      time.Duration   // when all softswitches had been told that the server drains or is gone; -1: not told
+	retiredAt      time.Duration   // when the softswitches were informed that the server drains or is gone; -1: not retired
 	startedAt      time.Duration   // time of a cold start; -1 for a server that is warm from the beginning
 	capacity       float64         // set-ups a second when warm
 	recentAttempts []time.Duration // times of the attempts in the cold budget's last window
@@ -101,7 +101,7 @@
 	violation.Count++
 }
 
-// RecordLag marks a span in which the lab lagged: no rule is checked inside the span.
+// RecordLag marks a span in which the lab lagged: violations inside the span are ignored.
 func (c *Checker) RecordLag(from, to time.Duration) {
 	c.lagSpans = append(c.lagSpans, [2]time.Duration{from, to})
 	for second := from / time.Second; second <= to/time.Second; second++ {
@@ -125,8 +125,8 @@
 	c.servers[name] = &serverState{retiredAt: -1, startedAt: startedAt, capacity: capacity}
 }
 
-// RecordRetirement records that a server has been reported as draining or gone. at is when the last softswitch was
-// told.
+// RecordRetirement records that the softswitches were informed that a server is draining or gone. at is the time at which
+// the last one was informed.
 func (c *Checker) RecordRetirement(name string, at time.Duration) {
 	if s := c.servers[name]; s != nil && s.retiredAt < 0 {
 		s.retiredAt = at
@@ -182,8 +182,8 @@
 	Peers []float64     // as Share, for all other softswitches together
 }
 
-// Recovery compares a softswitch with the others in the given number of seconds from its first call at or after a
-// time; it returns nil if no such call came.
+// Recovery compares a softswitch with the others in the given number of seconds from its first call at or after the time
+// after. It returns nil if there was no such call.
 func (c *Checker) Recovery(index int, after time.Duration, seconds int) *RecoveryStats {
 	first := time.Duration(-1)
 	for _, s := range c.setUps {
@@ -267,7 +267,7 @@
 	}
 	if s.retiredAt >= 0 && at > s.retiredAt+c.rules.DrainGrace+c.rules.Slack {
 		c.recordViolation("new attempt at a retired server", at,
-			"call %016x at %s, %v after the softswitches were told", id, server, at-s.retiredAt)
+			"call %016x at %s, %v after the softswitches were informed", id, server, at-s.retiredAt)
 	}
 	c.checkColdBudget(at, server, s)
 }
@@ -290,7 +290,7 @@
 	}
 }
 
-// Capacity returns what a server can handle at a time, in set-ups a second, as the checker sees it.
+// Capacity returns the capacity that the checker assumes for a server at a time, in set-ups a second.
 func (c *Checker) Capacity(name string, at time.Duration) float64 {
 	s := c.servers[name]
 	if s == nil {
@@ -311,8 +311,8 @@
 	}
 }
 
-// CheckOpen checks the set-ups that are still unanswered at the end of a run: a set-up past its give-up is a
-// violation.
+// CheckOpen checks the set-ups that are still unanswered at the end of a run: a set-up whose give-up time has passed is
+// a violation.
 func (c *Checker) CheckOpen(at time.Duration) {
 	for id, s := range c.setUps {
 		if !s.resolved && at > s.giveUp+c.rules.Slack {
--- a/internal/lab/checker_test.go
+++ b/internal/lab/checker_test.go
@@ -9,6 +9,7 @@
 var testRules = Rules{MaxAttempts: 4, ReleaseGuard: 200 * time.Millisecond, DrainGrace: 250 * time.Millisecond,
 	TipMultiple: 2.5, TipWindow: time.Second, ColdFrom: 0.3, Ramp: 14 * time.Second, Slack: 50 * time.Millisecond, ColdSlack: 3}
 
+// ms shortens times in the tests.
 const ms = time.Millisecond
 
 // violatedRules returns the rules of the checker's violations.
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// nextByShare picks the next softswitch by smooth weighted round robin: each softswitch's credit grows by its share,
-// and the softswitch with the highest credit is picked and pays the sum of all shares.
+// nextByShare picks the next softswitch by smooth weighted round robin: each softswitch's credit grows by its share, and
+// the softswitch with the highest credit is picked. Its credit is reduced by the sum of all shares.
 func nextByShare(credit, shares []float64) (best int) {
 	total := 0.0
 	for i, share := range shares {
--- a/internal/lab/maintenance_checker.go
+++ b/internal/lab/maintenance_checker.go
@@ -12,7 +12,7 @@
 	index      int           // of the softswitch
 }
 
-// RecordMaintenance records what a softswitch says of itself: whether it is out of service for maintenance, and ready
+// RecordMaintenance records what a softswitch reports of itself: whether it is out of service for maintenance, and ready
 // for the work.
 func (c *TierChecker) RecordMaintenance(at time.Duration, index int, outOfService, ready bool) {
 	var current *MaintenanceRun
--- a/internal/lab/member.go
+++ b/internal/lab/member.go
@@ -21,7 +21,7 @@
 
 // member is one softswitch process of the fleet. A restarted process keeps the member's name and addresses.
 type member struct {
-	index int // place in the fleet, from 0
+	index int // index in the fleet, from 0
 	name  string
 	// Addresses for callers, for the admin endpoint and for datagrams between softswitches.
 	listenAddr, mgmtAddr, peerAddr string
@@ -34,7 +34,7 @@
 	// faultSpans are the spans in which a fault that the lab injected disturbs the member: start and end; -1 as the
 	// end of a span that is still open.
 	faultSpans      [][2]time.Duration
-	ready           bool             // at the last sample
+	ready           bool             // whether the member was ready at the last sample
 	starts          int              // processes started so far
 	counters        map[string]int64 // counters of the admin endpoint at the last sample, plus those of earlier processes
 	earlierCounters map[string]int64 // counters of earlier processes alone
--- a/internal/lab/operator.go
+++ b/internal/lab/operator.go
@@ -13,7 +13,7 @@
 )
 
 // requestMaintenance requests maintenance of softswitches at an admin endpoint, or withdraws the requests. A request
-// that is not accepted is repeated for up to 10 s.
+// that is not accepted, for example because the softswitch has just started, is repeated for up to 10 s.
 func (r *runner) requestMaintenance(action Action) {
 	method := http.MethodPost
 	if action.Withdraw {
--- a/internal/lab/result.go
+++ b/internal/lab/result.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Result is the outcome of a run. Counts are of set-ups unless the field says otherwise.
+// Result is the outcome of a run. Counts are of set-ups unless the field's comment says otherwise.
 type Result struct {
 	Scenario   string      `json:"scenario"`
 	Passed     bool        `json:"held"` // no rule was violated
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -18,10 +18,10 @@
 	OutDir string // folder for the table, the verdict and each softswitch's configuration and log
 	Log    zerolog.Logger
 
-	// SelfTestFault makes the lab mislead the fleet on purpose, so that tests can see the checker report it. "unheard
-	// drains": the checker is told of drains that the command channel does not publish. "weak cold servers": the
-	// checker takes a server for a tenth of its capacity and cold from the beginning, while the command channel lists
-	// it as warm and it serves at its whole capacity.
+	// SelfTestFault makes the lab mislead the fleet on purpose, so that tests can verify that the checker reports the
+	// violations. "unheard drains": the checker records drains that the command channel does not publish. "weak cold
+	// servers": the checker assumes that a server has a tenth of its capacity and is cold from the beginning, while the
+	// command channel lists it as warm and it serves at its whole capacity.
 	SelfTestFault string
 
 	// Stop, once closed, ends the run early. Every process and socket of the lab is closed then too, and Run returns
--- a/internal/lab/scenario.go
+++ b/internal/lab/scenario.go
@@ -82,7 +82,8 @@
 	return err
 }
 
-// Limits bound what a scenario may ask for, so that every run is limited in size and time.
+// Limits are the maximum values of a scenario, so that every run is limited in size and time. Rate is in set-ups a second
+// and also limits the servers' capacities.
 var Limits = struct {
 	Softswitches, Servers, Faults int
 	Duration                      time.Duration
--- a/internal/lab/standin_server.go
+++ b/internal/lab/standin_server.go
@@ -25,10 +25,10 @@
 type standInServer struct {
 	Server
 	observer         serverObserver
-	mu               sync.Mutex     // guards the fields below except listeners, and serverConn.pending
+	mu               sync.Mutex     // guards serverConn.pending and the fields below, except listeners
 	listeners        []net.Listener // by softswitch
 	conns            map[*serverConn]bool
-	busyUntil        time.Duration // when the processor has worked off the set-ups accepted so far
+	busyUntil        time.Duration // when the processor will have finished the set-ups accepted so far
 	establishedCalls int
 	slowdown         float64      // factor on the service time; 1: normal speed
 	stalledMembers   map[int]bool // softswitches whose connections are left silent
@@ -72,7 +72,7 @@
 	return s.listeners[memberIndex].Addr().String()
 }
 
-// accept serves a softswitch's connections; each one gets a load report at once.
+// accept serves a softswitch's connections and sends a load report on each new connection.
 func (s *standInServer) accept(memberIndex int, listener net.Listener) {
 	defer s.wg.Done()
 	for {
@@ -109,7 +109,8 @@
 	Cause int    `json:"why"`
 }
 
-// serve handles a connection's lines until the connection ends; the attempts pending then ended by a reset.
+// serve handles a connection's lines until the connection ends. It reports the attempts that are still pending then as
+// ended by a reset.
 func (s *standInServer) serve(c *serverConn) {
 	defer s.wg.Done()
 	reader := bufio.NewReaderSize(c, 16<<10)
@@ -254,7 +255,7 @@
 	}
 }
 
-// setStalled leaves the connections from the given softswitches silent, or ends that.
+// setStalled leaves the connections from the given softswitches silent, or makes the server answer on them again.
 func (s *standInServer) setStalled(members []int, stalled bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/lab/tier_checker.go
+++ b/internal/lab/tier_checker.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// View is what one softswitch's admin endpoint says of its tier at a time.
+// View is what one softswitch's admin endpoint reports of the tier at a time.
 type View struct {
 	States    []string // state of each member, by index
 	Majority  bool     // whether the softswitch sees a majority of the tier
@@ -19,8 +19,8 @@
 // isAvailable reports whether a state means that the member takes part.
 func isAvailable(state string) bool { return state == "alive" || state == "draining" }
 
-// Detection is how the other softswitches saw one that the lab killed, stopped or paused. Unless a field says
-// otherwise, times are since the start of the fault; a negative time: the event was not seen.
+// Detection records when the other softswitches noticed that the lab had killed, stopped or paused a softswitch. Unless
+// a field's comment says otherwise, times are since the start of the fault; a negative time: the event was not seen.
 type Detection struct {
 	Softswitch   string        `json:"softswitch"`
 	Kind         string        `json:"kind"`
@@ -40,7 +40,7 @@
 	By, Of string        // By is the member that reported, Of the softswitch
 }
 
-// recoveryGrace is the time after the end of a fault or a partition in which members' views can still be due to it.
+// recoveryGrace is the time after the end of a fault or a partition in which the members' views may still show its effects.
 const recoveryGrace = 3 * time.Second
 
 // TierChecker checks the softswitches' views of each other. Like Checker, it does no I/O and reads no clock.
@@ -53,7 +53,7 @@
 	detections       []*Detection
 	falseDeaths      []FalseDeath
 	maintenanceRuns  []*MaintenanceRun
-	endedRequests    map[int]bool          // not used
+	endedRequests    map[int]bool          // unused
 	maxOut           int                   // greatest number of softswitches out for maintenance in one sample
 	violations       map[string]*Violation // by rule
 }
@@ -115,7 +115,7 @@
 }
 
 // RecordView records a softswitch's view of its tier. It checks that a softswitch without a majority reduces its
-// quota of cold servers' budgets, and looks for false deaths.
+// quota of cold servers' budgets at least to the fraction of members that it sees, and looks for false deaths.
 func (c *TierChecker) RecordView(at time.Duration, observer int, view View) {
 	previous := c.lastViews[observer]
 	if len(view.States) != len(c.lastViews) || c.faulted[observer] {
