--- a/internal/explore/budget.go
+++ b/internal/explore/budget.go
@@ -42,10 +42,12 @@
 	return result
 }
 
+// receive passes a datagram to the reducer.
 func (p *budgetProcess) receive(now time.Duration, from int, data []byte) stepEffects {
 	return p.step(now, budget.Datagram{From: from, Data: data})
 }
 
+// timerFired passes a timer to the reducer.
 func (p *budgetProcess) timerFired(now time.Duration, token any) stepEffects {
 	return p.step(now, budget.TimerFired{Token: token.(budget.Token)})
 }
@@ -79,6 +81,7 @@
 	return process, result
 }
 
+// converged does nothing: startMember has already declared a server cold.
 func (p *budgetProtocol) converged(*tierModel) {}
 
 // memberKilled informs the running members at once that a member is dead.
@@ -90,6 +93,7 @@
 	}
 }
 
+// checkStep checks ExclusiveUnits.
 func (p *budgetProtocol) checkStep(t *tierModel, _ int) { p.checkTimePassed(t) }
 
 // usedUnits returns the units of a member's quota that running members use, and how many members use any. It checks
--- a/internal/explore/callmodel.go
+++ b/internal/explore/callmodel.go
@@ -9,6 +9,7 @@
 	"elmseam/internal/core"
 )
 
+// Protocol and times of the call model.
 const (
 	releaseGuardTime = 200 * time.Millisecond // release guard of the core
 	modelProtocol    = core.Protocol("f")
@@ -39,13 +40,13 @@
 	Started             bool        // the caller has sent the set-up
 	CallerConn          core.ConnID // connection of the caller's last set-up
 	Cell                int         // cell of the caller
-	Deadline            core.Time   // when the caller stops to wait for an answer
+	Deadline            core.Time   // when the caller stops waiting for an answer
 	State               attemptState
 	Conn                core.ConnID // connection of the last attempt or end to a server
 	Server              int         // server of the last attempt; where the call is established
 	Established         bool        // the server has answered and not released the call
 	LateAnswerFrom      int         // 1 + index of a server that may still answer an attempt that has ended; 0: none
-	RepeatedReleaseFrom int         // 1 + index of a server whose release may come again or cross that of the core; 0: none
+	RepeatedReleaseFrom int         // 1 + index of a server that may repeat its release, or whose release may cross that of the core; 0: none
 	Repeated            bool        // the caller has sent the set-up again
 	Account             account
 }
--- a/internal/explore/maintenance.go
+++ b/internal/explore/maintenance.go
@@ -25,8 +25,8 @@
 	workFinished  struct{ Incarnation uint8 } // an operator has finished the work on the member
 )
 
-// maintenanceProtocol runs the maintenance reducer of each member. Two members receive requests at the same time, for the
-// maintenance of members 0 and 1; none is for the last of three members.
+// maintenanceProtocol runs the maintenance reducer of each member. The first and the last member receive requests at the same
+// time, for the maintenance of members 0 and 1. In a tier of three members no request is for member 2.
 type maintenanceProtocol struct {
 	Limits          maintenance.Limits
 	MaintainedCount []int // completed maintenance runs, indexed by member
@@ -55,6 +55,7 @@
 	return p.collectEffects(now, p.Reducer.Step(now, ev))
 }
 
+// receive passes a datagram to the reducer.
 func (p *maintenanceProcess) receive(now time.Duration, from int, data []byte) stepEffects {
 	return p.step(now, maintenance.Datagram{From: from, Data: data})
 }
@@ -78,7 +79,8 @@
 	return p.step(now, maintenance.MemberAvailability{Member: p.Self})
 }
 
-// workDuration is the time from the start of a drain to the end of the last call, and that of the work on a member.
+// workDuration is the time from the start of a drain to the end of the last call, and also the duration of the work on a
+// member.
 const workDuration = 300 * time.Millisecond
 
 // collectEffects applies the reducer's effects to the process, and returns the datagrams and timers among them.
@@ -166,6 +168,7 @@
 	}
 }
 
+// checkTimePassed does nothing: all invariants are checked after steps or in the settled state.
 func (p *maintenanceProtocol) checkTimePassed(*tierModel) {}
 
 // checkSettled checks NoStuckDrain and MaintainedOnce. A member that has lost its records by a restart may be maintained not
--- a/internal/explore/membership.go
+++ b/internal/explore/membership.go
@@ -34,10 +34,12 @@
 // membershipProcess is the running process of a member: its membership reducer.
 type membershipProcess struct{ Reducer *membership.Reducer }
 
+// receive passes a datagram to the reducer.
 func (p *membershipProcess) receive(now time.Duration, from int, data []byte) stepEffects {
 	return membershipEffects(p.Reducer.Step(now, membership.Datagram{From: from, Data: data}))
 }
 
+// timerFired passes a timer to the reducer.
 func (p *membershipProcess) timerFired(now time.Duration, token any) stepEffects {
 	return membershipEffects(p.Reducer.Step(now, membership.TimerFired{Token: token.(membership.Token)}))
 }
@@ -65,6 +67,7 @@
 	return &membershipProcess{reducer}, membershipEffects(effects)
 }
 
+// converged and memberKilled do nothing: membership needs no request, and detects a killed member by itself.
 func (p *membershipProtocol) converged(*tierModel)         {}
 func (p *membershipProtocol) memberKilled(*tierModel, int) {}
 
--- a/internal/explore/tier.go
+++ b/internal/explore/tier.go
@@ -10,6 +10,7 @@
 	"elmseam/internal/datagram"
 )
 
+// Limits and times of the models of a tier.
 const (
 	// maxBurst is the maximum number of datagrams that one event at one member may cause in a tier of at most four members.
 	maxBurst      = 48
@@ -64,12 +65,12 @@
 	Paused           bool
 	Timers           []memberTimer  // in the order of their requests
 	HeldDatagrams    []sentDatagram // datagrams that arrived while the member was paused
-	DiedAt           time.Duration  // if killed
+	DiedAt           time.Duration  // when the member was killed, if it is not running
 	UndisturbedSince time.Duration  // start of the process, or end of its last pause
 	Incarnations     uint8          // starts so far
 }
 
-// sentDatagram is a datagram in transit or held for a paused member.
+// sentDatagram is a datagram in transit, or one that waits for a paused member to resume.
 type sentDatagram struct {
 	From, To  int
 	Data      []byte
@@ -124,7 +125,7 @@
 	}
 }
 
-// startMember starts a new process of a member.
+// startMember starts a process of a member, at first or after the member was killed.
 func (t *tierModel) startMember(index int) {
 	member := &t.Members[index]
 	incarnation := member.Incarnations
