--- a/cmd/elmseam/main.go
+++ b/cmd/elmseam/main.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// run runs the softswitch until it is told to stop. It returns an error if the softswitch cannot start.
+// run runs the softswitch until a signal stops it. It returns an error if the softswitch cannot start.
 func run() error {
 	// Signals are caught before anything else, because an uncaught signal ends the process. Stop and reload signals
 	// have separate channels, so that many signals of one kind cannot displace one of the other.
@@ -128,7 +128,7 @@
 		} else {
 			var tierDone sync.WaitGroup
 			tierCtx, stopTier := context.WithCancel(context.Background())
-			defer tierDone.Wait() // the socket tells the other members that this one leaves
+			defer tierDone.Wait() // before it closes, the socket informs the other members that this one leaves
 			defer stopTier()
 			tierDone.Go(func() { tierSocket.Run(tierCtx, joinEvents...) })
 		}
--- a/cmd/elmseam/main_test.go
+++ b/cmd/elmseam/main_test.go
@@ -21,7 +21,8 @@
 	"elmseam/internal/leak"
 )
 
-const testTimeout = 20 * time.Second // limit for events that must occur; a passing test does not wait it out
+// testTimeout is the limit for events that must occur; a passing test does not wait it out.
+const testTimeout = 20 * time.Second
 
 // TestMain runs the program instead of the tests if a test started this binary as the program.
 func TestMain(m *testing.M) {
@@ -32,6 +33,7 @@
 	leak.Main(m)
 }
 
+// testSettings are the settings in the program's configuration: one class, at most four attempts.
 const testSettings = `{"request-classes":[{"name":"voice","effect":"free","gain":1,"objective-us":1000000,"hard-limit-us":3000000}],
  "family-info":{"own-number":-1,"release-guard-us":200000,"retransmit-us":500000},
  "limits":{"max-attempts":4,"max-open":100,"connect-timeout-us":500000,"retry-after":true,"max-retry-after-us":2000000,"cancel":true},
@@ -564,7 +566,7 @@
 }
 
 // TestM3UAAndBGP checks that the program listens for M3UA callers at the configured address, serves such a caller by a
-// platform server, and announces the service address over BGP until it is told to stop.
+// platform server, and announces the service address over BGP until a signal stops it.
 func TestM3UAAndBGP(t *testing.T) {
 	serverListener, neighbour := listen(t), listen(t)
 	path := filepath.Join(t.TempDir(), "m3ua.toml")
--- a/cmd/elmseam/upgrade.go
+++ b/cmd/elmseam/upgrade.go
@@ -36,7 +36,7 @@
 	listenerShared    bool                        // the successor has the callers' listener too
 	listenerClosing   bool                        // the callers' listener is being closed
 	successorServing  bool                        // the successor serves callers
-	stopping          bool                        // this process was told to stop
+	stopping          bool                        // a stop of this process was requested
 	transferring      bool                        // this process is transferring its callers' connections
 	transferred       map[core.ConnID]bool        // callers' connections that the successor has; nil without a successor
 }
@@ -135,7 +135,7 @@
 	}
 }
 
-// reportServing tells the predecessor that this process serves callers, so that the predecessor may exit.
+// reportServing informs the predecessor that this process serves callers, so that the predecessor may exit.
 func (u *upgrader) reportServing() {
 	if u.predecessor != nil {
 		u.predecessor.Send(handover.Message{Kind: handover.Serving})
@@ -243,7 +243,7 @@
 	}
 }
 
-// requestStop records that this process was told to stop, and reports whether there is a successor.
+// requestStop records that a stop of this process was requested, and reports whether there is a successor.
 func (u *upgrader) requestStop() bool {
 	u.mu.Lock()
 	u.stopping = true
@@ -267,8 +267,8 @@
 	}
 }
 
-// transferIfReady starts the transfer of the callers' connections once the successor serves and this process was told to
-// stop.
+// transferIfReady starts the transfer of the callers' connections once the successor serves and a stop of this process was
+// requested.
 func (u *upgrader) transferIfReady() {
 	u.mu.Lock()
 	starts := u.successorServing && u.stopping && !u.transferring
@@ -327,8 +327,8 @@
 	}
 }
 
-// finish tells the successor which calls have ended recently, as repeated messages about them may still arrive there,
-// and closes the connection to the successor.
+// finish sends the successor the ids of the calls that have ended recently, as repeated messages about them may still
+// arrive there, and closes the connection to the successor.
 func (u *upgrader) finish(reducer *core.Core) {
 	u.mu.Lock()
 	successor, transferring := u.successor, u.transferring
@@ -346,7 +346,7 @@
 // memoryShare sets this process's memory limit. During a hand-over, the configured limit is divided among the processes
 // that run side by side.
 type memoryShare struct {
-	mu             sync.Mutex
+	mu             sync.Mutex // guards the fields below
 	limits         config.Limits
 	otherProcesses int // processes that run beside this one
 }
--- a/cmd/elmseam/upgrade_test.go
+++ b/cmd/elmseam/upgrade_test.go
@@ -91,7 +91,7 @@
 	}
 }
 
-// TestUpgradeWithKilledProcess kills a successor before its predecessor was told to stop: the predecessor must serve on,
+// TestUpgradeWithKilledProcess kills a successor before the predecessor is stopped: the predecessor must continue to serve,
 // and another successor must be able to take over. Then it kills the predecessor while a set-up is outstanding: the
 // successor must answer the set-up.
 func TestUpgradeWithKilledProcess(t *testing.T) {
