--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -16,7 +16,8 @@
 
 // EffectHandler executes effects on one connection.
 type EffectHandler interface {
-	// HandleEffect executes an effect and returns the events that follow from it at once. It must not block.
+	// HandleEffect executes an effect and returns the events that result immediately, without an answer from the peer. It
+	// must not block.
 	HandleEffect(core.Effect) []core.Event
 	// Close closes the connection immediately. It must not block.
 	Close()
