--- a/internal/m3ua/m3ua_test.go
+++ b/internal/m3ua/m3ua_test.go
@@ -468,7 +468,7 @@
 	client.wantMessage(t, msgBEATACK)
 }
 
-// TestUnconfirmedReleaseIsRepeated guards against losing a circuit for good each time that a server loses a REL, or its
+// TestUnconfirmedReleaseIsRepeated guards against losing a circuit permanently when a server loses a REL, or its
 // own RLC: the softswitch must repeat the REL.
 func TestUnconfirmedReleaseIsRepeated(t *testing.T) {
 	serverListener := listen(t)
--- a/internal/m3ua/server.go
+++ b/internal/m3ua/server.go
@@ -229,7 +229,8 @@
 // Flush waits briefly until the queued messages are written.
 func (s *serverConn) Flush() { s.out.Flush() }
 
-// HandleEffect sends the ISUP message for an effect to the server. It returns the events that follow at once.
+// HandleEffect sends the ISUP message for an effect to the server. It returns core.NotSent for offers that it could not send
+// or could retract, and core.EndWritten for an end that needs no message.
 func (s *serverConn) HandleEffect(e core.Effect) []core.Event {
 	switch e := e.(type) {
 	case core.Offer:
