--- a/internal/mgmt/servers.go
+++ b/internal/mgmt/servers.go
@@ -18,7 +18,7 @@
 // ServersStatus is the answer of /ops/servers: what each member of the tier has reported of each server and how old the
 // reports are, and which member holds which units of the budgets of cold servers.
 type ServersStatus struct {
-	Self    int            `json:"self"`    // own index
+	Self    int            `json:"self"`    // index of this softswitch
 	Servers []ServerStatus `json:"servers"` // in the order of the server list; empty: knowledge is off
 	AnyCold bool           `json:"active"`  // a server is cold, and members hold units of its budget
 	Quotas  []Quota        `json:"parts"`   // by member; empty: the quotas are fixed
@@ -28,7 +28,7 @@
 type ServerStatus struct {
 	Name           string         `json:"name"`
 	State          string         `json:"state"`             // ready, draining or gone
-	DrainReported  bool           `json:"heard"`             // draining only by another member's newer list, not by the own list
+	DrainReported  bool           `json:"heard"`             // draining only by another member's newer list, not by this softswitch's list
 	HoldBackShare  float64        `json:"share"`             // fraction of new set-ups to hold back, from all reports, 0 to 1
 	MeanRate       float64        `json:"rate"`              // mean number of set-ups per second that the server takes from another member
 	FailingShare   float64        `json:"failing"`           // share of the other members, by weight, that consider the server failing
