--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -136,8 +136,8 @@
 	MinAim              time.Duration // shortest aim of all classes: the time within which a call should be established
 	MaxMeanHold         time.Duration // longest mean holding time of all classes
 	MaxOpenCalls        int           // max. calls open at the same time
-	Self                int           // own index in the tier; -1: not given
-	Zone                int           // own zone; -1: not given
+	Self                int           // index of this softswitch in the tier; -1: not given
+	Zone                int           // zone of this softswitch; -1: not given
 	TierSize            int           // number of softswitches in the tier; 0: not given
 	PeerMessagesEnabled bool          // datagrams between softswitches are permitted
 	ProbesEnabled       bool          // probes of connections to servers are permitted
