--- a/internal/config/members.go
+++ b/internal/config/members.go
@@ -31,7 +31,7 @@
 	Confirmations  int      `toml:"confirm"`       // independent confirmations that shorten a suspicion to the min.
 	RetransmitMult int      `toml:"retransmit"`    // transmissions of an update, times the logarithm of the tier's size
 	MaxHealth      int      `toml:"health"`        // max. local health multiplier; 0: local health is not used
-	StallThreshold duration `toml:"stall"`         // lateness of an own timer that counts as a pause of this process; 0: never
+	StallThreshold duration `toml:"stall"`         // lateness of a timer of this process that counts as a pause of the process; 0: never
 	ReclaimPeriods int      `toml:"reclaim"`       // periods between two probes of members considered dead
 
 	Maintenance Maintenance `toml:"maintenance"`
