--- a/internal/explore/callmodel.go
+++ b/internal/explore/callmodel.go
@@ -218,7 +218,8 @@
 	return -1
 }
 
-// step passes an event to the core and applies the effects that the core requests, with the events that follow at once.
+// step passes an event to the core and applies the effects that the core requests, then does the same with the events that
+// result immediately from these effects.
 func (m *CallModel) step(ev core.Event) {
 	events := []core.Event{ev}
 	for len(events) > 0 {
@@ -231,7 +232,7 @@
 	m.Timers = slices.DeleteFunc(m.Timers, func(t timer) bool { return m.Core.TimerObsolete(t.Token) })
 }
 
-// applyEffect applies an effect to the environment of the core. It returns the events that are known at once, as the effect
+// applyEffect applies an effect to the environment of the core. It returns the events that result immediately, as the effect
 // handlers of the softswitch do.
 func (m *CallModel) applyEffect(e core.Effect) (events []core.Event) {
 	switch e := e.(type) {
