--- a/internal/lab/run_test.go
+++ b/internal/lab/run_test.go
@@ -130,9 +130,9 @@
 }
 
 // Membership and maintenance with datagrams lost (30%), duplicated and reordered: all members see a killed member
-// dead and then available again, a member cut off is available again after the partition, and all views agree in the
-// end. All three members are maintained, one at a time, each once, although the member that was asked dies at once
-// and another one is cut off; no call is lost for the maintenance.
+// dead and then available again, a partitioned member is available again after the partition, and all views agree in the
+// end. All three members are maintained, one at a time, each once, although the member that received the requests is killed
+// shortly afterwards and another member is partitioned; no call is lost because of the maintenance.
 func TestFleetWithMembership(t *testing.T) {
 	bin := buildSoftswitch(t)
 	scenario := shortScenario("members",
--- a/internal/lab/standin_server.go
+++ b/internal/lab/standin_server.go
@@ -32,7 +32,7 @@
 	establishedCalls int
 	slowdown         float64      // factor on the service time; 1: normal speed
 	stalledMembers   map[int]bool // softswitches whose connections are left silent
-	removed          bool         // accepts no connections any more
+	removed          bool         // no longer accepts connections
 	wg               sync.WaitGroup
 }
 
