--- a/cmd/elmseam/upgrade_test.go
+++ b/cmd/elmseam/upgrade_test.go
@@ -78,7 +78,7 @@
 	third.wantConnsTakenOver(2)
 	fmt.Fprintf(successorPeer, `{"op":"end","call":"%016x","with":{},"why":16}`+"\n", 4)
 	partial.wantFrame(12, 4)
-	if err := successor.cmd.Wait(); err != nil { // no call is left
+	if err := successor.cmd.Wait(); err != nil { // no call remains
 		t.Errorf("the predecessor exits with %v", err)
 	}
 }
