--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -304,7 +304,7 @@
 	if err == nil {
 		switch {
 		case m.Kind != Hello || m.Version != Version:
-			refusal = fmt.Sprintf("this process requires message version %d", Version)
+			refusal = fmt.Sprintf("version %d is spoken here", Version)
 		case m.Listen != listen:
 			refusal = fmt.Sprintf("%s is served here", listen)
 		}
--- a/internal/mgmt/maintenance.go
+++ b/internal/mgmt/maintenance.go
@@ -40,7 +40,7 @@
 func (s *AdminServer) handleMaintenance(method string, names []string) (status int, text string, allow []string) {
 	snapshot := s.Snapshot()
 	if time.Since(snapshot.At) > s.Limits.MaxStatsAge {
-		return http.StatusServiceUnavailable, "no recent statistics\n", nil
+		return http.StatusServiceUnavailable, "no figures of late\n", nil
 	}
 	stats := snapshot.Maintenance
 	if stats == nil {
@@ -63,14 +63,14 @@
 	var event maintenance.Event = maintenance.Request{Members: members}
 	switch {
 	case len(members) == 0:
-		return http.StatusBadRequest, "member: missing; add ?member=NAME, once for each member\n", nil
+		return http.StatusBadRequest, "member: missing; ?member=NAME, as often as needed\n", nil
 	case method == http.MethodDelete:
 		event = maintenance.Cancel{Members: members}
 	case !stats.Recovered:
-		return http.StatusServiceUnavailable, "newly started: still asking the tier for its grants\n", nil
+		return http.StatusServiceUnavailable, "just started, and still asking what the tier has granted\n", nil
 	}
 	if !s.enqueue(core.MaintenanceRequest{Event: event}) {
-		return http.StatusServiceUnavailable, "too many orders are waiting\n", nil
+		return http.StatusServiceUnavailable, "too many orders wait\n", nil
 	}
 	s.Log.Info().Str("method", method).Ints("members", members).Msg("operator order: maintenance")
 	return http.StatusAccepted, "", nil
--- a/internal/mgmt/mgmt.go
+++ b/internal/mgmt/mgmt.go
@@ -109,11 +109,11 @@
 	case err == io.EOF: // the client closed without a request, for example after a check that the port is open
 		return
 	case errors.As(err, &netErr) && netErr.Timeout():
-		s.writeResponse(conn, http.StatusRequestTimeout, "no request arrived in time\n")
+		s.writeResponse(conn, http.StatusRequestTimeout, "no call came in time\n")
 	case err != nil && limited.N <= 0:
-		s.writeResponse(conn, http.StatusRequestHeaderFieldsTooLarge, "the request is too long\n")
+		s.writeResponse(conn, http.StatusRequestHeaderFieldsTooLarge, "the call is too long\n")
 	case err != nil:
-		s.writeResponse(conn, http.StatusBadRequest, "malformed request\n")
+		s.writeResponse(conn, http.StatusBadRequest, "the call can't be read\n")
 	default:
 		status, text, allow := s.handle(req.Method, req.URL.Path, req.URL.Query()["member"])
 		s.writeResponse(conn, status, text, allow...)
@@ -133,7 +133,7 @@
 		return s.handleMaintenance(method, members)
 	case pathReady, pathStats, pathMembers, pathServers, pathDrainStart, pathDrainStop:
 	default:
-		return http.StatusNotFound, "no such path\n", nil
+		return http.StatusNotFound, "no such call\n", nil
 	}
 	if method != wantMethod {
 		return http.StatusMethodNotAllowed, wantMethod + " only\n", []string{wantMethod}
@@ -141,7 +141,7 @@
 	snapshot := s.Snapshot()
 	if wantMethod == http.MethodGet {
 		if time.Since(snapshot.At) > s.Limits.MaxStatsAge {
-			return http.StatusServiceUnavailable, "no recent statistics\n", nil
+			return http.StatusServiceUnavailable, "no figures of late\n", nil
 		}
 		switch path {
 		case pathStats:
@@ -164,7 +164,7 @@
 			return http.StatusOK, text, nil
 		case pathServers:
 			if snapshot.Knowledge == nil && snapshot.Quotas == nil {
-				return http.StatusNotFound, "knowledge and quotas ([parts]) are off\n", nil
+				return http.StatusNotFound, "knowledge and parts are off\n", nil
 			}
 			return http.StatusOK, serversJSON(snapshot), nil
 		case pathMembers:
@@ -180,7 +180,7 @@
 		return http.StatusServiceUnavailable, "stopping\n", nil
 	}
 	if !s.enqueue(core.Drain{On: on}) {
-		return http.StatusServiceUnavailable, "too many orders are waiting\n", nil
+		return http.StatusServiceUnavailable, "too many orders wait\n", nil
 	}
 	s.SetDraining(on)
 	s.Log.Info().Bool("drain", on).Msg("operator order: drain")
