--- a/cmd/elmseam/upgrade_test.go
+++ b/cmd/elmseam/upgrade_test.go
@@ -78,7 +78,7 @@
 	third.wantConnsTakenOver(2)
 	fmt.Fprintf(successorPeer, `{"op":"end","call":"%016x","with":{},"why":16}`+"\n", 4)
 	partial.wantFrame(12, 4)
-	if err := successor.cmd.Wait(); err != nil { // no call is left
+	if err := successor.cmd.Wait(); err != nil { // no call remains
 		t.Errorf("the predecessor exits with %v", err)
 	}
 }
@@ -91,7 +91,7 @@
 	}
 }
 
-// TestUpgradeWithKilledProcess kills a successor before its predecessor was told to stop: the predecessor must serve on,
+// TestUpgradeWithKilledProcess kills a successor before the predecessor is stopped: the predecessor must continue to serve,
 // and another successor must be able to take over. Then it kills the predecessor while a set-up is outstanding: the
 // successor must answer the set-up.
 func TestUpgradeWithKilledProcess(t *testing.T) {
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -58,7 +58,7 @@
 	SinceMS int64  `json:"since_ms"` // start of the server, in milliseconds
 }
 
-// List converts a command to a server list for the core. protocolFor returns the protocol of a server, cached says that the
+// List converts a command to a server list for the core. protocolFor returns the protocol of a server; cached says whether the
 // command was stored before the start. Entries with an unknown status or without a name are left out; the error names the last
 // of them.
 func (c Command) List(protocolFor func(name string) core.Protocol, cached bool) (list core.ServerList, err error) {
@@ -88,7 +88,7 @@
 	cursorMu   sync.Mutex     // guards Cursor
 	sampledLog zerolog.Logger // for events that the channel can cause at any rate
 
-	mu              sync.Mutex
+	mu              sync.Mutex // guards the fields below
 	address         string
 	initialCommands []Command // commands received along with address and not handled yet
 	disconnect      func()    // cancels the context of the current connection
@@ -293,7 +293,7 @@
 	stopAfterFunc  func() bool // detaches the connection from the context whose end closes it
 	chunked        bool
 	chunkRemaining int    // unread bytes of the current chunk
-	lineBuf        []byte // the current line, as far as read
+	lineBuf        []byte // the part of the current line that was read
 }
 
 // close closes the connection.
@@ -302,6 +302,7 @@
 	r.conn.Close()
 }
 
+// Errors of reader.
 var (
 	errBadResponse = errors.New("unexpected HTTP response")
 	errTooLong     = errors.New("line or event too long")
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -89,10 +89,10 @@
 	readBuf []byte
 	writeMu sync.Mutex // serializes the writes of writeLoop and SendFile
 
-	mu          sync.Mutex
-	queue       [][]byte // encoded messages
-	queuedBytes int      // total size of queue
-	writing     bool     // writeLoop is running
+	mu          sync.Mutex // guards the fields below
+	queue       [][]byte   // encoded messages
+	queuedBytes int        // total size of queue
+	writing     bool       // writeLoop is running
 	closed      bool
 }
 
@@ -191,6 +191,7 @@
 	}
 }
 
+// errTruncated is the error for a message of which the kernel did not deliver all bytes or control data.
 var errTruncated = errors.New("message truncated")
 
 // Receive waits for the next message and returns it with the file attached to it, or nil if there is none.
--- a/internal/mgmt/members.go
+++ b/internal/mgmt/members.go
@@ -14,10 +14,10 @@
 
 // TierStatus is the answer of /ops/members: this softswitch's view of its tier.
 type TierStatus struct {
-	Self              int            `json:"self"`      // own index
+	Self              int            `json:"self"`      // index of this softswitch
 	Health            int            `json:"health"`    // local health multiplier; 0 is best
 	Majority          bool           `json:"majority"`  // more than half of the tier is available
-	ColdQuotaFraction float64        `json:"coldShare"` // fraction used of the own quota of a cold server's budget, over 0 to 1
+	ColdQuotaFraction float64        `json:"coldShare"` // fraction of its quota of a cold server's budget that this softswitch uses, over 0 to 1
 	Members           []MemberStatus `json:"members"`   // by index
 }
 
@@ -31,7 +31,7 @@
 	LastDatagramAgeMS *int64 `json:"heardMs"`     // age of its last datagram, in milliseconds; null: none received, or this softswitch
 }
 
-// membersJSON formats the answer of /ops/members. Addresses are the members' addresses, by index.
+// membersJSON formats the answer of /ops/members. addresses are the members' addresses, by index.
 func membersJSON(snapshot loop.Snapshot, addresses []string) string {
 	stats := snapshot.Members
 	now := membership.Time(snapshot.At.UnixNano())
--- a/internal/mgmt/mgmt.go
+++ b/internal/mgmt/mgmt.go
@@ -120,9 +120,9 @@
 	}
 }
 
-// handle carries out a request and returns the status and the text of the response. Members are the values of the query
-// parameter "member". Allow lists the permitted methods where the path doesn't permit the request's method; else it is
-// nil.
+// handle carries out a request and returns the status and the text of the response. members are the values of the query
+// parameter "member". allow lists the permitted methods if the path doesn't permit the request's method; otherwise it
+// is nil.
 func (s *AdminServer) handle(method, path string, members []string) (status int, text string, allow []string) {
 	wantMethod := http.MethodGet
 	if path == pathDrainStart || path == pathDrainStop {
--- a/internal/platform/server.go
+++ b/internal/platform/server.go
@@ -22,7 +22,7 @@
 // server is a connection to a server. It is the loop.EffectHandler of that connection; readLines is its receiving side.
 type server struct {
 	platform *Platform
-	name     string // of the server
+	name     string // name of the server
 	connID   core.ConnID
 	outbox   *link.Outbox
 
@@ -180,7 +180,7 @@
 // own choice. When several such intervals have passed without a line from a server, the set-ups outstanding on the connection
 // will not be answered either. One detector serves all connections, so a new connection uses the intervals seen before it.
 type silenceDetector struct {
-	mu          sync.Mutex
+	mu          sync.Mutex    // guards the fields below
 	maxInterval time.Duration // recent maximum of the time between two reports
 	intervals   int           // number of intervals observed
 }
@@ -189,7 +189,7 @@
 const (
 	minIntervals     = 3  // intervals that must be observed before any connection counts as silent
 	silenceIntervals = 3  // maximum intervals without a line after which a connection counts as silent
-	maxIntervalDecay = 32 // each interval moves the maximum by 1/32 of the difference towards that interval, if it is shorter
+	maxIntervalDecay = 32 // an interval shorter than the maximum lowers the maximum by 1/32 of their difference
 )
 
 // observe records the time between two state reports on one connection.
