--- a/internal/lab/relay.go
+++ b/internal/lab/relay.go
@@ -9,137 +9,102 @@
 	"time"
 )
 
-// MaxDatagram is the largest datagram between softswitches (PROTOCOL, "Between softswitches").
+// MaxDatagram is the size in bytes of the largest datagram between softswitches (PROTOCOL, "Between softswitches").
 const MaxDatagram = 256
 
-// NetworkConditions is what happens to datagrams between softswitches now. It does no I/O; the relay asks it of each datagram.
-type NetworkConditions struct {
-	Groups    map[int]int // softswitch → group; those in different groups don't hear each other
-	OneWay    bool        // only datagrams from group 0 to the others are dropped
-	Loss      float64
-	Duplicate float64
-	Delay     time.Duration
-	Reorder   time.Duration // each datagram held a random share of this
-}
-
-// Delivery is what becomes of one datagram: dropped, or sent once or twice after these delays.
-type Delivery struct {
-	Drop   bool
-	Delays []time.Duration
-}
-
-// Deliver says what becomes of a datagram from one softswitch to another.
-func (w *NetworkConditions) Deliver(from, to int, r *rand.Rand) Delivery {
-	if w.Groups != nil {
-		gf, gt := w.Groups[from], w.Groups[to]
-		if gf != gt && (!w.OneWay || gf == 0) {
-			return Delivery{Drop: true}
-		}
-	}
-	if w.Loss > 0 && r.Float64() < w.Loss {
-		return Delivery{Drop: true}
-	}
-	delay := func() time.Duration {
-		d := w.Delay
-		if w.Reorder > 0 {
-			d += time.Duration(r.Int64N(int64(w.Reorder)))
-		}
-		return d
-	}
-	f := Delivery{Delays: []time.Duration{delay()}}
-	if w.Duplicate > 0 && r.Float64() < w.Duplicate {
-		f.Delays = append(f.Delays, delay())
-	}
-	return f
-}
-
-// Relay carries the datagrams between softswitches. Each softswitch is told the relay's address for each peer, and
-// for peers_all; the relay knows a sender by its source address and passes a datagram on from the address that the
-// receiver knows for the sender, so that no kernel or root feature is needed for a partition.
+// Relay carries the datagrams between softswitches under the simulated network conditions. Each softswitch is
+// configured with an address of the relay for each peer and for peers_all. The relay knows a sender by its source
+// address and forwards the datagram from the address that the receiver has for the sender, so that a partition needs
+// no kernel feature and no root rights.
 type Relay struct {
-	faces    []*net.UDPConn // the address that stands for each softswitch
-	all      *net.UDPConn   // peers_all
-	real     []*net.UDPAddr // each softswitch's peer_listen
-	by       map[string]int // source address → softswitch
-	mu       sync.Mutex
-	w        NetworkConditions
-	rand     *rand.Rand
-	stop     chan struct{}
-	wg       sync.WaitGroup
-	Counters RelayCounters
+	peerConns      []*net.UDPConn // by softswitch: the socket at which its peers reach it
+	allPeersConn   *net.UDPConn   // the socket for peers_all
+	memberAddrs    []*net.UDPAddr // by softswitch: its peer_listen address
+	memberBySource map[string]int // source address -> index of the softswitch
+	mu             sync.Mutex     // guards conditions and rand
+	conditions     NetworkConditions
+	rand           *rand.Rand
+	stop           chan struct{} // closed to end the relay
+	wg             sync.WaitGroup
+	Counters       RelayCounters
 }
 
-// RelayCounters are the relay's figures.
+// RelayCounters are the relay's counters, of datagrams except for Bytes.
 type RelayCounters struct {
 	Forwarded, Dropped, Duplicated, UnknownSender, Oversized, Bytes atomic.Int64
 }
 
-// NewRelay opens a face for each of the softswitches whose peer_listen addresses are given, on hosts of its own.
-func NewRelay(hosts []string, allHost string, real []*net.UDPAddr, seed uint64) (*Relay, error) {
-	r := &Relay{real: real, by: make(map[string]int), rand: rand.New(rand.NewPCG(seed, 0x72656c)), stop: make(chan struct{})}
-	for i, a := range real {
-		r.by[a.String()] = i
+// NewRelay opens a socket on each of the hosts, one for each of the softswitches whose peer_listen addresses are
+// given, and one for peers_all on allHost.
+func NewRelay(hosts []string, allHost string, memberAddrs []*net.UDPAddr, seed uint64) (*Relay, error) {
+	r := &Relay{memberAddrs: memberAddrs, memberBySource: make(map[string]int),
+		rand: rand.New(rand.NewPCG(seed, 0x72656c)), stop: make(chan struct{})}
+	for i, addr := range memberAddrs {
+		r.memberBySource[addr.String()] = i
 	}
 	open := func(host string) (*net.UDPConn, error) {
 		return net.ListenUDP("udp", &net.UDPAddr{IP: net.ParseIP(host)})
 	}
-	for _, h := range hosts {
-		c, err := open(h)
+	for _, host := range hosts {
+		conn, err := open(host)
 		if err != nil {
 			r.Close()
 			return nil, err
 		}
-		r.faces = append(r.faces, c)
+		r.peerConns = append(r.peerConns, conn)
 	}
 	var err error
-	if r.all, err = open(allHost); err != nil {
+	if r.allPeersConn, err = open(allHost); err != nil {
 		r.Close()
 		return nil, err
 	}
-	for i, c := range r.faces {
+	for i, conn := range r.peerConns {
 		r.wg.Add(1)
-		go r.serve(c, []int{i})
+		go r.serve(conn, []int{i})
 	}
-	every := make([]int, len(real))
-	for i := range every {
-		every[i] = i
+	allMembers := make([]int, len(memberAddrs))
+	for i := range allMembers {
+		allMembers[i] = i
 	}
 	r.wg.Add(1)
-	go r.serve(r.all, every)
+	go r.serve(r.allPeersConn, allMembers)
 	return r, nil
 }
 
-// PeerAddresses are the addresses each softswitch is told for its peers, by place; All is the one for peers_all.
+// PeerAddresses returns the addresses with which the softswitches are configured for their peers, by index of the
+// peer.
 func (r *Relay) PeerAddresses() []string {
-	var out []string
-	for _, c := range r.faces {
-		out = append(out, c.LocalAddr().String())
+	var addresses []string
+	for _, conn := range r.peerConns {
+		addresses = append(addresses, conn.LocalAddr().String())
 	}
-	return out
+	return addresses
 }
 
-// AllPeersAddress is the address told for peers_all.
-func (r *Relay) AllPeersAddress() string { return r.all.LocalAddr().String() }
+// AllPeersAddress returns the address for peers_all.
+func (r *Relay) AllPeersAddress() string { return r.allPeersConn.LocalAddr().String() }
 
-// SetConditions changes the weather.
-func (r *Relay) SetConditions(w NetworkConditions) {
+// SetConditions changes the network conditions for datagrams that arrive from now on.
+func (r *Relay) SetConditions(conditions NetworkConditions) {
 	r.mu.Lock()
-	r.w = w
+	r.conditions = conditions
 	r.mu.Unlock()
 }
 
-func (r *Relay) serve(c *net.UDPConn, to []int) {
+// serve forwards the datagrams that arrive at a socket to its destinations, but not back to the sender, until the
+// socket is closed.
+func (r *Relay) serve(conn *net.UDPConn, destinations []int) {
 	defer r.wg.Done()
-	b := make([]byte, 64<<10)
+	buffer := make([]byte, 64<<10)
 	for {
-		n, from, err := c.ReadFromUDP(b)
+		n, from, err := conn.ReadFromUDP(buffer)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
 			continue
 		}
-		src, ok := r.by[from.String()]
+		src, ok := r.memberBySource[from.String()]
 		switch {
 		case !ok:
 			r.Counters.UnknownSender.Add(1)
@@ -148,33 +113,34 @@
 			r.Counters.Oversized.Add(1)
 			continue
 		}
-		data := append([]byte(nil), b[:n]...)
-		for _, dst := range to {
+		data := append([]byte(nil), buffer[:n]...)
+		for _, dst := range destinations {
 			if dst != src {
-				r.pass(src, dst, data)
+				r.forward(src, dst, data)
 			}
 		}
 	}
 }
 
-func (r *Relay) pass(src, dst int, data []byte) {
+// forward delivers one datagram, or drops it, as the present conditions decide.
+func (r *Relay) forward(src, dst int, data []byte) {
 	r.mu.Lock()
-	fate := r.w.Deliver(src, dst, r.rand)
+	delivery := r.conditions.Deliver(src, dst, r.rand)
 	r.mu.Unlock()
-	if fate.Drop {
+	if delivery.Drop {
 		r.Counters.Dropped.Add(1)
 		return
 	}
-	if len(fate.Delays) > 1 {
+	if len(delivery.Delays) > 1 {
 		r.Counters.Duplicated.Add(1)
 	}
-	for _, d := range fate.Delays {
+	for _, delay := range delivery.Delays {
 		send := func() {
-			r.faces[src].WriteToUDP(data, r.real[dst])
+			r.peerConns[src].WriteToUDP(data, r.memberAddrs[dst])
 			r.Counters.Forwarded.Add(1)
 			r.Counters.Bytes.Add(int64(len(data)))
 		}
-		if d <= 0 {
+		if delay <= 0 {
 			send()
 			continue
 		}
@@ -182,7 +148,7 @@
 		case <-r.stop:
 			return
 		default:
-			time.AfterFunc(d, func() {
+			time.AfterFunc(delay, func() {
 				select {
 				case <-r.stop:
 				default:
@@ -193,7 +159,7 @@
 	}
 }
 
-// Close ends the relay and waits for it.
+// Close closes the sockets and waits for their readers. Delayed datagrams are dropped.
 func (r *Relay) Close() {
 	select {
 	case <-r.stop:
@@ -201,11 +167,11 @@
 	default:
 		close(r.stop)
 	}
-	for _, c := range r.faces {
-		c.Close()
+	for _, conn := range r.peerConns {
+		conn.Close()
 	}
-	if r.all != nil {
-		r.all.Close()
+	if r.allPeersConn != nil {
+		r.allPeersConn.Close()
 	}
 	r.wg.Wait()
 }
--- /dev/null
+++ b/internal/lab/standin_server.go
@@ -0,0 +1,279 @@
+package lab
+
+import (
+	"bufio"
+	"encoding/json"
+	"fmt"
+	"net"
+	"strconv"
+	"sync"
+	"time"
+)
+
+// serverObserver receives what happens at the stand-in servers. The runner implements it, and passes the events to
+// the checker under its lock.
+type serverObserver interface {
+	now() time.Duration
+	attemptReceived(server string, id uint64)
+	attemptEnded(server string, id uint64, outcome AttemptOutcome)
+	capacity(server string, at time.Duration) float64
+}
+
+// standInServer plays an activation server as PROTOCOL describes it. It has a listener for each softswitch, so that
+// it knows the sender, and speaks JSON lines. One processor works on set-ups in turn; a limited number of lines holds
+// calls that stay established for HoldTime.
+type standInServer struct {
+	Server
+	observer         serverObserver
+	mu               sync.Mutex     // guards the fields below except listeners, and serverConn.pending
+	listeners        []net.Listener // by softswitch
+	conns            map[*serverConn]bool
+	busyUntil        time.Duration // when the processor has worked off the set-ups accepted so far
+	establishedCalls int
+	slowdown         float64      // factor on the service time; 1: normal speed
+	stalledMembers   map[int]bool // softswitches whose connections are left silent
+	removed          bool         // accepts no connections any more
+	wg               sync.WaitGroup
+}
+
+// serverConn is a connection from one softswitch.
+type serverConn struct {
+	net.Conn
+	memberIndex int             // the softswitch
+	mu          sync.Mutex      // serialises writes
+	pending     map[uint64]bool // set-ups not yet answered
+}
+
+// send writes one line.
+func (c *serverConn) send(format string, args ...any) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.SetWriteDeadline(time.Now().Add(time.Second))
+	fmt.Fprintf(c.Conn, format+"\n", args...)
+}
+
+// newStandInServer opens a listener on each host, one for each softswitch, and serves them.
+func newStandInServer(config Server, observer serverObserver, hosts []string) (*standInServer, error) {
+	server := &standInServer{Server: config, observer: observer, conns: make(map[*serverConn]bool), slowdown: 1,
+		stalledMembers: make(map[int]bool)}
+	var err error
+	if server.listeners, err = listenEach(hosts); err != nil {
+		return nil, err
+	}
+	for i, listener := range server.listeners {
+		server.wg.Add(1)
+		go server.accept(i, listener)
+	}
+	return server, nil
+}
+
+// addressFor returns the address at which a softswitch reaches this server.
+func (s *standInServer) addressFor(memberIndex int) string {
+	return s.listeners[memberIndex].Addr().String()
+}
+
+// accept serves a softswitch's connections; each one gets a load report at once.
+func (s *standInServer) accept(memberIndex int, listener net.Listener) {
+	defer s.wg.Done()
+	for {
+		conn, err := listener.Accept()
+		if err != nil {
+			return
+		}
+		accepted := &serverConn{Conn: conn, memberIndex: memberIndex, pending: make(map[uint64]bool)}
+		s.mu.Lock()
+		if s.removed {
+			s.mu.Unlock()
+			conn.Close()
+			continue
+		}
+		s.conns[accepted] = true
+		s.mu.Unlock()
+		accepted.send(`{"op":"group","call":"0000000000000000","with":{"load":%q}}`, s.loadReport())
+		s.wg.Add(1)
+		go s.serve(accepted)
+	}
+}
+
+// loadReport returns a load report with the columns of DefaultSettings.
+func (s *standInServer) loadReport() string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return fmt.Sprintf("spare:%d;total:%d;cut_by:0", max(0, s.Lines-s.establishedCalls), s.Lines)
+}
+
+// serverMessage is a line from a softswitch.
+type serverMessage struct {
+	Op    string `json:"op"`
+	Call  string `json:"call"`
+	Cause int    `json:"why"`
+}
+
+// serve handles a connection's lines until the connection ends; the attempts pending then ended by a reset.
+func (s *standInServer) serve(c *serverConn) {
+	defer s.wg.Done()
+	reader := bufio.NewReaderSize(c, 16<<10)
+	for {
+		text, err := reader.ReadSlice('\n')
+		if err != nil {
+			break
+		}
+		var message serverMessage
+		if json.Unmarshal(text, &message) != nil {
+			continue
+		}
+		id, err := strconv.ParseUint(message.Call, 16, 64)
+		if err != nil {
+			continue
+		}
+		switch message.Op {
+		case "test":
+			c.send(`{"op":"tested","call":%q,"with":{},"why":1}`, message.Call)
+		case "offer":
+			s.handleOffer(c, id)
+		case "end":
+			s.mu.Lock()
+			wasPending := c.pending[id]
+			delete(c.pending, id)
+			s.mu.Unlock()
+			if wasPending {
+				s.observer.attemptEnded(s.Name, id, Cancelled)
+			}
+			c.send(`{"op":"ended","call":%q,"with":{}}`, message.Call)
+		}
+	}
+	c.Close()
+	s.mu.Lock()
+	delete(s.conns, c)
+	interrupted := c.pending
+	c.pending = map[uint64]bool{}
+	s.mu.Unlock()
+	for id := range interrupted {
+		s.observer.attemptEnded(s.Name, id, ConnectionReset)
+	}
+}
+
+// handleOffer queues a set-up for the processor, or refuses it: as blocked if no line is free, as swamped if the wait
+// would be too long. A stalled connection gets no answer.
+func (s *standInServer) handleOffer(c *serverConn, id uint64) {
+	s.observer.attemptReceived(s.Name, id)
+	now := s.observer.now()
+	s.mu.Lock()
+	c.pending[id] = true
+	if s.stalledMembers[c.memberIndex] {
+		s.mu.Unlock()
+		return
+	}
+	serviceTime := time.Duration(float64(time.Second) * s.slowdown / max(s.observer.capacity(s.Name, now), 1e-3))
+	startAt := max(now, s.busyUntil)
+	full := s.establishedCalls >= s.Lines
+	swamped := startAt-now > s.MaxQueueDelay.Duration
+	if !full && !swamped {
+		s.busyUntil = startAt + serviceTime
+	}
+	s.mu.Unlock()
+	if full || swamped {
+		note := map[bool]string{true: "blocked", false: "swamped"}[full]
+		s.endAttempt(c, id, Refused, fmt.Sprintf(`{"op":"end","call":"%016x","with":{"note":%q,"load":%q},"why":34}`,
+			id, note, s.loadReport()))
+		return
+	}
+	time.AfterFunc(startAt+serviceTime-now, func() {
+		s.mu.Lock()
+		if !c.pending[id] || s.stalledMembers[c.memberIndex] {
+			s.mu.Unlock()
+			return
+		}
+		s.establishedCalls++
+		s.mu.Unlock()
+		if !s.endAttempt(c, id, Answered, fmt.Sprintf(`{"op":"accept","call":"%016x","with":{"load":%q},"desc":"lab:%s:%016x"}`,
+			id, s.loadReport(), s.Name, id)) {
+			s.releaseLine()
+			return
+		}
+		time.AfterFunc(s.HoldTime.Duration, func() {
+			s.releaseLine()
+			c.send(`{"op":"end","call":"%016x","with":{"load":%q},"why":16}`, id, s.loadReport())
+		})
+	})
+}
+
+// releaseLine frees a line when a call ends. A server that had no free line reports the free line on every open
+// connection.
+func (s *standInServer) releaseLine() {
+	s.mu.Lock()
+	s.establishedCalls--
+	wasFull := s.establishedCalls == s.Lines-1
+	var conns []*serverConn
+	for c := range s.conns {
+		conns = append(conns, c)
+	}
+	s.mu.Unlock()
+	if wasFull {
+		report := s.loadReport()
+		for _, c := range conns {
+			c.send(`{"op":"group","call":"0000000000000000","with":{"load":%q}}`, report)
+		}
+	}
+}
+
+// endAttempt sends the reply that ends a pending set-up. It reports false, and sends nothing, if the set-up is no
+// longer pending.
+func (s *standInServer) endAttempt(c *serverConn, id uint64, outcome AttemptOutcome, reply string) bool {
+	s.mu.Lock()
+	wasPending := c.pending[id]
+	delete(c.pending, id)
+	s.mu.Unlock()
+	if !wasPending {
+		return false
+	}
+	s.observer.attemptEnded(s.Name, id, outcome)
+	c.send("%s", reply)
+	return true
+}
+
+// resetConns resets the connections from the given softswitches, or all connections if members is nil. remove also
+// makes the server refuse new connections.
+func (s *standInServer) resetConns(members map[int]bool, remove bool) {
+	s.mu.Lock()
+	if remove {
+		s.removed = true
+	}
+	var resetting []*serverConn
+	for c := range s.conns {
+		if members == nil || members[c.memberIndex] {
+			resetting = append(resetting, c)
+		}
+	}
+	s.mu.Unlock()
+	for _, c := range resetting {
+		if tcp, ok := c.Conn.(*net.TCPConn); ok {
+			tcp.SetLinger(0)
+		}
+		c.Close()
+	}
+}
+
+// setStalled leaves the connections from the given softswitches silent, or ends that.
+func (s *standInServer) setStalled(members []int, stalled bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, index := range members {
+		s.stalledMembers[index] = stalled
+	}
+}
+
+// setSlowdown sets the factor on the service time.
+func (s *standInServer) setSlowdown(factor float64) {
+	s.mu.Lock()
+	s.slowdown = factor
+	s.mu.Unlock()
+}
+
+// close closes the listeners and resets all connections.
+func (s *standInServer) close() {
+	for _, listener := range s.listeners {
+		listener.Close()
+	}
+	s.resetConns(nil, true)
+}
