--- a/cmd/elmseam/upgrade.go
+++ b/cmd/elmseam/upgrade.go
@@ -16,191 +16,192 @@
 	"elmseam/internal/platform"
 )
 
-// upgrade is this process's part in hand-overs: from an older one at its start, and to a newer one at its end.
-type upgrade struct {
-	path, listen string // the socket of hand-overs, and where callers come
-	limits       handover.Limits
-	loop         *loop.Loop
-	front        *platform.Platform
-	listener     net.Listener
-	memory       *memory
-	log          zerolog.Logger
-	loud         zerolog.Logger // of what comes in masses
+// upgrader performs this process's hand-overs: from a predecessor when it starts, and to a successor when it stops.
+type upgrader struct {
+	socketPath, listenAddr string // path of the hand-over socket, and address for callers
+	limits                 handover.Limits
+	loop                   *loop.Loop
+	platform               *platform.Platform
+	listener               net.Listener // for callers
+	memory                 *memoryShare
+	log                    zerolog.Logger
+	sampledLog             zerolog.Logger // for lines logged once per connection
 
-	old *handover.Peer // the predecessor; nil: there was none
+	predecessor *handover.Peer // nil if there was no predecessor
 
-	mu       sync.Mutex
-	host     *net.UnixListener
-	links    map[core.ConnID]core.ConnID // the predecessor's names of connections, and ours
-	next     *handover.Peer              // the successor
-	lent     bool                        // which has the listener too
-	ended    bool                        // the listener is being closed
-	ready    bool                        // it serves
-	stopping bool                        // and this process is to end
-	moving   bool                        // and hands its callers on
-	passed   map[core.ConnID]bool
+	mu                sync.Mutex                  // guards the fields below
+	successorListener *net.UnixListener           // where a successor connects
+	localConns        map[core.ConnID]core.ConnID // this process's connection ids by the predecessor's
+	successor         *handover.Peer              // nil if there is no successor
+	listenerShared    bool                        // the successor has the callers' listener too
+	listenerClosing   bool                        // the callers' listener is being closed
+	successorServing  bool                        // the successor serves callers
+	stopping          bool                        // this process was told to stop
+	transferring      bool                        // this process is transferring its callers' connections
+	transferred       map[core.ConnID]bool        // callers' connections that the successor has; nil without a successor
 }
 
-// take gets the listener of a process that serves the address, if there is one.
-func (u *upgrade) take(listen string) bool {
-	if a, err := net.ResolveTCPAddr("tcp", listen); err == nil {
-		listen = a.String()
+// takeOver obtains the callers' listener from a running process that serves the address. It reports whether there is
+// such a process.
+func (u *upgrader) takeOver(listenAddr string) bool {
+	if addr, err := net.ResolveTCPAddr("tcp", listenAddr); err == nil {
+		listenAddr = addr.String()
 	}
-	old, l, err := handover.RequestListener(u.path, listen, u.limits)
+	predecessor, l, err := handover.RequestListener(u.socketPath, listenAddr, u.limits)
 	if err != nil {
 		u.log.Debug().Err(err).Msg("nothing to take over")
 		return false
 	}
-	u.old, u.listener, u.links = old, l, make(map[core.ConnID]core.ConnID)
+	u.predecessor, u.listener, u.localConns = predecessor, l, make(map[core.ConnID]core.ConnID)
 	u.log.Info().Msg("taking over from a running process")
 	return true
 }
 
-// follow hears what the predecessor says, until it has gone.
-func (u *upgrade) follow() {
+// followPredecessor handles the predecessor's messages until its connection ends.
+func (u *upgrader) followPredecessor() {
 	defer func() {
-		u.old.Close()
+		u.predecessor.Close()
 		u.loop.Post(core.Predecessor{})
-		u.memory.share(-1)
-		u.wait()
-		u.log.Info().Msg("the predecessor has gone")
+		u.memory.addProcesses(-1)
+		u.listenForSuccessor()
+		u.log.Info().Msg("predecessor disconnected")
 	}()
 	for {
-		m, file, err := u.old.Receive()
+		m, file, err := u.predecessor.Receive()
 		if err != nil {
 			return
 		}
 		switch m.Kind {
-		case handover.Transferring: // the next one is to find this process
-			u.wait()
+		case handover.Transferring: // from now on, the next successor must find this process
+			u.listenForSuccessor()
 			u.loop.Post(core.Predecessor{Present: true, Transferring: true})
 		case handover.CallerConn:
-			u.adopt(m, file)
+			u.adoptConn(m, file)
 		case handover.CallsEnded:
 			u.loop.Post(core.EndedCalls{IDs: m.IDs})
 		case handover.Effect:
 			u.mu.Lock()
-			to := u.links[m.Conn]
+			connID := u.localConns[m.Conn]
 			u.mu.Unlock()
-			u.loop.Post(core.Relayed{Protocol: m.Protocol, Conn: to, Effect: m.ToEffect()})
+			u.loop.Post(core.Relayed{Protocol: m.Protocol, Conn: connID, Effect: m.ToEffect()})
 		}
 	}
 }
 
-// adopt serves a connection of the predecessor's.
-func (u *upgrade) adopt(m handover.Message, file *os.File) {
+// adoptConn serves a caller's connection that the predecessor transferred.
+func (u *upgrader) adoptConn(msg handover.Message, file *os.File) {
 	if file == nil {
 		return
 	}
 	conn, err := net.FileConn(file)
 	file.Close()
 	if err != nil {
-		u.log.Warn().Err(err).Msg("a caller's connection can't be taken over")
-		u.old.Send(handover.Message{Kind: handover.CallerDown, Conn: m.Conn})
+		u.log.Warn().Err(err).Msg("caller's connection not taken over")
+		u.predecessor.Send(handover.Message{Kind: handover.CallerDown, Conn: msg.Conn})
 		return
 	}
-	ours := u.loop.NewConnID()
+	connID := u.loop.NewConnID()
 	u.mu.Lock()
-	u.links[m.Conn] = ours
+	u.localConns[msg.Conn] = connID
 	u.mu.Unlock()
-	up := core.CallerUp{Conn: ours, Protocol: platform.Protocol, HadSetUp: m.Asked, Open: m.Pending, Established: m.Established}
-	u.front.Adopt(conn, m.Unprocessed, up, func() {
+	callerUp := core.CallerUp{Conn: connID, Protocol: platform.Protocol, HadSetUp: msg.Asked, Open: msg.Pending, Established: msg.Established}
+	u.platform.Adopt(conn, msg.Unprocessed, callerUp, func() {
 		u.mu.Lock()
-		delete(u.links, m.Conn)
+		delete(u.localConns, msg.Conn)
 		u.mu.Unlock()
-		u.old.Send(handover.Message{Kind: handover.CallerDown, Conn: m.Conn})
+		u.predecessor.Send(handover.Message{Kind: handover.CallerDown, Conn: msg.Conn})
 	})
-	u.loud.Info().Uint64("link", uint64(ours)).Msg("a caller's connection taken over")
+	u.sampledLog.Info().Uint64("link", uint64(connID)).Msg("caller's connection taken over")
 }
 
-// toPredecessor passes on what concerns a call that is not known here.
-func (u *upgrade) toPredecessor(e core.ToPredecessor) {
-	if u.old == nil {
+// sendToPredecessor forwards an event about a call that only the predecessor knows.
+func (u *upgrader) sendToPredecessor(e core.ToPredecessor) {
+	if u.predecessor == nil {
 		return
 	}
 	switch ev := e.Event.(type) {
 	case core.CallerEnd:
 		var from core.ConnID
 		u.mu.Lock()
-		for of, ours := range u.links {
+		for theirs, ours := range u.localConns {
 			if ours == ev.From {
-				from = of
+				from = theirs
 			}
 		}
 		u.mu.Unlock()
-		u.old.Send(handover.Message{Kind: handover.CallerEnd, Conn: from, ID: ev.ID})
+		u.predecessor.Send(handover.Message{Kind: handover.CallerEnd, Conn: from, ID: ev.ID})
 	case core.ServerEnd:
-		u.old.Send(handover.Message{Kind: handover.ServerEnd, Server: ev.Server, ID: ev.ID, Reason: ev.Reason})
+		u.predecessor.Send(handover.Message{Kind: handover.ServerEnd, Server: ev.Server, ID: ev.ID, Reason: ev.Reason})
 	}
 }
 
-// serving tells the predecessor that it can go.
-func (u *upgrade) serving() {
-	if u.old != nil {
-		u.old.Send(handover.Message{Kind: handover.Serving})
+// reportServing tells the predecessor that this process serves callers, so that the predecessor may exit.
+func (u *upgrader) reportServing() {
+	if u.predecessor != nil {
+		u.predecessor.Send(handover.Message{Kind: handover.Serving})
 	}
 }
 
-// wait has successors find this process. Where that can't be had there is no hand-over.
-func (u *upgrade) wait() {
+// listenForSuccessor opens the hand-over socket for successors. If that fails, there is no hand-over to a successor.
+func (u *upgrader) listenForSuccessor() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.host != nil || u.path == "" || u.moving {
+	if u.successorListener != nil || u.socketPath == "" || u.transferring {
 		return
 	}
-	host, err := handover.Listen(u.path)
+	listener, err := handover.Listen(u.socketPath)
 	if err != nil {
-		u.log.Info().Err(err).Msg("no hand-over to a newer process")
+		u.log.Info().Err(err).Msg("hand-over to a successor is not available")
 		return
 	}
-	u.host = host
+	u.successorListener = listener
 	go func() {
 		for {
-			conn, err := host.AcceptUnix()
+			conn, err := listener.AcceptUnix()
 			if err != nil {
 				return
 			}
-			u.meet(conn)
+			u.acceptSuccessor(conn)
 		}
 	}()
 }
 
-// meet hears a process that has come to take over. One at a time can.
-func (u *upgrade) meet(conn *net.UnixConn) {
+// acceptSuccessor answers a process that asks to take over. It refuses if another process is already taking over.
+func (u *upgrader) acceptSuccessor(conn *net.UnixConn) {
 	u.mu.Lock()
-	why := ""
+	refusal := ""
 	listener, ok := u.listener.(syscall.Conn)
 	switch {
-	case u.next != nil:
-		why = "another process is taking over"
-	case u.ended:
-		why = handover.ReasonExiting
+	case u.successor != nil:
+		refusal = "another process is taking over"
+	case u.listenerClosing:
+		refusal = handover.ReasonExiting
 	case !ok:
-		why = "the listener can't be handed over"
+		refusal = "the listener can't be handed over"
 	default:
-		u.lent = true
+		u.listenerShared = true
 	}
 	u.mu.Unlock()
-	next, err := handover.AcceptSuccessor(conn, u.listen, why, listener, u.limits)
+	successor, err := handover.AcceptSuccessor(conn, u.listenAddr, refusal, listener, u.limits)
 	if err != nil {
 		u.mu.Lock()
-		u.lent = u.next != nil
+		u.listenerShared = u.successor != nil
 		u.mu.Unlock()
 		u.log.Warn().Err(err).Msg("hand-over refused")
 		return
 	}
-	u.log.Info().Msg("a newer process has come")
-	u.memory.share(1)
+	u.log.Info().Msg("successor connected")
+	u.memory.addProcesses(1)
 	u.mu.Lock()
-	u.next, u.passed = next, make(map[core.ConnID]bool)
+	u.successor, u.transferred = successor, make(map[core.ConnID]bool)
 	u.mu.Unlock()
-	go u.serve(next)
+	go u.followSuccessor(successor)
 }
 
-// serve hears what the successor says, until it has gone.
-func (u *upgrade) serve(next *handover.Peer) {
+// followSuccessor handles the successor's messages until its connection ends.
+func (u *upgrader) followSuccessor(successor *handover.Peer) {
 	for {
-		m, file, err := next.Receive()
+		m, file, err := successor.Receive()
 		if file != nil {
 			file.Close()
 		}
@@ -210,12 +211,12 @@
 		switch m.Kind {
 		case handover.Serving:
 			u.mu.Lock()
-			u.ready = true
+			u.successorServing = true
 			u.mu.Unlock()
-			u.move()
+			u.transferIfReady()
 		case handover.CallerDown:
 			u.mu.Lock()
-			delete(u.passed, m.Conn)
+			delete(u.transferred, m.Conn)
 			u.mu.Unlock()
 			u.loop.Post(core.CallerDown{Conn: m.Conn})
 		case handover.CallerEnd:
@@ -224,144 +225,150 @@
 			u.loop.Post(core.ServerEnd{Server: m.Server, ID: m.ID, Reason: m.Reason})
 		}
 	}
-	next.Close()
+	successor.Close()
 	u.mu.Lock()
-	passed := u.passed
-	u.passed = nil
-	if !u.moving {
-		u.next, u.ready, u.lent = nil, false, false
+	transferred := u.transferred
+	u.transferred = nil
+	if !u.transferring {
+		u.successor, u.successorServing, u.listenerShared = nil, false, false
 		if u.stopping {
-			u.front.MarkStopping()
+			u.platform.MarkStopping()
 		}
 	}
 	u.mu.Unlock()
-	u.memory.share(-1)
-	u.log.Warn().Msg("the newer process has gone")
-	for l := range passed {
-		u.loop.Post(core.CallerDown{Conn: l})
+	u.memory.addProcesses(-1)
+	u.log.Warn().Msg("successor disconnected")
+	for connID := range transferred {
+		u.loop.Post(core.CallerDown{Conn: connID})
 	}
 }
 
-// stop takes in that this process is to end, and says whether a successor is there.
-func (u *upgrade) stop() bool {
+// requestStop records that this process was told to stop, and reports whether there is a successor.
+func (u *upgrader) requestStop() bool {
 	u.mu.Lock()
 	u.stopping = true
-	succeeded := u.next != nil
+	hasSuccessor := u.successor != nil
 	u.mu.Unlock()
-	u.move()
-	return succeeded
+	u.transferIfReady()
+	return hasSuccessor
 }
 
-// closeListener has the listener closed. Where a successor has it too, whoever waits there is the successor's, and nothing may
-// be changed about it.
-func (u *upgrade) closeListener() {
+// closeListener closes the callers' listener. If the successor shares the listener, only this process's descriptor is
+// closed: the socket stays unchanged, and the connections in its accept queue are left to the successor.
+func (u *upgrader) closeListener() {
 	u.mu.Lock()
-	u.ended = true
-	lent := u.lent
+	u.listenerClosing = true
+	shared := u.listenerShared
 	u.mu.Unlock()
-	if lent {
+	if shared {
 		u.listener.Close()
 	} else {
-		u.front.CloseListener()
+		u.platform.CloseListener()
 	}
 }
 
-// move hands the callers on when the successor serves and this process is to end.
-func (u *upgrade) move() {
+// transferIfReady starts the transfer of the callers' connections once the successor serves and this process was told to
+// stop.
+func (u *upgrader) transferIfReady() {
 	u.mu.Lock()
-	begins := u.ready && u.stopping && !u.moving
-	if begins {
-		u.moving = true
-		if u.host != nil {
-			u.host.Close()
+	starts := u.successorServing && u.stopping && !u.transferring
+	if starts {
+		u.transferring = true
+		if u.successorListener != nil {
+			u.successorListener.Close()
 		}
-		u.listener.Close() // the successor has the same: nobody who waits there is turned away
-		u.front.SetSuccessor(u)
-		u.next.Send(handover.Message{Kind: handover.Transferring})
+		u.listener.Close() // the successor shares the listener, so connections in the accept queue are not refused
+		u.platform.SetSuccessor(u)
+		u.successor.Send(handover.Message{Kind: handover.Transferring})
 	}
-	u.mu.Unlock() // the loop may want it before it takes the event
-	if !begins {
+	u.mu.Unlock() // the loop may need the mutex before it handles the event posted below
+	if !starts {
 		return
 	}
 	u.loop.Post(core.HandOver{})
-	u.log.Info().Msg("handing over")
+	u.log.Info().Msg("hand-over to the successor started")
 }
 
-// Transfer is handed a caller's connection for the successor.
-func (u *upgrade) Transfer(pass core.Transfer, rest []byte, conn syscall.Conn) error {
+// Transfer sends a caller's connection and its state to the successor.
+func (u *upgrader) Transfer(transfer core.Transfer, unprocessed []byte, conn syscall.Conn) error {
 	u.mu.Lock()
-	next := u.next
+	successor := u.successor
 	u.mu.Unlock()
-	err := next.SendFile(handover.Message{Kind: handover.CallerConn, Conn: pass.To, Unprocessed: rest, Pending: pass.Open, Established: pass.Established, Asked: pass.HadSetUp}, conn)
+	err := successor.SendFile(handover.Message{Kind: handover.CallerConn, Conn: transfer.To, Unprocessed: unprocessed, Pending: transfer.Open, Established: transfer.Established, Asked: transfer.HadSetUp}, conn)
 	if err != nil {
 		return err
 	}
 	u.mu.Lock()
-	gone := u.passed == nil
-	if !gone {
-		u.passed[pass.To] = true
+	successorGone := u.transferred == nil
+	if !successorGone {
+		u.transferred[transfer.To] = true
 	}
 	u.mu.Unlock()
-	if gone { // it may have read of it: nobody can go on there
-		u.loop.Post(core.CallerDown{Conn: pass.To})
+	if successorGone {
+		// The successor may have read from the connection before it exited, so this process cannot go on reading.
+		u.loop.Post(core.CallerDown{Conn: transfer.To})
 	}
 	return nil
 }
 
-// ForwardEffect passes on what is for a caller whose connection the successor has, or with a link of 0 any.
-func (u *upgrade) ForwardEffect(link core.ConnID, e core.Effect) {
-	u.tell(platform.Protocol, link, e)
+// ForwardEffect sends the successor an effect for a caller whose connection the successor has. A connection id of 0
+// stands for any of the successor's connections.
+func (u *upgrader) ForwardEffect(connID core.ConnID, e core.Effect) {
+	u.sendToSuccessor(platform.Protocol, connID, e)
 }
 
-func (u *upgrade) tell(front core.Protocol, link core.ConnID, e core.Effect) {
+// sendToSuccessor sends the successor an effect, if there is a successor and the effect has a message.
+func (u *upgrader) sendToSuccessor(protocol core.Protocol, connID core.ConnID, e core.Effect) {
 	u.mu.Lock()
-	next := u.next
+	successor := u.successor
 	u.mu.Unlock()
-	if m, ok := handover.FromEffect(front, link, e); ok && next != nil {
-		next.Send(m)
+	if m, ok := handover.FromEffect(protocol, connID, e); ok && successor != nil {
+		successor.Send(m)
 	}
 }
 
-// leave tells the successor what it may hear of again, and goes.
-func (u *upgrade) leave(c *core.Core) {
+// finish tells the successor which calls have ended recently, as repeated messages about them may still arrive there,
+// and closes the connection to the successor.
+func (u *upgrader) finish(reducer *core.Core) {
 	u.mu.Lock()
-	next, moving := u.next, u.moving
+	successor, transferring := u.successor, u.transferring
 	u.mu.Unlock()
-	if next == nil {
+	if successor == nil {
 		return
 	}
-	if moving {
-		next.Send(handover.Message{Kind: handover.CallsEnded, IDs: c.RecentlyEnded(u.limits.MaxEndedCalls)})
-		next.Flush()
+	if transferring {
+		successor.Send(handover.Message{Kind: handover.CallsEnded, IDs: reducer.RecentlyEnded(u.limits.MaxEndedCalls)})
+		successor.Flush()
 	}
-	next.Close()
+	successor.Close()
 }
 
-// memory is what this process takes of the memory that it may share with others.
-type memory struct {
-	mu     sync.Mutex
-	limits config.Limits
-	others int
+// memoryShare sets this process's memory limit. During a hand-over, the configured limit is divided among the processes
+// that run side by side.
+type memoryShare struct {
+	mu             sync.Mutex
+	limits         config.Limits
+	otherProcesses int // processes that run beside this one
 }
 
-// share counts one process more or less beside this one.
-func (m *memory) share(n int) {
+// addProcesses adds n, which may be negative, to the number of processes that run beside this one.
+func (m *memoryShare) addProcesses(n int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.others += n
-	m.collect()
+	m.otherProcesses += n
+	m.apply()
 }
 
-// configure takes limits in.
-func (m *memory) configure(l config.Limits) {
+// setLimits applies the limits of a new configuration.
+func (m *memoryShare) setLimits(l config.Limits) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.limits = l
-	m.collect()
+	m.apply()
 }
 
-// collect sets the garbage collector to the part there is.
-func (m *memory) collect() {
-	debug.SetMemoryLimit(m.limits.MemoryLimit / int64(1+m.others))
+// apply sets the garbage collector's limits to this process's share.
+func (m *memoryShare) apply() {
+	debug.SetMemoryLimit(m.limits.MemoryLimit / int64(1+m.otherProcesses))
 	debug.SetGCPercent(m.limits.GCPercent)
 }
--- a/internal/circuits/circuits.go
+++ b/internal/circuits/circuits.go
@@ -1,6 +1,6 @@
-// Package circuits keeps account of the circuits to one server: which call is on which, and which may be used. It is the
-// ISUP side of an association (Q.764) without messages, connections, clocks and locks: what arrives is told, and what
-// is to be written is returned.
+// Package circuits keeps account of the ISUP circuits to one server: which call is on which circuit, and which
+// circuits may be used. It is the ISUP side of an association (Q.764) without messages, connections, clocks and
+// locks: the caller reports the messages that arrive, and the methods return what has to be sent.
 package circuits
 
 import (
@@ -10,209 +10,216 @@
 	"elmseam/internal/core"
 )
 
-// use is what a circuit is used for.
-type use uint8
+// state is the state of a circuit.
+type state uint8
 
 const (
-	free use = iota
-	calling
-	standing
-	releasing // until the server's RLC
-	settling  // that has come, but a REL went out more than once: another RLC may be on its way
+	stateFree             state = iota
+	stateSettingUp              // an IAM was sent, no ANM has arrived
+	stateEstablished            // the server has answered the call
+	stateReleasing              // a REL was sent, or has to be sent on the next connection; waits for the RLC
+	stateAwaitingExtraRLC       // an RLC has arrived, but the REL was sent more than once: another RLC may be on its way
 )
 
-// circuit is one of them.
+// circuit is one circuit and the call on it.
 type circuit struct {
-	id    core.ID
-	use   use
-	rels  int       // RLCs that may still come: one for each REL, unless the server has lost it
-	doubt bool      // freed by an RLC of ours, and nothing has shown that the server has heard it
-	since time.Time // of the last REL, or of the RLC that left it settling
+	call              core.ID
+	state             state
+	pendingRLCs       int       // RLCs that may still arrive: one for each REL, unless the server has lost it
+	ownRLCUnconfirmed bool      // the circuit was freed by an RLC sent here, and no message has shown that the server received it
+	stateSince        time.Time // time of the last REL, or of the RLC that began stateAwaitingExtraRLC
 }
 
-// Circuits are all to one server. They outlive its connections: a call that stands keeps its circuit, and one that was
-// released is not used again before the server has said so.
+// Circuits holds all circuits to one server. They outlive the server's connections: an established call keeps its
+// circuit, and the circuit of a released call is not used again before the server has confirmed the release.
 type Circuits struct {
-	all   []circuit
-	of    map[core.ID]uint16
-	next  int
-	swept time.Time // when overdue ones were last looked for
-	lacks Guard
+	circuits       []circuit          // by circuit identification code (CIC)
+	byCall         map[core.ID]uint16 // CIC of each call
+	nextIndex      int                // where the search for a free circuit begins
+	lastSweep      time.Time          // when Overdue last searched
+	disabledGuards Guard
 }
 
-// Guard names what keeps calls on circuits apart. Checks take one out, to see that its absence shows.
+// Guard is a set of the rules that keep calls on circuits apart. A test can switch guards off, to see that the
+// violation shows.
 type Guard uint8
 
-// The guards.
+// The guards. Each describes the behaviour with the guard on.
 const (
 	GuardConfirm      Guard = 1 << iota // a circuit that was released here waits for the server's RLC
-	GuardReleaseCount                   // and for as many as there were RELs
-	GuardOverdue                        // a release that is not confirmed goes out again
+	GuardReleaseCount                   // the circuit waits for as many RLCs as RELs were sent
+	GuardOverdue                        // a REL that is not confirmed is sent again
 )
 
-// DisableGuards takes guards out. No program does.
-func (c *Circuits) DisableGuards(g Guard) { c.lacks = g }
+// DisableGuards switches guards off. No program does.
+func (c *Circuits) DisableGuards(g Guard) { c.disabledGuards = g }
 
-func (c *Circuits) has(g Guard) bool { return c.lacks&g == 0 }
+// guardEnabled reports whether the guard is on.
+func (c *Circuits) guardEnabled(g Guard) bool { return c.disabledGuards&g == 0 }
 
-// New makes so many circuits, all free.
-func New(n int) *Circuits { return &Circuits{all: make([]circuit, n), of: make(map[core.ID]uint16)} }
+// New returns n circuits, all free.
+func New(n int) *Circuits {
+	return &Circuits{circuits: make([]circuit, n), byCall: make(map[core.ID]uint16)}
+}
 
-// Allocate finds a free circuit for a call whose IAM goes out. Those that settle are the last resort of none.
-func (c *Circuits) Allocate(id core.ID) (cic uint16, ok bool) {
-	for range c.all {
-		i := c.next
-		if c.next++; c.next == len(c.all) {
-			c.next = 0
+// Allocate assigns a free circuit to a call whose IAM is about to be sent. Circuits that still await an RLC are not
+// used, even if no other circuit is free.
+func (c *Circuits) Allocate(call core.ID) (cic uint16, ok bool) {
+	for range c.circuits {
+		i := c.nextIndex
+		if c.nextIndex++; c.nextIndex == len(c.circuits) {
+			c.nextIndex = 0
 		}
-		if c.all[i].use == free {
-			c.all[i].use, c.all[i].id, c.of[id] = calling, id, uint16(i)
+		if c.circuits[i].state == stateFree {
+			c.circuits[i].state, c.circuits[i].call, c.byCall[call] = stateSettingUp, call, uint16(i)
 			return uint16(i), true
 		}
 	}
 	return 0, false
 }
 
-// NotSent frees the circuit of a call whose IAM never left.
-func (c *Circuits) NotSent(id core.ID) {
-	if cic, there := c.of[id]; there && c.all[cic].use == calling {
-		c.leave(cic, free)
+// NotSent frees the circuit of a call whose IAM was not sent.
+func (c *Circuits) NotSent(call core.ID) {
+	if cic, found := c.byCall[call]; found && c.circuits[cic].state == stateSettingUp {
+		c.detach(cic, stateFree)
 	}
 }
 
-// Release takes in that a call is released here, and says on which circuit a REL has to go out.
-func (c *Circuits) Release(id core.ID, now time.Time) (cic uint16, ok bool) {
-	cic, there := c.of[id]
-	if !there || c.all[cic].use != calling && c.all[cic].use != standing {
+// Release handles the release of a call by this side. It returns the circuit on which a REL has to be sent.
+func (c *Circuits) Release(call core.ID, now time.Time) (cic uint16, ok bool) {
+	cic, found := c.byCall[call]
+	if !found || c.circuits[cic].state != stateSettingUp && c.circuits[cic].state != stateEstablished {
 		return 0, false
 	}
-	c.release(cic, now)
+	c.markReleasing(cic, now)
 	return cic, true
 }
 
-// Answered takes in an ANM, and says which call stands.
+// Answered handles an ANM and returns the call that is now established.
 func (c *Circuits) Answered(cic uint16) (core.ID, bool) {
-	if int(cic) >= len(c.all) || c.all[cic].use != calling {
+	if int(cic) >= len(c.circuits) || c.circuits[cic].state != stateSettingUp {
 		return 0, false
 	}
-	k := &c.all[cic]
-	k.use, k.rels, k.doubt = standing, 0, false // an RLC of before would have come first
-	return k.id, true
+	circuit := &c.circuits[cic]
+	circuit.state, circuit.pendingRLCs, circuit.ownRLCUnconfirmed = stateEstablished, 0, false // an RLC for an earlier release would have arrived before the ANM
+	return circuit.call, true
 }
 
-// Released takes in a REL or an RSC of the server, and says which call that ends. One that crosses ours leaves the circuit
-// in use until the server has heard of ours too. An RLC goes out in any case.
+// Released handles a REL or RSC of the server and returns the call that it ends. If it crosses a REL sent here, the
+// circuit stays in use until the server has confirmed that REL too. An RLC has to be sent in any case.
 func (c *Circuits) Released(cic uint16) (core.ID, bool) {
-	if int(cic) >= len(c.all) || c.all[cic].use != calling && c.all[cic].use != standing {
+	if int(cic) >= len(c.circuits) || c.circuits[cic].state != stateSettingUp && c.circuits[cic].state != stateEstablished {
 		return 0, false
 	}
-	id := c.all[cic].id
-	c.leave(cic, free)
-	c.all[cic].rels, c.all[cic].doubt = 0, true
-	return id, true
+	call := c.circuits[cic].call
+	c.detach(cic, stateFree)
+	c.circuits[cic].pendingRLCs, c.circuits[cic].ownRLCUnconfirmed = 0, true
+	return call, true
 }
 
-// Confirmed takes in an RLC. Where a REL went out more than once, so may RLCs come, and one that is late would pass for
-// that of the circuit's next release; what the server said of the call before would then pass for news of the next.
+// Confirmed handles an RLC. If the REL was sent more than once, as many RLCs may arrive, and the circuit becomes free
+// with the last of them. Otherwise a late RLC would be taken for the confirmation of the circuit's next release, and
+// then messages of the server about the earlier call for messages about the next one.
 func (c *Circuits) Confirmed(cic uint16, now time.Time) {
-	if int(cic) >= len(c.all) {
+	if int(cic) >= len(c.circuits) {
 		return
 	}
-	k := &c.all[cic]
-	k.rels = max(k.rels-1, 0)
+	circuit := &c.circuits[cic]
+	circuit.pendingRLCs = max(circuit.pendingRLCs-1, 0)
 	switch {
-	case k.use != releasing && k.use != settling:
-	case k.rels == 0 || !c.has(GuardReleaseCount):
-		k.use, k.doubt = free, false
+	case circuit.state != stateReleasing && circuit.state != stateAwaitingExtraRLC:
+	case circuit.pendingRLCs == 0 || !c.guardEnabled(GuardReleaseCount):
+		circuit.state, circuit.ownRLCUnconfirmed = stateFree, false
 	default:
-		k.use, k.since = settling, now
+		circuit.state, circuit.stateSince = stateAwaitingExtraRLC, now
 	}
 }
 
-// ConnLost gives up the set-ups that were open on a connection that has ended. What was on its way is lost with it, and an
-// RLC of ours may have been: a server that waits for it holds the circuit.
+// ConnLost handles the end of a connection. It gives up the set-ups that were outstanding on the connection. Messages
+// that were on their way are lost. An RLC sent here may be one of them, and a server that waits for it holds the
+// circuit, so such circuits are released again.
 func (c *Circuits) ConnLost(now time.Time) {
-	for i := range c.all {
-		switch k := &c.all[i]; {
-		case k.use == free && k.doubt:
-			k.use, k.rels = releasing, 0
-		case k.use == calling:
-			c.leave(uint16(i), releasing)
-			k.since, k.rels = now, 0
-		case k.use == releasing || k.use == settling:
-			k.use, k.rels = releasing, 0
+	for i := range c.circuits {
+		switch circuit := &c.circuits[i]; {
+		case circuit.state == stateFree && circuit.ownRLCUnconfirmed:
+			circuit.state, circuit.pendingRLCs = stateReleasing, 0
+		case circuit.state == stateSettingUp:
+			c.detach(uint16(i), stateReleasing)
+			circuit.stateSince, circuit.pendingRLCs = now, 0
+		case circuit.state == stateReleasing || circuit.state == stateAwaitingExtraRLC:
+			circuit.state, circuit.pendingRLCs = stateReleasing, 0
 		}
 	}
 }
 
-// Unconfirmed are the circuits that a REL has to go out on when a connection has come up.
+// Unconfirmed returns the circuits on which a REL has to be sent when a connection has come up.
 func (c *Circuits) Unconfirmed(now time.Time) (cics []uint16) {
-	for i := range c.all {
-		if c.all[i].use == releasing {
-			c.release(uint16(i), now)
+	for i := range c.circuits {
+		if c.circuits[i].state == stateReleasing {
+			c.markReleasing(uint16(i), now)
 			cics = append(cics, uint16(i))
 		}
 	}
 	return cics
 }
 
-// Overdue are the circuits whose release the server has not confirmed for so long: it may have lost that, or never answered,
-// and a circuit would be lost for good with each. A REL has to go out on each again. One that has settled for so long is
-// free.
-func (c *Circuits) Overdue(now time.Time, after time.Duration) (cics []uint16) {
-	if now.Sub(c.swept) < after || !c.has(GuardOverdue) {
+// Overdue returns the circuits whose release the server has not confirmed for the timeout. The REL or the RLC may
+// have been lost, or the server does not answer; each such case would otherwise cost a circuit for good. The REL has
+// to be sent again on each of them. A circuit that has awaited an extra RLC for the timeout is free.
+func (c *Circuits) Overdue(now time.Time, timeout time.Duration) (cics []uint16) {
+	if now.Sub(c.lastSweep) < timeout || !c.guardEnabled(GuardOverdue) {
 		return nil
 	}
-	c.swept = now
-	for i := range c.all {
-		switch k := &c.all[i]; {
-		case now.Sub(k.since) < after:
-		case k.use == settling: // and should the other RLC come after all, it is still counted
-			k.use = free
-		case k.use == releasing:
-			c.release(uint16(i), now)
+	c.lastSweep = now
+	for i := range c.circuits {
+		switch circuit := &c.circuits[i]; {
+		case now.Sub(circuit.stateSince) < timeout:
+		case circuit.state == stateAwaitingExtraRLC: // the extra RLC still counts if it arrives later
+			circuit.state = stateFree
+		case circuit.state == stateReleasing:
+			c.markReleasing(uint16(i), now)
 			cics = append(cics, uint16(i))
 		}
 	}
 	return cics
 }
 
-// Free is how many circuits are free.
+// Free returns the number of free circuits.
 func (c *Circuits) Free() int {
-	n := 0
-	for i := range c.all {
-		if c.all[i].use == free {
-			n++
+	count := 0
+	for i := range c.circuits {
+		if c.circuits[i].state == stateFree {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// Calls are those that are on a circuit, in order.
+// Calls returns the calls that are on a circuit, in ascending order.
 func (c *Circuits) Calls() []core.ID {
-	ids := make([]core.ID, 0, len(c.of))
-	for id := range c.of {
+	ids := make([]core.ID, 0, len(c.byCall))
+	for id := range c.byCall {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
 	return ids
 }
 
-// release counts a REL.
-func (c *Circuits) release(cic uint16, now time.Time) {
-	c.leave(cic, releasing)
-	c.all[cic].since = now
-	c.all[cic].rels++
-	if !c.has(GuardConfirm) {
-		c.all[cic].use = free
+// markReleasing records that a REL is sent on a circuit.
+func (c *Circuits) markReleasing(cic uint16, now time.Time) {
+	c.detach(cic, stateReleasing)
+	c.circuits[cic].stateSince = now
+	c.circuits[cic].pendingRLCs++
+	if !c.guardEnabled(GuardConfirm) {
+		c.circuits[cic].state = stateFree
 	}
 }
 
-// leave takes a circuit's call off it.
-func (c *Circuits) leave(cic uint16, to use) {
-	k := &c.all[cic]
-	if k.use == calling || k.use == standing {
-		delete(c.of, k.id)
+// detach removes the call from a circuit and sets the circuit's next state.
+func (c *Circuits) detach(cic uint16, next state) {
+	circuit := &c.circuits[cic]
+	if circuit.state == stateSettingUp || circuit.state == stateEstablished {
+		delete(c.byCall, circuit.call)
 	}
-	k.use = to
+	circuit.state = next
 }
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -5,125 +5,128 @@
 	"slices"
 )
 
-// A new process takes over from an old one while both run. The old one hands its callers' connections on, between two
-// messages, and keeps the calls it has: what it says to their callers goes through the new one, which keeps account
-// of the set-ups that the old one still owes an answer. Should the old one die, the new one answers them.
+// In a hand-over a new process, the successor, takes over from the running process, its predecessor, while both run. The
+// predecessor transfers the connections of its callers, each at a boundary between two messages, and keeps its calls: its effects
+// for their callers go through the successor. The successor records the set-ups that the predecessor has not answered yet, and
+// rejects them if the predecessor ends first.
 
-// handOver begins to hand the callers on. What comes on their connections from now on is the successor's.
+// handOver begins to transfer the connections of callers. Their input from now on is read by the successor.
 func (c *Core) handOver() {
-	if c.handing || c.ending { // at the end connections are closed: one on its way would be lost
+	if c.handingOver || c.closing { // while closing, connections are about to be closed: one in transfer would be lost
 		return
 	}
-	c.handing, c.stopping = true, true
-	for _, l := range c.links {
-		c.move(l)
+	c.handingOver, c.stopping = true, true
+	for _, conn := range c.callerOrder {
+		c.stopReading(conn)
 	}
-	c.timer(c.now+c.limits.HandOverGrace, Token{kind: tokenStop})
-	c.timer(c.now+c.limits.MaxStopWait, Token{kind: tokenFinal})
+	c.setTimer(c.now+c.limits.HandOverGrace, Token{kind: tokenStopGrace})
+	c.setTimer(c.now+c.limits.MaxStopWait, Token{kind: tokenMaxStopWait})
 }
 
-// move has a connection read no further.
-func (c *Core) move(l *caller) {
-	if c.limits.Transient[l.front] && !l.malformed {
-		c.do(StopReading{To: l.link})
+// stopReading begins the transfer of a connection: the connection is read no further. Only transient connections whose input is
+// not malformed are transferred.
+func (c *Core) stopReading(conn *callerConn) {
+	if c.limits.Transient[conn.protocol] && !conn.malformed {
+		c.emit(StopReading{To: conn.id})
 	}
 }
 
-// moved passes on a connection that is read no further, with the set-ups that are open on it.
-func (c *Core) moved(link ConnID) {
-	l := c.callers[link]
-	if l == nil {
+// transfer passes a connection that is read no further to the successor, with the ids of its open set-ups and established calls.
+func (c *Core) transfer(id ConnID) {
+	conn := c.callers[id]
+	if conn == nil {
 		return
 	}
-	l.handed, l.passing = true, true
-	var open, stand []ID
-	for _, k := range inOrder(c.calls) {
+	conn.transferred, conn.transferUnconfirmed = true, true
+	var open, established []ID
+	for _, k := range inArrivalOrder(c.calls) {
 		switch {
-		case k.From != link || k.gone:
+		case k.From != id || k.callerGone:
 		case !k.answered:
 			open = append(open, k.ID)
-		case k.stands != nil:
-			stand = append(stand, k.ID)
+		case k.server != nil:
+			established = append(established, k.ID)
 		}
 	}
-	// They have to fit into one message. An answer that is owed goes before a release that finds another way.
-	stand = stand[:min(len(stand), max(c.limits.MaxTransferredCalls-len(open), 0))]
-	c.do(Transfer{To: link, Open: open, Established: stand, HadSetUp: l.asked})
+	// The ids have to fit into one message. Open set-ups go first: their answers need this connection, whereas the release of an
+	// established call can be sent on another one.
+	established = established[:min(len(established), max(c.limits.MaxTransferredCalls-len(open), 0))]
+	c.emit(Transfer{To: id, Open: open, Established: established, HadSetUp: conn.hadSetUp})
 }
 
-// keeps says whether callers' connections are still here that have to be handed on, or are on their way.
-func (c *Core) keeps() bool {
-	return c.handing && slices.ContainsFunc(c.links, func(l *caller) bool {
-		return (!l.handed || l.passing) && !l.kept && !l.malformed && c.limits.Transient[l.front]
+// transfersPending says whether a connection of a caller still has to be transferred, or its transfer is not confirmed yet.
+func (c *Core) transfersPending() bool {
+	return c.handingOver && slices.ContainsFunc(c.callerOrder, func(conn *callerConn) bool {
+		return (!conn.transferred || conn.transferUnconfirmed) && !conn.transferFailed && !conn.malformed && c.limits.Transient[conn.protocol]
 	})
 }
 
-// adopt takes in what a predecessor says of a connection that it has handed on.
-func (c *Core) adopt(l *caller, ev CallerUp) {
-	if l.asked = ev.HadSetUp; l.asked {
-		c.flush()
+// adoptTransferred records the calls that the predecessor has on a connection that it transferred.
+func (c *Core) adoptTransferred(conn *callerConn, ev CallerUp) {
+	if conn.hadSetUp = ev.HadSetUp; conn.hadSetUp {
+		c.flushReleases()
 	}
 	for _, id := range ev.Open {
-		c.foreign[id] = ev.Conn
+		c.predecessorSetUps[id] = ev.Conn
 	}
 	for _, id := range ev.Established {
-		c.stood[id] = ev.Conn
+		c.predecessorCalls[id] = ev.Conn
 	}
 }
 
-// predecessor takes in that another process owns calls of callers who are here, or that it has gone. What it owed an
-// answer may have run.
-func (c *Core) predecessor(ev Predecessor) {
-	c.preceded, c.halved = ev.Present, ev.Present && !ev.Transferring
+// predecessorChanged handles news that a predecessor owns calls whose callers are connected here, or that the predecessor has
+// ended. The set-ups that it left unanswered may have run at a server and are rejected as Failed.
+func (c *Core) predecessorChanged(ev Predecessor) {
+	c.hasPredecessor, c.sharesCallerLimit = ev.Present, ev.Present && !ev.Transferring
 	if ev.Present {
 		return
 	}
-	for _, id := range slices.Sorted(maps.Keys(c.foreign)) {
-		c.do(Rejected{To: c.foreign[id], ID: id, Reason: Failed})
-		c.remember(id)
+	for _, id := range slices.Sorted(maps.Keys(c.predecessorSetUps)) {
+		c.emit(Rejected{To: c.predecessorSetUps[id], ID: id, Reason: Failed})
+		c.rememberEnded(id)
 	}
-	clear(c.foreign)
+	clear(c.predecessorSetUps)
 }
 
-// relayed passes on what a predecessor tells a caller of its own call. A second final answer is passed on to nobody.
-func (c *Core) relayed(ev Relayed) {
-	switch e := ev.Effect.(type) {
+// relayFromPredecessor passes an effect of the predecessor on to the caller. A second final answer to a set-up is dropped.
+func (c *Core) relayFromPredecessor(ev Relayed) {
+	switch effect := ev.Effect.(type) {
 	case Answered:
-		if to, owed := c.foreign[e.ID]; owed {
-			delete(c.foreign, e.ID)
-			e.To = to
-			c.stood[e.ID] = to
-			c.do(e)
+		if to, open := c.predecessorSetUps[effect.ID]; open {
+			delete(c.predecessorSetUps, effect.ID)
+			effect.To = to
+			c.predecessorCalls[effect.ID] = to
+			c.emit(effect)
 		}
 	case Rejected:
-		if to, owed := c.foreign[e.ID]; owed {
-			delete(c.foreign, e.ID)
-			e.To = to
-			c.do(e)
-			c.remember(e.ID)
+		if to, open := c.predecessorSetUps[effect.ID]; open {
+			delete(c.predecessorSetUps, effect.ID)
+			effect.To = to
+			c.emit(effect)
+			c.rememberEnded(effect.ID)
 		}
 	case Released:
-		if _, known := c.ended[e.ID]; !known {
-			c.remember(e.ID)
-			delete(c.stood, e.ID)
-			c.release(ev.Protocol, ev.Conn, e.ID, e.Reason)
+		if _, known := c.ended[effect.ID]; !known {
+			c.rememberEnded(effect.ID)
+			delete(c.predecessorCalls, effect.ID)
+			c.sendRelease(ev.Protocol, ev.Conn, effect.ID, effect.Reason)
 		}
 	}
 }
 
-// forgetForeign takes in that nobody waits any more for the set-ups that a predecessor has open for a caller.
-func (c *Core) forgetForeign(link ConnID) {
-	theirs := func(_ ID, of ConnID) bool { return of == link }
-	maps.DeleteFunc(c.foreign, theirs)
-	maps.DeleteFunc(c.stood, theirs)
+// forgetPredecessorCalls forgets the calls of the predecessor on the connection of a caller that has ended.
+func (c *Core) forgetPredecessorCalls(conn ConnID) {
+	ofConn := func(_ ID, callConn ConnID) bool { return callConn == conn }
+	maps.DeleteFunc(c.predecessorSetUps, ofConn)
+	maps.DeleteFunc(c.predecessorCalls, ofConn)
 }
 
-// RecentlyEnded are the ids of the last calls that ended here, at most so many, for a successor.
-func (c *Core) RecentlyEnded(most int) []ID {
-	last := c.endedAt[max(len(c.endedAt)-most, 0):]
-	ids := make([]ID, 0, len(last))
-	for _, o := range last {
-		ids = append(ids, o.id)
+// RecentlyEnded returns the ids of the latest calls that ended in this process, oldest first and at most limit, for a successor.
+func (c *Core) RecentlyEnded(limit int) []ID {
+	latest := c.endedOrder[max(len(c.endedOrder)-limit, 0):]
+	ids := make([]ID, 0, len(latest))
+	for _, call := range latest {
+		ids = append(ids, call.id)
 	}
 	return ids
 }
--- a/internal/core/probe.go
+++ b/internal/core/probe.go
@@ -8,24 +8,25 @@
 	"elmseam/internal/probe"
 )
 
-// A connection that brings nothing may be dead, or its server has nothing to tell. What is owed there decides.
+// A connection without input may be dead, or its server has nothing to send. What is pending on the connection decides whether it
+// is replaced, probed or left alone.
 
 type (
-	// ServerSilent says that nothing has come on a connection for so long. Whether anything is owed there, is not for its
-	// reader to say.
+	// ServerSilent reports that nothing has come on a connection for the duration For. The reader of the connection does not
+	// know whether anything is pending there.
 	ServerSilent struct {
 		Server string
 		Conn   ConnID
 		For    time.Duration
 	}
-	// ServerProbeAnswer is the answer to a Test.
+	// ServerProbeAnswer reports the answer of a server to a Probe.
 	ServerProbeAnswer struct {
 		Server string
 		Conn   ConnID
 		ID     probe.ID
 		Report Report
 	}
-	// Probe asks a server, on a connection, whether it is there. It is no set-up.
+	// Probe asks a server on a connection whether it responds. A probe is not a set-up.
 	Probe struct {
 		To ConnID
 		ID probe.ID
@@ -36,87 +37,89 @@
 func (ServerProbeAnswer) event() {}
 func (Probe) effect()            {}
 
-// silent takes in that nothing has come on a connection for some time. Where a set-up went out on it half of that ago, it
-// is held for dead, whether the set-up is still out or was given up meanwhile. One that has had its first since then later is
-// looked at again, and one on which nothing is owed may be silent. Where calls stand, what ends them may come on any
-// connection: it is probed, or replaced where no probe is permitted.
-func (c *Core) silent(ev ServerSilent) {
+// serverSilent handles a connection on which nothing has come for the duration For. If an unanswered set-up went out there at least
+// For/2 ago, the connection counts as dead and is replaced, whether that set-up is still outstanding or was given up meanwhile. If
+// the first unanswered set-up is younger, the connection is judged at the next ServerSilent. Without an unanswered set-up the
+// silence is normal, except at a server with established calls, whose releases may come on any connection: there the connection is
+// probed, or replaced where no probe is permitted.
+func (c *Core) serverSilent(ev ServerSilent) {
 	s := c.servers[ev.Server]
 	if s == nil {
 		return
 	}
-	l := s.lineOf(ev.Conn)
-	if l == nil {
+	conn := s.connByID(ev.Conn)
+	if conn == nil {
 		return
 	}
-	first := l.mute // set-up that nothing has come after, or that is out
-	for _, k := range s.out {
-		if k.out.line == l && (first == 0 || k.out.at < first) {
-			first = k.out.at
+	// Time of the first set-up or probe after which nothing came on the connection, or of an older set-up that is outstanding there.
+	unansweredSince := conn.unansweredSince
+	for _, k := range s.outstanding {
+		if k.attempt.conn == conn && (unansweredSince == 0 || k.attempt.startedAt < unansweredSince) {
+			unansweredSince = k.attempt.startedAt
 		}
 	}
 	switch {
-	case first != 0 && c.now-first >= ev.For/2:
-		c.replace(s, l)
+	case unansweredSince != 0 && c.now-unansweredSince >= ev.For/2:
+		c.replaceConn(s, conn)
 		return
-	case first != 0, len(s.standing) == 0:
+	case unansweredSince != 0, len(s.established) == 0:
 		return
 	}
-	verdict, id, until := probe.Forbidden, probe.ID(0), Time(0)
-	if s.told == elmseam.Ready {
-		verdict, id, until = c.prober.Request(c.now, uint64(l.link))
+	verdict, id, deadline := probe.Forbidden, probe.ID(0), Time(0)
+	if s.effectivePhase == elmseam.Ready {
+		verdict, id, deadline = c.prober.Request(c.now, uint64(conn.id))
 	}
 	switch verdict {
 	case probe.Forbidden:
-		c.replace(s, l)
+		c.replaceConn(s, conn)
 	case probe.Send:
-		l.mute = c.now // as for a set-up: what goes out from now on goes elsewhere unless something comes
-		c.do(Probe{To: l.link, ID: id})
-		c.timer(until, Token{kind: tokenProbe, server: s.Name, probe: id, link: l.link})
+		conn.unansweredSince = c.now // as after a set-up: new set-ups avoid the connection after UnresponsiveAfter without input
+		c.emit(Probe{To: conn.id, ID: id})
+		c.setTimer(deadline, Token{kind: tokenProbeTimeout, server: s.Name, probe: id, conn: conn.id})
 	}
 }
 
-// tested takes in what a server says to a probe.
-func (c *Core) tested(ev ServerProbeAnswer) {
+// probeAnswered handles the answer to a probe.
+func (c *Core) probeAnswered(ev ServerProbeAnswer) {
 	s := c.servers[ev.Server]
 	if s == nil {
 		return
 	}
-	s.heard(ev.Conn)
+	s.markReceived(ev.Conn)
 	if c.prober.Answered(ev.ID, uint64(ev.Conn)) {
-		c.health(s, ev.Report)
+		c.reportHealth(s, ev.Report)
 	}
 }
 
-// overdue takes in that a probe's time is up. Without an answer its connection is of no use.
-func (c *Core) overdue(t Token) {
+// probeExpired handles the time-out of a probe. The connection is replaced if the probe has not been answered.
+func (c *Core) probeExpired(t Token) {
 	if s := c.servers[t.server]; c.prober.Expire(t.probe) && s != nil {
-		if l := s.lineOf(t.link); l != nil {
-			c.replace(s, l)
+		if conn := s.connByID(t.conn); conn != nil {
+			c.replaceConn(s, conn)
 		}
 	}
 }
 
-// replace ends a connection that is held for dead, with what is out there, and asks for another.
-func (c *Core) replace(s *server, l *line) {
-	c.prober.ConnClosed(uint64(l.link))
-	if slices.ContainsFunc(inOrder(s.out), func(k *call) bool { return k.out.line == l }) {
-		l.malformed = true
-		c.do(CloseConn{To: l.link}) // its end tells of what was out
+// replaceConn closes a connection that counts as dead, which ends its outstanding attempts, and dials another.
+func (c *Core) replaceConn(s *server, conn *serverConn) {
+	c.prober.ConnClosed(uint64(conn.id))
+	if slices.ContainsFunc(inArrivalOrder(s.outstanding), func(k *call) bool { return k.attempt.conn == conn }) {
+		conn.malformed = true
+		c.emit(CloseConn{To: conn.id}) // the ServerDown that follows ends the outstanding attempts
 	} else {
-		s.lines = slices.DeleteFunc(s.lines, func(have *line) bool { return have == l })
-		c.do(GracefulClose{To: l.link})
+		s.conns = slices.DeleteFunc(s.conns, func(other *serverConn) bool { return other == conn })
+		c.emit(GracefulClose{To: conn.id})
 	}
-	if c.wanted(s) > 0 {
-		c.ahead(s)
+	if c.wantedConns(s) > 0 {
+		c.dialAhead(s)
 	}
 }
 
-// lineOf is a connection to a server by its name; nil: it is one no more.
-func (s *server) lineOf(link ConnID) *line {
-	for _, l := range s.lines {
-		if l.link == link {
-			return l
+// connByID returns the connection to the server with the id; nil: the server has no such connection any more.
+func (s *server) connByID(id ConnID) *serverConn {
+	for _, conn := range s.conns {
+		if conn.id == id {
+			return conn
 		}
 	}
 	return nil
--- a/internal/core/random_test.go
+++ b/internal/core/random_test.go
@@ -8,137 +8,137 @@
 	"elmseam"
 )
 
-// The rules hold whatever happens in whatever order: thousands of calls under random answers, resets, drains,
-// restarts, give-ups, closed callers and ends that are written late. What goes out is held against a model that
-// knows the rules only.
+// The rules hold for any events in any order: thousands of calls meet random answers, resets, drains, restarts,
+// give-ups, closed connections of callers and End effects that are written late. The effects are checked against a model that
+// knows only the rules.
 func TestRulesUnderRandomEvents(t *testing.T) {
-	for name, set := range deployments {
-		t.Run(name, func(t *testing.T) { rulesUnderRandomEvents(t, set) })
+	for name, settings := range deployments {
+		t.Run(name, func(t *testing.T) { rulesUnderRandomEvents(t, settings) })
 	}
 }
 
-func rulesUnderRandomEvents(t *testing.T, set elmseam.Settings) {
+func rulesUnderRandomEvents(t *testing.T, settings elmseam.Settings) {
 	rnd := rand.New(rand.NewPCG(7, 7))
-	r := rigOf(t, set)
-	r.c.limits.MaxCallBytes = 1 << 20
+	r := newRigWith(t, settings)
+	r.core.limits.MaxCallBytes = 1 << 20
 	type model struct {
-		out      string // server that has an attempt
-		ending   bool   // its end is not written
-		attempts int
-		finals   int
-		gone     bool
-		badEnd   Time // of the last attempt that was reset, cancelled or timed out
-		stands   string
-		over     bool
+		server       string // server with an outstanding attempt; empty: none
+		ending       bool   // the End of the attempt is not written yet
+		attempts     int
+		finalAnswers int
+		callerGone   bool   // the caller has given up, or is not told about the call
+		badEndAt     Time   // when the last attempt was reset, cancelled or timed out; 0: none was
+		established  string // server on which the call was established; empty: none
+		released     bool
 	}
 	calls := make(map[ID]*model)
-	live := []ID{}
-	links := map[ConnID]string{10: "a", 11: "b"}
-	up := map[string]ConnID{"a": 10, "b": 11}
-	ready := map[string]elmseam.Phase{"a": elmseam.Ready, "b": elmseam.Ready}
-	var dialed []string
-	type key struct {
+	ids := []ID{}
+	connServer := map[ConnID]string{10: "a", 11: "b"}
+	serverConnID := map[string]ConnID{"a": 10, "b": 11}
+	phases := map[string]elmseam.Phase{"a": elmseam.Ready, "b": elmseam.Ready}
+	var pendingDials []string
+	type serverCall struct {
 		server string
 		id     ID
 	}
-	var unwritten []key
-	var tested []ServerProbeAnswer
-	next, nextLink := ID(0), ConnID(100)
-	var caller ConnID = 1
-	fail := func(id ID, what string) { t.Fatalf("call %d: %s: %+v", id, what, calls[id]) }
-	lose := func(name string) { // a connection is no more: what is out on it is over
-		delete(links, up[name])
-		delete(up, name)
+	var unwrittenEnds []serverCall
+	var probeAnswers []ServerProbeAnswer
+	lastID, lastConn := ID(0), ConnID(100)
+	var callerConnID ConnID = 1
+	failCall := func(id ID, what string) { t.Fatalf("call %d: %s: %+v", id, what, calls[id]) }
+	loseConn := func(name string) { // ends a connection to a server and the attempts on it
+		delete(connServer, serverConnID[name])
+		delete(serverConnID, name)
 		for _, m := range calls {
-			if m.out == name {
-				m.out, m.ending, m.badEnd = "", false, r.now
+			if m.server == name {
+				m.server, m.ending, m.badEndAt = "", false, r.now
 			}
 		}
 	}
 	step := func(ev Event) {
-		for _, e := range r.c.Step(r.now, ev) {
+		for _, e := range r.core.Step(r.now, ev) {
 			switch e := e.(type) {
 			case Timer:
-				r.due = append(r.due, e)
+				r.timers = append(r.timers, e)
 			case Dial:
-				dialed = append(dialed, e.Server)
+				pendingDials = append(pendingDials, e.Server)
 			case CloseConn:
-				if name, there := links[e.To]; there {
-					lose(name)
+				if name, known := connServer[e.To]; known {
+					loseConn(name)
 				}
 			case Offer:
-				m, name := calls[e.ID], links[e.To]
+				m, name := calls[e.ID], connServer[e.To]
 				switch {
 				case name == "":
-					fail(e.ID, "offered on a connection that is no more")
-				case m.out != "":
-					fail(e.ID, "second attempt out")
-				case ready[name] != elmseam.Ready:
-					fail(e.ID, "sent to a server that drains or is gone")
-				case m.badEnd != 0 && r.now < m.badEnd+r.c.guard:
-					fail(e.ID, "sent within the release gap")
-				case m.finals > 0 || m.gone:
-					fail(e.ID, "sent after its end")
+					failCall(e.ID, "offered on a connection that has ended")
+				case m.server != "":
+					failCall(e.ID, "second attempt while one is outstanding")
+				case phases[name] != elmseam.Ready:
+					failCall(e.ID, "sent to a server that drains or is gone")
+				case m.badEndAt != 0 && r.now < m.badEndAt+r.core.releaseGuard:
+					failCall(e.ID, "sent within the release guard")
+				case m.finalAnswers > 0 || m.callerGone:
+					failCall(e.ID, "sent after its final answer or give-up")
 				}
-				if m.out = name; m.attempts == set.MaxAttempts {
-					fail(e.ID, "an attempt too many")
+				if m.server = name; m.attempts == settings.MaxAttempts {
+					failCall(e.ID, "more attempts than permitted")
 				}
 				m.attempts++
 			case Probe:
-				name := links[e.To]
-				if !r.c.limits.Probe.Permitted || name == "" || ready[name] != elmseam.Ready {
-					t.Fatalf("a probe on link %d, which goes to %q", e.To, name)
+				name := connServer[e.To]
+				if !r.core.limits.Probe.Permitted || name == "" || phases[name] != elmseam.Ready {
+					t.Fatalf("a probe on connection %d, which goes to %q", e.To, name)
 				}
 				if rnd.IntN(2) == 0 {
-					tested = append(tested, ServerProbeAnswer{Server: name, Conn: e.To, ID: e.ID, Report: Report{{elmseam.LoadMetricWait, rnd.Float64() * 900}}})
+					probeAnswers = append(probeAnswers, ServerProbeAnswer{Server: name, Conn: e.To, ID: e.ID, Report: Report{{elmseam.LoadMetricWait, rnd.Float64() * 900}}})
 				}
 			case GracefulClose:
-				if name, there := links[e.To]; there { // replaced, where nothing is out
+				if name, known := connServer[e.To]; known { // replaced, as no attempt is outstanding on it
 					for id, m := range calls {
-						if m.out == name {
-							fail(id, "its connection is closed as one on which nothing is out")
+						if m.server == name {
+							failCall(id, "its connection is closed as one without an outstanding attempt")
 						}
 					}
-					lose(name)
+					loseConn(name)
 				}
 			case End:
-				if m, name := calls[e.ID], links[e.To]; m != nil && name != "" && m.out == name {
+				if m, name := calls[e.ID], connServer[e.To]; m != nil && name != "" && m.server == name {
 					if m.ending = true; e.Notify {
-						unwritten = append(unwritten, key{name, e.ID})
+						unwrittenEnds = append(unwrittenEnds, serverCall{name, e.ID})
 					} else {
-						m.out, m.ending = "", false
+						m.server, m.ending = "", false
 					}
 				}
 			case Answered:
 				m := calls[e.ID]
-				if m.finals++; m.stands == "" || m.finals > 1 {
-					fail(e.ID, "answered, and never or twice")
+				if m.finalAnswers++; m.established == "" || m.finalAnswers > 1 {
+					failCall(e.ID, "answered twice, or without an answer of a server")
 				}
 			case Rejected:
 				m := calls[e.ID]
-				if m.finals++; m.finals > 1 || m.gone {
-					fail(e.ID, "refused after its end")
+				if m.finalAnswers++; m.finalAnswers > 1 || m.callerGone {
+					failCall(e.ID, "refused after its final answer or give-up")
 				}
 			case ForgetCall:
-				calls[e.ID].gone = true
+				calls[e.ID].callerGone = true
 			case Released:
-				if m := calls[e.ID]; m != nil && (m.stands == "" || m.over) {
-					fail(e.ID, "released, but never stood or twice")
+				if m := calls[e.ID]; m != nil && (m.established == "" || m.released) {
+					failCall(e.ID, "released twice, or without having been established")
 				} else if m != nil {
-					m.over = true
+					m.released = true
 				}
 			case Violation:
-				fail(e.ID, e.Rule)
+				failCall(e.ID, e.Rule)
 			}
 		}
 	}
-	stood := 0
+	establishedCount := 0
 	for range 60000 {
 		r.now += time.Duration(rnd.IntN(8)) * ms
-		for i := 0; i < len(r.due); {
-			if d := r.due[i]; d.At <= r.now {
-				r.due = append(r.due[:i], r.due[i+1:]...)
-				step(TimerFired{Token: d.Token})
+		for i := 0; i < len(r.timers); {
+			if timer := r.timers[i]; timer.At <= r.now {
+				r.timers = append(r.timers[:i], r.timers[i+1:]...)
+				step(TimerFired{Token: timer.Token})
 				i = 0
 			} else {
 				i++
@@ -146,102 +146,102 @@
 		}
 		name := []string{"a", "b"}[rnd.IntN(2)]
 		var id ID
-		if len(live) > 0 {
-			id = live[max(0, len(live)-1-rnd.IntN(30))]
+		if len(ids) > 0 {
+			id = ids[max(0, len(ids)-1-rnd.IntN(30))]
 		}
 		m := calls[id]
 		switch rnd.IntN(26) {
 		case 24:
-			step(ServerSilent{Server: name, Conn: up[name], For: time.Duration(rnd.IntN(2000)) * ms})
-		case 25: // the answer to a probe, the last one twice
-			if n := len(tested); n > 0 {
-				step(tested[0])
-				tested = tested[min(1, n-1):]
+			step(ServerSilent{Server: name, Conn: serverConnID[name], For: time.Duration(rnd.IntN(2000)) * ms})
+		case 25: // the answer to a probe; the last answer comes twice
+			if n := len(probeAnswers); n > 0 {
+				step(probeAnswers[0])
+				probeAnswers = probeAnswers[min(1, n-1):]
 			}
 		case 0, 1, 2, 3, 4:
-			next++
-			calls[next] = &model{}
-			live = append(live, next)
-			step(SetUp{ID: next, From: caller, Class: rnd.IntN(len(set.Classes)), Tenant: []string{"", "x", "y", "z"}[rnd.IntN(4)], Cell: rnd.IntN(2), TimeLeft: time.Duration(50+rnd.IntN(4000)) * ms, At: r.now})
-		case 5, 6, 7, 8, 9, 10, 11, 12: // the server answers what is out
-			if m != nil && m.out != "" {
-				server := m.out
+			lastID++
+			calls[lastID] = &model{}
+			ids = append(ids, lastID)
+			step(SetUp{ID: lastID, From: callerConnID, Class: rnd.IntN(len(settings.Classes)), Tenant: []string{"", "x", "y", "z"}[rnd.IntN(4)], Cell: rnd.IntN(2), TimeLeft: time.Duration(50+rnd.IntN(4000)) * ms, At: r.now})
+		case 5, 6, 7, 8, 9, 10, 11, 12: // a server answers an attempt
+			if m != nil && m.server != "" {
+				server := m.server
 				if !m.ending {
-					m.out, m.stands = "", server
-					stood++
+					m.server, m.established = "", server
+					establishedCount++
 				}
-				step(ServerAnswer{Server: server, Conn: up[server], ID: id})
+				step(ServerAnswer{Server: server, Conn: serverConnID[server], ID: id})
 			}
 		case 13:
-			if m != nil && m.out != "" && !m.ending {
-				server := m.out
-				m.out = ""
-				step(ServerEnd{Server: server, Conn: up[server], ID: id, Reason: []Reason{Full, Busy, Unsent}[rnd.IntN(3)]})
+			if m != nil && m.server != "" && !m.ending {
+				server := m.server
+				m.server = ""
+				step(ServerEnd{Server: server, Conn: serverConnID[server], ID: id, Reason: []Reason{Full, Busy, Unsent}[rnd.IntN(3)]})
 			}
 		case 14, 15:
-			if m != nil && m.stands != "" && !m.over && up[m.stands] != 0 {
-				step(ServerEnd{Server: m.stands, Conn: up[m.stands], ID: id, Reason: Normal})
+			if m != nil && m.established != "" && !m.released && serverConnID[m.established] != 0 {
+				step(ServerEnd{Server: m.established, Conn: serverConnID[m.established], ID: id, Reason: Normal})
 			}
 		case 16:
-			if m != nil && !m.gone && !m.over {
-				m.gone, m.over = m.stands == "", m.stands != ""
-				step(CallerEnd{ID: id, From: caller})
+			if m != nil && !m.callerGone && !m.released {
+				m.callerGone, m.released = m.established == "", m.established != ""
+				step(CallerEnd{ID: id, From: callerConnID})
 			}
 		case 17:
-			if l := up[name]; l != 0 && rnd.IntN(20) == 0 {
-				lose(name)
-				step(ServerDown{Server: name, Conn: l})
+			if connID := serverConnID[name]; connID != 0 && rnd.IntN(20) == 0 {
+				loseConn(name)
+				step(ServerDown{Server: name, Conn: connID})
 			}
-		case 18, 19: // a dial ends
-			if len(dialed) > 0 {
-				server := dialed[0]
-				dialed = dialed[1:]
+		case 18, 19: // a dial succeeds or fails
+			if len(pendingDials) > 0 {
+				server := pendingDials[0]
+				pendingDials = pendingDials[1:]
 				if rnd.IntN(10) == 0 {
 					step(ServerDown{Server: server})
 				} else {
-					nextLink++
-					links[nextLink], up[server] = server, nextLink
-					step(ServerUp{Server: server, Address: server + ":1", Conn: nextLink})
+					lastConn++
+					connServer[lastConn], serverConnID[server] = server, lastConn
+					step(ServerUp{Server: server, Address: server + ":1", Conn: lastConn})
 				}
 			}
 		case 20:
 			if rnd.IntN(4) == 0 {
-				ready[name] = []elmseam.Phase{elmseam.Ready, elmseam.Ready, elmseam.Ready, elmseam.Ready, elmseam.Draining, elmseam.Gone}[rnd.IntN(6)]
-				step(List{Servers: []Server{{Name: name, Address: name + ":1", Cell: int(name[0] - 'a'), Phase: ready[name]}}})
+				phases[name] = []elmseam.Phase{elmseam.Ready, elmseam.Ready, elmseam.Ready, elmseam.Ready, elmseam.Draining, elmseam.Gone}[rnd.IntN(6)]
+				step(List{Servers: []Server{{Name: name, Address: name + ":1", Cell: int(name[0] - 'a'), Phase: phases[name]}}})
 			}
-		case 21, 22: // an end is written at last
-			if len(unwritten) > 0 {
-				k := unwritten[0]
-				unwritten = unwritten[1:]
-				if m := calls[k.id]; m.out == k.server && m.ending {
-					m.out, m.ending, m.badEnd = "", false, r.now
+		case 21, 22: // an End is written late
+			if len(unwrittenEnds) > 0 {
+				end := unwrittenEnds[0]
+				unwrittenEnds = unwrittenEnds[1:]
+				if m := calls[end.id]; m.server == end.server && m.ending {
+					m.server, m.ending, m.badEndAt = "", false, r.now
 				}
-				step(EndWritten{Server: k.server, ID: k.id})
+				step(EndWritten{Server: end.server, ID: end.id})
 			}
 		case 23:
 			if rnd.IntN(20) == 0 {
-				old := caller
-				nextLink++
-				caller = nextLink
+				old := callerConnID
+				lastConn++
+				callerConnID = lastConn
 				step(CallerDown{Conn: old})
-				step(CallerUp{Conn: caller, Protocol: "f"})
+				step(CallerUp{Conn: callerConnID, Protocol: "f"})
 			}
 		}
 	}
-	for range 100 { // all that is owed comes out in the end
+	for range 100 { // all final answers that are pending are given
 		r.now += time.Second
-		for _, d := range r.due {
-			step(TimerFired{Token: d.Token})
+		for _, timer := range r.timers {
+			step(TimerFired{Token: timer.Token})
 		}
-		r.due = nil
+		r.timers = nil
 	}
 	for id, m := range calls {
-		if m.finals == 0 && !m.gone && m.stands == "" {
-			fail(id, "no final answer")
+		if m.finalAnswers == 0 && !m.callerGone && m.established == "" {
+			failCall(id, "no final answer")
 		}
 	}
-	t.Logf("%d calls, %d stood", next, stood)
-	if next < 5000 || stood < 500 {
-		t.Error("the test has not met its case")
+	t.Logf("%d calls, %d established", lastID, establishedCount)
+	if lastID < 5000 || establishedCount < 500 {
+		t.Error("too few calls for the test to mean anything")
 	}
 }
--- a/internal/explore/digest.go
+++ b/internal/explore/digest.go
@@ -73,7 +73,7 @@
 			return
 		}
 		for i := range v.NumField() {
-			if t == coreType && t.Field(i).Name == "out" { // buffer of the last step's effects, which is not part of the state
+			if t == coreType && t.Field(i).Name == "effects" { // buffer of the last step's effects, which is not part of the state
 				continue
 			}
 			d.appendValue(v.Field(i))
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -1,5 +1,6 @@
-// Package handover connects two processes of the program on one machine while the newer takes over from the older:
-// messages, some with an open file, over a Unix socket. What they mean is decided elsewhere.
+// Package handover carries messages between two processes of the program on one machine while the successor takes over
+// from the predecessor. The messages, some with an open file attached, travel over a Unix socket. The package defines
+// their format; its users decide what to do with them.
 package handover
 
 import (
@@ -17,63 +18,63 @@
 	"elmseam/internal/core"
 )
 
-// Version is that of the messages. Processes of different versions hand nothing over.
+// Version is the version of the message format. Processes with different versions refuse the hand-over.
 const Version = 1
 
-// Limits are the sizes and times of a hand-over.
+// Limits are the timeouts and size limits of a hand-over.
 type Limits struct {
-	HelloTimeout   time.Duration // to be answered, or to say who one is
-	ExitTimeout    time.Duration // that a process which is ending is waited for
-	WriteTimeout   time.Duration // a message may take; a peer that takes none for so long is given up
-	MaxMessageSize int           // the longest message
-	MaxQueuedBytes int           // bytes that may wait for the peer
-	MaxEndedCalls  int           // ended calls that are named
+	HelloTimeout   time.Duration // max time to connect, to receive Hello, and to receive the answer to it
+	ExitTimeout    time.Duration // how long a successor waits for an exiting predecessor to end
+	WriteTimeout   time.Duration // max time to write one message; beyond it the connection is closed
+	MaxMessageSize int           // max size of an encoded message, in bytes
+	MaxQueuedBytes int           // max bytes queued for the peer; beyond it the connection is closed
+	MaxEndedCalls  int           // max number of ids in a CallsEnded message
 }
 
-// ReasonExiting is why a process that closes its listener gives it to nobody. Who is told so waits until that process has gone, and
-// can then listen itself.
+// ReasonExiting is the refusal reason of a process that is exiting and closes its listener. The refused process waits until
+// the exiting one has ended, and then listens itself.
 const ReasonExiting = "this process is ending"
 
-// Kind says what a message is.
+// Kind is the type of a message.
 type Kind string
 
-// The kinds, and who sends them.
+// Kinds of messages. The comments name the sender.
 const (
-	Hello        Kind = "hello"       // new: who it is
-	Listener     Kind = "listener"    // old, with the callers' listener
-	Refused      Kind = "refused"     // old: why not
-	Serving      Kind = "serving"     // new: it serves
-	Transferring Kind = "moving"      // old: it hands its callers on from now on
-	CallerConn   Kind = "caller"      // old, with a caller's connection
-	Effect       Kind = "effect"      // old, for a caller
-	CallsEnded   Kind = "over"        // old: calls that have ended
-	CallerDown   Kind = "caller_down" // new: a caller's connection has ended
-	CallerEnd    Kind = "caller_end"  // new, of a call that it does not know
-	ServerEnd    Kind = "server_end"  // new, the same
+	Hello        Kind = "hello"       // successor: asks for the listener of an address
+	Listener     Kind = "listener"    // predecessor: carries the callers' listener
+	Refused      Kind = "refused"     // predecessor: refuses the hand-over, with a reason
+	Serving      Kind = "serving"     // successor: ready to serve callers
+	Transferring Kind = "moving"      // predecessor: starts to transfer its callers' connections
+	CallerConn   Kind = "caller"      // predecessor: carries a caller's connection
+	Effect       Kind = "effect"      // predecessor: an effect for a caller
+	CallsEnded   Kind = "over"        // predecessor: ids of calls that have ended
+	CallerDown   Kind = "caller_down" // successor: a transferred connection was closed
+	CallerEnd    Kind = "caller_end"  // successor: a caller released a call that the successor does not know
+	ServerEnd    Kind = "server_end"  // successor: a server ended a call that the successor does not know
 )
 
-// Message is what one process tells the other. A field that its kind has no use for is empty.
+// Message is one message between the two processes. Fields that its kind does not use are empty.
 type Message struct {
 	Kind          Kind          `json:"kind"`
-	Version       int           `json:"version,omitempty"`
-	Listen        string        `json:"listen,omitempty"`
-	RefusalReason string        `json:"why,omitempty"`
-	Conn          core.ConnID   `json:"link,omitempty"` // by the old one's count
-	Protocol      core.Protocol `json:"front,omitempty"`
-	Unprocessed   []byte        `json:"rest,omitempty"` // read from the connection and not yet taken
-	Pending       []core.ID     `json:"open,omitempty"`
-	Established   []core.ID     `json:"stand,omitempty"`
-	Asked         bool          `json:"asked,omitempty"`
-	Effect        string        `json:"effect,omitempty"`
-	ID            core.ID       `json:"id,omitempty"`
-	Desc          []byte        `json:"desc,omitempty"`
-	Reason        core.Reason   `json:"reason,omitempty"`
-	RetryAfter    time.Duration `json:"retry,omitempty"`
-	Server        string        `json:"server,omitempty"`
-	IDs           []core.ID     `json:"ids,omitempty"`
+	Version       int           `json:"version,omitempty"` // format version, see [Version]
+	Listen        string        `json:"listen,omitempty"`  // the callers' address whose listener is requested
+	RefusalReason string        `json:"why,omitempty"`     // reason of a Refused message
+	Conn          core.ConnID   `json:"link,omitempty"`    // id of a connection in the predecessor
+	Protocol      core.Protocol `json:"front,omitempty"`   // signalling protocol of the caller that an effect is for
+	Unprocessed   []byte        `json:"rest,omitempty"`    // bytes read from the connection and not yet processed
+	Pending       []core.ID     `json:"open,omitempty"`    // calls of the connection without a final answer
+	Established   []core.ID     `json:"stand,omitempty"`   // established calls of the connection
+	Asked         bool          `json:"asked,omitempty"`   // the connection has carried a set-up
+	Effect        string        `json:"effect,omitempty"`  // "answered", "rejected" or "released"
+	ID            core.ID       `json:"id,omitempty"`      // the call that the message is about
+	Desc          []byte        `json:"desc,omitempty"`    // description in an answer
+	Reason        core.Reason   `json:"reason,omitempty"`  // why a call was rejected, released or ended by a server
+	RetryAfter    time.Duration `json:"retry,omitempty"`   // when a rejected caller may try again, in nanoseconds
+	Server        string        `json:"server,omitempty"`  // name of the server that ended the call
+	IDs           []core.ID     `json:"ids,omitempty"`     // the calls of a CallsEnded message
 }
 
-// SocketPath is where the process of a name is found; "" where there is no folder for it.
+// SocketPath returns the path of the hand-over socket of the process with the given name, or "" if dir is empty.
 func SocketPath(dir, name string) string {
 	if dir == "" {
 		return ""
@@ -81,25 +82,26 @@
 	return filepath.Join(dir, "elmseam-"+strings.ReplaceAll(name, "/", "_")+".sock")
 }
 
-// Peer is the other process.
+// Peer is the connection to the other process.
 type Peer struct {
-	conn   *net.UnixConn
-	limits Limits
-	buf    []byte
-	write  sync.Mutex // held for each message
+	conn    *net.UnixConn
+	limits  Limits
+	readBuf []byte
+	writeMu sync.Mutex // serializes the writes of writeLoop and SendFile
 
-	mu      sync.Mutex
-	queue   [][]byte
-	bytes   int
-	writing bool
-	closed  bool
+	mu          sync.Mutex
+	queue       [][]byte // encoded messages
+	queuedBytes int      // total size of queue
+	writing     bool     // writeLoop is running
+	closed      bool
 }
 
+// newPeer returns the peer at the other end of conn.
 func newPeer(conn *net.UnixConn, limits Limits) *Peer {
-	return &Peer{conn: conn, limits: limits, buf: make([]byte, limits.MaxMessageSize)}
+	return &Peer{conn: conn, limits: limits, readBuf: make([]byte, limits.MaxMessageSize)}
 }
 
-// Close ends the connection.
+// Close closes the connection and drops the queue.
 func (p *Peer) Close() {
 	p.mu.Lock()
 	p.closed, p.queue = true, nil
@@ -107,28 +109,28 @@
 	p.conn.Close()
 }
 
-// Send queues a message. It never waits; a peer that falls behind too far is given up.
+// Send queues a message. It never blocks. The connection is closed if the message is too large or the queue is full.
 func (p *Peer) Send(m Message) {
-	text, err := json.Marshal(m)
+	payload, err := json.Marshal(m)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
 		return
 	}
-	if p.bytes += len(text); err != nil || len(text) > p.limits.MaxMessageSize || p.bytes > p.limits.MaxQueuedBytes {
+	if p.queuedBytes += len(payload); err != nil || len(payload) > p.limits.MaxMessageSize || p.queuedBytes > p.limits.MaxQueuedBytes {
 		p.closed, p.queue = true, nil
 		p.conn.Close()
 		return
 	}
-	p.queue = append(p.queue, text)
+	p.queue = append(p.queue, payload)
 	if !p.writing {
 		p.writing = true
-		go p.run()
+		go p.writeLoop()
 	}
 }
 
-// run writes what is queued.
-func (p *Peer) run() {
+// writeLoop writes the queued messages and returns when the queue is empty or the connection is closed.
+func (p *Peer) writeLoop() {
 	for {
 		p.mu.Lock()
 		if p.closed || len(p.queue) == 0 {
@@ -136,49 +138,50 @@
 			p.mu.Unlock()
 			return
 		}
-		text := p.queue[0]
+		payload := p.queue[0]
 		p.queue = p.queue[1:]
-		p.bytes -= len(text)
+		p.queuedBytes -= len(payload)
 		p.mu.Unlock()
-		if p.packet(text, nil) != nil {
+		if p.writeMessage(payload, nil) != nil {
 			p.Close()
 		}
 	}
 }
 
-// packet writes one message whole.
-func (p *Peer) packet(text, rights []byte) error {
-	p.write.Lock()
-	defer p.write.Unlock()
+// writeMessage writes one encoded message, with the control data in rights if there is any.
+func (p *Peer) writeMessage(payload, rights []byte) error {
+	p.writeMu.Lock()
+	defer p.writeMu.Unlock()
 	p.conn.SetWriteDeadline(time.Now().Add(p.limits.WriteTimeout))
-	_, _, err := p.conn.WriteMsgUnix(text, rights, nil)
+	_, _, err := p.conn.WriteMsgUnix(payload, rights, nil)
 	return err
 }
 
-// SendFile sends a message with an open file, and waits until it is with the peer's machine.
-func (p *Peer) SendFile(m Message, of syscall.Conn) error {
-	text, err := json.Marshal(m)
+// SendFile sends a message with the file descriptor of source attached. It blocks until the message is in the socket's
+// buffer.
+func (p *Peer) SendFile(m Message, source syscall.Conn) error {
+	payload, err := json.Marshal(m)
 	if err != nil {
 		return err
 	}
-	if len(text) > p.limits.MaxMessageSize {
-		return fmt.Errorf("a message of %d bytes", len(text))
+	if len(payload) > p.limits.MaxMessageSize {
+		return fmt.Errorf("message of %d bytes exceeds the size limit", len(payload))
 	}
-	raw, err := of.SyscallConn()
+	raw, err := source.SyscallConn()
 	if err != nil {
 		return err
 	}
-	var sent error
-	// Not by File and its Fd: that would make the file blocking for both processes.
-	if err := raw.Control(func(fd uintptr) { sent = p.packet(text, syscall.UnixRights(int(fd))) }); err != nil {
+	var writeErr error
+	// File().Fd() is not used here: it would put the file into blocking mode for both processes.
+	if err := raw.Control(func(fd uintptr) { writeErr = p.writeMessage(payload, syscall.UnixRights(int(fd))) }); err != nil {
 		return err
 	}
-	return sent
+	return writeErr
 }
 
-// Flush waits until what is queued is written, not for long.
+// Flush waits until the queue is written, for at most limits.WriteTimeout.
 func (p *Peer) Flush() {
-	for until := time.Now().Add(p.limits.WriteTimeout); time.Now().Before(until); time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(p.limits.WriteTimeout); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 		p.mu.Lock()
 		idle := !p.writing
 		p.mu.Unlock()
@@ -188,25 +191,25 @@
 	}
 }
 
-var errCut = errors.New("a message was cut short")
+var errTruncated = errors.New("message truncated")
 
-// Receive waits for a message, and the file that comes with it.
+// Receive waits for the next message and returns it with the file attached to it, or nil if there is none.
 func (p *Peer) Receive() (m Message, file *os.File, err error) {
 	oob := make([]byte, syscall.CmsgSpace(4))
-	n, oobn, flags, _, err := p.conn.ReadMsgUnix(p.buf, oob)
+	n, oobn, flags, _, err := p.conn.ReadMsgUnix(p.readBuf, oob)
 	if err != nil {
 		return m, nil, err
 	}
-	if file, err = fileIn(oob[:oobn]); err != nil {
+	if file, err = parseFile(oob[:oobn]); err != nil {
 		return m, nil, err
 	}
 	switch {
 	case n == 0 && oobn == 0:
 		err = net.ErrClosed
 	case flags&(syscall.MSG_TRUNC|syscall.MSG_CTRUNC) != 0:
-		err = errCut
+		err = errTruncated
 	default:
-		err = json.Unmarshal(p.buf[:n], &m)
+		err = json.Unmarshal(p.readBuf[:n], &m)
 	}
 	if err != nil && file != nil {
 		file.Close()
@@ -215,27 +218,28 @@
 	return m, file, err
 }
 
-// fileIn is the file that came beside a message, if one did.
-func fileIn(oob []byte) (*os.File, error) {
+// parseFile extracts the file from a message's control data. It returns nil if oob is empty.
+func parseFile(oob []byte) (*os.File, error) {
 	if len(oob) == 0 {
 		return nil, nil
 	}
 	messages, err := syscall.ParseSocketControlMessage(oob)
 	if err != nil || len(messages) != 1 {
-		return nil, fmt.Errorf("%d control messages: %w", len(messages), errCut)
+		return nil, fmt.Errorf("%d control messages, want 1: %w", len(messages), errTruncated)
 	}
 	fds, err := syscall.ParseUnixRights(&messages[0])
 	if err != nil || len(fds) != 1 {
-		return nil, fmt.Errorf("%d files: %w", len(fds), errCut)
+		return nil, fmt.Errorf("%d files, want 1: %w", len(fds), errTruncated)
 	}
 	syscall.CloseOnExec(fds[0])
 	return os.NewFile(uintptr(fds[0]), "handed over"), nil
 }
 
-// RequestListener asks the process that serves an address for its listener. An error says why there is none to be had.
+// RequestListener asks the process behind the socket at path for its listener of the address listen. It fails if no process
+// answers or the process refuses.
 func RequestListener(path, listen string, limits Limits) (*Peer, net.Listener, error) {
 	if path == "" {
-		return nil, nil, errors.New("no folder for a socket")
+		return nil, nil, errors.New("no directory for the hand-over socket")
 	}
 	conn, err := net.DialTimeout("unixpacket", path, limits.HelloTimeout)
 	if err != nil {
@@ -252,10 +256,10 @@
 	if err == nil && (m.Kind != Listener || file == nil) {
 		err = fmt.Errorf("%s: %s", m.Kind, m.RefusalReason)
 	}
-	var l net.Listener
+	var listener net.Listener
 	if file != nil {
 		if err == nil {
-			l, err = net.FileListener(file)
+			listener, err = net.FileListener(file)
 		}
 		file.Close()
 	}
@@ -264,31 +268,32 @@
 		return nil, nil, err
 	}
 	conn.SetReadDeadline(time.Time{})
-	return p, l, nil
+	return p, listener, nil
 }
 
-// Listen waits at the path for successors. Whatever has been left there is replaced at once.
+// Listen listens on a Unix socket at path for successors. A socket that exists there is replaced atomically.
 func Listen(path string) (*net.UnixListener, error) {
-	fresh := fmt.Sprintf("%s.%d", path, os.Getpid())
-	os.Remove(fresh)
-	l, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: fresh, Net: "unixpacket"})
+	tempPath := fmt.Sprintf("%s.%d", path, os.Getpid())
+	os.Remove(tempPath)
+	listener, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: tempPath, Net: "unixpacket"})
 	if err != nil {
 		return nil, err
 	}
-	l.SetUnlinkOnClose(false) // a successor's may stand there by then
-	if err = os.Chmod(fresh, 0o600); err == nil {
-		err = os.Rename(fresh, path)
+	listener.SetUnlinkOnClose(false) // path may be a successor's socket by the time of Close
+	if err = os.Chmod(tempPath, 0o600); err == nil {
+		err = os.Rename(tempPath, path)
 	}
 	if err != nil {
-		os.Remove(fresh)
-		l.Close()
+		os.Remove(tempPath)
+		listener.Close()
 		return nil, err
 	}
-	return l, nil
+	return listener, nil
 }
 
-// AcceptSuccessor hears who has come, and gives the listener where that is what it wants. Why says that it can't be had.
-func AcceptSuccessor(conn *net.UnixConn, listen, why string, listener syscall.Conn, limits Limits) (*Peer, error) {
+// AcceptSuccessor receives the Hello of a process that has connected, and sends it the listener if the process asks for the
+// address listen. A refusal that is not empty is sent instead, as the reason.
+func AcceptSuccessor(conn *net.UnixConn, listen, refusal string, listener syscall.Conn, limits Limits) (*Peer, error) {
 	p := newPeer(conn, limits)
 	conn.SetReadDeadline(time.Now().Add(limits.HelloTimeout))
 	m, file, err := p.Receive()
@@ -298,14 +303,14 @@
 	if err == nil {
 		switch {
 		case m.Kind != Hello || m.Version != Version:
-			why = fmt.Sprintf("version %d is spoken here", Version)
+			refusal = fmt.Sprintf("version %d is spoken here", Version)
 		case m.Listen != listen:
-			why = fmt.Sprintf("%s is served here", listen)
+			refusal = fmt.Sprintf("%s is served here", listen)
 		}
-		if why != "" {
-			p.Send(Message{Kind: Refused, Version: Version, RefusalReason: why})
+		if refusal != "" {
+			p.Send(Message{Kind: Refused, Version: Version, RefusalReason: refusal})
 			p.Flush()
-			err = errors.New(why)
+			err = errors.New(refusal)
 		} else {
 			err = p.SendFile(Message{Kind: Listener, Version: Version}, listener)
 		}
@@ -314,7 +319,7 @@
 	switch {
 	case err == nil:
 		return p, nil
-	case why == ReasonExiting: // the connection's end, with the process, tells that it has gone
+	case refusal == ReasonExiting: // the connection stays open until this process ends, which the refused one waits for
 		go func() { p.Receive(); p.Close() }()
 	default:
 		p.Close()
--- /dev/null
+++ b/internal/knowledge/view.go
@@ -0,0 +1,135 @@
+package knowledge
+
+import (
+	"math"
+	"slices"
+	"time"
+)
+
+// View is the tier's combined knowledge of a server at one time.
+type View struct {
+	// HoldBackShare is the share of new set-ups to hold back, weighted over the reports of all members; the newest
+	// reports weigh most.
+	HoldBackShare float64
+	// HoldBackShareAt is the time of the newest report that another member received; 0: none.
+	HoldBackShareAt Time
+	// Rate is the mean rate, in set-ups a second, that the server takes from another member when warm; 0: not known.
+	Rate float64
+	// FairRate is the same once this member again handles its fair share of the callers.
+	FairRate float64
+	// FailingShare is the share of the other members' weight that considers the server failing.
+	FailingShare float64
+	// DrainingSince is the latest time since which another member's server list marks the server as draining; 0: none
+	// does.
+	DrainingSince Time
+	// Observers is the number of other members with an entry for the server.
+	Observers int
+	// MinSetUpTime is the longest of the other members' shortest set-up times, as their network paths to the server
+	// differ; 0: not known.
+	MinSetUpTime time.Duration
+}
+
+// failingThreshold is the weight of failed set-ups in a row from which on a member considers a server failing.
+const failingThreshold = 8
+
+// weight returns the weight of an observation of that age: 1 when new, halved with each half-life.
+func weight(age, halfLife time.Duration) float64 {
+	return math.Exp2(-float64(max(age, 0)) / float64(halfLife))
+}
+
+// View combines what is known of a server. The weight of each entry halves with each half-life of its age, so a
+// member with stale reports, or two members that contradict each other, are outweighed by a member with a newer
+// report. This member's own last report counts beside the others'.
+func (r *Reducer) View(now Time, server uint32) (v View) {
+	now = max(now, r.now)
+	shareSum, shareWeight, rateSum, rateWeight, failingWeight, totalWeight := 0.0, 0.0, 0.0, 0.0, 0.0, 0.0
+	members := 1.0
+	for _, available := range r.available {
+		if available {
+			members++
+		}
+	}
+	limits := r.cfg.Limits
+	addReport := func(obs Observation) {
+		if obs.HoldBackShareAt > 0 && now-obs.HoldBackShareAt < limits.MaxAge {
+			w := weight(now-obs.HoldBackShareAt, limits.HalfLife)
+			shareSum, shareWeight = shareSum+w*obs.HoldBackShare, shareWeight+w
+		}
+	}
+	for _, o := range r.observers {
+		e, known := o.Entries[server]
+		if !known || now-e.ObservedAt >= limits.MaxAge {
+			continue
+		}
+		v.Observers++
+		v.MinSetUpTime = max(v.MinSetUpTime, e.MinSetUpTime)
+		addReport(e.Observation)
+		v.HoldBackShareAt, v.DrainingSince = max(v.HoldBackShareAt, e.HoldBackShareAt), max(v.DrainingSince, e.DrainingSince)
+		w := weight(now-e.ObservedAt, limits.SlowHalfLife)
+		if e.Rate > 0 {
+			rateSum, rateWeight = rateSum+w*e.Rate, rateWeight+w
+		}
+		if totalWeight += w; e.FailureWeight >= failingThreshold {
+			failingWeight += w
+		}
+	}
+	if addReport(r.local[server]); shareWeight > 0 {
+		v.HoldBackShare = shareSum / shareWeight
+	}
+	if rateWeight > 0 {
+		v.Rate = rateSum / rateWeight
+		v.FairRate = v.Rate * max(members-1, 1) / members
+	}
+	if totalWeight > 0 {
+		v.FailingShare = failingWeight / totalWeight
+	}
+	return v
+}
+
+// TakeoverFactor returns the factor by which this member's rates grow when the given members have died. Their callers
+// move to all available members in equal numbers, as far as is known. If the rates of a dead member or of this one
+// are not known, each member is assumed to have had equally many callers.
+func (r *Reducer) TakeoverFactor(dead []int, available int) float64 {
+	localRate, deadRate, allKnown := 0.0, 0.0, true
+	for _, obs := range r.local {
+		localRate += obs.Rate
+	}
+	for _, member := range dead {
+		rate, reported := 0.0, false
+		for _, e := range r.observers[member].Entries {
+			if r.now-e.ObservedAt < r.cfg.Limits.MaxAge {
+				rate, reported = rate+e.Rate, reported || e.Rate > 0
+			}
+		}
+		deadRate, allKnown = deadRate+rate, allKnown && reported
+	}
+	available = max(available, 1)
+	if !allKnown || localRate <= 0 {
+		return float64(available+len(dead)) / float64(available)
+	}
+	return 1 + min(deadRate/float64(available)/localRate, float64(len(dead)))
+}
+
+// ObserverEntry is an observer's entry for a server, as shown to operators.
+type ObserverEntry struct {
+	Observer int
+	Observation
+	At Time
+}
+
+// Entries returns all entries for a server, ordered by observer, this member's own included.
+func (r *Reducer) Entries(server uint32) (entries []ObserverEntry) {
+	for member, o := range r.observers {
+		if e, known := o.Entries[server]; known {
+			entries = append(entries, ObserverEntry{member, e.Observation, e.ObservedAt})
+		}
+	}
+	if obs, listed := r.local[server]; listed {
+		entries = append(entries, ObserverEntry{r.cfg.Self, obs, r.now})
+	}
+	slices.SortFunc(entries, func(a, b ObserverEntry) int { return a.Observer - b.Observer })
+	return entries
+}
+
+// Counters returns the current counters.
+func (r *Reducer) Counters() Counters { return r.counters }
--- a/internal/link/outbox.go
+++ b/internal/link/outbox.go
@@ -2,82 +2,84 @@
 
 import (
 	"bufio"
+	"io"
 	"net"
 	"sync"
 	"time"
 )
 
-// Limits are the sizes and times of a connection.
+// Limits are the size limits and timeouts of a connection.
 type Limits struct {
-	InitialBufferSize int           // the read buffer's first size
-	MaxMessageSize    int           // the longest message
-	MaxQueuedBytes    int           // bytes that may wait to be written before the peer counts as stalled
-	WriteTimeout      time.Duration // and the longest that one write may take
-	MessageTimeout    time.Duration // to the end of the first message, or of one that has begun
-	IdleTimeout       time.Duration // without a message
-	LineTimeout       time.Duration // from a line's first byte to its last
-	MaxSilence        time.Duration // the longest that a peer may be silent that speaks at intervals
-	LingerTimeout     time.Duration // that a connection's end may take, for the peer to read what it was told
-	MaxLingerBytes    int           // bytes that the peer may send in that time
-	FlushTimeout      time.Duration // a write that takes so long is broken off where new work has to stop
+	InitialBufferSize int           // initial size of the read buffer, size of the write buffer; bytes
+	MaxMessageSize    int           // max size of a received message, in bytes
+	MaxQueuedBytes    int           // max bytes queued for writing; beyond it the peer counts as stalled and the connection is closed
+	WriteTimeout      time.Duration // max duration of one write; beyond it the connection is closed
+	MessageTimeout    time.Duration // max time until the first message, or a message that has begun, is complete
+	IdleTimeout       time.Duration // max time between messages
+	LineTimeout       time.Duration // max time from the first byte of a line to its last
+	MaxSilence        time.Duration // max time without data from a peer that sends at regular intervals
+	LingerTimeout     time.Duration // max time between half-close and close, in which the peer reads the last messages
+	MaxLingerBytes    int           // max bytes read and dropped from the peer within LingerTimeout
+	FlushTimeout      time.Duration // max wait of Flush; RetractAll closes the connection if a write has taken longer
 }
 
 // Item is a message to be written.
 type Item struct {
 	Data        []byte
-	ID          uint64
-	Retractable bool      // it starts a set-up: it can be taken back, and is not begun
-	Deadline    time.Time // after this time
-	OnWritten   func()    // called when it is written
-	OnExpired   func()    // called when it was not, as its time was over
+	ID          uint64    // identifies a retractable item
+	Retractable bool      // Data starts a set-up: the item can be retracted while queued, and expires at Deadline
+	Deadline    time.Time // a retractable item is not written after this time
+	OnWritten   func()    // called when the item has been written; may be nil
+	OnExpired   func()    // called when the item was dropped because its deadline had passed; required for a retractable item
 }
 
-// Outbox writes messages to a connection in order. Its user never waits for the peer: a goroutine
-// writes while there is something to write. A peer that takes nothing costs its own connection.
+// Outbox writes messages to a connection in order. Its user never waits for the peer: a goroutine writes while the queue is
+// not empty. The connection of a peer that reads nothing is closed.
 type Outbox struct {
 	conn   net.Conn
 	limits Limits
-	w      *bufio.Writer
-
-	mu      sync.Mutex
-	queue   []Item
-	bytes   int
-	writing bool
-	began   time.Time // of the write under way; zero: none
-	closed  bool
-	finish  func() // what follows the last write; nil: it is not asked for
+	writer *bufio.Writer
+
+	mu           sync.Mutex
+	queue        []Item
+	queuedBytes  int       // total size of the items in queue
+	writing      bool      // writeLoop is running
+	writeStarted time.Time // start of the write in progress; zero if there is none
+	closed       bool
+	onFinished   func() // called after the last write; nil until Finish is called
 }
 
-// NewOutbox makes the outbox of a connection.
+// NewOutbox returns the outbox of a connection.
 func NewOutbox(conn net.Conn, limits Limits) *Outbox {
-	return &Outbox{conn: conn, limits: limits, w: bufio.NewWriterSize(conn, limits.InitialBufferSize)}
+	return &Outbox{conn: conn, limits: limits, writer: bufio.NewWriterSize(conn, limits.InitialBufferSize)}
 }
 
-// Post queues a message.
-func (o *Outbox) Post(it Item) {
+// Post queues a message. It closes the connection if more than limits.MaxQueuedBytes are queued. After Finish or Close the
+// message is dropped.
+func (o *Outbox) Post(item Item) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.closed || o.finish != nil {
+	if o.closed || o.onFinished != nil {
 		return
 	}
-	if o.bytes += len(it.Data); o.bytes > o.limits.MaxQueuedBytes {
-		o.shut()
+	if o.queuedBytes += len(item.Data); o.queuedBytes > o.limits.MaxQueuedBytes {
+		o.closeLocked()
 		return
 	}
-	o.queue = append(o.queue, it)
+	o.queue = append(o.queue, item)
 	if !o.writing {
 		o.writing = true
-		go o.run()
+		go o.writeLoop()
 	}
 }
 
-// Retract removes an offer that has not been begun, and says whether it did.
+// Retract removes the retractable item with the given id from the queue. It reports whether the item was still there.
 func (o *Outbox) Retract(id uint64) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	for i, it := range o.queue {
-		if it.Retractable && it.ID == id {
-			o.bytes -= len(it.Data)
+	for i, item := range o.queue {
+		if item.Retractable && item.ID == id {
+			o.queuedBytes -= len(item.Data)
 			o.queue = append(o.queue[:i], o.queue[i+1:]...)
 			return true
 		}
@@ -85,39 +87,39 @@
 	return false
 }
 
-// RetractAll removes all offers that have not been begun and returns their ids. A write that is stuck may
-// hold some that the peer would get too late: the connection is closed.
+// RetractAll removes all retractable items from the queue and returns their ids. If a write has been in progress for more than
+// limits.FlushTimeout it closes the connection: the write may contain items that the peer would receive too late.
 func (o *Outbox) RetractAll() (ids []uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	kept := o.queue[:0]
-	for _, it := range o.queue {
-		if it.Retractable {
-			ids = append(ids, it.ID)
-			o.bytes -= len(it.Data)
+	remaining := o.queue[:0]
+	for _, item := range o.queue {
+		if item.Retractable {
+			ids = append(ids, item.ID)
+			o.queuedBytes -= len(item.Data)
 		} else {
-			kept = append(kept, it)
+			remaining = append(remaining, item)
 		}
 	}
-	o.queue = kept
-	if !o.began.IsZero() && time.Since(o.began) > o.limits.FlushTimeout {
-		o.shut()
+	o.queue = remaining
+	if !o.writeStarted.IsZero() && time.Since(o.writeStarted) > o.limits.FlushTimeout {
+		o.closeLocked()
 	}
 	return ids
 }
 
-// Finish half-closes the connection once all that is queued has been written, and then calls done: the peer reads what it
-// was told last, and that there is no more. Nothing is taken in from then on. It does not wait.
+// Finish half-closes the connection once the queue is written, and then calls done. The peer can thus read the last messages,
+// followed by the end of the stream. Messages posted after Finish are dropped. Finish does not wait.
 func (o *Outbox) Finish(done func()) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.closed || o.finish != nil {
+	if o.closed || o.onFinished != nil {
 		return
 	}
-	o.finish = done
+	o.onFinished = done
 	if !o.writing {
 		o.writing = true
-		go o.run()
+		go o.writeLoop()
 	}
 }
 
@@ -125,22 +127,23 @@
 func (o *Outbox) Close() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.shut()
+	o.closeLocked()
 }
 
-func (o *Outbox) shut() {
+// closeLocked drops the queue and closes the connection. The caller holds o.mu.
+func (o *Outbox) closeLocked() {
 	o.closed, o.queue = true, nil
 	o.conn.Close()
 }
 
-// run writes until nothing is left. What goes out in one write is limited, so that the rest can still
-// be taken back.
-func (o *Outbox) run() {
+// writeLoop writes until the queue is empty or the connection is closed. The size of one write is limited so that the items
+// behind it can still be retracted.
+func (o *Outbox) writeLoop() {
 	for {
-		batch, done := o.next()
+		batch, done := o.nextBatch()
 		if len(batch) == 0 {
 			if done != nil {
-				if c, ok := o.conn.(interface{ CloseWrite() error }); !ok || c.CloseWrite() != nil {
+				if halfCloser, ok := o.conn.(interface{ CloseWrite() error }); !ok || halfCloser.CloseWrite() != nil {
 					o.Close()
 				}
 				done()
@@ -150,58 +153,59 @@
 		now := time.Now()
 		o.conn.SetWriteDeadline(now.Add(o.limits.WriteTimeout))
 		var err error
-		kept := batch[:0]
-		for _, it := range batch {
-			if it.Retractable && now.After(it.Deadline) {
-				it.OnExpired()
+		written := batch[:0]
+		for _, item := range batch {
+			if item.Retractable && now.After(item.Deadline) {
+				item.OnExpired()
 				continue
 			}
-			if _, err = o.w.Write(it.Data); err != nil {
+			if _, err = o.writer.Write(item.Data); err != nil {
 				break
 			}
-			kept = append(kept, it)
+			written = append(written, item)
 		}
 		if err == nil {
-			err = o.w.Flush()
+			err = o.writer.Flush()
 		}
 		if err != nil {
 			o.Close()
 			return
 		}
-		for _, it := range kept {
-			if it.OnWritten != nil {
-				it.OnWritten()
+		for _, item := range written {
+			if item.OnWritten != nil {
+				item.OnWritten()
 			}
 		}
 	}
 }
 
-// next takes what the next write holds; when there is nothing left, what follows the last one.
-func (o *Outbox) next() (batch []Item, done func()) {
+// nextBatch removes the items of the next write from the queue. When the queue is empty it returns the function passed to
+// Finish, if any.
+func (o *Outbox) nextBatch() (batch []Item, done func()) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.began = (time.Time{}); o.closed || len(o.queue) == 0 {
+	if o.writeStarted = (time.Time{}); o.closed || len(o.queue) == 0 {
 		o.writing = false
 		if o.closed {
 			return nil, nil
 		}
-		return nil, o.finish
+		return nil, o.onFinished
 	}
-	n, size := 0, 0
-	for n < len(o.queue) && (n == 0 || size+len(o.queue[n].Data) <= o.limits.InitialBufferSize) {
-		size += len(o.queue[n].Data)
-		n++
+	count, size := 0, 0
+	for count < len(o.queue) && (count == 0 || size+len(o.queue[count].Data) <= o.limits.InitialBufferSize) {
+		size += len(o.queue[count].Data)
+		count++
 	}
-	batch = append([]Item(nil), o.queue[:n]...)
-	o.queue = append(o.queue[:0], o.queue[n:]...)
-	o.bytes -= size
-	o.began = time.Now()
+	batch = append([]Item(nil), o.queue[:count]...)
+	o.queue = append(o.queue[:0], o.queue[count:]...)
+	o.queuedBytes -= size
+	o.writeStarted = time.Now()
 	return batch, nil
 }
 
-// Flush waits, not for long, until what is queued has been written, and says whether it was.
+// Flush waits until the queue is written, for at most limits.FlushTimeout. It reports whether the queue was written.
 func (o *Outbox) Flush() bool {
-	for until := time.Now().Add(o.limits.FlushTimeout); time.Now().Before(until); time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(o.limits.FlushTimeout); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 		o.mu.Lock()
 		idle, closed := !o.writing, o.closed
 		o.mu.Unlock()
@@ -211,3 +215,14 @@
 	}
 	return false
 }
+
+// Linger flushes the outbox, half-closes the connection and drops what the peer still sends, within limits.LingerTimeout and
+// limits.MaxLingerBytes. The peer can thus read the last messages. Closing at once would reset the connection, and the peer's
+// kernel would discard the data that the peer has not read.
+func (o *Outbox) Linger(conn net.Conn) {
+	o.Flush()
+	if halfCloser, ok := conn.(interface{ CloseWrite() error }); ok && halfCloser.CloseWrite() == nil {
+		conn.SetReadDeadline(time.Now().Add(o.limits.LingerTimeout))
+		io.CopyN(io.Discard, conn, int64(o.limits.MaxLingerBytes))
+	}
+}
--- a/internal/maintenance/codec.go
+++ b/internal/maintenance/codec.go
@@ -4,83 +4,85 @@
 	"elmseam/internal/datagram"
 )
 
-// kind is what a datagram is for.
-type kind uint8
+// messageKind is the purpose of a datagram.
+type messageKind uint8
 
 const (
-	ask     kind = iota // grant me a slot, or go on granting it
-	grant               // granted
-	refuse              // not granted: Items say who holds it, for how long, and the highest epoch seen
-	release             // I hold it no more
-	query               // what have you granted?
-	state               // this: Items are slot, holder, time left, epoch, of each that counts
-	news                // Items are records
-	kinds
+	kindSlotRequest messageKind = iota // requests a grant of Slot, or its renewal
+	kindGrant                          // grants the request with the same sequence number
+	kindRefusal                        // refuses the request; Items are the holder, the remaining time in milliseconds and the highest epoch known
+	kindRelease                        // the sender releases Slot up to Epoch
+	kindQuery                          // asks for the grants that the receiver knows
+	kindState                          // answers a kindQuery; Items are slot, holder, remaining milliseconds and highest epoch, for each slot in use so far
+	kindRecords                        // carries records in Items
+	numKinds
 )
 
-// message is what a datagram holds.
+// message is the content of a datagram.
 type message struct {
-	_       struct{} `cbor:",toarray"`
-	Kind    kind
-	Tier    uint16
-	Zone    int8 // of the sender; -1: not known
-	Seq     uint32
-	Slot    uint8
-	Epoch   uint64
-	Lease   uint32 // milliseconds
-	Settled bool   // the sender knows what it may have granted
-	Sum     uint32 // of the records that it has
-	Name    string // its name
-	Items   []int64
+	_           struct{} `cbor:",toarray"`
+	Kind        messageKind
+	Tier        uint16 // number of members of the sender's tier
+	Zone        int8   // of the sender; -1: not known
+	Seq         uint32 // of the round, or the nonce of a query
+	Slot        uint8
+	Epoch       uint64
+	Lease       uint32 // milliseconds
+	Recovered   bool   // the sender knows what it may have granted
+	RecordsHash uint32 // of the records that the sender has
+	Name        string // of the sender
+	Items       []int64
 }
 
-// nameMost is the longest name that is told, in bytes.
-const nameMost = 24
+// maxNameLength is the maximum length in bytes of a name in a datagram; longer names are cut.
+const maxNameLength = 24
 
+// Number of items for one entry of a kindState or kindRecords message.
 const (
-	itemsOfState  = 4
-	itemsOfRecord = 7
+	itemsPerGrant  = 4
+	itemsPerRecord = 7
 )
 
-func (r *Reducer) encode(m message) []byte {
-	m.Tier, m.Zone, m.Name = uint16(r.cfg.TierSize), int8(r.cfg.Zone), r.cfg.Name
-	if m.Items == nil {
-		m.Items = []int64{}
+// encode encodes a message with the tier size, zone and name of this member.
+func (r *Reducer) encode(msg message) []byte {
+	msg.Tier, msg.Zone, msg.Name = uint16(r.cfg.TierSize), int8(r.cfg.Zone), r.cfg.Name
+	if msg.Items == nil {
+		msg.Items = []int64{}
 	}
-	return datagram.Encode(Version, m)
+	return datagram.Encode(Version, msg)
 }
 
-// items write a record down.
-func items(member int, e Record) []int64 {
-	return []int64{int64(member), int64(e.Generation), int64(e.RequestedAt), int64(e.Restarts), int64(e.Stage), int64(e.Slot), int64(e.Epoch)}
+// recordItems returns the items of a record in a kindRecords message.
+func recordItems(member int, record Record) []int64 {
+	return []int64{int64(member), int64(record.Generation), int64(record.RequestedAt), int64(record.Restarts), int64(record.Stage), int64(record.Slot), int64(record.Epoch)}
 }
 
-// decode reads a datagram. What makes no sense in it makes all of it garbled.
-func (r *Reducer) decode(data []byte) (m message, records map[int]Record, err error) {
-	if err := datagram.Decode(data, Version, datagram.MaxSize, &m); err != nil {
-		return m, nil, err
+// decode decodes a datagram. One invalid value makes the whole datagram malformed.
+func (r *Reducer) decode(data []byte) (msg message, records map[int]Record, err error) {
+	if err := datagram.Decode(data, Version, datagram.MaxSize, &msg); err != nil {
+		return msg, nil, err
 	}
-	n := int64(r.cfg.TierSize)
-	if m.Kind >= kinds || len(m.Name) > nameMost || m.Slot >= Slots || m.Kind == refuse && len(m.Items) != 3 ||
-		m.Kind == state && len(m.Items)%itemsOfState != 0 || m.Kind == news && len(m.Items)%itemsOfRecord != 0 {
-		return m, nil, datagram.ErrMalformed
+	tierSize := int64(r.cfg.TierSize)
+	if msg.Kind >= numKinds || len(msg.Name) > maxNameLength || msg.Slot >= Slots || msg.Kind == kindRefusal && len(msg.Items) != 3 ||
+		msg.Kind == kindState && len(msg.Items)%itemsPerGrant != 0 || msg.Kind == kindRecords && len(msg.Items)%itemsPerRecord != 0 {
+		return msg, nil, datagram.ErrMalformed
 	}
-	switch m.Kind {
-	case state:
-		for w := m.Items; len(w) > 0; w = w[itemsOfState:] {
-			if w[0] < 0 || w[0] >= Slots || w[1] < -1 || w[1] >= n || w[2] < 0 {
-				return m, nil, datagram.ErrMalformed
+	switch msg.Kind {
+	case kindState:
+		for items := msg.Items; len(items) > 0; items = items[itemsPerGrant:] {
+			if items[0] < 0 || items[0] >= Slots || items[1] < -1 || items[1] >= tierSize || items[2] < 0 {
+				return msg, nil, datagram.ErrMalformed
 			}
 		}
-	case news:
+	case kindRecords:
 		records = make(map[int]Record)
-		for w := m.Items; len(w) > 0; w = w[itemsOfRecord:] {
-			e := Record{Generation: uint32(w[1]), RequestedAt: uint64(w[2]), Restarts: uint32(w[3]), Stage: Stage(w[4]), Slot: uint8(w[5]), Epoch: uint64(w[6])}
-			if w[0] < 0 || w[0] >= n || w[4] <= 0 || e.Stage >= stages || e.Generation == 0 || w[5] < 0 || w[5] >= Slots {
-				return m, nil, datagram.ErrMalformed
+		for items := msg.Items; len(items) > 0; items = items[itemsPerRecord:] {
+			record := Record{Generation: uint32(items[1]), RequestedAt: uint64(items[2]), Restarts: uint32(items[3]), Stage: Stage(items[4]), Slot: uint8(items[5]), Epoch: uint64(items[6])}
+			if items[0] < 0 || items[0] >= tierSize || items[4] <= 0 || record.Stage >= numStages || record.Generation == 0 || items[5] < 0 || items[5] >= Slots {
+				return msg, nil, datagram.ErrMalformed
 			}
-			records[int(w[0])] = e
+			records[int(items[0])] = record
 		}
 	}
-	return m, records, nil
+	return msg, records, nil
 }
