--- /dev/null
+++ b/internal/explore/callmodel.go
@@ -0,0 +1,340 @@
+package explore
+
+import (
+	"fmt"
+	"slices"
+	"time"
+
+	"elmseam"
+	"elmseam/internal/core"
+)
+
+const (
+	releaseGuardTime = 200 * time.Millisecond // release guard of the core
+	modelProtocol    = core.Protocol("f")
+	pauseDuration    = 120 * time.Millisecond // two exceed the release guard, one the 100 ms in which a lost caller may reconnect
+	timerHorizon     = 2 * time.Second        // time after the last caller's deadline after which timers are ignored
+)
+
+// attemptState is the state of a call's attempt outside the core.
+type attemptState uint8
+
+// The states of an attempt.
+const (
+	attemptNone        attemptState = iota
+	attemptQueued                   // the offer is queued for a connection and can be retracted
+	attemptOutstanding              // the server has the offer and has not answered
+	attemptEnding                   // the end is queued for a connection
+)
+
+// Short names of the phases.
+const (
+	phaseReady    = elmseam.Ready
+	phaseDraining = elmseam.Draining
+	phaseGone     = elmseam.Gone
+)
+
+// Call is the state of a call outside the core: at its caller, its server and on the connections.
+type Call struct {
+	Started             bool        // the caller has sent the set-up
+	CallerConn          core.ConnID // connection of the caller's last set-up
+	Cell                int         // cell of the caller
+	Deadline            core.Time   // when the caller stops to wait for an answer
+	State               attemptState
+	Conn                core.ConnID // connection of the last attempt or end to a server
+	Server              int         // server of the last attempt; where the call is established
+	Established         bool        // the server has answered and not released the call
+	LateAnswerFrom      int         // 1 + index of a server that may still answer an attempt that has ended; 0: none
+	RepeatedReleaseFrom int         // 1 + index of a server whose release may come again or cross that of the core; 0: none
+	Repeated            bool        // the caller has sent the set-up again
+	Account             account
+}
+
+// Server is the state of a server outside the core.
+type Server struct {
+	Phase       elmseam.Phase
+	Incarnation int // restarts so far
+	StartedAt   core.Time
+	Dials       int // connection attempts of the core in progress
+}
+
+// conn is an open connection to a server.
+type conn struct {
+	ID     core.ConnID
+	Server int
+}
+
+// timer is a timer that the core has requested.
+type timer struct {
+	At    core.Time
+	Token core.Token
+}
+
+// CallModel is the model of the core and the controller, with their callers, servers, connections and timers.
+type CallModel struct {
+	Config          Config
+	Core            *core.Core
+	Now, TimerLimit core.Time // timers after TimerLimit are ignored
+	Calls           []Call
+	Servers         []Server
+	ServerConns     []conn
+	CallerConns     []core.ConnID // open connections of callers
+	NextConn        core.ConnID
+	Timers          []timer // in the order of their requests
+	FaultsLeft      int     // faults that may still be injected
+	PausesLeft      int     // pauses that may still be applied
+	Reloaded        bool    // a configuration with one attempt fewer has been loaded
+	Draining        bool    // the operator drains the softswitch
+	Violation       *Violation
+}
+
+// settings returns the settings of the controller, with the given maximum number of attempts.
+func (c Config) settings(attempts int) elmseam.Settings {
+	return elmseam.Settings{
+		Classes:     []elmseam.Class{{Aim: c.GiveUp / 2, Deadline: c.GiveUp, Worth: 1}},
+		MaxAttempts: attempts, MaxRetryAfter: 2 * time.Second, CanCancel: true, OwnCell: -1,
+		RetransmitInterval: 500 * time.Millisecond, ReleaseGuard: releaseGuardTime,
+		ColdInitialShare: 0.3, ColdRamp: 14 * time.Second, OverloadMultiple: 2.5, OverloadAfter: time.Second,
+	}
+}
+
+// limits returns the limits of the core.
+func (c Config) limits() core.Limits {
+	const ms = time.Millisecond
+	return core.Limits{
+		AnswerMargin: 15 * ms, Rebind: 100 * ms, MinRedial: 100 * ms, MaxRedial: 500 * ms, UnresponsiveAfter: 100 * ms, MaxRemovedServers: 4, MaxPendingReleases: 8,
+		ServerLostAfter: 5 * time.Second, DrainGrace: 500 * ms, DrainRefuseAfter: 1500 * ms, DrainCheckInterval: time.Minute, DrainIdle: 20 * ms,
+		Transient: map[core.Protocol]bool{}, StopGrace: 700 * ms, MaxStopWait: time.Minute,
+		MaxCallerConns: 8, MaxOpen: 100, MaxCallBytes: 1 << 20, RetryHint: 100 * ms, EndedCallTTL: time.Minute, MaxEndedCalls: 100, MaxRoutes: 4,
+	}
+}
+
+// NewCallModel returns the initial state of the call model: all servers ready and connected, one caller connected, no call.
+func NewCallModel(cfg Config) (*CallModel, error) {
+	if err := cfg.Check(); err != nil {
+		return nil, err
+	}
+	reducer, err := core.New(cfg.settings(cfg.Attempts), cfg.Seed, cfg.limits())
+	if err != nil {
+		return nil, err
+	}
+	reducer.SetHook(cfg.CoreHook)
+	model := &CallModel{Config: cfg, Core: reducer, Now: time.Hour, NextConn: 1, FaultsLeft: cfg.Faults, PausesLeft: cfg.Pauses}
+	model.TimerLimit = model.Now + cfg.GiveUp + timerHorizon
+	model.Calls, model.Servers = make([]Call, cfg.Calls), make([]Server, cfg.Servers)
+	model.connectCaller()
+	list := core.List{Full: true}
+	for s := range model.Servers {
+		model.Servers[s].Phase = phaseReady
+		list.Servers = append(list.Servers, model.listEntry(s))
+	}
+	model.step(list)
+	for s := range model.Servers {
+		model.connectServer(s)
+	}
+	return model, model.err()
+}
+
+// err returns the recorded violation as an error, or nil.
+func (m *CallModel) err() error {
+	if m.Violation != nil {
+		return m.Violation
+	}
+	return nil
+}
+
+// serverName returns the name of a server: a letter from a.
+func serverName(s int) string { return string(rune('a' + s)) }
+
+// address returns the address of a server's current incarnation.
+func (m *CallModel) address(s int) string {
+	return fmt.Sprintf("%s%d:1", serverName(s), m.Servers[s].Incarnation)
+}
+
+// listEntry returns a server's entry in the list of servers.
+func (m *CallModel) listEntry(index int) core.Server {
+	server := &m.Servers[index]
+	return core.Server{Name: serverName(index), Address: m.address(index), Protocol: modelProtocol, Cell: index, Phase: server.Phase, Started: server.StartedAt}
+}
+
+// newConnID returns an unused connection id.
+func (m *CallModel) newConnID() core.ConnID {
+	m.NextConn++
+	return m.NextConn - 1
+}
+
+// connectCaller opens a connection of a caller and returns its id.
+func (m *CallModel) connectCaller() core.ConnID {
+	connID := m.newConnID()
+	m.CallerConns = append(m.CallerConns, connID)
+	m.step(core.CallerUp{Conn: connID, Protocol: modelProtocol})
+	return connID
+}
+
+// connectServer completes a connection attempt to a server.
+func (m *CallModel) connectServer(server int) {
+	if m.Servers[server].Dials > 0 {
+		m.Servers[server].Dials--
+	}
+	connID := m.newConnID()
+	m.ServerConns = append(m.ServerConns, conn{connID, server})
+	m.step(core.ServerUp{Server: serverName(server), Address: m.address(server), Conn: connID})
+}
+
+// callerConnected reports whether a caller's connection is open.
+func (m *CallModel) callerConnected(connID core.ConnID) bool {
+	return slices.Contains(m.CallerConns, connID)
+}
+
+// findConn returns the open connection to a server with the given id, or nil.
+func (m *CallModel) findConn(connID core.ConnID) *conn {
+	for i := range m.ServerConns {
+		if m.ServerConns[i].ID == connID {
+			return &m.ServerConns[i]
+		}
+	}
+	return nil
+}
+
+// connTo returns the id of an open connection to a server, or 0.
+func (m *CallModel) connTo(server int) core.ConnID {
+	for _, c := range m.ServerConns {
+		if c.Server == server {
+			return c.ID
+		}
+	}
+	return 0
+}
+
+// callID returns the id of the call with index i.
+func callID(i int) core.ID { return core.ID(i + 1) }
+
+// callIndex returns the index of the call with the given id, or -1.
+func (m *CallModel) callIndex(id core.ID) int {
+	if i := int(id) - 1; i >= 0 && i < len(m.Calls) {
+		return i
+	}
+	return -1
+}
+
+// step passes an event to the core and applies the effects that the core requests, with the events that follow at once.
+func (m *CallModel) step(ev core.Event) {
+	events := []core.Event{ev}
+	for len(events) > 0 {
+		ev := events[0]
+		events = events[1:]
+		for _, e := range m.Core.Step(m.Now, ev) {
+			events = append(events, m.applyEffect(e)...)
+		}
+	}
+	m.Timers = slices.DeleteFunc(m.Timers, func(t timer) bool { return m.Core.TimerObsolete(t.Token) })
+}
+
+// applyEffect applies an effect to the environment of the core. It returns the events that are known at once, as the effect
+// handlers of the softswitch do.
+func (m *CallModel) applyEffect(e core.Effect) (events []core.Event) {
+	switch e := e.(type) {
+	case core.Timer:
+		if e.At <= m.TimerLimit {
+			m.Timers = append(m.Timers, timer{e.At, e.Token})
+		}
+	case core.Dial:
+		m.Servers[e.Server[0]-'a'].Dials++
+	case core.CloseConn:
+		m.closeConn(e.To)
+	case core.GracefulClose:
+		m.closeConn(e.To)
+	case core.Offer:
+		index, conn := m.callIndex(e.ID), m.findConn(e.To)
+		m.checkOffer(index, conn)
+		if call := &m.Calls[index]; conn != nil {
+			call.State, call.Conn, call.Server = attemptQueued, e.To, conn.Server
+		}
+	case core.End:
+		events = m.applyEnd(e)
+	case core.Withdraw:
+		for index := range m.Calls {
+			if call := &m.Calls[index]; call.State == attemptQueued && call.Conn == e.To {
+				events = append(events, m.retractOffer(index))
+			}
+		}
+	case core.Answered:
+		m.checkFinalAnswer(m.callIndex(e.ID), e.To, true)
+	case core.Rejected:
+		m.checkFinalAnswer(m.callIndex(e.ID), e.To, false)
+	case core.Released:
+		m.checkRelease(m.callIndex(e.ID), e.To)
+	case core.ForgetCall:
+		m.Calls[m.callIndex(e.ID)].Account.CallerGone = true
+	case core.Violation:
+		if m.Config.CoreHook.Decide == nil && m.Config.CoreHook.SuppressEvent == nil {
+			m.recordViolation(NoGuardTripped, "call %d: %s", m.callIndex(e.ID), e.Rule)
+		}
+	}
+	return events
+}
+
+// retractOffer removes an offer that is still queued for its connection.
+func (m *CallModel) retractOffer(index int) core.Event {
+	call := &m.Calls[index]
+	call.State = attemptNone
+	m.recordAttemptEnd(index, false)
+	return core.NotSent{Server: serverName(call.Server), ID: callID(index)}
+}
+
+// applyEnd applies the end of an attempt, or the release of an established call, towards a server.
+func (m *CallModel) applyEnd(e core.End) []core.Event {
+	index, conn := m.callIndex(e.ID), m.findConn(e.To)
+	if conn == nil {
+		m.recordViolation(SendOnOpenConn, "call %d is ended on a closed connection", index)
+		return nil
+	}
+	call := &m.Calls[index]
+	switch {
+	case call.State == attemptQueued && call.Server == conn.Server:
+		return []core.Event{m.retractOffer(index)}
+	case call.State == attemptOutstanding && call.Server == conn.Server && e.Notify:
+		call.State = attemptEnding
+	case call.State == attemptOutstanding && call.Server == conn.Server:
+		call.State, call.LateAnswerFrom = attemptNone, call.Server+1
+		m.recordAttemptEnd(index, true)
+	case call.Established && call.Server == conn.Server:
+		call.Established, call.RepeatedReleaseFrom = false, call.Server+1 // the server's own release may cross this one
+		if e.Notify {
+			// The answer arrived too late for the caller: the end is still written.
+			call.State, call.Conn = attemptEnding, e.To
+		}
+	}
+	return nil
+}
+
+// closeConn closes a connection of a caller or to a server. Attempts on the connection end.
+func (m *CallModel) closeConn(connID core.ConnID) {
+	m.CallerConns = slices.DeleteFunc(m.CallerConns, func(callerConn core.ConnID) bool { return callerConn == connID })
+	if m.findConn(connID) == nil {
+		return
+	}
+	m.ServerConns = slices.DeleteFunc(m.ServerConns, func(c conn) bool { return c.ID == connID })
+	for i := range m.Calls {
+		if call := &m.Calls[i]; call.State != attemptNone && call.Conn == connID {
+			call.State = attemptNone
+			m.recordAttemptEnd(i, true)
+		}
+	}
+}
+
+// endServerProcess ends a server's process: its established calls end, and it sends nothing more.
+func (m *CallModel) endServerProcess(server int) {
+	for i := range m.Calls {
+		call := &m.Calls[i]
+		if call.Established && call.Server == server {
+			call.Established = false
+		}
+		if call.RepeatedReleaseFrom == server+1 {
+			call.RepeatedReleaseFrom = 0
+		}
+		if call.LateAnswerFrom == server+1 {
+			call.LateAnswerFrom = 0
+		}
+	}
+}
--- /dev/null
+++ b/internal/explore/maintenance.go
@@ -0,0 +1,191 @@
+package explore
+
+import (
+	"time"
+
+	"elmseam/internal/maintenance"
+)
+
+// The invariants of requested maintenance.
+const (
+	// WithinMaintenanceBudget: at most Limits.Budget members are out of service (draining or under maintenance) at the same
+	// time.
+	WithinMaintenanceBudget Invariant = "in-budget"
+	// OnlyRequested: no member drains without a request for its maintenance.
+	OnlyRequested Invariant = "asked-for"
+	// MaintainedOnce: in the end every running member with a request has been maintained exactly once.
+	MaintainedOnce Invariant = "all-once"
+	// NoStuckDrain: in the end no member drains or holds a slot.
+	NoStuckDrain Invariant = "not-stuck"
+)
+
+// Events in the environment of a member, represented as tokens of its timers. They apply to one incarnation.
+type (
+	lastCallEnded struct{ Incarnation uint8 } // the last call of the draining member has ended
+	workFinished  struct{ Incarnation uint8 } // an operator has finished the work on the member
+)
+
+// maintenanceProtocol runs the maintenance reducer of each member. Two members receive requests at the same time, for the
+// maintenance of members 0 and 1; none is for the last of three members.
+type maintenanceProtocol struct {
+	Limits          maintenance.Limits
+	MaintainedCount []int // completed maintenance runs, indexed by member
+}
+
+// newMaintenanceModel returns the initial state of the maintenance model. The leases are short, so that they expire within
+// the periods in which faults are injected.
+func newMaintenanceModel(cfg Config) *tierModel {
+	limits := maintenance.Defaults()
+	limits.Lease, limits.WorkLease, limits.Round = 2*time.Second, 3*time.Second, 500*time.Millisecond
+	return newTierModel(cfg, &maintenanceProtocol{limits, make([]int, cfg.Servers)}, 3*time.Second)
+}
+
+// maintenanceProcess is the running process of a member: its maintenance reducer, and the effects of that reducer so far.
+type maintenanceProcess struct {
+	Reducer     *maintenance.Reducer
+	Protocol    *maintenanceProtocol
+	Self        int
+	Incarnation uint8
+	Draining    bool
+	Stage       maintenance.Stage // stage of the request for this member
+}
+
+// step passes an event to the reducer and converts the effects.
+func (p *maintenanceProcess) step(now time.Duration, ev maintenance.Event) stepEffects {
+	return p.collectEffects(now, p.Reducer.Step(now, ev))
+}
+
+func (p *maintenanceProcess) receive(now time.Duration, from int, data []byte) stepEffects {
+	return p.step(now, maintenance.Datagram{From: from, Data: data})
+}
+
+// timerFired passes a timer to the reducer, or ends the drain or the work of the member's current incarnation.
+func (p *maintenanceProcess) timerFired(now time.Duration, token any) stepEffects {
+	switch token := token.(type) {
+	case maintenance.Token:
+		return p.step(now, maintenance.TimerFired{Token: token})
+	case lastCallEnded:
+		if token.Incarnation == p.Incarnation && p.Reducer.AwaitsDrained() {
+			return p.step(now, maintenance.Drained{})
+		}
+	case workFinished:
+		// If the lease has expired, the member drains again.
+		if token.Incarnation == p.Incarnation && p.Stage == maintenance.Ready && p.Reducer.Status().Expiry > now {
+			return p.step(now, maintenance.Cancel{Members: []int{p.Self}})
+		}
+	}
+	// The reducer learns only that time has passed: an event about the member itself changes nothing.
+	return p.step(now, maintenance.MemberAvailability{Member: p.Self})
+}
+
+// workDuration is the time from the start of a drain to the end of the last call, and that of the work on a member.
+const workDuration = 300 * time.Millisecond
+
+// collectEffects applies the reducer's effects to the process, and returns the datagrams and timers among them.
+func (p *maintenanceProcess) collectEffects(now time.Duration, effects []maintenance.Effect) (result stepEffects) {
+	for _, e := range effects {
+		switch e := e.(type) {
+		case maintenance.Send:
+			result.Sends = append(result.Sends, sentDatagram{To: e.To, Data: e.Data})
+		case maintenance.Timer:
+			result.Timers = append(result.Timers, memberTimer{e.At, e.Token})
+		case maintenance.Drain:
+			if p.Draining = e.On; e.On {
+				result.Timers = append(result.Timers, memberTimer{now + workDuration, lastCallEnded{p.Incarnation}})
+			}
+		case maintenance.RequestChanged:
+			if e.Member != p.Self {
+				break
+			}
+			oldStage := p.Stage
+			switch p.Stage = e.Record.Stage; {
+			case p.Stage == maintenance.Ready:
+				result.Timers = append(result.Timers, memberTimer{now + workDuration, workFinished{p.Incarnation}})
+			case p.Stage == maintenance.Done && oldStage == maintenance.Ready:
+				p.Protocol.MaintainedCount[p.Self]++
+			}
+		}
+	}
+	return result
+}
+
+// startMember starts a member's reducer, and informs it and the running members of each other.
+func (p *maintenanceProtocol) startMember(t *tierModel, index int, incarnation uint8) (memberProcess, stepEffects) {
+	reducer, effects, err := maintenance.New(maintenance.Config{Self: index, TierSize: len(t.Members), Zone: -1, Limits: p.Limits,
+		Seed: t.Config.Seed + uint64(index) + 100*uint64(incarnation), DisabledGuards: t.Config.DisabledMaintenanceGuards}, t.Now)
+	if err != nil {
+		panic(err)
+	}
+	process := &maintenanceProcess{Reducer: reducer, Protocol: p, Self: index, Incarnation: incarnation}
+	result := process.collectEffects(t.Now, effects)
+	add := func(effects stepEffects) {
+		result.Sends, result.Timers = append(result.Sends, effects.Sends...), append(result.Timers, effects.Timers...)
+	}
+	for other, member := range t.Members {
+		add(process.step(t.Now, maintenance.MemberAvailability{Member: other, Available: member.Process != nil || incarnation == 0}))
+		if member.Process != nil && !member.Paused && other != index {
+			t.applyEffects(other, member.Process.(*maintenanceProcess).step(t.Now, maintenance.MemberAvailability{Member: index, Available: true}))
+		}
+	}
+	add(process.step(t.Now, maintenance.Serving{Serving: true}))
+	return process, result
+}
+
+// converged requests the maintenance of members 0 and 1 at the first and the last member.
+func (p *maintenanceProtocol) converged(t *tierModel) {
+	t.applyEffects(0, t.Members[0].Process.(*maintenanceProcess).step(t.Now, maintenance.Request{Members: []int{0, 1}}))
+	last := len(t.Members) - 1
+	t.applyEffects(last, t.Members[last].Process.(*maintenanceProcess).step(t.Now, maintenance.Request{Members: []int{1}}))
+}
+
+// memberKilled informs the running members at once that a member is dead.
+func (p *maintenanceProtocol) memberKilled(t *tierModel, index int) {
+	for other, member := range t.Members {
+		if member.Process != nil && !member.Paused {
+			t.applyEffects(other, member.Process.(*maintenanceProcess).step(t.Now, maintenance.MemberAvailability{Member: index}))
+		}
+	}
+}
+
+// checkStep checks OnlyRequested and WithinMaintenanceBudget.
+func (p *maintenanceProtocol) checkStep(t *tierModel, index int) {
+	drainingCount := 0
+	for other, member := range t.Members {
+		if member.Process == nil || member.Paused {
+			continue
+		}
+		process := member.Process.(*maintenanceProcess)
+		if process.Draining {
+			if drainingCount++; other >= 2 {
+				t.recordViolation(OnlyRequested, "member %d drains without a request", other)
+			}
+		}
+	}
+	if drainingCount > p.Limits.Budget {
+		t.recordViolation(WithinMaintenanceBudget, "%d members are out of service at the same time", drainingCount)
+	}
+}
+
+func (p *maintenanceProtocol) checkTimePassed(*tierModel) {}
+
+// checkSettled checks NoStuckDrain and MaintainedOnce. A member that has lost its records by a restart may be maintained not
+// at all.
+func (p *maintenanceProtocol) checkSettled(t *tierModel) {
+	for index, member := range t.Members {
+		if member.Process == nil {
+			continue
+		}
+		process := member.Process.(*maintenanceProcess)
+		if process.Draining || process.Reducer.HoldsSlot() {
+			t.recordViolation(NoStuckDrain, "%v after the last fault member %d drains: %t, and holds a slot: %t", settleTime, index, process.Draining, process.Reducer.HoldsSlot())
+		}
+		for target, record := range process.Reducer.Status().Records {
+			if t.Members[target].Process != nil && !record.Stage.Ended() {
+				t.recordViolation(MaintainedOnce, "%v after the last fault member %d considers the request for member %d to be %v", settleTime, index, target, record.Stage)
+			}
+		}
+		if want := map[bool]int{true: 1}[index < 2]; p.MaintainedCount[index] != want && !(member.Incarnations > 1 && p.MaintainedCount[index] == 0 && process.Reducer.Status().Records[index].Generation == 0) {
+			t.recordViolation(MaintainedOnce, "member %d was maintained %d times", index, p.MaintainedCount[index])
+		}
+	}
+}
