--- a/internal/budget/reducer.go
+++ b/internal/budget/reducer.go
@@ -17,7 +17,7 @@
 	Seq         uint32       // number of the claims
 	RequestedAt Time         // when the claims were sent
 	Units       []Mask       // units claimed, by owner
-	Votes       [][Units]int // members that granted the unit, by owner and unit
+	Votes       [][Units]int // number of members that granted the unit, by owner and unit
 	Voters      []int        // members that have answered
 }
 
@@ -29,7 +29,7 @@
 
 // coldServer is a cold server with the members' quotas of its budget.
 type coldServer struct {
-	Server    uint32    // hash of the name and the start
+	Server    uint32    // hash of the server's name and start
 	ColdUntil Time      // when the server is warm
 	Rates     []float64 // whole quota in set-ups a second, by member; negative: not reported
 }
@@ -54,7 +54,7 @@
 	loanSeq         uint32         // number of the last loan request
 	loanRequestedAt Time           // when that request was sent
 	coldServers     []coldServer
-	demand          float64 // in multiples of this member's quota; negative: not known
+	demand          float64 // last Demand event, in multiples of this member's quota; negative: none has come
 	timerSeq        uint32  // token of the only valid timer
 	active          bool    // a server is cold and rounds run
 	counters        Counters
@@ -97,7 +97,7 @@
 func (r *Reducer) Transferable() bool { return r.cfg.TierSize <= r.cfg.Limits.MaxMembers }
 
 // Step handles one event and returns the effects, which have to be carried out in their order. A time before that of
-// the last Step counts as the last one's.
+// the last Step counts as the time of the last Step.
 func (r *Reducer) Step(now Time, ev Event) []Effect {
 	r.now = max(now, r.now)
 	if !r.Transferable() {
@@ -141,14 +141,14 @@
 // Units of other members' quotas that are used here count at their owners' rates, so no rate should grow with the
 // callers of dead members; the sender of the event decides until when a rate may grow.
 func (r *Reducer) markCold(ev ColdServer) {
-	if ev.Until <= r.now || !(ev.Rate >= 0) {
+	if ev.ColdUntil <= r.now || !(ev.Rate >= 0) {
 		return
 	}
 	c := r.findOrAddServer(ev.Server)
 	if c == nil {
 		return
 	}
-	c.ColdUntil = max(c.ColdUntil, ev.Until)
+	c.ColdUntil = max(c.ColdUntil, ev.ColdUntil)
 	c.Rates[r.cfg.Self] = max(c.Rates[r.cfg.Self], ev.Rate)
 	if r.Transferable() && !r.active {
 		r.active = true
@@ -251,7 +251,7 @@
 	}
 	byOwner := owner == claimant
 	if !byOwner && (owner == r.cfg.Self || r.available[owner] || r.now < r.ownerRefusedAt[owner]+r.cfg.Limits.Lease) {
-		return 0 // the owner is available and claims its units, or has claimed them within the last lease
+		return 0 // the owner is available and claims its units, or has claimed them in vain within the last lease
 	}
 	for unit := 1; unit < Units; unit++ {
 		if units&(1<<unit) == 0 {
--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -9,6 +9,7 @@
 // attemptPhase is the progress of an attempt.
 type attemptPhase uint8
 
+// The phases of an attempt, in their order.
 const (
 	attemptWaiting attemptPhase = iota // no offer has gone out: the attempt waits for a connection or for the release guard
 	attemptSent                        // the offer has gone out and the server has not answered
@@ -62,7 +63,7 @@
 		if conn.unansweredSince == 0 {
 			conn.unansweredSince = c.now
 		}
-		c.emit(Offer{To: conn.id, ID: k.ID, Class: k.Name, NumberText: k.NumberText, Desc: k.SetUp.Desc, Cell: s.Cell, Until: k.deadline})
+		c.emit(Offer{To: conn.id, ID: k.ID, ClassName: k.ClassName, NumberText: k.NumberText, Desc: k.SetUp.Desc, Cell: s.Cell, Until: k.deadline})
 	}
 }
 
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -52,7 +52,7 @@
 func newRigWith(t *testing.T, settings elmseam.Settings) *rig {
 	t.Helper()
 	c, err := New(settings, 1, Limits{
-		AnswerMargin: 15 * ms, Rebind: 100 * ms, MinRedial: 100 * ms, MaxRedial: 500 * ms,
+		AnswerMargin: 15 * ms, RebindTimeout: 100 * ms, MinRedial: 100 * ms, MaxRedial: 500 * ms,
 		Probe:           probe.Limits{Permitted: len(settings.Tenants) > 0, Rate: 5, Burst: 2, Timeout: 300 * ms},
 		ServerLostAfter: 6 * time.Second, StopGrace: 700 * ms, MaxStopWait: 9 * time.Second, MaxCallerConns: 100, MaxOpen: 100, MaxCallBytes: 100, EndedCallTTL: time.Minute, ReportedDrainTTL: 5 * time.Second,
 	})
@@ -69,12 +69,12 @@
 
 // list gives the core a full server list in which "a" and "b" have the phases.
 func (r *rig) list(a, b elmseam.Phase) string {
-	return r.step(List{Full: true, Servers: []Server{
+	return r.step(ServerList{Full: true, Servers: []Server{
 		{Name: "a", Address: "a:1", Cell: 0, Phase: a}, {Name: "b", Address: "b:1", Cell: 1, Phase: b},
 	}})
 }
 
-// step gives the core an event and returns the effects as text, each as a word, the id of its call and the connection. Timers
+// step gives the core an event and returns the effects as text, each as its name, the id of its call and the connection. Timers
 // are kept for advance. A violation fails the test.
 func (r *rig) step(ev Event) string {
 	effects := ""
@@ -162,7 +162,7 @@
 }
 
 // When the connection to a server is reset, the attempt ends and the call is sent to another server only after the release
-// guard. The answer is passed on once, and a late answer from the first server is released there.
+// guard. The answer is passed on once, and a late answer from the first server is followed by a release of the call at that server.
 func TestResetAttemptIsRetriedElsewhereAfterReleaseGuard(t *testing.T) {
 	r := newRig(t)
 	r.want(r.setUp(7, 5*time.Second), "offer7@10 ")
@@ -193,8 +193,8 @@
 	r.want(r.advance(201*ms), "offer7@11 ")
 }
 
-// The final answer is given before the caller's time is up. An answer from the server after it is released there and never
-// passed on.
+// The final answer is given before the caller's time is up. An answer that the server sends later is never passed on, and the call is
+// released at the server.
 func TestFinalAnswerBeforeDeadline(t *testing.T) {
 	r := newRig(t)
 	r.setUp(7, 400*ms)
@@ -240,7 +240,7 @@
 }
 
 // A set-up may be sent just as its connection is closed. The caller sends it again on another connection: it stays one call with one
-// answer. A set-up that does not come again within Rebind is given up.
+// answer. A set-up that the caller does not send again within RebindTimeout is given up.
 func TestSetUpResentOnAnotherConnection(t *testing.T) {
 	r := newRig(t)
 	r.want(r.setUp(7, 5*time.Second)+r.setUp(8, 5*time.Second), "offer7@10 offer8@10 ")
@@ -299,7 +299,7 @@
 	r.step(ServerEnd{Server: "a", ID: 1})
 	r.step(ServerEnd{Server: "a", ID: 3, Reason: Reset})
 	if r.advance(10 * time.Second); r.core.callBytes != 0 {
-		t.Errorf("%d bytes kept without a call", r.core.callBytes)
+		t.Errorf("callBytes is %d after all calls have ended, want 0", r.core.callBytes)
 	}
 }
 
@@ -435,7 +435,7 @@
 		r.step(ServerEnd{Server: "b", ID: id, Reason: Full})
 	}
 	if len(r.core.ended) != 3 || len(r.core.endedOrder) != 3 || len(r.core.calls) != 0 {
-		t.Errorf("%d and %d ids of ended calls, and %d calls, are kept", len(r.core.ended), len(r.core.endedOrder), len(r.core.calls))
+		t.Errorf("%d and %d ids of ended calls, and %d calls, are kept, want 3, 3 and 0", len(r.core.ended), len(r.core.endedOrder), len(r.core.calls))
 	}
 	r.want(r.setUp(10, 5*time.Second), "rejected10@1 ") // the last ids are kept
 	for i := range 10 {
@@ -460,10 +460,10 @@
 	}
 	for i := range 10 {
 		name := fmt.Sprint(i)
-		r.step(List{Servers: []Server{{Name: name, Address: "x:1", Phase: elmseam.Ready}}})
-		r.step(List{Servers: []Server{{Name: name, Address: "x:1", Phase: elmseam.Gone}}})
+		r.step(ServerList{Servers: []Server{{Name: name, Address: "x:1", Phase: elmseam.Ready}}})
+		r.step(ServerList{Servers: []Server{{Name: name, Address: "x:1", Phase: elmseam.Gone}}})
 	}
 	if len(r.core.removed) != 2 || len(r.core.servers) != 2 || len(r.core.serversByID) != 2 || len(r.core.serverOrder) != 2 {
-		t.Errorf("%d removed servers, %d servers, %d ids, %d in order", len(r.core.removed), len(r.core.servers), len(r.core.serversByID), len(r.core.serverOrder))
+		t.Errorf("%d removed servers remembered, and %d servers, %d ids and %d entries of serverOrder kept, want 2 of each", len(r.core.removed), len(r.core.servers), len(r.core.serversByID), len(r.core.serverOrder))
 	}
 }
--- a/internal/core/ops_test.go
+++ b/internal/core/ops_test.go
@@ -75,17 +75,17 @@
 		t.Errorf("stats of the class %+v, want %+v", stats.Classes[0], want)
 	}
 	if stats.Sends != 1 || stats.Current != 2 || stats.ClusterSize != 2 || stats.ClusterUnhealthy != 1 || !stats.Ready {
-		t.Errorf("stats %+v", stats)
+		t.Errorf("stats %+v, want one offer sent, two current calls, and one of two servers unhealthy", stats)
 	}
 	r.step(Misconfigured{})
 	r.step(Configured{Settings: elmseam.Settings{Classes: make([]elmseam.Class, 2), MaxAttempts: 1, OwnCell: -1}, Limits: r.core.limits})
 	r.list(elmseam.Draining, elmseam.Gone)
 	stats = r.core.Stats(r.now)
 	if len(stats.Classes) != 2 || stats.Classes[0].Answered != 1 || stats.ConfigsLoaded != 1 || stats.ConfigsInvalid != 1 {
-		t.Errorf("stats after new settings %+v", stats)
+		t.Errorf("stats after new settings %+v, want the counters of both classes and of both configurations", stats)
 	}
 	if stats.ClusterSize != 1 || stats.ClusterUnhealthy != 1 || stats.Ready {
-		t.Errorf("stats with one draining server %+v", stats)
+		t.Errorf("stats with one draining server %+v, want the server unhealthy and the process not ready", stats)
 	}
 }
 
@@ -139,7 +139,7 @@
 	r.want(r.step(Transferred{Conn: 3}), "stopped ")
 }
 
-// A caller releases its call while there is no connection to the server. The release goes out on the next connection, which is dialled
+// A caller releases its call while the server has no connection. The release goes out on the next connection, which is dialled
 // even if the server drains and nothing else would need it. Guards against a server that keeps a line occupied without a caller. A
 // server that is gone, or a new process of the server, gets no release.
 func TestReleaseWithoutServerConnection(t *testing.T) {
--- a/internal/core/random_test.go
+++ b/internal/core/random_test.go
@@ -17,6 +17,7 @@
 	}
 }
 
+// rulesUnderRandomEvents plays random events with the settings and checks the effects.
 func rulesUnderRandomEvents(t *testing.T, settings elmseam.Settings) {
 	rnd := rand.New(rand.NewPCG(7, 7))
 	r := newRigWith(t, settings)
@@ -26,7 +27,7 @@
 		ending       bool   // the End of the attempt is not written yet
 		attempts     int
 		finalAnswers int
-		callerGone   bool   // the caller has given up, or is not told about the call
+		callerGone   bool   // the caller has given up, or gets no message about the call
 		badEndAt     Time   // when the last attempt was reset, cancelled or timed out; 0: none was
 		established  string // server on which the call was established; empty: none
 		released     bool
@@ -152,7 +153,7 @@
 		m := calls[id]
 		switch rnd.IntN(26) {
 		case 24:
-			step(ServerSilent{Server: name, Conn: serverConnID[name], For: time.Duration(rnd.IntN(2000)) * ms})
+			step(ServerSilent{Server: name, Conn: serverConnID[name], SilentFor: time.Duration(rnd.IntN(2000)) * ms})
 		case 25: // the answer to a probe; the last answer comes twice
 			if n := len(probeAnswers); n > 0 {
 				step(probeAnswers[0])
@@ -207,7 +208,7 @@
 		case 20:
 			if rnd.IntN(4) == 0 {
 				phases[name] = []elmseam.Phase{elmseam.Ready, elmseam.Ready, elmseam.Ready, elmseam.Ready, elmseam.Draining, elmseam.Gone}[rnd.IntN(6)]
-				step(List{Servers: []Server{{Name: name, Address: name + ":1", Cell: int(name[0] - 'a'), Phase: phases[name]}}})
+				step(ServerList{Servers: []Server{{Name: name, Address: name + ":1", Cell: int(name[0] - 'a'), Phase: phases[name]}}})
 			}
 		case 21, 22: // an End is written late
 			if len(unwrittenEnds) > 0 {
@@ -242,6 +243,6 @@
 	}
 	t.Logf("%d calls, %d established", lastID, establishedCount)
 	if lastID < 5000 || establishedCount < 500 {
-		t.Error("too few calls for the test to mean anything")
+		t.Error("too few calls for the test to cover the rules: want at least 5000, and 500 established")
 	}
 }
--- a/internal/core/tier_test.go
+++ b/internal/core/tier_test.go
@@ -21,8 +21,8 @@
 	r.step(StartMembership{Config: membership.Config{TierSize: tierSize, Limits: membership.Defaults(), Seed: 1}})
 }
 
-// A member that hears of no other member of its tier uses the fraction of its own quota of a cold server's budget that the available
-// members make up of the tier: a fifth in a tier of five. In a tier of one, and without a tier, the softswitch uses its whole quota.
+// A member that receives nothing from the other members of its tier uses only a fraction of its own quota of a cold server's budget: the
+// available members over all members, a fifth in a tier of five. In a tier of one, and without a tier, it uses its whole quota.
 func TestIsolatedMemberReducesColdServerLoad(t *testing.T) {
 	coldSetUps := func(tierSize int) (n int) {
 		r := newRig(t)
@@ -47,7 +47,7 @@
 			return cold
 		}
 		serveFor(10 * time.Second) // the controller measures the rates of both servers
-		r.step(List{Servers: []Server{{Name: "a", Address: "a:1", Phase: 1, Started: r.now}}})
+		r.step(ServerList{Servers: []Server{{Name: "a", Address: "a:1", Phase: 1, Started: r.now}}})
 		r.step(ServerUp{Server: "a", Address: "a:1", Conn: 10})
 		return serveFor(2 * time.Second)
 	}
@@ -100,8 +100,8 @@
 	return r.step(MemberDatagram{From: 1, Data: sender.AppendPiggyback(r.now, data)})
 }
 
-// A drain reported by another member stops new set-ups to the server if the report is newer than the own list, and only for
-// ReportedDrainTTL. The own list takes precedence: an older report and a reported hold-back share do not override it.
+// A drain reported by another member stops new set-ups to the server if the report is newer than this softswitch's own server list, and
+// only for ReportedDrainTTL. The own list takes precedence: an older report and a reported hold-back share do not override it.
 func TestDrainReportedByMember(t *testing.T) {
 	r := newRig(t)
 	r.startMembership(2)
@@ -151,7 +151,7 @@
 			r.step(ServerEnd{Server: "a", ID: id, Reason: Normal})
 		}
 	}
-	r.step(List{Servers: []Server{{Name: "a", Address: "a:1", Phase: elmseam.Ready, Started: r.now}}})
+	r.step(ServerList{Servers: []Server{{Name: "a", Address: "a:1", Phase: elmseam.Ready, Started: r.now}}})
 	id := ID(400)
 	countSent := func() (n int) { // within 300 ms, in which no timer fires
 		for range 30 {
@@ -186,7 +186,7 @@
 	r := newRig(t)
 	r.startMembership(1)
 	r.step(StartBudget{Config: budget.Config{TierSize: 1, Limits: budget.Defaults(), Seed: 1}})
-	r.step(List{Servers: []Server{{Name: "a", Address: "a:1", Phase: elmseam.Ready, Started: r.now}}})
+	r.step(ServerList{Servers: []Server{{Name: "a", Address: "a:1", Phase: elmseam.Ready, Started: r.now}}})
 	r.step(ServerUp{Server: "a", Address: "a:1", Conn: 10})
 	coldSetUps := 0
 	for id := ID(1); id < 500; id++ {
--- a/internal/explore/callmodel.go
+++ b/internal/explore/callmodel.go
@@ -9,6 +9,7 @@
 	"elmseam/internal/core"
 )
 
+// Protocol and times of the call model.
 const (
 	releaseGuardTime = 200 * time.Millisecond // release guard of the core
 	modelProtocol    = core.Protocol("f")
@@ -39,13 +40,13 @@
 	Started             bool        // the caller has sent the set-up
 	CallerConn          core.ConnID // connection of the caller's last set-up
 	Cell                int         // cell of the caller
-	Deadline            core.Time   // when the caller stops to wait for an answer
+	Deadline            core.Time   // when the caller stops waiting for an answer
 	State               attemptState
 	Conn                core.ConnID // connection of the last attempt or end to a server
 	Server              int         // server of the last attempt; where the call is established
 	Established         bool        // the server has answered and not released the call
 	LateAnswerFrom      int         // 1 + index of a server that may still answer an attempt that has ended; 0: none
-	RepeatedReleaseFrom int         // 1 + index of a server whose release may come again or cross that of the core; 0: none
+	RepeatedReleaseFrom int         // 1 + index of a server that may repeat its release, or whose release may cross that of the core; 0: none
 	Repeated            bool        // the caller has sent the set-up again
 	Account             account
 }
@@ -102,7 +103,7 @@
 func (c Config) limits() core.Limits {
 	const ms = time.Millisecond
 	return core.Limits{
-		AnswerMargin: 15 * ms, Rebind: 100 * ms, MinRedial: 100 * ms, MaxRedial: 500 * ms, UnresponsiveAfter: 100 * ms, MaxRemovedServers: 4, MaxPendingReleases: 8,
+		AnswerMargin: 15 * ms, RebindTimeout: 100 * ms, MinRedial: 100 * ms, MaxRedial: 500 * ms, UnresponsiveAfter: 100 * ms, MaxRemovedServers: 4, MaxPendingReleases: 8,
 		ServerLostAfter: 5 * time.Second, DrainGrace: 500 * ms, DrainRefuseAfter: 1500 * ms, DrainCheckInterval: time.Minute, DrainIdle: 20 * ms,
 		Transient: map[core.Protocol]bool{}, StopGrace: 700 * ms, MaxStopWait: time.Minute,
 		MaxCallerConns: 8, MaxOpen: 100, MaxCallBytes: 1 << 20, RetryHint: 100 * ms, EndedCallTTL: time.Minute, MaxEndedCalls: 100, MaxRoutes: 4,
@@ -123,7 +124,7 @@
 	model.TimerLimit = model.Now + cfg.GiveUp + timerHorizon
 	model.Calls, model.Servers = make([]Call, cfg.Calls), make([]Server, cfg.Servers)
 	model.connectCaller()
-	list := core.List{Full: true}
+	list := core.ServerList{Full: true}
 	for s := range model.Servers {
 		model.Servers[s].Phase = phaseReady
 		list.Servers = append(list.Servers, model.listEntry(s))
@@ -217,7 +218,8 @@
 	return -1
 }
 
-// step passes an event to the core and applies the effects that the core requests, with the events that follow at once.
+// step passes an event to the core and applies the effects that the core requests, then does the same with the events that
+// result immediately from these effects.
 func (m *CallModel) step(ev core.Event) {
 	events := []core.Event{ev}
 	for len(events) > 0 {
@@ -230,7 +232,7 @@
 	m.Timers = slices.DeleteFunc(m.Timers, func(t timer) bool { return m.Core.TimerObsolete(t.Token) })
 }
 
-// applyEffect applies an effect to the environment of the core. It returns the events that are known at once, as the effect
+// applyEffect applies an effect to the environment of the core. It returns the events that result immediately, as the effect
 // handlers of the softswitch do.
 func (m *CallModel) applyEffect(e core.Effect) (events []core.Event) {
 	switch e := e.(type) {
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -24,6 +24,7 @@
 // testTimeout limits the wait for expected events. It only runs out when a test fails.
 const testTimeout = 10 * time.Second
 
+// testLimits are the limits of the tested feeds.
 var testLimits = Limits{ConnectTimeout: time.Second, ReadTimeout: time.Second, RenewAfter: time.Minute, RetryDelay: time.Millisecond, MaxEventSize: 4096, InitialBufferSize: 16}
 
 // protocolFor is the ProtocolFor of the tested feeds.
@@ -75,10 +76,10 @@
 }
 
 // startFeed runs a feed that has handled events up to id 4, and returns a Go channel with the lists it posts.
-func startFeed(t *testing.T, f *Feed, address string) chan core.List {
+func startFeed(t *testing.T, f *Feed, address string) chan core.ServerList {
 	t.Helper()
-	lists := make(chan core.List, 16)
-	f.Cursor, f.ProtocolFor, f.Log, f.Post = 4, protocolFor, zerolog.Nop(), func(ev core.Event) { lists <- ev.(core.List) }
+	lists := make(chan core.ServerList, 16)
+	f.Cursor, f.ProtocolFor, f.Log, f.Post = 4, protocolFor, zerolog.Nop(), func(ev core.Event) { lists <- ev.(core.ServerList) }
 	f.Follow(address, nil)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -88,7 +89,7 @@
 }
 
 // expectServer waits for a list that has the named server as its only entry.
-func expectServer(t *testing.T, lists chan core.List, name string) {
+func expectServer(t *testing.T, lists chan core.ServerList, name string) {
 	t.Helper()
 	select {
 	case got := <-lists:
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -16,7 +16,8 @@
 
 // EffectHandler executes effects on one connection.
 type EffectHandler interface {
-	// HandleEffect executes an effect and returns the events that follow from it at once. It must not block.
+	// HandleEffect executes an effect and returns the events that result immediately, without an answer from the peer. It
+	// must not block.
 	HandleEffect(core.Effect) []core.Event
 	// Close closes the connection immediately. It must not block.
 	Close()
@@ -36,7 +37,7 @@
 	done            chan struct{} // closed when Run returns
 	lastConn        atomic.Uint64 // connection id that was given out last
 	start           time.Time
-	epoch           time.Duration // start as the time since the Unix epoch
+	epoch           time.Duration // wall-clock time of start, since the Unix epoch
 	handlers        map[core.ConnID]EffectHandler
 	dialers         map[core.Protocol]Dialer
 	timers          timerHeap         // pending timers
@@ -269,7 +270,8 @@
 	return 0
 }
 
-// timerHeap implements heap.Interface; the timer that fires first is at index 0.
+// timerHeap is a heap of pending timers, ordered by their times; the timer that fires first is at index 0. It implements
+// heap.Interface.
 type timerHeap []core.Timer
 
 func (t timerHeap) Len() int           { return len(t) }
--- a/internal/m3ua/server.go
+++ b/internal/m3ua/server.go
@@ -25,7 +25,7 @@
 	return &trunk{route: route, Circuits: circuits.New(circuitCount)}
 }
 
-// withLock calls the function with the trunk's mutex held.
+// withLock calls change with the current time while it holds the trunk's mutex.
 func (t *trunk) withLock(change func(now time.Time)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -229,7 +229,8 @@
 // Flush waits briefly until the queued messages are written.
 func (s *serverConn) Flush() { s.out.Flush() }
 
-// HandleEffect sends the ISUP message for an effect to the server. It returns the events that follow at once.
+// HandleEffect sends the ISUP message for an effect to the server. It returns core.NotSent for offers that it could not send
+// or could retract, and core.EndWritten for an end that needs no message.
 func (s *serverConn) HandleEffect(e core.Effect) []core.Event {
 	switch e := e.(type) {
 	case core.Offer:
@@ -269,7 +270,7 @@
 // called number cannot be encoded, the message is too long or no circuit is free. It also repeats the RELs whose
 // confirmation is overdue.
 func (s *serverConn) sendSetUp(e core.Offer) []core.Event {
-	category, hasCategory := s.m3ua.categoryOfClass(e.Class)
+	category, hasCategory := s.m3ua.categoryOfClass(e.ClassName)
 	cic, allocated := uint16(0), false
 	s.trunk.withLock(func(now time.Time) {
 		for _, cic := range s.trunk.Overdue(now, s.m3ua.config.Load().ConfirmTimeout) {
--- a/internal/maintenance/lease.go
+++ b/internal/maintenance/lease.go
@@ -7,14 +7,14 @@
 
 // round is one attempt to get the votes of the tier for a slot, or for the renewal of its lease.
 type round struct {
-	Seq       uint32
+	Seq       uint32 // sequence number, repeated in the answers
 	Slot      int
 	Epoch     uint64
 	StartedAt Time
-	Lease     time.Duration // requested
-	Voters    []int         // other members that are asked
-	Granters  []int         // members that granted the request, this one included
-	Refusals  int
+	Lease     time.Duration // duration of the requested lease
+	Voters    []int         // other members that the request is sent to
+	Granters  []int         // members that granted the request, this member included
+	Refusals  int           // number of members that refused the request
 }
 
 // lease is the lease that this member holds.
@@ -110,7 +110,7 @@
 // it that are still granted since the budget was higher.
 func (r *Reducer) usableSlots() int {
 	usable := r.cfg.Limits.Budget
-	for slot := r.cfg.Limits.Budget; slot < Slots; slot++ {
+	for slot := r.cfg.Limits.Budget; slot < MaxSlots; slot++ {
 		if r.isGranted(slot) {
 			usable--
 		}
@@ -128,8 +128,8 @@
 		}
 	}
 	r.sendSlotRequests()
-	r.emit(Timer{At: r.now + r.cfg.Limits.Round/2, Token: Token{kind: tokenResend, seq: r.round.Seq}})
-	r.emit(Timer{At: r.now + r.cfg.Limits.Round, Token: Token{kind: tokenRoundTimeout, seq: r.round.Seq}})
+	r.emit(Timer{At: r.now + r.cfg.Limits.RoundTimeout/2, Token: Token{kind: tokenResend, seq: r.round.Seq}})
+	r.emit(Timer{At: r.now + r.cfg.Limits.RoundTimeout, Token: Token{kind: tokenRoundTimeout, seq: r.round.Seq}})
 	if granted, _ := r.vote(r.cfg.Self, slot, epoch, lease); granted {
 		r.countGrant(r.cfg.Self, r.round.Seq)
 	} else {
@@ -242,11 +242,11 @@
 	if r.lease != nil {
 		r.lease.Granters = nil
 		r.lease.Seq = round.Seq
-		r.emit(Timer{At: r.now + r.cfg.Limits.Round/2, Token: Token{kind: tokenRenew, seq: round.Seq}})
+		r.emit(Timer{At: r.now + r.cfg.Limits.RoundTimeout/2, Token: Token{kind: tokenRenew, seq: round.Seq}})
 		return
 	}
 	r.releaseSlot(round.Slot, round.Epoch)
-	r.retryAt = r.now + r.cfg.Limits.Round + time.Duration(r.rng.Int64N(int64(2*r.cfg.Limits.Round)))
+	r.retryAt = r.now + r.cfg.Limits.RoundTimeout + time.Duration(r.rng.Int64N(int64(2*r.cfg.Limits.RoundTimeout)))
 }
 
 // releaseSlot announces to all members that this member no longer holds a slot by this epoch, now and at the next
--- a/internal/maintenance/reducer.go
+++ b/internal/maintenance/reducer.go
@@ -20,10 +20,10 @@
 	DisabledGuards Guard // guards that a check switches off to see a rule violated; no program sets it
 }
 
-// Guard is a part of the protocol that a check can switch off.
+// Guard is a set of parts of the protocol, as a bit set, that a check can switch off.
 type Guard uint8
 
-// The guards.
+// The guards, each with the behaviour that it stands for.
 const (
 	GuardRecover   Guard = 1 << iota // a member that restarts grants nothing until it knows what it may have granted
 	GuardExpiry                      // a holder no longer relies on a lease that has expired
@@ -42,24 +42,24 @@
 	rng                    *rand.Rand
 	effects                []Effect
 	records                []Record // by index of the member
-	remainingTransmissions []int    // of each record
+	remainingTransmissions []int    // by index of the member: how often its record is still sent on
 	zones                  []int8   // of the members; -1: not known
 	names                  []string // of the members
 	available              []bool   // by index: the member is available
 	serving                bool     // this member accepts calls
-	grants                 [Slots]Grant
-	highestEpochs          [Slots]uint64 // the highest epoch that was granted or released, for each slot
-	refusedUntil           [Slots]Time   // until then other members count as having granted the slot, and it is not requested
-	recovered              bool
-	queryNonce             uint32 // identifies the queries of this incarnation; answers to others are ignored
-	queryRounds            uint32 // rounds of queries sent
-	nextQueried            int    // index of the member queried next
+	grants                 [MaxSlots]Grant
+	highestEpochs          [MaxSlots]uint64 // the highest epoch that was granted or released, for each slot
+	refusedUntil           [MaxSlots]Time   // by slot: until this time the slot counts as granted by other members and is not requested
+	recovered              bool             // this member knows what it may have granted before its start, and may grant slots
+	queryNonce             uint32           // identifies the queries of this incarnation; answers to others are ignored
+	queryRounds            uint32           // rounds of queries sent
+	nextQueried            int              // index of the member queried next
 	answers                []queryAnswer
 	round                  *round // nil: none is running
 	lease                  *lease // nil: none is held
 	releaseNotices         []releaseNotice
-	retryAt                Time // no new slot is requested before
-	drained                bool // no calls are left on this member, which holds a slot
+	retryAt                Time // no new slot is requested before this time
+	drained                bool // this member holds a slot and has no calls left
 	lastSeq                uint32
 	tickCount              uint32
 	gossipCursor           int // index of the record that is sent next
@@ -93,7 +93,7 @@
 	}
 	r.queryNonce = r.rng.Uint32()
 	r.recovered = r.recovered || !r.guardEnabled(GuardRecover)
-	r.scheduleTick(time.Duration(r.rng.Int64N(int64(cfg.Limits.Round))))
+	r.scheduleTick(time.Duration(r.rng.Int64N(int64(cfg.Limits.RoundTimeout))))
 	return r, r.takeEffects(), nil
 }
 
@@ -124,7 +124,7 @@
 		r.serving = ev.Serving
 		r.advanceOwnRequest()
 	case SetBudget:
-		if ev.Budget >= 1 && ev.Budget <= Slots {
+		if ev.Budget >= 1 && ev.Budget <= MaxSlots {
 			r.cfg.Limits.Budget = ev.Budget
 		}
 	}
@@ -139,10 +139,16 @@
 }
 
 // emit appends an effect to those that Step returns.
-func (r *Reducer) emit(e Effect)             { r.effects = append(r.effects, e) }
+func (r *Reducer) emit(e Effect) { r.effects = append(r.effects, e) }
+
+// guardEnabled reports whether a guard is on.
 func (r *Reducer) guardEnabled(g Guard) bool { return r.cfg.DisabledGuards&g == 0 }
-func (r *Reducer) nextSeq() uint32           { r.lastSeq++; return r.lastSeq }
-func (r *Reducer) quorum() int               { return r.cfg.TierSize/2 + 1 }
+
+// nextSeq returns a new sequence number.
+func (r *Reducer) nextSeq() uint32 { r.lastSeq++; return r.lastSeq }
+
+// quorum returns the number of members in a majority of the tier.
+func (r *Reducer) quorum() int { return r.cfg.TierSize/2 + 1 }
 
 // scheduleTick requests the timer of the next tick.
 func (r *Reducer) scheduleTick(delay time.Duration) {
@@ -163,7 +169,7 @@
 		r.advanceOwnRequest()
 		r.repeatReleases()
 		r.gossip()
-		r.scheduleTick(r.cfg.Limits.Round)
+		r.scheduleTick(r.cfg.Limits.RoundTimeout)
 	case tokenResend: // half of the round has passed: requests or answers may be lost
 		if r.round != nil && r.round.Seq == token.seq {
 			r.sendSlotRequests()
@@ -242,7 +248,7 @@
 	case kindRefusal:
 		r.highestEpochs[msg.Slot] = max(r.highestEpochs[msg.Slot], uint64(msg.Items[2]))
 		if remaining := time.Duration(msg.Items[1]) * time.Millisecond; msg.Items[0] >= 0 && int(msg.Items[0]) != r.cfg.Self && remaining > 0 {
-			r.refusedUntil[msg.Slot] = r.now + min(remaining, 4*r.cfg.Limits.Round) // capped: the release may be lost
+			r.refusedUntil[msg.Slot] = r.now + min(remaining, 4*r.cfg.Limits.RoundTimeout) // capped: the release may be lost
 		}
 		r.countRefusal(msg.Seq)
 	case kindRelease:
--- a/internal/maintenance/types.go
+++ b/internal/maintenance/types.go
@@ -24,8 +24,8 @@
 // counted and dropped.
 const Version = 0x41
 
-// Slots is the number of slots, and the maximum of the budget B.
-const Slots = 8
+// MaxSlots is the number of slots, and the maximum of the budget B.
+const MaxSlots = 8
 
 // Stage is the progress of a maintenance request.
 type Stage uint8
@@ -59,24 +59,24 @@
 	Budget        int           // B, the maximum number of members out of service at once
 	Lease         time.Duration // lease of a draining member
 	WorkLease     time.Duration // lease of a member that is ready for work: the longest absence during which it keeps its slot
-	Round         time.Duration // time for a majority to answer, and interval between two looks at the queue
+	RoundTimeout  time.Duration // time for a majority to answer, and interval between two looks at the queue
 	MaxDrift      float64       // maximum difference between the rates of two clocks, as a share
 	Transmissions int           // number of times that a change of a record or a release is sent on
 }
 
 // Defaults returns the limits for a tier on the platform.
 func Defaults() Limits {
-	return Limits{Budget: 1, Lease: 6 * time.Second, WorkLease: 5 * time.Minute, Round: 500 * time.Millisecond, MaxDrift: 0.01, Transmissions: 6}
+	return Limits{Budget: 1, Lease: 6 * time.Second, WorkLease: 5 * time.Minute, RoundTimeout: 500 * time.Millisecond, MaxDrift: 0.01, Transmissions: 6}
 }
 
 // Check returns an error that names the first invalid limit, or nil.
 func (l Limits) Check() error {
 	switch {
-	case l.Budget < 1 || l.Budget > Slots:
-		return fmt.Errorf("budget: %d, not in [1, %d]", l.Budget, Slots)
-	case l.Round < 10*time.Millisecond || l.Round > 10*time.Second:
-		return fmt.Errorf("round: %v, not in [10ms, 10s]", l.Round)
-	case l.Lease < 4*l.Round || l.Lease > time.Hour:
+	case l.Budget < 1 || l.Budget > MaxSlots:
+		return fmt.Errorf("budget: %d, not in [1, %d]", l.Budget, MaxSlots)
+	case l.RoundTimeout < 10*time.Millisecond || l.RoundTimeout > 10*time.Second:
+		return fmt.Errorf("round: %v, not in [10ms, 10s]", l.RoundTimeout)
+	case l.Lease < 4*l.RoundTimeout || l.Lease > time.Hour:
 		return fmt.Errorf("lease: %v, not in [4 rounds, 1h]", l.Lease)
 	case l.WorkLease < l.Lease || l.WorkLease > 24*time.Hour:
 		return fmt.Errorf("work: %v, not in [lease, 24h]", l.WorkLease)
@@ -91,7 +91,7 @@
 // maxGrantDuration returns the longest time for which any grant may be in force by any clock: the work lease
 // lengthened by the clock drift, plus two rounds.
 func (l Limits) maxGrantDuration() time.Duration {
-	return time.Duration(float64(l.WorkLease)*(1+2*l.MaxDrift)) + 2*l.Round
+	return time.Duration(float64(l.WorkLease)*(1+2*l.MaxDrift)) + 2*l.RoundTimeout
 }
 
 // safeDuration returns how long a holder relies on a lease, counted from its first request for the lease: the
@@ -176,9 +176,10 @@
 // tokenKind is the purpose of a timer.
 type tokenKind uint8
 
+// The purposes of timers.
 const (
 	tokenTick         tokenKind = iota // look at the queue, and gossip
-	tokenResend                        // half of the round has passed: send unanswered requests once more
+	tokenResend                        // half of the round has passed: repeat the unanswered requests
 	tokenRoundTimeout                  // the round has timed out
 	tokenRenew                         // the lease is due for renewal
 	tokenExpiry                        // the lease expires by the clock of this member
@@ -189,7 +190,7 @@
 	Rounds                     uint64 // rounds started to get or renew a slot
 	Granted                    uint64 // slots obtained
 	Renewed                    uint64 // renewals of leases
-	Expired                    uint64 // leases of this member that expired
+	Expired                    uint64 // leases of this member that expired before it renewed or released them
 	VotesGranted, VotesRefused uint64 // votes of this member on requests for slots
 	Sent                       uint64 // datagrams sent
 	SentBytes                  uint64
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -12,8 +12,8 @@
 	r.updateQueue = slices.Insert(r.updateQueue, 0, queuedUpdate{update: u, Seq: r.lastUpdateSeq})
 }
 
-// markTransmitted records that the first count updates of the queue were sent once more, removes those that were sent
-// often enough, and restores the order of the queue.
+// markTransmitted counts one transmission of each of the first count updates of the queue, removes the updates that
+// were sent maxTransmissions times, and restores the order of the queue.
 func (r *Reducer) markTransmitted(count int) {
 	sent := slices.Clone(r.updateQueue[:count])
 	for i := range sent {
@@ -41,7 +41,7 @@
 }
 
 // send sends a datagram with the updates that were transmitted least often. The mandatory updates come first. A
-// member that is suspected or held dead gets its own state first of all, because it can refute only what it receives
+// member that is considered suspect or dead gets its own state first of all, because it can refute only what it receives
 // (Lifeguard, Buddy System).
 func (r *Reducer) send(to int, msg message, mandatory ...update) {
 	if s := r.members[to].State; s == Suspect || s.Down() {
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -63,8 +63,8 @@
 	p.config.Store(&activeConfig{cfg, cfg.Deployment.ClassIndexes()})
 }
 
-// Classes returns the names of the request classes, by class index.
-func (p *Platform) Classes() []string {
+// ClassNames returns the names of the request classes, by class index.
+func (p *Platform) ClassNames() []string {
 	var names []string
 	for _, c := range p.config.Load().Deployment.Classes {
 		names = append(names, c.Name)
@@ -91,7 +91,7 @@
 	case <-timeout:
 		return
 	}
-	for p.openConns.Load() > 0 { // a connection may still be starting; the loop rejects it
+	for p.openConns.Load() > 0 { // a new connection may not have reached the loop yet, which will reject it
 		select {
 		case <-timeout:
 			return
--- a/internal/platform/server.go
+++ b/internal/platform/server.go
@@ -22,7 +22,7 @@
 // server is a connection to a server. It is the loop.EffectHandler of that connection; readLines is its receiving side.
 type server struct {
 	platform *Platform
-	name     string // of the server
+	name     string // name of the server
 	connID   core.ConnID
 	outbox   *link.Outbox
 
@@ -73,7 +73,7 @@
 // appendOffer appends the message that offers a set-up to a server. The time left in it is at least 1 ms.
 func appendOffer(b []byte, e core.Offer, now core.Time) []byte {
 	b = fmt.Appendf(b, `{"op":"offer","call":"%016x","with":{"class":`, uint64(e.ID))
-	b = appendString(b, e.Class)
+	b = appendString(b, e.ClassName)
 	if e.NumberText != "" {
 		b = appendString(append(b, `,"key":`...), e.NumberText)
 	}
@@ -133,7 +133,7 @@
 			silent = false
 		case errors.Is(err, os.ErrDeadlineExceeded) && !partial && silenceTimeout > 0:
 			silent = true
-			s.platform.loop.Post(core.ServerSilent{Server: s.name, Conn: s.connID, For: silenceTimeout})
+			s.platform.loop.Post(core.ServerSilent{Server: s.name, Conn: s.connID, SilentFor: silenceTimeout})
 			continue
 		default:
 			return err
@@ -180,7 +180,7 @@
 // own choice. When several such intervals have passed without a line from a server, the set-ups outstanding on the connection
 // will not be answered either. One detector serves all connections, so a new connection uses the intervals seen before it.
 type silenceDetector struct {
-	mu          sync.Mutex
+	mu          sync.Mutex    // guards the fields below
 	maxInterval time.Duration // recent maximum of the time between two reports
 	intervals   int           // number of intervals observed
 }
@@ -189,7 +189,7 @@
 const (
 	minIntervals     = 3  // intervals that must be observed before any connection counts as silent
 	silenceIntervals = 3  // maximum intervals without a line after which a connection counts as silent
-	maxIntervalDecay = 32 // each interval moves the maximum by 1/32 of the difference towards that interval, if it is shorter
+	maxIntervalDecay = 32 // an interval shorter than the maximum lowers the maximum by 1/32 of their difference
 )
 
 // observe records the time between two state reports on one connection.
@@ -262,7 +262,7 @@
 	for pair := range strings.SplitSeq(text, ";") {
 		name, value, _ := strings.Cut(pair, ":")
 		number, err := strconv.ParseFloat(value, 64)
-		if metric := settings.LoadMetric(name); err == nil && metric != 0 && len(values) < maxReportValues {
+		if metric := settings.LoadMetricByName(name); err == nil && metric != 0 && len(values) < maxReportValues {
 			values = append(values, core.LoadValue{Metric: metric, Value: number})
 		}
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -11,10 +11,10 @@
 	"elmseam"
 )
 
-// microseconds is a time as the settings have it: a number of microseconds.
+// microseconds is a duration in the form of the settings: a number of microseconds.
 type microseconds float64
 
-// duration converts the time to a time.Duration.
+// duration converts the number to a time.Duration.
 func (m microseconds) duration() time.Duration {
 	return time.Duration(float64(m) * float64(time.Microsecond))
 }
@@ -71,8 +71,8 @@
 	"cut_by":      elmseam.LoadMetricHoldBackShare,
 }
 
-// LoadMetric returns the meaning of a value of a load report by its name; LoadMetricUnknown for other names.
-func LoadMetric(name string) elmseam.LoadMetric { return loadMetrics[name] }
+// LoadMetricByName returns the meaning of a value of a load report by its name; LoadMetricUnknown for other names.
+func LoadMetricByName(name string) elmseam.LoadMetric { return loadMetrics[name] }
 
 // retryPolicies maps the values of a class's key "effect" to retry policies.
 var retryPolicies = map[string]elmseam.RetryPolicy{
@@ -136,8 +136,8 @@
 	MinAim              time.Duration // shortest aim of all classes: the time within which a call should be established
 	MaxMeanHold         time.Duration // longest mean holding time of all classes
 	MaxOpenCalls        int           // max. calls open at the same time
-	Self                int           // own index in the tier; -1: not given
-	Zone                int           // own zone; -1: not given
+	Self                int           // index of this softswitch in the tier; -1: not given
+	Zone                int           // zone of this softswitch; -1: not given
 	TierSize            int           // number of softswitches in the tier; 0: not given
 	PeerMessagesEnabled bool          // datagrams between softswitches are permitted
 	ProbesEnabled       bool          // probes of connections to servers are permitted
@@ -291,8 +291,8 @@
 // shareTolerance is how far the sum of the tenants' shares may exceed 1, because the shares are rounded to a few digits.
 const shareTolerance = 0.01
 
-// checkRequiredKeys returns an error that names the first required key that the JSON object text lacks. Prefix is put
-// before the key.
+// checkRequiredKeys returns an error that names the first required key that the JSON object text lacks, with prefix
+// before the key. section is the object's key in requiredKeys.
 func checkRequiredKeys(text []byte, section, prefix string) error {
 	var object map[string]json.RawMessage
 	if err := json.Unmarshal(text, &object); err != nil {
--- a/internal/swarm/swarm.go
+++ b/internal/swarm/swarm.go
@@ -81,7 +81,7 @@
 	members []memberState
 	rng     *rand.Rand
 
-	// OnChange, unless nil, is called for every change of the state that a member holds of another member.
+	// OnChange, unless nil, is called for every change of another member's state in the view of a member.
 	OnChange func(at Time, observer int, c membership.StateChanged)
 }
 
@@ -156,7 +156,7 @@
 // clock of a running member doesn't jump.
 func (s *Simulation) Skew(member int, skew time.Duration) { s.members[member].clockSkew = skew }
 
-// Inject passes an event to a member at once, unless the member is killed.
+// Inject passes an event to a member at the present instant, unless the member is killed.
 func (s *Simulation) Inject(member int, ev membership.Event) {
 	if reducer := s.members[member].reducer; reducer != nil {
 		s.applyEffects(member, reducer.Step(s.now+s.members[member].clockSkew, ev))
@@ -171,7 +171,7 @@
 // Member returns the reducer of a member, or nil if the member is killed.
 func (s *Simulation) Member(member int) *membership.Reducer { return s.members[member].reducer }
 
-// StateOf returns what the observer holds of another member. The observer must not be killed.
+// StateOf returns what the observer knows of another member. The observer must not be killed.
 func (s *Simulation) StateOf(observer, subject int) membership.Member {
 	return s.members[observer].reducer.Members()[subject]
 }
@@ -236,10 +236,10 @@
 // addCounters returns the sums of two sets of counters.
 func addCounters(a, b membership.Counters) membership.Counters {
 	a.Probes += b.Probes
-	a.Indirect += b.Indirect
+	a.IndirectProbes += b.IndirectProbes
 	a.Acks += b.Acks
 	a.Nacks += b.Nacks
-	a.Failed += b.Failed
+	a.FailedProbes += b.FailedProbes
 	a.Suspicions += b.Suspicions
 	a.Deaths += b.Deaths
 	a.Refutations += b.Refutations
