--- a/api.go
+++ b/api.go
@@ -26,9 +26,9 @@
 
 // The phases of a server. Gone also marks, in a ListDelta, a server that leaves the list.
 const (
-	Gone     Phase = iota // removed from the list
-	Ready                 // takes new calls
-	Draining              // takes no new calls
+	PhaseGone     Phase = iota // removed from the list
+	PhaseReady                 // takes new calls
+	PhaseDraining              // takes no new calls
 )
 
 // LoadMetric is the meaning of one value of a load report.
--- a/budgets.go
+++ b/budgets.go
@@ -110,7 +110,7 @@
 	}
 	warmLines, allLines, elapsed := 0.0, 1.0, (c.now - c.measuredAt).Seconds()
 	for _, s := range c.servers {
-		if allLines += c.linesOrMean(s); s.phase == Ready && !c.isCold(s) {
+		if allLines += c.linesOrMean(s); s.phase == PhaseReady && !c.isCold(s) {
 			warmLines += c.linesOrMean(s)
 		}
 	}
--- a/cmd/elmseam/main.go
+++ b/cmd/elmseam/main.go
@@ -59,11 +59,11 @@
 	if err != nil {
 		return err
 	}
-	membersPath, membersNamed := os.LookupEnv("ELMSEAM_MEMBERS")
-	if !membersNamed {
+	membersPath, membersPathSet := os.LookupEnv("ELMSEAM_MEMBERS")
+	if !membersPathSet {
 		membersPath = membersFile
 	}
-	members, err := config.LoadMembers(membersPath, membersNamed)
+	members, err := config.LoadMembers(membersPath, membersPathSet)
 	if err != nil {
 		return err
 	}
@@ -79,7 +79,7 @@
 	}
 	var m3uaProtocol *m3ua.M3UA
 	var speaker *bgp.Speaker
-	upgrades := &upgrader{socketPath: handover.SocketPath(os.Getenv("TMPDIR"), cfg.Name), limits: cfg.Limits.HandOver, memory: memory, log: log, sampledLog: link.SampledLogger(log)}
+	upgrader := &upgrader{socketPath: handover.SocketPath(os.Getenv("TMPDIR"), cfg.Name), limits: cfg.Limits.HandOver, memory: memory, log: log, sampledLog: link.SampledLogger(log)}
 	ready := make(chan struct{})
 	var tierSocket *peers.Socket
 	var platformRef atomic.Pointer[platform.Platform] // set before the first event is posted
@@ -96,7 +96,7 @@
 		case core.ReadyToServe:
 			close(ready)
 		case core.CloseListener:
-			upgrades.closeListener()
+			upgrader.closeListener()
 		case core.SendToMember:
 			tierSocket.Send(e)
 		case core.MemberChanged:
@@ -106,9 +106,9 @@
 		case core.MaintenanceProgress:
 			sampledLog.Info().Int("member", e.Member).Stringer("stage", e.Record.Stage).Uint64("epoch", e.Record.Epoch).Msg("maintenance")
 		case core.ToPredecessor:
-			upgrades.sendToPredecessor(e)
+			upgrader.sendToPredecessor(e)
 		case core.ToSuccessor:
-			upgrades.sendToSuccessor(e.Protocol, 0, e.Effect)
+			upgrader.sendToSuccessor(e.Protocol, 0, e.Effect)
 		case core.ForgetCall:
 			if m3uaProtocol != nil && e.Protocol != platform.Protocol {
 				m3uaProtocol.FreeCircuit(e.ID)
@@ -137,25 +137,25 @@
 	platformProtocol := platform.New(cfg.Platform(), eventLoop, log)
 	platformRef.Store(platformProtocol)
 	eventLoop.SetDialer(platform.Protocol, platformProtocol.Dial)
-	upgrades.loop, upgrades.platform = eventLoop, platformProtocol
-	hasPredecessor := upgrades.takeOver(cfg.Listen)
+	upgrader.loop, upgrader.platform = eventLoop, platformProtocol
+	hasPredecessor := upgrader.takeOver(cfg.Listen)
 	if !hasPredecessor {
-		if upgrades.listener, err = net.Listen("tcp", cfg.Listen); err != nil {
+		if upgrader.listener, err = net.Listen("tcp", cfg.Listen); err != nil {
 			return fmt.Errorf("listen: %w", err)
 		}
 	}
-	listener := upgrades.listener
-	upgrades.listenAddr = listener.Addr().String()
+	listener := upgrader.listener
+	upgrader.listenAddr = listener.Addr().String()
 	if !hasPredecessor {
-		upgrades.listenForSuccessor()
+		upgrader.listenForSuccessor()
 	}
 	defer listener.Close()
 	tasks := []func(){func() { platformProtocol.Serve(listener) }}
 	if hasPredecessor { // the predecessor serves until this process is ready
 		memory.addProcesses(1)
-		tasks = []func(){upgrades.followPredecessor, func() {
+		tasks = []func(){upgrader.followPredecessor, func() {
 			<-ready
-			upgrades.reportServing()
+			upgrader.reportServing()
 			platformProtocol.Serve(listener)
 		}}
 	}
@@ -168,7 +168,7 @@
 		eventLoop.PublishEvery(cfg.Limits.StatsInterval)
 		admin := &mgmt.AdminServer{
 			Limits: cfg.Limits.Mgmt, Snapshot: eventLoop.Snapshot, ClassNames: platformProtocol.ClassNames,
-			SetDraining: platformProtocol.SetDraining, Post: eventLoop.Post, Log: log, Peers: tierSocket,
+			SetDraining: platformProtocol.SetDraining, Post: eventLoop.Post, Log: log, TierSocket: tierSocket,
 		}
 		log.Info().Str("mgmt", adminListener.Addr().String()).Msg("admin endpoint listening")
 		go admin.Serve(adminListener)
@@ -247,7 +247,7 @@
 			m3uaProtocol.Configure(cfg.M3UA(signalling.M3UA))
 		}
 		eventLoop.Post(core.Configured{Settings: cfg.Settings, Limits: cfg.Limits.Core})
-		if newMembers, err := config.LoadMembers(membersPath, membersNamed); err != nil {
+		if newMembers, err := config.LoadMembers(membersPath, membersPathSet); err != nil {
 			log.Error().Err(err).Msg("members file rejected")
 		} else if tierSocket != nil && newMembers.Maintenance.Enabled {
 			eventLoop.Post(core.MaintenanceRequest{Event: maintenance.SetBudget{Budget: newMembers.MaintenanceBudget(len(cfg.Peers))}})
@@ -268,7 +268,7 @@
 				reload()
 			case <-stops:
 				log.Info().Msg("stopping")
-				if !upgrades.requestStop() {
+				if !upgrader.requestStop() {
 					platformProtocol.MarkStopping()
 				}
 				eventLoop.Post(core.Stop{})
@@ -277,7 +277,7 @@
 	}()
 	log.Info().Str("listen", listener.Addr().String()).Msg("started")
 	eventLoop.Run(ctx)
-	upgrades.finish(reducer)
+	upgrader.finish(reducer)
 	platformProtocol.Wait()
 	log.Info().Msg("stopped")
 	return nil
@@ -285,12 +285,12 @@
 
 // loadSignalling reads the signalling file. If the default file does not exist, M3UA and BGP stay off.
 func loadSignalling() (config.SignallingFile, error) {
-	path, named := os.LookupEnv("ELMSEAM_SIGNALLING")
-	if !named {
+	path, pathSet := os.LookupEnv("ELMSEAM_SIGNALLING")
+	if !pathSet {
 		path = signallingFile
 	}
 	cfg, err := config.LoadSignalling(path)
-	if !named && errors.Is(err, fs.ErrNotExist) {
+	if !pathSet && errors.Is(err, fs.ErrNotExist) {
 		return config.SignallingFile{}, nil
 	}
 	return cfg, err
--- a/cmd/elmseam/stop_test.go
+++ b/cmd/elmseam/stop_test.go
@@ -106,10 +106,10 @@
 // is stale: one listed server no longer accepts connections. The program must report at once that it accepts work, and
 // serve calls by the remaining server.
 func TestReadyWithCommandChannelDown(t *testing.T) {
-	srv, gone := listen(t), listen(t)
-	p := newProgram(t, endpoint("gone", "in_service", gone), endpoint("s", "in_service", srv))
+	srv, closed := listen(t), listen(t)
+	p := newProgram(t, endpoint("gone", "in_service", closed), endpoint("s", "in_service", srv))
 	p.channel.Close()
-	gone.Close()
+	closed.Close()
 	p.launch("")
 	caller := dial(t, p.listen)
 	caller.Write([]byte{0, 13, 52, 0, 0, 0, 0, 0, 0, 0, 9, 58, 0, 1, 0})
--- a/cmd/elmseam/upgrade.go
+++ b/cmd/elmseam/upgrade.go
@@ -72,14 +72,14 @@
 			return
 		}
 		switch m.Kind {
-		case handover.Transferring: // from now on, the next successor must find this process
+		case handover.KindTransferring: // from now on, the next successor must find this process
 			u.listenForSuccessor()
 			u.loop.Post(core.Predecessor{Present: true, Transferring: true})
-		case handover.CallerConn:
+		case handover.KindCallerConn:
 			u.adoptConn(m, file)
-		case handover.CallsEnded:
+		case handover.KindCallsEnded:
 			u.loop.Post(core.EndedCalls{IDs: m.IDs})
-		case handover.Effect:
+		case handover.KindEffect:
 			u.mu.Lock()
 			connID := u.localConns[m.Conn]
 			u.mu.Unlock()
@@ -97,7 +97,7 @@
 	file.Close()
 	if err != nil {
 		u.log.Warn().Err(err).Msg("caller's connection not taken over")
-		u.predecessor.Send(handover.Message{Kind: handover.CallerDown, Conn: msg.Conn})
+		u.predecessor.Send(handover.Message{Kind: handover.KindCallerDown, Conn: msg.Conn})
 		return
 	}
 	connID := u.loop.NewConnID()
@@ -109,7 +109,7 @@
 		u.mu.Lock()
 		delete(u.localConns, msg.Conn)
 		u.mu.Unlock()
-		u.predecessor.Send(handover.Message{Kind: handover.CallerDown, Conn: msg.Conn})
+		u.predecessor.Send(handover.Message{Kind: handover.KindCallerDown, Conn: msg.Conn})
 	})
 	u.sampledLog.Info().Uint64("link", uint64(connID)).Msg("caller's connection taken over")
 }
@@ -129,16 +129,16 @@
 			}
 		}
 		u.mu.Unlock()
-		u.predecessor.Send(handover.Message{Kind: handover.CallerEnd, Conn: from, ID: ev.ID})
+		u.predecessor.Send(handover.Message{Kind: handover.KindCallerEnd, Conn: from, ID: ev.ID})
 	case core.ServerEnd:
-		u.predecessor.Send(handover.Message{Kind: handover.ServerEnd, Server: ev.Server, ID: ev.ID, Reason: ev.Reason})
+		u.predecessor.Send(handover.Message{Kind: handover.KindServerEnd, Server: ev.Server, ID: ev.ID, Reason: ev.Reason})
 	}
 }
 
 // reportServing informs the predecessor that this process serves callers, so that the predecessor may exit.
 func (u *upgrader) reportServing() {
 	if u.predecessor != nil {
-		u.predecessor.Send(handover.Message{Kind: handover.Serving})
+		u.predecessor.Send(handover.Message{Kind: handover.KindServing})
 	}
 }
 
@@ -209,19 +209,19 @@
 			break
 		}
 		switch m.Kind {
-		case handover.Serving:
+		case handover.KindServing:
 			u.mu.Lock()
 			u.successorServing = true
 			u.mu.Unlock()
 			u.transferIfReady()
-		case handover.CallerDown:
+		case handover.KindCallerDown:
 			u.mu.Lock()
 			delete(u.transferred, m.Conn)
 			u.mu.Unlock()
 			u.loop.Post(core.CallerDown{Conn: m.Conn})
-		case handover.CallerEnd:
+		case handover.KindCallerEnd:
 			u.loop.Post(core.CallerEnd{ID: m.ID, From: m.Conn})
-		case handover.ServerEnd:
+		case handover.KindServerEnd:
 			u.loop.Post(core.ServerEnd{Server: m.Server, ID: m.ID, Reason: m.Reason})
 		}
 	}
@@ -279,7 +279,7 @@
 		}
 		u.listener.Close() // the successor shares the listener, so connections in the accept queue are not refused
 		u.platform.SetSuccessor(u)
-		u.successor.Send(handover.Message{Kind: handover.Transferring})
+		u.successor.Send(handover.Message{Kind: handover.KindTransferring})
 	}
 	u.mu.Unlock() // the loop may need the mutex before it handles the event posted below
 	if !starts {
@@ -294,7 +294,7 @@
 	u.mu.Lock()
 	successor := u.successor
 	u.mu.Unlock()
-	err := successor.SendFile(handover.Message{Kind: handover.CallerConn, Conn: transfer.To, Unprocessed: unprocessed, Pending: transfer.Open, Established: transfer.Established, HadSetUp: transfer.HadSetUp}, conn)
+	err := successor.SendFile(handover.Message{Kind: handover.KindCallerConn, Conn: transfer.To, Unprocessed: unprocessed, Pending: transfer.Open, Established: transfer.Established, HadSetUp: transfer.HadSetUp}, conn)
 	if err != nil {
 		return err
 	}
@@ -337,7 +337,7 @@
 		return
 	}
 	if transferring {
-		successor.Send(handover.Message{Kind: handover.CallsEnded, IDs: reducer.RecentlyEnded(u.limits.MaxEndedCalls)})
+		successor.Send(handover.Message{Kind: handover.KindCallsEnded, IDs: reducer.RecentlyEnded(u.limits.MaxEndedCalls)})
 		successor.Flush()
 	}
 	successor.Close()
--- a/cmd/elmseamctl/maintenance.go
+++ b/cmd/elmseamctl/maintenance.go
@@ -53,11 +53,11 @@
 				if err != nil {
 					return err
 				}
-				var view mgmt.MaintenanceStatus
-				if status != http.StatusOK || json.Unmarshal([]byte(text), &view) != nil {
+				var maintenanceStatus mgmt.MaintenanceStatus
+				if status != http.StatusOK || json.Unmarshal([]byte(text), &maintenanceStatus) != nil {
 					return fmt.Errorf("%s: %d: %.80s", args[0], status, strings.TrimSpace(text))
 				}
-				printMaintenance(c.OutOrStdout(), view)
+				printMaintenance(c.OutOrStdout(), maintenanceStatus)
 				return nil
 			}})
 	return cmd
--- a/cmd/elmseamctl/servers.go
+++ b/cmd/elmseamctl/servers.go
@@ -34,11 +34,11 @@
 			if status != http.StatusOK {
 				return fmt.Errorf("%s: %d: %.80s", args[0], status, text)
 			}
-			var view mgmt.ServersStatus
-			if err := json.Unmarshal([]byte(text), &view); err != nil {
+			var serversStatus mgmt.ServersStatus
+			if err := json.Unmarshal([]byte(text), &serversStatus); err != nil {
 				return fmt.Errorf("%s: invalid answer of /ops/servers: %w", args[0], err)
 			}
-			if !printServers(cmd.OutOrStdout(), view) {
+			if !printServers(cmd.OutOrStdout(), serversStatus) {
 				return exitCode(exitViolation)
 			}
 			return nil
@@ -77,7 +77,7 @@
 				drainNote = "drains"
 			}
 			fmt.Fprintf(table, "\t%s\t%s\t%s\t%.2f\t%s\t%.1f\t%.0f\t%d\t%v\n", drainNote, observer,
-				formatMS(report.AgeMS), report.HoldBackShare, holdBackAge, report.Rate, report.Lines, report.FailureWeight,
+				formatMS(report.AgeMS), report.HoldBackShare, holdBackAge, report.Rate, report.TotalLines, report.FailureWeight,
 				time.Duration(report.MinSetUpTimeUS)*time.Microsecond)
 		}
 		if server.OmittedReports > 0 {
--- a/controller_test.go
+++ b/controller_test.go
@@ -63,7 +63,7 @@
 func readyServers(count int) []ListEntry {
 	var list []ListEntry
 	for i := 1; i <= count; i++ {
-		list = append(list, ListEntry{Server: ServerID(i), Cell: i, Phase: Ready})
+		list = append(list, ListEntry{Server: ServerID(i), Cell: i, Phase: PhaseReady})
 	}
 	return list
 }
@@ -385,7 +385,7 @@
 		h.advance(20 * ms)
 		h.establish(1, 20*ms)
 	}
-	h.handle(ListDelta{Entries: []ListEntry{{Server: 1, Cell: 1, Phase: Draining}}})
+	h.handle(ListDelta{Entries: []ListEntry{{Server: 1, Cell: 1, Phase: PhaseDraining}}})
 	sent := 0
 	for range 2 * 50 {
 		h.advance(20 * ms)
@@ -673,7 +673,7 @@
 				}
 			}
 		}
-		h.handle(ListDelta{Entries: []ListEntry{{Server: 2, Cell: 2, Phase: Draining}}})
+		h.handle(ListDelta{Entries: []ListEntry{{Server: 2, Cell: 2, Phase: PhaseDraining}}})
 		id, actions := call()
 		h.expectServer(name, firstSendTarget(actions), c.want)
 		if c.want == 0 {
@@ -778,7 +778,7 @@
 }
 
 func TestRuleNoSetUpToDrainingServer(t *testing.T) {
-	for _, phase := range []Phase{Draining, Gone} {
+	for _, phase := range []Phase{PhaseDraining, PhaseGone} {
 		h := newHarness(t, testSettings(), 2)
 		h.expectServer("before", h.establish(1, 20*ms), 1)
 		h.handle(ListDelta{Entries: []ListEntry{{Server: 1, Cell: 1, Phase: phase}}})
@@ -805,7 +805,7 @@
 		h.establish(1+int(h.lastCall)%2, 20*ms)
 	}
 	startedAt := h.now
-	h.handle(ListDelta{Entries: []ListEntry{{Server: 3, Cell: 3, Phase: Ready, Started: startedAt}}})
+	h.handle(ListDelta{Entries: []ListEntry{{Server: 3, Cell: 3, Phase: PhaseReady, Started: startedAt}}})
 	h.reportLoad(3, 1000, 1000, 0)
 	var sent []Time
 	for h.now < startedAt+settings.ColdRamp {
@@ -843,7 +843,7 @@
 // A softswitch that has restarted after a crash knows no rate; it must not flood a cold server.
 func TestColdServerAndNewlyStartedSoftswitch(t *testing.T) {
 	h := newHarness(t, testSettings(), 0)
-	h.handle(ListFull{Entries: []ListEntry{{Server: 1, Cell: 1, Phase: Ready, Started: h.now}}})
+	h.handle(ListFull{Entries: []ListEntry{{Server: 1, Cell: 1, Phase: PhaseReady, Started: h.now}}})
 	sent := 0
 	for range 200 {
 		if _, actions := h.arrive(1); firstSendTarget(actions) != 0 {
@@ -889,7 +889,7 @@
 	h := newHarness(t, testSettings(), 1)
 	heldCall, _ := h.arrive(1)
 	for i := ServerID(1); i < 100; i++ {
-		h.handle(ListDelta{Entries: []ListEntry{{Server: i, Phase: Gone}, {Server: i + 1, Cell: 1, Phase: Ready}}})
+		h.handle(ListDelta{Entries: []ListEntry{{Server: i, Phase: PhaseGone}, {Server: i + 1, Cell: 1, Phase: PhaseReady}}})
 	}
 	if n := len(h.controller.servers); n != 2 || len(h.controller.byID) != n {
 		t.Errorf("%d servers kept, want the listed one and the one with a pending attempt", n)
@@ -923,10 +923,10 @@
 	h.reportLoad(1, 900, 1000, 0)
 	h.reportLoad(2, 900, 1000, 0)
 	run(20*time.Second, func() { h.establish(1+int(h.lastCall)%2, 20*ms) })
-	h.handle(ListDelta{Entries: []ListEntry{{Server: 2, Cell: 2, Phase: Gone}}})
+	h.handle(ListDelta{Entries: []ListEntry{{Server: 2, Cell: 2, Phase: PhaseGone}}})
 	run(4*time.Second, func() { h.establish(1, 20*ms) })
 	startedAt := h.now
-	h.handle(ListDelta{Entries: []ListEntry{{Server: 2, Cell: 2, Phase: Ready, Started: startedAt}}})
+	h.handle(ListDelta{Entries: []ListEntry{{Server: 2, Cell: 2, Phase: PhaseReady, Started: startedAt}}})
 	h.reportLoad(2, 400, 400, 0)
 	var sent []Time
 	run(4*time.Second, func() {
@@ -1109,7 +1109,7 @@
 		if rng.IntN(300) == 0 {
 			e := ListEntry{Server: ServerID(1 + rng.IntN(4)), Phase: Phase(rng.IntN(3)), Started: h.now}
 			e.Cell = int(e.Server)
-			drained[e.Server] = e.Phase != Ready
+			drained[e.Server] = e.Phase != PhaseReady
 			check(h.handle(ListDelta{Entries: []ListEntry{e}}))
 		}
 	}
@@ -1233,7 +1233,7 @@
 		g.run(60*time.Second, 1, 4, 0, establishCall)
 		settings := testSettings()
 		startedAt := g.now
-		g.broadcast(ListDelta{Entries: []ListEntry{{Server: 5, Cell: 5, Phase: Ready, Started: startedAt}}})
+		g.broadcast(ListDelta{Entries: []ListEntry{{Server: 5, Cell: 5, Phase: PhaseReady, Started: startedAt}}})
 		sent := g.run(settings.ColdRamp, 5, 1, 5, establishCall)
 		if len(sent) < softswitches/2 {
 			t.Errorf("%d softswitches: %d set-ups in the ramp: the cold server stays idle", softswitches, len(sent))
@@ -1322,7 +1322,7 @@
 func TestColdBudgetStartsAtListUpdate(t *testing.T) {
 	h := newHarness(t, testSettings(), 2)
 	h.warmUp(2)
-	h.handle(ListDelta{Entries: []ListEntry{{Server: 3, Cell: 3, Phase: Ready, Started: h.now - 3*time.Second}}})
+	h.handle(ListDelta{Entries: []ListEntry{{Server: 3, Cell: 3, Phase: PhaseReady, Started: h.now - 3*time.Second}}})
 	sent := 0
 	for range 10 {
 		if _, actions := h.arrive(3); firstSendTarget(actions) == 3 {
@@ -1343,7 +1343,7 @@
 	h.reportLoad(2, 1900, 2000, 0) // lines say little about a processor
 	h.warmUp(2)
 	h.advance(6 * time.Second)
-	h.handle(ListDelta{Entries: []ListEntry{{Server: 2, Cell: 2, Phase: Ready, Started: h.now}}})
+	h.handle(ListDelta{Entries: []ListEntry{{Server: 2, Cell: 2, Phase: PhaseReady, Started: h.now}}})
 	if rate := h.controller.byID[2].rateBeforeRestart; rate < 4.5 || rate > 5.5 {
 		t.Errorf("rate before restart of %.1f per second, want 5", rate)
 	}
@@ -1557,7 +1557,7 @@
 	h.handle(ListFull{Entries: readyServers(2), Cached: true})
 	for s := ServerID(1); s <= 2; s++ {
 		h.reportLoad(s, 900, 1000, 0)
-		c.ApplyTierReport(h.now, s, TierReport{Rate: 5, RoundTrip: 15 * ms})
+		c.ApplyTierReport(h.now, s, TierReport{Rate: 5, MinSetUpTime: 15 * ms})
 	}
 	if minSetUpTime := c.byID[1].minSetUpTime; minSetUpTime != 15*ms {
 		t.Errorf("minimum set-up time of %v, want the reported 15ms", minSetUpTime)
--- a/example_test.go
+++ b/example_test.go
@@ -25,8 +25,8 @@
 	}
 	now := time.Second
 	c.Handle(now, elmseam.ListFull{Entries: []elmseam.ListEntry{
-		{Server: 101, Cell: 1, Phase: elmseam.Ready},
-		{Server: 102, Cell: 2, Phase: elmseam.Ready},
+		{Server: 101, Cell: 1, Phase: elmseam.PhaseReady},
+		{Server: 102, Cell: 2, Phase: elmseam.PhaseReady},
 	}}, nil)
 	show := func(actions []elmseam.Action) {
 		for _, a := range actions {
--- a/internal/bgp/bgp_test.go
+++ b/internal/bgp/bgp_test.go
@@ -84,7 +84,7 @@
 	s, err := New(Config{
 		AS: 64512, RouterID: "127.0.0.1", Service: "127.0.9.1/32", NextHop: "127.0.0.1", HoldS: holdS,
 		Peers: []Peer{{listener.Addr().String(), 64513}},
-	}, Limits{ConnectTimeout: time.Second, RetryMin: time.Millisecond, RetryMax: 4 * time.Millisecond, MaxRoutes: 100, Conn: link.Limits{
+	}, Limits{ConnectTimeout: time.Second, MinRetryDelay: time.Millisecond, MaxRetryDelay: 4 * time.Millisecond, MaxRoutes: 100, Conn: link.Limits{
 		InitialBufferSize: 64, MaxMessageSize: maxMessageSize, MaxQueuedBytes: 1 << 16, WriteTimeout: time.Second, FlushTimeout: 50 * time.Millisecond,
 	}}, func(ev core.Event) { events <- ev }, zerolog.Nop())
 	if err != nil {
--- a/internal/bgp/speaker.go
+++ b/internal/bgp/speaker.go
@@ -36,8 +36,8 @@
 // Limits are a speaker's timeouts and size limits.
 type Limits struct {
 	ConnectTimeout time.Duration // max time to connect to a peer
-	RetryMin       time.Duration // wait before the first attempt to open a session again; doubles with each attempt
-	RetryMax       time.Duration // max wait between two attempts
+	MinRetryDelay  time.Duration // wait before the first attempt to open a session again; doubles with each attempt
+	MaxRetryDelay  time.Duration // max wait between two attempts
 	MaxRoutes      int           // max number of distinct prefixes that all peers together may announce
 	Conn           link.Limits   // limits of a session's connection
 }
@@ -117,7 +117,7 @@
 // maintainSession opens the session with a peer again whenever it ends. The wait between attempts doubles until a session is
 // established.
 func (s *Speaker) maintainSession(ctx context.Context, peer Peer) {
-	retryDelay := s.limits.RetryMin
+	retryDelay := s.limits.MinRetryDelay
 	for ctx.Err() == nil {
 		established, err := s.runSession(ctx, peer)
 		if ctx.Err() != nil {
@@ -125,13 +125,13 @@
 		}
 		s.log.Info().Err(err).Str("peer", peer.Address).Msg("BGP session ended")
 		if established {
-			retryDelay = s.limits.RetryMin
+			retryDelay = s.limits.MinRetryDelay
 		}
 		select {
 		case <-ctx.Done():
 		case <-time.After(retryDelay):
 		}
-		retryDelay = min(2*retryDelay, s.limits.RetryMax)
+		retryDelay = min(2*retryDelay, s.limits.MaxRetryDelay)
 	}
 }
 
@@ -153,7 +153,7 @@
 	if serving {
 		msg = buildAnnouncement(speaker.service, speaker.nextHop, speaker.as, ses.external, ses.fourByteAS)
 	}
-	ses.outbox.Post(link.Item{Data: msg})
+	ses.outbox.Send(link.Item{Data: msg})
 }
 
 // runSession connects to a peer and runs one session until it ends. It reports whether the session was established.
@@ -168,7 +168,7 @@
 		speaker: s, peer: peer, conn: conn, outbox: link.NewOutbox(conn, s.limits.Conn), external: peer.AS != s.as,
 		announced: make(map[netip.Prefix]bool)}
 	defer context.AfterFunc(ctx, func() { ses.notify(codeAdminShutdown) })()
-	ses.outbox.Post(link.Item{Data: openMessage{s.as, s.holdTime, s.routerID}.encode()})
+	ses.outbox.Send(link.Item{Data: openMessage{s.as, s.holdTime, s.routerID}.encode()})
 	established, err = ses.run()
 	s.mu.Lock()
 	delete(s.sessions, ses)
@@ -182,7 +182,7 @@
 
 // notify sends a NOTIFICATION with the given error code and closes the connection.
 func (ses *session) notify(code uint16) {
-	ses.outbox.Post(link.Item{Data: buildMessage(msgNotification, binary.BigEndian.AppendUint16(nil, code))})
+	ses.outbox.Send(link.Item{Data: buildMessage(msgNotification, binary.BigEndian.AppendUint16(nil, code))})
 	ses.outbox.Flush()
 	ses.conn.Close()
 }
@@ -197,7 +197,7 @@
 	for {
 		now := time.Now()
 		if opened && holdTime > 0 && now.Sub(lastKeepalive) >= holdTime/3 {
-			ses.outbox.Post(link.Item{Data: buildMessage(msgKeepalive, nil)})
+			ses.outbox.Send(link.Item{Data: buildMessage(msgKeepalive, nil)})
 			lastKeepalive = now
 		}
 		if holdTime > 0 {
@@ -239,7 +239,7 @@
 				}
 				opened, ses.fourByteAS = true, fourByteAS
 				holdTime = min(holdTime, time.Duration(open.holdTime)*time.Second)
-				ses.outbox.Post(link.Item{Data: buildMessage(msgKeepalive, nil)})
+				ses.outbox.Send(link.Item{Data: buildMessage(msgKeepalive, nil)})
 				lastKeepalive = lastReceived
 			case kind == msgKeepalive && opened:
 				if !established {
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -9,31 +9,31 @@
 	"elmseam/internal/datagram"
 )
 
-// simTier simulates a tier of members with clocks of their own, and a network that a test impairs.
-type simTier struct {
-	t        *testing.T
-	rng      *rand.Rand
-	now      time.Duration // simulated time since the start
-	limits   Limits
-	disabled Guard // guards that are switched off at all members
-	members  []*simMember
-	queue    []pendingEvent          // events to be delivered
-	drops    func(from, to int) bool // whether the network loses a datagram that is sent now
-	delay    func() time.Duration    // delay of a datagram that is sent now
-	demand   []float64               // by member: demand that it reports when it starts
+// testTier simulates a tier of members with clocks of their own, and a network that a test impairs.
+type testTier struct {
+	t              *testing.T
+	rng            *rand.Rand
+	now            time.Duration // simulated time since the start
+	limits         Limits
+	disabledGuards Guard // guards that are switched off at all members
+	members        []*testMember
+	queue          []scheduledEvent        // events to be delivered
+	cut            func(from, to int) bool // whether the network loses a datagram that is sent now
+	delay          func() time.Duration    // delay of a datagram that is sent now
+	demand         []float64               // by member: demand that it reports when it starts
 }
 
-// simMember is a member of the simulated tier; r is nil while the member is dead.
-type simMember struct {
-	r           *Reducer
+// testMember is a member of the simulated tier; reducer is nil while the member is dead.
+type testMember struct {
+	reducer     *Reducer
 	clockRate   float64 // pace of its clock, relative to the simulation's time
 	incarnation int     // number of starts so far
 	paused      bool
-	deferred    []pendingEvent // events that came while the member was paused
+	heldEvents  []scheduledEvent // events that came while the member was paused
 }
 
-// pendingEvent is an event to be delivered at a time.
-type pendingEvent struct {
+// scheduledEvent is an event to be delivered at a time.
+type scheduledEvent struct {
 	at          time.Duration
 	to          int
 	incarnation int // incarnation of the member that set the timer; 0: a datagram
@@ -42,12 +42,12 @@
 
 const epoch = 1_700_000_000 * time.Second
 
-// newSimTier starts a tier of the given size with a fault-free network.
-func newSimTier(t *testing.T, size int, disabled Guard, seed uint64) *simTier {
-	tier := &simTier{t: t, rng: rand.New(rand.NewPCG(seed, 1)), limits: Defaults(), disabled: disabled, demand: make([]float64, size),
-		drops: func(int, int) bool { return false }, delay: func() time.Duration { return 5 * time.Millisecond }}
+// newTestTier starts a tier of the given size with a fault-free network.
+func newTestTier(t *testing.T, size int, disabled Guard, seed uint64) *testTier {
+	tier := &testTier{t: t, rng: rand.New(rand.NewPCG(seed, 1)), limits: Defaults(), disabledGuards: disabled, demand: make([]float64, size),
+		cut: func(int, int) bool { return false }, delay: func() time.Duration { return 5 * time.Millisecond }}
 	for range size {
-		tier.members = append(tier.members, &simMember{clockRate: 1})
+		tier.members = append(tier.members, &testMember{clockRate: 1})
 	}
 	for member := range size {
 		tier.startMember(member)
@@ -56,17 +56,17 @@
 }
 
 // memberClock returns the present time by a member's clock.
-func (tier *simTier) memberClock(member int) Time {
+func (tier *testTier) memberClock(member int) Time {
 	return epoch + time.Duration(float64(tier.now)*tier.members[member].clockRate)
 }
 
 // startMember starts a member, or restarts a dead one, and reports a cold server to it.
-func (tier *simTier) startMember(member int) {
+func (tier *testTier) startMember(member int) {
 	sim := tier.members[member]
 	sim.incarnation++
-	sim.r, _, _ = New(Config{Self: member, TierSize: len(tier.members), Limits: tier.limits, Seed: tier.rng.Uint64(), DisabledGuards: tier.disabled}, tier.memberClock(member))
+	sim.reducer, _, _ = New(Config{Self: member, TierSize: len(tier.members), Limits: tier.limits, Seed: tier.rng.Uint64(), DisabledGuards: tier.disabledGuards}, tier.memberClock(member))
 	for other := range tier.members {
-		tier.step(member, MemberAvailability{other, tier.members[other].r != nil || tier.members[other].incarnation == 0})
+		tier.step(member, MemberAvailability{other, tier.members[other].reducer != nil || tier.members[other].incarnation == 0})
 		tier.step(other, MemberAvailability{member, true})
 	}
 	tier.step(member, Demand{tier.demand[member]})
@@ -74,49 +74,49 @@
 }
 
 // killMember kills a member and tells the others.
-func (tier *simTier) killMember(member int) {
-	tier.members[member].r, tier.members[member].paused, tier.members[member].deferred = nil, false, nil
+func (tier *testTier) killMember(member int) {
+	tier.members[member].reducer, tier.members[member].paused, tier.members[member].heldEvents = nil, false, nil
 	tier.setAvailable(member, false)
 }
 
 // setAvailable tells all members whether a member is available.
-func (tier *simTier) setAvailable(member int, available bool) {
+func (tier *testTier) setAvailable(member int, available bool) {
 	for observer := range tier.members {
 		tier.step(observer, MemberAvailability{member, available})
 	}
 }
 
 // step gives an event to a member, carries out the effects, and checks the invariant.
-func (tier *simTier) step(member int, ev Event) {
+func (tier *testTier) step(member int, ev Event) {
 	sim := tier.members[member]
-	if sim.r == nil || sim.paused {
+	if sim.reducer == nil || sim.paused {
 		return
 	}
-	for _, effect := range sim.r.Step(tier.memberClock(member), ev) {
+	for _, effect := range sim.reducer.Step(tier.memberClock(member), ev) {
 		switch effect := effect.(type) {
 		case Send:
 			if len(effect.Data) > datagram.MaxSize {
 				tier.t.Fatalf("a datagram of %d bytes is too long", len(effect.Data))
 			}
-			if !tier.drops(member, effect.To) {
-				tier.queue = append(tier.queue, pendingEvent{tier.now + tier.delay(), effect.To, 0, Datagram{member, effect.Data}})
+			if !tier.cut(member, effect.To) {
+				tier.queue = append(tier.queue, scheduledEvent{tier.now + tier.delay(), effect.To, 0, Datagram{member, effect.Data}})
 			}
 		case Timer:
-			tier.queue = append(tier.queue, pendingEvent{time.Duration(float64(effect.At-epoch) / sim.clockRate), member, sim.incarnation, TimerFired{effect.Token}})
+			tier.queue = append(tier.queue, scheduledEvent{time.Duration(float64(effect.At-epoch) / sim.clockRate), member, sim.incarnation, TimerFired{effect.Token}})
 		}
 	}
 	tier.checkExclusive()
 }
 
 // checkExclusive checks the invariant that no unit of a quota is used by two running members.
-func (tier *simTier) checkExclusive() {
+func (tier *testTier) checkExclusive() {
 	for owner := range tier.members {
 		var inUse Mask
 		for member, sim := range tier.members {
-			if sim.r == nil || sim.paused {
+			if sim.reducer == nil || sim.paused {
 				continue
 			}
-			usable := sim.r.Usable(tier.memberClock(member), owner)
+			usable := sim.reducer.Usable(tier.memberClock(member), owner)
 			if inUse&usable != 0 {
 				tier.t.Fatalf("at %v units %08b of the quota of member %d are used by member %d and by another one", tier.now, inUse&usable, owner, member)
 			}
@@ -126,7 +126,7 @@
 }
 
 // run delivers the pending events up to a time.
-func (tier *simTier) run(until time.Duration) {
+func (tier *testTier) run(until time.Duration) {
 	for {
 		next := -1
 		for i, pending := range tier.queue {
@@ -143,9 +143,9 @@
 		tier.queue = slices.Delete(tier.queue, next, next+1)
 		tier.now = max(tier.now, pending.at)
 		switch sim := tier.members[pending.to]; {
-		case sim.r == nil || pending.incarnation != 0 && pending.incarnation != sim.incarnation:
+		case sim.reducer == nil || pending.incarnation != 0 && pending.incarnation != sim.incarnation:
 		case sim.paused:
-			sim.deferred = append(sim.deferred, pending)
+			sim.heldEvents = append(sim.heldEvents, pending)
 		default:
 			tier.step(pending.to, pending.ev)
 		}
@@ -153,19 +153,19 @@
 }
 
 // resumeMember resumes a paused member and delivers the events that arrived in the meantime.
-func (tier *simTier) resumeMember(member int) {
+func (tier *testTier) resumeMember(member int) {
 	sim := tier.members[member]
 	sim.paused = false
 	tier.checkExclusive()
-	tier.queue = append(tier.queue, sim.deferred...)
-	sim.deferred = nil
+	tier.queue = append(tier.queue, sim.heldEvents...)
+	sim.heldEvents = nil
 }
 
 // unitsInUse returns how many units of an owner's quota are used by running members.
-func (tier *simTier) unitsInUse(owner int) (n int) {
+func (tier *testTier) unitsInUse(owner int) (n int) {
 	for member, sim := range tier.members {
-		if sim.r != nil && !sim.paused {
-			for usable := sim.r.Usable(tier.memberClock(member), owner); usable != 0; usable &= usable - 1 {
+		if sim.reducer != nil && !sim.paused {
+			for usable := sim.reducer.Usable(tier.memberClock(member), owner); usable != 0; usable &= usable - 1 {
 				n++
 			}
 		}
@@ -177,7 +177,7 @@
 // no member uses the reserved unit of a dead member. A member that was only paused resumes with its reserved unit alone,
 // and has the other units back within two leases.
 func TestSuccessorsUseUnitsOfDeadMembers(t *testing.T) {
-	tier := newSimTier(t, 5, 0, 1)
+	tier := newTestTier(t, 5, 0, 1)
 	tier.run(6 * time.Second)
 	for owner := range tier.members {
 		if n := tier.unitsInUse(owner); n != Units {
@@ -197,16 +197,16 @@
 			t.Errorf("%d units of the quota of member %d are used, want %d", n, owner, Units-1)
 		}
 	}
-	if rate, known := tier.members[0].r.Rate(tier.memberClock(0), 7); !known || rate <= 10 {
+	if rate, known := tier.members[0].reducer.Rate(tier.memberClock(0), 7); !known || rate <= 10 {
 		t.Errorf("an available member may use %v set-ups/s, known: %t; want more than its own quota of 10", rate, known)
 	}
 	tier.resumeMember(3)
-	if usable := tier.members[3].r.Usable(tier.memberClock(3), 3); usable != reservedUnit {
+	if usable := tier.members[3].reducer.Usable(tier.memberClock(3), 3); usable != reservedUnit {
 		t.Errorf("the paused member uses units %08b when it resumes, want the reserved unit", usable)
 	}
 	tier.setAvailable(3, true)
 	tier.run(16 * time.Second)
-	if usable := tier.members[3].r.Usable(tier.memberClock(3), 3); usable != reservedUnit|transferableUnits {
+	if usable := tier.members[3].reducer.Usable(tier.memberClock(3), 3); usable != reservedUnit|transferableUnits {
 		t.Errorf("the resumed member uses units %08b after two leases, want all", usable)
 	}
 }
@@ -215,28 +215,28 @@
 // when the borrower dies.
 func TestLoan(t *testing.T) {
 	for _, disabled := range []Guard{0, GuardLoan} {
-		tier := newSimTier(t, 2, disabled, 1)
+		tier := newTestTier(t, 2, disabled, 1)
 		usedByBoth := func() (n Mask) {
-			return tier.members[0].r.Usable(tier.memberClock(0), 1) & tier.members[1].r.Usable(tier.memberClock(1), 1)
+			return tier.members[0].reducer.Usable(tier.memberClock(0), 1) & tier.members[1].reducer.Usable(tier.memberClock(1), 1)
 		}
 		tier.run(4 * time.Second)
 		tier.demand[0] = 3
 		if disabled != 0 { // without the guard the violation shows
-			tier.drops = func(from, _ int) bool { return false }
-			tier.members[1].r.loans[3] = loan{0, tier.memberClock(1) + time.Second}
-			if usable := tier.members[1].r.Usable(tier.memberClock(1), 1); usable&(1<<3) == 0 {
+			tier.cut = func(from, _ int) bool { return false }
+			tier.members[1].reducer.loans[3] = loan{0, tier.memberClock(1) + time.Second}
+			if usable := tier.members[1].reducer.Usable(tier.memberClock(1), 1); usable&(1<<3) == 0 {
 				t.Error("without GuardLoan a member does not use the units that it has lent")
 			}
 			continue
 		}
 		tier.step(0, Demand{3})
 		tier.run(6 * time.Second)
-		if n := tier.unitsInUse(1); usedByBoth() != 0 || n != Units || tier.members[0].r.Usable(tier.memberClock(0), 1) == 0 {
-			t.Errorf("%d units of the idle member's quota are used, %08b by both; the busy member uses %08b", n, usedByBoth(), tier.members[0].r.Usable(tier.memberClock(0), 1))
+		if n := tier.unitsInUse(1); usedByBoth() != 0 || n != Units || tier.members[0].reducer.Usable(tier.memberClock(0), 1) == 0 {
+			t.Errorf("%d units of the idle member's quota are used, %08b by both; the busy member uses %08b", n, usedByBoth(), tier.members[0].reducer.Usable(tier.memberClock(0), 1))
 		}
 		tier.killMember(0)
 		tier.run(6*time.Second + 2*tier.limits.Lease)
-		if usable := tier.members[1].r.Usable(tier.memberClock(1), 1) &^ reservedUnit; usable != 0 {
+		if usable := tier.members[1].reducer.Usable(tier.memberClock(1), 1) &^ reservedUnit; usable != 0 {
 			t.Errorf("a member without a majority uses units %08b", usable)
 		}
 	}
@@ -245,7 +245,7 @@
 // When all members restart at once, no member knows the earlier grants: each uses only its reserved unit until all
 // units that may have been held have expired.
 func TestAllMembersRestart(t *testing.T) {
-	tier := newSimTier(t, 5, 0, 1)
+	tier := newTestTier(t, 5, 0, 1)
 	tier.run(5 * time.Second)
 	for member := range tier.members {
 		tier.killMember(member)
@@ -272,12 +272,12 @@
 // and the units of the dead are used.
 func TestRandomFaults(t *testing.T) {
 	for seed := range uint64(40) {
-		tier := newSimTier(t, 5, 0, seed)
+		tier := newTestTier(t, 5, 0, seed)
 		for member, sim := range tier.members {
 			sim.clockRate = 1 + 0.01*float64(member-2)/2
 		}
 		isolated := [5]bool{}
-		tier.drops = func(from, to int) bool { return isolated[from] != isolated[to] || tier.rng.IntN(5) == 0 }
+		tier.cut = func(from, to int) bool { return isolated[from] != isolated[to] || tier.rng.IntN(5) == 0 }
 		tier.delay = func() time.Duration {
 			if tier.rng.IntN(10) == 0 {
 				return time.Duration(tier.rng.IntN(3000)) * time.Millisecond
@@ -288,15 +288,15 @@
 			member := tier.rng.IntN(5)
 			switch sim := tier.members[member]; tier.rng.IntN(8) {
 			case 0:
-				if sim.r != nil {
+				if sim.reducer != nil {
 					tier.killMember(member)
 				}
 			case 1:
-				if sim.r == nil {
+				if sim.reducer == nil {
 					tier.startMember(member)
 				}
 			case 2:
-				if sim.r != nil {
+				if sim.reducer != nil {
 					sim.paused = true
 				}
 			case 3:
@@ -314,20 +314,20 @@
 			}
 			tier.run(tier.now + time.Duration(tier.rng.IntN(700))*time.Millisecond)
 		}
-		tier.drops, tier.delay = func(int, int) bool { return false }, func() time.Duration { return 5 * time.Millisecond }
+		tier.cut, tier.delay = func(int, int) bool { return false }, func() time.Duration { return 5 * time.Millisecond }
 		for member, sim := range tier.members {
 			if sim.paused {
 				tier.resumeMember(member)
 			}
-			if sim.r == nil && member < 4 {
+			if sim.reducer == nil && member < 4 {
 				tier.startMember(member)
 			}
-			tier.setAvailable(member, tier.members[member].r != nil)
+			tier.setAvailable(member, tier.members[member].reducer != nil)
 		}
 		tier.run(tier.now + 15*time.Second)
 		for owner, sim := range tier.members {
 			want := Units
-			if sim.r == nil {
+			if sim.reducer == nil {
 				want--
 			}
 			if got := tier.unitsInUse(owner); got != want {
@@ -349,7 +349,7 @@
 	r, _, _ = New(Config{TierSize: 5, Limits: Defaults()}, epoch)
 	rng := rand.New(rand.NewPCG(1, 1))
 	for range 2000 {
-		msg := message{Kind: kind(rng.IntN(7)), Tier: 5, Seq: rng.Uint32(), Incarnation: rng.Uint64N(3), Items: []int64{}, Rates: []int64{}}
+		msg := message{Kind: messageKind(rng.IntN(7)), Tier: 5, Seq: rng.Uint32(), Incarnation: rng.Uint64N(3), Items: []int64{}, Rates: []int64{}}
 		for range rng.IntN(4) {
 			msg.Items = append(msg.Items, rng.Int64N(1<<12)-5)
 		}
--- a/internal/budget/loans.go
+++ b/internal/budget/loans.go
@@ -37,8 +37,8 @@
 
 // lentUnits returns the units of its own quota that this member has lent.
 func (r *Reducer) lentUnits(now Time) (units Mask) {
-	for unit, l := range r.loans {
-		if now < l.Expiry {
+	for unit, loan := range r.loans {
+		if now < loan.Expiry {
 			units |= 1 << unit
 		}
 	}
@@ -83,11 +83,11 @@
 
 // handleBorrow answers a loan request: it renews existing loans while this member can spare the units, and lends
 // additional units.
-func (r *Reducer) handleBorrow(borrower int, m message) {
-	additional, renewals := int(m.Items[0]), Mask(m.Items[1])
+func (r *Reducer) handleBorrow(borrower int, msg message) {
+	additional, renewals := int(msg.Items[0]), Mask(msg.Items[1])
 	var units Mask
-	for unit, l := range r.loans {
-		if l.Borrower == borrower && r.now < l.Expiry && r.demand >= 0 && r.demand <= borrowThreshold {
+	for unit, loan := range r.loans {
+		if loan.Borrower == borrower && r.now < loan.Expiry && r.demand >= 0 && r.demand <= borrowThreshold {
 			units |= renewals & (1 << unit)
 		}
 	}
@@ -111,25 +111,25 @@
 		}
 	}
 	r.counters.Lent += uint64(units.Count())
-	r.send(borrower, message{Kind: kindLend, Seq: m.Seq, Items: []int64{int64(units), int64(duration / time.Millisecond)}, Rates: r.encodeRates()})
+	r.send(borrower, message{Kind: kindLend, Seq: msg.Seq, Items: []int64{int64(units), int64(duration / time.Millisecond)}, Rates: r.encodeRates()})
 }
 
 // handleLoan records the units of a loan received from a lender. The loan counts from when it was requested.
-func (r *Reducer) handleLoan(from int, m message) {
-	if m.Seq != r.loanSeq || m.Items[0] == 0 {
+func (r *Reducer) handleLoan(from int, msg message) {
+	if msg.Seq != r.loanSeq || msg.Items[0] == 0 {
 		return
 	}
-	expiry := r.loanRequestedAt + r.cfg.Limits.safeDuration(time.Duration(m.Items[1])*time.Millisecond)
+	expiry := r.loanRequestedAt + r.cfg.Limits.safeDuration(time.Duration(msg.Items[1])*time.Millisecond)
 	if !r.guardEnabled(GuardExpiry) {
 		expiry = r.now + 2*r.cfg.Limits.Lease
 	}
 	if expiry > r.now {
 		for unit := range Units {
-			if Mask(m.Items[0])&(1<<unit) != 0 {
+			if Mask(msg.Items[0])&(1<<unit) != 0 {
 				r.borrowedExpiry[from][unit] = max(r.borrowedExpiry[from][unit], expiry)
 			}
 		}
-		r.counters.Borrowed += uint64(Mask(m.Items[0]).Count())
+		r.counters.Borrowed += uint64(Mask(msg.Items[0]).Count())
 	}
 }
 
@@ -153,11 +153,11 @@
 // Rate returns the rate that this member may send to a cold server at a time, in set-ups a second of a warm server.
 // It returns false for a server that is not known to be cold, or if units do not move.
 func (r *Reducer) Rate(now Time, server uint32) (rate float64, known bool) {
-	c := r.findServer(server)
-	if c == nil || max(now, r.now) >= c.ColdUntil || !r.Transferable() {
+	cold := r.findServer(server)
+	if cold == nil || max(now, r.now) >= cold.ColdUntil || !r.Transferable() {
 		return 0, false
 	}
-	for owner, quotaRate := range c.Rates {
+	for owner, quotaRate := range cold.Rates {
 		if quotaRate > 0 {
 			rate += quotaRate * float64(r.Usable(now, owner).Count()) / Units
 		}
--- a/internal/budget/reducer.go
+++ b/internal/budget/reducer.go
@@ -14,11 +14,11 @@
 
 // claimRound is one round of claims: the units requested, when, and the votes so far.
 type claimRound struct {
-	Seq         uint32       // number of the claims
-	RequestedAt Time         // when the claims were sent
-	Units       []Mask       // units claimed, by owner
-	Votes       [][Units]int // number of members that granted the unit, by owner and unit
-	Voters      []int        // members that have answered
+	Seq       uint32       // number of the claims
+	StartedAt Time         // when the claims were sent
+	Units     []Mask       // units claimed, by owner
+	Votes     [][Units]int // number of members that granted the unit, by owner and unit
+	Voters    []int        // members that have answered
 }
 
 // loan is a loan of one of this member's own units.
@@ -66,7 +66,7 @@
 	case cfg.TierSize < 1 || cfg.TierSize > math.MaxUint16:
 		return nil, nil, fmt.Errorf("tier: %d members, not in [1, %d]", cfg.TierSize, math.MaxUint16)
 	case cfg.Self < 0 || cfg.Self >= cfg.TierSize:
-		return nil, nil, fmt.Errorf("self: index %d of %d members does not exist", cfg.Self, cfg.TierSize)
+		return nil, nil, fmt.Errorf("self: %d, not in [0, %d)", cfg.Self, cfg.TierSize)
 	}
 	if err := cfg.Limits.Check(); err != nil {
 		return nil, nil, err
@@ -144,12 +144,12 @@
 	if ev.ColdUntil <= r.now || !(ev.Rate >= 0) {
 		return
 	}
-	c := r.findOrAddServer(ev.Server)
-	if c == nil {
+	cold := r.findOrAddServer(ev.Server)
+	if cold == nil {
 		return
 	}
-	c.ColdUntil = max(c.ColdUntil, ev.ColdUntil)
-	c.Rates[r.cfg.Self] = max(c.Rates[r.cfg.Self], ev.Rate)
+	cold.ColdUntil = max(cold.ColdUntil, ev.ColdUntil)
+	cold.Rates[r.cfg.Self] = max(cold.Rates[r.cfg.Self], ev.Rate)
 	if r.Transferable() && !r.active {
 		r.active = true
 		r.runRound()
@@ -158,7 +158,7 @@
 
 // findOrAddServer returns the state of a cold server; nil if too many servers are cold.
 func (r *Reducer) findOrAddServer(hash uint32) *coldServer {
-	r.coldServers = slices.DeleteFunc(r.coldServers, func(c coldServer) bool { return r.now >= c.ColdUntil })
+	r.coldServers = slices.DeleteFunc(r.coldServers, func(cold coldServer) bool { return r.now >= cold.ColdUntil })
 	for i := range r.coldServers {
 		if r.coldServers[i].Server == hash {
 			return &r.coldServers[i]
@@ -167,18 +167,18 @@
 	if len(r.coldServers) >= r.cfg.Limits.MaxServers {
 		return nil
 	}
-	c := coldServer{Server: hash, Rates: make([]float64, r.cfg.TierSize)}
-	for m := range c.Rates {
-		c.Rates[m] = -1
+	cold := coldServer{Server: hash, Rates: make([]float64, r.cfg.TierSize)}
+	for m := range cold.Rates {
+		cold.Rates[m] = -1
 	}
-	r.coldServers = append(r.coldServers, c)
+	r.coldServers = append(r.coldServers, cold)
 	return &r.coldServers[len(r.coldServers)-1]
 }
 
 // runRound claims the units that this member should hold, and requests loans if these units are not enough. Rounds
 // repeat while a server is cold.
 func (r *Reducer) runRound() {
-	r.coldServers = slices.DeleteFunc(r.coldServers, func(c coldServer) bool { return r.now >= c.ColdUntil })
+	r.coldServers = slices.DeleteFunc(r.coldServers, func(cold coldServer) bool { return r.now >= cold.ColdUntil })
 	if r.active = len(r.coldServers) > 0; !r.active {
 		return
 	}
@@ -192,7 +192,7 @@
 // sendClaims claims from all members this member's own units, and the units of unavailable members whose successor
 // this member is or which it still holds.
 func (r *Reducer) sendClaims() {
-	round := claimRound{RequestedAt: r.now, Units: make([]Mask, r.cfg.TierSize), Votes: make([][Units]int, r.cfg.TierSize), Voters: []int{r.cfg.Self}}
+	round := claimRound{StartedAt: r.now, Units: make([]Mask, r.cfg.TierSize), Votes: make([][Units]int, r.cfg.TierSize), Voters: []int{r.cfg.Self}}
 	r.claimSeq++
 	round.Seq = r.claimSeq
 	var items []int64
@@ -236,9 +236,9 @@
 
 // encodeRates returns this member's own quotas in the form of message.Rates.
 func (r *Reducer) encodeRates() (items []int64) {
-	for _, c := range r.coldServers {
-		if rate := c.Rates[r.cfg.Self]; rate >= 0 {
-			items = append(items, int64(c.Server), int64(min(rate, 1e6)*1000))
+	for _, cold := range r.coldServers {
+		if rate := cold.Rates[r.cfg.Self]; rate >= 0 {
+			items = append(items, int64(cold.Server), int64(min(rate, 1e6)*1000))
 		}
 	}
 	return items
@@ -257,15 +257,15 @@
 		if units&(1<<unit) == 0 {
 			continue
 		}
-		g := &r.grants[owner][unit]
-		renewal := g.Holder == claimant && (g.Incarnation == incarnation || !r.guardEnabled(GuardIncarnation))
-		if r.now < g.Expiry && !renewal && r.guardEnabled(GuardExclusive) {
-			if byOwner && g.Holder != claimant {
+		grant := &r.grants[owner][unit]
+		renewal := grant.Holder == claimant && (grant.Incarnation == incarnation || !r.guardEnabled(GuardIncarnation))
+		if r.now < grant.Expiry && !renewal && r.guardEnabled(GuardExclusive) {
+			if byOwner && grant.Holder != claimant {
 				r.ownerRefusedAt[owner] = r.now
 			}
 			continue
 		}
-		*g = Grant{Holder: claimant, Incarnation: incarnation, Seq: seq, Expiry: r.now + r.cfg.Limits.Lease}
+		*grant = Grant{Holder: claimant, Incarnation: incarnation, Seq: seq, Expiry: r.now + r.cfg.Limits.Lease}
 		granted |= 1 << unit
 	}
 	return granted
@@ -281,7 +281,7 @@
 		if round.Votes[owner][unit]++; round.Votes[owner][unit] != r.quorum() {
 			continue
 		}
-		expiry := round.RequestedAt + r.cfg.Limits.safeDuration(r.cfg.Limits.Lease)
+		expiry := round.StartedAt + r.cfg.Limits.safeDuration(r.cfg.Limits.Lease)
 		if !r.guardEnabled(GuardExpiry) {
 			expiry = r.now + 2*r.cfg.Limits.Lease
 		}
@@ -323,51 +323,51 @@
 		r.counters.UnknownSenders++
 		return
 	}
-	m, err := decode(d.Data, r.cfg.TierSize)
+	msg, err := decode(d.Data, r.cfg.TierSize)
 	switch {
 	case err != nil:
 		r.counters.Malformed++
 		return
-	case int(m.Tier) != r.cfg.TierSize, d.From == r.cfg.Self:
+	case int(msg.Tier) != r.cfg.TierSize, d.From == r.cfg.Self:
 		r.counters.UnknownSenders++
 		return
 	}
-	r.lendable[d.From] = m.Lendable
-	for i := 0; i+1 < len(m.Rates); i += 2 {
-		if c := r.findServer(uint32(m.Rates[i])); c != nil { // ignore servers that no ColdServer event has reported here
-			c.Rates[d.From] = float64(m.Rates[i+1]) / 1000
+	r.lendable[d.From] = msg.Lendable
+	for i := 0; i+1 < len(msg.Rates); i += 2 {
+		if cold := r.findServer(uint32(msg.Rates[i])); cold != nil { // ignore servers that no ColdServer event has reported here
+			cold.Rates[d.From] = float64(msg.Rates[i+1]) / 1000
 		}
 	}
-	switch m.Kind {
+	switch msg.Kind {
 	case kindClaim:
-		r.handleClaim(d.From, m)
+		r.handleClaim(d.From, msg)
 	case kindGrant:
-		r.handleGrant(d.From, m)
+		r.handleGrant(d.From, msg)
 	case kindReturn:
-		r.handleReturn(d.From, m)
+		r.handleReturn(d.From, msg)
 	case kindBorrow:
-		r.handleBorrow(d.From, m)
+		r.handleBorrow(d.From, msg)
 	case kindLend:
-		r.handleLoan(d.From, m)
+		r.handleLoan(d.From, msg)
 	}
 }
 
 // findServer returns the state of a server that a ColdServer event has reported; nil if there is none.
 func (r *Reducer) findServer(hash uint32) *coldServer {
 	for i := range r.coldServers {
-		if c := &r.coldServers[i]; c.Server == hash && c.Rates[r.cfg.Self] >= 0 {
-			return c
+		if cold := &r.coldServers[i]; cold.Server == hash && cold.Rates[r.cfg.Self] >= 0 {
+			return cold
 		}
 	}
 	return nil
 }
 
 // handleClaim answers a claim with the units granted, if any.
-func (r *Reducer) handleClaim(from int, m message) {
+func (r *Reducer) handleClaim(from int, msg message) {
 	var items []int64
-	for _, item := range m.Items {
+	for _, item := range msg.Items {
 		owner, units := int(item>>Units), Mask(item)
-		granted := r.vote(from, m.Incarnation, m.Seq, owner, units)
+		granted := r.vote(from, msg.Incarnation, msg.Seq, owner, units)
 		r.counters.VotesGranted += uint64(granted.Count())
 		r.counters.VotesRefused += uint64((units &^ granted).Count())
 		if granted != 0 {
@@ -375,20 +375,20 @@
 		}
 	}
 	if len(items) > 0 {
-		r.send(from, message{Kind: kindGrant, Seq: m.Seq, Items: items, Rates: r.encodeRates()})
+		r.send(from, message{Kind: kindGrant, Seq: msg.Seq, Items: items, Rates: r.encodeRates()})
 	}
 }
 
 // handleGrant counts the votes in an answer to a claim. After a majority has answered, units that were not won are
 // given back, so that of two successors that split the votes one wins them all in the next round.
-func (r *Reducer) handleGrant(from int, m message) {
+func (r *Reducer) handleGrant(from int, msg message) {
 	for i := range r.rounds {
 		round := &r.rounds[i]
-		if round.Seq != m.Seq || slices.Contains(round.Voters, from) {
+		if round.Seq != msg.Seq || slices.Contains(round.Voters, from) {
 			continue
 		}
 		round.Voters = append(round.Voters, from)
-		for _, item := range m.Items {
+		for _, item := range msg.Items {
 			r.countVotes(round, int(item>>Units), Mask(item))
 		}
 		r.returnUnwon(round)
@@ -428,31 +428,31 @@
 }
 
 // handleReturn removes the grants of units that the holder gives back. A grant of a later claim remains.
-func (r *Reducer) handleReturn(from int, m message) {
-	for _, item := range m.Items {
+func (r *Reducer) handleReturn(from int, msg message) {
+	for _, item := range msg.Items {
 		for unit := 1; unit < Units; unit++ {
-			if g := &r.grants[item>>Units][unit]; Mask(item)&(1<<unit) != 0 && g.Holder == from && g.Incarnation == m.Incarnation && g.Seq <= m.Seq {
-				g.Holder, g.Expiry = -1, 0
+			if grant := &r.grants[item>>Units][unit]; Mask(item)&(1<<unit) != 0 && grant.Holder == from && grant.Incarnation == msg.Incarnation && grant.Seq <= msg.Seq {
+				grant.Holder, grant.Expiry = -1, 0
 			}
 		}
 	}
 }
 
 // send sends a message to a member, with tier size, incarnation and lendable units filled in.
-func (r *Reducer) send(member int, m message) {
-	m.Tier, m.Incarnation, m.Lendable = uint16(r.cfg.TierSize), r.incarnation, uint8(r.lendableUnits().Count())
-	if m.Items == nil {
-		m.Items = []int64{}
+func (r *Reducer) send(to int, msg message) {
+	msg.Tier, msg.Incarnation, msg.Lendable = uint16(r.cfg.TierSize), r.incarnation, uint8(r.lendableUnits().Count())
+	if msg.Items == nil {
+		msg.Items = []int64{}
 	}
-	if m.Rates == nil {
-		m.Rates = []int64{}
+	if msg.Rates == nil {
+		msg.Rates = []int64{}
 	}
-	data := datagram.Encode(Version, m)
+	data := datagram.Encode(Version, msg)
 	for len(data) > datagram.MaxSize { // drop rates until the datagram fits: rates are sent with every round
-		m.Rates = m.Rates[:len(m.Rates)-2]
-		data = datagram.Encode(Version, m)
+		msg.Rates = msg.Rates[:len(msg.Rates)-2]
+		data = datagram.Encode(Version, msg)
 	}
 	r.counters.Sent++
 	r.counters.SentBytes += uint64(len(data))
-	r.emit(Send{To: member, Data: data})
+	r.emit(Send{To: to, Data: data})
 }
--- a/internal/budget/types.go
+++ b/internal/budget/types.go
@@ -204,7 +204,7 @@
 // message is the content of a datagram. It is sent as a CBOR array.
 type message struct {
 	_           struct{} `cbor:",toarray"`
-	Kind        kind
+	Kind        messageKind
 	Tier        uint16  // number of members in the sender's tier
 	Seq         uint32  // number of the claim or loan request, repeated in answers
 	Incarnation uint64  // of the sender
@@ -213,17 +213,17 @@
 	Rates       []int64 // sender's whole quotas, in pairs: hash of the server, rate in thousandths of a set-up a second
 }
 
-// kind is the kind of a message. Its values are part of the format.
-type kind uint8
+// messageKind is the kind of a message. Its values are part of the format.
+type messageKind uint8
 
 // The kinds of messages, with the meaning of Items.
 const (
-	kindClaim  kind = iota // claims units; Items: owner<<Units | units, for each quota
-	kindGrant              // answers a claim; Items: the granted units in the same form
-	kindReturn             // gives back units of a claim; Items: in the same form
-	kindBorrow             // requests a loan; Items: number of additional units, mask of borrowed units to renew
-	kindLend               // grants a loan; Items: mask of units, duration in milliseconds
-	kindCount              // number of kinds
+	kindClaim  messageKind = iota // claims units; Items: owner<<Units | units, for each quota
+	kindGrant                     // answers a claim; Items: the granted units in the same form
+	kindReturn                    // gives back units of a claim; Items: in the same form
+	kindBorrow                    // requests a loan; Items: number of additional units, mask of borrowed units to renew
+	kindLend                      // grants a loan; Items: mask of units, duration in milliseconds
+	numKinds                      // number of kinds
 )
 
 // loanItems is the number of items of kindBorrow and kindLend.
@@ -231,24 +231,24 @@
 
 // decode decodes a datagram received in a tier of tierSize members. An invalid field makes the whole datagram
 // malformed.
-func decode(data []byte, tierSize int) (m message, err error) {
-	if err := datagram.Decode(data, Version, datagram.MaxSize, &m); err != nil {
-		return m, err
+func decode(data []byte, tierSize int) (msg message, err error) {
+	if err := datagram.Decode(data, Version, datagram.MaxSize, &msg); err != nil {
+		return msg, err
 	}
-	malformed := m.Kind >= kindCount || m.Incarnation == 0 || len(m.Rates)%2 != 0 || m.Kind >= kindBorrow && len(m.Items) != loanItems
-	for i, item := range m.Items {
-		switch m.Kind {
+	malformed := msg.Kind >= numKinds || msg.Incarnation == 0 || len(msg.Rates)%2 != 0 || msg.Kind >= kindBorrow && len(msg.Items) != loanItems
+	for i, item := range msg.Items {
+		switch msg.Kind {
 		case kindClaim, kindGrant, kindReturn:
 			malformed = malformed || item < 0 || item>>Units >= int64(tierSize) || Mask(item)&reservedUnit != 0
 		default:
-			malformed = malformed || item < 0 || item > int64(time.Hour/time.Millisecond) || m.Kind == kindLend && i == 0 && Mask(item)&^transferableUnits != 0
+			malformed = malformed || item < 0 || item > int64(time.Hour/time.Millisecond) || msg.Kind == kindLend && i == 0 && Mask(item)&^transferableUnits != 0
 		}
 	}
-	for i := 0; i+1 < len(m.Rates); i += 2 {
-		malformed = malformed || m.Rates[i] < 0 || m.Rates[i] > 1<<32-1 || m.Rates[i+1] < 0 || m.Rates[i+1] > 1e9
+	for i := 0; i+1 < len(msg.Rates); i += 2 {
+		malformed = malformed || msg.Rates[i] < 0 || msg.Rates[i] > 1<<32-1 || msg.Rates[i+1] < 0 || msg.Rates[i+1] > 1e9
 	}
 	if malformed {
-		return m, datagram.ErrMalformed
+		return msg, datagram.ErrMalformed
 	}
-	return m, nil
+	return msg, nil
 }
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -25,9 +25,9 @@
 	ServerConn link.Limits // limits of a connection to a server
 
 	Feed           feed.Limits
-	DialTimeout    time.Duration // longest time to connect to a server
+	ConnectTimeout time.Duration // longest time to connect to a server
 	ConfirmTimeout time.Duration // wait for the confirmation of a release (M3UA) before the release is sent again
-	MaxCallers     int           // max. simultaneous connections of callers
+	MaxCallerConns int           // max. simultaneous connections of callers
 	EventQueue     int           // max. events that wait for the core
 	StatsInterval  time.Duration // time between two snapshots of the statistics
 	Mgmt           mgmt.Limits
@@ -62,18 +62,18 @@
 func buildLimits(parsed configFile, deployment settings.Deployment) Limits {
 	maxMessageSize := 16 << 10
 	memoryBytes := int64(parsed.Limits.MemoryMB) << 20
-	maxCallers := parsed.Limits.Sockets / 2         // well-behaved callers use a third; up to a quarter may come over the M3UA protocol
+	maxCallerConns := parsed.Limits.Sockets / 2     // well-behaved callers use a third; up to a quarter may come over the M3UA protocol
 	if parsed.Limits.Sockets < scarceSocketsBelow { // with few descriptors, connections to servers need the larger share
-		maxCallers = parsed.Limits.Sockets * 2 / 5
+		maxCallerConns = parsed.Limits.Sockets * 2 / 5
 	}
 	limits := Limits{
 		Core: core.Limits{
 			AnswerMargin:        15 * time.Millisecond,
 			RebindTimeout:       100 * time.Millisecond, // a close that crosses a set-up is noticed within 50 ms
-			MinRedial:           100 * time.Millisecond,
-			MaxRedial:           500 * time.Millisecond,
+			MinRedialDelay:      100 * time.Millisecond,
+			MaxRedialDelay:      500 * time.Millisecond,
 			ConnsPerServer:      map[core.Protocol]int{platform.Protocol: 2},
-			MaxServerConns:      parsed.Limits.Sockets - maxCallers - reservedSockets,
+			MaxServerConns:      parsed.Limits.Sockets - maxCallerConns - reservedSockets,
 			UnresponsiveAfter:   100 * time.Millisecond, // a server that isn't overloaded answers sooner
 			MaxRemovedServers:   16,
 			MaxPendingReleases:  1000,
@@ -87,21 +87,21 @@
 			MaxTransferredCalls: 4000, // this many calls fit into one hand-over message
 			HandOverGrace:       100 * time.Millisecond,
 			StopGrace:           700 * time.Millisecond,
-			MaxStopWait:         max(deployment.MaxWait, 3*time.Second) + 600*time.Millisecond,
-			StopLinger:          60 * time.Millisecond,     // data that crosses a close arrives within 50 ms
-			MaxCallerConns:      maxCallers - maxCallers/8, // the remaining eighth is for connections being opened or closed
+			MaxStopWait:         max(deployment.MaxDeadline, 3*time.Second) + 600*time.Millisecond,
+			StopLinger:          60 * time.Millisecond,             // data that crosses a close arrives within 50 ms
+			MaxCallerConns:      maxCallerConns - maxCallerConns/8, // the remaining eighth is for connections being opened or closed
 			NewConnGrace:        250 * time.Millisecond,
 			MaxOpen:             deployment.MaxOpenCalls,
 			MaxEndedCalls:       int(memoryBytes / 8 / endedCallBytes),
 			Probe:               probe.Limits{Permitted: deployment.ProbesEnabled, Rate: 1, Burst: 2, Timeout: 1500 * time.Millisecond},
 			MaxRoutes:           10000,
-			RetryHint:           max(deployment.MinAim/4, 50*time.Millisecond), // leaves time for a new set-up within the aim
-			EndedCallTTL:        max(deployment.MaxWait, 10*time.Second) * 6,
+			RetryAfterHint:      max(deployment.MinAim/4, 50*time.Millisecond), // leaves time for a new set-up within the aim
+			EndedCallTTL:        max(deployment.MaxDeadline, 10*time.Second) * 6,
 		},
 		CallerConn: link.Limits{
 			InitialBufferSize: 4 << 10, MaxMessageSize: maxMessageSize, MaxQueuedBytes: 1 << 20,
 			WriteTimeout: 5 * time.Second, FlushTimeout: 50 * time.Millisecond,
-			MessageTimeout: 2500 * time.Millisecond, IdleTimeout: max(deployment.MaxWait, 10*time.Second) + 2*time.Second,
+			MessageTimeout: 2500 * time.Millisecond, IdleTimeout: max(deployment.MaxDeadline, 10*time.Second) + 2*time.Second,
 			LingerTimeout: 250 * time.Millisecond, MaxLingerBytes: 256 << 10,
 		},
 		Feed: feed.Limits{
@@ -109,9 +109,9 @@
 			RenewAfter: 5 * time.Second, // an update counts as received 7 s after it was sent
 			RetryDelay: 100 * time.Millisecond, MaxEventSize: 1 << 20, InitialBufferSize: 4 << 10,
 		},
-		DialTimeout:    deployment.ConnectTimeout,
+		ConnectTimeout: deployment.ConnectTimeout,
 		ConfirmTimeout: 15 * time.Second, // lower limit of timer T1 in ITU-T Q.764
-		MaxCallers:     maxCallers,
+		MaxCallerConns: maxCallerConns,
 		EventQueue:     4096,
 		StatsInterval:  50 * time.Millisecond, // statistics may be up to 0.5 s old
 		Mgmt: mgmt.Limits{MaxConns: min(16, parsed.Limits.Sockets/16), MaxRequestSize: 8 << 10,
@@ -129,10 +129,10 @@
 	// Servers close at once, and the descriptor may be needed for another connection.
 	limits.ServerConn.LingerTimeout = 50 * time.Millisecond
 	// Data queued for callers that don't read, and the data of open calls, take at most a quarter of the memory each.
-	limits.CallerConn.MaxQueuedBytes = min(limits.CallerConn.MaxQueuedBytes, max(int(memoryBytes/4)/maxCallers, 2*maxMessageSize))
+	limits.CallerConn.MaxQueuedBytes = min(limits.CallerConn.MaxQueuedBytes, max(int(memoryBytes/4)/maxCallerConns, 2*maxMessageSize))
 	limits.Core.MaxCallBytes = int(memoryBytes / 4)
-	if limits.DialTimeout <= 0 {
-		limits.DialTimeout = 500 * time.Millisecond
+	if limits.ConnectTimeout <= 0 {
+		limits.ConnectTimeout = 500 * time.Millisecond
 	}
 	if limits.Core.MaxOpen <= 0 {
 		limits.Core.MaxOpen = 20000
--- a/internal/config/members.go
+++ b/internal/config/members.go
@@ -51,9 +51,9 @@
 
 // limits returns the limits of the knowledge protocol: the defaults with the values of the table.
 func (k Knowledge) limits() knowledge.Limits {
-	l := knowledge.Defaults()
-	l.HalfLife, l.SlowHalfLife, l.MaxAge, l.Fanout = k.HalfLife.Duration, k.SlowHalfLife.Duration, k.MaxAge.Duration, k.Fanout
-	return l
+	limits := knowledge.Defaults()
+	limits.HalfLife, limits.SlowHalfLife, limits.MaxAge, limits.Fanout = k.HalfLife.Duration, k.SlowHalfLife.Duration, k.MaxAge.Duration, k.Fanout
+	return limits
 }
 
 // Quotas is the [parts] table of the members file: whether units of a cold server's budget move between softswitches.
@@ -66,10 +66,10 @@
 }
 
 // limits returns the limits of the budget protocol: the defaults with the values of the table.
-func (p Quotas) limits() budgets.Limits {
-	l := budgets.Defaults()
-	l.Lease, l.MaxDrift, l.MaxMembers = p.Lease.Duration, p.MaxDrift, p.MaxMembers
-	return l
+func (q Quotas) limits() budgets.Limits {
+	limits := budgets.Defaults()
+	limits.Lease, limits.MaxDrift, limits.MaxMembers = q.Lease.Duration, q.MaxDrift, q.MaxMembers
+	return limits
 }
 
 // Maintenance is the [maintenance] table of the members file: whether this softswitch takes part in its tier's ordered
@@ -90,16 +90,16 @@
 }
 
 // UnmarshalTOML reads an integer, or a string with a percentage.
-func (b *countOrShare) UnmarshalTOML(v any) error {
-	*b = countOrShare{}
+func (c *countOrShare) UnmarshalTOML(v any) error {
+	*c = countOrShare{}
 	switch v := v.(type) {
 	case int64:
-		b.Count = int(min(max(v, -1), maintenance.MaxSlots+1))
+		c.Count = int(min(max(v, -1), maintenance.MaxSlots+1))
 		return nil
 	case string:
 		if percentText, ok := strings.CutSuffix(v, "%"); ok {
 			if percent, err := strconv.ParseFloat(percentText, 64); err == nil && percent > 0 && percent <= 100 {
-				b.Share = percent / 100
+				c.Share = percent / 100
 				return nil
 			}
 		}
@@ -109,25 +109,27 @@
 
 // forTier returns the number of members for a tier of the given size. A share gives at least 1 and at most
 // maintenance.MaxSlots.
-func (b countOrShare) forTier(tier int) int {
-	if b.Share > 0 {
-		return min(max(int(b.Share*float64(tier)), 1), maintenance.MaxSlots)
+func (c countOrShare) forTier(tierSize int) int {
+	if c.Share > 0 {
+		return min(max(int(c.Share*float64(tierSize)), 1), maintenance.MaxSlots)
 	}
-	return b.Count
+	return c.Count
 }
 
 // limits returns the limits of the maintenance protocol for a tier of the given size: the defaults with the values of
 // the table.
-func (m Maintenance) limits(tier int) maintenance.Limits {
-	l := maintenance.Defaults()
-	l.Budget, l.Lease, l.WorkLease = m.Budget.forTier(tier), m.Lease.Duration, m.WorkLease.Duration
-	l.RoundTimeout, l.MaxDrift = m.RoundTimeout.Duration, m.MaxDrift
-	return l
+func (m Maintenance) limits(tierSize int) maintenance.Limits {
+	limits := maintenance.Defaults()
+	limits.Budget, limits.Lease, limits.WorkLease = m.Budget.forTier(tierSize), m.Lease.Duration, m.WorkLease.Duration
+	limits.RoundTimeout, limits.MaxDrift = m.RoundTimeout.Duration, m.MaxDrift
+	return limits
 }
 
 // MaintenanceBudget returns the number of members of a tier of the given size that may be out for maintenance at the
 // same time.
-func (m MembersFile) MaintenanceBudget(tier int) int { return m.Maintenance.Budget.forTier(tier) }
+func (m MembersFile) MaintenanceBudget(tierSize int) int {
+	return m.Maintenance.Budget.forTier(tierSize)
+}
 
 // duration is a time.Duration that is written as text in a TOML file.
 type duration struct{ time.Duration }
@@ -205,11 +207,11 @@
 
 // limits returns the limits of the membership protocol: the defaults with the values of the file.
 func (m MembersFile) limits() membership.Limits {
-	l := membership.Defaults()
-	l.Period, l.ProbeTimeout, l.IndirectProbes = m.Period.Duration, m.ProbeTimeout.Duration, m.IndirectProbes
-	l.SuspicionMin, l.SuspicionMax, l.Confirmations = m.SuspicionMin, m.SuspicionMax, m.Confirmations
-	l.RetransmitMult, l.MaxHealth, l.StallThreshold, l.ReclaimPeriods = m.RetransmitMult, m.MaxHealth, m.StallThreshold.Duration, m.ReclaimPeriods
-	return l
+	limits := membership.Defaults()
+	limits.Period, limits.ProbeTimeout, limits.IndirectProbes = m.Period.Duration, m.ProbeTimeout.Duration, m.IndirectProbes
+	limits.SuspicionMin, limits.SuspicionMax, limits.Confirmations = m.SuspicionMin, m.SuspicionMax, m.Confirmations
+	limits.RetransmitMult, limits.MaxHealth, limits.StallThreshold, limits.ReclaimPeriods = m.RetransmitMult, m.MaxHealth, m.StallThreshold.Duration, m.ReclaimPeriods
+	return limits
 }
 
 // TierConfig returns the configuration of the tier's datagram socket and the events that start the tier's protocols in
--- a/internal/config/signalling.go
+++ b/internal/config/signalling.go
@@ -40,7 +40,7 @@
 func (c *Config) Platform() platform.Config {
 	return platform.Config{
 		Deployment: c.Deployment, CallerConn: c.Limits.CallerConn, ServerConn: c.Limits.ServerConn,
-		DialTimeout: c.Limits.DialTimeout, MaxCallers: c.Limits.MaxCallers,
+		ConnectTimeout: c.Limits.ConnectTimeout, MaxCallerConns: c.Limits.MaxCallerConns,
 	}
 }
 
@@ -48,14 +48,14 @@
 func (c *Config) M3UA(file m3ua.FileConfig) m3ua.Config {
 	return m3ua.Config{
 		FileConfig: file, Deployment: c.Deployment, CallerConn: c.Limits.CallerConn, ServerConn: c.Limits.ServerConn,
-		DialTimeout: c.Limits.DialTimeout, MaxCallers: c.Limits.MaxCallers / 4, ConfirmTimeout: c.Limits.ConfirmTimeout,
+		ConnectTimeout: c.Limits.ConnectTimeout, MaxCallerConns: c.Limits.MaxCallerConns / 4, ConfirmTimeout: c.Limits.ConfirmTimeout,
 	}
 }
 
 // BGP returns the limits of the BGP speaker.
 func (l Limits) BGP() bgp.Limits {
 	return bgp.Limits{
-		ConnectTimeout: l.Feed.ConnectTimeout, RetryMin: 250 * time.Millisecond, RetryMax: 30 * time.Second,
+		ConnectTimeout: l.Feed.ConnectTimeout, MinRetryDelay: 250 * time.Millisecond, MaxRetryDelay: 30 * time.Second,
 		MaxRoutes: l.Core.MaxRoutes, Conn: l.CallerConn,
 	}
 }
--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -28,97 +28,97 @@
 
 // startAttempt starts the attempt that the controller decided on, if the rules permit it: the call has no final answer, no other
 // attempt and attempts remaining, and the server takes new work. Within the release guard the attempt waits.
-func (c *Core) startAttempt(k *call, decision elmseam.Send) {
+func (c *Core) startAttempt(call *call, decision elmseam.Send) {
 	s := c.serversByID[decision.Server]
-	if k.answered || k.callerGone || k.attempt != nil && c.guardEnabled(GuardSingleAttempt) || s == nil {
-		c.emit(Violation{ID: k.ID, Rule: "attempt for a call that is answered, abandoned or already outstanding, or to an unknown server"})
+	if call.answered || call.callerGone || call.attempt != nil && c.guardEnabled(GuardSingleAttempt) || s == nil {
+		c.emit(Violation{ID: call.ID, Rule: "attempt for a call that is answered, abandoned or already outstanding, or to an unknown server"})
 		return
 	}
-	newAttempt := &attempt{number: k.attempts, server: s, startedAt: c.now}
-	k.attempts++
-	k.attempt, s.outstanding[k.ID] = newAttempt, k
+	newAttempt := &attempt{number: call.attempts, server: s, startedAt: c.now}
+	call.attempts++
+	call.attempt, s.outstanding[call.ID] = newAttempt, call
 	switch {
-	case c.now >= k.deadline || k.maxAttempts > 0 && k.attempts > k.maxAttempts && c.guardEnabled(GuardMaxAttempts), s.effectivePhase != elmseam.Ready && c.guardEnabled(GuardPhase):
-		c.endAttempt(k, elmseam.Outcome{Cause: elmseam.CauseNotSent})
+	case c.now >= call.deadline || call.maxAttempts > 0 && call.attempts > call.maxAttempts && c.guardEnabled(GuardMaxAttempts), s.effectivePhase != elmseam.PhaseReady && c.guardEnabled(GuardPhase):
+		c.endAttempt(call, elmseam.Outcome{Cause: elmseam.CauseNotSent})
 		return
 	case decision.Timeout > 0:
-		c.setTimer(c.now+decision.Timeout, Token{kind: tokenAttemptTimeout, call: k.ID, controllerID: k.controllerID, number: uint32(newAttempt.number)})
+		c.setTimer(c.now+decision.Timeout, Token{kind: tokenAttemptTimeout, call: call.ID, controllerID: call.controllerID, number: uint32(newAttempt.number)})
 	}
-	c.offer(k)
+	c.offer(call)
 }
 
 // offer sends the offer of an attempt, or has the attempt wait for the release guard or for a connection.
-func (c *Core) offer(k *call) {
-	s := k.attempt.server
+func (c *Core) offer(call *call) {
+	s := call.attempt.server
 	conn := c.connFor(s)
 	switch {
-	case c.now < k.resendAfter && c.guardEnabled(GuardResendWait):
-		c.setTimer(k.resendAfter, Token{kind: tokenReleaseGuard, call: k.ID, controllerID: k.controllerID, number: uint32(k.attempt.number)})
+	case c.now < call.resendAfter && c.guardEnabled(GuardResendWait):
+		c.setTimer(call.resendAfter, Token{kind: tokenReleaseGuard, call: call.ID, controllerID: call.controllerID, number: uint32(call.attempt.number)})
 	case conn == nil && !c.dial(s):
-		c.endAttempt(k, elmseam.Outcome{Cause: elmseam.CauseNotSent})
+		c.endAttempt(call, elmseam.Outcome{Cause: elmseam.CauseNotSent})
 	case conn == nil:
 	default:
-		k.attempt.phase, k.attempt.conn, k.attempt.startedAt, conn.lastSetUp = attemptSent, conn, c.now, c.now
+		call.attempt.phase, call.attempt.conn, call.attempt.startedAt, conn.lastSetUp = attemptSent, conn, c.now, c.now
 		s.coldSetUps++
 		if conn.unansweredSince == 0 {
 			conn.unansweredSince = c.now
 		}
-		c.emit(Offer{To: conn.id, ID: k.ID, ClassName: k.ClassName, NumberText: k.NumberText, Desc: k.SetUp.Desc, Cell: s.Cell, Until: k.deadline})
+		c.emit(Offer{To: conn.id, ID: call.ID, ClassName: call.ClassName, NumberText: call.NumberText, Desc: call.SetUp.Desc, Cell: s.Cell, Until: call.deadline})
 	}
 }
 
 // retryAttempt resumes an attempt that waited for the release guard or for a connection.
-func (c *Core) retryAttempt(k *call) {
-	if k.callerGone || k.answered || c.now >= k.deadline || k.attempt.server.effectivePhase != elmseam.Ready {
-		c.endAttempt(k, elmseam.Outcome{Cause: elmseam.CauseNotSent})
+func (c *Core) retryAttempt(call *call) {
+	if call.callerGone || call.answered || c.now >= call.deadline || call.attempt.server.effectivePhase != elmseam.PhaseReady {
+		c.endAttempt(call, elmseam.Outcome{Cause: elmseam.CauseNotSent})
 		return
 	}
-	c.offer(k)
+	c.offer(call)
 }
 
 // giveUpAttempt gives an attempt up. If its offer went out, the attempt stays outstanding until its End has been written.
-func (c *Core) giveUpAttempt(k *call, cause elmseam.Cause) {
-	a := k.attempt
+func (c *Core) giveUpAttempt(call *call, cause elmseam.Cause) {
+	a := call.attempt
 	switch {
 	case a.phase == attemptWaiting:
-		c.endAttempt(k, elmseam.Outcome{Cause: elmseam.CauseNotSent})
+		c.endAttempt(call, elmseam.Outcome{Cause: elmseam.CauseNotSent})
 	case a.phase == attemptSent:
 		a.phase, a.endCause = attemptEnding, cause
-		c.emit(End{To: a.conn.id, ID: k.ID, Notify: true})
+		c.emit(End{To: a.conn.id, ID: call.ID, Notify: true})
 	}
 }
 
 // endAttempt ends the outstanding attempt of a call and reports the outcome to the controller.
-func (c *Core) endAttempt(k *call, outcome elmseam.Outcome) {
-	ended := k.attempt
-	k.attempt = nil
+func (c *Core) endAttempt(call *call, outcome elmseam.Outcome) {
+	ended := call.attempt
+	call.attempt = nil
 	if ended.conn != nil {
-		k.earlierConns = append(k.earlierConns, ended.conn.id)
+		call.earlierConns = append(call.earlierConns, ended.conn.id)
 	}
-	delete(ended.server.outstanding, k.ID)
+	delete(ended.server.outstanding, call.ID)
 	defer c.closeMalformedConns(ended.server)
 	switch outcome.Cause {
 	case elmseam.CauseTimeout, elmseam.CauseReset, elmseam.CauseCancelled:
-		k.resendAfter = c.now + k.releaseGuard
+		call.resendAfter = c.now + call.releaseGuard
 	}
-	outcome.Call, outcome.Server, outcome.Attempt, outcome.Final = k.controllerID, ended.server.id, ended.number, k.answered || k.callerGone
+	outcome.Call, outcome.Server, outcome.Attempt, outcome.Final = call.controllerID, ended.server.id, ended.number, call.answered || call.callerGone
 	if outcome.Final {
-		c.forgetCall(k)
+		c.forgetCall(call)
 	}
 	c.notifyController(outcome)
 }
 
 // endWritten ends the attempt whose End has been written.
 func (c *Core) endWritten(ev EndWritten) {
-	if k := c.outstandingCall(ev.Server, ev.Conn, ev.ID); k != nil && k.attempt.phase == attemptEnding {
-		c.endAttempt(k, elmseam.Outcome{Cause: k.attempt.endCause})
+	if call := c.outstandingCall(ev.Server, ev.Conn, ev.ID); call != nil && call.attempt.phase == attemptEnding {
+		c.endAttempt(call, elmseam.Outcome{Cause: call.attempt.endCause})
 	}
 }
 
 // notSent ends the attempt whose offer was withdrawn before its first byte was written.
 func (c *Core) notSent(ev NotSent) {
-	if k := c.outstandingCall(ev.Server, ev.Conn, ev.ID); k != nil {
-		c.endAttempt(k, elmseam.Outcome{Cause: elmseam.CauseNotSent})
+	if call := c.outstandingCall(ev.Server, ev.Conn, ev.ID); call != nil {
+		c.endAttempt(call, elmseam.Outcome{Cause: elmseam.CauseNotSent})
 	}
 }
 
@@ -129,15 +129,15 @@
 	if s == nil {
 		return nil
 	}
-	k := s.outstanding[id]
-	if k != nil && k.concernsEarlierAttempt(conn) {
+	call := s.outstanding[id]
+	if call != nil && call.concernsEarlierAttempt(conn) {
 		return nil
 	}
-	return k
+	return call
 }
 
 // concernsEarlierAttempt says whether a message that has come on a connection is for an earlier attempt of the call: an earlier
 // attempt was sent on that connection, and the outstanding one was not.
-func (k *call) concernsEarlierAttempt(conn ConnID) bool {
-	return slices.Contains(k.earlierConns, conn) && (k.attempt.conn == nil || k.attempt.conn.id != conn)
+func (c *call) concernsEarlierAttempt(conn ConnID) bool {
+	return slices.Contains(c.earlierConns, conn) && (c.attempt.conn == nil || c.attempt.conn.id != conn)
 }
--- a/internal/core/budget.go
+++ b/internal/core/budget.go
@@ -32,7 +32,7 @@
 		return
 	}
 	c.budget = reducer
-	c.budgetEffects(effects)
+	c.applyBudgetEffects(effects)
 	for index, member := range c.membership.Members() {
 		c.stepBudget(budget.MemberAvailability{Member: index, Available: member.State.Available()})
 	}
@@ -42,12 +42,12 @@
 // stepBudget gives the budget reducer an event and carries out its effects.
 func (c *Core) stepBudget(ev budget.Event) {
 	if c.budget != nil {
-		c.budgetEffects(c.budget.Step(c.now, ev))
+		c.applyBudgetEffects(c.budget.Step(c.now, ev))
 	}
 }
 
-// budgetEffects carries out effects of the budget reducer.
-func (c *Core) budgetEffects(effects []budget.Effect) {
+// applyBudgetEffects carries out effects of the budget reducer.
+func (c *Core) applyBudgetEffects(effects []budget.Effect) {
 	for _, effect := range effects {
 		switch effect := effect.(type) {
 		case budget.Send:
@@ -82,7 +82,7 @@
 			isCold = false
 		}
 		if isCold {
-			c.stepBudget(budget.ColdServer{Server: incarnationKey(s), Rate: coldBudget.Quota, ColdUntil: coldBudget.Until})
+			c.stepBudget(budget.ColdServer{Server: incarnationKey(s), Rate: coldBudget.Quota, ColdUntil: coldBudget.ColdUntil})
 		}
 	}
 	c.applyColdRates()
@@ -120,9 +120,9 @@
 	return demand
 }
 
-// budgetAvailability tells the budget reducer whether a member is available. A suspected member counts as unavailable, which is
+// updateBudgetAvailability tells the budget reducer whether a member is available. A suspected member counts as unavailable, which is
 // safe: the units that it holds can be taken only after its leases have expired.
-func (c *Core) budgetAvailability(member int, state membership.State) {
+func (c *Core) updateBudgetAvailability(member int, state membership.State) {
 	c.stepBudget(budget.MemberAvailability{Member: member, Available: state.Available()})
 }
 
--- a/internal/core/callers.go
+++ b/internal/core/callers.go
@@ -48,22 +48,22 @@
 func (c *Core) callerDown(id ConnID) {
 	c.forgetCaller(id)
 	c.forgetPredecessorCalls(id)
-	for _, k := range inArrivalOrder(c.calls) {
-		if k.From == id && k.server == nil && !k.answered {
-			k.orphaned = true
-			c.setTimer(c.now+c.limits.RebindTimeout, Token{kind: tokenRebind, call: k.ID, controllerID: k.controllerID})
+	for _, call := range inArrivalOrder(c.calls) {
+		if call.From == id && call.server == nil && !call.answered {
+			call.orphaned = true
+			c.setTimer(c.now+c.limits.RebindTimeout, Token{kind: tokenRebind, call: call.ID, controllerID: call.controllerID})
 		}
 	}
 }
 
 // callerEnd handles a caller that gives a set-up up or releases an established call, perhaps one from before a restart.
 func (c *Core) callerEnd(ev CallerEnd) {
-	k := c.calls[ev.ID]
+	call := c.calls[ev.ID]
 	if conn := c.callers[ev.From]; conn != nil {
 		c.markUsed(conn)
 	}
 	switch {
-	case k == nil:
+	case call == nil:
 		_, known := c.ended[ev.ID]
 		switch {
 		case known, ev.SetUpDiscarded: // no server has the call
@@ -77,12 +77,12 @@
 				c.sendEnd(s, ev.ID)
 			}
 		}
-	case k.server != nil:
-		k.callerGone = true
-		c.releaseAtServer(k.server, k.ID)
-		c.endEstablished(k, Normal, elmseam.Outcome{Cause: elmseam.CauseCancelled})
-	case ev.From == k.From || k.orphaned:
-		c.abandonSetUp(k)
+	case call.server != nil:
+		call.callerGone = true
+		c.releaseAtServer(call.server, call.ID)
+		c.endEstablished(call, ReasonNormal, elmseam.Outcome{Cause: elmseam.CauseCancelled})
+	case ev.From == call.From || call.orphaned:
+		c.abandonSetUp(call)
 	} // any other end is ignored: its sender guessed the id of a set-up that is open on a different connection
 }
 
@@ -141,9 +141,9 @@
 // busyConns returns the connections of callers with an open set-up, here or on the predecessor.
 func (c *Core) busyConns() map[ConnID]bool {
 	busy := make(map[ConnID]bool)
-	for _, k := range c.calls {
-		if !k.answered && !k.callerGone && !k.orphaned {
-			busy[k.From] = true
+	for _, call := range c.calls {
+		if !call.answered && !call.callerGone && !call.orphaned {
+			busy[call.From] = true
 		}
 	}
 	for _, id := range c.predecessorSetUps {
--- a/internal/core/calls.go
+++ b/internal/core/calls.go
@@ -8,7 +8,7 @@
 	"elmseam"
 )
 
-// call is a call of a caller, from its set-up to its release. The variables of this type are named k, as c is the Core.
+// call is a call of a caller, from its set-up to its release.
 type call struct {
 	SetUp
 	controllerID elmseam.CallID // the controller's id of the call
@@ -46,63 +46,63 @@
 		return
 	}
 	c.markUsed(from)
-	if k := c.calls[ev.ID]; k != nil {
-		c.repeatedSetUp(k, ev)
+	if call := c.calls[ev.ID]; call != nil {
+		c.repeatedSetUp(call, ev)
 		return
 	}
 	if _, foreign := c.predecessorSetUps[ev.ID]; foreign { // open on the predecessor
-		c.emit(Rejected{To: ev.From, ID: ev.ID, Reason: Unsupported})
+		c.emit(Rejected{To: ev.From, ID: ev.ID, Reason: ReasonUnsupported})
 		return
 	}
 	if _, known := c.ended[ev.ID]; known {
-		c.emit(Rejected{To: ev.From, ID: ev.ID, Reason: Congested, RetryAfter: c.limits.RetryHint})
+		c.emit(Rejected{To: ev.From, ID: ev.ID, Reason: ReasonCongested, RetryAfter: c.limits.RetryAfterHint})
 		return
 	}
 	timeLeft := ev.TimeLeft - (c.now - ev.At) - c.limits.AnswerMargin
 	size := len(ev.Desc) + len(ev.NumberText)
 	switch {
 	case ev.Class < 0:
-		c.emit(Rejected{To: ev.From, ID: ev.ID, Reason: Unsupported})
+		c.emit(Rejected{To: ev.From, ID: ev.ID, Reason: ReasonUnsupported})
 		return
 	case ev.Class >= len(c.stats.Classes): // the class is part of a configuration that has not reached this process yet
-		c.emit(Rejected{To: ev.From, ID: ev.ID, Reason: Congested, RetryAfter: c.limits.RetryHint})
+		c.emit(Rejected{To: ev.From, ID: ev.ID, Reason: ReasonCongested, RetryAfter: c.limits.RetryAfterHint})
 		return
 	case timeLeft <= 0 || c.drainRefuses() || c.stopGraceOver && !c.handingOver || c.closing || c.openSetUps >= c.limits.MaxOpen || c.callBytes+size > c.limits.MaxCallBytes:
-		c.emit(Rejected{To: ev.From, ID: ev.ID, Reason: Congested, RetryAfter: c.limits.RetryHint})
-		c.countAnswer(ev.Class, false, Congested)
+		c.emit(Rejected{To: ev.From, ID: ev.ID, Reason: ReasonCongested, RetryAfter: c.limits.RetryAfterHint})
+		c.countAnswer(ev.Class, false, ReasonCongested)
 		return
 	}
 	c.lastControllerID++
-	k := &call{SetUp: ev, size: size, controllerID: c.lastControllerID, fingerprint: fingerprintOf(ev), protocol: from.protocol, deadline: c.now + timeLeft, maxAttempts: c.maxAttempts, releaseGuard: c.releaseGuard}
-	c.calls[k.ID], c.callsByControllerID[k.controllerID] = k, k
+	call := &call{SetUp: ev, size: size, controllerID: c.lastControllerID, fingerprint: fingerprintOf(ev), protocol: from.protocol, deadline: c.now + timeLeft, maxAttempts: c.maxAttempts, releaseGuard: c.releaseGuard}
+	c.calls[call.ID], c.callsByControllerID[call.controllerID] = call, call
 	c.openSetUps++
 	c.callBytes += size
-	c.setTimer(k.deadline, Token{kind: tokenDeadline, call: k.ID, controllerID: k.controllerID})
+	c.setTimer(call.deadline, Token{kind: tokenDeadline, call: call.ID, controllerID: call.controllerID})
 	c.notifyController(elmseam.Arrival{
-		Call: k.controllerID, Class: ev.Class, Number: ev.Number, Cell: ev.Cell, Interrupted: ev.Interrupted,
+		Call: call.controllerID, Class: ev.Class, Number: ev.Number, Cell: ev.Cell, Interrupted: ev.Interrupted,
 		Tenant:   slices.IndexFunc(c.tenants, func(t elmseam.Tenant) bool { return t.Name == ev.Tenant }),
 		TimeLeft: timeLeft,
 	})
-	k.Tenant = ""
+	call.Tenant = ""
 }
 
 // repeatedSetUp handles a set-up with the id of a call that has not ended. The same set-up on another connection was sent again
 // after its first connection had closed: the call goes on for the new connection, which is given the answer that its caller
 // may have missed. Any other set-up is refused, as the answer to the existing call is no answer to it. When both came on one
 // connection, both are refused, as the caller could not tell which of them an answer is for.
-func (c *Core) repeatedSetUp(k *call, ev SetUp) {
-	resent := ev.From != k.From && fingerprintOf(ev) == k.fingerprint
+func (c *Core) repeatedSetUp(call *call, ev SetUp) {
+	resent := ev.From != call.From && fingerprintOf(ev) == call.fingerprint
 	switch {
-	case resent && k.server != nil:
-		k.From = ev.From
-		c.emit(Answered{To: k.From, ID: k.ID, Desc: k.answerDesc})
-	case resent && !k.answered && !k.callerGone:
-		k.From, k.orphaned = ev.From, false
+	case resent && call.server != nil:
+		call.From = ev.From
+		c.emit(Answered{To: call.From, ID: call.ID, Desc: call.answerDesc})
+	case resent && !call.answered && !call.callerGone:
+		call.From, call.orphaned = ev.From, false
 	default:
-		if ev.From == k.From && !k.answered {
-			c.reject(k, Rejected{Reason: Unsupported})
+		if ev.From == call.From && !call.answered {
+			c.reject(call, Rejected{Reason: ReasonUnsupported})
 		}
-		c.emit(Rejected{To: ev.From, ID: ev.ID, Reason: Unsupported})
+		c.emit(Rejected{To: ev.From, ID: ev.ID, Reason: ReasonUnsupported})
 	}
 }
 
@@ -116,98 +116,98 @@
 
 // reject gives a call a final answer other than being established. A call that already has its final answer gets no second one:
 // the attempt to give one is reported as a violation.
-func (c *Core) reject(k *call, rejection Rejected) {
-	if k.answered {
-		c.emit(Violation{ID: k.ID, Rule: "second final answer for a call"})
+func (c *Core) reject(call *call, rejection Rejected) {
+	if call.answered {
+		c.emit(Violation{ID: call.ID, Rule: "second final answer for a call"})
 		return
 	}
 	switch {
-	case k.callerGone:
-	case k.orphaned:
-		c.emit(ForgetCall{Protocol: k.protocol, ID: k.ID})
+	case call.callerGone:
+	case call.orphaned:
+		c.emit(ForgetCall{Protocol: call.protocol, ID: call.ID})
 	default:
-		rejection.To, rejection.ID = k.From, k.ID
+		rejection.To, rejection.ID = call.From, call.ID
 		c.emit(rejection)
-		c.countAnswer(k.Class, false, rejection.Reason)
+		c.countAnswer(call.Class, false, rejection.Reason)
 	}
-	c.endCallerSide(k)
+	c.endCallerSide(call)
 }
 
 // endCallerSide ends a call towards its caller. An outstanding attempt is given up first, and the call is forgotten when that
 // attempt has ended.
-func (c *Core) endCallerSide(k *call) {
-	if !k.answered {
-		k.answered = true
+func (c *Core) endCallerSide(call *call) {
+	if !call.answered {
+		call.answered = true
 		c.openSetUps--
 		defer c.pruneCallers()
 	}
-	if k.attempt != nil && k.attempt.phase != attemptEnding {
-		c.giveUpAttempt(k, elmseam.CauseCancelled)
+	if call.attempt != nil && call.attempt.phase != attemptEnding {
+		c.giveUpAttempt(call, elmseam.CauseCancelled)
 	}
-	if k.attempt == nil {
-		c.forgetCall(k)
+	if call.attempt == nil {
+		c.forgetCall(call)
 	}
 }
 
 // abandonSetUp ends a set-up whose caller has gone. The set-up gets no answer.
-func (c *Core) abandonSetUp(k *call) {
-	if k.callerGone {
+func (c *Core) abandonSetUp(call *call) {
+	if call.callerGone {
 		return
 	}
-	k.callerGone = true
-	if k.answered {
+	call.callerGone = true
+	if call.answered {
 		return
 	}
-	if k.orphaned {
-		c.emit(ForgetCall{Protocol: k.protocol, ID: k.ID})
+	if call.orphaned {
+		c.emit(ForgetCall{Protocol: call.protocol, ID: call.ID})
 	}
-	c.notifyController(elmseam.CallerGone{Call: k.controllerID})
-	c.endCallerSide(k)
+	c.notifyController(elmseam.CallerGone{Call: call.controllerID})
+	c.endCallerSide(call)
 }
 
 // deadlineReached gives a call its final answer while the caller still waits. An outstanding attempt is ended first.
-func (c *Core) deadlineReached(k *call) {
+func (c *Core) deadlineReached(call *call) {
 	if !c.guardEnabled(GuardDeadline) {
 		return
 	}
-	if a := k.attempt; a != nil {
+	if a := call.attempt; a != nil {
 		if a.phase == attemptSent {
-			c.emit(End{To: a.conn.id, ID: k.ID})
+			c.emit(End{To: a.conn.id, ID: call.ID})
 		}
 		cause := elmseam.CauseTimeout
 		if a.phase == attemptWaiting {
 			cause = elmseam.CauseNotSent
 		}
-		c.endAttempt(k, elmseam.Outcome{Cause: cause})
+		c.endAttempt(call, elmseam.Outcome{Cause: cause})
 	}
-	if !k.answered { // the controller still holds the call
-		c.notifyController(elmseam.CallerGone{Call: k.controllerID})
-		c.reject(k, Rejected{Reason: Failed})
+	if !call.answered { // the controller still holds the call
+		c.notifyController(elmseam.CallerGone{Call: call.controllerID})
+		c.reject(call, Rejected{Reason: ReasonFailed})
 	}
 }
 
 // endEstablished ends an established call towards its caller and reports the outcome to the controller.
-func (c *Core) endEstablished(k *call, reason Reason, outcome elmseam.Outcome) {
-	delete(k.server.established, k.ID)
-	c.forgetCall(k)
-	if !k.callerGone {
-		c.sendRelease(k.protocol, k.From, k.ID, reason)
-	}
-	outcome.Call, outcome.Server, outcome.Final = k.controllerID, k.server.id, true
-	outcome.Attempt = max(k.attempts-1, 0)
+func (c *Core) endEstablished(call *call, reason Reason, outcome elmseam.Outcome) {
+	delete(call.server.established, call.ID)
+	c.forgetCall(call)
+	if !call.callerGone {
+		c.sendRelease(call.protocol, call.From, call.ID, reason)
+	}
+	outcome.Call, outcome.Server, outcome.Final = call.controllerID, call.server.id, true
+	outcome.Attempt = max(call.attempts-1, 0)
 	c.notifyController(outcome)
-	c.removeIfUnused(k.server)
+	c.removeIfUnused(call.server)
 }
 
 // forgetCall forgets a call except for its id.
-func (c *Core) forgetCall(k *call) {
-	if c.calls[k.ID] != k || !c.guardEnabled(GuardForgetEnded) {
+func (c *Core) forgetCall(call *call) {
+	if c.calls[call.ID] != call || !c.guardEnabled(GuardForgetEnded) {
 		return
 	}
-	c.callBytes -= k.size
-	delete(c.calls, k.ID)
-	delete(c.callsByControllerID, k.controllerID)
-	c.rememberEnded(k.ID)
+	c.callBytes -= call.size
+	delete(c.calls, call.ID)
+	delete(c.callsByControllerID, call.controllerID)
+	c.rememberEnded(call.ID)
 }
 
 // rememberEnded records the id of a call that has ended, for EndedCallTTL and for at most MaxEndedCalls ids: calls that arrive at
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -238,20 +238,20 @@
 	for _, action := range actions {
 		switch action := action.(type) {
 		case elmseam.Send:
-			if k := c.callsByControllerID[action.Call]; k != nil {
-				c.startAttempt(k, action)
+			if call := c.callsByControllerID[action.Call]; call != nil {
+				c.startAttempt(call, action)
 			}
 		case elmseam.Refuse:
-			if k := c.callsByControllerID[action.Call]; k != nil {
-				c.reject(k, Rejected{Reason: Congested, RetryAfter: action.RetryAfter})
+			if call := c.callsByControllerID[action.Call]; call != nil {
+				c.reject(call, Rejected{Reason: ReasonCongested, RetryAfter: action.RetryAfter})
 			}
 		case elmseam.Fail:
-			if k := c.callsByControllerID[action.Call]; k != nil {
-				c.reject(k, Rejected{Reason: Failed})
+			if call := c.callsByControllerID[action.Call]; call != nil {
+				c.reject(call, Rejected{Reason: ReasonFailed})
 			}
 		case elmseam.Cancel:
-			if k := c.callsByControllerID[action.Call]; k != nil && k.attempt != nil && k.attempt.number == action.Attempt {
-				c.giveUpAttempt(k, elmseam.CauseCancelled)
+			if call := c.callsByControllerID[action.Call]; call != nil && call.attempt != nil && call.attempt.number == action.Attempt {
+				c.giveUpAttempt(call, elmseam.CauseCancelled)
 			}
 		case elmseam.SetTimer:
 			c.setTimer(action.At, Token{kind: tokenController, number: action.Token})
@@ -261,28 +261,28 @@
 
 // timerFired handles a timer that fires. As no timer is ever cancelled, each case checks whether it still applies.
 func (c *Core) timerFired(t Token) {
-	k := c.calls[t.call]
-	if t.controllerID != 0 && (k == nil || k.controllerID != t.controllerID) { // the call has ended
+	call := c.calls[t.call]
+	if t.controllerID != 0 && (call == nil || call.controllerID != t.controllerID) { // the call has ended
 		return
 	}
 	switch t.kind {
 	case tokenController:
 		c.notifyController(elmseam.TimerFired{Token: t.number})
 	case tokenDeadline:
-		if !k.answered {
-			c.deadlineReached(k)
+		if !call.answered {
+			c.deadlineReached(call)
 		}
 	case tokenRebind:
-		if k.orphaned {
-			c.abandonSetUp(k)
+		if call.orphaned {
+			c.abandonSetUp(call)
 		}
 	case tokenAttemptTimeout:
-		if k.attempt != nil && uint32(k.attempt.number) == t.number {
-			c.giveUpAttempt(k, elmseam.CauseTimeout)
+		if call.attempt != nil && uint32(call.attempt.number) == t.number {
+			c.giveUpAttempt(call, elmseam.CauseTimeout)
 		}
 	case tokenReleaseGuard:
-		if k.attempt != nil && uint32(k.attempt.number) == t.number && k.attempt.phase == attemptWaiting {
-			c.retryAttempt(k)
+		if call.attempt != nil && uint32(call.attempt.number) == t.number && call.attempt.phase == attemptWaiting {
+			c.retryAttempt(call)
 		}
 	case tokenRedial:
 		if s := c.servers[t.server]; s != nil {
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -12,9 +12,9 @@
 
 const ms = time.Millisecond
 
-// rig drives a core by hand, event by event. It begins with two servers, "a" on connection 10 and "b" on connection 11, and a
+// harness drives a core by hand, event by event. It begins with two servers, "a" on connection 10 and "b" on connection 11, and a
 // caller on connection 1.
-type rig struct {
+type harness struct {
 	t      *testing.T
 	core   *Core
 	now    Time
@@ -23,10 +23,10 @@
 	recordDials bool // step reports Dial effects too
 }
 
-// newRig returns a rig with the settings of servers that report a hold-back share.
-func newRig(t *testing.T) *rig {
+// newHarness returns a harness with the settings of servers that report a hold-back share.
+func newHarness(t *testing.T) *harness {
 	t.Helper()
-	return newRigWith(t, deployments["hold-back share reported"])
+	return newHarnessWith(t, deployments["hold-back share reported"])
 }
 
 // deployments are settings of two kinds. In the first, servers report a hold-back share and may not be probed. In the second,
@@ -48,40 +48,40 @@
 	},
 }
 
-// newRigWith returns a rig with the settings. The core may send probes if the settings have tenants.
-func newRigWith(t *testing.T, settings elmseam.Settings) *rig {
+// newHarnessWith returns a harness with the settings. The core may send probes if the settings have tenants.
+func newHarnessWith(t *testing.T, settings elmseam.Settings) *harness {
 	t.Helper()
 	c, err := New(settings, 1, Limits{
-		AnswerMargin: 15 * ms, RebindTimeout: 100 * ms, MinRedial: 100 * ms, MaxRedial: 500 * ms,
+		AnswerMargin: 15 * ms, RebindTimeout: 100 * ms, MinRedialDelay: 100 * ms, MaxRedialDelay: 500 * ms,
 		Probe:           probe.Limits{Permitted: len(settings.Tenants) > 0, Rate: 5, Burst: 2, Timeout: 300 * ms},
 		ServerLostAfter: 6 * time.Second, StopGrace: 700 * ms, MaxStopWait: 9 * time.Second, MaxCallerConns: 100, MaxOpen: 100, MaxCallBytes: 100, EndedCallTTL: time.Minute, ReportedDrainTTL: 5 * time.Second,
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t: t, core: c, now: time.Hour}
-	r.step(CallerUp{Conn: 1, Protocol: "f"})
-	r.list(elmseam.Ready, elmseam.Ready)
-	r.step(ServerUp{Server: "a", Address: "a:1", Conn: 10})
-	r.step(ServerUp{Server: "b", Address: "b:1", Conn: 11})
-	return r
+	h := &harness{t: t, core: c, now: time.Hour}
+	h.step(CallerUp{Conn: 1, Protocol: "f"})
+	h.list(elmseam.PhaseReady, elmseam.PhaseReady)
+	h.step(ServerUp{Server: "a", Address: "a:1", Conn: 10})
+	h.step(ServerUp{Server: "b", Address: "b:1", Conn: 11})
+	return h
 }
 
 // list gives the core a full server list in which "a" and "b" have the phases.
-func (r *rig) list(a, b elmseam.Phase) string {
-	return r.step(ServerList{Full: true, Servers: []Server{
+func (h *harness) list(a, b elmseam.Phase) string {
+	return h.step(ServerList{Full: true, Servers: []Server{
 		{Name: "a", Address: "a:1", Cell: 0, Phase: a}, {Name: "b", Address: "b:1", Cell: 1, Phase: b},
 	}})
 }
 
 // step gives the core an event and returns the effects as text, each as its name, the id of its call and the connection. Timers
 // are kept for advance. A violation fails the test.
-func (r *rig) step(ev Event) string {
+func (h *harness) step(ev Event) string {
 	effects := ""
-	for _, e := range r.core.Step(r.now, ev) {
+	for _, e := range h.core.Step(h.now, ev) {
 		switch e := e.(type) {
 		case Timer:
-			r.timers = append(r.timers, e)
+			h.timers = append(h.timers, e)
 		case Offer:
 			effects += fmt.Sprintf("offer%d@%d ", e.ID, e.To)
 		case End:
@@ -115,33 +115,33 @@
 		case CloseListener:
 			effects += "close-listener "
 		case Dial:
-			if r.recordDials {
+			if h.recordDials {
 				effects += "dial-" + e.Server + " "
 			}
 		case Violation:
-			r.t.Errorf("violation: call %d: %s", e.ID, e.Rule)
+			h.t.Errorf("violation: call %d: %s", e.ID, e.Rule)
 		}
 	}
 	return effects
 }
 
 // advance lets the time go by, with the timers that fire in it, and returns the effects.
-func (r *rig) advance(duration time.Duration) (effects string) {
-	for until := r.now + duration; ; {
+func (h *harness) advance(duration time.Duration) (effects string) {
+	for until := h.now + duration; ; {
 		next := -1
-		for i, timer := range r.timers {
-			if timer.At <= until && (next < 0 || timer.At < r.timers[next].At) {
+		for i, timer := range h.timers {
+			if timer.At <= until && (next < 0 || timer.At < h.timers[next].At) {
 				next = i
 			}
 		}
 		if next < 0 {
-			r.now = until
+			h.now = until
 			return effects
 		}
-		timer := r.timers[next]
-		r.timers = append(r.timers[:next], r.timers[next+1:]...)
-		r.now = max(r.now, timer.At)
-		effects += r.step(TimerFired{Token: timer.Token})
+		timer := h.timers[next]
+		h.timers = append(h.timers[:next], h.timers[next+1:]...)
+		h.now = max(h.now, timer.At)
+		effects += h.step(TimerFired{Token: timer.Token})
 	}
 }
 
@@ -149,231 +149,231 @@
 func countOf(effects, part string) int { return strings.Count(effects, part) }
 
 // want checks a text of effects.
-func (r *rig) want(got, want string) {
-	r.t.Helper()
+func (h *harness) want(got, want string) {
+	h.t.Helper()
 	if got != want {
-		r.t.Errorf("effects %q, want %q", got, want)
+		h.t.Errorf("effects %q, want %q", got, want)
 	}
 }
 
 // setUp gives the core a set-up from the caller on connection 1 that prefers the cell of server "a".
-func (r *rig) setUp(id ID, timeLeft time.Duration) string {
-	return r.step(SetUp{ID: id, From: 1, Cell: 0, TimeLeft: timeLeft, At: r.now})
+func (h *harness) setUp(id ID, timeLeft time.Duration) string {
+	return h.step(SetUp{ID: id, From: 1, Cell: 0, TimeLeft: timeLeft, At: h.now})
 }
 
 // When the connection to a server is reset, the attempt ends and the call is sent to another server only after the release
 // guard. The answer is passed on once, and a late answer from the first server is followed by a release of the call at that server.
 func TestResetAttemptIsRetriedElsewhereAfterReleaseGuard(t *testing.T) {
-	r := newRig(t)
-	r.want(r.setUp(7, 5*time.Second), "offer7@10 ")
-	r.want(r.step(ServerDown{Server: "a", Conn: 10}), "")
-	r.want(r.advance(199*ms), "")
-	r.want(r.advance(2*ms), "offer7@11 ")
-	r.step(ServerUp{Server: "a", Address: "a:1", Conn: 12})
-	r.want(r.step(ServerAnswer{Server: "a", ID: 7}), "end7@12 ")
-	r.want(r.step(ServerAnswer{Server: "b", ID: 7}), "answered7@1 ")
-	r.want(r.step(ServerAnswer{Server: "b", ID: 7}), "")
-	r.want(r.step(ServerEnd{Server: "b", ID: 7, Reason: Normal}), "released7@1 ")
+	h := newHarness(t)
+	h.want(h.setUp(7, 5*time.Second), "offer7@10 ")
+	h.want(h.step(ServerDown{Server: "a", Conn: 10}), "")
+	h.want(h.advance(199*ms), "")
+	h.want(h.advance(2*ms), "offer7@11 ")
+	h.step(ServerUp{Server: "a", Address: "a:1", Conn: 12})
+	h.want(h.step(ServerAnswer{Server: "a", ID: 7}), "end7@12 ")
+	h.want(h.step(ServerAnswer{Server: "b", ID: 7}), "answered7@1 ")
+	h.want(h.step(ServerAnswer{Server: "b", ID: 7}), "")
+	h.want(h.step(ServerEnd{Server: "b", ID: 7, Reason: ReasonNormal}), "released7@1 ")
 }
 
 // An attempt that was given up stays outstanding until its End is written, however long a stalled connection takes. Only then
 // does the release guard begin and may another attempt follow.
 func TestGivenUpAttemptIsOutstandingUntilItsEndIsWritten(t *testing.T) {
-	r := newRig(t)
-	r.setUp(7, 5*time.Second)
-	k := r.core.calls[7]
-	r.core.effects = nil
-	r.core.giveUpAttempt(k, elmseam.CauseCancelled) // as the controller does when a set-up has been overtaken
-	r.want(r.advance(time.Second), "")
-	if k.attempt == nil {
+	h := newHarness(t)
+	h.setUp(7, 5*time.Second)
+	call := h.core.calls[7]
+	h.core.effects = nil
+	h.core.giveUpAttempt(call, elmseam.CauseCancelled) // as the controller does when a set-up has been overtaken
+	h.want(h.advance(time.Second), "")
+	if call.attempt == nil {
 		t.Fatal("the attempt ended before its End was written")
 	}
-	r.want(r.step(ServerAnswer{Server: "a", ID: 7}), "")
-	r.want(r.step(EndWritten{Server: "a", ID: 7}), "")
-	r.want(r.advance(201*ms), "offer7@11 ")
+	h.want(h.step(ServerAnswer{Server: "a", ID: 7}), "")
+	h.want(h.step(EndWritten{Server: "a", ID: 7}), "")
+	h.want(h.advance(201*ms), "offer7@11 ")
 }
 
 // The final answer is given before the caller's time is up. An answer that the server sends later is never passed on, and the call is
 // released at the server.
 func TestFinalAnswerBeforeDeadline(t *testing.T) {
-	r := newRig(t)
-	r.setUp(7, 400*ms)
-	r.want(r.advance(384*ms), "")
-	r.want(r.advance(2*ms), "end7@10 rejected7@1 ")
-	r.want(r.step(ServerAnswer{Server: "a", ID: 7}), "end7@10 ")
-	r.want(r.advance(10*time.Second), "")
+	h := newHarness(t)
+	h.setUp(7, 400*ms)
+	h.want(h.advance(384*ms), "")
+	h.want(h.advance(2*ms), "end7@10 rejected7@1 ")
+	h.want(h.step(ServerAnswer{Server: "a", ID: 7}), "end7@10 ")
+	h.want(h.advance(10*time.Second), "")
 }
 
 // A draining server gets no new set-ups: attempts that wait for its connection go elsewhere, and offers that are queued on its
 // connections are withdrawn.
 func TestServerDrainStopsWaitingAttempts(t *testing.T) {
-	r := newRig(t)
-	r.step(ServerDown{Server: "a", Conn: 10})
-	r.want(r.setUp(7, 5*time.Second), "") // waits for the connection
-	r.want(r.list(elmseam.Draining, elmseam.Ready), "offer7@11 ")
-	r.want(r.step(ServerUp{Server: "a", Address: "a:1", Conn: 12}), "closeconn@12 ") // no longer wanted
-	r.want(r.list(elmseam.Ready, elmseam.Draining), "withdraw@11 ")
-	r.want(r.step(NotSent{Server: "b", ID: 7}), "rejected7@1 ")
+	h := newHarness(t)
+	h.step(ServerDown{Server: "a", Conn: 10})
+	h.want(h.setUp(7, 5*time.Second), "") // waits for the connection
+	h.want(h.list(elmseam.PhaseDraining, elmseam.PhaseReady), "offer7@11 ")
+	h.want(h.step(ServerUp{Server: "a", Address: "a:1", Conn: 12}), "closeconn@12 ") // no longer wanted
+	h.want(h.list(elmseam.PhaseReady, elmseam.PhaseDraining), "withdraw@11 ")
+	h.want(h.step(NotSent{Server: "b", ID: 7}), "rejected7@1 ")
 }
 
 // An established call outlives the connections that it was set up on: its release goes out on another connection, or on the next
 // one. When its server is removed, or unreachable for ServerLostAfter, the core releases the call, as no message from the
 // server will.
 func TestEstablishedCallsOutliveConnections(t *testing.T) {
-	r := newRig(t)
+	h := newHarness(t)
 	for id := ID(1); id <= 3; id++ {
-		r.setUp(id, 5*time.Second)
-		r.step(ServerAnswer{Server: "a", ID: id})
+		h.setUp(id, 5*time.Second)
+		h.step(ServerAnswer{Server: "a", ID: id})
 	}
-	r.want(r.step(ServerDown{Server: "a", Conn: 10}), "")
-	r.want(r.step(CallerDown{Conn: 1}), "")
-	r.step(ServerUp{Server: "a", Address: "a:1", Conn: 12})
-	r.want(r.step(ServerEnd{Server: "a", ID: 1, Reason: Normal}), "")
-	r.want(r.step(CallerUp{Conn: 2, Protocol: "f"}), "released1@2 ")
-	r.want(r.step(CallerEnd{ID: 2, From: 2}), "end2@12 ")
-	r.want(r.list(elmseam.Gone, elmseam.Ready), "withdraw@12 released3@2 closeconn@12 ")
-	r.step(SetUp{ID: 4, From: 2, TimeLeft: 5 * time.Second, At: r.now})
-	r.step(ServerAnswer{Server: "b", ID: 4})
-	r.step(ServerDown{Server: "b", Conn: 11})
-	r.want(r.advance(5900*ms), "")
-	r.want(r.advance(200*ms), "released4@2 ")
+	h.want(h.step(ServerDown{Server: "a", Conn: 10}), "")
+	h.want(h.step(CallerDown{Conn: 1}), "")
+	h.step(ServerUp{Server: "a", Address: "a:1", Conn: 12})
+	h.want(h.step(ServerEnd{Server: "a", ID: 1, Reason: ReasonNormal}), "")
+	h.want(h.step(CallerUp{Conn: 2, Protocol: "f"}), "released1@2 ")
+	h.want(h.step(CallerEnd{ID: 2, From: 2}), "end2@12 ")
+	h.want(h.list(elmseam.PhaseGone, elmseam.PhaseReady), "withdraw@12 released3@2 closeconn@12 ")
+	h.step(SetUp{ID: 4, From: 2, TimeLeft: 5 * time.Second, At: h.now})
+	h.step(ServerAnswer{Server: "b", ID: 4})
+	h.step(ServerDown{Server: "b", Conn: 11})
+	h.want(h.advance(5900*ms), "")
+	h.want(h.advance(200*ms), "released4@2 ")
 }
 
 // A set-up may be sent just as its connection is closed. The caller sends it again on another connection: it stays one call with one
 // answer. A set-up that the caller does not send again within RebindTimeout is given up.
 func TestSetUpResentOnAnotherConnection(t *testing.T) {
-	r := newRig(t)
-	r.want(r.setUp(7, 5*time.Second)+r.setUp(8, 5*time.Second), "offer7@10 offer8@10 ")
-	r.step(CallerDown{Conn: 1})
-	r.step(CallerUp{Conn: 2, Protocol: "f"})
-	r.want(r.step(SetUp{ID: 7, From: 2, TimeLeft: 5 * time.Second, At: r.now}), "")
-	r.want(r.advance(101*ms), "forget8 end8@10 ")
-	r.want(r.step(EndWritten{Server: "a", ID: 8}), "")
-	r.want(r.step(ServerAnswer{Server: "a", ID: 7}), "answered7@2 ")
+	h := newHarness(t)
+	h.want(h.setUp(7, 5*time.Second)+h.setUp(8, 5*time.Second), "offer7@10 offer8@10 ")
+	h.step(CallerDown{Conn: 1})
+	h.step(CallerUp{Conn: 2, Protocol: "f"})
+	h.want(h.step(SetUp{ID: 7, From: 2, TimeLeft: 5 * time.Second, At: h.now}), "")
+	h.want(h.advance(101*ms), "forget8 end8@10 ")
+	h.want(h.step(EndWritten{Server: "a", ID: 8}), "")
+	h.want(h.step(ServerAnswer{Server: "a", ID: 7}), "answered7@2 ")
 }
 
 // A server whose route is withdrawn counts as gone until the route is back, a paused server as draining.
 func TestRouteAndPause(t *testing.T) {
-	r := newRig(t)
+	h := newHarness(t)
 	covers := func(address string) bool { return address == "a:1" }
-	r.want(r.step(Route{Name: "a/32", Covers: covers}), "withdraw@10 ")
-	r.want(r.setUp(7, 5*time.Second), "offer7@11 ")
-	r.step(Route{Name: "a/32", Covers: covers, Up: true})
-	r.want(r.step(ServerPaused{Server: "b", Paused: true}), "withdraw@11 ")
-	r.want(r.setUp(8, 5*time.Second), "offer8@10 ")
+	h.want(h.step(Route{Name: "a/32", Covers: covers}), "withdraw@10 ")
+	h.want(h.setUp(7, 5*time.Second), "offer7@11 ")
+	h.step(Route{Name: "a/32", Covers: covers, Up: true})
+	h.want(h.step(ServerPaused{Server: "b", Paused: true}), "withdraw@11 ")
+	h.want(h.setUp(8, 5*time.Second), "offer8@10 ")
 }
 
 // New calls are accepted for StopGrace after a stop. The process ends when the calls have ended.
 func TestStop(t *testing.T) {
-	r := newRig(t)
-	r.step(Stop{})
-	r.advance(600 * ms)
-	r.want(r.setUp(7, 5*time.Second), "offer7@10 ")
-	r.want(r.advance(200*ms), "")
-	r.step(ServerAnswer{Server: "a", ID: 7})
-	r.want(r.step(ServerEnd{Server: "a", ID: 7, Reason: Normal}), "released7@1 stopped ")
+	h := newHarness(t)
+	h.step(Stop{})
+	h.advance(600 * ms)
+	h.want(h.setUp(7, 5*time.Second), "offer7@10 ")
+	h.want(h.advance(200*ms), "")
+	h.step(ServerAnswer{Server: "a", ID: 7})
+	h.want(h.step(ServerEnd{Server: "a", ID: 7, Reason: ReasonNormal}), "released7@1 stopped ")
 }
 
 // The release of a call that this process has never seen is passed on. The release of a call that ended here is not, as it
 // would be a second answer.
 func TestReleaseOfUnknownCall(t *testing.T) {
-	r := newRig(t)
-	r.want(r.step(ServerEnd{Server: "a", ID: 99, Reason: Normal}), "released99@1 ")
-	r.want(r.step(ServerEnd{Server: "a", ID: 99, Reason: Normal}), "")
-	r.setUp(7, 5*time.Second)
-	r.step(CallerEnd{ID: 7, From: 1})
-	r.step(EndWritten{Server: "a", ID: 7})
-	r.want(r.step(ServerEnd{Server: "a", ID: 7, Reason: Reset}), "")
+	h := newHarness(t)
+	h.want(h.step(ServerEnd{Server: "a", ID: 99, Reason: ReasonNormal}), "released99@1 ")
+	h.want(h.step(ServerEnd{Server: "a", ID: 99, Reason: ReasonNormal}), "")
+	h.setUp(7, 5*time.Second)
+	h.step(CallerEnd{ID: 7, From: 1})
+	h.step(EndWritten{Server: "a", ID: 7})
+	h.want(h.step(ServerEnd{Server: "a", ID: 7, Reason: ReasonReset}), "")
 }
 
 // A set-up is refused when the descriptions of the calls would take more memory than MaxCallBytes.
 func TestCallBytesAreLimited(t *testing.T) {
-	r := newRig(t)
-	big := SetUp{ID: 1, From: 1, TimeLeft: 5 * time.Second, At: r.now, Desc: make([]byte, 80)}
-	r.want(r.step(big), "offer1@10 ")
+	h := newHarness(t)
+	big := SetUp{ID: 1, From: 1, TimeLeft: 5 * time.Second, At: h.now, Desc: make([]byte, 80)}
+	h.want(h.step(big), "offer1@10 ")
 	big.ID = 2
-	r.want(r.step(big), "rejected2@1 ")
-	r.step(ServerAnswer{Server: "a", ID: 1, Desc: make([]byte, 10)}) // the description of the caller is freed
+	h.want(h.step(big), "rejected2@1 ")
+	h.step(ServerAnswer{Server: "a", ID: 1, Desc: make([]byte, 10)}) // the description of the caller is freed
 	big.ID = 3
-	r.want(r.step(big), "offer3@10 ")
-	r.step(ServerEnd{Server: "a", ID: 1})
-	r.step(ServerEnd{Server: "a", ID: 3, Reason: Reset})
-	if r.advance(10 * time.Second); r.core.callBytes != 0 {
-		t.Errorf("callBytes is %d after all calls have ended, want 0", r.core.callBytes)
+	h.want(h.step(big), "offer3@10 ")
+	h.step(ServerEnd{Server: "a", ID: 1})
+	h.step(ServerEnd{Server: "a", ID: 3, Reason: ReasonReset})
+	if h.advance(10 * time.Second); h.core.callBytes != 0 {
+		t.Errorf("callBytes is %d after all calls have ended, want 0", h.core.callBytes)
 	}
 }
 
 // The guards of the core hold whatever the controller decides: here the test decides on attempts that break the rules.
 func TestGuardsHoldAgainstTheController(t *testing.T) {
-	r := newRig(t)
+	h := newHarness(t)
 	addCall := func(id ID) *call {
-		k := &call{SetUp: SetUp{ID: id, From: 1}, controllerID: elmseam.CallID(1000 + id), deadline: r.now + 5*time.Second, releaseGuard: r.core.releaseGuard}
-		r.core.calls[id], r.core.callsByControllerID[k.controllerID] = k, k
-		return k
+		call := &call{SetUp: SetUp{ID: id, From: 1}, controllerID: elmseam.CallID(1000 + id), deadline: h.now + 5*time.Second, releaseGuard: h.core.releaseGuard}
+		h.core.calls[id], h.core.callsByControllerID[call.controllerID] = call, call
+		return call
 	}
-	send := func(k *call, server string) (effects string) {
-		r.core.effects = nil
-		r.core.startAttempt(k, elmseam.Send{Server: r.core.servers[server].id})
-		for _, e := range r.core.effects {
+	send := func(call *call, server string) (effects string) {
+		h.core.effects = nil
+		h.core.startAttempt(call, elmseam.Send{Server: h.core.servers[server].id})
+		for _, e := range h.core.effects {
 			switch e := e.(type) {
 			case Offer:
 				effects += "offer "
 			case Violation:
 				effects += "violation "
 			case Timer:
-				r.timers = append(r.timers, e)
+				h.timers = append(h.timers, e)
 			}
 		}
 		return effects
 	}
-	k := addCall(1)
-	r.want(send(k, "a"), "offer ")
-	r.want(send(k, "b"), "violation ") // another attempt is outstanding
-	r.step(ServerDown{Server: "a", Conn: 10})
-	r.want(send(k, "b"), "") // waits for the release guard
-	r.want(r.advance(199*ms), "")
-	r.want(r.advance(2*ms), "offer1@11 ")
-	r.step(ServerUp{Server: "a", Address: "a:1", Conn: 12})
-	r.core.servers["a"].effectivePhase = elmseam.Draining
-	k = addCall(2)
-	if r.want(send(k, "a"), ""); k.attempt != nil {
+	call := addCall(1)
+	h.want(send(call, "a"), "offer ")
+	h.want(send(call, "b"), "violation ") // another attempt is outstanding
+	h.step(ServerDown{Server: "a", Conn: 10})
+	h.want(send(call, "b"), "") // waits for the release guard
+	h.want(h.advance(199*ms), "")
+	h.want(h.advance(2*ms), "offer1@11 ")
+	h.step(ServerUp{Server: "a", Address: "a:1", Conn: 12})
+	h.core.servers["a"].effectivePhase = elmseam.PhaseDraining
+	call = addCall(2)
+	if h.want(send(call, "a"), ""); call.attempt != nil {
 		t.Error("an attempt to a draining server is outstanding")
 	}
-	k = addCall(3)
-	k.maxAttempts = 4
-	k.attempts = k.maxAttempts
-	if r.want(send(k, "b"), ""); k.attempt != nil {
+	call = addCall(3)
+	call.maxAttempts = 4
+	call.attempts = call.maxAttempts
+	if h.want(send(call, "b"), ""); call.attempt != nil {
 		t.Error("an attempt beyond the limit is outstanding")
 	}
-	k = addCall(4)
-	k.answered = true
-	r.want(send(k, "b"), "violation ")
-	k = addCall(5)
-	r.core.now = k.deadline
-	r.want(send(k, "b"), "")
+	call = addCall(4)
+	call.answered = true
+	h.want(send(call, "b"), "violation ")
+	call = addCall(5)
+	h.core.now = call.deadline
+	h.want(send(call, "b"), "")
 }
 
 // A different set-up with the id of an open call is refused and does not affect that call. Guards against the second set-up taking the
 // call over and being given its answer. Two set-ups with one id on one connection are both refused, and the id of an ended call is never
 // used again.
 func TestRepeatedIDs(t *testing.T) {
-	r := newRig(t)
-	r.step(CallerUp{Conn: 2, Protocol: "f"})
-	r.want(r.setUp(7, 5*time.Second), "offer7@10 ")
-	r.want(r.step(SetUp{ID: 7, From: 2, Cell: 0, TimeLeft: 5 * time.Second, At: r.now, Desc: []byte("another")}), "rejected7@2 ")
-	r.want(r.step(CallerEnd{ID: 7, From: 2}), "")
-	r.want(r.step(ServerAnswer{Server: "a", ID: 7}), "answered7@1 ")
-	r.want(r.step(SetUp{ID: 7, From: 2, Cell: 0, TimeLeft: 5 * time.Second, At: r.now, Desc: []byte("another")}), "rejected7@2 ")
-	r.want(r.step(CallerDown{Conn: 1}), "")
-	r.want(r.setUp(7, 5*time.Second), "") // sent before the connection was closed: no answer can reach it
-	r.want(r.step(SetUp{ID: 7, From: 2, Cell: 0, TimeLeft: 5 * time.Second, At: r.now}), "answered7@2 ")
-	r.want(r.step(ServerEnd{Server: "a", ID: 7}), "released7@2 ")
+	h := newHarness(t)
+	h.step(CallerUp{Conn: 2, Protocol: "f"})
+	h.want(h.setUp(7, 5*time.Second), "offer7@10 ")
+	h.want(h.step(SetUp{ID: 7, From: 2, Cell: 0, TimeLeft: 5 * time.Second, At: h.now, Desc: []byte("another")}), "rejected7@2 ")
+	h.want(h.step(CallerEnd{ID: 7, From: 2}), "")
+	h.want(h.step(ServerAnswer{Server: "a", ID: 7}), "answered7@1 ")
+	h.want(h.step(SetUp{ID: 7, From: 2, Cell: 0, TimeLeft: 5 * time.Second, At: h.now, Desc: []byte("another")}), "rejected7@2 ")
+	h.want(h.step(CallerDown{Conn: 1}), "")
+	h.want(h.setUp(7, 5*time.Second), "") // sent before the connection was closed: no answer can reach it
+	h.want(h.step(SetUp{ID: 7, From: 2, Cell: 0, TimeLeft: 5 * time.Second, At: h.now}), "answered7@2 ")
+	h.want(h.step(ServerEnd{Server: "a", ID: 7}), "released7@2 ")
 
-	r.want(r.step(SetUp{ID: 8, From: 2, Cell: 0, TimeLeft: 5 * time.Second, At: r.now}), "offer8@10 ")
-	r.want(r.step(SetUp{ID: 8, From: 2, Cell: 0, TimeLeft: 5 * time.Second, At: r.now}), "rejected8@2 end8@10 rejected8@2 ")
-	r.want(r.step(SetUp{ID: 8, From: 2, Cell: 0, TimeLeft: 5 * time.Second, At: r.now}), "rejected8@2 ")
-	r.step(EndWritten{Server: "a", ID: 8})
-	r.want(r.step(SetUp{ID: 8, From: 2, Cell: 0, TimeLeft: 5 * time.Second, At: r.now}), "rejected8@2 ")
+	h.want(h.step(SetUp{ID: 8, From: 2, Cell: 0, TimeLeft: 5 * time.Second, At: h.now}), "offer8@10 ")
+	h.want(h.step(SetUp{ID: 8, From: 2, Cell: 0, TimeLeft: 5 * time.Second, At: h.now}), "rejected8@2 end8@10 rejected8@2 ")
+	h.want(h.step(SetUp{ID: 8, From: 2, Cell: 0, TimeLeft: 5 * time.Second, At: h.now}), "rejected8@2 ")
+	h.step(EndWritten{Server: "a", ID: 8})
+	h.want(h.step(SetUp{ID: 8, From: 2, Cell: 0, TimeLeft: 5 * time.Second, At: h.now}), "rejected8@2 ")
 }
 
 // When callers hold more than MaxCallerConns connections, those without a set-up are closed first, then those idle longest.
@@ -381,89 +381,89 @@
 // set-up is answered is closed instead. Guards against closing the newest connection with its set-up, and against closing a
 // connection before the answer just written can be read.
 func TestSurplusCallerConnectionsAreClosed(t *testing.T) {
-	r := newRig(t)
-	r.core.limits.MaxCallerConns = 4
+	h := newHarness(t)
+	h.core.limits.MaxCallerConns = 4
 	for conn := ConnID(2); conn <= 4; conn++ {
-		r.now += ms
-		r.want(r.step(CallerUp{Conn: conn, Protocol: "f"}), "")
+		h.now += ms
+		h.want(h.step(CallerUp{Conn: conn, Protocol: "f"}), "")
 	}
 	sendSetUp := func(conn ConnID) {
-		r.now += ms
-		r.step(SetUp{ID: ID(conn), From: conn, Cell: 0, TimeLeft: time.Minute, At: r.now})
+		h.now += ms
+		h.step(SetUp{ID: ID(conn), From: conn, Cell: 0, TimeLeft: time.Minute, At: h.now})
 	}
 	sendSetUp(1)
 	sendSetUp(2)
 	sendSetUp(3)
-	r.step(ServerAnswer{Server: "a", ID: 1})
-	r.step(ServerAnswer{Server: "a", ID: 2})
-	r.want(r.step(CallerUp{Conn: 5, Protocol: "f"}), "close@4 ") // has brought no set-up
+	h.step(ServerAnswer{Server: "a", ID: 1})
+	h.step(ServerAnswer{Server: "a", ID: 2})
+	h.want(h.step(CallerUp{Conn: 5, Protocol: "f"}), "close@4 ") // has brought no set-up
 	sendSetUp(5)
-	r.want(r.step(CallerUp{Conn: 6, Protocol: "f"}), "close@1 ") // idle longest, as the calls on 1 and 2 are established
+	h.want(h.step(CallerUp{Conn: 6, Protocol: "f"}), "close@1 ") // idle longest, as the calls on 1 and 2 are established
 	sendSetUp(6)
-	r.want(r.step(CallerUp{Conn: 7, Protocol: "f"}), "close@2 ")
+	h.want(h.step(CallerUp{Conn: 7, Protocol: "f"}), "close@2 ")
 	sendSetUp(7)
-	r.want(r.step(CallerUp{Conn: 8, Protocol: "f"}), "")
-	r.want(r.step(SetUp{ID: 8, From: 8, Cell: 0, TimeLeft: time.Minute, At: r.now}), "offer8@10 ")
-	r.want(r.step(ServerAnswer{Server: "a", ID: 3}), "answered3@3 close@3 ")
+	h.want(h.step(CallerUp{Conn: 8, Protocol: "f"}), "")
+	h.want(h.step(SetUp{ID: 8, From: 8, Cell: 0, TimeLeft: time.Minute, At: h.now}), "offer8@10 ")
+	h.want(h.step(ServerAnswer{Server: "a", ID: 3}), "answered3@3 close@3 ")
 	// A protocol handler that keeps state for the call, a circuit for instance, has to forget it.
-	r.want(r.step(SetUp{ID: 9, From: 3, Cell: 0, TimeLeft: time.Minute, At: r.now}), "forget9 ")
+	h.want(h.step(SetUp{ID: 9, From: 3, Cell: 0, TimeLeft: time.Minute, At: h.now}), "forget9 ")
 }
 
 // New settings and limits apply to new calls. A call that exists keeps the number of attempts of its own settings.
 func TestReconfiguration(t *testing.T) {
-	r := newRig(t)
-	r.want(r.setUp(7, 5*time.Second), "offer7@10 ")
+	h := newHarness(t)
+	h.want(h.setUp(7, 5*time.Second), "offer7@10 ")
 	settings := elmseam.Settings{Classes: []elmseam.Class{{Deadline: 9 * time.Second, Worth: 1}}, MaxAttempts: 1, OwnCell: -1}
-	limits := r.core.limits
+	limits := h.core.limits
 	limits.MaxOpen = 1
-	r.want(r.step(Configured{Settings: settings, Limits: limits}), "")
-	r.want(r.setUp(8, 5*time.Second), "rejected8@1 ")
-	r.want(r.step(ServerEnd{Server: "a", ID: 7, Reason: Full}), "offer7@11 ")
-	r.step(ServerEnd{Server: "b", ID: 7, Reason: Full})
-	r.advance(5 * time.Second) // the servers are no longer blocked
-	r.want(r.setUp(9, 5*time.Second), "offer9@10 ")
-	r.want(r.step(ServerEnd{Server: "a", ID: 9, Reason: Full}), "rejected9@1 ") // one attempt, by the new settings
+	h.want(h.step(Configured{Settings: settings, Limits: limits}), "")
+	h.want(h.setUp(8, 5*time.Second), "rejected8@1 ")
+	h.want(h.step(ServerEnd{Server: "a", ID: 7, Reason: ReasonFull}), "offer7@11 ")
+	h.step(ServerEnd{Server: "b", ID: 7, Reason: ReasonFull})
+	h.advance(5 * time.Second) // the servers are no longer blocked
+	h.want(h.setUp(9, 5*time.Second), "offer9@10 ")
+	h.want(h.step(ServerEnd{Server: "a", ID: 9, Reason: ReasonFull}), "rejected9@1 ") // one attempt, by the new settings
 }
 
 // Calls that are refused at full speed, and routes to addresses that no server has, take a bounded amount of memory.
 func TestRememberedIDsAndRoutesAreBounded(t *testing.T) {
-	r := newRig(t)
-	r.core.limits.MaxEndedCalls, r.core.limits.MaxRoutes = 3, 2
+	h := newHarness(t)
+	h.core.limits.MaxEndedCalls, h.core.limits.MaxRoutes = 3, 2
 	for id := ID(1); id <= 10; id++ {
-		r.setUp(id, 5*time.Second)
-		r.step(ServerEnd{Server: "a", ID: id, Reason: Full})
-		r.step(ServerEnd{Server: "b", ID: id, Reason: Full})
+		h.setUp(id, 5*time.Second)
+		h.step(ServerEnd{Server: "a", ID: id, Reason: ReasonFull})
+		h.step(ServerEnd{Server: "b", ID: id, Reason: ReasonFull})
 	}
-	if len(r.core.ended) != 3 || len(r.core.endedOrder) != 3 || len(r.core.calls) != 0 {
-		t.Errorf("%d and %d ids of ended calls, and %d calls, are kept, want 3, 3 and 0", len(r.core.ended), len(r.core.endedOrder), len(r.core.calls))
+	if len(h.core.ended) != 3 || len(h.core.endedOrder) != 3 || len(h.core.calls) != 0 {
+		t.Errorf("%d and %d ids of ended calls, and %d calls, are kept, want 3, 3 and 0", len(h.core.ended), len(h.core.endedOrder), len(h.core.calls))
 	}
-	r.want(r.setUp(10, 5*time.Second), "rejected10@1 ") // the last ids are kept
+	h.want(h.setUp(10, 5*time.Second), "rejected10@1 ") // the last ids are kept
 	for i := range 10 {
-		r.step(Route{Name: fmt.Sprint(i), Covers: func(string) bool { return false }})
+		h.step(Route{Name: fmt.Sprint(i), Covers: func(string) bool { return false }})
 	}
-	r.want(r.step(Route{Name: "a/32", Covers: func(address string) bool { return address == "a:1" }}), "withdraw@10 ")
-	if len(r.core.withdrawnRoutes) != 3 || r.core.servers["a"].effectivePhase != elmseam.Gone {
-		t.Errorf("%d routes kept, a server whose route is withdrawn is in phase %v", len(r.core.withdrawnRoutes), r.core.servers["a"].effectivePhase)
+	h.want(h.step(Route{Name: "a/32", Covers: func(address string) bool { return address == "a:1" }}), "withdraw@10 ")
+	if len(h.core.withdrawnRoutes) != 3 || h.core.servers["a"].effectivePhase != elmseam.PhaseGone {
+		t.Errorf("%d routes kept, a server whose route is withdrawn is in phase %v", len(h.core.withdrawnRoutes), h.core.servers["a"].effectivePhase)
 	}
 }
 
 // A server that leaves the list and comes back keeps its id towards the controller. The number of removed servers that are
 // remembered is bounded.
 func TestReturningServerKeepsItsID(t *testing.T) {
-	r := newRig(t)
-	r.core.limits.MaxRemovedServers = 2
-	id := r.core.servers["a"].id
-	r.list(elmseam.Gone, elmseam.Ready)
-	r.list(elmseam.Ready, elmseam.Ready)
-	if got := r.core.servers["a"].id; got != id {
+	h := newHarness(t)
+	h.core.limits.MaxRemovedServers = 2
+	id := h.core.servers["a"].id
+	h.list(elmseam.PhaseGone, elmseam.PhaseReady)
+	h.list(elmseam.PhaseReady, elmseam.PhaseReady)
+	if got := h.core.servers["a"].id; got != id {
 		t.Errorf("the id of the server is %d, was %d", got, id)
 	}
 	for i := range 10 {
 		name := fmt.Sprint(i)
-		r.step(ServerList{Servers: []Server{{Name: name, Address: "x:1", Phase: elmseam.Ready}}})
-		r.step(ServerList{Servers: []Server{{Name: name, Address: "x:1", Phase: elmseam.Gone}}})
+		h.step(ServerList{Servers: []Server{{Name: name, Address: "x:1", Phase: elmseam.PhaseReady}}})
+		h.step(ServerList{Servers: []Server{{Name: name, Address: "x:1", Phase: elmseam.PhaseGone}}})
 	}
-	if len(r.core.removed) != 2 || len(r.core.servers) != 2 || len(r.core.serversByID) != 2 || len(r.core.serverOrder) != 2 {
-		t.Errorf("%d removed servers remembered, and %d servers, %d ids and %d entries of serverOrder kept, want 2 of each", len(r.core.removed), len(r.core.servers), len(r.core.serversByID), len(r.core.serverOrder))
+	if len(h.core.removed) != 2 || len(h.core.servers) != 2 || len(h.core.serversByID) != 2 || len(h.core.serverOrder) != 2 {
+		t.Errorf("%d removed servers remembered, and %d servers, %d ids and %d entries of serverOrder kept, want 2 of each", len(h.core.removed), len(h.core.servers), len(h.core.serversByID), len(h.core.serverOrder))
 	}
 }
--- a/internal/core/drain.go
+++ b/internal/core/drain.go
@@ -29,8 +29,8 @@
 		return
 	}
 	busy := c.busyConns()
-	for _, k := range c.calls {
-		busy[k.From] = true
+	for _, call := range c.calls {
+		busy[call.From] = true
 	}
 	var idle []*callerConn
 	for _, conn := range c.callerOrder {
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -39,13 +39,13 @@
 	}
 	conn.transferred, conn.transferUnconfirmed = true, true
 	var open, established []ID
-	for _, k := range inArrivalOrder(c.calls) {
+	for _, call := range inArrivalOrder(c.calls) {
 		switch {
-		case k.From != id || k.callerGone:
-		case !k.answered:
-			open = append(open, k.ID)
-		case k.server != nil:
-			established = append(established, k.ID)
+		case call.From != id || call.callerGone:
+		case !call.answered:
+			open = append(open, call.ID)
+		case call.server != nil:
+			established = append(established, call.ID)
 		}
 	}
 	// The ids have to fit into one message. Open set-ups go first: their answers need this connection, whereas the release of an
@@ -75,14 +75,14 @@
 }
 
 // predecessorChanged handles news that a predecessor owns calls whose callers are connected here, or that the predecessor has
-// ended. The set-ups that it left unanswered may have run at a server and are rejected as Failed.
+// ended. The set-ups that it left unanswered may have run at a server and are rejected as ReasonFailed.
 func (c *Core) predecessorChanged(ev Predecessor) {
 	c.hasPredecessor, c.sharesCallerLimit = ev.Present, ev.Present && !ev.Transferring
 	if ev.Present {
 		return
 	}
 	for _, id := range slices.Sorted(maps.Keys(c.predecessorSetUps)) {
-		c.emit(Rejected{To: c.predecessorSetUps[id], ID: id, Reason: Failed})
+		c.emit(Rejected{To: c.predecessorSetUps[id], ID: id, Reason: ReasonFailed})
 		c.rememberEnded(id)
 	}
 	clear(c.predecessorSetUps)
@@ -125,8 +125,8 @@
 func (c *Core) RecentlyEnded(limit int) []ID {
 	latest := c.endedOrder[max(len(c.endedOrder)-limit, 0):]
 	ids := make([]ID, 0, len(latest))
-	for _, call := range latest {
-		ids = append(ids, call.id)
+	for _, endedCall := range latest {
+		ids = append(ids, endedCall.id)
 	}
 	return ids
 }
--- a/internal/core/knowledge.go
+++ b/internal/core/knowledge.go
@@ -35,7 +35,7 @@
 		return
 	}
 	c.knowledge, c.takeoverFactors = reducer, make(map[int]float64)
-	c.knowledgeEffects(effects)
+	c.applyKnowledgeEffects(effects)
 	for index, member := range c.membership.Members() {
 		c.stepKnowledge(knowledge.MemberAvailability{Member: index, Available: member.State.Available()})
 	}
@@ -44,12 +44,12 @@
 // stepKnowledge gives the knowledge reducer an event and carries out its effects.
 func (c *Core) stepKnowledge(ev knowledge.Event) {
 	if c.knowledge != nil {
-		c.knowledgeEffects(c.knowledge.Step(c.now, ev))
+		c.applyKnowledgeEffects(c.knowledge.Step(c.now, ev))
 	}
 }
 
-// knowledgeEffects carries out effects of the knowledge reducer.
-func (c *Core) knowledgeEffects(effects []knowledge.Effect) {
+// applyKnowledgeEffects carries out effects of the knowledge reducer.
+func (c *Core) applyKnowledgeEffects(effects []knowledge.Effect) {
 	for _, effect := range effects {
 		switch effect := effect.(type) {
 		case knowledge.Send:
@@ -72,8 +72,8 @@
 		return
 	}
 	view := c.knowledge.View(c.now, key)
-	c.controller.ApplyTierReport(c.now, s.id, elmseam.TierReport{HoldBackShare: view.HoldBackShare, HoldBackShareAt: view.HoldBackShareAt, Rate: view.FairRate, Failing: view.Observers > 1 && view.FailingShare > 0.5, RoundTrip: view.MinSetUpTime})
-	if report := &s.drainReport; view.DrainingSince > report.listedAt && report.expiry == 0 && s.Phase == elmseam.Ready {
+	c.controller.ApplyTierReport(c.now, s.id, elmseam.TierReport{HoldBackShare: view.HoldBackShare, HoldBackShareAt: view.HoldBackShareAt, Rate: view.FairRate, Failing: view.Observers > 1 && view.FailingShare > 0.5, MinSetUpTime: view.MinSetUpTime})
+	if report := &s.drainReport; view.DrainingSince > report.listedAt && report.expiry == 0 && s.Phase == elmseam.PhaseReady {
 		report.expiry = c.now + c.limits.ReportedDrainTTL
 		c.setTimer(report.expiry, Token{kind: tokenDrainReport, server: s.Name})
 		c.updatePhases([]*server{s}, false, false)
@@ -94,7 +94,7 @@
 func (c *Core) serversByKey() map[uint32]*server {
 	byKey := make(map[uint32]*server, len(c.serverOrder))
 	for _, s := range c.serverOrder {
-		if s.Phase == elmseam.Gone {
+		if s.Phase == elmseam.PhaseGone {
 			continue
 		}
 		key := uint32(xxh3.HashString(s.Name))
@@ -115,8 +115,8 @@
 			continue
 		}
 		observed, _ := c.controller.Observed(s.id, c.now)
-		observation := knowledge.Observation{HoldBackShare: observed.HoldBackShare, HoldBackShareAt: observed.HoldBackShareAt, Rate: observed.Rate, Lines: observed.TotalLines, FailureWeight: observed.FailureWeight, MinSetUpTime: observed.MinSetUpTime}
-		if s.Phase == elmseam.Draining {
+		observation := knowledge.Observation{HoldBackShare: observed.HoldBackShare, HoldBackShareAt: observed.HoldBackShareAt, Rate: observed.Rate, TotalLines: observed.TotalLines, FailureWeight: observed.FailureWeight, MinSetUpTime: observed.MinSetUpTime}
+		if s.Phase == elmseam.PhaseDraining {
 			observation.DrainingSince = s.drainReport.listedAt
 		}
 		observations[key] = observation
@@ -133,12 +133,12 @@
 	return c.knowledge.AppendPiggyback(c.now, data)
 }
 
-// knowledgeAvailability tells the knowledge reducer whether a member is available and adapts the controller's rates. The callers
+// updateKnowledgeAvailability tells the knowledge reducer whether a member is available and adapts the controller's rates. The callers
 // of a member that dies move to the other members, whose measured rates would follow only slowly: the rates are raised at once by
 // the takeover factor, and lowered by the same factor when the member is back. A suspected member already counts as unavailable:
 // callers leave a member that does not respond long before it is declared dead, and rates that are too high for a while cost
 // little.
-func (c *Core) knowledgeAvailability(member int, oldState, newState membership.State) {
+func (c *Core) updateKnowledgeAvailability(member int, oldState, newState membership.State) {
 	c.stepKnowledge(knowledge.MemberAvailability{Member: member, Available: newState.Available()})
 	if c.knowledge == nil {
 		return
--- a/internal/core/maintenance.go
+++ b/internal/core/maintenance.go
@@ -47,7 +47,7 @@
 		return
 	}
 	c.maintenance = reducer
-	c.maintenanceEffects(effects)
+	c.applyMaintenanceEffects(effects)
 	for index, member := range c.membership.Members() {
 		c.stepMaintenance(maintenance.MemberAvailability{Member: index, Available: member.State.Available()})
 	}
@@ -57,12 +57,12 @@
 // stepMaintenance gives the maintenance reducer an event and carries out its effects.
 func (c *Core) stepMaintenance(ev maintenance.Event) {
 	if c.maintenance != nil {
-		c.maintenanceEffects(c.maintenance.Step(c.now, ev))
+		c.applyMaintenanceEffects(c.maintenance.Step(c.now, ev))
 	}
 }
 
-// maintenanceEffects carries out effects of the maintenance reducer.
-func (c *Core) maintenanceEffects(effects []maintenance.Effect) {
+// applyMaintenanceEffects carries out effects of the maintenance reducer.
+func (c *Core) applyMaintenanceEffects(effects []maintenance.Effect) {
 	for _, effect := range effects {
 		switch effect := effect.(type) {
 		case maintenance.Send:
@@ -96,10 +96,10 @@
 	}
 }
 
-// maintenanceAvailability tells the maintenance reducer whether a member is available. A suspected member still counts as available
+// updateMaintenanceAvailability tells the maintenance reducer whether a member is available. A suspected member still counts as available
 // and keeps its place in the order.
-func (c *Core) maintenanceAvailability(member int, state membership.State) {
-	c.stepMaintenance(maintenance.MemberAvailability{Member: member, Available: state.Available() || state == membership.Suspect})
+func (c *Core) updateMaintenanceAvailability(member int, state membership.State) {
+	c.stepMaintenance(maintenance.MemberAvailability{Member: member, Available: state.Available() || state == membership.StateSuspect})
 }
 
 // MaintenanceStats is the state of the tier's maintenance, as shown to operators.
--- a/internal/core/membership.go
+++ b/internal/core/membership.go
@@ -11,7 +11,7 @@
 // The membership reducer of the tier runs inside the core. Its datagrams come through the inbox of the core like all other events,
 // so a softswitch whose core has stalled answers no membership probes and is suspected. The states of the other members change one
 // decision: the fraction of its own quota of a cold server's budget that this softswitch uses, which they can only lower
-// (membership.View.ColdQuotaFactor).
+// (membership.View.ColdQuotaFraction).
 
 type (
 	// StartMembership makes this softswitch a member of its tier. Without this event there is no membership.
@@ -60,8 +60,8 @@
 		return
 	}
 	c.membership, c.selfIndex = reducer, ev.Config.Self
-	c.membershipEffects(effects)
-	c.controller.SetColdQuotaFraction(c.membership.View().ColdQuotaFactor())
+	c.applyMembershipEffects(effects)
+	c.controller.SetColdQuotaFraction(c.membership.View().ColdQuotaFraction())
 	if c.draining || c.stopping {
 		c.stepMembership(membership.Drain{On: true})
 	}
@@ -98,12 +98,12 @@
 // stepMembership gives the membership reducer an event and carries out its effects.
 func (c *Core) stepMembership(ev membership.Event) {
 	if c.membership != nil {
-		c.membershipEffects(c.membership.Step(c.now, ev))
+		c.applyMembershipEffects(c.membership.Step(c.now, ev))
 	}
 }
 
-// membershipEffects carries out effects of the membership reducer.
-func (c *Core) membershipEffects(effects []membership.Effect) {
+// applyMembershipEffects carries out effects of the membership reducer.
+func (c *Core) applyMembershipEffects(effects []membership.Effect) {
 	changed := false
 	for _, effect := range effects {
 		switch effect := effect.(type) {
@@ -115,14 +115,14 @@
 			changed = true
 			if effect.Member != c.selfIndex {
 				c.emit(MemberChanged{effect})
-				c.maintenanceAvailability(effect.Member, effect.New)
-				c.budgetAvailability(effect.Member, effect.New)
-				c.knowledgeAvailability(effect.Member, effect.Old, effect.New)
+				c.updateMaintenanceAvailability(effect.Member, effect.New)
+				c.updateBudgetAvailability(effect.Member, effect.New)
+				c.updateKnowledgeAvailability(effect.Member, effect.Old, effect.New)
 			}
 		}
 	}
 	if changed {
-		c.controller.SetColdQuotaFraction(c.membership.View().ColdQuotaFactor())
+		c.controller.SetColdQuotaFraction(c.membership.View().ColdQuotaFraction())
 	}
 }
 
@@ -134,6 +134,6 @@
 	view := c.membership.View()
 	return &MemberStats{
 		Counters: c.membership.Counters(), View: view, Self: c.selfIndex, Members: c.membership.Members(),
-		Health: c.membership.Health(), ColdQuotaFraction: view.ColdQuotaFactor(),
+		Health: c.membership.Health(), ColdQuotaFraction: view.ColdQuotaFraction(),
 	}
 }
--- a/internal/core/probe.go
+++ b/internal/core/probe.go
@@ -53,9 +53,9 @@
 	}
 	// The time of the first set-up or probe after which nothing came on the connection, or of an older set-up that is outstanding on it.
 	unansweredSince := conn.unansweredSince
-	for _, k := range s.outstanding {
-		if k.attempt.conn == conn && (unansweredSince == 0 || k.attempt.startedAt < unansweredSince) {
-			unansweredSince = k.attempt.startedAt
+	for _, call := range s.outstanding {
+		if call.attempt.conn == conn && (unansweredSince == 0 || call.attempt.startedAt < unansweredSince) {
+			unansweredSince = call.attempt.startedAt
 		}
 	}
 	switch {
@@ -65,14 +65,14 @@
 	case unansweredSince != 0, len(s.established) == 0:
 		return
 	}
-	verdict, id, deadline := probe.Forbidden, probe.ID(0), Time(0)
-	if s.effectivePhase == elmseam.Ready {
+	verdict, id, deadline := probe.VerdictForbidden, probe.ID(0), Time(0)
+	if s.effectivePhase == elmseam.PhaseReady {
 		verdict, id, deadline = c.prober.Request(c.now, uint64(conn.id))
 	}
 	switch verdict {
-	case probe.Forbidden:
+	case probe.VerdictForbidden:
 		c.replaceConn(s, conn)
-	case probe.Send:
+	case probe.VerdictSend:
 		conn.unansweredSince = c.now // as after a set-up: new set-ups avoid the connection after UnresponsiveAfter without input
 		c.emit(Probe{To: conn.id, ID: id})
 		c.setTimer(deadline, Token{kind: tokenProbeTimeout, server: s.Name, probe: id, conn: conn.id})
@@ -103,7 +103,7 @@
 // replaceConn closes a connection that counts as dead, which ends its outstanding attempts, and dials another.
 func (c *Core) replaceConn(s *server, conn *serverConn) {
 	c.prober.ConnClosed(uint64(conn.id))
-	if slices.ContainsFunc(inArrivalOrder(s.outstanding), func(k *call) bool { return k.attempt.conn == conn }) {
+	if slices.ContainsFunc(inArrivalOrder(s.outstanding), func(call *call) bool { return call.attempt.conn == conn }) {
 		conn.malformed = true
 		c.emit(CloseConn{To: conn.id}) // the ServerDown that follows ends the outstanding attempts
 	} else {
--- a/internal/core/random_test.go
+++ b/internal/core/random_test.go
@@ -19,9 +19,9 @@
 
 // rulesUnderRandomEvents plays random events with the settings and checks the effects.
 func rulesUnderRandomEvents(t *testing.T, settings elmseam.Settings) {
-	rnd := rand.New(rand.NewPCG(7, 7))
-	r := newRigWith(t, settings)
-	r.core.limits.MaxCallBytes = 1 << 20
+	rng := rand.New(rand.NewPCG(7, 7))
+	h := newHarnessWith(t, settings)
+	h.core.limits.MaxCallBytes = 1 << 20
 	type model struct {
 		server       string // server with an outstanding attempt; empty: none
 		ending       bool   // the End of the attempt is not written yet
@@ -36,7 +36,7 @@
 	ids := []ID{}
 	connServer := map[ConnID]string{10: "a", 11: "b"}
 	serverConnID := map[string]ConnID{"a": 10, "b": 11}
-	phases := map[string]elmseam.Phase{"a": elmseam.Ready, "b": elmseam.Ready}
+	phases := map[string]elmseam.Phase{"a": elmseam.PhaseReady, "b": elmseam.PhaseReady}
 	var pendingDials []string
 	type serverCall struct {
 		server string
@@ -52,15 +52,15 @@
 		delete(serverConnID, name)
 		for _, m := range calls {
 			if m.server == name {
-				m.server, m.ending, m.badEndAt = "", false, r.now
+				m.server, m.ending, m.badEndAt = "", false, h.now
 			}
 		}
 	}
 	step := func(ev Event) {
-		for _, e := range r.core.Step(r.now, ev) {
+		for _, e := range h.core.Step(h.now, ev) {
 			switch e := e.(type) {
 			case Timer:
-				r.timers = append(r.timers, e)
+				h.timers = append(h.timers, e)
 			case Dial:
 				pendingDials = append(pendingDials, e.Server)
 			case CloseConn:
@@ -74,9 +74,9 @@
 					failCall(e.ID, "offered on a connection that has ended")
 				case m.server != "":
 					failCall(e.ID, "second attempt while one is outstanding")
-				case phases[name] != elmseam.Ready:
+				case phases[name] != elmseam.PhaseReady:
 					failCall(e.ID, "sent to a server that drains or is gone")
-				case m.badEndAt != 0 && r.now < m.badEndAt+r.core.releaseGuard:
+				case m.badEndAt != 0 && h.now < m.badEndAt+h.core.releaseGuard:
 					failCall(e.ID, "sent within the release guard")
 				case m.finalAnswers > 0 || m.callerGone:
 					failCall(e.ID, "sent after its final answer or give-up")
@@ -87,11 +87,11 @@
 				m.attempts++
 			case Probe:
 				name := connServer[e.To]
-				if !r.core.limits.Probe.Permitted || name == "" || phases[name] != elmseam.Ready {
+				if !h.core.limits.Probe.Permitted || name == "" || phases[name] != elmseam.PhaseReady {
 					t.Fatalf("a probe on connection %d, which goes to %q", e.To, name)
 				}
-				if rnd.IntN(2) == 0 {
-					probeAnswers = append(probeAnswers, ServerProbeAnswer{Server: name, Conn: e.To, ID: e.ID, Report: Report{{elmseam.LoadMetricWait, rnd.Float64() * 900}}})
+				if rng.IntN(2) == 0 {
+					probeAnswers = append(probeAnswers, ServerProbeAnswer{Server: name, Conn: e.To, ID: e.ID, Report: Report{{elmseam.LoadMetricWait, rng.Float64() * 900}}})
 				}
 			case GracefulClose:
 				if name, known := connServer[e.To]; known { // replaced, as no attempt is outstanding on it
@@ -135,25 +135,25 @@
 	}
 	establishedCount := 0
 	for range 60000 {
-		r.now += time.Duration(rnd.IntN(8)) * ms
-		for i := 0; i < len(r.timers); {
-			if timer := r.timers[i]; timer.At <= r.now {
-				r.timers = append(r.timers[:i], r.timers[i+1:]...)
+		h.now += time.Duration(rng.IntN(8)) * ms
+		for i := 0; i < len(h.timers); {
+			if timer := h.timers[i]; timer.At <= h.now {
+				h.timers = append(h.timers[:i], h.timers[i+1:]...)
 				step(TimerFired{Token: timer.Token})
 				i = 0
 			} else {
 				i++
 			}
 		}
-		name := []string{"a", "b"}[rnd.IntN(2)]
+		name := []string{"a", "b"}[rng.IntN(2)]
 		var id ID
 		if len(ids) > 0 {
-			id = ids[max(0, len(ids)-1-rnd.IntN(30))]
+			id = ids[max(0, len(ids)-1-rng.IntN(30))]
 		}
 		m := calls[id]
-		switch rnd.IntN(26) {
+		switch rng.IntN(26) {
 		case 24:
-			step(ServerSilent{Server: name, Conn: serverConnID[name], SilentFor: time.Duration(rnd.IntN(2000)) * ms})
+			step(ServerSilent{Server: name, Conn: serverConnID[name], SilentFor: time.Duration(rng.IntN(2000)) * ms})
 		case 25: // the answer to a probe; the last answer comes twice
 			if n := len(probeAnswers); n > 0 {
 				step(probeAnswers[0])
@@ -163,7 +163,7 @@
 			lastID++
 			calls[lastID] = &model{}
 			ids = append(ids, lastID)
-			step(SetUp{ID: lastID, From: callerConnID, Class: rnd.IntN(len(settings.Classes)), Tenant: []string{"", "x", "y", "z"}[rnd.IntN(4)], Cell: rnd.IntN(2), TimeLeft: time.Duration(50+rnd.IntN(4000)) * ms, At: r.now})
+			step(SetUp{ID: lastID, From: callerConnID, Class: rng.IntN(len(settings.Classes)), Tenant: []string{"", "x", "y", "z"}[rng.IntN(4)], Cell: rng.IntN(2), TimeLeft: time.Duration(50+rng.IntN(4000)) * ms, At: h.now})
 		case 5, 6, 7, 8, 9, 10, 11, 12: // a server answers an attempt
 			if m != nil && m.server != "" {
 				server := m.server
@@ -177,11 +177,11 @@
 			if m != nil && m.server != "" && !m.ending {
 				server := m.server
 				m.server = ""
-				step(ServerEnd{Server: server, Conn: serverConnID[server], ID: id, Reason: []Reason{Full, Busy, Unsent}[rnd.IntN(3)]})
+				step(ServerEnd{Server: server, Conn: serverConnID[server], ID: id, Reason: []Reason{ReasonFull, ReasonBusy, ReasonUnsent}[rng.IntN(3)]})
 			}
 		case 14, 15:
 			if m != nil && m.established != "" && !m.released && serverConnID[m.established] != 0 {
-				step(ServerEnd{Server: m.established, Conn: serverConnID[m.established], ID: id, Reason: Normal})
+				step(ServerEnd{Server: m.established, Conn: serverConnID[m.established], ID: id, Reason: ReasonNormal})
 			}
 		case 16:
 			if m != nil && !m.callerGone && !m.released {
@@ -189,7 +189,7 @@
 				step(CallerEnd{ID: id, From: callerConnID})
 			}
 		case 17:
-			if connID := serverConnID[name]; connID != 0 && rnd.IntN(20) == 0 {
+			if connID := serverConnID[name]; connID != 0 && rng.IntN(20) == 0 {
 				loseConn(name)
 				step(ServerDown{Server: name, Conn: connID})
 			}
@@ -197,7 +197,7 @@
 			if len(pendingDials) > 0 {
 				server := pendingDials[0]
 				pendingDials = pendingDials[1:]
-				if rnd.IntN(10) == 0 {
+				if rng.IntN(10) == 0 {
 					step(ServerDown{Server: server})
 				} else {
 					lastConn++
@@ -206,8 +206,8 @@
 				}
 			}
 		case 20:
-			if rnd.IntN(4) == 0 {
-				phases[name] = []elmseam.Phase{elmseam.Ready, elmseam.Ready, elmseam.Ready, elmseam.Ready, elmseam.Draining, elmseam.Gone}[rnd.IntN(6)]
+			if rng.IntN(4) == 0 {
+				phases[name] = []elmseam.Phase{elmseam.PhaseReady, elmseam.PhaseReady, elmseam.PhaseReady, elmseam.PhaseReady, elmseam.PhaseDraining, elmseam.PhaseGone}[rng.IntN(6)]
 				step(ServerList{Servers: []Server{{Name: name, Address: name + ":1", Cell: int(name[0] - 'a'), Phase: phases[name]}}})
 			}
 		case 21, 22: // an End is written late
@@ -215,12 +215,12 @@
 				end := unwrittenEnds[0]
 				unwrittenEnds = unwrittenEnds[1:]
 				if m := calls[end.id]; m.server == end.server && m.ending {
-					m.server, m.ending, m.badEndAt = "", false, r.now
+					m.server, m.ending, m.badEndAt = "", false, h.now
 				}
 				step(EndWritten{Server: end.server, ID: end.id})
 			}
 		case 23:
-			if rnd.IntN(20) == 0 {
+			if rng.IntN(20) == 0 {
 				old := callerConnID
 				lastConn++
 				callerConnID = lastConn
@@ -230,11 +230,11 @@
 		}
 	}
 	for range 100 { // all final answers that are pending are given
-		r.now += time.Second
-		for _, timer := range r.timers {
+		h.now += time.Second
+		for _, timer := range h.timers {
 			step(TimerFired{Token: timer.Token})
 		}
-		r.timers = nil
+		h.timers = nil
 	}
 	for id, m := range calls {
 		if m.finalAnswers == 0 && !m.callerGone && m.established == "" {
--- a/internal/core/servermsgs.go
+++ b/internal/core/servermsgs.go
@@ -50,36 +50,36 @@
 		return
 	}
 	s.markReceived(ev.Conn)
-	k := s.outstanding[ev.ID]
+	call := s.outstanding[ev.ID]
 	switch {
-	case k == nil && s.established[ev.ID] != nil:
+	case call == nil && s.established[ev.ID] != nil:
 		return // repeated answer
-	case k != nil && k.concernsEarlierAttempt(ev.Conn) && c.guardEnabled(GuardSingleAnswer):
+	case call != nil && call.concernsEarlierAttempt(ev.Conn) && c.guardEnabled(GuardSingleAnswer):
 		return // answer to an earlier attempt, whose End is being written
-	case k == nil:
+	case call == nil:
 		c.sendEnd(s, ev.ID)
 		return
-	case k.attempt.phase != attemptSent && c.guardEnabled(GuardSingleAnswer):
+	case call.attempt.phase != attemptSent && c.guardEnabled(GuardSingleAnswer):
 		return // the attempt's End is being written
-	case (k.orphaned || k.callerGone || k.answered) && c.guardEnabled(GuardSingleAnswer) || c.now > k.deadline+c.limits.AnswerMargin:
-		c.giveUpAttempt(k, elmseam.CauseCancelled)
+	case (call.orphaned || call.callerGone || call.answered) && c.guardEnabled(GuardSingleAnswer) || c.now > call.deadline+c.limits.AnswerMargin:
+		c.giveUpAttempt(call, elmseam.CauseCancelled)
 		return
 	}
-	setUpTime := c.now - k.attempt.startedAt
-	k.attempt = nil
-	delete(s.outstanding, k.ID)
-	k.server, k.answerDesc, k.answered = s, ev.Desc, true
-	c.callBytes += len(ev.Desc) - len(k.SetUp.Desc)
-	k.size += len(ev.Desc) - len(k.SetUp.Desc)
-	k.SetUp.Desc = nil
-	s.established[k.ID] = k
+	setUpTime := c.now - call.attempt.startedAt
+	call.attempt = nil
+	delete(s.outstanding, call.ID)
+	call.server, call.answerDesc, call.answered = s, ev.Desc, true
+	c.callBytes += len(ev.Desc) - len(call.SetUp.Desc)
+	call.size += len(ev.Desc) - len(call.SetUp.Desc)
+	call.SetUp.Desc = nil
+	s.established[call.ID] = call
 	c.openSetUps--
-	if conn := c.callers[k.From]; conn != nil {
+	if conn := c.callers[call.From]; conn != nil {
 		conn.hadEstablished, conn.lastActive = true, c.now
 	}
-	c.emit(Answered{To: k.From, ID: k.ID, Desc: ev.Desc})
-	c.countAnswer(k.Class, true, Normal)
-	c.notifyController(elmseam.Established{Call: k.controllerID, Server: s.id, SetUpTime: setUpTime})
+	c.emit(Answered{To: call.From, ID: call.ID, Desc: ev.Desc})
+	c.countAnswer(call.Class, true, ReasonNormal)
+	c.notifyController(elmseam.Established{Call: call.controllerID, Server: s.id, SetUpTime: setUpTime})
 	c.reportHealth(s, ev.Report)
 	c.closeMalformedConns(s)
 	c.pruneCallers()
@@ -93,36 +93,36 @@
 	}
 	s.markReceived(ev.Conn)
 	outcome := elmseam.Outcome{Refusal: ev.Refusal, Report: c.orderReport(ev.Report)}
-	if k := s.established[ev.ID]; k != nil {
+	if call := s.established[ev.ID]; call != nil {
 		if ev.RefusalOnly { // a second answer to the set-up
 			c.reportHealth(s, ev.Report)
 			return
 		}
-		if outcome.Cause = elmseam.CauseReset; ev.Reason == Normal {
+		if outcome.Cause = elmseam.CauseReset; ev.Reason == ReasonNormal {
 			outcome.Cause = elmseam.CauseEnded
 		}
-		c.endEstablished(k, ev.Reason, outcome)
+		c.endEstablished(call, ev.Reason, outcome)
 		return
 	}
-	k := s.outstanding[ev.ID]
-	if k == nil || k.attempt.phase != attemptSent || k.concernsEarlierAttempt(ev.Conn) {
+	call := s.outstanding[ev.ID]
+	if call == nil || call.attempt.phase != attemptSent || call.concernsEarlierAttempt(ev.Conn) {
 		c.reportHealth(s, ev.Report)
-		if k == nil {
+		if call == nil {
 			c.releaseUnknown(ev)
 		}
 		return
 	}
 	switch ev.Reason {
-	case Full, Congested:
+	case ReasonFull, ReasonCongested:
 		outcome.Cause = elmseam.CauseFull
-	case Busy, Failed, Unsupported:
+	case ReasonBusy, ReasonFailed, ReasonUnsupported:
 		outcome.Cause = elmseam.CauseBusy
-	case Unsent:
+	case ReasonUnsent:
 		outcome.Cause = elmseam.CauseNotSent
 	default:
 		outcome.Cause = elmseam.CauseReset
 	}
-	c.endAttempt(k, outcome)
+	c.endAttempt(call, outcome)
 }
 
 // serverMalformed gives up the attempt that an undecodable message was for, as the set-up may have run. No new offer goes out on
@@ -135,8 +135,8 @@
 	for _, conn := range s.conns {
 		conn.malformed = conn.malformed || conn.id == ev.Conn
 	}
-	if k := c.outstandingCall(ev.Server, ev.Conn, ev.ID); k != nil && k.attempt.phase == attemptSent {
-		c.giveUpAttempt(k, elmseam.CauseReset)
+	if call := c.outstandingCall(ev.Server, ev.Conn, ev.ID); call != nil && call.attempt.phase == attemptSent {
+		c.giveUpAttempt(call, elmseam.CauseReset)
 	}
 	c.closeMalformedConns(s)
 	if c.wantedConns(s) > 0 { // on a new connection the server can also repeat lost releases of established calls
@@ -147,7 +147,7 @@
 // releaseUnknown passes on the release of a call that was established before this process started, or that this process never
 // saw. The release can't be a second answer, as the ids of calls that ended here are remembered.
 func (c *Core) releaseUnknown(ev ServerEnd) {
-	if _, known := c.ended[ev.ID]; known && c.guardEnabled(GuardSingleRelease) || c.calls[ev.ID] != nil || ev.Reason == Full || ev.Reason == Busy || ev.Reason == Unsent {
+	if _, known := c.ended[ev.ID]; known && c.guardEnabled(GuardSingleRelease) || c.calls[ev.ID] != nil || ev.Reason == ReasonFull || ev.Reason == ReasonBusy || ev.Reason == ReasonUnsent {
 		return
 	}
 	if c.hasPredecessor { // the predecessor knows whether the call has ended
--- a/internal/core/servers.go
+++ b/internal/core/servers.go
@@ -31,7 +31,7 @@
 	if ev.Full {
 		for _, s := range c.serverOrder {
 			if s.source == ev.Source && !listed[s.Name] {
-				s.Phase = elmseam.Gone
+				s.Phase = elmseam.PhaseGone
 			}
 		}
 	}
@@ -48,10 +48,10 @@
 	for _, s := range changed {
 		s.effectivePhase = s.Phase
 		switch {
-		case s.effectivePhase == elmseam.Ready && c.routeWithdrawn(s):
-			s.effectivePhase = elmseam.Gone
-		case s.effectivePhase == elmseam.Ready && (s.paused || s.drainReport.expiry > 0):
-			s.effectivePhase = elmseam.Draining
+		case s.effectivePhase == elmseam.PhaseReady && c.routeWithdrawn(s):
+			s.effectivePhase = elmseam.PhaseGone
+		case s.effectivePhase == elmseam.PhaseReady && (s.paused || s.drainReport.expiry > 0):
+			s.effectivePhase = elmseam.PhaseDraining
 		}
 		entries = append(entries, elmseam.ListEntry{Server: s.id, Cell: s.Cell, Phase: s.effectivePhase, Started: s.Started})
 	}
@@ -62,19 +62,19 @@
 	}
 	c.reportColdServers()
 	for _, s := range changed {
-		if s.effectivePhase == elmseam.Ready {
+		if s.effectivePhase == elmseam.PhaseReady {
 			c.dialAhead(s)
 			continue
 		}
 		for _, conn := range s.conns {
 			c.emit(Withdraw{To: conn.id})
 		}
-		for _, k := range inArrivalOrder(s.outstanding) {
-			if k.attempt.phase == attemptWaiting {
-				c.endAttempt(k, elmseam.Outcome{Cause: elmseam.CauseNotSent})
+		for _, call := range inArrivalOrder(s.outstanding) {
+			if call.attempt.phase == attemptWaiting {
+				c.endAttempt(call, elmseam.Outcome{Cause: elmseam.CauseNotSent})
 			}
 		}
-		if s.Phase == elmseam.Gone { // closing the connections ends the outstanding attempts
+		if s.Phase == elmseam.PhaseGone { // closing the connections ends the outstanding attempts
 			c.resetEstablished(s)
 			c.closeServerConns(s)
 			c.removeIfUnused(s)
@@ -84,7 +84,7 @@
 
 // removeIfUnused forgets a server that is gone and has neither calls nor attempts, and closes its connections.
 func (c *Core) removeIfUnused(s *server) {
-	if s.Phase != elmseam.Gone || len(s.established)+len(s.outstanding) > 0 || c.servers[s.Name] != s {
+	if s.Phase != elmseam.PhaseGone || len(s.established)+len(s.outstanding) > 0 || c.servers[s.Name] != s {
 		return
 	}
 	c.closeServerConns(s)
@@ -145,13 +145,13 @@
 // outstanding attempts at the server, and it is noticed, as the other connections still bring answers.
 func (c *Core) wantedConns(s *server) int {
 	switch {
-	case s.Phase == elmseam.Ready && !c.routeWithdrawn(s):
+	case s.Phase == elmseam.PhaseReady && !c.routeWithdrawn(s):
 		wanted := max(c.limits.ConnsPerServer[s.Protocol], 1)
 		if c.limits.MaxServerConns > 0 { // file descriptors are scarce: each server gets an equal share of them, but at least one
 			wanted = min(wanted, max(c.limits.MaxServerConns/len(c.serverOrder), 1))
 		}
 		return wanted
-	case len(s.established) > 0, len(s.pendingReleases) > 0 && s.Phase != elmseam.Gone:
+	case len(s.established) > 0, len(s.pendingReleases) > 0 && s.Phase != elmseam.PhaseGone:
 		return 1
 	}
 	return 0
@@ -173,8 +173,8 @@
 		return
 	}
 	used := make(map[*serverConn]bool)
-	for _, k := range s.outstanding {
-		used[k.attempt.conn] = true
+	for _, call := range s.outstanding {
+		used[call.attempt.conn] = true
 	}
 	s.conns = slices.DeleteFunc(s.conns, func(conn *serverConn) bool {
 		if conn.malformed && !used[conn] {
@@ -228,8 +228,8 @@
 			continue
 		}
 		used := make(map[*serverConn]bool)
-		for _, k := range s.outstanding {
-			used[k.attempt.conn] = true
+		for _, call := range s.outstanding {
+			used[call.attempt.conn] = true
 		}
 		for _, conn := range s.conns {
 			if !used[conn] && (victim == nil || conn.lastSetUp < victim.lastSetUp) {
@@ -284,7 +284,7 @@
 		c.sendEnd(s, id)
 		return
 	}
-	if s.Phase == elmseam.Gone {
+	if s.Phase == elmseam.PhaseGone {
 		return
 	}
 	s.pendingReleases = append(s.pendingReleases, id)
@@ -330,9 +330,9 @@
 		c.sendEnd(s, id)
 	}
 	s.pendingReleases = nil
-	for _, k := range inArrivalOrder(s.outstanding) {
-		if k.attempt.phase == attemptWaiting && c.now >= k.resendAfter {
-			c.retryAttempt(k)
+	for _, call := range inArrivalOrder(s.outstanding) {
+		if call.attempt.phase == attemptWaiting && c.now >= call.resendAfter {
+			c.retryAttempt(call)
 		}
 	}
 	c.dialAhead(s)
@@ -372,7 +372,7 @@
 	if !s.dialing && !s.redialPending && s.usableConns() < c.wantedConns(s) {
 		at := c.now
 		if cause == elmseam.CauseUnreachable {
-			s.backoff = min(max(2*s.backoff, c.limits.MinRedial), c.limits.MaxRedial)
+			s.backoff = min(max(2*s.backoff, c.limits.MinRedialDelay), c.limits.MaxRedialDelay)
 			at += s.backoff
 		}
 		s.redialPending = true
@@ -384,12 +384,12 @@
 // failAttempts ends the attempts at a server that are outstanding on a connection that has ended. If the server has no connection
 // left, the attempts that wait for a connection end too.
 func (c *Core) failAttempts(s *server, endedConn *serverConn, cause elmseam.Cause) {
-	for _, k := range inArrivalOrder(s.outstanding) {
-		if k.attempt == nil || k.attempt.server != s {
+	for _, call := range inArrivalOrder(s.outstanding) {
+		if call.attempt == nil || call.attempt.server != s {
 			continue
 		}
 		outcome := elmseam.Outcome{Cause: cause}
-		switch a := k.attempt; {
+		switch a := call.attempt; {
 		case a.phase == attemptWaiting && len(s.conns) > 0, a.phase != attemptWaiting && a.conn != endedConn:
 			continue
 		case a.phase == attemptEnding:
@@ -397,14 +397,14 @@
 		case a.phase == attemptWaiting && cause == elmseam.CauseReset:
 			outcome.Cause = elmseam.CauseNotSent
 		}
-		c.endAttempt(k, outcome)
+		c.endAttempt(call, outcome)
 	}
 }
 
 // resetEstablished ends the calls established on a server whose process is gone, as reset.
 func (c *Core) resetEstablished(s *server) {
-	for _, k := range inArrivalOrder(s.established) {
-		c.endEstablished(k, Reset, elmseam.Outcome{Cause: elmseam.CauseReset})
+	for _, call := range inArrivalOrder(s.established) {
+		c.endEstablished(call, ReasonReset, elmseam.Outcome{Cause: elmseam.CauseReset})
 	}
 }
 
--- a/internal/core/servers_test.go
+++ b/internal/core/servers_test.go
@@ -13,110 +13,110 @@
 // connection, an attempt that has just begun is left alone, the connection to a server with established calls is replaced, and an
 // unused connection is kept. Guards against a reader that closes the connection by its own clock, with all its outstanding attempts.
 func TestSilentConnectionIsReplacedOnlyIfInUse(t *testing.T) {
-	r := newRig(t)
-	r.recordDials = true
+	h := newHarness(t)
+	h.recordDials = true
 	silent := ServerSilent{Server: "a", Conn: 10, SilentFor: time.Second}
-	r.want(r.step(silent), "")
-	r.want(r.setUp(1, 5*time.Second), "offer1@10 ")
-	r.advance(400 * ms)
-	r.want(r.step(silent), "")
-	r.want(r.step(ServerSilent{Server: "a", Conn: 99, SilentFor: time.Second}), "")
-	r.advance(200 * ms)
-	r.want(r.step(silent), "closeconn@10 dial-a ")
-	r.want(r.step(ServerDown{Server: "a", Conn: 10}), "")
-	r.want(r.advance(201*ms), "offer1@11 ") // after the release guard
-	r.step(ServerAnswer{Server: "b", Conn: 11, ID: 1})
-	r.want(r.step(ServerSilent{Server: "b", Conn: 11, SilentFor: time.Second}), "close@11 dial-b ")
-	r.want(r.step(ServerSilent{Server: "b", Conn: 11, SilentFor: time.Second}), "")
-	r.step(ServerUp{Server: "b", Address: "b:1", Conn: 12})
-	r.want(r.step(ServerEnd{Server: "b", Conn: 12, ID: 1, Reason: Normal}), "released1@1 ")
-	r.want(r.step(ServerSilent{Server: "b", Conn: 12, SilentFor: time.Second}), "")
+	h.want(h.step(silent), "")
+	h.want(h.setUp(1, 5*time.Second), "offer1@10 ")
+	h.advance(400 * ms)
+	h.want(h.step(silent), "")
+	h.want(h.step(ServerSilent{Server: "a", Conn: 99, SilentFor: time.Second}), "")
+	h.advance(200 * ms)
+	h.want(h.step(silent), "closeconn@10 dial-a ")
+	h.want(h.step(ServerDown{Server: "a", Conn: 10}), "")
+	h.want(h.advance(201*ms), "offer1@11 ") // after the release guard
+	h.step(ServerAnswer{Server: "b", Conn: 11, ID: 1})
+	h.want(h.step(ServerSilent{Server: "b", Conn: 11, SilentFor: time.Second}), "close@11 dial-b ")
+	h.want(h.step(ServerSilent{Server: "b", Conn: 11, SilentFor: time.Second}), "")
+	h.step(ServerUp{Server: "b", Address: "b:1", Conn: 12})
+	h.want(h.step(ServerEnd{Server: "b", Conn: 12, ID: 1, Reason: ReasonNormal}), "released1@1 ")
+	h.want(h.step(ServerSilent{Server: "b", Conn: 12, SilentFor: time.Second}), "")
 
 	// A set-up that the controller has given up counts as unanswered too. Otherwise each further set-up on a dead connection was
 	// lost too, and a tenth of all calls was refused (0.82 to 0.92 instead of 0.996 of the calls in rate+silent+leave).
-	r.want(r.step(SetUp{ID: 2, From: 1, Cell: 1, TimeLeft: 5 * time.Second, At: r.now}), "offer2@12 ")
-	r.core.effects = nil
-	r.core.giveUpAttempt(r.core.calls[2], elmseam.CauseCancelled)
-	r.want(r.step(EndWritten{Server: "b", Conn: 12, ID: 2}), "")
-	r.want(r.advance(400*ms)+r.step(ServerSilent{Server: "b", Conn: 12, SilentFor: time.Second}), "")
-	r.want(r.advance(100*ms)+r.step(ServerSilent{Server: "b", Conn: 12, SilentFor: time.Second}), "close@12 dial-b ")
+	h.want(h.step(SetUp{ID: 2, From: 1, Cell: 1, TimeLeft: 5 * time.Second, At: h.now}), "offer2@12 ")
+	h.core.effects = nil
+	h.core.giveUpAttempt(h.core.calls[2], elmseam.CauseCancelled)
+	h.want(h.step(EndWritten{Server: "b", Conn: 12, ID: 2}), "")
+	h.want(h.advance(400*ms)+h.step(ServerSilent{Server: "b", Conn: 12, SilentFor: time.Second}), "")
+	h.want(h.advance(100*ms)+h.step(ServerSilent{Server: "b", Conn: 12, SilentFor: time.Second}), "close@12 dial-b ")
 }
 
 // Where the settings permit probes, a silent connection is probed before it is replaced, with one probe at a time and at a limited
 // rate. It is not probed while an attempt is outstanding, which shows as much as a probe, nor if the server drains or is gone. An answer
 // counts once. Without an answer in time the connection is replaced, and attempts that began on it meanwhile end.
 func TestProbesOfSilentConnections(t *testing.T) {
-	r := newRig(t)
-	r.recordDials = true
-	limits := r.core.limits
+	h := newHarness(t)
+	h.recordDials = true
+	limits := h.core.limits
 	limits.Probe = probe.Limits{Permitted: true, Rate: 1, Burst: 2, Timeout: time.Second}
-	r.step(Configured{Settings: elmseam.Settings{Classes: []elmseam.Class{{Deadline: 9 * time.Second}}, MaxAttempts: 4, OwnCell: -1}, Limits: limits})
-	r.core.prober = probe.New(limits.Probe)
+	h.step(Configured{Settings: elmseam.Settings{Classes: []elmseam.Class{{Deadline: 9 * time.Second}}, MaxAttempts: 4, OwnCell: -1}, Limits: limits})
+	h.core.prober = probe.New(limits.Probe)
 	reportSilence := func(server string, conn ConnID) string {
-		return r.step(ServerSilent{Server: server, Conn: conn, SilentFor: 200 * ms})
+		return h.step(ServerSilent{Server: server, Conn: conn, SilentFor: 200 * ms})
 	}
 	answer := func(server string, conn ConnID, id probe.ID) string {
-		return r.step(ServerProbeAnswer{Server: server, Conn: conn, ID: id, Report: Report{{elmseam.LoadMetricWait, 5}}})
+		return h.step(ServerProbeAnswer{Server: server, Conn: conn, ID: id, Report: Report{{elmseam.LoadMetricWait, 5}}})
 	}
 	wantCounters := func(want string) {
 		t.Helper()
-		if got := fmt.Sprint(*r.core.Stats(r.now).Probes); got != want {
+		if got := fmt.Sprint(*h.core.Stats(h.now).Probes); got != want {
 			t.Errorf("probe counters %s, want %s", got, want)
 		}
 	}
-	r.want(reportSilence("a", 10), "") // nothing is pending
-	r.setUp(1, 9*time.Second)
-	r.want(reportSilence("a", 10), "") // an outstanding attempt makes the probe superfluous
-	r.step(ServerAnswer{Server: "a", Conn: 10, ID: 1})
-	r.want(reportSilence("a", 10)+reportSilence("a", 10), "probe1@10 ") // one at a time
-	r.want(answer("b", 11, 1)+answer("a", 10, 1)+answer("a", 10, 1)+r.advance(time.Second), "")
+	h.want(reportSilence("a", 10), "") // nothing is pending
+	h.setUp(1, 9*time.Second)
+	h.want(reportSilence("a", 10), "") // an outstanding attempt makes the probe superfluous
+	h.step(ServerAnswer{Server: "a", Conn: 10, ID: 1})
+	h.want(reportSilence("a", 10)+reportSilence("a", 10), "probe1@10 ") // one at a time
+	h.want(answer("b", 11, 1)+answer("a", 10, 1)+answer("a", 10, 1)+h.advance(time.Second), "")
 	wantCounters("{1 1 0 0 2}")
-	r.want(reportSilence("a", 10), "probe2@10 ")
-	r.want(r.advance(500*ms)+r.setUp(2, 9*time.Second), "offer2@10 ")
-	r.want(r.advance(500*ms), "closeconn@10 dial-a ") // the probe has failed
-	r.want(r.step(ServerDown{Server: "a", Conn: 10})+r.advance(201*ms), "offer2@11 ")
-	r.want(answer("a", 10, 2), "")
+	h.want(reportSilence("a", 10), "probe2@10 ")
+	h.want(h.advance(500*ms)+h.setUp(2, 9*time.Second), "offer2@10 ")
+	h.want(h.advance(500*ms), "closeconn@10 dial-a ") // the probe has failed
+	h.want(h.step(ServerDown{Server: "a", Conn: 10})+h.advance(201*ms), "offer2@11 ")
+	h.want(answer("a", 10, 2), "")
 	wantCounters("{2 1 1 0 3}")
-	r.step(ServerAnswer{Server: "b", Conn: 11, ID: 2})
-	r.want(reportSilence("b", 11)+r.advance(time.Second), "probe3@11 close@11 dial-b ")
-	r.step(ServerUp{Server: "b", Address: "b:1", Conn: 12})
-	r.core.prober = probe.New(probe.Limits{Permitted: true, Rate: 0.01, Burst: 1, Timeout: time.Second})
-	r.want(reportSilence("b", 12), "probe1@12 ")
-	r.step(ServerProbeAnswer{Server: "b", Conn: 12, ID: 1})
-	r.want(reportSilence("b", 12)+reportSilence("b", 12), "") // the rate limit permits no probe, and the connection stays
+	h.step(ServerAnswer{Server: "b", Conn: 11, ID: 2})
+	h.want(reportSilence("b", 11)+h.advance(time.Second), "probe3@11 close@11 dial-b ")
+	h.step(ServerUp{Server: "b", Address: "b:1", Conn: 12})
+	h.core.prober = probe.New(probe.Limits{Permitted: true, Rate: 0.01, Burst: 1, Timeout: time.Second})
+	h.want(reportSilence("b", 12), "probe1@12 ")
+	h.step(ServerProbeAnswer{Server: "b", Conn: 12, ID: 1})
+	h.want(reportSilence("b", 12)+reportSilence("b", 12), "") // the rate limit permits no probe, and the connection stays
 	wantCounters("{1 1 0 2 0}")
-	r.advance(100 * time.Second)
-	r.list(elmseam.Ready, elmseam.Draining)
-	r.want(reportSilence("b", 12), "close@12 dial-b ")
-	r.step(ServerUp{Server: "b", Address: "b:1", Conn: 13})
-	r.list(elmseam.Ready, elmseam.Gone)
-	r.want(reportSilence("b", 13), "")
+	h.advance(100 * time.Second)
+	h.list(elmseam.PhaseReady, elmseam.PhaseDraining)
+	h.want(reportSilence("b", 12), "close@12 dial-b ")
+	h.step(ServerUp{Server: "b", Address: "b:1", Conn: 13})
+	h.list(elmseam.PhaseReady, elmseam.PhaseGone)
+	h.want(reportSilence("b", 13), "")
 	wantCounters("{1 1 0 2 0}")
 }
 
 // While the answer to a probe is outstanding, set-ups go out on another connection. An unanswered probe has the connection replaced at
 // the next silence, as an unanswered set-up does, even if the time-out of the probe is much longer.
 func TestProbedConnectionIsAvoided(t *testing.T) {
-	r := newRig(t)
-	r.core.limits.ConnsPerServer, r.core.limits.UnresponsiveAfter = map[Protocol]int{"": 2}, 100*ms
-	r.core.prober = probe.New(probe.Limits{Permitted: true, Rate: 1, Burst: 2, Timeout: 9 * time.Second})
-	r.step(ServerUp{Server: "a", Address: "a:1", Conn: 20})
-	r.want(r.setUp(1, 9*time.Second), "offer1@10 ")
-	r.step(ServerAnswer{Server: "a", Conn: 10, ID: 1})
-	r.advance(time.Second)
+	h := newHarness(t)
+	h.core.limits.ConnsPerServer, h.core.limits.UnresponsiveAfter = map[Protocol]int{"": 2}, 100*ms
+	h.core.prober = probe.New(probe.Limits{Permitted: true, Rate: 1, Burst: 2, Timeout: 9 * time.Second})
+	h.step(ServerUp{Server: "a", Address: "a:1", Conn: 20})
+	h.want(h.setUp(1, 9*time.Second), "offer1@10 ")
+	h.step(ServerAnswer{Server: "a", Conn: 10, ID: 1})
+	h.advance(time.Second)
 	silent := ServerSilent{Server: "a", Conn: 20, SilentFor: time.Second}
-	r.want(r.step(silent), "probe1@20 ")
-	r.want(r.advance(101*ms)+r.setUp(2, 9*time.Second), "offer2@10 ") // without the probe: connection 20, which was used least recently
-	r.step(ServerAnswer{Server: "a", Conn: 10, ID: 2})
-	r.want(r.advance(400*ms)+r.step(silent), "close@20 ")
+	h.want(h.step(silent), "probe1@20 ")
+	h.want(h.advance(101*ms)+h.setUp(2, 9*time.Second), "offer2@10 ") // without the probe: connection 20, which was used least recently
+	h.step(ServerAnswer{Server: "a", Conn: 10, ID: 2})
+	h.want(h.advance(400*ms)+h.step(silent), "close@20 ")
 }
 
 // The tenant of a call is looked up by name when the call arrives, under the settings in force. An index from a protocol handler
 // would mean another tenant after a new configuration.
 func TestTenantIsBoundAtArrival(t *testing.T) {
-	r := newRig(t)
+	h := newHarness(t)
 	var tenants []int
-	r.core.hook.SuppressEvent = func(ev elmseam.Event) bool {
+	h.core.hook.SuppressEvent = func(ev elmseam.Event) bool {
 		if a, ok := ev.(elmseam.Arrival); ok {
 			tenants = append(tenants, a.Tenant)
 		}
@@ -127,16 +127,16 @@
 		Tenants: []elmseam.Tenant{{Name: "x", Allowance: 1}, {Name: "y", Allowance: 1}}, OverShareWorth: 0.1,
 	}
 	sendSetUp := func(id ID, tenant string) {
-		r.step(SetUp{ID: id, From: 1, Tenant: tenant, TimeLeft: 5 * time.Second, At: r.now})
+		h.step(SetUp{ID: id, From: 1, Tenant: tenant, TimeLeft: 5 * time.Second, At: h.now})
 	}
 	sendSetUp(1, "x")
-	r.step(Configured{Settings: settings, Limits: r.core.limits})
+	h.step(Configured{Settings: settings, Limits: h.core.limits})
 	sendSetUp(2, "x")
 	sendSetUp(3, "y")
 	sendSetUp(4, "z")
 	sendSetUp(5, "")
 	settings.Tenants = []elmseam.Tenant{{Name: "y", Allowance: 1}}
-	r.step(Configured{Settings: settings, Limits: r.core.limits})
+	h.step(Configured{Settings: settings, Limits: h.core.limits})
 	sendSetUp(6, "x")
 	sendSetUp(7, "y")
 	for i, want := range []int{-1, 0, 1, -1, -1, -1, 0} {
--- a/internal/core/stats.go
+++ b/internal/core/stats.go
@@ -63,7 +63,7 @@
 	switch classStats := &c.stats.Classes[class]; {
 	case answered:
 		classStats.Answered++
-	case reason == Congested || reason == Full || reason == Unsent:
+	case reason == ReasonCongested || reason == ReasonFull || reason == ReasonUnsent:
 		classStats.Deferred++
 	default:
 		classStats.Errored++
--- a/internal/core/stop.go
+++ b/internal/core/stop.go
@@ -13,7 +13,7 @@
 func (c *Core) updateServing() {
 	serving := false
 	for _, s := range c.serverOrder {
-		serving = serving || s.effectivePhase == elmseam.Ready
+		serving = serving || s.effectivePhase == elmseam.PhaseReady
 	}
 	if serving = serving && !c.stopping && !c.draining; serving != c.serving {
 		c.serving = serving
@@ -22,7 +22,7 @@
 	}
 	if !c.ready && serving {
 		for _, s := range c.serverOrder {
-			c.ready = c.ready || s.effectivePhase == elmseam.Ready && len(s.conns) > 0
+			c.ready = c.ready || s.effectivePhase == elmseam.PhaseReady && len(s.conns) > 0
 		}
 		if c.ready {
 			c.emit(ReadyToServe{})
@@ -67,10 +67,10 @@
 
 // failOpenSetUps rejects every set-up that has no final answer: this process ends, and no other process knows of them.
 func (c *Core) failOpenSetUps() {
-	for _, k := range inArrivalOrder(c.calls) {
-		if !k.answered && !k.callerGone {
-			c.notifyController(elmseam.CallerGone{Call: k.controllerID})
-			c.reject(k, Rejected{Reason: Failed})
+	for _, call := range inArrivalOrder(c.calls) {
+		if !call.answered && !call.callerGone {
+			c.notifyController(elmseam.CallerGone{Call: call.controllerID})
+			c.reject(call, Rejected{Reason: ReasonFailed})
 		}
 	}
 }
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -28,14 +28,14 @@
 
 // Reasons for the end of a set-up or a call.
 const (
-	Normal      Reason = iota // released or given up by one of the parties
-	Full                      // refused by the server before the set-up ran
-	Busy                      // the number called is busy, or it or its signalling is at fault
-	Reset                     // the call or its attempt was lost, for example with a connection or a server process
-	Unsent                    // the set-up was never sent
-	Congested                 // refused by the softswitch; the caller may safely try again
-	Failed                    // given up by the softswitch
-	Unsupported               // the set-up is invalid
+	ReasonNormal      Reason = iota // released or given up by one of the parties
+	ReasonFull                      // refused by the server before the set-up ran
+	ReasonBusy                      // the number called is busy, or it or its signalling is at fault
+	ReasonReset                     // the call or its attempt was lost, for example with a connection or a server process
+	ReasonUnsent                    // the set-up was never sent
+	ReasonCongested                 // refused by the softswitch; the caller may safely try again
+	ReasonFailed                    // given up by the softswitch
+	ReasonUnsupported               // the set-up is invalid
 )
 
 // Server is one entry of the server list.
@@ -406,8 +406,8 @@
 type Limits struct {
 	AnswerMargin        time.Duration     // the final answer is given this long before the caller's time limit
 	RebindTimeout       time.Duration     // a set-up whose connection has ended is given up if the caller does not send it again within this time
-	MinRedial           time.Duration     // shortest wait between attempts to reach a server
-	MaxRedial           time.Duration     // longest wait between attempts to reach a server
+	MinRedialDelay      time.Duration     // shortest wait between attempts to reach a server
+	MaxRedialDelay      time.Duration     // longest wait between attempts to reach a server
 	ConnsPerServer      map[Protocol]int  // max connections to one server, by its protocol; 1 where the protocol is missing
 	MaxServerConns      int               // max connections to all servers together; 0: no limit
 	UnresponsiveAfter   time.Duration     // a connection without input for this long after a set-up is avoided for new set-ups
@@ -428,7 +428,7 @@
 	NewConnGrace        time.Duration     // age at which a connection without a set-up may be closed; before that its set-up may be on its way
 	MaxOpen             int               // max set-ups without a final answer at a time
 	MaxCallBytes        int               // max memory that the descriptions and numbers of all calls may take, in bytes
-	RetryHint           time.Duration     // RetryAfter of a refusal for lack of capacity
+	RetryAfterHint      time.Duration     // RetryAfter of a refusal for lack of capacity
 	EndedCallTTL        time.Duration     // how long the id of an ended call is remembered
 	MaxEndedCalls       int               // max ids of ended calls that are remembered; 0: no limit
 	ReportedDrainTTL    time.Duration     // how long a server counts as draining because members reported so
--- a/internal/explore/actions.go
+++ b/internal/explore/actions.go
@@ -211,16 +211,16 @@
 		add(actCallReset, index, 0)
 	}
 	m.lateServerMessages(index, call, add)
-	switch acct := &call.Account; {
-	case acct.CallerGone:
-	case acct.FinalAnswers == 0:
+	switch account := &call.Account; {
+	case account.CallerGone:
+	case account.FinalAnswers == 0:
 		if m.callerConnected(call.CallerConn) {
 			add(actGiveUp, index, 0)
 		}
 		if !call.Repeated {
 			add(actRepeatedSetUp, index, 0)
 		}
-	case acct.WasEstablished && acct.Releases == 0 && len(m.CallerConns) > 0:
+	case account.WasEstablished && account.Releases == 0 && len(m.CallerConns) > 0:
 		add(actHangUp, index, 0)
 	}
 }
@@ -345,7 +345,7 @@
 	case actRefuseFull, actRefuseBusy, actAttemptReset:
 		call.State = attemptNone
 		m.recordAttemptEnd(index, kind == actAttemptReset)
-		reason := map[ActionKind]core.Reason{actRefuseFull: core.Full, actRefuseBusy: core.Busy, actAttemptReset: core.Reset}[kind]
+		reason := map[ActionKind]core.Reason{actRefuseFull: core.ReasonFull, actRefuseBusy: core.ReasonBusy, actAttemptReset: core.ReasonReset}[kind]
 		m.step(core.ServerEnd{Server: server, Conn: call.Conn, ID: callID(index), Reason: reason})
 	case actEndWritten:
 		call.State, call.LateAnswerFrom = attemptNone, call.Server+1
@@ -359,15 +359,15 @@
 		m.step(core.ServerAnswer{Server: serverName(server), Conn: m.connTo(server), ID: callID(index)})
 	case actRelease, actCallReset:
 		call.Established, call.RepeatedReleaseFrom = false, call.Server+1
-		reason := core.Normal
+		reason := core.ReasonNormal
 		if kind == actCallReset {
-			reason = core.Reset
+			reason = core.ReasonReset
 		}
 		m.step(core.ServerEnd{Server: server, Conn: m.connTo(call.Server), ID: callID(index), Reason: reason})
 	case actRepeatedRelease:
 		server := call.RepeatedReleaseFrom - 1
 		call.RepeatedReleaseFrom = 0
-		m.step(core.ServerEnd{Server: serverName(server), Conn: m.connTo(server), ID: callID(index), Reason: core.Normal})
+		m.step(core.ServerEnd{Server: serverName(server), Conn: m.connTo(server), ID: callID(index), Reason: core.ReasonNormal})
 	case actHangUp, actGiveUp:
 		call.Account.CallerGone = true
 		callerConn := call.CallerConn
--- a/internal/explore/budget.go
+++ b/internal/explore/budget.go
@@ -54,22 +54,22 @@
 
 // startMember starts a member's reducer, informs it and the running members of each other, and declares a
 // server cold.
-func (p *budgetProtocol) startMember(t *tierModel, index int, incarnation uint8) (memberProcess, stepEffects) {
-	reducer, _, err := budget.New(budget.Config{Self: index, TierSize: len(t.Members), Limits: p.Limits,
-		Seed: t.Config.Seed + uint64(index) + 100*uint64(incarnation), DisabledGuards: t.Config.DisabledBudgetGuards}, t.Now)
+func (p *budgetProtocol) startMember(m *tierModel, index int, incarnation uint8) (memberProcess, stepEffects) {
+	reducer, _, err := budget.New(budget.Config{Self: index, TierSize: len(m.Members), Limits: p.Limits,
+		Seed: m.Config.Seed + uint64(index) + 100*uint64(incarnation), DisabledGuards: m.Config.DisabledBudgetGuards}, m.Now)
 	if err != nil {
 		panic(err)
 	}
 	process := &budgetProcess{reducer}
 	var result stepEffects
 	add := func(ev budget.Event) {
-		effects := process.step(t.Now, ev)
+		effects := process.step(m.Now, ev)
 		result.Sends, result.Timers = append(result.Sends, effects.Sends...), append(result.Timers, effects.Timers...)
 	}
-	for other, member := range t.Members {
+	for other, member := range m.Members {
 		add(budget.MemberAvailability{Member: other, Available: member.Process != nil || incarnation == 0})
 		if member.Process != nil && !member.Paused && other != index {
-			t.applyEffects(other, member.Process.(*budgetProcess).step(t.Now, budget.MemberAvailability{Member: index, Available: true}))
+			m.applyEffects(other, member.Process.(*budgetProcess).step(m.Now, budget.MemberAvailability{Member: index, Available: true}))
 		}
 	}
 	demand := 0.0
@@ -77,7 +77,7 @@
 		demand = 3
 	}
 	add(budget.Demand{Quotas: demand})
-	add(budget.ColdServer{Server: 1, Rate: 1, ColdUntil: t.Now + time.Hour})
+	add(budget.ColdServer{Server: 1, Rate: 1, ColdUntil: m.Now + time.Hour})
 	return process, result
 }
 
@@ -85,27 +85,27 @@
 func (p *budgetProtocol) converged(*tierModel) {}
 
 // memberKilled informs the running members at once that a member is dead.
-func (p *budgetProtocol) memberKilled(t *tierModel, index int) {
-	for other, member := range t.Members {
+func (p *budgetProtocol) memberKilled(m *tierModel, index int) {
+	for other, member := range m.Members {
 		if member.Process != nil && !member.Paused {
-			t.applyEffects(other, member.Process.(*budgetProcess).step(t.Now, budget.MemberAvailability{Member: index}))
+			m.applyEffects(other, member.Process.(*budgetProcess).step(m.Now, budget.MemberAvailability{Member: index}))
 		}
 	}
 }
 
 // checkStep checks ExclusiveUnits.
-func (p *budgetProtocol) checkStep(t *tierModel, _ int) { p.checkTimePassed(t) }
+func (p *budgetProtocol) checkStep(m *tierModel, _ int) { p.checkTimePassed(m) }
 
 // usedUnits returns the units of a member's quota that running members use, and how many members use any. It checks
 // ExclusiveUnits. owner is the member's index.
-func (p *budgetProtocol) usedUnits(t *tierModel, owner int) (units budget.Mask, users int) {
-	for index, member := range t.Members {
+func (p *budgetProtocol) usedUnits(m *tierModel, owner int) (units budget.Mask, users int) {
+	for index, member := range m.Members {
 		if member.Process == nil || member.Paused {
 			continue
 		}
-		usable := member.Process.(*budgetProcess).Reducer.Usable(t.Now, owner)
+		usable := member.Process.(*budgetProcess).Reducer.Usable(m.Now, owner)
 		if units&usable != 0 {
-			t.recordViolation(ExclusiveUnits, "units %08b of member %d's quota are used by member %d and another member", units&usable, owner, index)
+			m.recordViolation(ExclusiveUnits, "units %08b of member %d's quota are used by member %d and another member", units&usable, owner, index)
 		}
 		units |= usable
 		if usable != 0 {
@@ -116,31 +116,31 @@
 }
 
 // checkTimePassed checks ExclusiveUnits for the quota of every member.
-func (p *budgetProtocol) checkTimePassed(t *tierModel) {
-	for owner := range t.Members {
-		p.usedUnits(t, owner)
+func (p *budgetProtocol) checkTimePassed(m *tierModel) {
+	for owner := range m.Members {
+		p.usedUnits(m, owner)
 	}
 }
 
 // checkSettled checks AllUnitsUsed, if a majority of the members is running.
-func (p *budgetProtocol) checkSettled(t *tierModel) {
+func (p *budgetProtocol) checkSettled(m *tierModel) {
 	available := 0
-	for _, member := range t.Members {
+	for _, member := range m.Members {
 		if member.Process != nil {
 			available++
 		}
 	}
-	if 2*available <= len(t.Members) {
+	if 2*available <= len(m.Members) {
 		return
 	}
 	allUnits := budget.Mask(1<<budget.Units - 1)
-	for owner, member := range t.Members {
+	for owner, member := range m.Members {
 		want := allUnits
 		if member.Process == nil {
 			want &^= 1 // only the owner itself uses the first unit of its quota
 		}
-		if units, _ := p.usedUnits(t, owner); units != want {
-			t.recordViolation(AllUnitsUsed, "%v after the last fault units %08b of member %d's quota are used", settleTime, units, owner)
+		if units, _ := p.usedUnits(m, owner); units != want {
+			m.recordViolation(AllUnitsUsed, "%v after the last fault units %08b of member %d's quota are used", settleTime, units, owner)
 		}
 	}
 }
--- a/internal/explore/callmodel.go
+++ b/internal/explore/callmodel.go
@@ -23,16 +23,16 @@
 // The states of an attempt.
 const (
 	attemptNone        attemptState = iota
-	attemptQueued                   // the offer is queued for a connection and can be retracted
+	attemptQueued                   // the offer is queued for a connection and can be withdrawn
 	attemptOutstanding              // the server has the offer and has not answered
 	attemptEnding                   // the end is queued for a connection
 )
 
 // Short names of the phases.
 const (
-	phaseReady    = elmseam.Ready
-	phaseDraining = elmseam.Draining
-	phaseGone     = elmseam.Gone
+	phaseReady    = elmseam.PhaseReady
+	phaseDraining = elmseam.PhaseDraining
+	phaseGone     = elmseam.PhaseGone
 )
 
 // Call is the state of a call outside the core: at its caller, its server and on the connections.
@@ -103,10 +103,10 @@
 func (c Config) limits() core.Limits {
 	const ms = time.Millisecond
 	return core.Limits{
-		AnswerMargin: 15 * ms, RebindTimeout: 100 * ms, MinRedial: 100 * ms, MaxRedial: 500 * ms, UnresponsiveAfter: 100 * ms, MaxRemovedServers: 4, MaxPendingReleases: 8,
+		AnswerMargin: 15 * ms, RebindTimeout: 100 * ms, MinRedialDelay: 100 * ms, MaxRedialDelay: 500 * ms, UnresponsiveAfter: 100 * ms, MaxRemovedServers: 4, MaxPendingReleases: 8,
 		ServerLostAfter: 5 * time.Second, DrainGrace: 500 * ms, DrainRefuseAfter: 1500 * ms, DrainCheckInterval: time.Minute, DrainIdle: 20 * ms,
 		Transient: map[core.Protocol]bool{}, StopGrace: 700 * ms, MaxStopWait: time.Minute,
-		MaxCallerConns: 8, MaxOpen: 100, MaxCallBytes: 1 << 20, RetryHint: 100 * ms, EndedCallTTL: time.Minute, MaxEndedCalls: 100, MaxRoutes: 4,
+		MaxCallerConns: 8, MaxOpen: 100, MaxCallBytes: 1 << 20, RetryAfterHint: 100 * ms, EndedCallTTL: time.Minute, MaxEndedCalls: 100, MaxRoutes: 4,
 	}
 }
 
@@ -257,7 +257,7 @@
 	case core.Withdraw:
 		for index := range m.Calls {
 			if call := &m.Calls[index]; call.State == attemptQueued && call.Conn == e.To {
-				events = append(events, m.retractOffer(index))
+				events = append(events, m.withdrawOffer(index))
 			}
 		}
 	case core.Answered:
@@ -276,8 +276,8 @@
 	return events
 }
 
-// retractOffer removes an offer that is still queued for its connection.
-func (m *CallModel) retractOffer(index int) core.Event {
+// withdrawOffer removes an offer that is still queued for its connection.
+func (m *CallModel) withdrawOffer(index int) core.Event {
 	call := &m.Calls[index]
 	call.State = attemptNone
 	m.recordAttemptEnd(index, false)
@@ -294,7 +294,7 @@
 	call := &m.Calls[index]
 	switch {
 	case call.State == attemptQueued && call.Server == conn.Server:
-		return []core.Event{m.retractOffer(index)}
+		return []core.Event{m.withdrawOffer(index)}
 	case call.State == attemptOutstanding && call.Server == conn.Server && e.Notify:
 		call.State = attemptEnding
 	case call.State == attemptOutstanding && call.Server == conn.Server:
--- a/internal/explore/explore_test.go
+++ b/internal/explore/explore_test.go
@@ -102,7 +102,7 @@
 	// ignoreDrain hides from the controller that a server drains.
 	ignoreDrain := core.Hook{SuppressEvent: func(ev elmseam.Event) bool {
 		list, ok := ev.(elmseam.ListDelta)
-		return ok && list.Entries[0].Phase == elmseam.Draining
+		return ok && list.Entries[0].Phase == elmseam.PhaseDraining
 	}}
 	oneCall := Config{Servers: 1, Calls: 1, Attempts: 2, Faults: 2}
 	for _, test := range []struct {
--- a/internal/explore/invariants.go
+++ b/internal/explore/invariants.go
@@ -58,67 +58,67 @@
 
 // checkOffer checks an attempt that the core sends, and counts it. conn is nil if the connection is closed.
 func (m *CallModel) checkOffer(index int, conn *conn) {
-	acct := &m.Calls[index].Account
+	account := &m.Calls[index].Account
 	switch {
 	case conn == nil:
 		m.recordViolation(SendOnOpenConn, "call %d is offered on a closed connection", index)
 		return
-	case acct.Outstanding > 0:
+	case account.Outstanding > 0:
 		m.recordViolation(OneOutstandingAttempt, "call %d has a second outstanding attempt", index)
-	case acct.Attempts >= acct.MaxAttempts:
-		m.recordViolation(AttemptLimit, "call %d is sent %d times, more often than its settings allow", index, acct.Attempts+1)
-	case acct.EndedBadly && m.Now < acct.BadEndAt+releaseGuardTime:
-		m.recordViolation(ReleaseGuard, "call %d is sent %v after its last attempt ended", index, m.Now-acct.BadEndAt)
+	case account.Attempts >= account.MaxAttempts:
+		m.recordViolation(AttemptLimit, "call %d is sent %d times, more often than its settings allow", index, account.Attempts+1)
+	case account.EndedBadly && m.Now < account.BadEndAt+releaseGuardTime:
+		m.recordViolation(ReleaseGuard, "call %d is sent %v after its last attempt ended", index, m.Now-account.BadEndAt)
 	case m.Servers[conn.Server].Phase != phaseReady:
 		m.recordViolation(NoSetUpToDrained, "call %d is sent to server %d, which is not ready", index, conn.Server)
-	case acct.FinalAnswers > 0 || acct.CallerGone:
+	case account.FinalAnswers > 0 || account.CallerGone:
 		m.recordViolation(OneFinalAnswer, "call %d is sent after it has ended", index)
 	}
-	acct.Attempts++
-	acct.Outstanding++
+	account.Attempts++
+	account.Outstanding++
 }
 
 // recordAttemptEnd records the end of an attempt. bad says that the attempt ended by a time-out, a reset or a cancel.
 func (m *CallModel) recordAttemptEnd(index int, bad bool) {
-	acct := &m.Calls[index].Account
-	if acct.Outstanding > 0 {
-		acct.Outstanding--
+	account := &m.Calls[index].Account
+	if account.Outstanding > 0 {
+		account.Outstanding--
 	}
-	acct.EndedBadly, acct.BadEndAt = bad, m.Now
+	account.EndedBadly, account.BadEndAt = bad, m.Now
 }
 
 // checkFinalAnswer checks a final answer that the core sends to a caller, and counts it.
 func (m *CallModel) checkFinalAnswer(index int, connID core.ConnID, established bool) {
 	call := &m.Calls[index]
-	acct := &call.Account
+	account := &call.Account
 	switch {
 	case !m.callerConnected(connID):
 		m.recordViolation(SendOnOpenConn, "call %d is answered on a closed connection", index)
-	case acct.FinalAnswers > 0:
+	case account.FinalAnswers > 0:
 		m.recordViolation(OneFinalAnswer, "call %d has a second final answer", index)
-	case acct.CallerGone:
+	case account.CallerGone:
 		m.recordViolation(OneFinalAnswer, "call %d is answered after its caller has left", index)
 	case established && !call.Established:
 		m.recordViolation(OneFinalAnswer, "call %d is reported as established, but no server has established it", index)
 	case m.Now > call.Deadline:
 		m.recordViolation(AnswerBeforeGiveUp, "call %d is answered %v after its deadline", index, m.Now-call.Deadline)
 	}
-	acct.FinalAnswers++
-	acct.WasEstablished = acct.WasEstablished || established
+	account.FinalAnswers++
+	account.WasEstablished = account.WasEstablished || established
 }
 
 // checkRelease checks a release that the core sends to a caller, and counts it.
 func (m *CallModel) checkRelease(index int, connID core.ConnID) {
-	acct := &m.Calls[index].Account
+	account := &m.Calls[index].Account
 	switch {
 	case !m.callerConnected(connID):
 		m.recordViolation(SendOnOpenConn, "call %d is released on a closed connection", index)
-	case !acct.WasEstablished:
+	case !account.WasEstablished:
 		m.recordViolation(OneRelease, "call %d is released but was never established", index)
-	case acct.Releases > 0 || acct.CallerGone:
+	case account.Releases > 0 || account.CallerGone:
 		m.recordViolation(OneRelease, "call %d is released twice, or after its caller has left", index)
 	}
-	acct.Releases++
+	account.Releases++
 }
 
 // checkDeadlines checks that no caller waits for a final answer beyond its deadline.
@@ -132,8 +132,8 @@
 
 // ended reports whether the call has ended at its server and its caller has received all messages that are due.
 func (c *Call) ended() bool {
-	acct := &c.Account
-	return c.Started && c.State == attemptNone && !c.Established && (acct.CallerGone || acct.FinalAnswers > 0 && (!acct.WasEstablished || acct.Releases > 0))
+	account := &c.Account
+	return c.Started && c.State == attemptNone && !c.Established && (account.CallerGone || account.FinalAnswers > 0 && (!account.WasEstablished || account.Releases > 0))
 }
 
 // allCallsEnded reports whether every call has ended.
@@ -161,11 +161,11 @@
 func (m *CallModel) checkDeadlock() {
 	for i := range m.Calls {
 		call := &m.Calls[i]
-		switch acct := &call.Account; {
+		switch account := &call.Account; {
 		case call.ended() || !call.Started:
-		case call.Established && acct.CallerGone:
+		case call.Established && account.CallerGone:
 			m.recordViolation(OneRelease, "the caller of call %d has hung up, but the call is still established at its server", i)
-		case acct.WasEstablished:
+		case account.WasEstablished:
 			m.recordViolation(OneRelease, "call %d has ended but was never released", i)
 		default:
 			m.recordViolation(AnswerBeforeGiveUp, "call %d never gets a final answer", i)
--- a/internal/explore/maintenance.go
+++ b/internal/explore/maintenance.go
@@ -71,7 +71,7 @@
 		}
 	case workFinished:
 		// If the lease has expired, the member drains again.
-		if token.Incarnation == p.Incarnation && p.Stage == maintenance.Ready && p.Reducer.Status().Expiry > now {
+		if token.Incarnation == p.Incarnation && p.Stage == maintenance.StageReady && p.Reducer.Status().Expiry > now {
 			return p.step(now, maintenance.Cancel{Members: []int{p.Self}})
 		}
 	}
@@ -101,9 +101,9 @@
 			}
 			oldStage := p.Stage
 			switch p.Stage = e.Record.Stage; {
-			case p.Stage == maintenance.Ready:
+			case p.Stage == maintenance.StageReady:
 				result.Timers = append(result.Timers, memberTimer{now + workDuration, workFinished{p.Incarnation}})
-			case p.Stage == maintenance.Done && oldStage == maintenance.Ready:
+			case p.Stage == maintenance.StageDone && oldStage == maintenance.StageReady:
 				p.Protocol.MaintainedCount[p.Self]++
 			}
 		}
@@ -112,59 +112,59 @@
 }
 
 // startMember starts a member's reducer, and informs it and the running members of each other.
-func (p *maintenanceProtocol) startMember(t *tierModel, index int, incarnation uint8) (memberProcess, stepEffects) {
-	reducer, effects, err := maintenance.New(maintenance.Config{Self: index, TierSize: len(t.Members), Zone: -1, Limits: p.Limits,
-		Seed: t.Config.Seed + uint64(index) + 100*uint64(incarnation), DisabledGuards: t.Config.DisabledMaintenanceGuards}, t.Now)
+func (p *maintenanceProtocol) startMember(m *tierModel, index int, incarnation uint8) (memberProcess, stepEffects) {
+	reducer, effects, err := maintenance.New(maintenance.Config{Self: index, TierSize: len(m.Members), Zone: -1, Limits: p.Limits,
+		Seed: m.Config.Seed + uint64(index) + 100*uint64(incarnation), DisabledGuards: m.Config.DisabledMaintenanceGuards}, m.Now)
 	if err != nil {
 		panic(err)
 	}
 	process := &maintenanceProcess{Reducer: reducer, Protocol: p, Self: index, Incarnation: incarnation}
-	result := process.collectEffects(t.Now, effects)
+	result := process.collectEffects(m.Now, effects)
 	add := func(effects stepEffects) {
 		result.Sends, result.Timers = append(result.Sends, effects.Sends...), append(result.Timers, effects.Timers...)
 	}
-	for other, member := range t.Members {
-		add(process.step(t.Now, maintenance.MemberAvailability{Member: other, Available: member.Process != nil || incarnation == 0}))
+	for other, member := range m.Members {
+		add(process.step(m.Now, maintenance.MemberAvailability{Member: other, Available: member.Process != nil || incarnation == 0}))
 		if member.Process != nil && !member.Paused && other != index {
-			t.applyEffects(other, member.Process.(*maintenanceProcess).step(t.Now, maintenance.MemberAvailability{Member: index, Available: true}))
+			m.applyEffects(other, member.Process.(*maintenanceProcess).step(m.Now, maintenance.MemberAvailability{Member: index, Available: true}))
 		}
 	}
-	add(process.step(t.Now, maintenance.Serving{Serving: true}))
+	add(process.step(m.Now, maintenance.Serving{Serving: true}))
 	return process, result
 }
 
 // converged requests the maintenance of members 0 and 1 at the first and the last member.
-func (p *maintenanceProtocol) converged(t *tierModel) {
-	t.applyEffects(0, t.Members[0].Process.(*maintenanceProcess).step(t.Now, maintenance.Request{Members: []int{0, 1}}))
-	last := len(t.Members) - 1
-	t.applyEffects(last, t.Members[last].Process.(*maintenanceProcess).step(t.Now, maintenance.Request{Members: []int{1}}))
+func (p *maintenanceProtocol) converged(m *tierModel) {
+	m.applyEffects(0, m.Members[0].Process.(*maintenanceProcess).step(m.Now, maintenance.Request{Members: []int{0, 1}}))
+	last := len(m.Members) - 1
+	m.applyEffects(last, m.Members[last].Process.(*maintenanceProcess).step(m.Now, maintenance.Request{Members: []int{1}}))
 }
 
 // memberKilled informs the running members at once that a member is dead.
-func (p *maintenanceProtocol) memberKilled(t *tierModel, index int) {
-	for other, member := range t.Members {
+func (p *maintenanceProtocol) memberKilled(m *tierModel, index int) {
+	for other, member := range m.Members {
 		if member.Process != nil && !member.Paused {
-			t.applyEffects(other, member.Process.(*maintenanceProcess).step(t.Now, maintenance.MemberAvailability{Member: index}))
+			m.applyEffects(other, member.Process.(*maintenanceProcess).step(m.Now, maintenance.MemberAvailability{Member: index}))
 		}
 	}
 }
 
 // checkStep checks OnlyRequested and WithinMaintenanceBudget.
-func (p *maintenanceProtocol) checkStep(t *tierModel, index int) {
+func (p *maintenanceProtocol) checkStep(m *tierModel, index int) {
 	drainingCount := 0
-	for other, member := range t.Members {
+	for other, member := range m.Members {
 		if member.Process == nil || member.Paused {
 			continue
 		}
 		process := member.Process.(*maintenanceProcess)
 		if process.Draining {
 			if drainingCount++; other >= 2 {
-				t.recordViolation(OnlyRequested, "member %d drains without a request", other)
+				m.recordViolation(OnlyRequested, "member %d drains without a request", other)
 			}
 		}
 	}
 	if drainingCount > p.Limits.Budget {
-		t.recordViolation(WithinMaintenanceBudget, "%d members are out of service at the same time", drainingCount)
+		m.recordViolation(WithinMaintenanceBudget, "%d members are out of service at the same time", drainingCount)
 	}
 }
 
@@ -173,22 +173,22 @@
 
 // checkSettled checks NoStuckDrain and MaintainedOnce. A member that has lost its records by a restart may be maintained not
 // at all.
-func (p *maintenanceProtocol) checkSettled(t *tierModel) {
-	for index, member := range t.Members {
+func (p *maintenanceProtocol) checkSettled(m *tierModel) {
+	for index, member := range m.Members {
 		if member.Process == nil {
 			continue
 		}
 		process := member.Process.(*maintenanceProcess)
 		if process.Draining || process.Reducer.HoldsSlot() {
-			t.recordViolation(NoStuckDrain, "%v after the last fault member %d drains: %t, and holds a slot: %t", settleTime, index, process.Draining, process.Reducer.HoldsSlot())
+			m.recordViolation(NoStuckDrain, "%v after the last fault member %d drains: %t, and holds a slot: %t", settleTime, index, process.Draining, process.Reducer.HoldsSlot())
 		}
 		for target, record := range process.Reducer.Status().Records {
-			if t.Members[target].Process != nil && !record.Stage.Ended() {
-				t.recordViolation(MaintainedOnce, "%v after the last fault member %d considers the request for member %d to be %v", settleTime, index, target, record.Stage)
+			if m.Members[target].Process != nil && !record.Stage.Ended() {
+				m.recordViolation(MaintainedOnce, "%v after the last fault member %d considers the request for member %d to be %v", settleTime, index, target, record.Stage)
 			}
 		}
 		if want := map[bool]int{true: 1}[index < 2]; p.MaintainedCount[index] != want && !(member.Incarnations > 1 && p.MaintainedCount[index] == 0 && process.Reducer.Status().Records[index].Generation == 0) {
-			t.recordViolation(MaintainedOnce, "member %d was maintained %d times", index, p.MaintainedCount[index])
+			m.recordViolation(MaintainedOnce, "member %d was maintained %d times", index, p.MaintainedCount[index])
 		}
 	}
 }
