--- a/internal/explore/membership.go
+++ b/internal/explore/membership.go
@@ -58,9 +58,9 @@
 }
 
 // startMember starts a member's reducer, with a seed that differs between members and incarnations.
-func (p *membershipProtocol) startMember(t *tierModel, index int, incarnation uint8) (memberProcess, stepEffects) {
-	reducer, effects, err := membership.New(membership.Config{Self: index, TierSize: len(t.Members), Limits: p.Limits,
-		Seed: t.Config.Seed + uint64(index) + 100*uint64(incarnation), DisabledGuards: t.Config.DisabledMembershipGuards}, t.Now)
+func (p *membershipProtocol) startMember(m *tierModel, index int, incarnation uint8) (memberProcess, stepEffects) {
+	reducer, effects, err := membership.New(membership.Config{Self: index, TierSize: len(m.Members), Limits: p.Limits,
+		Seed: m.Config.Seed + uint64(index) + 100*uint64(incarnation), DisabledGuards: m.Config.DisabledMembershipGuards}, m.Now)
 	if err != nil {
 		panic(err)
 	}
@@ -72,43 +72,43 @@
 func (p *membershipProtocol) memberKilled(*tierModel, int) {}
 
 // checkStep checks MinorityColdLimit.
-func (p *membershipProtocol) checkStep(t *tierModel, index int) {
-	if view := t.Members[index].Process.(*membershipProcess).Reducer.View(); !view.Majority() && view.ColdQuotaFactor() > float64(max(view.Available, 1))/float64(view.TierSize) {
-		t.recordViolation(MinorityColdLimit, "member %d sees %d of %d members and uses %v of its quota", index, view.Available, view.TierSize, view.ColdQuotaFactor())
+func (p *membershipProtocol) checkStep(m *tierModel, index int) {
+	if view := m.Members[index].Process.(*membershipProcess).Reducer.View(); !view.Majority() && view.ColdQuotaFraction() > float64(max(view.Available, 1))/float64(view.TierSize) {
+		m.recordViolation(MinorityColdLimit, "member %d sees %d of %d members and uses %v of its quota", index, view.Available, view.TierSize, view.ColdQuotaFraction())
 	}
 }
 
 // checkTimePassed checks TimelySuspicion. The time limit: every running member probes each other member within two rounds,
 // and a probe takes one period, which a member's health may stretch by a factor of MaxHealth+1.
-func (p *membershipProtocol) checkTimePassed(t *tierModel) {
-	bound := time.Duration(2*len(t.Members)) * p.Limits.Period * time.Duration(p.Limits.MaxHealth+1)
-	for deadIndex, dead := range t.Members {
+func (p *membershipProtocol) checkTimePassed(m *tierModel) {
+	bound := time.Duration(2*len(m.Members)) * p.Limits.Period * time.Duration(p.Limits.MaxHealth+1)
+	for deadIndex, dead := range m.Members {
 		if dead.Process != nil {
 			continue
 		}
-		for observerIndex, observer := range t.Members {
-			if observer.Process == nil || observer.Paused || t.Now < max(dead.DiedAt, observer.UndisturbedSince, t.LastFault)+bound {
+		for observerIndex, observer := range m.Members {
+			if observer.Process == nil || observer.Paused || m.Now < max(dead.DiedAt, observer.UndisturbedSince, m.LastFault)+bound {
 				continue
 			}
 			if state := observer.Process.(*membershipProcess).Reducer.Members()[deadIndex].State; state.Available() {
-				t.recordViolation(TimelySuspicion, "member %d considers member %d %v, %v after its death", observerIndex, deadIndex, state, t.Now-dead.DiedAt)
+				m.recordViolation(TimelySuspicion, "member %d considers member %d %v, %v after its death", observerIndex, deadIndex, state, m.Now-dead.DiedAt)
 			}
 		}
 	}
 }
 
 // checkSettled checks NoPermanentFalseDeath and StaysDead.
-func (p *membershipProtocol) checkSettled(t *tierModel) {
-	for observerIndex, observer := range t.Members {
+func (p *membershipProtocol) checkSettled(m *tierModel) {
+	for observerIndex, observer := range m.Members {
 		if observer.Process == nil {
 			continue
 		}
-		for index, member := range t.Members {
+		for index, member := range m.Members {
 			switch state := observer.Process.(*membershipProcess).Reducer.Members()[index].State; {
 			case member.Process != nil && !state.Available():
-				t.recordViolation(NoPermanentFalseDeath, "%v after the last fault member %d considers the running member %d %v", settleTime, observerIndex, index, state)
-			case member.Process == nil && state != membership.Dead:
-				t.recordViolation(StaysDead, "%v after the last fault member %d considers the dead member %d %v", settleTime, observerIndex, index, state)
+				m.recordViolation(NoPermanentFalseDeath, "%v after the last fault member %d considers the running member %d %v", settleTime, observerIndex, index, state)
+			case member.Process == nil && state != membership.StateDead:
+				m.recordViolation(StaysDead, "%v after the last fault member %d considers the dead member %d %v", settleTime, observerIndex, index, state)
 			}
 		}
 	}
--- a/internal/explore/search.go
+++ b/internal/explore/search.go
@@ -222,7 +222,7 @@
 // randomWalks samples states beyond the bounds by walks from the initial state until no action is enabled. Each enabled
 // action is equally likely.
 func (s *search) randomWalks(bounds Bounds) {
-	rnd := rand.New(rand.NewPCG(bounds.Seed, 1))
+	rng := rand.New(rand.NewPCG(bounds.Seed, 1))
 	for range bounds.Walks {
 		model, _ := New(s.cfg)
 		var path []Action
@@ -234,7 +234,7 @@
 				}
 				break
 			}
-			a := actions[rnd.IntN(len(actions))]
+			a := actions[rng.IntN(len(actions))]
 			path = append(path, a)
 			model.apply(a)
 			s.report.Steps++
--- a/internal/explore/tier.go
+++ b/internal/explore/tier.go
@@ -97,72 +97,72 @@
 // newTierModel returns the initial state: all members have started at the same time and have run for convergeTime.
 // Config.Servers is the number of members, and Config.Calls the time in which faults are injected, in half seconds.
 func newTierModel(cfg Config, protocol tierProtocol, convergeTime time.Duration) *tierModel {
-	t := &tierModel{Config: cfg, Protocol: protocol, Members: make([]tierMember, cfg.Servers), Now: tierStartTime, FaultsLeft: cfg.Faults, PausesLeft: cfg.Pauses}
-	for index := range t.Members {
-		t.startMember(index)
+	m := &tierModel{Config: cfg, Protocol: protocol, Members: make([]tierMember, cfg.Servers), Now: tierStartTime, FaultsLeft: cfg.Faults, PausesLeft: cfg.Pauses}
+	for index := range m.Members {
+		m.startMember(index)
 	}
-	t.runUndisturbed(tierStartTime + convergeTime)
-	protocol.converged(t)
-	t.FaultsUntil = t.Now + time.Duration(cfg.Calls)*500*time.Millisecond
-	return t
+	m.runUndisturbed(tierStartTime + convergeTime)
+	protocol.converged(m)
+	m.FaultsUntil = m.Now + time.Duration(cfg.Calls)*500*time.Millisecond
+	return m
 }
 
 // Digest returns the digest of the whole model.
-func (t *tierModel) Digest() xxh3.Uint128  { return digestOf(t) }
-func (t *tierModel) violation() *Violation { return t.Violation }
-func (t *tierModel) clock() time.Duration  { return t.Now }
+func (m *tierModel) Digest() xxh3.Uint128  { return digestOf(m) }
+func (m *tierModel) violation() *Violation { return m.Violation }
+func (m *tierModel) clock() time.Duration  { return m.Now }
 
 // Terminal reports whether the tier has settled.
-func (t *tierModel) Terminal() bool { return t.Settled }
+func (m *tierModel) Terminal() bool { return m.Settled }
 
 // checkDeadlock does nothing: actSettle is always enabled in the end, and the settled state is terminal.
-func (t *tierModel) checkDeadlock() {}
+func (m *tierModel) checkDeadlock() {}
 
 // recordViolation records the violation of an invariant, unless an earlier one is recorded.
-func (t *tierModel) recordViolation(invariant Invariant, format string, args ...any) {
-	if t.Violation == nil {
-		t.Violation = &Violation{invariant, fmt.Sprintf(format, args...)}
+func (m *tierModel) recordViolation(invariant Invariant, format string, args ...any) {
+	if m.Violation == nil {
+		m.Violation = &Violation{invariant, fmt.Sprintf(format, args...)}
 	}
 }
 
 // startMember starts a process of a member, at first or after the member was killed.
-func (t *tierModel) startMember(index int) {
-	member := &t.Members[index]
+func (m *tierModel) startMember(index int) {
+	member := &m.Members[index]
 	incarnation := member.Incarnations
-	process, effects := t.Protocol.startMember(t, index, incarnation)
-	*member = tierMember{Process: process, UndisturbedSince: t.Now, Incarnations: incarnation + 1}
-	t.applyEffects(index, effects)
+	process, effects := m.Protocol.startMember(m, index, incarnation)
+	*member = tierMember{Process: process, UndisturbedSince: m.Now, Incarnations: incarnation + 1}
+	m.applyEffects(index, effects)
 }
 
 // applyEffects sends the datagrams and sets the timers that a member's step requests, and checks the invariants.
-func (t *tierModel) applyEffects(index int, effects stepEffects) {
+func (m *tierModel) applyEffects(index int, effects stepEffects) {
 	for i, sent := range effects.Sends {
 		if len(sent.Data) > datagram.MaxSize || i >= maxBurst {
-			t.recordViolation(DatagramLimits, "member %d sends a datagram of %d bytes, number %d of one event", index, len(sent.Data), i+1)
+			m.recordViolation(DatagramLimits, "member %d sends a datagram of %d bytes, number %d of one event", index, len(sent.Data), i+1)
 		}
 		sent.From = index
-		t.InFlight = append(t.InFlight, sent)
+		m.InFlight = append(m.InFlight, sent)
 	}
-	t.Members[index].Timers = append(t.Members[index].Timers, effects.Timers...)
-	t.Protocol.checkStep(t, index)
+	m.Members[index].Timers = append(m.Members[index].Timers, effects.Timers...)
+	m.Protocol.checkStep(m, index)
 }
 
 // deliver hands a datagram to its receiver. A killed member loses the datagram; a paused member handles it later.
-func (t *tierModel) deliver(sent sentDatagram) {
-	switch member := &t.Members[sent.To]; {
+func (m *tierModel) deliver(sent sentDatagram) {
+	switch member := &m.Members[sent.To]; {
 	case member.Process == nil:
 	case member.Paused:
 		member.HeldDatagrams = append(member.HeldDatagrams, sent)
 	default:
-		t.applyEffects(sent.To, member.Process.receive(t.Now, sent.From, sent.Data))
+		m.applyEffects(sent.To, member.Process.receive(m.Now, sent.From, sent.Data))
 	}
 }
 
 // nextDue returns the earliest timer or delayed datagram. For a timer, owner is the index of its member and position its
 // index in Timers; for a datagram, owner is -1 and position its index in t.Delayed. If there is neither, owner is -2.
-func (t *tierModel) nextDue() (owner, position int, at time.Duration) {
+func (m *tierModel) nextDue() (owner, position int, at time.Duration) {
 	owner, position = -2, -1
-	for index, member := range t.Members {
+	for index, member := range m.Members {
 		if member.Process == nil || member.Paused {
 			continue
 		}
@@ -172,7 +172,7 @@
 			}
 		}
 	}
-	for i, sent := range t.Delayed {
+	for i, sent := range m.Delayed {
 		if owner == -2 || sent.DeliverAt < at {
 			owner, position, at = -1, i, sent.DeliverAt
 		}
@@ -181,61 +181,61 @@
 }
 
 // advance moves the time to that of the next timer or delayed datagram and handles it.
-func (t *tierModel) advance() {
-	owner, position, at := t.nextDue()
-	t.Now = max(t.Now, at)
+func (m *tierModel) advance() {
+	owner, position, at := m.nextDue()
+	m.Now = max(m.Now, at)
 	switch {
 	case owner == -1:
-		sent := t.Delayed[position]
-		t.Delayed = slices.Delete(t.Delayed, position, position+1)
-		t.deliver(sent)
+		sent := m.Delayed[position]
+		m.Delayed = slices.Delete(m.Delayed, position, position+1)
+		m.deliver(sent)
 	case owner >= 0:
-		member := &t.Members[owner]
+		member := &m.Members[owner]
 		timer := member.Timers[position]
 		member.Timers = slices.Delete(member.Timers, position, position+1)
-		t.applyEffects(owner, member.Process.timerFired(t.Now, timer.Token))
+		m.applyEffects(owner, member.Process.timerFired(m.Now, timer.Token))
 	}
-	t.Protocol.checkTimePassed(t)
+	m.Protocol.checkTimePassed(m)
 }
 
 // runUndisturbed delivers datagrams and fires timers without faults until the given time.
-func (t *tierModel) runUndisturbed(until time.Duration) {
-	for t.Violation == nil {
-		if len(t.InFlight) > 0 {
-			sent := t.InFlight[0]
-			t.InFlight = t.InFlight[1:]
-			t.deliver(sent)
+func (m *tierModel) runUndisturbed(until time.Duration) {
+	for m.Violation == nil {
+		if len(m.InFlight) > 0 {
+			sent := m.InFlight[0]
+			m.InFlight = m.InFlight[1:]
+			m.deliver(sent)
 			continue
 		}
-		if owner, _, at := t.nextDue(); owner == -2 || at > until {
-			t.Now = max(t.Now, until)
+		if owner, _, at := m.nextDue(); owner == -2 || at > until {
+			m.Now = max(m.Now, until)
 			return
 		}
-		t.advance()
+		m.advance()
 	}
 }
 
 // EnabledActions returns the actions possible in the current state, always in the same order.
-func (t *tierModel) EnabledActions() (actions []Action) {
+func (m *tierModel) EnabledActions() (actions []Action) {
 	add := func(kind ActionKind, target int, fault bool) {
-		if !fault || t.FaultsLeft > 0 {
+		if !fault || m.FaultsLeft > 0 {
 			actions = append(actions, Action{Kind: kind, Target: uint8(target)})
 		}
 	}
 	switch {
-	case t.Settled:
+	case m.Settled:
 		return nil
-	case t.Now >= t.FaultsUntil && len(t.InFlight) == 0:
+	case m.Now >= m.FaultsUntil && len(m.InFlight) == 0:
 		add(actSettle, 0, false)
 		return actions
-	case len(t.InFlight) > 0:
+	case len(m.InFlight) > 0:
 		add(actDeliverDatagram, 0, false)
 		add(actLoseDatagram, 0, true)
 		add(actDelayDatagram, 0, true)
 		return actions
 	}
 	add(actTick, 0, false)
-	for index, member := range t.Members {
+	for index, member := range m.Members {
 		switch {
 		case member.Process == nil:
 			add(actStartMember, index, false)
@@ -243,7 +243,7 @@
 			add(actResumeMember, index, false)
 		default:
 			add(actKillMember, index, true)
-			if t.PausesLeft > 0 {
+			if m.PausesLeft > 0 {
 				add(actPauseMember, index, false)
 			}
 		}
@@ -252,73 +252,73 @@
 }
 
 // TryApply applies an action if it is enabled in the current state, and reports whether it was.
-func (t *tierModel) TryApply(a Action) bool {
-	if !slices.Contains(t.EnabledActions(), a) {
+func (m *tierModel) TryApply(a Action) bool {
+	if !slices.Contains(m.EnabledActions(), a) {
 		return false
 	}
-	t.apply(a)
+	m.apply(a)
 	return true
 }
 
 // apply applies an enabled action.
-func (t *tierModel) apply(a Action) {
+func (m *tierModel) apply(a Action) {
 	index := int(a.Target)
 	if a.Kind != actDeliverDatagram && a.Kind != actTick && a.Kind != actSettle {
-		t.LastFault = t.Now
+		m.LastFault = m.Now
 	}
 	switch a.Kind {
 	case actDeliverDatagram, actLoseDatagram, actDelayDatagram:
-		sent := t.InFlight[0]
-		t.InFlight = t.InFlight[1:]
+		sent := m.InFlight[0]
+		m.InFlight = m.InFlight[1:]
 		switch a.Kind {
 		case actDeliverDatagram:
-			t.deliver(sent)
+			m.deliver(sent)
 		case actDelayDatagram:
-			sent.DeliverAt = t.Now + datagramDelay
-			t.Delayed = append(t.Delayed, sent)
+			sent.DeliverAt = m.Now + datagramDelay
+			m.Delayed = append(m.Delayed, sent)
 		}
 	case actTick:
-		t.advance()
+		m.advance()
 	case actKillMember:
-		t.Members[index] = tierMember{DiedAt: t.Now, Incarnations: t.Members[index].Incarnations}
-		t.Protocol.memberKilled(t, index)
+		m.Members[index] = tierMember{DiedAt: m.Now, Incarnations: m.Members[index].Incarnations}
+		m.Protocol.memberKilled(m, index)
 	case actStartMember:
-		t.startMember(index)
+		m.startMember(index)
 	case actPauseMember:
-		t.PausesLeft--
-		t.Members[index].Paused = true
+		m.PausesLeft--
+		m.Members[index].Paused = true
 	case actResumeMember:
-		t.resume(index)
+		m.resume(index)
 	case actSettle:
-		t.settle()
+		m.settle()
 	}
 	if a.Kind == actLoseDatagram || a.Kind == actDelayDatagram || a.Kind == actKillMember {
-		t.FaultsLeft--
+		m.FaultsLeft--
 	}
 }
 
 // resume ends the pause of a member: its overdue timers fire first, in their order, then it receives the held datagrams.
-func (t *tierModel) resume(index int) {
-	member := &t.Members[index]
+func (m *tierModel) resume(index int) {
+	member := &m.Members[index]
 	held := member.HeldDatagrams
-	member.Paused, member.HeldDatagrams, member.UndisturbedSince = false, nil, t.Now
+	member.Paused, member.HeldDatagrams, member.UndisturbedSince = false, nil, m.Now
 	for {
-		if owner, _, at := t.nextDue(); owner != index || at >= t.Now {
+		if owner, _, at := m.nextDue(); owner != index || at >= m.Now {
 			break
 		}
-		t.advance()
+		m.advance()
 	}
-	t.InFlight = append(t.InFlight, held...)
+	m.InFlight = append(m.InFlight, held...)
 }
 
 // settle resumes all paused members, lets settleTime pass without faults and checks the final state.
-func (t *tierModel) settle() {
-	for index, member := range t.Members {
+func (m *tierModel) settle() {
+	for index, member := range m.Members {
 		if member.Paused {
-			t.resume(index)
+			m.resume(index)
 		}
 	}
-	t.runUndisturbed(t.Now + settleTime)
-	t.Settled = true
-	t.Protocol.checkSettled(t)
+	m.runUndisturbed(m.Now + settleTime)
+	m.Settled = true
+	m.Protocol.checkSettled(m)
 }
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -35,9 +35,9 @@
 
 // phases maps the channel's status values to server phases.
 var phases = map[string]elmseam.Phase{
-	"in_service":  elmseam.Ready,
-	"terminating": elmseam.Draining,
-	"terminated":  elmseam.Gone,
+	"in_service":  elmseam.PhaseReady,
+	"terminating": elmseam.PhaseDraining,
+	"terminated":  elmseam.PhaseGone,
 }
 
 // Command is one event of the channel.
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -143,7 +143,7 @@
 		}
 	}
 	for _, want := range []core.Server{
-		{Name: "a", Phase: elmseam.Ready}, {Name: "a", Phase: elmseam.Draining}, {Name: "b", Phase: elmseam.Draining}, {Name: "c", Phase: elmseam.Gone},
+		{Name: "a", Phase: elmseam.PhaseReady}, {Name: "a", Phase: elmseam.PhaseDraining}, {Name: "b", Phase: elmseam.PhaseDraining}, {Name: "c", Phase: elmseam.PhaseGone},
 	} {
 		want.Address, want.Protocol, want.Cell, want.Started = "x:1", "f", 2, 5*time.Millisecond
 		if got := <-lists; len(got.Servers) != 1 || got.Servers[0] != want {
--- a/internal/handover/effect.go
+++ b/internal/handover/effect.go
@@ -5,7 +5,7 @@
 // FromEffect converts an effect for a caller to a message. A conn of 0 stands for any of the successor's connections. ok is
 // false for an effect that is not relayed.
 func FromEffect(protocol core.Protocol, conn core.ConnID, e core.Effect) (m Message, ok bool) {
-	m = Message{Kind: Effect, Protocol: protocol, Conn: conn}
+	m = Message{Kind: KindEffect, Protocol: protocol, Conn: conn}
 	switch e := e.(type) {
 	case core.Answered:
 		m.Effect, m.ID, m.Desc = "answered", e.ID, e.Desc
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -23,12 +23,12 @@
 
 // Limits are the timeouts and size limits of a hand-over.
 type Limits struct {
-	HelloTimeout   time.Duration // max time to connect, to receive Hello, and to receive the answer to it
+	HelloTimeout   time.Duration // max time to connect, to receive KindHello, and to receive the answer to it
 	ExitTimeout    time.Duration // how long a successor waits for an exiting predecessor to end
 	WriteTimeout   time.Duration // max time to write one message; beyond it the connection is closed
 	MaxMessageSize int           // max size of an encoded message, in bytes
 	MaxQueuedBytes int           // max bytes queued for the peer; beyond it the connection is closed
-	MaxEndedCalls  int           // max number of ids in a CallsEnded message
+	MaxEndedCalls  int           // max number of ids in a KindCallsEnded message
 }
 
 // ReasonExiting is the refusal reason of a process that is exiting and closes its listener. The refused process waits until
@@ -40,17 +40,17 @@
 
 // Kinds of messages. The comments name the sender.
 const (
-	Hello        Kind = "hello"       // successor: asks for the listener of an address
-	Listener     Kind = "listener"    // predecessor: carries the callers' listener
-	Refused      Kind = "refused"     // predecessor: refuses the hand-over, with a reason
-	Serving      Kind = "serving"     // successor: ready to serve callers
-	Transferring Kind = "moving"      // predecessor: starts to transfer its callers' connections
-	CallerConn   Kind = "caller"      // predecessor: carries a caller's connection
-	Effect       Kind = "effect"      // predecessor: an effect for a caller
-	CallsEnded   Kind = "over"        // predecessor: ids of calls that have ended
-	CallerDown   Kind = "caller_down" // successor: a transferred connection was closed
-	CallerEnd    Kind = "caller_end"  // successor: a caller released a call that the successor does not know
-	ServerEnd    Kind = "server_end"  // successor: a server ended a call that the successor does not know
+	KindHello        Kind = "hello"       // successor: asks for the listener of an address
+	KindListener     Kind = "listener"    // predecessor: carries the callers' listener
+	KindRefused      Kind = "refused"     // predecessor: refuses the hand-over, with a reason
+	KindServing      Kind = "serving"     // successor: ready to serve callers
+	KindTransferring Kind = "moving"      // predecessor: starts to transfer its callers' connections
+	KindCallerConn   Kind = "caller"      // predecessor: carries a caller's connection
+	KindEffect       Kind = "effect"      // predecessor: an effect for a caller
+	KindCallsEnded   Kind = "over"        // predecessor: ids of calls that have ended
+	KindCallerDown   Kind = "caller_down" // successor: a transferred connection was closed
+	KindCallerEnd    Kind = "caller_end"  // successor: a caller released a call that the successor does not know
+	KindServerEnd    Kind = "server_end"  // successor: a server ended a call that the successor does not know
 )
 
 // Message is one message between the two processes. Fields that its kind does not use are empty.
@@ -58,7 +58,7 @@
 	Kind          Kind          `json:"kind"`
 	Version       int           `json:"version,omitempty"` // format version, see [Version]
 	Listen        string        `json:"listen,omitempty"`  // the callers' address whose listener is requested
-	RefusalReason string        `json:"why,omitempty"`     // reason of a Refused message
+	RefusalReason string        `json:"why,omitempty"`     // reason of a KindRefused message
 	Conn          core.ConnID   `json:"link,omitempty"`    // id of a connection in the predecessor
 	Protocol      core.Protocol `json:"front,omitempty"`   // signalling protocol of the caller that an effect is for
 	Unprocessed   []byte        `json:"rest,omitempty"`    // bytes read from the connection and not yet processed
@@ -71,7 +71,7 @@
 	Reason        core.Reason   `json:"reason,omitempty"`  // why a call was rejected, released or ended by a server
 	RetryAfter    time.Duration `json:"retry,omitempty"`   // when a rejected caller may try again, in nanoseconds
 	Server        string        `json:"server,omitempty"`  // name of the server that ended the call
-	IDs           []core.ID     `json:"ids,omitempty"`     // the calls of a CallsEnded message
+	IDs           []core.ID     `json:"ids,omitempty"`     // the calls of a KindCallsEnded message
 }
 
 // SocketPath returns the path of the hand-over socket of the process with the given name, or "" if dir is empty.
@@ -248,13 +248,13 @@
 	}
 	p := newPeer(conn.(*net.UnixConn), limits)
 	conn.SetReadDeadline(time.Now().Add(limits.HelloTimeout))
-	p.Send(Message{Kind: Hello, Version: Version, Listen: listen})
+	p.Send(Message{Kind: KindHello, Version: Version, Listen: listen})
 	m, file, err := p.Receive()
-	if err == nil && m.Kind == Refused && m.RefusalReason == ReasonExiting {
+	if err == nil && m.Kind == KindRefused && m.RefusalReason == ReasonExiting {
 		conn.SetReadDeadline(time.Now().Add(limits.ExitTimeout))
 		p.Receive()
 	}
-	if err == nil && (m.Kind != Listener || file == nil) {
+	if err == nil && (m.Kind != KindListener || file == nil) {
 		err = fmt.Errorf("%s: %s", m.Kind, m.RefusalReason)
 	}
 	var listener net.Listener
@@ -292,7 +292,7 @@
 	return listener, nil
 }
 
-// AcceptSuccessor receives the Hello of a process that has connected, and sends it the listener if the process asks for the
+// AcceptSuccessor receives the KindHello message of a process that has connected, and sends it the listener if the process asks for the
 // address listen. A refusal that is not empty is sent instead, as the reason.
 func AcceptSuccessor(conn *net.UnixConn, listen, refusal string, listener syscall.Conn, limits Limits) (*Peer, error) {
 	p := newPeer(conn, limits)
@@ -303,17 +303,17 @@
 	}
 	if err == nil {
 		switch {
-		case m.Kind != Hello || m.Version != Version:
+		case m.Kind != KindHello || m.Version != Version:
 			refusal = fmt.Sprintf("version %d is spoken here", Version)
 		case m.Listen != listen:
 			refusal = fmt.Sprintf("%s is served here", listen)
 		}
 		if refusal != "" {
-			p.Send(Message{Kind: Refused, Version: Version, RefusalReason: refusal})
+			p.Send(Message{Kind: KindRefused, Version: Version, RefusalReason: refusal})
 			p.Flush()
 			err = errors.New(refusal)
 		} else {
-			err = p.SendFile(Message{Kind: Listener, Version: Version}, listener)
+			err = p.SendFile(Message{Kind: KindListener, Version: Version}, listener)
 		}
 	}
 	conn.SetReadDeadline(time.Time{})
--- a/internal/knowledge/knowledge_test.go
+++ b/internal/knowledge/knowledge_test.go
@@ -159,7 +159,7 @@
 	r, _ := newReducer(t, 0, 2, epoch)
 	observations := make(map[uint32]Observation)
 	for s := range uint32(24) {
-		observations[s<<27] = Observation{HoldBackShare: 0.5, HoldBackShareAt: epoch, Rate: 100, Lines: 1e5, FailureWeight: 20, DrainingSince: epoch, MinSetUpTime: time.Second}
+		observations[s<<27] = Observation{HoldBackShare: 0.5, HoldBackShareAt: epoch, Rate: 100, TotalLines: 1e5, FailureWeight: 20, DrainingSince: epoch, MinSetUpTime: time.Second}
 	}
 	r.Step(epoch+time.Second, LocalObservations{observations})
 	other, _ := newReducer(t, 1, 2, epoch)
@@ -181,7 +181,7 @@
 	if n := len(other.observers[0].Entries); n != len(observations) {
 		t.Errorf("entries of %d of %d servers arrived", n, len(observations))
 	}
-	if e := other.observers[0].Entries[1<<27]; e.HoldBackShare < 0.49 || e.Rate != 100 || e.Lines != 1e5 || e.FailureWeight != 15 || e.MinSetUpTime != time.Second || e.DrainingSince < epoch-20*ms {
+	if e := other.observers[0].Entries[1<<27]; e.HoldBackShare < 0.49 || e.Rate != 100 || e.TotalLines != 1e5 || e.FailureWeight != 15 || e.MinSetUpTime != time.Second || e.DrainingSince < epoch-20*ms {
 		t.Errorf("entry %+v, want the observation that was sent, with the failure weight limited to 15", e)
 	}
 	rng := rand.New(rand.NewPCG(1, 1))
--- a/internal/knowledge/reducer.go
+++ b/internal/knowledge/reducer.go
@@ -62,7 +62,7 @@
 	case cfg.TierSize < 1 || cfg.TierSize > math.MaxUint16:
 		return nil, nil, fmt.Errorf("tier: %d members, not in [1, %d]", cfg.TierSize, math.MaxUint16)
 	case cfg.Self < 0 || cfg.Self >= cfg.TierSize:
-		return nil, nil, fmt.Errorf("self: index %d of %d members does not exist", cfg.Self, cfg.TierSize)
+		return nil, nil, fmt.Errorf("self: %d, not in [0, %d)", cfg.Self, cfg.TierSize)
 	}
 	if err := cfg.Limits.Check(); err != nil {
 		return nil, nil, err
@@ -81,19 +81,19 @@
 	case LocalObservations:
 		r.setLocal(ev.Servers)
 	case Datagram:
-		var m message
-		if err := datagram.Decode(ev.Data, Version, datagram.MaxSize, &m); err != nil {
+		var msg message
+		if err := datagram.Decode(ev.Data, Version, datagram.MaxSize, &msg); err != nil {
 			r.counters.Malformed++
 			break
 		}
-		r.handleMessage(ev.From, m)
+		r.handleMessage(ev.From, msg)
 	case Piggyback:
-		var m message
-		if datagram.DecodeItem(ev.Data, &m) != nil || m.Kind != kindEntries {
+		var msg message
+		if datagram.DecodeItem(ev.Data, &msg) != nil || msg.Kind != kindEntries {
 			r.counters.Malformed++
 			break
 		}
-		r.handleMessage(ev.From, m)
+		r.handleMessage(ev.From, msg)
 	case TimerFired:
 		if ev.Token.seq == r.timerSeq {
 			r.query()
@@ -174,12 +174,12 @@
 }
 
 // handleMessage processes a decoded message from the member with the index from.
-func (r *Reducer) handleMessage(from int, m message) {
+func (r *Reducer) handleMessage(from int, msg message) {
 	if from < 0 || from >= r.cfg.TierSize || from == r.cfg.Self {
 		r.counters.UnknownSenders++
 		return
 	}
-	switch err := m.check(r.cfg.TierSize); {
+	switch err := msg.check(r.cfg.TierSize); {
 	case errors.Is(err, errTierSize):
 		r.counters.UnknownSenders++
 		return
@@ -187,42 +187,42 @@
 		r.counters.Malformed++
 		return
 	}
-	delay := r.extraDelay(&r.observers[from], m)
+	delay := r.extraDelay(&r.observers[from], msg)
 	if delay < 0 { // the message is of an earlier incarnation of the sender
 		r.counters.Stale++
 		return
 	}
-	if m.Kind == kindQuery {
+	if msg.Kind == kindQuery {
 		r.sendAnswer(from)
 		return
 	}
-	if len(m.Items) == 0 {
+	if len(msg.Items) == 0 {
 		r.emptyAnswers++
 	}
-	r.answered = r.answered || len(m.Items) > 0 || r.emptyAnswers >= r.cfg.Limits.Fanout
-	r.applyEntries(&r.observers[from], m, delay)
+	r.answered = r.answered || len(msg.Items) > 0 || r.emptyAnswers >= r.cfg.Limits.Fanout
+	r.applyEntries(&r.observers[from], msg, delay)
 }
 
 // extraDelay returns how much longer a message was under way than the quickest message of its sender, as far as the
 // clocks show. It is negative if the message is of an earlier incarnation of the sender. The minimum grows with time,
 // because the pace of two clocks may differ by up to two hundredths.
-func (r *Reducer) extraDelay(o *observer, m message) time.Duration {
+func (r *Reducer) extraDelay(observer *observer, msg message) time.Duration {
 	const maxDrift = 0.02
-	lag := int64(r.now/time.Millisecond) - int64(m.Stamp)
-	if o.Seen && int32(m.Incarnation-o.Incarnation) < 0 {
+	lag := int64(r.now/time.Millisecond) - int64(msg.Stamp)
+	if observer.Seen && int32(msg.Incarnation-observer.Incarnation) < 0 {
 		return -1
 	}
-	if !o.Seen || m.Incarnation != o.Incarnation {
-		o.Seen, o.Incarnation, o.MinLag, o.MinLagAt = true, m.Incarnation, lag, r.now
+	if !observer.Seen || msg.Incarnation != observer.Incarnation {
+		observer.Seen, observer.Incarnation, observer.MinLag, observer.MinLagAt = true, msg.Incarnation, lag, r.now
 		// Any entry of the new incarnation is newer than the stored ones.
-		for s, e := range o.Entries {
+		for s, e := range observer.Entries {
 			e.Stamp = 0
-			o.Entries[s] = e
+			observer.Entries[s] = e
 		}
 		return 0
 	}
-	if minLag := o.MinLag + int64(maxDrift*float64(r.now-o.MinLagAt)/float64(time.Millisecond)); lag < minLag {
-		o.MinLag, o.MinLagAt = lag, r.now
+	if minLag := observer.MinLag + int64(maxDrift*float64(r.now-observer.MinLagAt)/float64(time.Millisecond)); lag < minLag {
+		observer.MinLag, observer.MinLagAt = lag, r.now
 		return 0
 	} else {
 		return time.Duration(lag-minLag) * time.Millisecond
@@ -230,27 +230,27 @@
 }
 
 // applyEntries stores the entries of a message from an observer that was delayed by delay.
-func (r *Reducer) applyEntries(o *observer, m message, delay time.Duration) {
+func (r *Reducer) applyEntries(observer *observer, msg message, delay time.Duration) {
 	var updated []uint32
-	for items := m.Items; len(items) > 0; {
+	for items := msg.Items; len(items) > 0; {
 		server, obs, n := decodeObservation(items, r.now-delay)
 		items = items[n:]
 		if _, listed := r.local[server]; !listed {
 			r.counters.Unlisted++
 			continue
 		}
-		old, known := o.Entries[server]
-		if known && m.Stamp <= old.Stamp && old.Stamp > 0 {
+		old, known := observer.Entries[server]
+		if known && msg.Stamp <= old.Stamp && old.Stamp > 0 {
 			r.counters.Stale++
 			continue
 		}
-		if !known && len(o.Entries) >= r.cfg.Limits.MaxServers {
+		if !known && len(observer.Entries) >= r.cfg.Limits.MaxServers {
 			continue
 		}
-		if o.Entries == nil {
-			o.Entries = make(map[uint32]entry)
+		if observer.Entries == nil {
+			observer.Entries = make(map[uint32]entry)
 		}
-		o.Entries[server] = entry{obs, max(m.Stamp, 1), r.now - delay}
+		observer.Entries[server] = entry{obs, max(msg.Stamp, 1), r.now - delay}
 		r.counters.EntriesReceived++
 		updated = append(updated, server)
 	}
@@ -269,17 +269,17 @@
 		}
 	}
 	for first := true; first || remaining > 0; first = false { // at least one message, even if nothing has been observed
-		m, n := r.nextEntries(datagram.MaxSize-datagram.Overhead, len(r.sendOrder))
-		r.send(member, m)
+		msg, n := r.nextEntries(datagram.MaxSize-datagram.Overhead, len(r.sendOrder))
+		r.send(member, msg)
 		remaining -= max(n, 1)
 	}
 }
 
 // nextEntries returns a message with as many own entries as fit into space bytes, and their number. Entries sent
 // longest ago come first. All fresh entries may be included, and at most maxOlder others.
-func (r *Reducer) nextEntries(space, maxOlder int) (m message, n int) {
-	m = r.stamped(message{Kind: kindEntries, Items: []int64{}})
-	space -= datagram.Size(m) + 2 // two more bytes for the count of the items
+func (r *Reducer) nextEntries(space, maxOlder int) (msg message, n int) {
+	msg = r.stamped(message{Kind: kindEntries, Items: []int64{}})
+	space -= datagram.Size(msg) + 2 // two more bytes for the count of the items
 	var sent, unsent []uint32
 	for _, server := range r.sendOrder {
 		obs := r.local[server]
@@ -300,12 +300,12 @@
 			maxOlder--
 		}
 		space -= size
-		m.Items = append(m.Items, items...)
+		msg.Items = append(msg.Items, items...)
 		sent = append(sent, server)
 	}
 	r.sendOrder = append(unsent, sent...)
 	r.counters.EntriesSent += uint64(len(sent))
-	return m, len(sent)
+	return msg, len(sent)
 }
 
 // The choice of the entries that a message carries (see nextEntries).
@@ -319,28 +319,28 @@
 )
 
 // stamped returns the message with tier size, incarnation and stamp filled in.
-func (r *Reducer) stamped(m message) message {
-	m.Tier, m.Incarnation, m.Stamp = uint16(r.cfg.TierSize), uint32(r.startedAt/time.Millisecond), uint32((r.now-r.startedAt)/time.Millisecond)
-	return m
+func (r *Reducer) stamped(msg message) message {
+	msg.Tier, msg.Incarnation, msg.Stamp = uint16(r.cfg.TierSize), uint32(r.startedAt/time.Millisecond), uint32((r.now-r.startedAt)/time.Millisecond)
+	return msg
 }
 
 // send sends a message to a member in a separate datagram.
-func (r *Reducer) send(member int, m message) {
-	data := datagram.Encode(Version, r.stamped(m))
+func (r *Reducer) send(to int, msg message) {
+	data := datagram.Encode(Version, r.stamped(msg))
 	r.counters.Sent++
 	r.counters.SentBytes += uint64(len(data))
-	r.emit(Send{To: member, Data: data})
+	r.emit(Send{To: to, Data: data})
 }
 
 // AppendPiggyback appends own entries to a datagram of another protocol, as far as there is room, and returns the
 // datagram.
 func (r *Reducer) AppendPiggyback(now Time, data []byte) []byte {
 	r.now = max(now, r.now)
-	m, n := r.nextEntries(datagram.MaxSize-len(data), maxOlderPiggybacked)
+	msg, n := r.nextEntries(datagram.MaxSize-len(data), maxOlderPiggybacked)
 	if n == 0 {
 		return data
 	}
-	piggyback := datagram.EncodeItem(m)
+	piggyback := datagram.EncodeItem(msg)
 	r.counters.SentBytes += uint64(len(piggyback))
 	return datagram.AppendPiggyback(data, piggyback)
 }
--- a/internal/knowledge/types.go
+++ b/internal/knowledge/types.go
@@ -92,7 +92,7 @@
 	// Rate is the rate, in set-ups a second, that the server takes from the member when warm; 0: not known.
 	Rate float64
 	// Lines is the server's number of lines; 0: not reported.
-	Lines float64
+	TotalLines float64
 	// FailureWeight is the weight of the failed set-ups in a row. Values above 15 are sent as 15.
 	FailureWeight int
 	// MinSetUpTime is the shortest set-up time; 0: no call was established yet.
@@ -180,7 +180,7 @@
 // message is the content of a datagram, or of piggybacked data (always of kindEntries). It is sent as a CBOR array.
 type message struct {
 	_    struct{} `cbor:",toarray"`
-	Kind kind
+	Kind messageKind
 	// Tier is the number of members in the sender's tier.
 	Tier uint16
 	// Incarnation identifies the sender's incarnation: its start time in milliseconds, the low 32 bits.
@@ -191,14 +191,14 @@
 	Items []int64
 }
 
-// kind is the kind of a message. Its values are part of the format.
-type kind uint8
+// messageKind is the kind of a message. Its values are part of the format.
+type messageKind uint8
 
 // The kinds of messages.
 const (
-	kindQuery   kind = iota // asks for all entries of the receiver
-	kindEntries             // carries entries of the sender
-	kindCount               // number of kinds
+	kindQuery   messageKind = iota // asks for all entries of the receiver
+	kindEntries                    // carries entries of the sender
+	numKinds                       // number of kinds
 )
 
 // Bit layout and units of an entry, which is encoded as three to six integers:
@@ -214,7 +214,7 @@
 	maxEncodedShare   = shareUnknown - 1       // encodes a share of 1
 	maxEncodedRate    = 1<<24 - 1              // in tenths of a set-up a second
 	failureWeightBits = 4                      // bits of the failure weight
-	hasLines          = 1                      // flag: the number of lines follows
+	hasTotalLines     = 1                      // flag: the number of lines follows
 	hasDrainingSince  = 2                      // flag: the draining time follows
 	hasMinSetUpTime   = 4                      // flag: the shortest set-up time follows
 	flagBits          = 3                      // number of flag bits
@@ -228,8 +228,8 @@
 		age, share = min(int64((now-o.HoldBackShareAt)/ageUnit), maxEncodedAge), int64(math.Round(min(max(o.HoldBackShare, 0), 1)*maxEncodedShare))
 	}
 	flags := int64(0)
-	if o.Lines > 0 {
-		flags |= hasLines
+	if o.TotalLines > 0 {
+		flags |= hasTotalLines
 	}
 	if o.DrainingSince > 0 {
 		flags |= hasDrainingSince
@@ -239,8 +239,8 @@
 	}
 	rate := int64(min(max(o.Rate, 0)*10, maxEncodedRate))
 	items := []int64{int64(server), age<<shareBits | share, rate<<(failureWeightBits+flagBits) | int64(min(o.FailureWeight, 1<<failureWeightBits-1))<<flagBits | flags}
-	if o.Lines > 0 {
-		items = append(items, int64(min(o.Lines, 1<<31)))
+	if o.TotalLines > 0 {
+		items = append(items, int64(min(o.TotalLines, 1<<31)))
 	}
 	if o.DrainingSince > 0 {
 		items = append(items, int64((now-o.DrainingSince)/ageUnit))
@@ -270,9 +270,9 @@
 		n++
 		return items[n-1], true
 	}
-	if items[2]&hasLines != 0 {
+	if items[2]&hasTotalLines != 0 {
 		v, ok := next()
-		if obs.Lines = float64(v); !ok {
+		if obs.TotalLines = float64(v); !ok {
 			return 0, obs, 0
 		}
 	}
@@ -294,7 +294,7 @@
 // check validates a message received in a tier of tierSize members. It returns errTierSize for a message of an unknown
 // kind or from a tier of another size, and datagram.ErrMalformed for a message with an undecodable entry.
 func (m message) check(tierSize int) error {
-	if m.Kind >= kindCount || int(m.Tier) != tierSize {
+	if m.Kind >= numKinds || int(m.Tier) != tierSize {
 		return errTierSize
 	}
 	for items := m.Items; len(items) > 0; {
--- a/internal/knowledge/view.go
+++ b/internal/knowledge/view.go
@@ -52,25 +52,25 @@
 	limits := r.cfg.Limits
 	addReport := func(obs Observation) {
 		if obs.HoldBackShareAt > 0 && now-obs.HoldBackShareAt < limits.MaxAge {
-			w := weight(now-obs.HoldBackShareAt, limits.HalfLife)
-			shareSum, shareWeight = shareSum+w*obs.HoldBackShare, shareWeight+w
+			entryWeight := weight(now-obs.HoldBackShareAt, limits.HalfLife)
+			shareSum, shareWeight = shareSum+entryWeight*obs.HoldBackShare, shareWeight+entryWeight
 		}
 	}
-	for _, o := range r.observers {
-		e, known := o.Entries[server]
-		if !known || now-e.ObservedAt >= limits.MaxAge {
+	for _, observer := range r.observers {
+		entry, known := observer.Entries[server]
+		if !known || now-entry.ObservedAt >= limits.MaxAge {
 			continue
 		}
 		v.Observers++
-		v.MinSetUpTime = max(v.MinSetUpTime, e.MinSetUpTime)
-		addReport(e.Observation)
-		v.HoldBackShareAt, v.DrainingSince = max(v.HoldBackShareAt, e.HoldBackShareAt), max(v.DrainingSince, e.DrainingSince)
-		w := weight(now-e.ObservedAt, limits.SlowHalfLife)
-		if e.Rate > 0 {
-			rateSum, rateWeight = rateSum+w*e.Rate, rateWeight+w
+		v.MinSetUpTime = max(v.MinSetUpTime, entry.MinSetUpTime)
+		addReport(entry.Observation)
+		v.HoldBackShareAt, v.DrainingSince = max(v.HoldBackShareAt, entry.HoldBackShareAt), max(v.DrainingSince, entry.DrainingSince)
+		entryWeight := weight(now-entry.ObservedAt, limits.SlowHalfLife)
+		if entry.Rate > 0 {
+			rateSum, rateWeight = rateSum+entryWeight*entry.Rate, rateWeight+entryWeight
 		}
-		if totalWeight += w; e.FailureWeight >= failingThreshold {
-			failingWeight += w
+		if totalWeight += entryWeight; entry.FailureWeight >= failingThreshold {
+			failingWeight += entryWeight
 		}
 	}
 	if addReport(r.local[server]); shareWeight > 0 {
@@ -96,9 +96,9 @@
 	}
 	for _, member := range dead {
 		rate, reported := 0.0, false
-		for _, e := range r.observers[member].Entries {
-			if r.now-e.ObservedAt < r.cfg.Limits.MaxAge {
-				rate, reported = rate+e.Rate, reported || e.Rate > 0
+		for _, entry := range r.observers[member].Entries {
+			if r.now-entry.ObservedAt < r.cfg.Limits.MaxAge {
+				rate, reported = rate+entry.Rate, reported || entry.Rate > 0
 			}
 		}
 		deadRate, allKnown = deadRate+rate, allKnown && reported
@@ -119,9 +119,9 @@
 
 // Entries returns all entries for a server, ordered by observer, this member's own included.
 func (r *Reducer) Entries(server uint32) (entries []ObserverEntry) {
-	for member, o := range r.observers {
-		if e, known := o.Entries[server]; known {
-			entries = append(entries, ObserverEntry{member, e.Observation, e.ObservedAt})
+	for member, observer := range r.observers {
+		if entry, known := observer.Entries[server]; known {
+			entries = append(entries, ObserverEntry{member, entry.Observation, entry.ObservedAt})
 		}
 	}
 	if obs, listed := r.local[server]; listed {
--- a/internal/lab/checker.go
+++ b/internal/lab/checker.go
@@ -12,10 +12,10 @@
 
 // The outcomes of an attempt.
 const (
-	Answered        AttemptOutcome = iota // the server answered: the call is established
-	Refused                               // the server refused the attempt
-	Cancelled                             // the softswitch cancelled the attempt: the release guard applies
-	ConnectionReset                       // the attempt's connection ended: the release guard applies
+	OutcomeAnswered        AttemptOutcome = iota // the server answered: the call is established
+	OutcomeRefused                               // the server refused the attempt
+	OutcomeCancelled                             // the softswitch cancelled the attempt: the release guard applies
+	OutcomeConnectionReset                       // the attempt's connection ended: the release guard applies
 )
 
 // Violation is a rule that was broken: when it was first seen, how often, and the detail of the first time.
@@ -275,18 +275,18 @@
 // checkColdBudget checks that a server that has just started gets at most tip-multiple x present capacity x window
 // attempts in every window, plus ColdSlack.
 func (c *Checker) checkColdBudget(at time.Duration, name string, s *serverState) {
-	if s.startedAt < 0 || at-s.startedAt > c.rules.Ramp+c.rules.TipWindow {
+	if s.startedAt < 0 || at-s.startedAt > c.rules.ColdRamp+c.rules.OverloadAfter {
 		s.recentAttempts = nil
 		return
 	}
 	s.recentAttempts = append(s.recentAttempts, at)
-	windowStart := at - c.rules.TipWindow
+	windowStart := at - c.rules.OverloadAfter
 	i := sort.Search(len(s.recentAttempts), func(i int) bool { return s.recentAttempts[i] > windowStart })
 	s.recentAttempts = slices.Delete(s.recentAttempts, 0, i)
-	budget := c.rules.TipMultiple * c.Capacity(name, at) * c.rules.TipWindow.Seconds()
+	budget := c.rules.OverloadMultiple * c.Capacity(name, at) * c.rules.OverloadAfter.Seconds()
 	if attempts := len(s.recentAttempts); float64(attempts) > budget+float64(c.rules.ColdSlack) {
 		c.recordViolation("cold server pushed over", at, "%s: %d attempts in %v, budget %.1f", name, attempts,
-			c.rules.TipWindow, budget)
+			c.rules.OverloadAfter, budget)
 	}
 }
 
@@ -306,7 +306,7 @@
 		return
 	}
 	call.outstandingAt = ""
-	if outcome == Cancelled || outcome == ConnectionReset {
+	if outcome == OutcomeCancelled || outcome == OutcomeConnectionReset {
 		call.guardFrom = at
 	}
 }
--- a/internal/lab/checker_test.go
+++ b/internal/lab/checker_test.go
@@ -7,7 +7,7 @@
 
 // testRules are the rules of DefaultSettings.
 var testRules = Rules{MaxAttempts: 4, ReleaseGuard: 200 * time.Millisecond, DrainGrace: 250 * time.Millisecond,
-	TipMultiple: 2.5, TipWindow: time.Second, ColdFrom: 0.3, Ramp: 14 * time.Second, Slack: 50 * time.Millisecond, ColdSlack: 3}
+	OverloadMultiple: 2.5, OverloadAfter: time.Second, ColdInitialShare: 0.3, ColdRamp: 14 * time.Second, Slack: 50 * time.Millisecond, ColdSlack: 3}
 
 // ms shortens times in the tests.
 const ms = time.Millisecond
@@ -52,12 +52,12 @@
 			for i := range 5 {
 				at := time.Duration(i) * 10 * ms
 				checker.RecordAttempt(at, "a", 1)
-				checker.RecordAttemptEnd(at+ms, "a", 1, Refused)
+				checker.RecordAttemptEnd(at+ms, "a", 1, OutcomeRefused)
 			}
 		}},
 		{"sent again within the release guard", "release gap", func(checker *Checker) {
 			checker.RecordAttempt(0, "a", 1)
-			checker.RecordAttemptEnd(10*ms, "a", 1, ConnectionReset)
+			checker.RecordAttemptEnd(10*ms, "a", 1, OutcomeConnectionReset)
 			checker.RecordAttempt(100*ms, "b", 1)
 		}},
 		{"to a drained server", "new attempt at a retired server", func(checker *Checker) {
@@ -88,9 +88,9 @@
 	checker.AddServer("c", 100, 0)
 	checker.RecordSetUp(0, 1, 0, 1500*ms)
 	checker.RecordAttempt(0, "a", 1)
-	checker.RecordAttemptEnd(10*ms, "a", 1, ConnectionReset)
+	checker.RecordAttemptEnd(10*ms, "a", 1, OutcomeConnectionReset)
 	checker.RecordAttempt(260*ms, "a", 1) // after the release guard
-	checker.RecordAttemptEnd(270*ms, "a", 1, Answered)
+	checker.RecordAttemptEnd(270*ms, "a", 1, OutcomeAnswered)
 	checker.RecordFinalAnswer(271*ms, 1, true)
 	checker.RecordSetUp(0, 2, 0, 1500*ms)
 	checker.RecordUnanswered(300*ms, 2, true) // excused: a fault that the lab injected prevented the answer
--- a/internal/lab/environment.go
+++ b/internal/lab/environment.go
@@ -130,7 +130,7 @@
 	if r.scenario.PeersEnabled {
 		peers, allPeersAddr = r.relay.PeerAddresses(), r.relay.AllPeersAddress()
 	}
-	seed := r.rand.Uint64()
+	seed := r.rng.Uint64()
 	settings, err := r.memberSettings(m.index)
 	if err != nil {
 		return err
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -72,7 +72,7 @@
 		if conn == nil {
 			continue
 		}
-		if conn.setUp(r.rand.Uint64()|1, class, r.scenario.GiveUp.Duration) == nil {
+		if conn.setUp(r.rng.Uint64()|1, class, r.scenario.GiveUp.Duration) == nil {
 			return true
 		}
 	}
--- a/internal/lab/maintenance_checker.go
+++ b/internal/lab/maintenance_checker.go
@@ -5,11 +5,11 @@
 // MaintenanceRun is one time that a softswitch was out of service for maintenance. Times are since the start of the
 // run; a negative time: the event was not seen.
 type MaintenanceRun struct {
-	Softswitch string        `json:"softswitch"`
-	OutAt      time.Duration `json:"out_ns"`   // the softswitch is granted maintenance and sends its callers away
-	ReadyAt    time.Duration `json:"ready_ns"` // no call or connection remains on the softswitch
-	BackAt     time.Duration `json:"back_ns"`  // the softswitch no longer holds its maintenance slot
-	index      int           // of the softswitch
+	Softswitch     string        `json:"softswitch"`
+	OutOfServiceAt time.Duration `json:"out_ns"`   // the softswitch is granted maintenance and sends its callers away
+	ReadyAt        time.Duration `json:"ready_ns"` // no call or connection remains on the softswitch
+	InServiceAt    time.Duration `json:"back_ns"`  // the softswitch no longer holds its maintenance slot
+	index          int           // of the softswitch
 }
 
 // RecordMaintenance records what a softswitch reports of itself: whether it is out of service for maintenance, and ready
@@ -17,12 +17,12 @@
 func (c *TierChecker) RecordMaintenance(at time.Duration, index int, outOfService, ready bool) {
 	var current *MaintenanceRun
 	for _, run := range c.maintenanceRuns {
-		if run.index == index && run.BackAt < 0 {
+		if run.index == index && run.InServiceAt < 0 {
 			current = run
 		}
 	}
 	if outOfService && current == nil {
-		current = &MaintenanceRun{Softswitch: MemberName(index), OutAt: at, ReadyAt: -1, BackAt: -1, index: index}
+		current = &MaintenanceRun{Softswitch: MemberName(index), OutOfServiceAt: at, ReadyAt: -1, InServiceAt: -1, index: index}
 		c.maintenanceRuns = append(c.maintenanceRuns, current)
 	}
 	if current == nil {
@@ -32,7 +32,7 @@
 		current.ReadyAt = at
 	}
 	if !outOfService {
-		current.BackAt = at
+		current.InServiceAt = at
 	}
 }
 
@@ -54,15 +54,15 @@
 		c.recordViolation("more out than the budget", at,
 			"%d softswitches are not ready, at most %d may be out for maintenance", outOfService, budget)
 	}
-	c.maxOut = max(c.maxOut, outOfService)
+	c.maxOutOfService = max(c.maxOutOfService, outOfService)
 }
 
 // underMaintenance reports whether the last fault recorded for a softswitch is the operator's maintenance work, and
 // has not ended.
 func (c *TierChecker) underMaintenance(index int) bool {
 	for i := len(c.detections) - 1; i >= 0; i-- {
-		if d := c.detections[i]; d.index == index {
-			return d.Kind == "work" && d.Ended < 0
+		if detection := c.detections[i]; detection.index == index {
+			return detection.Kind == "work" && detection.Ended < 0
 		}
 	}
 	return false
@@ -76,7 +76,7 @@
 		for _, run := range c.maintenanceRuns {
 			if run.index == index && run.ReadyAt >= 0 {
 				readyRuns++
-				back = run.BackAt >= 0
+				back = run.InServiceAt >= 0
 			}
 		}
 		if readyRuns != 1 || !back {
--- a/internal/lab/member.go
+++ b/internal/lab/member.go
@@ -207,7 +207,7 @@
 	if status != http.StatusOK || json.Unmarshal(text, &tier) != nil {
 		return v, false
 	}
-	v = View{Majority: tier.Majority, ColdShare: tier.ColdQuotaFraction}
+	v = View{Majority: tier.Majority, ColdQuotaFraction: tier.ColdQuotaFraction}
 	for _, entry := range tier.Members {
 		v.States = append(v.States, entry.State)
 	}
--- a/internal/lab/operator.go
+++ b/internal/lab/operator.go
@@ -42,8 +42,8 @@
 	}
 	grantIndex := slices.IndexFunc(maintenanceStatus.Granted,
 		func(request mgmt.MaintenanceRequest) bool { return request.Index == m.index })
-	granted := grantIndex >= 0 && maintenanceStatus.HoldsGrant
-	ready := granted && maintenanceStatus.Granted[grantIndex].Stage == maintenance.Ready.String()
+	granted := grantIndex >= 0 && maintenanceStatus.HoldsSlot
+	ready := granted && maintenanceStatus.Granted[grantIndex].Stage == maintenance.StageReady.String()
 	r.mu.Lock()
 	r.tierChecker.RecordMaintenance(r.now(), m.index, granted, ready)
 	start := ready && !m.underMaintenance && r.scenario.WorkDuration.Duration > 0
--- a/internal/lab/relay.go
+++ b/internal/lab/relay.go
@@ -23,7 +23,7 @@
 	memberBySource map[string]int // source address -> index of the softswitch
 	mu             sync.Mutex     // guards conditions and rand
 	conditions     NetworkConditions
-	rand           *rand.Rand
+	rng            *rand.Rand
 	stop           chan struct{} // closed to end the relay
 	wg             sync.WaitGroup
 	Counters       RelayCounters
@@ -31,14 +31,14 @@
 
 // RelayCounters are the relay's counters, of datagrams except for Bytes.
 type RelayCounters struct {
-	Forwarded, Dropped, Duplicated, UnknownSender, Oversized, Bytes atomic.Int64
+	Forwarded, Dropped, Duplicated, UnknownSenders, Oversized, Bytes atomic.Int64
 }
 
 // NewRelay opens a socket on each of the hosts, one for each of the softswitches whose peer_listen addresses are
 // given, and one for peers_all on allHost.
 func NewRelay(hosts []string, allHost string, memberAddrs []*net.UDPAddr, seed uint64) (*Relay, error) {
 	r := &Relay{memberAddrs: memberAddrs, memberBySource: make(map[string]int),
-		rand: rand.New(rand.NewPCG(seed, 0x72656c)), stop: make(chan struct{})}
+		rng: rand.New(rand.NewPCG(seed, 0x72656c)), stop: make(chan struct{})}
 	for i, addr := range memberAddrs {
 		r.memberBySource[addr.String()] = i
 	}
@@ -107,7 +107,7 @@
 		src, ok := r.memberBySource[from.String()]
 		switch {
 		case !ok:
-			r.Counters.UnknownSender.Add(1)
+			r.Counters.UnknownSenders.Add(1)
 			continue
 		case n > MaxDatagram:
 			r.Counters.Oversized.Add(1)
@@ -125,7 +125,7 @@
 // forward delivers one datagram, or drops it, as the present conditions decide.
 func (r *Relay) forward(src, dst int, data []byte) {
 	r.mu.Lock()
-	delivery := r.conditions.Deliver(src, dst, r.rand)
+	delivery := r.conditions.Deliver(src, dst, r.rng)
 	r.mu.Unlock()
 	if delivery.Drop {
 		r.Counters.Dropped.Add(1)
--- a/internal/lab/result.go
+++ b/internal/lab/result.go
@@ -39,8 +39,8 @@
 	MaintenanceRuns     []*MaintenanceRun `json:"works,omitempty"`
 	Recoveries          []*RecoveryStats  `json:"returns,omitempty"` // of softswitches that were killed and restarted
 	// MaxOut is the greatest number of softswitches that were out for maintenance in one sample.
-	MaxOut  int           `json:"most_out"`
-	Elapsed time.Duration `json:"span_ns"` // from the start of the load to the end of the run
+	MaxOutOfService int           `json:"most_out"`
+	Elapsed         time.Duration `json:"span_ns"` // from the start of the load to the end of the run
 
 	seconds  []SecondStats
 	servers  []string
@@ -60,7 +60,7 @@
 		MaintenanceCounters: map[string]int64{}, KnowledgeCounters: map[string]int64{},
 		BudgetCounters: map[string]int64{}, ready: r.readyBySecond, views: r.viewsBySecond,
 		Detections: r.tierChecker.detections, FalseDeaths: r.tierChecker.falseDeaths,
-		MaintenanceRuns: r.tierChecker.maintenanceRuns, MaxOut: r.tierChecker.maxOut, Elapsed: r.now()}
+		MaintenanceRuns: r.tierChecker.maintenanceRuns, MaxOutOfService: r.tierChecker.maxOutOfService, Elapsed: r.now()}
 	res.Violations = append(res.Violations, r.tierChecker.Violations()...)
 	for _, fault := range r.scenario.Faults {
 		for _, index := range r.scenario.memberIndexes(fault.Target) {
@@ -100,7 +100,7 @@
 	}
 	counters := &r.relay.Counters
 	res.Datagrams = map[string]int{"passed": int(counters.Forwarded.Load()), "dropped": int(counters.Dropped.Load()),
-		"doubled": int(counters.Duplicated.Load()), "strangers": int(counters.UnknownSender.Load()),
+		"doubled": int(counters.Duplicated.Load()), "strangers": int(counters.UnknownSenders.Load()),
 		"oversized": int(counters.Oversized.Load()), "bytes": int(counters.Bytes.Load())}
 	if counters.Oversized.Load() > 0 {
 		res.Violations = append(res.Violations,
--- a/internal/lab/rules.go
+++ b/internal/lab/rules.go
@@ -12,24 +12,24 @@
 	// DrainGrace is the time after which a server that drains or is gone gets no new attempt
 	// (obligations.drain-grace-us).
 	DrainGrace time.Duration
-	// TipMultiple times the present capacity is the rate allowed to a cold server (obligations.tip-multiple).
-	TipMultiple float64
-	TipWindow   time.Duration // window of the cold-server budget (obligations.tip-after-us)
-	ColdFrom    float64       // share of its capacity that a server starts with (obligations.cold-from)
-	Ramp        time.Duration // time from a server's start until it is warm (obligations.ramp-time-us)
-	Slack       time.Duration // extension of every time limit; 50 ms on sockets
-	ColdSlack   int           // attempts above the cold-server budget that chance may cause
+	// OverloadMultiple times the present capacity is the rate allowed to a cold server (obligations.tip-multiple).
+	OverloadMultiple float64
+	OverloadAfter    time.Duration // window of the cold-server budget (obligations.tip-after-us)
+	ColdInitialShare float64       // share of its capacity that a server starts with (obligations.cold-from)
+	ColdRamp         time.Duration // time from a server's start until it is warm (obligations.ramp-time-us)
+	Slack            time.Duration // extension of every time limit; 50 ms on sockets
+	ColdSlack        int           // attempts above the cold-server budget that chance may cause
 }
 
 // RampedCapacity returns what a server can handle at a time, in set-ups a second. startedAt is the time of its cold
-// start; negative: warm from the beginning. The capacity grows linearly from the share ColdFrom to all of it over
-// Ramp. The lab's stand-in servers warm up that way; WIRE does not prescribe the curve.
+// start; negative: warm from the beginning. The capacity grows linearly from the share ColdInitialShare to all of it over
+// ColdRamp. The lab's stand-in servers warm up that way; WIRE does not prescribe the curve.
 func (r Rules) RampedCapacity(capacity float64, startedAt, at time.Duration) float64 {
 	switch {
 	case startedAt >= 0 && at < startedAt:
 		return 0 // not started yet
-	case startedAt < 0 || at-startedAt >= r.Ramp || r.Ramp <= 0:
+	case startedAt < 0 || at-startedAt >= r.ColdRamp || r.ColdRamp <= 0:
 		return capacity
 	}
-	return capacity * (r.ColdFrom + (1-r.ColdFrom)*float64(max(0, at-startedAt))/float64(r.Ramp))
+	return capacity * (r.ColdInitialShare + (1-r.ColdInitialShare)*float64(max(0, at-startedAt))/float64(r.ColdRamp))
 }
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -55,7 +55,7 @@
 	viewsBySecond  [][]string    // by second, by softswitch: state initials of its view at the second's last sample
 	maxLag         time.Duration // of the load generator
 	lagSpans       int           // number of lag spans
-	rand           *rand.Rand
+	rng            *rand.Rand
 	pickPort       func(network, host string) (string, error) // picks a free port; tests replace it
 	// callerConns has Scenario.CallerConns connections for each softswitch; an entry may be nil.
 	callerConns [][]*callerConn
@@ -84,7 +84,7 @@
 	return &runner{scenario: scenario, options: options, checker: NewChecker(rules),
 		servers: make(map[string]*standInServer), settings: json.RawMessage(settings),
 		tierChecker: NewTierChecker(scenario.Softswitches), finished: make(chan struct{}),
-		pickPort: freePort, rand: rand.New(rand.NewPCG(scenario.Seed, 0x63616c6c))}
+		pickPort: freePort, rng: rand.New(rand.NewPCG(scenario.Seed, 0x63616c6c))}
 }
 
 // run starts the environment, executes the scenario and tears the environment down.
--- a/internal/lab/run_test.go
+++ b/internal/lab/run_test.go
@@ -36,7 +36,7 @@
 // A fleet whose members are killed, paused and partitioned keeps every rule. The lab excuses the set-ups that the
 // faults cost, agrees with the softswitches' own counts, retries when another program takes a port, and leaves no
 // process behind.
-func TestFleetUnderFaults(t *testing.T) {
+func TestTierUnderFaults(t *testing.T) {
 	bin := buildSoftswitch(t)
 	scenario := shortScenario("faults",
 		Fault{At: Duration{time.Second}, Kind: "kill", Target: []string{"n2"}, Duration: Duration{time.Second}},
@@ -96,7 +96,7 @@
 
 // The checker reports the violations of a fleet that the lab misleads on purpose: drains that the command channel
 // does not publish, and servers that are weaker and colder than the command channel says.
-func TestFleetWithSelfTestFaults(t *testing.T) {
+func TestTierWithSelfTestFaults(t *testing.T) {
 	bin := buildSoftswitch(t)
 	for _, test := range []struct {
 		fault, wantRule string
@@ -133,7 +133,7 @@
 // dead and then available again, a partitioned member is available again after the partition, and all views agree in the
 // end. All three members are maintained, one at a time, each once, although the member that received the requests is killed
 // shortly afterwards and another member is partitioned; no call is lost because of the maintenance.
-func TestFleetWithMembership(t *testing.T) {
+func TestTierWithMembership(t *testing.T) {
 	bin := buildSoftswitch(t)
 	scenario := shortScenario("members",
 		Fault{At: Duration{time.Second}, Kind: "loss", Probability: 0.3, Duration: Duration{6 * time.Second}},
--- a/internal/lab/settings.go
+++ b/internal/lab/settings.go
@@ -37,14 +37,14 @@
 	}
 	microseconds := func(value float64) time.Duration { return time.Duration(value * float64(time.Microsecond)) }
 	rules := Rules{MaxAttempts: parsed.Limits.MaxAttempts, ReleaseGuard: microseconds(parsed.FamilyInfo.ReleaseGuard),
-		DrainGrace:  microseconds(parsed.Obligations.DrainGrace),
-		TipMultiple: parsed.Obligations.TipMultiple, TipWindow: microseconds(parsed.Obligations.TipAfter),
-		ColdFrom: parsed.Obligations.ColdFrom, Ramp: microseconds(parsed.Obligations.Ramp),
+		DrainGrace:       microseconds(parsed.Obligations.DrainGrace),
+		OverloadMultiple: parsed.Obligations.TipMultiple, OverloadAfter: microseconds(parsed.Obligations.TipAfter),
+		ColdInitialShare: parsed.Obligations.ColdFrom, ColdRamp: microseconds(parsed.Obligations.Ramp),
 		Slack: 50 * time.Millisecond, ColdSlack: 3}
 	if rules.DrainGrace == 0 {
 		rules.DrainGrace = 250 * time.Millisecond
 	}
-	if rules.MaxAttempts <= 0 || rules.TipMultiple <= 0 || rules.TipWindow <= 0 {
+	if rules.MaxAttempts <= 0 || rules.OverloadMultiple <= 0 || rules.OverloadAfter <= 0 {
 		return rules, errors.New("settings: limits.max-attempts and obligations.tip-multiple, tip-after-us must be positive")
 	}
 	return rules, nil
--- a/internal/lab/standin_server.go
+++ b/internal/lab/standin_server.go
@@ -138,7 +138,7 @@
 			delete(c.pending, id)
 			s.mu.Unlock()
 			if wasPending {
-				s.observer.attemptEnded(s.Name, id, Cancelled)
+				s.observer.attemptEnded(s.Name, id, OutcomeCancelled)
 			}
 			c.send(`{"op":"ended","call":%q,"with":{}}`, message.Call)
 		}
@@ -150,7 +150,7 @@
 	c.pending = map[uint64]bool{}
 	s.mu.Unlock()
 	for id := range interrupted {
-		s.observer.attemptEnded(s.Name, id, ConnectionReset)
+		s.observer.attemptEnded(s.Name, id, OutcomeConnectionReset)
 	}
 }
 
@@ -175,7 +175,7 @@
 	s.mu.Unlock()
 	if full || swamped {
 		note := map[bool]string{true: "blocked", false: "swamped"}[full]
-		s.endAttempt(c, id, Refused, fmt.Sprintf(`{"op":"end","call":"%016x","with":{"note":%q,"load":%q},"why":34}`,
+		s.endAttempt(c, id, OutcomeRefused, fmt.Sprintf(`{"op":"end","call":"%016x","with":{"note":%q,"load":%q},"why":34}`,
 			id, note, s.loadReport()))
 		return
 	}
@@ -187,7 +187,7 @@
 		}
 		s.establishedCalls++
 		s.mu.Unlock()
-		if !s.endAttempt(c, id, Answered, fmt.Sprintf(`{"op":"accept","call":"%016x","with":{"load":%q},"desc":"lab:%s:%016x"}`,
+		if !s.endAttempt(c, id, OutcomeAnswered, fmt.Sprintf(`{"op":"accept","call":"%016x","with":{"load":%q},"desc":"lab:%s:%016x"}`,
 			id, s.loadReport(), s.Name, id)) {
 			s.releaseLine()
 			return
--- a/internal/lab/tier_checker.go
+++ b/internal/lab/tier_checker.go
@@ -8,9 +8,9 @@
 
 // View is what one softswitch's admin endpoint reports of the tier at a time.
 type View struct {
-	States    []string // state of each member, by index
-	Majority  bool     // whether the softswitch sees a majority of the tier
-	ColdShare float64  // factor on its quota of a cold server's budget, 0 to 1
+	States            []string // state of each member, by index
+	Majority          bool     // whether the softswitch sees a majority of the tier
+	ColdQuotaFraction float64  // factor on its quota of a cold server's budget, 0 to 1
 }
 
 // isDown reports whether a state means that the member takes no part.
@@ -54,7 +54,7 @@
 	falseDeaths      []FalseDeath
 	maintenanceRuns  []*MaintenanceRun
 	endedRequests    map[int]bool          // unused
-	maxOut           int                   // greatest number of softswitches out for maintenance in one sample
+	maxOutOfService  int                   // greatest number of softswitches out for maintenance in one sample
 	violations       map[string]*Violation // by rule
 }
 
@@ -91,9 +91,9 @@
 		}
 	case c.faulted[index]:
 		c.faulted[index], c.faultEndedAt[index] = false, at
-		for _, d := range c.detections {
-			if d.index == index && d.Ended < 0 {
-				d.Ended = at
+		for _, detection := range c.detections {
+			if detection.index == index && detection.Ended < 0 {
+				detection.Ended = at
 			}
 		}
 	}
@@ -128,11 +128,11 @@
 			available++
 		}
 	}
-	if majority := 2*available > len(view.States); view.ColdShare > 1 ||
-		!majority && view.ColdShare > float64(available)/float64(len(view.States))+1e-9 {
+	if majority := 2*available > len(view.States); view.ColdQuotaFraction > 1 ||
+		!majority && view.ColdQuotaFraction > float64(available)/float64(len(view.States))+1e-9 {
 		c.recordViolation("too bold without a majority", at,
 			"%s sees %d of %d members available and uses %.2f of its quota of a cold server's budget",
-			MemberName(observer), available, len(view.States), view.ColdShare)
+			MemberName(observer), available, len(view.States), view.ColdQuotaFraction)
 	}
 	for subject, state := range view.States {
 		if subject == observer || state != "dead" || len(previous.States) > 0 && previous.States[subject] == "dead" {
@@ -143,20 +143,20 @@
 			c.falseDeaths = append(c.falseDeaths, FalseDeath{at, MemberName(observer), MemberName(subject)})
 		}
 	}
-	for _, d := range c.detections {
-		c.updateDetection(at, d)
+	for _, detection := range c.detections {
+		c.updateDetection(at, detection)
 	}
 }
 
 // updateDetection records how far the other running members have noticed a fault or its end.
-func (c *TierChecker) updateDetection(at time.Duration, d *Detection) {
+func (c *TierChecker) updateDetection(at time.Duration, detection *Detection) {
 	observers, suspecting, holdingDead, available := 0, 0, 0, 0
 	for observer, view := range c.lastViews {
-		if observer == d.index || c.faulted[observer] || len(view.States) == 0 {
+		if observer == detection.index || c.faulted[observer] || len(view.States) == 0 {
 			continue
 		}
 		observers++
-		switch state := view.States[d.index]; {
+		switch state := view.States[detection.index]; {
 		case isAvailable(state):
 			available++
 		case isDown(state):
@@ -171,13 +171,13 @@
 			*elapsed = at - since
 		}
 	}
-	if d.Ended < 0 {
-		setOnce(&d.Suspected, suspecting > 0, d.At)
-		setOnce(&d.AllSuspected, suspecting == observers, d.At)
-		setOnce(&d.Dead, holdingDead > 0, d.At)
-		setOnce(&d.AllDead, holdingDead == observers, d.At)
+	if detection.Ended < 0 {
+		setOnce(&detection.Suspected, suspecting > 0, detection.At)
+		setOnce(&detection.AllSuspected, suspecting == observers, detection.At)
+		setOnce(&detection.Dead, holdingDead > 0, detection.At)
+		setOnce(&detection.AllDead, holdingDead == observers, detection.At)
 	} else {
-		setOnce(&d.AllAvailable, available == observers, d.Ended)
+		setOnce(&detection.AllAvailable, available == observers, detection.Ended)
 	}
 }
 
--- a/internal/lab/tier_checker_test.go
+++ b/internal/lab/tier_checker_test.go
@@ -8,7 +8,7 @@
 // Each rule on the views is reported for a sequence of events that violates it, and not for a similar one that keeps
 // it. A death is false only if the member reported dead was running and could be reached.
 func TestTierCheckerViolations(t *testing.T) {
-	view := func(share float64, states ...string) View { return View{States: states, ColdShare: share} }
+	view := func(share float64, states ...string) View { return View{States: states, ColdQuotaFraction: share} }
 	allRunning := func(int) bool { return true }
 	for _, test := range []struct {
 		name, want string
@@ -70,13 +70,13 @@
 		{"dead", "suspect"}, {"dead", "dead"}} {
 		for observer, state := range states {
 			checker.RecordView(time.Duration(20+10*i)*ms, observer,
-				View{States: []string{"alive", "alive", state}, ColdShare: 1})
+				View{States: []string{"alive", "alive", state}, ColdQuotaFraction: 1})
 		}
 	}
 	checker.RecordFault(100*ms, 2, "", false)
 	for observer := range 2 {
 		checker.RecordView(time.Duration(110+10*observer)*ms, observer,
-			View{States: []string{"alive", "alive", "alive"}, ColdShare: 1})
+			View{States: []string{"alive", "alive", "alive"}, ColdQuotaFraction: 1})
 	}
 	detection := *checker.detections[0]
 	if want := (Detection{Softswitch: "n3", Kind: "kill", At: 10 * ms, Suspected: 20 * ms, AllSuspected: 30 * ms,
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -33,10 +33,10 @@
 	return conn, peer
 }
 
-// TestStalledPeerDoesNotBlockPost checks that Post does not block when the peer reads nothing, and that queued items can be
-// retracted one by one or all at once. Since the write in progress may contain further items, RetractAll must close the
+// TestStalledPeerDoesNotBlockSend checks that Send does not block when the peer reads nothing, and that queued items can be
+// withdrawn one by one or all at once. Since the write in progress may contain further items, WithdrawAll must close the
 // connection, so that the peer does not receive them late.
-func TestStalledPeerDoesNotBlockPost(t *testing.T) {
+func TestStalledPeerDoesNotBlockSend(t *testing.T) {
 	conn, _ := tcpPair(t)
 	outbox := NewOutbox(conn, Limits{InitialBufferSize: 1 << 10, MaxQueuedBytes: 64 << 20, WriteTimeout: time.Minute, FlushTimeout: time.Millisecond})
 	stalled := func() bool {
@@ -46,17 +46,17 @@
 	}
 	for !stalled() { // fill the kernel's socket buffers
 		if outbox.queuedSize() < 32<<20 {
-			outbox.Post(Item{Data: make([]byte, 64<<10)})
+			outbox.Send(Item{Data: make([]byte, 64<<10)})
 		}
 		time.Sleep(time.Millisecond)
 	}
 	for id := uint64(1); id <= 3; id++ {
-		outbox.Post(Item{Data: []byte("offer"), ID: id, Retractable: true, Deadline: time.Now().Add(time.Minute)})
+		outbox.Send(Item{Data: []byte("offer"), ID: id, Withdrawable: true, Deadline: time.Now().Add(time.Minute)})
 	}
-	if !outbox.Retract(2) || outbox.Retract(2) {
+	if !outbox.Withdraw(2) || outbox.Withdraw(2) {
 		t.Error("a queued item can be retracted exactly once")
 	}
-	if ids := outbox.RetractAll(); len(ids) != 2 || ids[0] != 1 || ids[1] != 3 {
+	if ids := outbox.WithdrawAll(); len(ids) != 2 || ids[0] != 1 || ids[1] != 3 {
 		t.Errorf("retracted %v, want 1 and 3", ids)
 	}
 	if err := conn.SetDeadline(time.Time{}); !errors.Is(err, net.ErrClosed) {
@@ -64,15 +64,15 @@
 	}
 }
 
-// TestExpiredItemIsNotWritten checks that a retractable item whose deadline has passed is dropped, and that the read buffer
+// TestExpiredItemIsNotWritten checks that a withdrawable item whose deadline has passed is dropped, and that the read buffer
 // grows, is compacted and stops at its maximum size.
 func TestExpiredItemIsNotWritten(t *testing.T) {
 	conn, peer := net.Pipe()
 	defer peer.Close()
 	outbox := NewOutbox(conn, Limits{InitialBufferSize: 1 << 10, MaxQueuedBytes: 1 << 10, WriteTimeout: time.Minute})
 	expired := make(chan bool, 1)
-	outbox.Post(Item{Data: []byte("late"), Retractable: true, Deadline: time.Now().Add(-time.Second), OnExpired: func() { expired <- true }})
-	outbox.Post(Item{Data: []byte("next")})
+	outbox.Send(Item{Data: []byte("late"), Withdrawable: true, Deadline: time.Now().Add(-time.Second), OnExpired: func() { expired <- true }})
+	outbox.Send(Item{Data: []byte("next")})
 	buf := NewBuffer(1, 8) // grows from one byte and is compacted in place
 	for !bytes.Equal(buf.Bytes(), []byte("next")) {
 		if err := buf.Fill(peer); err != nil {
@@ -81,7 +81,7 @@
 	}
 	<-expired
 	buf.Skip(3)
-	outbox.Post(Item{Data: []byte("1234567")})
+	outbox.Send(Item{Data: []byte("1234567")})
 	for len(buf.Bytes()) < 8 {
 		if err := buf.Fill(peer); err != nil {
 			t.Fatal(err)
@@ -107,12 +107,12 @@
 	outbox := NewOutbox(conn, Limits{InitialBufferSize: 1 << 10, MaxQueuedBytes: 64 << 20, WriteTimeout: time.Minute, FlushTimeout: time.Millisecond})
 	total := 0
 	for n := 64 << 10; total < 16<<20; total += n { // more than the kernel's socket buffers hold
-		outbox.Post(Item{Data: make([]byte, n)})
+		outbox.Send(Item{Data: make([]byte, n)})
 	}
 	done := make(chan struct{})
 	outbox.Finish(func() { close(done) })
 	outbox.Finish(func() { t.Error("the second Finish called its function") })
-	outbox.Post(Item{Data: []byte("too late")})
+	outbox.Send(Item{Data: []byte("too late")})
 	if outbox.Flush() {
 		t.Error("the queue was written at once: the test did not reach its case")
 	}
@@ -155,8 +155,8 @@
 	if n := acceptor.activeConns.Load(); n != 1 {
 		t.Errorf("%d connections served at once, want 1", n)
 	}
-	acceptor.Drain()
-	acceptor.Drain()
+	acceptor.DrainBacklog()
+	acceptor.DrainBacklog()
 	<-served
 	close(proceed)
 	handlers.Wait()
@@ -217,7 +217,7 @@
 	served := make(chan struct{})
 	go func() { acceptor.Serve(listener); close(served) }()
 	<-slotChecked
-	acceptor.Drain()
+	acceptor.DrainBacklog()
 	if conn, err := net.Dial("tcp", listener.Addr().String()); err == nil {
 		conn.Close()
 		t.Error("a connection was accepted by the kernel after Drain")
--- a/internal/link/listen.go
+++ b/internal/link/listen.go
@@ -15,8 +15,8 @@
 
 // Times of an Acceptor.
 const (
-	// drainDuration is how long Accept goes on after Drain. TCP handshakes in progress complete within it.
-	drainDuration = 20 * time.Millisecond
+	// backlogDrainDuration is how long Accept goes on after DrainBacklog. TCP handshakes in progress complete within it.
+	backlogDrainDuration = 20 * time.Millisecond
 	// acceptRetry is the wait after an accept that failed, for example for lack of file descriptors.
 	acceptRetry = 10 * time.Millisecond
 )
@@ -30,25 +30,25 @@
 	slotFreed   chan struct{}  // receives a value when a connection has ended
 	wg          sync.WaitGroup // counts Serve and each connection's goroutine
 
-	mu           sync.Mutex // guards the fields below
-	listener     net.Listener
-	drainStarted chan struct{} // closed by the first Drain
-	draining     bool
+	mu                  sync.Mutex // guards the fields below
+	listener            net.Listener
+	backlogDrainStarted chan struct{} // closed by the first DrainBacklog
+	drainingBacklog     bool
 }
 
 // NewAcceptor returns an acceptor that calls handle for each connection. maxConns returns the max number of open connections;
 // it is called before each accept.
 func NewAcceptor(maxConns func() int, handle func(net.Conn)) *Acceptor {
-	return &Acceptor{maxConns: maxConns, handle: handle, slotFreed: make(chan struct{}, 1), drainStarted: make(chan struct{})}
+	return &Acceptor{maxConns: maxConns, handle: handle, slotFreed: make(chan struct{}, 1), backlogDrainStarted: make(chan struct{})}
 }
 
-// Serve accepts connections until the listener is closed, by Drain or otherwise.
+// Serve accepts connections until the listener is closed, by DrainBacklog or otherwise.
 func (a *Acceptor) Serve(listener net.Listener) {
 	a.wg.Add(1)
 	defer a.wg.Done()
 	a.mu.Lock()
-	if a.listener = listener; a.draining {
-		a.startDraining(listener)
+	if a.listener = listener; a.drainingBacklog {
+		a.startBacklogDrain(listener)
 	}
 	a.mu.Unlock()
 	for {
@@ -93,34 +93,34 @@
 	for a.activeConns.Load() >= int64(a.maxConns()) {
 		select {
 		case <-a.slotFreed:
-		case <-a.drainStarted:
+		case <-a.backlogDrainStarted:
 			return
 		}
 	}
 }
 
-// Drain closes the listener once all connections in its backlog are accepted; closing it at once would reset them. Drain does
+// DrainBacklog closes the listener once all connections in its backlog are accepted; closing it at once would reset them. DrainBacklog does
 // not wait. It must not be called while another process shares the listener.
-func (a *Acceptor) Drain() {
+func (a *Acceptor) DrainBacklog() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.draining {
+	if a.drainingBacklog {
 		return
 	}
-	a.draining = true
-	close(a.drainStarted)
+	a.drainingBacklog = true
+	close(a.backlogDrainStarted)
 	if a.listener != nil {
-		a.startDraining(a.listener)
+		a.startBacklogDrain(a.listener)
 	}
 }
 
-// startDraining has the kernel refuse new connections, so that the backlog only shrinks, and sets a deadline for Accept that
+// startBacklogDrain has the kernel refuse new connections, so that the backlog only shrinks, and sets a deadline for Accept that
 // leaves time for TCP handshakes in progress. A listener without deadlines is closed.
-func (a *Acceptor) startDraining(listener net.Listener) {
+func (a *Acceptor) startBacklogDrain(listener net.Listener) {
 	if tcpListener, ok := listener.(*net.TCPListener); ok {
 		refuseNewConns(tcpListener)
 	}
-	if deadliner, ok := listener.(interface{ SetDeadline(time.Time) error }); !ok || deadliner.SetDeadline(time.Now().Add(drainDuration)) != nil {
+	if deadliner, ok := listener.(interface{ SetDeadline(time.Time) error }); !ok || deadliner.SetDeadline(time.Now().Add(backlogDrainDuration)) != nil {
 		listener.Close()
 	}
 }
--- a/internal/link/outbox.go
+++ b/internal/link/outbox.go
@@ -20,17 +20,17 @@
 	MaxSilence        time.Duration // max time without data from a peer that sends at regular intervals
 	LingerTimeout     time.Duration // max time between half-close and close, in which the peer reads the last messages
 	MaxLingerBytes    int           // max bytes read and dropped from the peer within LingerTimeout
-	FlushTimeout      time.Duration // max wait of Flush; RetractAll closes the connection if a write has taken longer
+	FlushTimeout      time.Duration // max wait of Flush; WithdrawAll closes the connection if a write has taken longer
 }
 
 // Item is a message to be written.
 type Item struct {
-	Data        []byte
-	ID          uint64    // identifies a retractable item
-	Retractable bool      // Data starts a set-up: the item can be retracted while queued, and expires at Deadline
-	Deadline    time.Time // a retractable item is not written after this time
-	OnWritten   func()    // called when the item has been written; may be nil
-	OnExpired   func()    // called when the item was dropped because its deadline had passed; required for a retractable item
+	Data         []byte
+	ID           uint64    // identifies a withdrawable item
+	Withdrawable bool      // Data starts a set-up: the item can be withdrawn while queued, and expires at Deadline
+	Deadline     time.Time // a withdrawable item is not written after this time
+	OnWritten    func()    // called when the item has been written; may be nil
+	OnExpired    func()    // called when the item was dropped because its deadline had passed; required for a withdrawable item
 }
 
 // Outbox writes messages to a connection in order. Its user never waits for the peer: a goroutine writes while the queue is
@@ -54,9 +54,9 @@
 	return &Outbox{conn: conn, limits: limits, writer: bufio.NewWriterSize(conn, limits.InitialBufferSize)}
 }
 
-// Post queues a message. It closes the connection if more than limits.MaxQueuedBytes are queued. After Finish or Close the
+// Send queues a message. It closes the connection if more than limits.MaxQueuedBytes are queued. After Finish or Close the
 // message is dropped.
-func (o *Outbox) Post(item Item) {
+func (o *Outbox) Send(item Item) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.closed || o.onFinished != nil {
@@ -73,12 +73,12 @@
 	}
 }
 
-// Retract removes the retractable item with the given id from the queue. It reports whether the item was still queued.
-func (o *Outbox) Retract(id uint64) bool {
+// Withdraw removes the withdrawable item with the given id from the queue. It reports whether the item was still queued.
+func (o *Outbox) Withdraw(id uint64) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for i, item := range o.queue {
-		if item.Retractable && item.ID == id {
+		if item.Withdrawable && item.ID == id {
 			o.queuedBytes -= len(item.Data)
 			o.queue = append(o.queue[:i], o.queue[i+1:]...)
 			return true
@@ -87,14 +87,14 @@
 	return false
 }
 
-// RetractAll removes all retractable items from the queue and returns their ids. If a write has been in progress for more than
+// WithdrawAll removes all withdrawable items from the queue and returns their ids. If a write has been in progress for more than
 // limits.FlushTimeout it closes the connection: the write may contain items that the peer would receive too late.
-func (o *Outbox) RetractAll() (ids []uint64) {
+func (o *Outbox) WithdrawAll() (ids []uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	remaining := o.queue[:0]
 	for _, item := range o.queue {
-		if item.Retractable {
+		if item.Withdrawable {
 			ids = append(ids, item.ID)
 			o.queuedBytes -= len(item.Data)
 		} else {
@@ -137,7 +137,7 @@
 }
 
 // writeLoop writes until the queue is empty or the connection is closed. The size of one write is limited so that the items
-// behind it can still be retracted.
+// behind it can still be withdrawn.
 func (o *Outbox) writeLoop() {
 	for {
 		batch, done := o.nextBatch()
@@ -155,7 +155,7 @@
 		var err error
 		written := batch[:0]
 		for _, item := range batch {
-			if item.Retractable && now.After(item.Deadline) {
+			if item.Withdrawable && now.After(item.Deadline) {
 				item.OnExpired()
 				continue
 			}
--- a/internal/m3ua/caller.go
+++ b/internal/m3ua/caller.go
@@ -21,7 +21,7 @@
 
 // Serve accepts and serves callers' connections until the listener is closed.
 func (m *M3UA) Serve(l net.Listener) {
-	link.NewAcceptor(func() int { return m.config.Load().MaxCallers }, func(conn net.Conn) {
+	link.NewAcceptor(func() int { return m.config.Load().MaxCallerConns }, func(conn net.Conn) {
 		c := &callerConn{session: m.newSession(conn, m.config.Load().CallerConn)}
 		c.handler = c.handleMessage
 		c.activationTimer = time.AfterFunc(c.limits.MessageTimeout, func() { conn.Close() })
@@ -30,7 +30,7 @@
 		m.sampledLog.Info().Err(err).Stringer("caller", conn.RemoteAddr()).Msg("association ended")
 		c.deactivate()
 		if _, malformed := err.(*protocolError); malformed { // gives the peer time to read the ERR
-			c.out.Linger(conn)
+			c.outbox.Linger(conn)
 		}
 	}).Serve(l)
 }
@@ -65,7 +65,7 @@
 }
 
 // handleMessage handles a message from a caller.
-func (c *callerConn) handleMessage(msg message, at core.Time) error {
+func (c *callerConn) handleMessage(msg message, receivedAt core.Time) error {
 	routingContext := uint32Param(tagRoutingContext, c.m3ua.RoutingContext)
 	switch msg.kind {
 	case msgASPUP:
@@ -106,7 +106,7 @@
 		if !c.active {
 			return unexpectedMessage(msg.kind)
 		}
-		return c.handleData(msg, at)
+		return c.handleData(msg, receivedAt)
 	default:
 		return unexpectedMessage(msg.kind)
 	}
@@ -142,7 +142,7 @@
 }
 
 // handleData handles a DATA message, which carries an ISUP message.
-func (c *callerConn) handleData(msg message, at core.Time) error {
+func (c *callerConn) handleData(msg message, receivedAt core.Time) error {
 	circ, isup, err := parseData(msg, c.m3ua.RoutingContext)
 	if err != nil {
 		return err
@@ -153,7 +153,7 @@
 	}
 	switch sig.kind {
 	case isupIAM:
-		c.handleSetUp(circ, sig, at)
+		c.handleSetUp(circ, sig, receivedAt)
 	case isupREL, isupRSC: // a client resets its circuits after a restart
 		c.m3ua.mu.Lock()
 		id, ok := c.m3ua.freeLocked(circ)
@@ -171,17 +171,17 @@
 
 // handleSetUp assigns the circuit to a new call and posts the call's set-up to the core. A set-up on a circuit that is
 // in use repeats the same call after its association was lost, and keeps the call's id.
-func (c *callerConn) handleSetUp(circ circuit, iam isupMessage, at core.Time) {
+func (c *callerConn) handleSetUp(circ circuit, iam isupMessage, receivedAt core.Time) {
 	setUp := core.SetUp{
 		From: c.connID, Class: c.m3ua.classOfCategory(iam.category), Number: hashNumber(iam.digits), NumberText: iam.digits, Desc: iam.desc,
-		Cell: -1, At: at,
+		Cell: -1, At: receivedAt,
 	}
 	if cell, ok := c.m3ua.Cells[strconv.Itoa(int(circ.dpc))]; ok {
 		setUp.Cell = cell
 	}
 	if setUp.Class >= 0 { // the index is in range: a class keeps its index when the configuration changes
 		class := c.m3ua.config.Load().Deployment.Classes[setUp.Class]
-		setUp.ClassName, setUp.TimeLeft = class.Name, class.MaxWait
+		setUp.ClassName, setUp.TimeLeft = class.Name, class.Deadline
 	}
 	c.m3ua.mu.Lock()
 	id, ok := c.m3ua.callByCircuit[circ]
@@ -214,46 +214,46 @@
 		c.m3ua.log.Error().Err(err).Msg("ISUP message not sent")
 		return
 	}
-	c.out.Post(link.Item{Data: buildData(circ, c.m3ua.NetworkIndicator, c.m3ua.RoutingContext, isup)})
+	c.outbox.Send(link.Item{Data: buildData(circ, c.m3ua.NetworkIndicator, c.m3ua.RoutingContext, isup)})
 }
 
 // callerEffects is the loop.EffectHandler of a caller's connection.
 type callerEffects struct{ caller *callerConn }
 
 // Close closes the connection.
-func (s *callerEffects) Close() { s.caller.out.Close() }
+func (c *callerEffects) Close() { c.caller.outbox.Close() }
 
 // Flush waits briefly until the queued messages are written.
-func (s *callerEffects) Flush() { s.caller.out.Flush() }
+func (c *callerEffects) Flush() { c.caller.outbox.Flush() }
 
 // HandleEffect sends the ISUP message for an effect to the caller. A call's circuit is free once its rejection or
 // release is queued.
-func (s *callerEffects) HandleEffect(e core.Effect) []core.Event {
-	m := s.caller.m3ua
+func (c *callerEffects) HandleEffect(e core.Effect) []core.Event {
+	m := c.caller.m3ua
 	switch e := e.(type) {
 	case core.Answered:
 		m.mu.Lock()
 		defer m.mu.Unlock()
 		if circ, ok := m.circuitByCall[e.ID]; ok {
-			s.caller.sendISUP(circ.reverse(), isupMessage{kind: isupANM, desc: e.Desc})
+			c.caller.sendISUP(circ.reverse(), isupMessage{kind: isupANM, desc: e.Desc})
 		}
 	case core.Rejected:
-		s.release(e.ID, isupMessage{kind: isupREL, cause: int(q850.CauseFromReason(e.Reason)), retryAfter: e.RetryAfter})
+		c.release(e.ID, isupMessage{kind: isupREL, cause: int(q850.CauseFromReason(e.Reason)), retryAfter: e.RetryAfter})
 	case core.Released:
-		s.release(e.ID, isupMessage{kind: isupREL, cause: int(q850.CauseFromReason(e.Reason))})
+		c.release(e.ID, isupMessage{kind: isupREL, cause: int(q850.CauseFromReason(e.Reason))})
 	case core.GracefulClose:
-		s.caller.out.Finish(s.caller.out.Close)
+		c.caller.outbox.Finish(c.caller.outbox.Close)
 	}
 	return nil
 }
 
 // release frees the circuit of a call and sends the REL on it, if the call still has a circuit.
-func (s *callerEffects) release(id core.ID, sig isupMessage) {
-	m := s.caller.m3ua
+func (c *callerEffects) release(id core.ID, sig isupMessage) {
+	m := c.caller.m3ua
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if circ, ok := m.circuitByCall[id]; ok {
 		m.freeLocked(circ)
-		s.caller.sendISUP(circ.reverse(), sig)
+		c.caller.sendISUP(circ.reverse(), sig)
 	}
 }
--- a/internal/m3ua/m3ua.go
+++ b/internal/m3ua/m3ua.go
@@ -81,12 +81,12 @@
 // Config holds the settings of the protocol. Configure can replace all of them but FileConfig at any time.
 type Config struct {
 	FileConfig
-	Deployment  settings.Deployment
-	CallerConn  link.Limits   // limits of a caller's connection
-	DialTimeout time.Duration // limit for connecting to a server, and again for becoming active there
+	Deployment     settings.Deployment
+	CallerConn     link.Limits   // limits of a caller's connection
+	ConnectTimeout time.Duration // limit for connecting to a server, and again for becoming active there
 
 	ServerConn     link.Limits   // limits of a connection to a server
-	MaxCallers     int           // maximum number of open connections of callers
+	MaxCallerConns int           // maximum number of open connections of callers
 	ConfirmTimeout time.Duration // wait before a release that a server has not confirmed is sent again
 }
 
@@ -137,7 +137,7 @@
 	l := core.ServerList{Source: Source}
 	for _, s := range m.FileConfig.Servers {
 		l.Servers = append(l.Servers, core.Server{
-			Name: s.Name, Address: s.Address, Protocol: Protocol, Cell: s.Cell, Phase: elmseam.Ready,
+			Name: s.Name, Address: s.Address, Protocol: Protocol, Cell: s.Cell, Phase: elmseam.PhaseReady,
 		})
 	}
 	return l
--- a/internal/m3ua/m3ua_test.go
+++ b/internal/m3ua/m3ua_test.go
@@ -35,7 +35,7 @@
 )
 
 // testDeployment are the settings of the sockets in the tests: one class.
-var testDeployment = settings.Deployment{Classes: []settings.Class{{Name: "voice", MaxWait: 5 * time.Second}}}
+var testDeployment = settings.Deployment{Classes: []settings.Class{{Name: "voice", Deadline: 5 * time.Second}}}
 
 // testLimits are the limits of all connections in the tests.
 var testLimits = link.Limits{InitialBufferSize: 256, MaxMessageSize: 16 << 10, MaxQueuedBytes: 1 << 20, WriteTimeout: time.Second, FlushTimeout: 50 * time.Millisecond,
@@ -44,13 +44,13 @@
 // testPeer is the scripted end of an association. It writes messages and reads them one by one.
 type testPeer struct {
 	net.Conn
-	in *link.Buffer
-	mu sync.Mutex
+	buf *link.Buffer
+	mu  sync.Mutex
 }
 
 // newTestPeer returns a test peer that reads from and writes to a connection.
 func newTestPeer(c net.Conn) *testPeer {
-	return &testPeer{Conn: c, in: link.NewBuffer(256, 16<<10)}
+	return &testPeer{Conn: c, buf: link.NewBuffer(256, 16<<10)}
 }
 
 // send writes an encoded message.
@@ -70,18 +70,18 @@
 }
 
 // nextMessage reads the next message and copies its parameters out of the buffer.
-func (p *testPeer) nextMessage() (m message, err error) {
+func (p *testPeer) nextMessage() (msg message, err error) {
 	for {
-		m, n, err := parseMessage(p.in.Bytes(), 16<<10)
+		msg, size, err := parseMessage(p.buf.Bytes(), 16<<10)
 		if err != errIncomplete {
-			for i := range m.params {
-				m.params[i].value = bytes.Clone(m.params[i].value)
+			for i := range msg.params {
+				msg.params[i].value = bytes.Clone(msg.params[i].value)
 			}
-			p.in.Skip(n)
-			return m, err
+			p.buf.Skip(size)
+			return msg, err
 		}
-		if err := p.in.Fill(p); err != nil {
-			return m, err
+		if err := p.buf.Fill(p); err != nil {
+			return msg, err
 		}
 	}
 }
@@ -136,7 +136,7 @@
 		ReportMetrics: []elmseam.LoadMetric{elmseam.LoadMetricHoldBackShare},
 	}
 	reducer, err := core.New(controllerSettings, 1, core.Limits{AnswerMargin: 15 * time.Millisecond, RebindTimeout: 100 * time.Millisecond,
-		MinRedial: time.Millisecond, MaxRedial: time.Millisecond, ServerLostAfter: time.Minute, MaxCallerConns: 100, MaxOpen: 10000, MaxCallBytes: 1 << 20, EndedCallTTL: time.Minute})
+		MinRedialDelay: time.Millisecond, MaxRedialDelay: time.Millisecond, ServerLostAfter: time.Minute, MaxCallerConns: 100, MaxOpen: 10000, MaxCallBytes: 1 << 20, EndedCallTTL: time.Minute})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -152,12 +152,12 @@
 	file.PointCode, file.NetworkIndicator, file.RoutingContext, file.HeartbeatMS = ownPC, 2, 1, 1000
 	file.Circuits, file.Categories, file.Cells = 512, map[string]int{"voice": 10}, map[string]int{"100": 0}
 	m3uaProtocol, err = New(Config{FileConfig: file, Deployment: testDeployment,
-		CallerConn: testLimits, ServerConn: testLimits, DialTimeout: time.Second, MaxCallers: 8, ConfirmTimeout: 50 * time.Millisecond}, eventLoop, zerolog.Nop())
+		CallerConn: testLimits, ServerConn: testLimits, ConnectTimeout: time.Second, MaxCallerConns: 8, ConfirmTimeout: 50 * time.Millisecond}, eventLoop, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	eventLoop.SetDialer(Protocol, m3uaProtocol.Dial)
-	platformProtocol := platform.New(platform.Config{Deployment: testDeployment, CallerConn: testLimits, ServerConn: testLimits, DialTimeout: time.Second, MaxCallers: 8}, eventLoop, zerolog.Nop())
+	platformProtocol := platform.New(platform.Config{Deployment: testDeployment, CallerConn: testLimits, ServerConn: testLimits, ConnectTimeout: time.Second, MaxCallerConns: 8}, eventLoop, zerolog.Nop())
 	eventLoop.SetDialer(platform.Protocol, platformProtocol.Dial)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
@@ -293,7 +293,7 @@
 
 	platformListener := listen(t)
 	_, address = startSoftswitch(t, testReleaseGuard, FileConfig{}, core.Server{
-		Name: "new", Address: platformListener.Addr().String(), Protocol: platform.Protocol, Phase: elmseam.Ready})
+		Name: "new", Address: platformListener.Addr().String(), Protocol: platform.Protocol, Phase: elmseam.PhaseReady})
 	conn, err := platformListener.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -537,14 +537,14 @@
 
 // serveWithResets runs a stand-in server that repeatedly resets its connection while set-ups are outstanding and a drain
 // notice is in flight: it sends DUNA, then part of an answer, then resets. Calls answered before stay established.
-func serveWithResets(ctx context.Context, l net.Listener, name string, attempts *attemptLog, rnd *rand.Rand) {
+func serveWithResets(ctx context.Context, l net.Listener, name string, attempts *attemptLog, rng *rand.Rand) {
 	for {
 		peer, err := acceptASP(l)
 		if err != nil {
 			return
 		}
 		open := make(map[circuit]string)
-		for remaining := 20 + rnd.IntN(100); ; {
+		for remaining := 20 + rng.IntN(100); ; {
 			peer.SetReadDeadline(time.Now().Add(5 * time.Millisecond))
 			msg, err := peer.nextMessage()
 			if ctx.Err() != nil {
@@ -580,13 +580,13 @@
 			}
 			if remaining--; remaining < 0 {
 				peer.send(buildMessage(msgDUNA, uint32Param(tagAffectedPC, circ.dpc)))
-				time.Sleep(time.Duration(rnd.IntN(4)) * time.Millisecond) // the server is drained while set-ups are open
+				time.Sleep(time.Duration(rng.IntN(4)) * time.Millisecond) // the server is drained while set-ups are open
 				answer, _ := buildISUP(circ.cic, isupMessage{kind: isupANM, desc: isup.desc})
-				peer.send(buildData(circ.reverse(), 2, 1, answer)[:10+rnd.IntN(20)])
+				peer.send(buildData(circ.reverse(), 2, 1, answer)[:10+rng.IntN(20)])
 				break
 			}
 			for circ, tag := range open {
-				if rnd.IntN(3) == 0 { // the others stay open, so that a reset interrupts some
+				if rng.IntN(3) == 0 { // the others stay open, so that a reset interrupts some
 					delete(open, circ)
 					attempts.end(tag)
 					peer.sendISUP(circ.reverse(), isupMessage{kind: isupANM, desc: []byte(tag)})
@@ -647,7 +647,7 @@
 	var wg sync.WaitGroup
 	for i := range circuits {
 		wg.Go(func() {
-			rnd := rand.New(rand.NewPCG(uint64(i), 2))
+			rng := rand.New(rand.NewPCG(uint64(i), 2))
 			circ := circuit{clientPC, ownPC, uint16(i)}
 			wait := func() (isupMessage, bool) {
 				select {
@@ -661,8 +661,8 @@
 			for n := range callsPerCircuit {
 				tag := fmt.Sprintf("%d-%d", i, n)
 				client.sendISUP(circ, isupMessage{kind: isupIAM, category: 10, digits: "1", desc: []byte(tag)})
-				if rnd.IntN(8) == 0 { // the caller gives up, and an answer may cross its REL
-					time.Sleep(time.Duration(rnd.IntN(2000)) * time.Microsecond)
+				if rng.IntN(8) == 0 { // the caller gives up, and an answer may cross its REL
+					time.Sleep(time.Duration(rng.IntN(2000)) * time.Microsecond)
 					client.sendISUP(circ, isupMessage{kind: isupREL, cause: 16})
 					for finals := 0; ; {
 						isup, ok := wait()
--- a/internal/m3ua/message.go
+++ b/internal/m3ua/message.go
@@ -118,35 +118,35 @@
 	return binary.BigEndian.Uint32(v), true
 }
 
-// parseMessage parses the first message in b, which may be at most maxSize bytes long, and returns its length n. The
-// length is 0 if the framing is lost.
-func parseMessage(b []byte, maxSize int) (m message, n int, err error) {
+// parseMessage parses the first message in b, which may be at most maxSize bytes long, and returns its size. The
+// size is 0 if the framing is lost.
+func parseMessage(b []byte, maxSize int) (msg message, size int, err error) {
 	if len(b) < headerSize {
-		return m, 0, errIncomplete
+		return msg, 0, errIncomplete
 	}
 	length := binary.BigEndian.Uint32(b[4:])
 	switch {
 	case b[0] != version:
-		return m, 0, &protocolError{errVersion, fmt.Sprintf("unsupported version %d", b[0]), true}
+		return msg, 0, &protocolError{errVersion, fmt.Sprintf("unsupported version %d", b[0]), true}
 	case length < headerSize || length > uint32(maxSize):
-		return m, 0, &protocolError{errProtocol, fmt.Sprintf("invalid message length %d", length), true}
+		return msg, 0, &protocolError{errProtocol, fmt.Sprintf("invalid message length %d", length), true}
 	case len(b) < int(length):
-		return m, 0, errIncomplete
+		return msg, 0, errIncomplete
 	}
-	n = int(length)
-	m.kind = binary.BigEndian.Uint16(b[2:])
-	for p := b[headerSize:n]; len(p) > 0; {
+	size = int(length)
+	msg.kind = binary.BigEndian.Uint16(b[2:])
+	for p := b[headerSize:size]; len(p) > 0; {
 		if len(p) < paramHeaderSize {
-			return m, n, &protocolError{errParamField, "truncated parameter header", false}
+			return msg, size, &protocolError{errParamField, "truncated parameter header", false}
 		}
-		size := int(binary.BigEndian.Uint16(p[2:]))
-		if size < paramHeaderSize || size > len(p) {
-			return m, n, &protocolError{errParamField, fmt.Sprintf("invalid parameter length %d", size), false}
+		paramSize := int(binary.BigEndian.Uint16(p[2:]))
+		if paramSize < paramHeaderSize || paramSize > len(p) {
+			return msg, size, &protocolError{errParamField, fmt.Sprintf("invalid parameter length %d", paramSize), false}
 		}
-		m.params = append(m.params, param{binary.BigEndian.Uint16(p), p[paramHeaderSize:size]})
-		p = p[min((size+3)&^3, len(p)):]
+		msg.params = append(msg.params, param{binary.BigEndian.Uint16(p), p[paramHeaderSize:paramSize]})
+		p = p[min((paramSize+3)&^3, len(p)):]
 	}
-	return m, n, nil
+	return msg, size, nil
 }
 
 // buildMessage encodes a message.
@@ -186,11 +186,11 @@
 }
 
 // parseData returns the circuit and the ISUP message that a DATA message carries.
-func parseData(m message, routingContext uint32) (circ circuit, isup []byte, err error) {
-	if rc, ok := m.getUint32(tagRoutingContext); ok && rc != routingContext {
+func parseData(msg message, routingContext uint32) (circ circuit, isup []byte, err error) {
+	if rc, ok := msg.getUint32(tagRoutingContext); ok && rc != routingContext {
 		return circ, nil, &protocolError{errContext, fmt.Sprintf("unknown routing context %d", rc), false}
 	}
-	data, ok := m.get(tagProtocolData)
+	data, ok := msg.get(tagProtocolData)
 	switch {
 	case !ok:
 		return circ, nil, &protocolError{errMissingParam, "DATA without protocol data parameter", false}
@@ -204,8 +204,8 @@
 }
 
 // affectedPointCodes returns the point codes that a DUNA, DAVA or SCON reports on.
-func affectedPointCodes(m message) ([]uint32, error) {
-	v, ok := m.get(tagAffectedPC)
+func affectedPointCodes(msg message) ([]uint32, error) {
+	v, ok := msg.get(tagAffectedPC)
 	if !ok {
 		return nil, &protocolError{errMissingParam, "no affected point code parameter", false}
 	}
--- a/internal/m3ua/server.go
+++ b/internal/m3ua/server.go
@@ -53,7 +53,7 @@
 		return
 	}
 	cfg := m.config.Load()
-	conn, err := net.DialTimeout("tcp", e.Address, cfg.DialTimeout)
+	conn, err := net.DialTimeout("tcp", e.Address, cfg.ConnectTimeout)
 	if err != nil {
 		m.loop.Post(core.ServerDown{Server: e.Server, Address: e.Address})
 		return
@@ -62,7 +62,7 @@
 	s := &serverConn{session: m.newSession(conn, cfg.ServerConn), name: e.Server, trunk: trunk, activated: make(chan struct{})}
 	s.handler = func(msg message, at core.Time) error { return s.handleMessage(msg, e.Address) }
 	s.send(msgASPUP)
-	activationTimer := time.AfterFunc(cfg.DialTimeout, func() {
+	activationTimer := time.AfterFunc(cfg.ConnectTimeout, func() {
 		select {
 		case <-s.activated:
 		default:
@@ -77,7 +77,7 @@
 	m.log.Info().Err(err).Str("server", e.Server).Msg("association with server ended")
 	trunk.withLock(trunk.ConnLost)
 	m.loop.Post(core.ServerDown{Server: e.Server, Conn: s.connID})
-	s.out.Flush() // sends the ERR, if any, that answers the last message
+	s.outbox.Flush() // sends the ERR, if any, that answers the last message
 }
 
 // handleMessage handles a message from a server at the given address.
@@ -191,7 +191,7 @@
 		if ok {
 			s.m3ua.loop.Post(core.ServerAnswer{Server: s.name, Conn: s.connID, ID: id, Desc: sig.desc})
 		}
-	case isupREL, isupRSC: // an RSC has no cause: its call ends with core.Reset
+	case isupREL, isupRSC: // an RSC has no cause: its call ends with core.ReasonReset
 		var id core.ID
 		var ok bool
 		s.trunk.withLock(func(time.Time) {
@@ -220,14 +220,14 @@
 	}
 	circ := s.trunk.route
 	circ.cic = cic
-	s.out.Post(link.Item{Data: buildData(circ, s.m3ua.NetworkIndicator, s.m3ua.RoutingContext, isup), OnWritten: onWritten})
+	s.outbox.Send(link.Item{Data: buildData(circ, s.m3ua.NetworkIndicator, s.m3ua.RoutingContext, isup), OnWritten: onWritten})
 }
 
 // Close closes the connection.
-func (s *serverConn) Close() { s.out.Close() }
+func (s *serverConn) Close() { s.outbox.Close() }
 
 // Flush waits briefly until the queued messages are written.
-func (s *serverConn) Flush() { s.out.Flush() }
+func (s *serverConn) Flush() { s.outbox.Flush() }
 
 // HandleEffect sends the ISUP message for an effect to the server. It returns core.NotSent for offers that it could not send
 // or could retract, and core.EndWritten for an end that needs no message.
@@ -236,7 +236,7 @@
 	case core.Offer:
 		return s.sendSetUp(e)
 	case core.End:
-		if s.out.Retract(uint64(e.ID)) {
+		if s.outbox.Withdraw(uint64(e.ID)) {
 			return s.notSent(e.ID)
 		}
 		written := core.EndWritten{Server: s.name, Conn: s.connID, ID: e.ID}
@@ -255,10 +255,10 @@
 			return []core.Event{written}
 		}
 	case core.GracefulClose:
-		s.out.Finish(s.out.Close)
+		s.outbox.Finish(s.outbox.Close)
 	case core.Withdraw:
 		var events []core.Event
-		for _, id := range s.out.RetractAll() {
+		for _, id := range s.outbox.WithdrawAll() {
 			events = append(events, s.notSent(core.ID(id))...)
 		}
 		return events
@@ -293,8 +293,8 @@
 	if err != nil || len(data) > s.limits.MaxMessageSize {
 		return s.notSent(e.ID)
 	}
-	s.out.Post(link.Item{
-		Data: data, ID: uint64(e.ID), Retractable: true, Deadline: s.m3ua.loop.WallTime(e.Until),
+	s.outbox.Send(link.Item{
+		Data: data, ID: uint64(e.ID), Withdrawable: true, Deadline: s.m3ua.loop.WallTime(e.Until),
 		OnWritten: func() { s.m3ua.loop.Post(core.OfferWritten{Server: s.name, ID: e.ID}) },
 		OnExpired: func() {
 			for _, ev := range s.notSent(e.ID) {
--- a/internal/m3ua/session.go
+++ b/internal/m3ua/session.go
@@ -16,13 +16,13 @@
 	m3ua    *M3UA
 	conn    net.Conn
 	limits  link.Limits
-	out     *link.Outbox
+	outbox  *link.Outbox
 	handler func(msg message, at core.Time) error // handles the messages that dispatch does not
 }
 
 // newSession returns a session on an open connection.
 func (m *M3UA) newSession(conn net.Conn, limits link.Limits) session {
-	return session{m3ua: m, conn: conn, limits: limits, out: link.NewOutbox(conn, limits)}
+	return session{m3ua: m, conn: conn, limits: limits, outbox: link.NewOutbox(conn, limits)}
 }
 
 // errMessageTimeout ends a connection whose peer takes longer than MessageTimeout to send one message.
@@ -30,7 +30,7 @@
 
 // send queues a message.
 func (s *session) send(kind uint16, params ...param) {
-	s.out.Post(link.Item{Data: buildMessage(kind, params...)})
+	s.outbox.Send(link.Item{Data: buildMessage(kind, params...)})
 }
 
 // read reads and dispatches messages until the connection ends. It answers a malformed message with an ERR, and returns
@@ -38,7 +38,7 @@
 // peer, and returns when the peer has left maxUnansweredHeartbeats unanswered. It also returns if a message is not
 // complete within MessageTimeout, whether the peer stopped sending or sends byte by byte.
 func (s *session) read() error {
-	in := link.NewBuffer(s.limits.InitialBufferSize, s.limits.MaxMessageSize)
+	buf := link.NewBuffer(s.limits.InitialBufferSize, s.limits.MaxMessageSize)
 	heartbeat := time.Duration(s.m3ua.HeartbeatMS) * time.Millisecond
 	malformedCount, unanswered := 0, 0
 	var messageDeadline time.Time // by when the message being read must be complete; zero between messages
@@ -48,7 +48,7 @@
 			readDeadline = messageDeadline
 		}
 		s.conn.SetReadDeadline(readDeadline)
-		err := in.Fill(s.conn)
+		err := buf.Fill(s.conn)
 		if !messageDeadline.IsZero() && !time.Now().Before(messageDeadline) {
 			return errMessageTimeout
 		}
@@ -61,15 +61,15 @@
 			return err
 		}
 		unanswered = 0
-		at := s.m3ua.loop.Now()
+		receivedAt := s.m3ua.loop.Now()
 		for {
-			msg, n, err := parseMessage(in.Bytes(), s.limits.MaxMessageSize)
+			msg, size, err := parseMessage(buf.Bytes(), s.limits.MaxMessageSize)
 			if err == errIncomplete {
 				break
 			}
 			messageDeadline = time.Time{} // the next message gets a deadline of its own
 			if err == nil {
-				err = s.dispatch(msg, at)
+				err = s.dispatch(msg, receivedAt)
 			}
 			if protoErr, ok := err.(*protocolError); ok {
 				if malformedCount++; malformedCount == 1 {
@@ -82,9 +82,9 @@
 			} else if err != nil {
 				return err
 			}
-			in.Skip(n)
+			buf.Skip(size)
 		}
-		if len(in.Bytes()) > 0 && messageDeadline.IsZero() {
+		if len(buf.Bytes()) > 0 && messageDeadline.IsZero() {
 			messageDeadline = time.Now().Add(s.limits.MessageTimeout)
 		}
 	}
@@ -97,7 +97,7 @@
 const maxMalformedMessages = 8
 
 // dispatch handles the messages that both callers and servers may send, and passes all others to the handler.
-func (s *session) dispatch(msg message, at core.Time) error {
+func (s *session) dispatch(msg message, receivedAt core.Time) error {
 	switch msg.kind {
 	case msgBEAT:
 		var reply []param
@@ -113,7 +113,7 @@
 		s.m3ua.sampledLog.Warn().Uint32("code", code).Stringer("peer", s.conn.RemoteAddr()).Msg("peer reports an error")
 		return nil
 	}
-	return s.handler(msg, at)
+	return s.handler(msg, receivedAt)
 }
 
 // unexpectedMessage returns the error for a message that the peer may not send, or not in the present state.
--- a/internal/maintenance/lease.go
+++ b/internal/maintenance/lease.go
@@ -66,13 +66,13 @@
 	if !r.recovered || r.lease != nil || r.round != nil || r.now < r.retryAt || record.Stage.Ended() {
 		return
 	}
-	if record.Stage != Waiting { // left by an earlier incarnation
+	if record.Stage != StageWaiting { // left by an earlier incarnation
 		if !r.serving {
 			return
 		}
 		r.releaseSlot(int(record.Slot), record.Epoch)
-		if record.Stage == Ready {
-			record.Stage = Done
+		if record.Stage == StageReady {
+			record.Stage = StageDone
 			r.setRecord(r.cfg.Self, record)
 			return
 		}
@@ -211,12 +211,12 @@
 	if r.lease == nil {
 		r.counters.Granted++
 		r.lease = &lease{Slot: round.Slot, Epoch: round.Epoch}
-		record.Stage, record.Slot, record.Epoch = Draining, uint8(round.Slot), round.Epoch
+		record.Stage, record.Slot, record.Epoch = StageDraining, uint8(round.Slot), round.Epoch
 		r.emit(Drain{On: true})
 	} else {
 		r.counters.Renewed++
 		if r.drained && round.Lease == r.cfg.Limits.WorkLease {
-			record.Stage = Ready
+			record.Stage = StageReady
 		}
 	}
 	r.lease.Seq, r.lease.Expiry, r.lease.Granters = seq, max(r.lease.Expiry, expiry), round.Granters
@@ -272,13 +272,13 @@
 		r.releaseNotices[i].Remaining--
 		r.sendRelease(r.releaseNotices[i].Slot, r.releaseNotices[i].Epoch)
 	}
-	r.releaseNotices = slices.DeleteFunc(r.releaseNotices, func(g releaseNotice) bool { return g.Remaining <= 0 })
+	r.releaseNotices = slices.DeleteFunc(r.releaseNotices, func(notice releaseNotice) bool { return notice.Remaining <= 0 })
 }
 
 // handleRelease ends the grant of a slot that its holder has released.
 func (r *Reducer) handleRelease(from, slot int, epoch uint64) {
-	if g := &r.grants[slot]; g.Holder == from && g.Epoch <= epoch {
-		g.Holder = -1
+	if grant := &r.grants[slot]; grant.Holder == from && grant.Epoch <= epoch {
+		grant.Holder = -1
 	}
 	if from != r.cfg.Self {
 		r.refusedUntil[slot] = 0
--- a/internal/maintenance/maintenance_test.go
+++ b/internal/maintenance/maintenance_test.go
@@ -16,20 +16,20 @@
 // lost.
 type testTier struct {
 	*testing.T
-	limits         Limits
-	zones          []int
-	disabledGuards Guard
-	now            Time
-	reducers       []*Reducer // by index; nil: killed
-	draining       []bool
-	queue          []scheduledEvent
-	seq            int
-	loss           float64 // share of datagrams that are lost
-	rng            *rand.Rand
-	cut            func(from, to int) bool
-	stages         [][]Stage // by index: the stages of the member's own requests, in their order
-	lastDrainAt    []Time    // by index: when the member last started to drain
-	maxOut         int       // maximum number of members that were out of service at once
+	limits          Limits
+	zones           []int
+	disabledGuards  Guard
+	now             Time
+	reducers        []*Reducer // by index; nil: killed
+	draining        []bool
+	queue           []scheduledEvent
+	seq             int
+	loss            float64 // share of datagrams that are lost
+	rng             *rand.Rand
+	cut             func(from, to int) bool
+	stages          [][]Stage // by index: the stages of the member's own requests, in their order
+	lastDrainAt     []Time    // by index: when the member last started to drain
+	maxOutOfService int       // maximum number of members that were out of service at once
 }
 
 // scheduledEvent is an event for the member with index to. A timer is delivered only to the reducer that requested
@@ -97,7 +97,7 @@
 	tier.queue = append(tier.queue, scheduledEvent{tier.now + delay, tier.seq, to, tier.reducers[to], ev})
 }
 
-// handleEffects carries out the effects of a member and updates maxOut. A draining member is drained after 300 ms.
+// handleEffects carries out the effects of a member and updates maxOutOfService. A draining member is drained after 300 ms.
 func (tier *testTier) handleEffects(member int, effects []Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
@@ -128,7 +128,7 @@
 			count++
 		}
 	}
-	tier.maxOut = max(tier.maxOut, count)
+	tier.maxOutOfService = max(tier.maxOutOfService, count)
 }
 
 // advance runs the tier for d of simulated time.
@@ -153,8 +153,8 @@
 	}
 }
 
-// membersOut returns the members that are draining or ready for work now.
-func (tier *testTier) membersOut() (out []int) {
+// membersOutOfService returns the members that are draining or ready for work now.
+func (tier *testTier) membersOutOfService() (out []int) {
 	for m, draining := range tier.draining {
 		if draining {
 			out = append(out, m)
@@ -167,8 +167,8 @@
 func (tier *testTier) completeWork(d time.Duration) {
 	for end := tier.now + d; tier.now < end; {
 		tier.advance(100 * time.Millisecond)
-		for _, m := range tier.membersOut() {
-			if tier.reducers[m].Status().Records[m].Stage == Ready {
+		for _, m := range tier.membersOutOfService() {
+			if tier.reducers[m].Status().Records[m].Stage == StageReady {
 				tier.step(m, Cancel{Members: []int{m}})
 			}
 		}
@@ -182,7 +182,7 @@
 	for m, stages := range tier.stages {
 		ready := 0
 		for _, s := range slices.Compact(slices.Clone(stages)) { // a restarted member receives its stage again
-			if s == Ready {
+			if s == StageReady {
 				ready++
 			}
 		}
@@ -216,8 +216,8 @@
 		if loss == 0 {
 			tier.expectMaintainedOnce(0, 1, 2, 3)
 		}
-		if tier.maxOut != 2 {
-			t.Errorf("%d members were out at once, want 2", tier.maxOut)
+		if tier.maxOutOfService != 2 {
+			t.Errorf("%d members were out at once, want 2", tier.maxOutOfService)
 		}
 		for _, reducer := range tier.reducers {
 			for m, record := range reducer.Status().Records {
@@ -252,7 +252,7 @@
 	tier.advance(2 * second)
 	tier.step(3, Request{Members: []int{3, 0}})
 	tier.advance(250 * time.Millisecond)
-	if got := tier.membersOut(); len(got) != 1 {
+	if got := tier.membersOutOfService(); len(got) != 1 {
 		t.Fatalf("members out: %v, want one", got)
 	}
 	tier.cut = func(from, to int) bool { return (from < 3) != (to < 3) }
@@ -262,8 +262,8 @@
 	}
 	tier.cut = nil
 	tier.completeWork(15 * second)
-	if tier.maxOut != 1 {
-		t.Errorf("%d members were out at once, want 1", tier.maxOut)
+	if tier.maxOutOfService != 1 {
+		t.Errorf("%d members were out at once, want 1", tier.maxOutOfService)
 	}
 	tier.expectMaintainedOnce(0, 3)
 }
@@ -295,7 +295,7 @@
 		tier.advance(2 * second)
 		tier.step(0, Request{Members: []int{0, 1}})
 		tier.advance(250 * time.Millisecond)
-		if got := tier.membersOut(); !slices.Equal(got, []int{0}) {
+		if got := tier.membersOutOfService(); !slices.Equal(got, []int{0}) {
 			t.Fatalf("members out: %v, want member 0", got)
 		}
 		tier.cut = func(from, _ int) bool { return from == 0 } // the requests were received before; datagrams about the lease are lost
@@ -307,8 +307,8 @@
 		tier.step(1, Request{Members: []int{1}})
 		tier.step(2, Request{Members: []int{1}})
 		tier.advance(1500 * time.Millisecond)
-		if (tier.maxOut > 1) != (disabledGuards != 0) {
-			t.Errorf("disabled guards %d: %d members were out at once", disabledGuards, tier.maxOut)
+		if (tier.maxOutOfService > 1) != (disabledGuards != 0) {
+			t.Errorf("disabled guards %d: %d members were out at once", disabledGuards, tier.maxOutOfService)
 		}
 	}
 }
@@ -322,23 +322,23 @@
 	tier.advance(2 * second)
 	tier.step(0, Request{Members: []int{0, 1, 2, 3, 4}})
 	for range 30 { // two members may compete for one slot at first
-		if tier.advance(100 * time.Millisecond); len(tier.membersOut()) == 3 {
+		if tier.advance(100 * time.Millisecond); len(tier.membersOutOfService()) == 3 {
 			break
 		}
 	}
-	if got := tier.membersOut(); len(got) != 3 {
+	if got := tier.membersOutOfService(); len(got) != 3 {
 		t.Fatalf("members out: %v, want three", got)
 	}
 	for m := range tier.reducers {
 		tier.step(m, SetBudget{Budget: 1})
 	}
-	out := tier.membersOut()
+	out := tier.membersOutOfService()
 	for range 2 {
 		m := out[len(out)-1]
 		out = out[:len(out)-1]
 		tier.step(m, Cancel{Members: []int{m}})
 		tier.advance(second)
-		if got := tier.membersOut(); !slices.Equal(got, out) {
+		if got := tier.membersOutOfService(); !slices.Equal(got, out) {
 			t.Errorf("members out: %v, want %v", got, out)
 		}
 	}
@@ -353,13 +353,13 @@
 	tier.advance(2 * second)
 	tier.step(1, Request{Members: []int{0, 1}})
 	tier.advance(800 * time.Millisecond)
-	first := tier.membersOut()[0]
-	if stage := tier.reducers[first].Status().Records[first].Stage; stage != Ready {
+	first := tier.membersOutOfService()[0]
+	if stage := tier.reducers[first].Status().Records[first].Stage; stage != StageReady {
 		t.Fatalf("member %d is %v", first, stage)
 	}
 	tier.kill(first)
 	tier.advance(2500 * time.Millisecond) // longer than the lease of a draining member
-	if got := tier.membersOut(); len(got) > 0 {
+	if got := tier.membersOutOfService(); len(got) > 0 {
 		t.Errorf("members out while one is away: %v", got)
 	}
 	tier.start(first)
@@ -376,7 +376,7 @@
 	tier.advance(2 * second)
 	tier.step(0, Request{Members: []int{0, 1}})
 	tier.advance(800 * time.Millisecond)
-	if got := tier.membersOut(); !slices.Equal(got, []int{0}) || tier.reducers[0].Status().Records[0].Stage != Ready {
+	if got := tier.membersOutOfService(); !slices.Equal(got, []int{0}) || tier.reducers[0].Status().Records[0].Stage != StageReady {
 		t.Fatalf("members out: %v, want member 0, ready for work", got)
 	}
 	tier.cut = func(from, to int) bool { return from == 0 }
@@ -394,12 +394,12 @@
 	tier.step(1, Cancel{Members: []int{0}}) // member 1 knows that the request has ended, but not from the holder
 	tier.kill(0)
 	tier.advance(second)
-	if got := tier.membersOut(); len(got) > 0 {
+	if got := tier.membersOutOfService(); len(got) > 0 {
 		t.Errorf("members out: %v, want none until the holder has restarted", got)
 	}
 	tier.start(0)
 	tier.advance(2 * second)
-	if got := tier.membersOut(); !slices.Equal(got, []int{1}) {
+	if got := tier.membersOutOfService(); !slices.Equal(got, []int{1}) {
 		t.Errorf("members out: %v, want member 1", got)
 	}
 }
@@ -434,7 +434,7 @@
 			t.Fatalf("Merge is not a semilattice on %+v, %+v, %+v", a, b, c)
 		}
 	}
-	if got := Merge(Record{Generation: 1, RequestedAt: 5, Stage: Draining, Epoch: 9}, Record{Generation: 1, RequestedAt: 4, Stage: Waiting}); got != (Record{Generation: 1, RequestedAt: 4, Stage: Draining, Epoch: 9}) {
+	if got := Merge(Record{Generation: 1, RequestedAt: 5, Stage: StageDraining, Epoch: 9}, Record{Generation: 1, RequestedAt: 4, Stage: StageWaiting}); got != (Record{Generation: 1, RequestedAt: 4, Stage: StageDraining, Epoch: 9}) {
 		t.Errorf("merged record %+v, want one request made at the earlier time", got)
 	}
 }
--- a/internal/maintenance/records.go
+++ b/internal/maintenance/records.go
@@ -15,7 +15,7 @@
 type Record struct {
 	Generation  uint32 // number of requests made for the member so far
 	RequestedAt uint64 // by the clock of the member that accepted the request, in milliseconds since the Unix epoch
-	Restarts    uint32 // how often the request had to return to Waiting
+	Restarts    uint32 // how often the request had to return to StageWaiting
 	Stage       Stage
 	Slot        uint8  // slot of the grant under which the member is out of service
 	Epoch       uint64 // of that grant; a later grant of any slot has a higher epoch
@@ -54,14 +54,14 @@
 	return a.Slot < b.Slot
 }
 
-// restartRequest returns the request of this member to Waiting.
+// restartRequest returns the request of this member to StageWaiting.
 func (r *Reducer) restartRequest() {
 	record := r.records[r.cfg.Self]
 	if record.Stage.Ended() {
 		return
 	}
 	record.Restarts++
-	record.Stage = Waiting
+	record.Stage = StageWaiting
 	r.setRecord(r.cfg.Self, record)
 }
 
@@ -74,22 +74,22 @@
 		if m < 0 || m >= r.cfg.TierSize || !r.records[m].Stage.Ended() {
 			continue
 		}
-		r.setRecord(m, Record{Generation: r.records[m].Generation + 1, RequestedAt: uint64(r.now / time.Millisecond), Stage: Waiting})
+		r.setRecord(m, Record{Generation: r.records[m].Generation + 1, RequestedAt: uint64(r.now / time.Millisecond), Stage: StageWaiting})
 	}
 	r.advanceOwnRequest()
 }
 
-// handleCancel withdraws the requests for members. A request whose member is ready for work becomes Done instead.
+// handleCancel withdraws the requests for members. A request whose member is ready for work becomes StageDone instead.
 func (r *Reducer) handleCancel(members []int) {
 	for _, m := range members {
 		if m < 0 || m >= r.cfg.TierSize || r.records[m].Stage.Ended() {
 			continue
 		}
 		record := r.records[m]
-		if record.Stage == Ready {
-			record.Stage = Done
+		if record.Stage == StageReady {
+			record.Stage = StageDone
 		} else {
-			record.Stage = Withdrawn
+			record.Stage = StageWithdrawn
 		}
 		r.setRecord(m, record)
 	}
@@ -124,9 +124,9 @@
 	outPerZone := make(map[int8]int)
 	for m, record := range r.records {
 		switch record.Stage {
-		case Waiting:
+		case StageWaiting:
 			waiting = append(waiting, m)
-		case Draining, Ready:
+		case StageDraining, StageReady:
 			outPerZone[r.zones[m]]++
 		}
 	}
@@ -186,7 +186,7 @@
 		if remaining < 0 {
 			break
 		}
-		if r.records[member].Stage != None {
+		if r.records[member].Stage != StageNone {
 			msg.Items = append(msg.Items, items...)
 		}
 		count++
@@ -201,7 +201,7 @@
 func (r *Reducer) recordsHash() uint32 {
 	var b []byte
 	for m, record := range r.records {
-		if record.Stage != None {
+		if record.Stage != StageNone {
 			for _, item := range recordItems(m, record) {
 				b = binary.BigEndian.AppendUint64(b, uint64(item))
 			}
--- a/internal/maintenance/recover.go
+++ b/internal/maintenance/recover.go
@@ -55,9 +55,9 @@
 // request needs any more, is released.
 func (r *Reducer) finishRecovery() {
 	r.recovered = true
-	for slot, g := range r.grants {
-		if g.Holder == r.cfg.Self && r.isGranted(slot) && r.records[r.cfg.Self].Stage.Ended() {
-			r.releaseSlot(slot, g.Epoch)
+	for slot, grant := range r.grants {
+		if grant.Holder == r.cfg.Self && r.isGranted(slot) && r.records[r.cfg.Self].Stage.Ended() {
+			r.releaseSlot(slot, grant.Epoch)
 		}
 	}
 	r.advanceOwnRequest()
@@ -69,7 +69,7 @@
 	if msg.RecordsHash != r.recordsHash() {
 		var members []int
 		for member, record := range r.records {
-			if record.Stage != None {
+			if record.Stage != StageNone {
 				members = append(members, member)
 			}
 		}
@@ -78,10 +78,10 @@
 		}
 	}
 	var items []int64
-	for slot, g := range r.grants {
+	for slot, grant := range r.grants {
 		holder, remaining := -1, time.Duration(0)
 		if r.isGranted(slot) {
-			holder, remaining = g.Holder, g.Expiry-r.now
+			holder, remaining = grant.Holder, grant.Expiry-r.now
 		}
 		if r.lease != nil && r.lease.Slot == slot {
 			holder, remaining = r.cfg.Self, max(r.lease.Expiry-r.now, remaining)
--- a/internal/maintenance/types.go
+++ b/internal/maintenance/types.go
@@ -32,12 +32,12 @@
 
 // The stages of a request. The last two end it.
 const (
-	None      Stage = iota // no request was made
-	Waiting                // in the queue
-	Draining               // holds a slot, and sends its callers away
-	Ready                  // holds a slot and has no calls left: the work may begin
-	Withdrawn              // cancelled before the member was ready for work
-	Done                   // the work is finished
+	StageNone      Stage = iota // no request was made
+	StageWaiting                // in the queue
+	StageDraining               // holds a slot, and sends its callers away
+	StageReady                  // holds a slot and has no calls left: the work may begin
+	StageWithdrawn              // cancelled before the member was ready for work
+	StageDone                   // the work is finished
 	numStages
 )
 
@@ -52,7 +52,7 @@
 }
 
 // Ended reports whether a request in this stage has ended, or was never made.
-func (s Stage) Ended() bool { return s == None || s >= Withdrawn }
+func (s Stage) Ended() bool { return s == StageNone || s >= StageWithdrawn }
 
 // Limits are the times and counts of the protocol. Check reports an invalid value.
 type Limits struct {
--- a/internal/membership/codec.go
+++ b/internal/membership/codec.go
@@ -74,7 +74,7 @@
 // encode returns the integers of an update in a message of a sender with senderIncarnation.
 func (u update) encode(senderIncarnation uint64) []int64 {
 	ints := []int64{int64(u.member)<<stateBits | int64(u.state), int64(u.incarnation - senderIncarnation)}
-	if u.state == Suspect {
+	if u.state == StateSuspect {
 		ints = append(ints, int64(u.observer))
 	}
 	return ints
@@ -88,7 +88,7 @@
 	switch {
 	case int(msg.Tier) != tierSize:
 		return msg, nil, errOtherTier
-	case msg.Kind >= numKinds, int(msg.Target) >= tierSize, msg.Incarnation == 0, !msg.State.Available() && msg.State != Left:
+	case msg.Kind >= numKinds, int(msg.Target) >= tierSize, msg.Incarnation == 0, !msg.State.Available() && msg.State != StateLeft:
 		return msg, nil, datagram.ErrMalformed
 	}
 	for ints := msg.Updates; len(ints) > 0; {
@@ -97,13 +97,13 @@
 		}
 		u := update{member: int(ints[0] >> stateBits), state: State(ints[0] & (1<<stateBits - 1)), incarnation: msg.Incarnation + uint64(ints[1]), observer: -1}
 		ints = ints[2:]
-		if u.state == Suspect {
+		if u.state == StateSuspect {
 			if len(ints) == 0 || ints[0] < 0 || ints[0] >= int64(tierSize) {
 				return msg, nil, datagram.ErrMalformed
 			}
 			u.observer, ints = int(ints[0]), ints[1:]
 		}
-		if u.member < 0 || u.member >= tierSize || u.state == Unknown || u.state >= numStates {
+		if u.member < 0 || u.member >= tierSize || u.state == StateUnknown || u.state >= numStates {
 			return msg, nil, datagram.ErrMalformed
 		}
 		updates = append(updates, u)
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -44,7 +44,7 @@
 // member that is considered suspect or dead gets its own state first of all, because it can refute only what it receives
 // (Lifeguard, Buddy System).
 func (r *Reducer) send(to int, msg message, mandatory ...update) {
-	if s := r.members[to].State; s == Suspect || s.Down() {
+	if s := r.members[to].State; s == StateSuspect || s.Down() {
 		mandatory = append(mandatory, r.currentUpdate(to))
 	}
 	updates := mandatory
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -80,7 +80,7 @@
 		oldIncarnation := tier.StateOf(0, 3).Incarnation
 		tier.Kill(3)
 		tier.advance(downtime)
-		if downtime > second && tier.StateOf(0, 3).State != membership.Dead {
+		if downtime > second && tier.StateOf(0, 3).State != membership.StateDead {
 			t.Errorf("after %v the killed member is considered %v, want dead", downtime, tier.StateOf(0, 3).State)
 		}
 		if err := tier.Start(3); err != nil {
@@ -88,7 +88,7 @@
 		}
 		tier.loss = 0
 		tier.advance(8 * second)
-		tier.expectAgreement("after restart", membership.Dead)
+		tier.expectAgreement("after restart", membership.StateDead)
 		if incarnation := tier.StateOf(0, 3).Incarnation; incarnation <= oldIncarnation {
 			t.Errorf("incarnation %d after the restart, %d before it; want a higher one", incarnation, oldIncarnation)
 		}
@@ -108,7 +108,7 @@
 		t.Fatal(err)
 	}
 	tier.advance(5 * second)
-	tier.expectAgreement("clock set back", membership.Dead)
+	tier.expectAgreement("clock set back", membership.StateDead)
 	if incarnation := tier.StateOf(0, 3).Incarnation; incarnation <= oldIncarnation {
 		t.Errorf("incarnation %d after the restart, %d before it; want a higher one", incarnation, oldIncarnation)
 	}
@@ -125,24 +125,24 @@
 	for m := range 5 {
 		view := tier.Member(m).View()
 		want := map[bool]membership.View{true: {TierSize: 5, Available: 3, Down: 2}, false: {TierSize: 5, Available: 2, Down: 3}}[m < 3]
-		if view != want || view.Majority() != (m < 3) || view.ColdQuotaFactor() != map[bool]float64{true: 1, false: 0.4}[m < 3] {
-			t.Errorf("member %d: %+v, majority %t, cold quota factor %v", m, view, view.Majority(), view.ColdQuotaFactor())
+		if view != want || view.Majority() != (m < 3) || view.ColdQuotaFraction() != map[bool]float64{true: 1, false: 0.4}[m < 3] {
+			t.Errorf("member %d: %+v, majority %t, cold quota factor %v", m, view, view.Majority(), view.ColdQuotaFraction())
 		}
 	}
 	tier.cut = nil
 	tier.advance(10 * second)
-	tier.expectAgreement("healed", membership.Dead)
+	tier.expectAgreement("healed", membership.StateDead)
 }
 
 // A member that has received nothing since its start takes a reduced cold quota: it may be on the smaller side of a
 // partition.
 func TestIsolatedMemberTakesReducedColdQuota(t *testing.T) {
 	tier := startTier(t, 4, 1)
-	if factor := tier.Member(0).View().ColdQuotaFactor(); factor != 0.25 {
+	if factor := tier.Member(0).View().ColdQuotaFraction(); factor != 0.25 {
 		t.Errorf("cold quota factor at the start: %v", factor)
 	}
 	tier.advance(20 * second)
-	if factor := tier.Member(0).View().ColdQuotaFactor(); factor != 0.25 {
+	if factor := tier.Member(0).View().ColdQuotaFraction(); factor != 0.25 {
 		t.Errorf("cold quota factor after 20 s of isolation: %v", factor)
 	}
 }
@@ -156,14 +156,14 @@
 	tier.advance(20 * second)
 	for i := 1; i < 6; i++ {
 		for j := range 6 {
-			if state := tier.StateOf(i, j).State; (state == membership.Dead) != (j == 0) {
+			if state := tier.StateOf(i, j).State; (state == membership.StateDead) != (j == 0) {
 				t.Errorf("member %d considers member %d %v", i, j, state)
 			}
 		}
 	}
 	tier.cut = nil
 	tier.advance(10 * second)
-	tier.expectAgreement("healed", membership.Dead)
+	tier.expectAgreement("healed", membership.StateDead)
 }
 
 // A link that fails and recovers repeatedly leaves all members available in the end. Members that do not use the link
@@ -172,7 +172,7 @@
 	tier := startTier(t, 6, 0.1)
 	tier.advance(5 * second)
 	tier.OnChange = func(_ swarm.Time, observer int, c membership.StateChanged) {
-		if c.New == membership.Dead && observer != 0 && c.Member != 0 {
+		if c.New == membership.StateDead && observer != 0 && c.Member != 0 {
 			t.Errorf("member %d considers member %d dead", observer, c.Member)
 		}
 	}
@@ -184,7 +184,7 @@
 		tier.advance(second)
 	}
 	tier.advance(8 * second)
-	tier.expectAgreement("after 20 s of flapping", membership.Dead)
+	tier.expectAgreement("after 20 s of flapping", membership.StateDead)
 }
 
 // A member that was paused beyond the suspicion time-out resumes with its old state, and with probes and suspicions
@@ -198,11 +198,11 @@
 	tier.Pause(5)
 	tier.cut = nil
 	tier.advance(20 * second)
-	if state := tier.StateOf(0, 5).State; state != membership.Dead {
+	if state := tier.StateOf(0, 5).State; state != membership.StateDead {
 		t.Errorf("the paused member is considered %v, want dead", state)
 	}
 	tier.OnChange = func(_ swarm.Time, observer int, c membership.StateChanged) {
-		if c.New == membership.Dead && c.Member != 5 {
+		if c.New == membership.StateDead && c.Member != 5 {
 			t.Errorf("member %d considers member %d dead", observer, c.Member)
 		}
 	}
@@ -211,7 +211,7 @@
 	if tier.Member(5).Counters().Stalls == 0 {
 		t.Error("the pause was not detected")
 	}
-	tier.expectAgreement("after the pause", membership.Dead)
+	tier.expectAgreement("after the pause", membership.StateDead)
 }
 
 // A drain and an orderly shutdown are announced at once and without a suspicion. A member that has left stays in that
@@ -221,13 +221,13 @@
 	tier.advance(8 * second)
 	tier.Inject(2, membership.Drain{On: true})
 	tier.advance(4 * second)
-	if state := tier.StateOf(5, 2).State; state != membership.Draining {
+	if state := tier.StateOf(5, 2).State; state != membership.StateDraining {
 		t.Errorf("the draining member is considered %v, want draining", state)
 	}
 	tier.Inject(2, membership.Leave{})
 	tier.Kill(2)
 	tier.advance(4 * second)
-	tier.expectAgreement("after leaving", membership.Left)
+	tier.expectAgreement("after leaving", membership.StateLeft)
 	if deaths := tier.Counters().Deaths; deaths != 0 {
 		t.Errorf("%d members declared dead, want 0", deaths)
 	}
@@ -256,7 +256,7 @@
 		t.Errorf("%d bytes per datagram on average, more than the maximum", size)
 	}
 	tier.advance(60 * second)
-	tier.expectAgreement("after simultaneous restart", membership.Dead)
+	tier.expectAgreement("after simultaneous restart", membership.StateDead)
 }
 
 // Datagrams that are damaged, truncated, too long, of another version or tier, or from an unknown sender are counted,
@@ -318,11 +318,11 @@
 	for _, c := range cases {
 		before := c.counter(r.Counters())
 		effects := r.Step(swarm.Epoch+second/2, membership.Datagram{From: c.from, Data: c.data})
-		if c.counter(r.Counters()) != before+1 || len(effects) > 0 || r.Members()[1].State != membership.Unknown {
+		if c.counter(r.Counters()) != before+1 || len(effects) > 0 || r.Members()[1].State != membership.StateUnknown {
 			t.Errorf("%s: counters %+v, effects %v", c.name, r.Counters(), effects)
 		}
 	}
-	if effects := r.Step(swarm.Epoch+second/2, membership.Datagram{From: 1, Data: valid}); len(effects) == 0 || r.Members()[1].State != membership.Alive {
+	if effects := r.Step(swarm.Epoch+second/2, membership.Datagram{From: 1, Data: valid}); len(effects) == 0 || r.Members()[1].State != membership.StateAlive {
 		t.Error("a valid datagram is not accepted")
 	}
 }
--- a/internal/membership/reducer.go
+++ b/internal/membership/reducer.go
@@ -104,7 +104,7 @@
 		members: make([]Member, cfg.TierSize), suspicions: make([]*suspicion, cfg.TierSize),
 		maxTransmissions: cfg.Limits.RetransmitMult * int(math.Ceil(math.Log10(float64(cfg.TierSize+1)))),
 	}
-	r.members[cfg.Self] = Member{State: Alive, Incarnation: max(uint64(now/time.Millisecond), 1), Since: now}
+	r.members[cfg.Self] = Member{State: StateAlive, Incarnation: max(uint64(now/time.Millisecond), 1), Since: now}
 	r.schedulePeriod(time.Duration(r.rng.Int64N(int64(cfg.Limits.Period))))
 	return r, r.takeEffects(), nil
 }
@@ -290,7 +290,7 @@
 func (r *Reducer) probeDead() {
 	var dead []int
 	for m := range r.members {
-		if r.members[m].State == Dead {
+		if r.members[m].State == StateDead {
 			dead = append(dead, m)
 		}
 	}
@@ -320,16 +320,16 @@
 // accept the change only with a higher incarnation.
 func (r *Reducer) setDraining(on bool) {
 	self := r.self()
-	state := Alive
+	state := StateAlive
 	if on {
-		state = Draining
+		state = StateDraining
 	}
 	if r.hasLeft || self.State == state {
 		return
 	}
 	self.State, self.Since = state, r.now
 	self.Incarnation++
-	r.emit(StateChanged{Member: r.cfg.Self, Old: Alive + Draining - state, New: state, Incarnation: self.Incarnation})
+	r.emit(StateChanged{Member: r.cfg.Self, Old: StateAlive + StateDraining - state, New: state, Incarnation: self.Incarnation})
 }
 
 // leave announces to some members that this member shuts down in order.
@@ -338,7 +338,7 @@
 		return
 	}
 	r.hasLeft = true
-	r.self().State, r.self().Since = Left, r.now
+	r.self().State, r.self().Since = StateLeft, r.now
 	r.announceSelf(r.maxTransmissions)
 }
 
@@ -461,7 +461,7 @@
 	var updates []update
 	for i := range r.members {
 		index := (r.syncCursor + i) % len(r.members)
-		if member := r.members[index]; index != to && index != r.cfg.Self && member.State != Unknown {
+		if member := r.members[index]; index != to && index != r.cfg.Self && member.State != StateUnknown {
 			updates = append(updates, r.currentUpdate(index))
 		}
 	}
@@ -488,13 +488,13 @@
 	v := View{TierSize: r.cfg.TierSize}
 	for _, m := range r.members {
 		switch m.State {
-		case Unknown:
+		case StateUnknown:
 			v.Unknown++
-		case Suspect:
+		case StateSuspect:
 			v.Suspects++
-		case Dead, Left:
+		case StateDead, StateLeft:
 			v.Down++
-		case Draining:
+		case StateDraining:
 			v.Draining++
 			v.Available++
 		default:
--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -9,13 +9,13 @@
 // startSuspicion starts a suspicion that this member or another one reports. If the member is suspected already at
 // this incarnation, the report counts as a confirmation.
 func (r *Reducer) startSuspicion(index int, incarnation uint64, observer int) {
-	if member := &r.members[index]; member.State == Suspect && member.Incarnation == incarnation {
+	if member := &r.members[index]; member.State == StateSuspect && member.Incarnation == incarnation {
 		r.confirmSuspicion(index, observer)
 		return
 	}
 	r.counters.Suspicions++
 	r.suspicions[index] = &suspicion{StartedAt: r.now, Observers: []int{observer}}
-	r.setState(update{member: index, state: Suspect, incarnation: incarnation, observer: observer}, true)
+	r.setState(update{member: index, state: StateSuspect, incarnation: incarnation, observer: observer}, true)
 	r.scheduleSuspicionTimer(index)
 }
 
@@ -27,7 +27,7 @@
 		return
 	}
 	s.Observers = append(s.Observers, observer)
-	r.enqueueUpdate(update{member: index, state: Suspect, incarnation: r.members[index].Incarnation, observer: observer})
+	r.enqueueUpdate(update{member: index, state: StateSuspect, incarnation: r.members[index].Incarnation, observer: observer})
 	r.scheduleSuspicionTimer(index)
 }
 
@@ -45,7 +45,7 @@
 	case r.now < s.StartedAt+r.suspicionTimeout(s): // the suspicion was restarted, or fewer members are down than before
 		r.scheduleSuspicionTimer(index)
 	default:
-		r.setState(update{member: index, state: Dead, incarnation: r.members[index].Incarnation, observer: r.cfg.Self}, true)
+		r.setState(update{member: index, state: StateDead, incarnation: r.members[index].Incarnation, observer: r.cfg.Self}, true)
 	}
 }
 
--- a/internal/membership/types.go
+++ b/internal/membership/types.go
@@ -25,12 +25,12 @@
 
 // The states of a member. Draining counts as available.
 const (
-	Unknown State = iota // nothing is known of the member since this member's start
-	Alive
-	Draining // alive, and sending its callers away
-	Suspect  // did not answer a probe; declared dead when the suspicion times out
-	Dead     // declared failed
-	Left     // shut down in order, and announced that itself
+	StateUnknown State = iota // nothing is known of the member since this member's start
+	StateAlive
+	StateDraining // alive, and sending its callers away
+	StateSuspect  // did not answer a probe; declared dead when the suspicion times out
+	StateDead     // declared failed
+	StateLeft     // shut down in order, and announced that itself
 	numStates
 )
 
@@ -45,10 +45,10 @@
 }
 
 // Available reports whether a member in this state takes part in the tier: it is alive or draining.
-func (s State) Available() bool { return s == Alive || s == Draining }
+func (s State) Available() bool { return s == StateAlive || s == StateDraining }
 
 // Down reports whether a member in this state is dead or has left. Such a member is excluded from the regular probes.
-func (s State) Down() bool { return s == Dead || s == Left }
+func (s State) Down() bool { return s == StateDead || s == StateLeft }
 
 // Limits are the times and counts of the protocol. Check reports an invalid value.
 type Limits struct {
@@ -192,7 +192,7 @@
 	Nacks             uint64 // negative answers of members asked to probe: the target did not answer them either
 	FailedProbes      uint64 // probes without any answer
 	Suspicions        uint64 // suspicions started here or reported by other members
-	Deaths            uint64 // transitions of members to Dead
+	Deaths            uint64 // transitions of members to StateDead
 	Refutations       uint64 // refutations of false information about this member
 	Stalls            uint64 // pauses of this process that were detected
 	Sent              uint64 // datagrams sent
--- a/internal/membership/updates.go
+++ b/internal/membership/updates.go
@@ -12,26 +12,26 @@
 	newer := u.incarnation > member.Incarnation
 	same := u.incarnation == member.Incarnation
 	switch u.state {
-	case Alive, Draining:
-		if newer || member.State == Unknown && same {
-			if member.State == Dead {
+	case StateAlive, StateDraining:
+		if newer || member.State == StateUnknown && same {
+			if member.State == StateDead {
 				r.synced = false // a partition may have healed: the list of a member of the other side is needed
 			}
 			r.setState(u, propagate)
 		}
-	case Suspect:
+	case StateSuspect:
 		switch {
-		case newer, same && !member.State.Down() && member.State != Suspect:
+		case newer, same && !member.State.Down() && member.State != StateSuspect:
 			r.startSuspicion(u.member, u.incarnation, u.observer)
-		case same && member.State == Suspect:
+		case same && member.State == StateSuspect:
 			r.confirmSuspicion(u.member, u.observer)
 		}
-	case Dead:
+	case StateDead:
 		if newer || same && !member.State.Down() {
 			r.setState(u, propagate)
 		}
-	case Left:
-		if newer || same && member.State != Left {
+	case StateLeft:
+		if newer || same && member.State != StateLeft {
 			r.setState(u, propagate)
 		}
 	}
@@ -48,7 +48,7 @@
 	}
 	self.Incarnation = u.incarnation + 1
 	r.counters.Refutations++
-	if u.state == Suspect || u.state == Dead {
+	if u.state == StateSuspect || u.state == StateDead {
 		r.adjustHealth(1)
 		r.announceSelf(r.cfg.Limits.IndirectProbes)
 	}
@@ -59,12 +59,12 @@
 	member := &r.members[u.member]
 	old := member.State
 	member.Incarnation = u.incarnation
-	if u.state != Suspect {
+	if u.state != StateSuspect {
 		r.suspicions[u.member] = nil
 	}
 	if old != u.state {
 		member.State, member.Since = u.state, r.now
-		if u.state == Dead {
+		if u.state == StateDead {
 			r.counters.Deaths++
 		}
 		r.emit(StateChanged{Member: u.member, Old: old, New: u.state, Incarnation: u.incarnation})
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -19,7 +19,7 @@
 // that must not happen twice needs a lease in addition.
 func (v View) Majority() bool { return 2*v.Available > v.TierSize }
 
-// ColdQuotaFactor returns the factor, over 0 and at most 1, that a member applies to its own quota of the budget of a
+// ColdQuotaFraction returns the fraction, over 0 and at most 1, that a member applies to its own quota of the budget of a
 // server that has just started.
 //
 // All softswitches share that budget. A member considered dead, left or suspect may be alive on the other side of a
@@ -28,7 +28,7 @@
 // members come to it and increase the traffic that it counts as its own share: it reduces its quota in proportion to
 // the members that it misses. A member that has just started counts as one without a majority until it has
 // information of a majority.
-func (v View) ColdQuotaFactor() float64 {
+func (v View) ColdQuotaFraction() float64 {
 	if v.Majority() || v.TierSize <= 1 {
 		return 1
 	}
--- a/internal/mgmt/maintenance.go
+++ b/internal/mgmt/maintenance.go
@@ -15,13 +15,13 @@
 
 // MaintenanceStatus is the answer of /ops/maintenance: the tier's maintenance requests that this softswitch knows.
 type MaintenanceStatus struct {
-	Self       int                  `json:"self"`    // index of this softswitch
-	Recovered  bool                 `json:"settled"` // accepts requests and votes on grants; false: newly started, still asking the tier
-	Budget     int                  `json:"budget"`  // max. members out for maintenance at the same time
-	HoldsGrant bool                 `json:"holds"`   // this softswitch is out for maintenance itself
-	Queue      []MaintenanceRequest `json:"queue"`   // waiting requests, in the order in which they will be granted
-	Granted    []MaintenanceRequest `json:"out"`     // granted requests: their members are out for maintenance
-	Ended      []MaintenanceRequest `json:"over"`    // ended requests, the last one of each member
+	Self      int                  `json:"self"`    // index of this softswitch
+	Recovered bool                 `json:"settled"` // accepts requests and votes on grants; false: newly started, still asking the tier
+	Budget    int                  `json:"budget"`  // max. members out for maintenance at the same time
+	HoldsSlot bool                 `json:"holds"`   // this softswitch is out for maintenance itself
+	Queue     []MaintenanceRequest `json:"queue"`   // waiting requests, in the order in which they will be granted
+	Granted   []MaintenanceRequest `json:"out"`     // granted requests: their members are out for maintenance
+	Ended     []MaintenanceRequest `json:"over"`    // ended requests, the last one of each member
 }
 
 // MaintenanceRequest is a maintenance request for one member of the tier.
@@ -37,7 +37,7 @@
 
 // handleMaintenance carries out a request to /ops/maintenance: GET shows the status, POST requests maintenance of the
 // members with the given names, DELETE cancels or ends it. The results are those of handle.
-func (s *AdminServer) handleMaintenance(method string, names []string) (status int, text string, allow []string) {
+func (s *AdminServer) handleMaintenance(method string, memberNames []string) (status int, text string, allow []string) {
 	snapshot := s.Snapshot()
 	if time.Since(snapshot.At) > s.Limits.MaxStatsAge {
 		return http.StatusServiceUnavailable, "no figures of late\n", nil
@@ -53,7 +53,7 @@
 		return http.StatusMethodNotAllowed, "GET, POST or DELETE only\n", []string{http.MethodGet, http.MethodPost, http.MethodDelete}
 	}
 	var members []int
-	for _, name := range names {
+	for _, name := range memberNames {
 		index := s.memberIndex(*stats, name)
 		if index < 0 {
 			return http.StatusNotFound, fmt.Sprintf("member: no softswitch %.40q in this tier\n", name), nil
@@ -85,7 +85,7 @@
 	if index := slices.Index(stats.Names, name); index >= 0 {
 		return index
 	}
-	if index := slices.Index(s.Peers.Addresses(), name); index >= 0 {
+	if index := slices.Index(s.TierSocket.Addresses(), name); index >= 0 {
 		return index
 	}
 	if index, err := strconv.Atoi(name); err == nil && index >= 0 && index < len(stats.Records) {
@@ -97,13 +97,13 @@
 // maintenanceJSON formats the answer of /ops/maintenance.
 func maintenanceJSON(stats core.MaintenanceStats) string {
 	status := MaintenanceStatus{Self: stats.Self, Recovered: stats.Recovered, Budget: stats.Budget,
-		HoldsGrant: stats.Slot >= 0, Queue: []MaintenanceRequest{}, Granted: []MaintenanceRequest{},
+		HoldsSlot: stats.Slot >= 0, Queue: []MaintenanceRequest{}, Granted: []MaintenanceRequest{},
 		Ended: []MaintenanceRequest{}}
 	requestOf := func(index int) MaintenanceRequest {
 		record := stats.Records[index]
 		request := MaintenanceRequest{Index: index, Name: stats.Names[index], Stage: record.Stage.String(),
 			RequestedAt: time.UnixMilli(int64(record.RequestedAt)).UTC(), Restarts: record.Restarts}
-		if record.Stage == maintenance.Draining || record.Stage == maintenance.Ready {
+		if record.Stage == maintenance.StageDraining || record.Stage == maintenance.StageReady {
 			request.Slot, request.Epoch = int(record.Slot), record.Epoch
 		}
 		return request
@@ -113,9 +113,9 @@
 	}
 	for index, record := range stats.Records {
 		switch {
-		case record.Stage == maintenance.Draining, record.Stage == maintenance.Ready:
+		case record.Stage == maintenance.StageDraining, record.Stage == maintenance.StageReady:
 			status.Granted = append(status.Granted, requestOf(index))
-		case record.Stage != maintenance.None && record.Stage.Ended():
+		case record.Stage != maintenance.StageNone && record.Stage.Ended():
 			status.Ended = append(status.Ended, requestOf(index))
 		}
 	}
@@ -129,7 +129,7 @@
 	counters := stats.Counters
 	granted := 0
 	for _, record := range stats.Records {
-		if record.Stage == maintenance.Draining || record.Stage == maintenance.Ready {
+		if record.Stage == maintenance.StageDraining || record.Stage == maintenance.StageReady {
 			granted++
 		}
 	}
--- a/internal/mgmt/mgmt.go
+++ b/internal/mgmt/mgmt.go
@@ -37,7 +37,7 @@
 	ClassNames  func() []string      // returns the names of the classes, by index
 	SetDraining func(on bool)        // switches draining; takes effect at once
 	Post        func(ev core.Event)  // sends an event to the event loop; may block
-	Peers       *peers.Socket        // socket of the tier's datagrams; nil: membership is off
+	TierSocket  *peers.Socket        // socket of the tier's datagrams; nil: membership is off
 	Log         zerolog.Logger
 
 	orders chan core.Event // orders of operators that wait for the event loop
@@ -123,14 +123,14 @@
 // handle carries out a request and returns the status and the text of the response. members are the values of the query
 // parameter "member". allow lists the permitted methods if the path doesn't permit the request's method; otherwise it
 // is nil.
-func (s *AdminServer) handle(method, path string, members []string) (status int, text string, allow []string) {
+func (s *AdminServer) handle(method, path string, memberNames []string) (status int, text string, allow []string) {
 	wantMethod := http.MethodGet
 	if path == pathDrainStart || path == pathDrainStop {
 		wantMethod = http.MethodPost
 	}
 	switch path {
 	case pathMaintenance:
-		return s.handleMaintenance(method, members)
+		return s.handleMaintenance(method, memberNames)
 	case pathReady, pathStats, pathMembers, pathServers, pathDrainStart, pathDrainStop:
 	default:
 		return http.StatusNotFound, "no such call\n", nil
@@ -150,7 +150,7 @@
 				text += probeStatsText(*snapshot.Probes)
 			}
 			if snapshot.Members != nil {
-				text += membershipStatsText(*snapshot.Members, s.Peers.Counters())
+				text += membershipStatsText(*snapshot.Members, s.TierSocket.Counters())
 			}
 			if snapshot.Maintenance != nil {
 				text += maintenanceStatsText(*snapshot.Maintenance)
@@ -171,7 +171,7 @@
 			if snapshot.Members == nil {
 				return http.StatusNotFound, "membership is off\n", nil
 			}
-			return http.StatusOK, membersJSON(snapshot, s.Peers.Addresses()), nil
+			return http.StatusOK, membersJSON(snapshot, s.TierSocket.Addresses()), nil
 		}
 		return readiness(snapshot.Stats)
 	}
--- a/internal/mgmt/servers.go
+++ b/internal/mgmt/servers.go
@@ -47,7 +47,7 @@
 	HoldBackShare  float64 `json:"share"`   // fraction of new set-ups that the server last asked this member to hold back, 0 to 1
 	HoldBackAgeMS  *int64  `json:"shareMs"` // age of the hold-back share, in milliseconds; null: none received
 	Rate           float64 `json:"rate"`    // set-ups per second that the server takes from this member when warm; 0: not known
-	Lines          float64 `json:"lines"`   // lines of the server; 0: not known
+	TotalLines     float64 `json:"lines"`   // lines of the server; 0: not known
 	FailureWeight  int     `json:"bad"`     // weight of the consecutive failed attempts
 	MinSetUpTimeUS int64   `json:"floorUs"` // shortest set-up time, in microseconds; 0: no call was established yet
 	Draining       bool    `json:"drains"`  // the member's list says that the server drains
@@ -66,7 +66,7 @@
 }
 
 // phaseNames are the states of a server as /ops/servers shows them.
-var phaseNames = map[elmseam.Phase]string{elmseam.Gone: "gone", elmseam.Ready: "ready", elmseam.Draining: "draining"}
+var phaseNames = map[elmseam.Phase]string{elmseam.PhaseGone: "gone", elmseam.PhaseReady: "ready", elmseam.PhaseDraining: "draining"}
 
 // serversJSON formats the answer of /ops/servers.
 func serversJSON(snapshot loop.Snapshot) string {
@@ -89,7 +89,7 @@
 			slices.SortFunc(newest, func(a, b knowledge.ObserverEntry) int { return a.Observer - b.Observer })
 			for _, observed := range newest {
 				report := MemberReport{Index: observed.Observer, HoldBackShare: observed.HoldBackShare,
-					Rate: observed.Rate, Lines: observed.Lines, FailureWeight: observed.FailureWeight,
+					Rate: observed.Rate, TotalLines: observed.TotalLines, FailureWeight: observed.FailureWeight,
 					MinSetUpTimeUS: observed.MinSetUpTime.Microseconds(), Draining: observed.DrainingSince > 0, AgeMS: ageMS(observed.At)}
 				if observed.HoldBackShareAt > 0 {
 					age := ageMS(observed.HoldBackShareAt)
--- a/internal/platform/caller.go
+++ b/internal/platform/caller.go
@@ -17,8 +17,8 @@
 	"elmseam/internal/q850"
 )
 
-// caller is a connection of a caller. It is the loop.EffectHandler of that connection; readCaller is its receiving side.
-type caller struct {
+// callerConn is a connection of a caller. It is the loop.EffectHandler of that connection; readCaller is its receiving side.
+type callerConn struct {
 	platform      *Platform
 	connID        core.ConnID
 	conn          net.Conn
@@ -38,9 +38,9 @@
 	doneClosed    bool          // done is closed
 }
 
-// newCaller returns the caller for an open connection.
-func (p *Platform) newCaller(id core.ConnID, conn net.Conn, limits link.Limits) *caller {
-	return &caller{
+// newCallerConn returns the callerConn for an open connection.
+func (p *Platform) newCallerConn(id core.ConnID, conn net.Conn, limits link.Limits) *callerConn {
+	return &callerConn{
 		platform: p, connID: id, conn: conn, outbox: link.NewOutbox(conn, limits),
 		lingerTimeout: limits.LingerTimeout, writeTimeout: limits.WriteTimeout,
 		transfer: make(chan core.Transfer, 1), done: make(chan struct{}),
@@ -48,13 +48,13 @@
 }
 
 // Close closes the connection immediately.
-func (c *caller) Close() {
+func (c *callerConn) Close() {
 	c.signalDone()
 	c.outbox.Close()
 }
 
 // signalDone closes the done channel, so that transferToSuccessor stops waiting.
-func (c *caller) signalDone() {
+func (c *callerConn) signalDone() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.doneClosed {
@@ -65,7 +65,7 @@
 
 // Flush waits for a short, bounded time until all queued messages are written. It does not wait while the transfer of the
 // connection to the successor is under way.
-func (c *caller) Flush() {
+func (c *callerConn) Flush() {
 	c.mu.Lock()
 	awaitingTransfer := c.redirected && !c.transferred && !c.doneClosed
 	c.mu.Unlock()
@@ -77,14 +77,14 @@
 // closeGracefully writes all queued messages, half-closes the connection, and lets the reading side drop what the caller still
 // sends until the caller closes its side. Closing with unread data would reset the connection, and the reset would discard
 // messages that the caller has not read yet. Both the writing and the reading have a time limit.
-func (c *caller) closeGracefully() {
+func (c *callerConn) closeGracefully() {
 	c.closeWithin(c.writeTimeout + c.lingerTimeout)
 	c.signalDone()
 	c.outbox.Finish(func() { c.closeWithin(c.lingerTimeout) })
 }
 
 // closeWithin makes the connection end after timeout at the latest, whatever the caller does.
-func (c *caller) closeWithin(timeout time.Duration) {
+func (c *callerConn) closeWithin(timeout time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closeDeadline = time.Now().Add(timeout)
@@ -93,7 +93,7 @@
 }
 
 // setReadDeadline sets when the next bytes must have arrived. The close deadline and a transfer take precedence.
-func (c *caller) setReadDeadline(deadline time.Time) {
+func (c *callerConn) setReadDeadline(deadline time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
@@ -106,7 +106,7 @@
 }
 
 // discard reads and drops all data until the connection ends.
-func (c *caller) discard(buf *link.Buffer) {
+func (c *callerConn) discard(buf *link.Buffer) {
 	for {
 		buf.Skip(len(buf.Bytes()))
 		c.mu.Lock()
@@ -122,7 +122,7 @@
 // transferToSuccessor transfers a connection that is read no further to the successor, with the bytes that were read and not yet
 // parsed. It reports whether the successor has the connection and, if not, whether this process keeps serving the connection:
 // a successor that dies during the transfer must not cost callers their connections.
-func (c *caller) transferToSuccessor(unparsed []byte) (transferred, kept bool) {
+func (c *callerConn) transferToSuccessor(unparsed []byte) (transferred, kept bool) {
 	c.platform.loop.Post(core.ReadingStopped{Conn: c.connID})
 	var transfer core.Transfer
 	select {
@@ -166,7 +166,7 @@
 
 // redirect forwards an effect to the successor, or holds the effect while the transfer is under way. It reports false if this
 // process has to execute the effect.
-func (c *caller) redirect(e core.Effect) bool {
+func (c *callerConn) redirect(e core.Effect) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if successor := c.platform.successor.Load(); c.transferred && successor != nil {
@@ -178,7 +178,7 @@
 }
 
 // HandleEffect sends the message for an effect to the caller, directly or through the successor.
-func (c *caller) HandleEffect(e core.Effect) []core.Event {
+func (c *callerConn) HandleEffect(e core.Effect) []core.Event {
 	if !c.redirect(e) {
 		c.writeEffect(e)
 	}
@@ -186,14 +186,14 @@
 }
 
 // writeEffect executes an effect on the connection in this process.
-func (c *caller) writeEffect(e core.Effect) {
+func (c *callerConn) writeEffect(e core.Effect) {
 	switch e := e.(type) {
 	case core.Answered:
-		c.outbox.Post(link.Item{Data: appendFrame(nil, typeAnswer, e.ID, appendParam(nil, paramDesc, e.Desc...))})
+		c.outbox.Send(link.Item{Data: appendFrame(nil, typeAnswer, e.ID, appendParam(nil, paramDesc, e.Desc...))})
 	case core.Rejected:
-		c.outbox.Post(link.Item{Data: rejectionFrame(e.ID, q850.CauseFromReason(e.Reason), e.RetryAfter)})
+		c.outbox.Send(link.Item{Data: rejectionFrame(e.ID, q850.CauseFromReason(e.Reason), e.RetryAfter)})
 	case core.Released:
-		c.outbox.Post(link.Item{Data: appendFrame(nil, typeRelease, e.ID, appendParam(nil, paramCause, q850.CauseFromReason(e.Reason)))})
+		c.outbox.Send(link.Item{Data: appendFrame(nil, typeRelease, e.ID, appendParam(nil, paramCause, q850.CauseFromReason(e.Reason)))})
 	case core.GracefulClose:
 		c.closeGracefully()
 	case core.StopReading:
@@ -210,7 +210,7 @@
 // serveCaller serves a new connection of a caller until it ends.
 func (p *Platform) serveCaller(conn net.Conn) {
 	limits := p.config.Load().CallerConn
-	c := p.newCaller(p.loop.NewConnID(), conn, limits)
+	c := p.newCallerConn(p.loop.NewConnID(), conn, limits)
 	p.loop.Attach(c.connID, c, core.CallerUp{Conn: c.connID, Protocol: Protocol})
 	p.readCaller(c, limits, nil, false)
 }
@@ -219,7 +219,7 @@
 // parsed. It posts up before it returns, and calls onClosed when the connection has ended.
 func (p *Platform) Adopt(conn net.Conn, unparsed []byte, up core.CallerUp, onClosed func()) {
 	limits := p.config.Load().CallerConn
-	c := p.newCaller(up.Conn, conn, limits)
+	c := p.newCallerConn(up.Conn, conn, limits)
 	p.loop.Attach(c.connID, c, up)
 	p.openConns.Add(1)
 	go func() {
@@ -236,7 +236,7 @@
 // A connection on which a message is not complete within the message timeout, or which is idle for the idle timeout, has to be
 // closed, as it holds a file descriptor that others need. The core decides when to close it, since a set-up may still be
 // pending on the connection; data that arrives before the close is dropped.
-func (p *Platform) readCaller(c *caller, limits link.Limits, unparsed []byte, hadSetUp bool) {
+func (p *Platform) readCaller(c *callerConn, limits link.Limits, unparsed []byte, hadSetUp bool) {
 	transferred := false
 	defer func() {
 		if !transferred {
@@ -350,13 +350,13 @@
 		p.loop.Post(p.setUpEvent(conn, f, receivedAt))
 	case typeRelease:
 		p.loop.Post(core.CallerEnd{ID: f.callID, From: conn, SetUpDiscarded: setUpDiscarded})
-		outbox.Post(link.Item{Data: appendFrame(nil, typeReleaseAck, f.callID, nil)})
+		outbox.Send(link.Item{Data: appendFrame(nil, typeReleaseAck, f.callID, nil)})
 	case typeTest:
 		passed := byte(1)
 		if p.stopping.Load() || p.draining.Load() {
 			passed = 0
 		}
-		outbox.Post(link.Item{Data: appendFrame(nil, typeTested, f.callID, appendParam(nil, paramCause, passed))})
+		outbox.Send(link.Item{Data: appendFrame(nil, typeTested, f.callID, appendParam(nil, paramCause, passed))})
 	case typeProgress, typeReleaseAck, typeGroup, typeTested:
 	default:
 		return fmt.Errorf("unknown message type %d", f.msgType)
--- a/internal/platform/crossings_test.go
+++ b/internal/platform/crossings_test.go
@@ -90,7 +90,7 @@
 	}
 }
 
-// Connections above MaxCallers, the limit set by the available file descriptors, must wait in the listener's backlog with their
+// Connections above MaxCallerConns, the limit set by the available file descriptors, must wait in the listener's backlog with their
 // set-ups and be served when there is room. A connection above MaxCallerConns must displace one that can be closed, and be
 // served even if there is none. Connections above the limits used to be closed with their set-ups unread.
 func TestConnectionsAboveLimit(t *testing.T) {
@@ -98,7 +98,7 @@
 	s.callerConn.Write(setUpFrame(1, "voice", "9000", ""))
 	s.wantLine(`"offer"`, `0001"`)
 	var callers []*extraCaller
-	for id := core.ID(2); id <= 12; id++ { // MaxCallers is 8
+	for id := core.ID(2); id <= 12; id++ { // MaxCallerConns is 8
 		caller := s.connectCaller()
 		caller.conn.Write(setUpFrame(id, "voice", "9000", ""))
 		callers = append(callers, caller)
@@ -186,7 +186,7 @@
 // addServer adds a second server, t, to the list of servers and returns its listener.
 func (s *scenario) addServer() net.Listener {
 	listener := listen(s.T)
-	s.loop.Post(core.ServerList{Servers: []core.Server{{Name: "t", Address: listener.Addr().String(), Protocol: Protocol, Cell: 1, Phase: elmseam.Ready}}})
+	s.loop.Post(core.ServerList{Servers: []core.Server{{Name: "t", Address: listener.Addr().String(), Protocol: Protocol, Cell: 1, Phase: elmseam.PhaseReady}}})
 	return listener
 }
 
@@ -396,7 +396,7 @@
 			<-successor.transfers
 			causeEvent(s)
 			if name == "reset" { // the controller may refuse a set-up after a reset; here it tries the second server
-				s.loop.Post(core.ServerList{Servers: []core.Server{{Name: "s", Address: s.serverListener.Addr().String(), Protocol: Protocol, Phase: elmseam.Gone}}})
+				s.loop.Post(core.ServerList{Servers: []core.Server{{Name: "s", Address: s.serverListener.Addr().String(), Protocol: Protocol, Phase: elmseam.PhaseGone}}})
 				other := s.acceptFrom(s.addServer())
 				other.wantLine(`"offer"`, `0001"`)
 				other.send(acceptLine, 1)
@@ -459,7 +459,7 @@
 
 // addStalledCaller connects a caller that has a set-up pending and reads nothing. queuedBytes is the number of filler bytes
 // queued for that caller, which it has to read before any message.
-func (s *scenario) addStalledCaller(id core.ID) (client *scenario, c *caller, queuedBytes int64) {
+func (s *scenario) addStalledCaller(id core.ID) (client *scenario, c *callerConn, queuedBytes int64) {
 	limits := s.platform.config.Load().CallerConn
 	limits.MaxQueuedBytes, limits.FlushTimeout, limits.WriteTimeout = 64<<20, time.Millisecond, testTimeout
 	listener := listen(s.T)
@@ -469,7 +469,7 @@
 	if err != nil {
 		s.Fatal(err)
 	}
-	c = s.platform.newCaller(s.loop.NewConnID(), conn, limits)
+	c = s.platform.newCallerConn(s.loop.NewConnID(), conn, limits)
 	s.loop.Attach(c.connID, c, core.CallerUp{Conn: c.connID, Protocol: Protocol})
 	go func() {
 		defer conn.Close()
@@ -479,7 +479,7 @@
 	s.wantLine(`"offer"`)
 	const chunk = 64 << 10
 	for ; queuedBytes < 16<<20; queuedBytes += chunk { // more than the kernel buffers
-		c.outbox.Post(link.Item{Data: make([]byte, chunk)})
+		c.outbox.Send(link.Item{Data: make([]byte, chunk)})
 	}
 	return client, c, queuedBytes
 }
@@ -500,8 +500,8 @@
 	gate := make(chan struct{})
 	s.dialGate.Store(&gate)
 	s.loop.Post(core.ServerList{Full: true, Servers: []core.Server{
-		{Name: "s", Address: s.serverListener.Addr().String(), Protocol: Protocol, Phase: elmseam.Draining},
-		{Name: "t", Address: s.serverListener.Addr().String(), Protocol: Protocol, Cell: 1, Phase: elmseam.Ready},
+		{Name: "s", Address: s.serverListener.Addr().String(), Protocol: Protocol, Phase: elmseam.PhaseDraining},
+		{Name: "t", Address: s.serverListener.Addr().String(), Protocol: Protocol, Cell: 1, Phase: elmseam.PhaseReady},
 	}})
 	s.callerConn.Write(setUpFrame(4, "voice", "9000", "")) // the set-up waits for a connection
 	s.loop.Post(core.Stop{})
@@ -527,11 +527,11 @@
 // Connection attempts to one server time out again and again. The other server must serve the set-ups meanwhile, and the
 // attempts must leave no file descriptors open. The long retransmit interval keeps a stall of the test machine from counting
 // as load of the server, for which the controller would refuse set-ups.
-func TestConnectsThatNeverComeUp(t *testing.T) {
+func TestServerConnectsThatNeverComplete(t *testing.T) {
 	s := newScenario(t, func(s *scenario) { s.retransmit = testTimeout })
-	s.changeConfig(func(c *Config) { c.DialTimeout = time.Millisecond })
-	deaf := listen(t) // with its backlog full, connects are not answered
-	raw, err := deaf.(*net.TCPListener).SyscallConn()
+	s.changeConfig(func(c *Config) { c.ConnectTimeout = time.Millisecond })
+	unresponsive := listen(t) // with its backlog full, connects are not answered
+	raw, err := unresponsive.(*net.TCPListener).SyscallConn()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -539,8 +539,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.dial(deaf)
-	for tcpInfo(t, deaf).Unacked == 0 { // the handshake may complete after the connect returns
+	s.dial(unresponsive)
+	for tcpInfo(t, unresponsive).Unacked == 0 { // the handshake may complete after the connect returns
 		time.Sleep(time.Millisecond)
 	}
 	serve := func(id core.ID) {
@@ -552,7 +552,7 @@
 	}
 	serve(1) // the answer shows that the caller's connection has been accepted
 	before := leak.OpenDescriptors()
-	s.loop.Post(core.ServerList{Servers: []core.Server{{Name: "t", Address: deaf.Addr().String(), Protocol: Protocol, Cell: 1, Phase: elmseam.Ready}}})
+	s.loop.Post(core.ServerList{Servers: []core.Server{{Name: "t", Address: unresponsive.Addr().String(), Protocol: Protocol, Cell: 1, Phase: elmseam.PhaseReady}}})
 	for id := core.ID(2); s.dialCount.Load() < 50; id++ {
 		serve(id)
 	}
@@ -575,7 +575,7 @@
 	s := newScenario(t, func(s *scenario) {
 		s.limits.StopGrace, s.limits.StopLinger, s.limits.MaxStopWait = time.Millisecond, 60*time.Millisecond, time.Minute
 	})
-	s.changeConfig(func(c *Config) { c.MaxCallers = 1000 })
+	s.changeConfig(func(c *Config) { c.MaxCallerConns = 1000 })
 	type connEnd struct {
 		pending int
 		err     error
@@ -656,13 +656,13 @@
 	setPhase := func(phase elmseam.Phase) {
 		s.loop.Post(core.ServerList{Servers: []core.Server{{Name: "s", Address: s.serverListener.Addr().String(), Protocol: Protocol, Phase: phase}}})
 	}
-	setPhase(elmseam.Draining)
+	setPhase(elmseam.PhaseDraining)
 	close(gate)
 	s.acceptServerConn()
 	if s.serverLines.Scan() || s.serverLines.Err() != nil {
 		t.Errorf("read %q, error %v, want the end of the late connection", s.serverLines.Text(), s.serverLines.Err())
 	}
-	setPhase(elmseam.Ready)
+	setPhase(elmseam.PhaseReady)
 	s.acceptServerConn()
 	s.callerConn.Write(setUpFrame(2, "voice", "9000", ""))
 	s.wantLine(`"offer"`, `0002"`)
@@ -678,7 +678,7 @@
 	s.wantFrame(typeAnswer, 1, -1)
 	address := s.serverListener.Addr().String()
 	s.loop.Post(core.ServerList{Servers: []core.Server{
-		{Name: "s", Address: address, Protocol: Protocol, Phase: elmseam.Gone}, {Name: "t", Address: address, Protocol: Protocol, Phase: elmseam.Ready},
+		{Name: "s", Address: address, Protocol: Protocol, Phase: elmseam.PhaseGone}, {Name: "t", Address: address, Protocol: Protocol, Phase: elmseam.PhaseReady},
 	}})
 	s.wantFrame(typeRelease, 1, 41)
 	if s.serverLines.Scan() || s.serverLines.Err() != nil {
@@ -717,7 +717,7 @@
 	s.send(`{"op":"end","call":"%016x","with":{},"why":16}`, 9)
 	s.wantFrame(typeRelease, 9, 16)
 	listener := s.addServer()
-	s.loop.Post(core.ServerList{Servers: []core.Server{{Name: "s", Address: s.serverListener.Addr().String(), Protocol: Protocol, Phase: elmseam.Draining}}})
+	s.loop.Post(core.ServerList{Servers: []core.Server{{Name: "s", Address: s.serverListener.Addr().String(), Protocol: Protocol, Phase: elmseam.PhaseDraining}}})
 	s.callerConn.Write(setUpFrame(1, "voice", "9000", ""))
 	other := s.acceptFrom(listener)
 	other.wantLine(`"offer"`, `0001"`)
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -22,12 +22,12 @@
 
 // Config holds the settings of a Platform. Configure can replace them at any time.
 type Config struct {
-	Deployment  settings.Deployment
-	CallerConn  link.Limits   // limits of a caller's connection
-	DialTimeout time.Duration // longest time to make a connection to a server
+	Deployment     settings.Deployment
+	CallerConn     link.Limits   // limits of a caller's connection
+	ConnectTimeout time.Duration // longest time to make a connection to a server
 
-	ServerConn link.Limits // limits of a connection to a server
-	MaxCallers int         // maximum number of simultaneous caller connections
+	ServerConn     link.Limits // limits of a connection to a server
+	MaxCallerConns int         // maximum number of simultaneous caller connections
 }
 
 // activeConfig is a Config with an index over its classes: the index of each class by its name.
@@ -54,7 +54,7 @@
 func New(cfg Config, l *loop.Loop, log zerolog.Logger) *Platform {
 	p := &Platform{loop: l, log: log, sampledLog: link.SampledLogger(log)}
 	p.Configure(cfg)
-	p.acceptor = link.NewAcceptor(func() int { return p.config.Load().MaxCallers }, p.serveCaller)
+	p.acceptor = link.NewAcceptor(func() int { return p.config.Load().MaxCallerConns }, p.serveCaller)
 	return p
 }
 
@@ -104,7 +104,7 @@
 func (p *Platform) Serve(l net.Listener) { p.acceptor.Serve(l) }
 
 // CloseListener makes the listener close once all callers that have connected so far are accepted. It does not wait.
-func (p *Platform) CloseListener() { p.acceptor.Drain() }
+func (p *Platform) CloseListener() { p.acceptor.DrainBacklog() }
 
 // Successor is the newer process of a hand-over, which callers' connections are transferred to.
 type Successor interface {
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -51,8 +51,8 @@
 // newScenario returns a scenario whose server and caller are connected. options change it before the softswitch starts.
 func newScenario(t *testing.T, options ...func(*scenario)) *scenario {
 	t.Helper()
-	s := &scenario{T: t, effects: make(chan core.Effect, 100), limits: core.Limits{RebindTimeout: 100 * time.Millisecond, MinRedial: time.Millisecond,
-		MaxRedial: time.Millisecond, ServerLostAfter: time.Minute, MaxCallerConns: 100, MaxOpen: 100, MaxCallBytes: 1 << 20, EndedCallTTL: time.Minute,
+	s := &scenario{T: t, effects: make(chan core.Effect, 100), limits: core.Limits{RebindTimeout: 100 * time.Millisecond, MinRedialDelay: time.Millisecond,
+		MaxRedialDelay: time.Millisecond, ServerLostAfter: time.Minute, MaxCallerConns: 100, MaxOpen: 100, MaxCallBytes: 1 << 20, EndedCallTTL: time.Minute,
 		Transient: map[core.Protocol]bool{Protocol: true}}}
 	for _, option := range options {
 		option(s)
@@ -76,7 +76,7 @@
 		LineTimeout: 50 * time.Millisecond, MaxSilence: 100 * time.Millisecond,
 		MessageTimeout: testTimeout, IdleTimeout: testTimeout, LingerTimeout: 100 * time.Millisecond, MaxLingerBytes: 1 << 16}
 	platform := New(Config{
-		Deployment: settings.Deployment{Classes: []settings.Class{{Name: "voice", Cells: []int{0, 1}, Lines: 1}}, ReportMetrics: []string{"spare", "cut_by"}}, DialTimeout: time.Second, MaxCallers: 8,
+		Deployment: settings.Deployment{Classes: []settings.Class{{Name: "voice", Cells: []int{0, 1}, Lines: 1}}, ReportMetrics: []string{"spare", "cut_by"}}, ConnectTimeout: time.Second, MaxCallerConns: 8,
 		CallerConn: limits, ServerConn: limits,
 	}, eventLoop, zerolog.Nop())
 	eventLoop.SetDialer(Protocol, func(d core.Dial) {
@@ -93,7 +93,7 @@
 	go eventLoop.Run(ctx)
 	go platform.Serve(callers)
 	eventLoop.Post(core.ServerList{Full: true, Servers: []core.Server{
-		{Name: "s", Address: s.serverListener.Addr().String(), Protocol: Protocol, Phase: elmseam.Ready},
+		{Name: "s", Address: s.serverListener.Addr().String(), Protocol: Protocol, Phase: elmseam.PhaseReady},
 	}})
 	s.acceptServerConn()
 	s.callerConn = s.dial(callers)
@@ -376,7 +376,7 @@
 	s.wantFrame(typeRelease, 0, 100)
 	// The wait is limited to the maximum of the class, as a timer of days would be kept for days.
 	cfg := *s.platform.config.Load()
-	cfg.Deployment.Classes = []settings.Class{{Name: "voice", Cells: []int{0, 1}, Lines: 1, MaxWait: 200 * time.Millisecond}}
+	cfg.Deployment.Classes = []settings.Class{{Name: "voice", Cells: []int{0, 1}, Lines: 1, Deadline: 200 * time.Millisecond}}
 	s.platform.Configure(cfg.Config)
 	s.callerConn.Write(setUp(14, "voice", "99999999", "dest:1;width:1;via:-1"))
 	s.wantLine(`"offer"`, `00000e"`) // the first set-up that reaches the server
--- a/internal/platform/server.go
+++ b/internal/platform/server.go
@@ -19,8 +19,8 @@
 	"elmseam/internal/settings"
 )
 
-// server is a connection to a server. It is the loop.EffectHandler of that connection; readLines is its receiving side.
-type server struct {
+// serverConn is a connection to a server. It is the loop.EffectHandler of that connection; readLines is its receiving side.
+type serverConn struct {
 	platform *Platform
 	name     string // name of the server
 	connID   core.ConnID
@@ -30,36 +30,36 @@
 }
 
 // Close closes the connection immediately.
-func (s *server) Close() { s.outbox.Close() }
+func (s *serverConn) Close() { s.outbox.Close() }
 
 // Flush waits for a short, bounded time until all queued messages are written.
-func (s *server) Flush() { s.outbox.Flush() }
+func (s *serverConn) Flush() { s.outbox.Flush() }
 
-// HandleEffect sends the message for an effect to the server. It returns core.NotSent for offers that it could retract.
-func (s *server) HandleEffect(e core.Effect) []core.Event {
+// HandleEffect sends the message for an effect to the server. It returns core.NotSent for offers that it could withdraw.
+func (s *serverConn) HandleEffect(e core.Effect) []core.Event {
 	switch e := e.(type) {
 	case core.Offer:
-		s.outbox.Post(link.Item{
-			Data: appendOffer(nil, e, s.platform.loop.Now()), ID: uint64(e.ID), Retractable: true, Deadline: s.platform.loop.WallTime(e.Until),
+		s.outbox.Send(link.Item{
+			Data: appendOffer(nil, e, s.platform.loop.Now()), ID: uint64(e.ID), Withdrawable: true, Deadline: s.platform.loop.WallTime(e.Until),
 			OnWritten: func() { s.platform.loop.Post(core.OfferWritten{Server: s.name, ID: e.ID}) },
 			OnExpired: func() { s.platform.loop.Post(core.NotSent{Server: s.name, Conn: s.connID, ID: e.ID}) },
 		})
 	case core.End:
-		if s.outbox.Retract(uint64(e.ID)) {
+		if s.outbox.Withdraw(uint64(e.ID)) {
 			return []core.Event{core.NotSent{Server: s.name, Conn: s.connID, ID: e.ID}}
 		}
 		item := link.Item{Data: appendEnd(nil, e.ID, q850.NormalClearing)}
 		if e.Notify {
 			item.OnWritten = func() { s.platform.loop.Post(core.EndWritten{Server: s.name, Conn: s.connID, ID: e.ID}) }
 		}
-		s.outbox.Post(item)
+		s.outbox.Send(item)
 	case core.Probe:
-		s.outbox.Post(link.Item{Data: fmt.Appendf(nil, `{"op":"test","call":"%016x","with":{},"why":%d}`+"\n", uint64(e.ID), testCauseReport)})
+		s.outbox.Send(link.Item{Data: fmt.Appendf(nil, `{"op":"test","call":"%016x","with":{},"why":%d}`+"\n", uint64(e.ID), testCauseReport)})
 	case core.GracefulClose: // the server gets lingerTimeout to read the last messages
 		s.outbox.Finish(func() { time.AfterFunc(s.lingerTimeout, s.outbox.Close) })
 	case core.Withdraw:
 		var notSent []core.Event
-		for _, id := range s.outbox.RetractAll() {
+		for _, id := range s.outbox.WithdrawAll() {
 			notSent = append(notSent, core.NotSent{Server: s.name, Conn: s.connID, ID: core.ID(id)})
 		}
 		return notSent
@@ -90,7 +90,7 @@
 // Dial connects to a server and reads the connection until it ends. It is a loop.Dialer.
 func (p *Platform) Dial(e core.Dial) {
 	cfg := p.config.Load()
-	conn, err := net.DialTimeout("tcp", e.Address, cfg.DialTimeout)
+	conn, err := net.DialTimeout("tcp", e.Address, cfg.ConnectTimeout)
 	if err != nil {
 		p.log.Debug().Err(err).Str("server", e.Server).Msg("server unreachable")
 		p.loop.Post(core.ServerDown{Server: e.Server, Address: e.Address})
@@ -99,7 +99,7 @@
 	p.openConns.Add(1)
 	defer p.openConns.Add(-1)
 	defer conn.Close()
-	s := &server{platform: p, name: e.Server, connID: p.loop.NewConnID(), outbox: link.NewOutbox(conn, cfg.ServerConn),
+	s := &serverConn{platform: p, name: e.Server, connID: p.loop.NewConnID(), outbox: link.NewOutbox(conn, cfg.ServerConn),
 		lingerTimeout: cfg.ServerConn.LingerTimeout}
 	p.loop.Attach(s.connID, s, core.ServerUp{Server: e.Server, Address: e.Address, Conn: s.connID})
 	err = s.readLines(conn, cfg.ServerConn)
@@ -108,7 +108,7 @@
 }
 
 // readLines reads a server's messages until the connection ends, and returns the error that ended it.
-func (s *server) readLines(conn net.Conn, limits link.Limits) error {
+func (s *serverConn) readLines(conn net.Conn, limits link.Limits) error {
 	buf := link.NewBuffer(limits.InitialBufferSize, limits.MaxMessageSize)
 	var lastReport time.Time // when the server's last state report arrived; zero: none yet
 	partial := false
@@ -211,7 +211,7 @@
 }
 
 // handleMessage posts the event for a server's message and answers the message if the protocol requires that.
-func (s *server) handleMessage(msg serverMessage) error {
+func (s *serverConn) handleMessage(msg serverMessage) error {
 	var id core.ID
 	if msg.op != "group" {
 		n, err := strconv.ParseUint(msg.call, 16, 64)
@@ -234,7 +234,7 @@
 			s.platform.loop.Post(core.ServerReport{Server: s.name, Conn: s.connID, Report: report})
 		}
 	case "test":
-		s.outbox.Post(link.Item{Data: fmt.Appendf(nil, `{"op":"tested","call":"%016x","with":{},"why":1}`+"\n", uint64(id))})
+		s.outbox.Send(link.Item{Data: fmt.Appendf(nil, `{"op":"tested","call":"%016x","with":{},"why":1}`+"\n", uint64(id))})
 	case "tested":
 		s.platform.loop.Post(core.ServerProbeAnswer{Server: s.name, Conn: s.connID, ID: probe.ID(id), Report: report})
 	case "ringing", "ended":
@@ -247,7 +247,7 @@
 // isRefusalCause reports whether a cause can only refuse a set-up, never release an established call.
 func isRefusalCause(cause int) bool {
 	switch q850.ReasonFromCause(cause) {
-	case core.Normal, core.Reset:
+	case core.ReasonNormal, core.ReasonReset:
 		return false
 	}
 	return true
--- a/internal/platform/setup.go
+++ b/internal/platform/setup.go
@@ -49,8 +49,8 @@
 		return ev
 	}
 	ev.TimeLeft = time.Duration(timeLeft * float64(time.Millisecond))
-	if class.MaxWait > 0 { // no caller waits longer; a claim of days would keep a timer for days
-		ev.TimeLeft = min(ev.TimeLeft, class.MaxWait)
+	if class.Deadline > 0 { // no caller waits longer; a claim of days would keep a timer for days
+		ev.TimeLeft = min(ev.TimeLeft, class.Deadline)
 	}
 	return ev
 }
--- a/internal/probe/probe.go
+++ b/internal/probe/probe.go
@@ -51,32 +51,32 @@
 
 // The verdicts about a connection.
 const (
-	Forbidden Verdict = iota // no probe may be sent: the connection has to be judged without one
-	Wait                     // a probe is outstanding on the connection, or the rate is used up: try again later
-	Send                     // the probe has to be sent now
+	VerdictForbidden Verdict = iota // no probe may be sent: the connection has to be judged without one
+	VerdictWait                     // a probe is outstanding on the connection, or the rate is used up: try again later
+	VerdictSend                     // the probe has to be sent now
 )
 
-// Request reports whether a connection may be probed. For Send it also returns the id of the probe and the deadline
+// Request reports whether a connection may be probed. For VerdictSend it also returns the id of the probe and the deadline
 // for the answer.
 func (p *Prober) Request(now time.Duration, conn uint64) (v Verdict, id ID, deadline time.Duration) {
 	if !p.limits.Permitted {
-		return Forbidden, 0, 0
+		return VerdictForbidden, 0, 0
 	}
 	for _, probed := range p.outstanding {
 		if probed == conn {
-			return Wait, 0, 0
+			return VerdictWait, 0, 0
 		}
 	}
 	p.tokens = min(p.tokens+p.limits.Rate*max(now-p.refilledAt, 0).Seconds(), p.limits.Burst)
 	if p.refilledAt = now; p.tokens < 1 {
 		p.counters.RateLimited++
-		return Wait, 0, 0
+		return VerdictWait, 0, 0
 	}
 	p.tokens--
 	p.lastID++
 	p.outstanding[p.lastID] = conn
 	p.counters.Sent++
-	return Send, p.lastID, now + p.limits.Timeout
+	return VerdictSend, p.lastID, now + p.limits.Timeout
 }
 
 // Answered handles an answer and reports whether it counts: once for each probe, and only on the connection that was
--- a/internal/q850/q850.go
+++ b/internal/q850/q850.go
@@ -22,32 +22,32 @@
 // CauseFromReason returns the cause value sent to a caller for a reason.
 func CauseFromReason(r core.Reason) byte {
 	switch r {
-	case core.Normal:
+	case core.ReasonNormal:
 		return NormalClearing
-	case core.Congested, core.Full, core.Unsent:
+	case core.ReasonCongested, core.ReasonFull, core.ReasonUnsent:
 		return Congestion
-	case core.Busy:
+	case core.ReasonBusy:
 		return UserBusy
-	case core.Unsupported:
+	case core.ReasonUnsupported:
 		return InvalidContents
 	}
 	return TemporaryFailure
 }
 
 // ReasonFromCause returns the reason for a cause value received from a server. A cause value without an entry
-// counts as core.Reset.
+// counts as core.ReasonReset.
 func ReasonFromCause(cause int) core.Reason {
 	switch cause {
 	case NormalClearing:
-		return core.Normal
+		return core.ReasonNormal
 	case NoCircuit, Congestion:
-		return core.Full
+		return core.ReasonFull
 	case UserBusy, ResourceUnavailable:
-		return core.Busy
+		return core.ReasonBusy
 	case TimerExpiry:
-		return core.Unsent
+		return core.ReasonUnsent
 	}
-	return core.Reset
+	return core.ReasonReset
 }
 
 // RefusalFromNote returns the kind of refusal that a platform server names in the note beside its cause value.
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -132,7 +132,7 @@
 	ReportMetrics       []string      // names of the values of a load report, in order
 	ConnectTimeout      time.Duration // a server that takes longer to connect to counts as unreachable
 	KeepAlive           time.Duration // the peer closes a connection that has been idle for this time
-	MaxWait             time.Duration // longest MaxWait of all classes
+	MaxDeadline         time.Duration // longest Deadline of all classes
 	MinAim              time.Duration // shortest aim of all classes: the time within which a call should be established
 	MaxMeanHold         time.Duration // longest mean holding time of all classes
 	MaxOpenCalls        int           // max. calls open at the same time
@@ -145,11 +145,11 @@
 
 // Class is a class of call under the name that callers use.
 type Class struct {
-	Name    string
-	MaxWait time.Duration // time after which the caller gives up
-	Cells   []int         // cells (server groups) of the first choice; empty: any
-	Lines   float64       // lines that a call takes; 0: not given
-	Removed bool          // not in the current configuration; calls in progress may still have this class
+	Name     string
+	Deadline time.Duration // time after which the caller gives up
+	Cells    []int         // cells (server groups) of the first choice; empty: any
+	Lines    float64       // lines that a call takes; 0: not given
+	Removed  bool          // not in the current configuration; calls in progress may still have this class
 }
 
 // ClassIndexes returns the indexes of the classes by name, without removed classes.
@@ -169,23 +169,23 @@
 func KeepClassIndexes(old Deployment, current *Deployment, currentSettings *elmseam.Settings, oldSettings elmseam.Settings) {
 	indexes := current.ClassIndexes()
 	var classes []Class
-	var moduleClasses []elmseam.Class
+	var controllerClasses []elmseam.Class
 	for i, class := range old.Classes {
 		index, found := indexes[class.Name]
 		if !found {
 			class.Removed = true
-			classes, moduleClasses = append(classes, class), append(moduleClasses, oldSettings.Classes[i])
+			classes, controllerClasses = append(classes, class), append(controllerClasses, oldSettings.Classes[i])
 			continue
 		}
 		delete(indexes, class.Name)
-		classes, moduleClasses = append(classes, current.Classes[index]), append(moduleClasses, currentSettings.Classes[index])
+		classes, controllerClasses = append(classes, current.Classes[index]), append(controllerClasses, currentSettings.Classes[index])
 	}
 	for i, class := range current.Classes {
 		if index, found := indexes[class.Name]; found && index == i {
-			classes, moduleClasses = append(classes, class), append(moduleClasses, currentSettings.Classes[i])
+			classes, controllerClasses = append(classes, class), append(controllerClasses, currentSettings.Classes[i])
 		}
 	}
-	current.Classes, currentSettings.Classes = classes, moduleClasses
+	current.Classes, currentSettings.Classes = classes, controllerClasses
 }
 
 // requiredKeys lists the keys that the settings must contain, by the object that contains them; "" is the outermost
@@ -357,7 +357,7 @@
 		if entry.Name == "" {
 			return d, fmt.Errorf("settings: request-classes[%d].name: missing", i)
 		}
-		class := Class{Name: entry.Name, MaxWait: entry.HardLimit.duration()}
+		class := Class{Name: entry.Name, Deadline: entry.HardLimit.duration()}
 		if i < len(info.FamilyInfo.ClassCells) {
 			class.Cells = info.FamilyInfo.ClassCells[i]
 		}
@@ -368,7 +368,7 @@
 			d.MaxMeanHold = max(d.MaxMeanHold, info.FamilyInfo.ClassHold[i].duration())
 		}
 		d.Classes = append(d.Classes, class)
-		d.MaxWait = max(d.MaxWait, class.MaxWait)
+		d.MaxDeadline = max(d.MaxDeadline, class.Deadline)
 		if aim := entry.Objective.duration(); aim > 0 && (d.MinAim == 0 || aim < d.MinAim) {
 			d.MinAim = aim
 		}
--- a/internal/swarm/experiment.go
+++ b/internal/swarm/experiment.go
@@ -53,11 +53,11 @@
 // Run runs the experiment. The same experiment has the same outcome on any machine.
 func (e Experiment) Run() (Outcome, error) {
 	outcome := Outcome{FirstSuspected: -1, FirstDead: -1, AllDead: -1}
-	sim, err := New(Config{Servers: e.Servers, ReportInterval: e.ReportInterval, Members: e.Members, Limits: e.Limits, Seed: e.Seed, Delays: func(_ Time, _, _ int, r *rand.Rand) []time.Duration {
-		if r.Float64() < e.Loss {
+	sim, err := New(Config{Servers: e.Servers, ReportInterval: e.ReportInterval, Members: e.Members, Limits: e.Limits, Seed: e.Seed, Delays: func(_ Time, _, _ int, rng *rand.Rand) []time.Duration {
+		if rng.Float64() < e.Loss {
 			return nil
 		}
-		return []time.Duration{time.Millisecond/2 + time.Duration(r.Int64N(int64(max(e.MaxDelay, 1))))}
+		return []time.Duration{time.Millisecond/2 + time.Duration(rng.Int64N(int64(max(e.MaxDelay, 1))))}
 	}})
 	if err != nil {
 		return outcome, err
@@ -69,14 +69,14 @@
 	sim.OnChange = func(at Time, observer int, change membership.StateChanged) {
 		switch {
 		case killedAt > 0 && change.Member == victim:
-			if outcome.FirstSuspected < 0 && (change.New == membership.Suspect || change.New == membership.Dead) {
+			if outcome.FirstSuspected < 0 && (change.New == membership.StateSuspect || change.New == membership.StateDead) {
 				outcome.FirstSuspected = at - killedAt
 			}
-			heldDead[observer] = change.New == membership.Dead
+			heldDead[observer] = change.New == membership.StateDead
 			if outcome.FirstDead < 0 && heldDead[observer] {
 				outcome.FirstDead = at - killedAt
 			}
-		case change.New == membership.Dead && change.Member < e.Members-e.Impaired:
+		case change.New == membership.StateDead && change.Member < e.Members-e.Impaired:
 			outcome.FalseDeaths++
 		}
 	}
--- a/internal/swarm/knowledge.go
+++ b/internal/swarm/knowledge.go
@@ -20,7 +20,7 @@
 	state.knowledge, _, err = knowledge.New(knowledge.Config{Self: member, TierSize: s.cfg.Members, Limits: knowledge.Defaults(), Seed: s.rng.Uint64()}, s.now+state.clockSkew)
 	state.observations, state.observedAt = make(map[uint32]knowledge.Observation), s.now
 	for server := range s.cfg.Servers {
-		state.observations[uint32(server)*2654435761] = knowledge.Observation{Rate: 1, Lines: 1000, MinSetUpTime: 20 * time.Millisecond}
+		state.observations[uint32(server)*2654435761] = knowledge.Observation{Rate: 1, TotalLines: 1000, MinSetUpTime: 20 * time.Millisecond}
 	}
 	return err
 }
--- a/internal/swarm/swarm.go
+++ b/internal/swarm/swarm.go
@@ -39,7 +39,7 @@
 	seq         uint64 // order of scheduling, which decides between events of one instant
 	to          int    // index of the member that gets the event
 	incarnation int    // incarnation of the member that set the timer; unused for datagrams
-	input       membership.Event
+	ev          membership.Event
 }
 
 // eventQueue is a heap of events, ordered by time and then by order of scheduling.
@@ -63,7 +63,7 @@
 	reducer         *membership.Reducer // nil: the member is killed
 	incarnation     int                 // number of starts so far
 	paused          bool
-	waiting         []event                          // events that came while the member was paused
+	heldEvents      []event                          // events that came while the member was paused
 	inputDelay      time.Duration                    // delay added to every datagram and timer of the member
 	clockSkew       time.Duration                    // how far the member's clock is ahead of the simulated clock
 	earlierCounters membership.Counters              // counters of earlier incarnations
@@ -124,26 +124,26 @@
 		return
 	}
 	state.earlierCounters = addCounters(state.earlierCounters, state.reducer.Counters())
-	state.reducer, state.paused, state.waiting = nil, false, nil
+	state.reducer, state.paused, state.heldEvents = nil, false, nil
 }
 
-// Pause stops a member until Resume. Its events wait meanwhile; of the datagrams, those beyond maxWaitingDatagrams waiting
+// Pause stops a member until Resume. Its events wait meanwhile; of the datagrams, those beyond maxHeldEvents held
 // events are dropped, as by the buffer of a socket.
 func (s *Simulation) Pause(member int) { s.members[member].paused = true }
 
-// maxWaitingDatagrams is the number of waiting events from which on datagrams for a paused member are dropped.
-const maxWaitingDatagrams = 128
+// maxHeldEvents is the number of held events from which on datagrams for a paused member are dropped.
+const maxHeldEvents = 128
 
-// Resume ends a member's pause. The overdue timers are delivered first, then the waiting datagrams.
+// Resume ends a member's pause. The overdue timers are delivered first, then the held datagrams.
 func (s *Simulation) Resume(member int) {
 	state := &s.members[member]
-	waiting := state.waiting
-	state.paused, state.waiting = false, nil
+	held := state.heldEvents
+	state.paused, state.heldEvents = false, nil
 	for _, wantTimers := range []bool{true, false} {
-		for _, waitingEvent := range waiting {
-			if _, isTimer := waitingEvent.input.(membership.TimerFired); isTimer == wantTimers {
-				waitingEvent.at = s.now
-				s.schedule(waitingEvent)
+		for _, heldEvent := range held {
+			if _, isTimer := heldEvent.ev.(membership.TimerFired); isTimer == wantTimers {
+				heldEvent.at = s.now
+				s.schedule(heldEvent)
 			}
 		}
 	}
@@ -193,15 +193,15 @@
 		next := heap.Pop(&s.queue).(event)
 		s.now = max(s.now, next.at)
 		target := &s.members[next.to]
-		_, isDatagram := next.input.(membership.Datagram)
+		_, isDatagram := next.ev.(membership.Datagram)
 		switch {
 		case target.reducer == nil, !isDatagram && next.incarnation != target.incarnation:
 		case target.paused:
-			if !isDatagram || len(target.waiting) < maxWaitingDatagrams {
-				target.waiting = append(target.waiting, next)
+			if !isDatagram || len(target.heldEvents) < maxHeldEvents {
+				target.heldEvents = append(target.heldEvents, next)
 			}
 		default:
-			s.applyEffects(next.to, target.reducer.Step(s.now+target.clockSkew, s.takePiggyback(next.to, next.input)))
+			s.applyEffects(next.to, target.reducer.Step(s.now+target.clockSkew, s.takePiggyback(next.to, next.ev)))
 		}
 	}
 	s.now = max(s.now, until)
@@ -221,10 +221,10 @@
 		case membership.Send:
 			data := s.appendPiggyback(member, e.Data)
 			for _, delay := range s.cfg.Delays(s.now, member, e.To, s.rng) {
-				s.schedule(event{at: s.now + delay + s.members[e.To].inputDelay, to: e.To, input: membership.Datagram{From: member, Data: data}})
+				s.schedule(event{at: s.now + delay + s.members[e.To].inputDelay, to: e.To, ev: membership.Datagram{From: member, Data: data}})
 			}
 		case membership.Timer:
-			s.schedule(event{at: e.At - s.members[member].clockSkew + s.members[member].inputDelay, to: member, incarnation: s.members[member].incarnation, input: membership.TimerFired{Token: e.Token}})
+			s.schedule(event{at: e.At - s.members[member].clockSkew + s.members[member].inputDelay, to: member, incarnation: s.members[member].incarnation, ev: membership.TimerFired{Token: e.Token}})
 		case membership.StateChanged:
 			if s.OnChange != nil && e.Member != member {
 				s.OnChange(s.now, member, e)
--- a/internal/wire/membership.go
+++ b/internal/wire/membership.go
@@ -75,7 +75,7 @@
 			h.encodeAction(elmseam.SetTimer{Token: m.lastToken, At: e.At})
 		case membership.StateChanged:
 			if controller := h.instances[h.currentInstance]; controller != nil {
-				controller.SetColdQuotaFraction(m.reducer.View().ColdQuotaFactor())
+				controller.SetColdQuotaFraction(m.reducer.View().ColdQuotaFraction())
 			}
 		}
 	}
--- a/internal/wire/membership_test.go
+++ b/internal/wire/membership_test.go
@@ -85,7 +85,7 @@
 			t.Errorf("%+v: %d peer messages were written", c, peerMessages)
 		}
 		for i := range 2 {
-			if m := h.members[uint16(i)]; (m != nil) != c.want || m != nil && m.reducer.Members()[1-i].State != membership.Alive {
+			if m := h.members[uint16(i)]; (m != nil) != c.want || m != nil && m.reducer.Members()[1-i].State != membership.StateAlive {
 				t.Errorf("%+v: instance %d: membership %+v, want the other instance alive, or no membership", c, i, m)
 			}
 		}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -93,7 +93,7 @@
 		}},
 		{"list", "16 29000000 00000000 02 +38", func(ev elmseam.Event) bool {
 			list := ev.(elmseam.ListFull)
-			return list.Cached && len(list.Entries) == 2 && list.Entries[1].Phase == elmseam.Draining &&
+			return list.Cached && len(list.Entries) == 2 && list.Entries[1].Phase == elmseam.PhaseDraining &&
 				list.Entries[1].Started == 6100000*time.Microsecond
 		}},
 		{"caller gone", "18 192b6f0e +43", func(ev elmseam.Event) bool { return ev == elmseam.CallerGone{Call: 0x0e6f2b19} }},
--- a/load.go
+++ b/load.go
@@ -36,7 +36,7 @@
 		s.failureWeight = max(s.failureWeight, maxFailureWeight-1)
 	}
 	if s.minSetUpTime == 0 {
-		s.minSetUpTime = report.RoundTrip
+		s.minSetUpTime = report.MinSetUpTime
 	}
 	if (c.newlyStarted(now) || c.importedShare > 0) && s.established.count == 0 && report.Rate > 0 {
 		if c.importedShare == 0 {
--- a/routing.go
+++ b/routing.go
@@ -6,7 +6,7 @@
 
 // eligible returns whether a call may go to a server at all, whatever the server's load.
 func (c *Controller) eligible(s *server, call *callState) bool {
-	if s.phase != Ready || s.cell == c.settings.OwnCell && c.settings.OwnCell >= 0 {
+	if s.phase != PhaseReady || s.cell == c.settings.OwnCell && c.settings.OwnCell >= 0 {
 		return false
 	}
 	if call.transit && s.cell != call.cell {
--- a/servers.go
+++ b/servers.go
@@ -66,7 +66,7 @@
 // applyFullList replaces the server list. Servers that the new list does not name are gone.
 func (c *Controller) applyFullList(ev ListFull) {
 	for _, s := range c.servers {
-		s.phase = Gone
+		s.phase = PhaseGone
 	}
 	for _, e := range ev.Entries {
 		c.applyListEntry(e)
@@ -78,7 +78,7 @@
 // do not accumulate, and remembers the last of them for a while.
 func (c *Controller) dropGoneServers() {
 	c.servers = slices.DeleteFunc(c.servers, func(s *server) bool {
-		drop := s.phase == Gone && len(s.pending) == 0
+		drop := s.phase == PhaseGone && len(s.pending) == 0
 		if drop {
 			delete(c.byID, s.id)
 			c.removed = append(c.removed, removedServer{
--- a/tier.go
+++ b/tier.go
@@ -56,7 +56,7 @@
 	HoldBackShareAt Time          // time of the newest of these load reports; 0: none
 	Rate            float64       // mean set-ups per second per member that the warm server takes; 0: unknown
 	Failing         bool          // whether the server is failing for most members
-	RoundTrip       time.Duration // longest round trip to the server of any member; 0: unknown
+	MinSetUpTime    time.Duration // longest round trip to the server of any member; 0: unknown
 }
 
 // ScaleRates multiplies the rates that this softswitch has counted by factor, after other members of the tier
@@ -82,7 +82,7 @@
 
 // ColdBudget is this softswitch's budget of set-ups to a cold server.
 type ColdBudget struct {
-	Until        Time    // time at which the server is warm
+	ColdUntil    Time    // time at which the server is warm
 	Quota        float64 // this softswitch's own quota, in set-ups per second of the warm server
 	RateMultiple float64 // set-ups that the server may get now for each set-up that the warm server takes
 }
@@ -90,7 +90,7 @@
 // ColdBudget returns the budget of a cold server, or false if the server is not cold at the given time.
 func (c *Controller) ColdBudget(id ServerID, now Time) (ColdBudget, bool) {
 	s := c.byID[id]
-	if s == nil || s.phase != Ready || s.started <= 0 || now >= s.started+c.settings.ColdRamp {
+	if s == nil || s.phase != PhaseReady || s.started <= 0 || now >= s.started+c.settings.ColdRamp {
 		return ColdBudget{}, false
 	}
 	return ColdBudget{s.started + c.settings.ColdRamp, c.coldQuota(s), c.coldRateMultiple(s, now)}, true
@@ -100,7 +100,7 @@
 // ask to hold back everything, or it has no free line.
 func (c *Controller) Blocked(id ServerID, now Time) bool {
 	s := c.byID[id]
-	return s == nil || s.phase != Ready || s.blocked ||
+	return s == nil || s.phase != PhaseReady || s.blocked ||
 		s.reportedShare >= 1 && now < s.shareExpiry || s.lineShare >= 1
 }
 
