--- a/internal/lab/result.go
+++ b/internal/lab/result.go
@@ -38,7 +38,7 @@
 	BudgetCounters      map[string]int64  `json:"parts,omitempty"`
 	MaintenanceRuns     []*MaintenanceRun `json:"works,omitempty"`
 	Recoveries          []*RecoveryStats  `json:"returns,omitempty"` // of softswitches that were killed and restarted
-	// MaxOut is the greatest number of softswitches that were out for maintenance in one sample.
+	// MaxOutOfService is the greatest number of softswitches that were out for maintenance in one sample.
 	MaxOutOfService int           `json:"most_out"`
 	Elapsed         time.Duration `json:"span_ns"` // from the start of the load to the end of the run
 
