--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -54,10 +54,10 @@
 		outbox.Send(Item{Data: []byte("offer"), ID: id, Withdrawable: true, Deadline: time.Now().Add(time.Minute)})
 	}
 	if !outbox.Withdraw(2) || outbox.Withdraw(2) {
-		t.Error("a queued item can be retracted exactly once")
+		t.Error("a queued item can be withdrawn exactly once")
 	}
 	if ids := outbox.WithdrawAll(); len(ids) != 2 || ids[0] != 1 || ids[1] != 3 {
-		t.Errorf("retracted %v, want 1 and 3", ids)
+		t.Errorf("withdrawn %v, want 1 and 3", ids)
 	}
 	if err := conn.SetDeadline(time.Time{}); !errors.Is(err, net.ErrClosed) {
 		t.Error("the connection with a stalled write is still open")
@@ -220,7 +220,7 @@
 	acceptor.DrainBacklog()
 	if conn, err := net.Dial("tcp", listener.Addr().String()); err == nil {
 		conn.Close()
-		t.Error("a connection was accepted by the kernel after Drain")
+		t.Error("a connection was accepted by the kernel after DrainBacklog")
 	}
 	listener.(*net.TCPListener).SetDeadline(time.Unix(1, 0))
 	close(proceed)
--- a/internal/m3ua/server.go
+++ b/internal/m3ua/server.go
@@ -230,7 +230,7 @@
 func (s *serverConn) Flush() { s.outbox.Flush() }
 
 // HandleEffect sends the ISUP message for an effect to the server. It returns core.NotSent for offers that it could not send
-// or could retract, and core.EndWritten for an end that needs no message.
+// or could withdraw, and core.EndWritten for an end that needs no message.
 func (s *serverConn) HandleEffect(e core.Effect) []core.Event {
 	switch e := e.(type) {
 	case core.Offer:
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -126,7 +126,7 @@
 		view := tier.Member(m).View()
 		want := map[bool]membership.View{true: {TierSize: 5, Available: 3, Down: 2}, false: {TierSize: 5, Available: 2, Down: 3}}[m < 3]
 		if view != want || view.Majority() != (m < 3) || view.ColdQuotaFraction() != map[bool]float64{true: 1, false: 0.4}[m < 3] {
-			t.Errorf("member %d: %+v, majority %t, cold quota factor %v", m, view, view.Majority(), view.ColdQuotaFraction())
+			t.Errorf("member %d: %+v, majority %t, cold quota fraction %v", m, view, view.Majority(), view.ColdQuotaFraction())
 		}
 	}
 	tier.cut = nil
@@ -139,11 +139,11 @@
 func TestIsolatedMemberTakesReducedColdQuota(t *testing.T) {
 	tier := startTier(t, 4, 1)
 	if factor := tier.Member(0).View().ColdQuotaFraction(); factor != 0.25 {
-		t.Errorf("cold quota factor at the start: %v", factor)
+		t.Errorf("cold quota fraction at the start: %v", factor)
 	}
 	tier.advance(20 * second)
 	if factor := tier.Member(0).View().ColdQuotaFraction(); factor != 0.25 {
-		t.Errorf("cold quota factor after 20 s of isolation: %v", factor)
+		t.Errorf("cold quota fraction after 20 s of isolation: %v", factor)
 	}
 }
 
