--- a/internal/platform/crossings_test.go
+++ b/internal/platform/crossings_test.go
@@ -525,10 +525,9 @@
 }
 
 // Connection attempts to one server time out again and again. The other server must serve the set-ups meanwhile, and the
-// attempts must leave no file descriptors open. The long retransmit interval keeps a stall of the test machine from counting
-// as load of the server, for which the controller would refuse set-ups.
+// attempts must leave no file descriptors open.
 func TestServerConnectsThatNeverComplete(t *testing.T) {
-	s := newScenario(t, func(s *scenario) { s.retransmit = testTimeout })
+	s := newScenario(t)
 	s.changeConfig(func(c *Config) { c.ConnectTimeout = time.Millisecond })
 	unresponsive := listen(t) // with its backlog full, connects are not answered
 	raw, err := unresponsive.(*net.TCPListener).SyscallConn()
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -43,12 +43,13 @@
 	hook           core.Hook
 	effects        chan core.Effect // effects that are for no single connection
 	tenants        []elmseam.Tenant
-	retransmit     time.Duration                 // retransmit interval; 0: the controller's default
 	dialGate       atomic.Pointer[chan struct{}] // if set, a dial waits until the channel is closed
 	dialCount      atomic.Int64                  // connections to servers begun so far
 }
 
-// newScenario returns a scenario whose server and caller are connected. options change it before the softswitch starts.
+// newScenario returns a scenario whose server and caller are connected. options change it before the softswitch starts. The
+// controller refuses set-ups when a server's answers are delayed by a tenth of the retransmit interval. The interval is long, so
+// that a stall of the test machine does not count as such a delay.
 func newScenario(t *testing.T, options ...func(*scenario)) *scenario {
 	t.Helper()
 	s := &scenario{T: t, effects: make(chan core.Effect, 100), limits: core.Limits{RebindTimeout: 100 * time.Millisecond, MinRedialDelay: time.Millisecond,
@@ -59,7 +60,7 @@
 	}
 	c, err := core.New(elmseam.Settings{
 		Classes: []elmseam.Class{{Deadline: 9 * time.Second, Worth: 1}}, MaxAttempts: 4, OwnCell: -1,
-		RetransmitInterval: s.retransmit, ReleaseGuard: 50 * time.Millisecond, MaxRetryAfter: 2 * time.Second, Tenants: s.tenants, OverShareWorth: 0.1,
+		RetransmitInterval: testTimeout, ReleaseGuard: 50 * time.Millisecond, MaxRetryAfter: 2 * time.Second, Tenants: s.tenants, OverShareWorth: 0.1,
 		ReportMetrics: []elmseam.LoadMetric{elmseam.LoadMetricWait},
 	}, 1, s.limits)
 	if err != nil {
