--- a/cmd/elmseam/main_test.go
+++ b/cmd/elmseam/main_test.go
@@ -33,9 +33,11 @@
 	leak.Main(m)
 }
 
-// testSettings are the settings in the program's configuration: one class, at most four attempts.
+// testSettings are the settings in the program's configuration: one class, at most four attempts. The controller may refuse set-ups
+// when a server's answers are delayed by more than a tenth of the retransmit interval, which is long here so that a stall of the
+// test machine does not count as such a delay.
 const testSettings = `{"request-classes":[{"name":"voice","effect":"free","gain":1,"objective-us":1000000,"hard-limit-us":3000000}],
- "family-info":{"own-number":-1,"release-guard-us":200000,"retransmit-us":500000},
+ "family-info":{"own-number":-1,"release-guard-us":200000,"retransmit-us":20000000},
  "limits":{"max-attempts":4,"max-open":100,"connect-timeout-us":500000,"retry-after":true,"max-retry-after-us":2000000,"cancel":true},
  "load-report":{"columns":["spare","total","cut_by"],"via":"inline"},"obligations":{"cold-from":0.3,"ramp-time-us":14000000,
  "tip-multiple":2.5,"tip-after-us":1000000}}`
