--- a/api.go
+++ b/api.go
@@ -24,7 +24,7 @@
 // Phase is the state of a server in the server list.
 type Phase uint8
 
-// The phases of a server. Gone also marks, in a ListDelta, a server that leaves the list.
+// The phases of a server. PhaseGone also marks, in a ListDelta, a server that leaves the list.
 const (
 	PhaseGone     Phase = iota // removed from the list
 	PhaseReady                 // takes new calls
@@ -63,7 +63,7 @@
 	Deadline time.Duration // time after which the caller gives up for good
 	Worth    float64       // worth of a call, in units shared by all classes
 	Retry    RetryPolicy   // when an attempt that may have run can be retried
-	Cells    []int         // cells that calls of the class may be sent to; empty: any cell
+	Cells    []int         // cells that calls of the class may be sent to; empty, or in a mesh: any cell
 }
 
 // Tenant is one customer of the deployment. Its allowance is the call rate within its share, in calls per
@@ -81,7 +81,7 @@
 	CanCancel          bool          // whether the Cancel action is permitted
 	OwnCell            int           // own cell in a mesh, which gets no set-ups; -1 outside a mesh
 	RetransmitInterval time.Duration // wait before an unanswered set-up is sent again; 0: it never is
-	ReleaseGuard       time.Duration // wait before a call whose attempt ended badly is sent again
+	ReleaseGuard       time.Duration // wait before a call is sent again whose attempt was reset or cancelled
 	ColdInitialShare   float64       // share of its capacity, 0 to 1, at which a cold server starts
 	ColdRamp           time.Duration // time from the start of a server until it is warm
 	OverloadMultiple   float64       // load above this multiple of its capacity overloads a server
@@ -153,7 +153,7 @@
 	Established struct {
 		Call      CallID
 		Server    ServerID
-		SetUpTime time.Duration // time from the Send action to the server's answer
+		SetUpTime time.Duration // time from the sending of the set-up to the server's answer
 	}
 	// Outcome is the end of an attempt. Final is set if the call needs no further answer.
 	Outcome struct {
--- a/calls.go
+++ b/calls.go
@@ -312,7 +312,7 @@
 // recordFailure adds to the weight of a server's consecutive failures, which an established call resets,
 // and blocks the server at maxFailureWeight. An unanswered set-up weighs more than an error: the call
 // loses the time in which an error is retried elsewhere. A server that fails every call at once looks idle
-// and would attract all calls, whereas an unresponsive server keeps its load.
+// and would attract all calls, whereas an unresponsive server looks loaded, as its set-ups stay pending.
 func (c *Controller) recordFailure(s *server, weight int) {
 	if s.failureWeight += weight; s.failureWeight >= maxFailureWeight {
 		// An error does not replace another cause of a block.
--- a/constants.go
+++ b/constants.go
@@ -33,7 +33,9 @@
 	assumeLossAfter  = 2.0 // retransmit intervals until any unanswered set-up counts as lost
 	overtakeMargin   = 0.2 // retransmit intervals
 
-	maxTimeLeftVotes = 20 // limit of the votes for the usual time left of a class (see isLateTry)
+	// maxTimeLeftVotes limits the votes for the usual time left of a class (see isLateTry). After as many
+	// calls in a row with another time left, the next call's time left becomes the usual one.
+	maxTimeLeftVotes = 20
 
 	// Failures.
 
@@ -59,7 +61,8 @@
 	minRateSpan      = 3.0  // seconds, shortest span over which a rate is computed
 
 	// Budgets of cold servers and of diverted calls, and trials. A live report that asks to hold back nothing
-	// multiplies the rate of diverted calls by idleDivertFactor; the multiple falls to 1 at idleMaxShare.
+	// multiplies the rate of diverted calls by idleDivertFactor; the multiple falls to 1 at idleMaxShare. A
+	// budget that earns less than one set-up within its save time keeps an unused one no longer than that.
 
 	coldSafetyFactor = 0.9  // share of OverloadMultiple that cold servers may get
 	coldBurst        = 2.0  // set-ups that may go to a cold server at once
@@ -68,15 +71,15 @@
 	idleMaxShare     = 0.25 // requested hold-back share at which that multiple is 1
 	trialMinShare    = 0.5  // reported share above which the expiry of the report is followed by a trial
 	trialFactor      = 0.25 // rate of trials at a blocked server, as a share of its expected rate
-	divertSaveTime   = 4.0  // retransmit intervals for which a divert budget of less than one set-up is kept
-	coldSaveTime     = 3.0  // retransmit intervals for which a cold budget of less than one set-up is kept
-	divertBurst      = 3.0  // diverted calls that may go to a server at once
+	divertSaveTime   = 4.0  // retransmit intervals, save time of a divert budget (see refillCapped)
+	coldSaveTime     = 3.0  // retransmit intervals, save time of a cold budget
+	divertBurst      = 3.0  // diverted calls that may go to a server at once, and limit of the overdraft
 
 	// Thinning, which holds back a share of the set-ups to a server (see passesThinning), and worth.
 
 	maxCredit             = 3.0  // thinning credit, in set-ups, that a server may save up
 	lowWorthCredit        = 2.0  // credit that a call of low worth needs
-	highWorthCredit       = -3.0 // credit down to which a call of high worth may overdraw
+	highWorthCredit       = -3.0 // credit that a call of high worth needs; such a call may overdraw
 	highWorthFactor       = 2.0  // high worth is above this multiple of the least worth of a class
 	highWorthWindowFactor = 3.0  // multiple of the limits on unanswered set-ups for a call of high worth
 
@@ -90,9 +93,9 @@
 	// answerMargin is the time between a final answer and the caller's give-up.
 	answerMargin = 5 * time.Millisecond
 
-	// stallReserve is the time left, in retransmit intervals, that a call needs to be held, as the softswitch
-	// may stall. maxStallReserve limits the time to a multiple of the call's aim, for long retransmit
-	// intervals.
+	// stallReserve is the time, in retransmit intervals, that a call must have left after the release guard
+	// to be held until then, as the softswitch may stall. maxStallReserve limits the time to a multiple of
+	// the call's aim, for long retransmit intervals.
 	stallReserve    = 4.0
 	maxStallReserve = 2.0
 
--- a/controller_test.go
+++ b/controller_test.go
@@ -376,8 +376,8 @@
 	h.expectServer("after the answer", h.establish(1, 20*ms), 1)
 }
 
-// When a large server leaves, its load must not overrun small servers: these get no more than twice the
-// diverted rate that their lines allow (simulated day h8ae8c2).
+// When a large server leaves, its load must not overrun small servers: beside a first burst, these get
+// diverted calls at no more than divertFactor of the rate that their lines allow (simulated day h8ae8c2).
 func TestDivertBudget(t *testing.T) {
 	h := newHarness(t, testSettings(), 2)
 	h.reportLoad(1, 900, 900, 0)
@@ -632,9 +632,8 @@
 
 // A server that is blocked for errors gets the calls that would be refused otherwise. Without this last
 // resort, one in eight of all calls was refused where such a server failed three of four calls. The server
-// gets no call of low
-// worth, none that cannot be retried after it may have run, none while a set-up is unanswered, and none if
-// it is blocked for load or unanswered set-ups.
+// gets no call of low worth, none that cannot be retried after it may have run, none while a set-up is
+// unanswered, and none if it is blocked for load or unanswered set-ups.
 func TestLastResort(t *testing.T) {
 	for name, c := range map[string]struct {
 		cause Cause
@@ -754,7 +753,7 @@
 	h.expectServer("after the attempt has ended", h.establish(1, 20*ms), 1)
 }
 
-// Ordinary calls do not count as late because a patient last call has more time left.
+// Ordinary calls do not count as late because the last try of a patient caller has more time left.
 func TestLateTries(t *testing.T) {
 	h := newHarness(t, testSettings(), 1)
 	tests := []struct {
@@ -1287,8 +1286,8 @@
 // A high hold-back share that expires is followed by a trial, like a block (incident i5959b7).
 func TestExpiredHighShareNeedsTrial(t *testing.T) {
 	for _, tt := range []struct {
-		wait   float64 // reported wait in milliseconds
-		second ServerID
+		wait   float64  // reported wait in milliseconds
+		second ServerID // server of the call that arrives while the first one is unanswered
 	}{{2000, 2}, {100, 1}} {
 		h := newHarness(t, testSettings(), 2)
 		h.warmUp(2)
--- a/internal/shares/shares.go
+++ b/internal/shares/shares.go
@@ -12,8 +12,8 @@
 	Allowance float64
 }
 
-// Tracker counts each tenant's calls from one sender. The calls that the tenants send through other senders are not
-// known here, so the tracker compares each tenant's fraction of this sender's calls, and not its rate, with the
+// Tracker counts each tenant's calls at one softswitch. The calls that the tenants send to other softswitches are not
+// known here, so the tracker compares each tenant's fraction of this softswitch's calls, and not its rate, with the
 // allowances.
 type Tracker struct {
 	tenants      []tenant
--- a/load.go
+++ b/load.go
@@ -51,8 +51,9 @@
 	}
 }
 
-// applyLineReport updates the lines of a server, which the server reports unasked at short intervals. The
-// lines hold back set-ups from a server with a free processor that refuses every call for want of lines.
+// applyLineReport updates the lines of a server, which the server reports unasked at short intervals. They
+// matter for a server that refuses every call for want of lines: its processor is free, so its other metrics
+// ask to hold back nothing.
 func (c *Controller) applyLineReport(s *server, r Report) {
 	free, total := -1.0, -1.0
 	for i, metric := range c.settings.ReportMetrics {
@@ -182,18 +183,18 @@
 }
 
 // hasWindow returns whether the number of unanswered set-ups to a server is limited now. The limit holds
-// while the server asks to hold back, and for reportLifetime after its processor was full: the first
-// report of a low load lifts that block, and the full load would fill the server's queue again at once.
+// while the server asks to hold back, and for reportLifetime after a block: where the processor was full, the
+// first report of a low load lifts the block, and the full load would fill the server's queue again at once.
 func (c *Controller) hasWindow(s *server, share float64) bool {
 	return share > windowMinShare || s.blockedAt > 0 && c.now < s.blockedAt+c.intervals(reportLifetime)
 }
 
 // windowFull returns whether a server's unanswered set-ups forbid another one now: the oldest has waited
-// too long, or a server with a window has more unanswered set-ups than it answers within the limit. The
-// answers thus pace the softswitches, whatever number of redials passes the thinning, and no queue grows
-// at a server that is slow, hung, jammed or gone. The round trip does not count against a server, as it
-// may be as long as the limit; this exemption would do harm where round trips vary more than queues.
-// limitFactor widens the limits for calls of high worth.
+// too long, or, at a server with a window, they are at least limitFactor and as many as the server answers
+// within the limit and the round trip. The answers thus pace the softswitches, whatever number of redials
+// passes the thinning, and no queue grows at a server that is slow, hung, jammed or gone. The round trip does
+// not count against a server, as it may be as long as the limit; this exemption would do harm where round
+// trips vary more than queues. limitFactor widens the limits for calls of high worth.
 func (c *Controller) windowFull(s *server, hasWindow bool, limitFactor float64) bool {
 	limit := c.intervals(maxUnanswered * limitFactor)
 	count := 0
--- a/routing.go
+++ b/routing.go
@@ -81,8 +81,8 @@
 // lessLoaded returns whether a is less loaded than b: by the hold-back share, then by the pending attempts
 // in proportion to the lines.
 func (c *Controller) lessLoaded(a, b *server) bool {
-	if p, q := c.holdBackShare(a), c.holdBackShare(b); p != q {
-		return p < q
+	if shareA, shareB := c.holdBackShare(a), c.holdBackShare(b); shareA != shareB {
+		return shareA < shareB
 	}
 	return float64(len(a.pending)+1)*c.linesOrMean(b) < float64(len(b.pending)+1)*c.linesOrMean(a)
 }
@@ -115,8 +115,8 @@
 	return true
 }
 
-// highWorth returns whether a call is worth far more than a call of the least class, or was established
-// before and cut.
+// highWorth returns whether a call is worth far more than a call of the class of least worth, or was
+// established before and cut.
 func (c *Controller) highWorth(call *callState) bool {
 	return !call.lowWorth && (call.interrupted || call.class.Worth > highWorthFactor*c.minWorth)
 }
--- a/servers.go
+++ b/servers.go
@@ -14,7 +14,7 @@
 	phase   Phase // state from the server list
 	started Time  // start of the server's process; 0: long ago
 
-	reportedShare  float64 // hold-back share of the last report, from the server or from the tier
+	reportedShare  float64 // hold-back share of the last report, from the server or the tier; 1 after a block
 	ownShare       float64 // hold-back share of the last report to this softswitch
 	ownShareAt     Time    // time of that report
 	shareExpiry    Time    // time at which reportedShare expires
@@ -94,8 +94,8 @@
 }
 
 // lastKnownRate returns the rate of calls that a server establishes for this softswitch, in calls per
-// second, or established before its restart. The rate is computed at the server's last answer, as a server
-// that restarts has been down for a while.
+// second, or the rate before its restart if that is higher. The rate is computed at the server's last answer,
+// as a server that restarts has been down for a while.
 func (c *Controller) lastKnownRate(s *server) float64 {
 	return max(s.rateBeforeRestart, c.rateAt(s.established, s.established.updatedAt))
 }
--- a/tier.go
+++ b/tier.go
@@ -59,8 +59,8 @@
 	MinSetUpTime    time.Duration // longest round trip to the server of any member; 0: unknown
 }
 
-// ScaleRates multiplies the rates that this softswitch has counted by factor, after other members of the tier
-// have left it their callers or taken them back. Counting alone would show the change only within
+// ScaleRates multiplies the rates that this softswitch has counted by factor, after callers of other members
+// of the tier have moved here or back. Counting alone would show the change only after about
 // rateTimeConstant. Budgets of cold servers are not scaled (see coldQuota).
 func (c *Controller) ScaleRates(now Time, factor float64) {
 	if !(factor > 0) || c.startedAt == 0 {
@@ -96,8 +96,8 @@
 	return ColdBudget{s.started + c.settings.ColdRamp, c.coldQuota(s), c.coldRateMultiple(s, now)}, true
 }
 
-// Blocked returns whether a server gets no new set-ups now: it is not ready, it is blocked, its load reports
-// ask to hold back everything, or it has no free line.
+// Blocked returns whether a server gets no new set-ups now: it is not listed or not ready, it is blocked, its
+// load reports ask to hold back everything, or it has no free line.
 func (c *Controller) Blocked(id ServerID, now Time) bool {
 	s := c.byID[id]
 	return s == nil || s.phase != PhaseReady || s.blocked ||
