--- a/internal/circuits/circuits.go
+++ b/internal/circuits/circuits.go
@@ -1,6 +1,6 @@
 // Package circuits keeps account of the ISUP circuits to one server: which call is on which circuit, and which
 // circuits may be used. It is the ISUP side of an association (Q.764) without messages, connections, clocks and
-// locks: the caller reports the messages that arrive, and the methods return what has to be sent.
+// locks: its user reports the messages that arrive, and the methods return what has to be sent.
 package circuits
 
 import (
@@ -16,7 +16,7 @@
 // The states of a circuit.
 const (
 	stateFree             state = iota // carries no call and may be allocated
-	stateSettingUp                     // an IAM was sent, no ANM has arrived
+	stateSettingUp                     // an IAM was sent or is about to be, and no ANM has arrived
 	stateEstablished                   // the server has answered the call
 	stateReleasing                     // a REL was sent, or has to be sent on the next connection; waits for the RLC
 	stateAwaitingExtraRLC              // an RLC has arrived, but the REL was sent more than once: another RLC may be on its way
@@ -28,7 +28,7 @@
 	state             state
 	pendingRLCs       int       // RLCs that may still arrive: one for each REL, unless the server has lost it
 	ownRLCUnconfirmed bool      // the circuit was freed by an RLC sent here, and no message has shown that the server received it
-	stateSince        time.Time // time of the last REL, or of the RLC that began stateAwaitingExtraRLC
+	stateSince        time.Time // time of the last REL, of the RLC that began stateAwaitingExtraRLC, or of the ConnLost that ended a set-up
 }
 
 // Circuits holds all circuits to one server. They outlive the server's connections: an established call keeps its
@@ -102,7 +102,8 @@
 		return 0, false
 	}
 	circuit := &c.circuits[cic]
-	circuit.state, circuit.pendingRLCs, circuit.ownRLCUnconfirmed = stateEstablished, 0, false // an RLC for an earlier release would have arrived before the ANM
+	// An RLC for an earlier release would have arrived before the ANM.
+	circuit.state, circuit.pendingRLCs, circuit.ownRLCUnconfirmed = stateEstablished, 0, false
 	return circuit.call, true
 }
 
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -123,8 +123,8 @@
 	<-done
 }
 
-// TestDrainAcceptsTheBacklog checks that connections beyond the limit wait in the backlog, and that Drain resets none of them:
-// each is accepted, even beyond the limit.
+// TestDrainAcceptsTheBacklog checks that connections beyond the limit wait in the backlog, and that DrainBacklog resets none of
+// them: each is accepted, even beyond the limit.
 func TestDrainAcceptsTheBacklog(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/link/outbox.go
+++ b/internal/link/outbox.go
@@ -109,7 +109,7 @@
 }
 
 // Finish half-closes the connection once the queue is written, and then calls done. The peer can thus read the last messages,
-// followed by the end of the stream. Messages posted after Finish are dropped. Finish does not wait.
+// followed by the end of the stream. Messages passed to Send after Finish are dropped. Finish does not wait.
 func (o *Outbox) Finish(done func()) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -21,8 +21,8 @@
 	HandleEffect(core.Effect) []core.Event
 	// Close closes the connection immediately. It must not block.
 	Close()
-	// Flush waits for a short, bounded time until the messages of earlier effects are written. It is called once, as the
-	// loop ends, in a goroutine of its own.
+	// Flush waits for a short, bounded time until the messages of earlier effects are written. It is called, in a
+	// goroutine of its own, when the loop ends after core.Stopped.
 	Flush()
 }
 
@@ -143,7 +143,7 @@
 	}
 }
 
-// Run runs the core until it emits core.Stopped, once every caller has its answer after a core.Stop, or until the context ends.
+// Run runs the core until it emits core.Stopped, after a core.Stop or a core.HandOver, or until the context ends.
 // After core.Stopped, Run flushes all connections before it returns.
 func (l *Loop) Run(ctx context.Context) {
 	defer l.rejectQueued()
@@ -216,14 +216,14 @@
 					events = append(events, core.ServerDown{Server: e.Server, Address: e.Address})
 				}
 			case core.CloseConn:
-				if c := l.handlers[e.To]; c != nil {
+				if handler := l.handlers[e.To]; handler != nil {
 					delete(l.handlers, e.To)
-					c.Close()
+					handler.Close()
 				}
 			case core.GracefulClose:
-				if c := l.handlers[e.To]; c != nil {
+				if handler := l.handlers[e.To]; handler != nil {
 					delete(l.handlers, e.To)
-					c.HandleEffect(e)
+					handler.HandleEffect(e)
 				}
 			case core.Serving:
 				l.log.Info().Bool("serving", e.On).Msg("service")
@@ -236,8 +236,8 @@
 			case core.Violation:
 				l.log.Error().Uint64("call", uint64(e.ID)).Str("rule", e.Rule).Msg("guard prevented a rule violation")
 			default:
-				if c := l.handlers[target(e)]; c != nil {
-					events = append(events, c.HandleEffect(e)...)
+				if handler := l.handlers[target(e)]; handler != nil {
+					events = append(events, handler.HandleEffect(e)...)
 				}
 			}
 		}
--- a/internal/loop/loop_test.go
+++ b/internal/loop/loop_test.go
@@ -18,13 +18,13 @@
 // recordingHandler is an EffectHandler that records the effects it receives.
 type recordingHandler struct{ effects []core.Effect }
 
-func (c *recordingHandler) HandleEffect(e core.Effect) []core.Event {
-	c.effects = append(c.effects, e)
+func (h *recordingHandler) HandleEffect(e core.Effect) []core.Event {
+	h.effects = append(h.effects, e)
 	return nil
 }
 
-func (c *recordingHandler) Close() {}
-func (c *recordingHandler) Flush() {}
+func (h *recordingHandler) Close() {}
+func (h *recordingHandler) Flush() {}
 
 // Connections are attached while the loop ends and after it has ended. Each of them must either be accepted by the loop or be
 // closed gracefully. Connections still in the inbox used to stay open with nothing to serve them; later ones were closed at
@@ -53,10 +53,10 @@
 		for range 20 { // more than the inbox can hold
 			attach()
 		}
-		for conn, c := range handlers {
+		for conn, handler := range handlers {
 			_, accepted := l.handlers[conn]
-			if _, closed := lastEffect(c.effects).(core.GracefulClose); closed == accepted {
-				t.Fatalf("connection %d: accepted %v, effects %v", conn, accepted, c.effects)
+			if _, closed := lastEffect(handler.effects).(core.GracefulClose); closed == accepted {
+				t.Fatalf("connection %d: accepted %v, effects %v", conn, accepted, handler.effects)
 			}
 		}
 	}
--- a/internal/probe/probe.go
+++ b/internal/probe/probe.go
@@ -19,7 +19,7 @@
 	Answered    uint64 // answers accepted
 	Failed      uint64 // probes without an answer in time, or whose connection was closed first
 	RateLimited uint64 // requests refused because of the limited rate
-	Late        uint64 // answers to no outstanding probe: repeated or too late
+	Late        uint64 // answers to no outstanding probe: repeated, too late, or on another connection
 }
 
 // ID identifies a probe.
