--- a/cmd/elmseam/main.go
+++ b/cmd/elmseam/main.go
@@ -128,7 +128,7 @@
 		} else {
 			var tierDone sync.WaitGroup
 			tierCtx, stopTier := context.WithCancel(context.Background())
-			defer tierDone.Wait() // before it closes, the socket informs the other members that this one leaves
+			defer tierDone.Wait() // until the socket has sent what is queued, such as the announcement that this member leaves
 			defer stopTier()
 			tierDone.Go(func() { tierSocket.Run(tierCtx, joinEvents...) })
 		}
@@ -243,7 +243,7 @@
 		cfg = newCfg
 		memory.setLimits(cfg.Limits)
 		platformProtocol.Configure(cfg.Platform())
-		if m3uaProtocol != nil { // before the core sees calls of new classes
+		if m3uaProtocol != nil { // before the core knows the new classes and offers their calls to M3UA servers
 			m3uaProtocol.Configure(cfg.M3UA(signalling.M3UA))
 		}
 		eventLoop.Post(core.Configured{Settings: cfg.Settings, Limits: cfg.Limits.Core})
--- a/cmd/elmseam/ops_test.go
+++ b/cmd/elmseam/ops_test.go
@@ -116,8 +116,9 @@
 }
 
 // TestReloadInvalidConfiguration checks that an invalid configuration changes nothing, is counted, and is logged in one
-// line that names the field. After a valid one, open calls keep the attempt limit with which they arrived, and new calls
-// get the new limit.
+// line that names the field. After a valid one, the open call is still answered, calls of a class that the new
+// configuration drops are refused, and calls of a class that it adds are accepted. That an open call keeps the attempt
+// limit of its arrival is tested by TestReconfiguration of package core.
 func TestReloadInvalidConfiguration(t *testing.T) {
 	srv := listen(t)
 	p := startProgram(t, "", endpoint("s", "in_service", srv))
--- a/cmd/elmseam/upgrade.go
+++ b/cmd/elmseam/upgrade.go
@@ -41,8 +41,8 @@
 	transferred       map[core.ConnID]bool        // callers' connections that the successor has; nil without a successor
 }
 
-// takeOver obtains the callers' listener from a running process that serves the address. It reports whether there is
-// such a process.
+// takeOver obtains the callers' listener from a running process that serves the address. It returns false if there is no
+// such process or if that process refuses.
 func (u *upgrader) takeOver(listenAddr string) bool {
 	if addr, err := net.ResolveTCPAddr("tcp", listenAddr); err == nil {
 		listenAddr = addr.String()
@@ -114,7 +114,7 @@
 	u.sampledLog.Info().Uint64("link", uint64(connID)).Msg("caller's connection taken over")
 }
 
-// sendToPredecessor forwards an event about a call that only the predecessor knows.
+// sendToPredecessor forwards an event about a call that this process does not know, and the predecessor may.
 func (u *upgrader) sendToPredecessor(e core.ToPredecessor) {
 	if u.predecessor == nil {
 		return
@@ -166,7 +166,8 @@
 	}()
 }
 
-// acceptSuccessor answers a process that asks to take over. It refuses if another process is already taking over.
+// acceptSuccessor answers a process that asks to take over. It refuses if another process is already taking over, or if the
+// listener is being closed or can't be passed on; handover.AcceptSuccessor refuses other versions and addresses.
 func (u *upgrader) acceptSuccessor(conn *net.UnixConn) {
 	u.mu.Lock()
 	refusal := ""
@@ -243,7 +244,8 @@
 	}
 }
 
-// requestStop records that a stop of this process was requested, and reports whether there is a successor.
+// requestStop records that a stop of this process was requested, starts the transfer to a successor that serves, and reports
+// whether there is a successor.
 func (u *upgrader) requestStop() bool {
 	u.mu.Lock()
 	u.stopping = true
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -27,7 +27,7 @@
 	Cursor          int64               // position in the command channel after InitialCommands
 	InitialCommands []feed.Command      // commands of the channel that the file already contains
 	Settings        elmseam.Settings    // settings of the decision module
-	Deployment      settings.Deployment // settings of the sockets
+	Deployment      settings.Deployment // settings that the decision module does not use, or not in this form
 	Limits          Limits
 
 	PeerListen string   // host:port on which the tier's datagrams arrive
--- a/internal/config/members.go
+++ b/internal/config/members.go
@@ -46,7 +46,7 @@
 	HalfLife     duration `toml:"half_life"` // age at which a load report's weight is halved
 	SlowHalfLife duration `toml:"lasting"`   // the same for rates and failures, which change slowly
 	MaxAge       duration `toml:"forget"`    // age from which an entry is ignored
-	Fanout       int      `toml:"ask"`       // members that a newly started softswitch queries
+	Fanout       int      `toml:"ask"`       // members that a newly started softswitch queries at a time
 }
 
 // limits returns the limits of the knowledge protocol: the defaults with the values of the table.
--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -31,7 +31,7 @@
 func (c *Core) startAttempt(call *call, decision elmseam.Send) {
 	s := c.serversByID[decision.Server]
 	if call.answered || call.callerGone || call.attempt != nil && c.guardEnabled(GuardSingleAttempt) || s == nil {
-		c.emit(Violation{ID: call.ID, Rule: "attempt for a call that is answered, abandoned or already outstanding, or to an unknown server"})
+		c.emit(Violation{ID: call.ID, Rule: "attempt for a call that is answered, abandoned or has an outstanding attempt, or to an unknown server"})
 		return
 	}
 	newAttempt := &attempt{number: call.attempts, server: s, startedAt: c.now}
--- a/internal/core/callers.go
+++ b/internal/core/callers.go
@@ -10,14 +10,14 @@
 type callerConn struct {
 	id             ConnID
 	protocol       Protocol
-	hadSetUp       bool // the connection has brought a set-up
+	hadSetUp       bool // the connection has brought a set-up or the end of a call
 	hadEstablished bool // a set-up from the connection was established
 	transferred    bool // the connection was transferred to the successor, which gets the effects for the connection
 
 	transferUnconfirmed bool // the successor has not confirmed the transfer
 	transferFailed      bool // the transfer failed; the connection is read here again
 	malformed           bool // nothing more is read from the connection; it is closed once no set-up is open on it
-	lastActive          Time // when the connection last brought a request or one of its calls was established
+	lastActive          Time // when the connection was made, last brought a set-up or an end, or one of its calls was established
 }
 
 // pendingRelease is a release that waits for a connection to callers.
@@ -66,7 +66,7 @@
 	case call == nil:
 		_, known := c.ended[ev.ID]
 		switch {
-		case known, ev.SetUpDiscarded: // no server has the call
+		case known, ev.SetUpDiscarded: // the call has ended already, or was never offered to a server
 		case c.hasPredecessor:
 			delete(c.predecessorCalls, ev.ID)
 			delete(c.predecessorSetUps, ev.ID)
@@ -86,7 +86,7 @@
 	} // any other end is ignored: its sender guessed the id of a set-up that is open on a different connection
 }
 
-// markUsed records that a caller uses its connection. Releases that waited for a connection go out on it.
+// markUsed records that a caller uses its connection. At the first use, releases that waited for a connection go out.
 func (c *Core) markUsed(conn *callerConn) {
 	conn.lastActive = c.now
 	if !conn.hadSetUp {
@@ -102,8 +102,8 @@
 }
 
 // sendRelease tells a caller that an established call has ended, on the connection of the call or, if that is gone, on another of
-// the same protocol: preferably one that has had established calls, then the one active last. If there is none, the release waits for
-// the next connection.
+// the same protocol: preferably one that has had established calls, then the one active last. If there is none, the release goes to the
+// successor during a hand-over of transient connections, and otherwise waits for the next connection.
 func (c *Core) sendRelease(protocol Protocol, to ConnID, id ID, reason Reason) {
 	if c.callers[to] == nil {
 		var best *callerConn
--- a/internal/core/calls.go
+++ b/internal/core/calls.go
@@ -18,7 +18,7 @@
 	protocol     Protocol       // signalling protocol of the caller
 	deadline     Time           // latest time of the final answer
 	orphaned     bool           // the connection of the caller ended while the set-up was open
-	answered     bool           // the final answer has been given
+	answered     bool           // the final answer has been given, or none is due any more as the caller has gone
 	callerGone   bool           // the caller has given the set-up up or released the call
 	attempts     int            // attempts made so far
 	maxAttempts  int            // attempts permitted by the settings that the call arrived under; 0: any number
@@ -89,7 +89,7 @@
 // repeatedSetUp handles a set-up with the id of a call that has not ended. The same set-up on another connection was sent again
 // after its first connection had closed: the call goes on for the new connection, which is given the answer that its caller
 // may have missed. Any other set-up is refused, as the answer to the existing call is no answer to it. When both came on one
-// connection, both are refused, as the caller could not tell which of them an answer is for.
+// connection and the first has no final answer yet, both are refused, as the caller could not tell which of them an answer is for.
 func (c *Core) repeatedSetUp(call *call, ev SetUp) {
 	resent := ev.From != call.From && fingerprintOf(ev) == call.fingerprint
 	switch {
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -29,8 +29,9 @@
 	return newHarnessWith(t, deployments["hold-back share reported"])
 }
 
-// deployments are settings of two kinds. In the first, servers report a hold-back share and may not be probed. In the second,
-// servers report their waiting time and may be probed, tenants have shares, and the times and limits differ.
+// deployments are settings of two kinds. The first stands for servers that report a hold-back share and may not be probed; it names no
+// ReportMetrics, so the values of reports are not read. In the second, servers report their waiting time and may be probed, tenants
+// have shares, and the times and limits differ.
 var deployments = map[string]elmseam.Settings{
 	"hold-back share reported": {
 		Classes:     []elmseam.Class{{Aim: time.Second, Deadline: 9 * time.Second, Worth: 1}},
--- a/internal/core/drain.go
+++ b/internal/core/drain.go
@@ -4,9 +4,9 @@
 
 // A drain sends callers away while the process goes on. Operators and ordered maintenance can begin and end drains any number of
 // times. New calls cease to be welcome at once, which the health check of the callers' front end shows. The front end notices the drain
-// only after a while; the set-ups that it still sends until then are served. After DrainGrace, connections of callers without a call
-// are closed. A connection with established calls stays open, as their releases need it, and set-ups that still arrive on it are
-// refused after DrainRefuseAfter.
+// only after a while; the set-ups that it still sends until then are served. After DrainGrace, idle connections of transient protocols
+// without a call are closed. A connection with established calls stays open, as their releases need it, and set-ups that still arrive
+// on it are refused after DrainRefuseAfter.
 
 // setDraining begins or ends a drain. It does nothing if the drain already is as requested.
 func (c *Core) setDraining(on bool) {
@@ -21,9 +21,9 @@
 	}
 }
 
-// closeIdleCallers closes the idle connections of callers without a call, and does so again after DrainCheckInterval until the
-// drain ends. drainChange is the value of drainChanges at the beginning of the drain that the timer was set for: a timer of an earlier
-// drain does nothing.
+// closeIdleCallers closes the idle connections of callers without a call, and does so again after DrainCheckInterval until the drain
+// ends or a hand-over begins. Only connections of transient protocols are closed. drainChange is the value of drainChanges at the
+// beginning of the drain that the timer was set for: a timer of an earlier drain does nothing.
 func (c *Core) closeIdleCallers(drainChange uint32) {
 	if !c.draining || drainChange != c.drainChanges || c.handingOver {
 		return
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -121,7 +121,7 @@
 	maps.DeleteFunc(c.predecessorCalls, ofConn)
 }
 
-// RecentlyEnded returns the ids of the latest calls that ended in this process, oldest first and at most limit, for a successor.
+// RecentlyEnded returns the ids of ended calls that this process recorded last, oldest first and at most limit, for a successor.
 func (c *Core) RecentlyEnded(limit int) []ID {
 	latest := c.endedOrder[max(len(c.endedOrder)-limit, 0):]
 	ids := make([]ID, 0, len(latest))
--- a/internal/core/hook.go
+++ b/internal/core/hook.go
@@ -11,7 +11,7 @@
 	GuardSingleAnswer  Guard = 1 << iota // a set-up gets one final answer
 	GuardSingleAttempt                   // a call has one outstanding attempt at a time
 	GuardMaxAttempts                     // a call has no more attempts than permitted
-	GuardResendWait                      // no attempt starts within the release guard
+	GuardResendWait                      // no offer goes out within the release guard
 	GuardPhase                           // no attempt goes to a server that takes no new work
 	GuardDeadline                        // the final answer comes before the caller's time is up
 	GuardSingleRelease                   // a call is released once
@@ -31,8 +31,8 @@
 // guardEnabled says whether a guard is not disabled by the hook.
 func (c *Core) guardEnabled(g Guard) bool { return c.hook.DisabledGuards&g == 0 }
 
-// TimerObsolete says whether a timer can have no effect any more, because its call has ended. The controller never uses an id
-// twice.
+// TimerObsolete says whether a timer can have no effect any more, because its call has ended. The controller's ids of calls are
+// never used twice.
 func (c *Core) TimerObsolete(t Token) bool {
 	switch t.kind {
 	case tokenController:
--- a/internal/core/knowledge.go
+++ b/internal/core/knowledge.go
@@ -20,7 +20,7 @@
 
 // drainReport says whether other members report that a server drains, although it is ready in this softswitch's own list.
 type drainReport struct {
-	listedAt Time // when this softswitch's own server list last named the server
+	listedAt Time // when this softswitch's own server list last named the server, or a drain report expired; earlier reports do not count
 	expiry   Time // the server counts as draining until then, as a member's report is later than listedAt; 0: not reported
 }
 
@@ -161,8 +161,8 @@
 	DrainReported bool                      // the server counts as draining only because members report so
 	View          knowledge.View            // the weighed reports of all members
 	Reports       []knowledge.ObserverEntry // the report of each member
-	// ColdRate is the rate of set-ups that the budget of a cold server permits here, in set-ups/s of a warm server. Negative: the
-	// server is not cold, or this softswitch's own quota applies.
+	// ColdRate is the quota of a cold server's budget that this softswitch may use, in set-ups per second of the warm server.
+	// Negative: the server is not cold, or this softswitch's own quota applies.
 	ColdRate float64
 }
 
--- a/internal/core/maintenance.go
+++ b/internal/core/maintenance.go
@@ -79,7 +79,7 @@
 	}
 }
 
-// operatorDrain begins or ends a drain on an operator's request. To end the drain during this softswitch's maintenance also cancels
+// operatorDrain begins or ends a drain on an operator's request. Ending the drain during this softswitch's maintenance also cancels
 // that maintenance.
 func (c *Core) operatorDrain(on bool) {
 	c.drainReasons.operator = on
--- a/internal/core/membership.go
+++ b/internal/core/membership.go
@@ -9,9 +9,9 @@
 )
 
 // The membership reducer of the tier runs inside the core. Its datagrams come through the inbox of the core like all other events,
-// so a softswitch whose core has stalled answers no membership probes and is suspected. The states of the other members change one
-// decision: the fraction of its own quota of a cold server's budget that this softswitch uses, which they can only lower
-// (membership.View.ColdQuotaFraction).
+// so a softswitch whose core has stalled answers no membership probes and is suspected. Without the reducers of maintenance, budget
+// and knowledge, which are told which members are available, the states of the other members change only one decision: the fraction
+// of its own quota of a cold server's budget that this softswitch uses, which they can only lower (membership.View.ColdQuotaFraction).
 
 type (
 	// StartMembership makes this softswitch a member of its tier. Without this event there is no membership.
@@ -68,7 +68,7 @@
 }
 
 // memberDatagram gives a datagram to the reducer whose version its first byte names. Any other datagram goes to membership, which
-// counts the malformed ones.
+// counts the malformed ones, except for its piggybacked data, which goes to the knowledge reducer.
 func (c *Core) memberDatagram(ev MemberDatagram) {
 	version := byte(membership.Version)
 	if len(ev.Data) > 0 {
--- a/internal/core/probe.go
+++ b/internal/core/probe.go
@@ -41,7 +41,7 @@
 // connection at least SilentFor/2 ago, the connection counts as dead and is replaced, whether that set-up is still outstanding or was
 // given up meanwhile. If the first unanswered set-up was sent later, the connection is judged at the next ServerSilent. Without an
 // unanswered set-up the silence is normal, except at a server with established calls, whose releases may come on any connection: the
-// connection to such a server is probed, or replaced where no probe is permitted.
+// connection to such a server is probed, or replaced where the settings permit no probe or the server is not ready.
 func (c *Core) serverSilent(ev ServerSilent) {
 	s := c.servers[ev.Server]
 	if s == nil {
--- a/internal/core/servers.go
+++ b/internal/core/servers.go
@@ -42,7 +42,8 @@
 }
 
 // updatePhases recomputes the effective phases of servers and reports them to the controller. Servers that are ready are dialled.
-// Servers that are not lose their waiting attempts and unwritten offers, and servers that are gone their connections too.
+// Servers that are not lose their waiting attempts and unwritten offers. A server that is gone from the list also loses its
+// established calls and its connections.
 func (c *Core) updatePhases(changed []*server, full, cached bool) {
 	var entries []elmseam.ListEntry
 	for _, s := range changed {
@@ -339,7 +340,8 @@
 }
 
 // serverDown handles the end of a connection to a server, or a dial that failed. The attempts outstanding on the connection end as
-// reset or as never sent. Established calls go on: their releases can come on a new connection.
+// reset. If the server has no connection left, its waiting attempts end too: as never sent, or after a failed dial as unreachable.
+// Established calls go on: their releases can come on a new connection.
 func (c *Core) serverDown(ev ServerDown) {
 	s := c.servers[ev.Server]
 	if s == nil {
--- a/internal/core/stop.go
+++ b/internal/core/stop.go
@@ -8,8 +8,8 @@
 	"elmseam/internal/membership"
 )
 
-// updateServing reports when new calls begin or cease to be welcome and when the process is first ready to serve. It begins to
-// close once a stop has nothing pending.
+// updateServing reports when new calls begin or cease to be welcome and when the process is first ready to serve. After the grace of
+// a stop or a hand-over it also begins the end of the process, once nothing is pending.
 func (c *Core) updateServing() {
 	serving := false
 	for _, s := range c.serverOrder {
@@ -34,8 +34,8 @@
 }
 
 // beginClosing begins the end of the process, when nothing is pending any more or MaxStopWait has passed, and announces to the other
-// members that this softswitch leaves. Set-ups that callers sent before they could know of the end may still arrive: they are refused for StopLinger
-// before the connections are closed.
+// members that this softswitch leaves. Set-ups that callers sent before they could know of the end may still arrive: they are refused
+// for StopLinger before the connections are closed. There is no such wait if StopLinger is 0, or if the successor has every connection.
 func (c *Core) beginClosing() {
 	c.closing = true
 	c.stepMembership(membership.Leave{})
@@ -47,7 +47,7 @@
 	c.setTimer(c.now+c.limits.StopLinger, Token{kind: tokenStopLinger})
 }
 
-// finishStop closes the connections gracefully and reports that the process has stopped.
+// finishStop closes the connections of transient protocols gracefully and reports that the process has stopped.
 func (c *Core) finishStop() {
 	for _, conn := range slices.Clone(c.callerOrder) {
 		if c.limits.Transient[conn.protocol] && !conn.transferred {
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -68,7 +68,7 @@
 	CallerUp struct {
 		Conn        ConnID
 		Protocol    Protocol
-		HadSetUp    bool // a set-up came on the connection before its transfer
+		HadSetUp    bool // a set-up or the end of a call came on the connection before its transfer
 		Open        []ID // set-ups that the predecessor has not answered yet
 		Established []ID // calls that are established on the predecessor
 	}
@@ -391,7 +391,7 @@
 	tokenServerLost                      // a server has been unreachable for ServerLostAfter
 	tokenStopGrace                       // the grace of a stop or a hand-over has ended
 	tokenDrainCheck                      // idle connections are closed during a drain
-	tokenMaxStopWait                     // a stop waits no longer for established calls
+	tokenMaxStopWait                     // a stop or a hand-over waits no longer for calls to end
 	tokenPruneCallers                    // pruneCallers runs again, as connections may have become older than NewConnGrace
 	tokenStopLinger                      // set-ups have been refused for StopLinger after the last call ended
 	tokenMembership                      // a timer of the membership reducer
@@ -406,18 +406,18 @@
 type Limits struct {
 	AnswerMargin        time.Duration     // the final answer is given this long before the caller's time limit
 	RebindTimeout       time.Duration     // a set-up whose connection has ended is given up if the caller does not send it again within this time
-	MinRedialDelay      time.Duration     // shortest wait between attempts to reach a server
-	MaxRedialDelay      time.Duration     // longest wait between attempts to reach a server
+	MinRedialDelay      time.Duration     // wait after a first failed attempt to reach a server; doubled by each further one
+	MaxRedialDelay      time.Duration     // longest wait after a failed attempt to reach a server
 	ConnsPerServer      map[Protocol]int  // max connections to one server, by its protocol; 1 where the protocol is missing
 	MaxServerConns      int               // max connections to all servers together; 0: no limit
-	UnresponsiveAfter   time.Duration     // a connection without input for this long after a set-up is avoided for new set-ups
+	UnresponsiveAfter   time.Duration     // a connection without input for this long after a set-up or a probe is avoided for new set-ups
 	MaxPendingReleases  int               // max releases per server that wait for a connection; the oldest are dropped
 	MaxRemovedServers   int               // max removed servers that are remembered in case they come back
 	ServerLostAfter     time.Duration     // the established calls of a server that has been unreachable for this long count as lost
 	DrainGrace          time.Duration     // time from the beginning of a drain until idle connections of callers are closed
 	DrainRefuseAfter    time.Duration     // time from the beginning of a drain until set-ups are refused
 	DrainCheckInterval  time.Duration     // interval between searches for idle connections during a drain
-	DrainIdle           time.Duration     // a connection that brought a set-up less than this long ago is not idle
+	DrainIdle           time.Duration     // a connection active less than this long ago is not idle: it may bring another set-up
 	Transient           map[Protocol]bool // protocols whose callers connect and disconnect freely, and are sent away by closing their connections
 	MaxTransferredCalls int               // max calls that are named when a connection is transferred; open set-ups go first
 	HandOverGrace       time.Duration     // time after a HandOver in which connections may still arrive
@@ -428,7 +428,7 @@
 	NewConnGrace        time.Duration     // age at which a connection without a set-up may be closed; before that its set-up may be on its way
 	MaxOpen             int               // max set-ups without a final answer at a time
 	MaxCallBytes        int               // max memory that the descriptions and numbers of all calls may take, in bytes
-	RetryAfterHint      time.Duration     // RetryAfter of a refusal for lack of capacity
+	RetryAfterHint      time.Duration     // RetryAfter of refusals that the core gives without asking the controller
 	EndedCallTTL        time.Duration     // how long the id of an ended call is remembered
 	MaxEndedCalls       int               // max ids of ended calls that are remembered; 0: no limit
 	ReportedDrainTTL    time.Duration     // how long a server counts as draining because members reported so
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -23,9 +23,9 @@
 // Limits are the timeouts and size limits of the channel's connections.
 type Limits struct {
 	ConnectTimeout    time.Duration // max time to connect
-	ReadTimeout       time.Duration // max time to the end of the response header, and between complete lines; beyond it the connection is closed
+	ReadTimeout       time.Duration // max time to the end of the response header, and of each line; then the connection is closed
 	RenewAfter        time.Duration // time without an event after which a connection is replaced by a new one
-	RetryDelay        time.Duration // min time between two attempts to connect
+	RetryDelay        time.Duration // min time between two attempts to connect to the same address
 	MaxEventSize      int           // max size of a line, and of an event's data, in bytes
 	InitialBufferSize int           // initial size of the read buffer, in bytes
 }
@@ -119,8 +119,8 @@
 	return connCtx, f.disconnect, f.address
 }
 
-// Run follows the channel until ctx is done. When a connection ends it connects again, at most once in Limits.RetryDelay, and
-// continues after the last event.
+// Run follows the channel until ctx is done. When a connection ends it connects again and continues after the last event. It
+// connects at most once in Limits.RetryDelay, or at once when Follow names another channel.
 func (f *Feed) Run(ctx context.Context) {
 	f.sampledLog = link.SampledLogger(f.Log)
 	for ctx.Err() == nil {
--- a/internal/mgmt/members.go
+++ b/internal/mgmt/members.go
@@ -17,7 +17,7 @@
 	Self              int            `json:"self"`      // index of this softswitch
 	Health            int            `json:"health"`    // local health multiplier; 0 is best
 	Majority          bool           `json:"majority"`  // more than half of the tier is available
-	ColdQuotaFraction float64        `json:"coldShare"` // fraction of its quota of a cold server's budget that this softswitch uses, over 0 to 1
+	ColdQuotaFraction float64        `json:"coldShare"` // fraction used of the own quota of a cold server's budget, 0 to 1
 	Members           []MemberStatus `json:"members"`   // by index
 }
 
--- a/internal/mgmt/mgmt.go
+++ b/internal/mgmt/mgmt.go
@@ -35,7 +35,7 @@
 	Limits      Limits
 	Snapshot    func() loop.Snapshot // returns the last snapshot of the event loop
 	ClassNames  func() []string      // returns the names of the classes, by index
-	SetDraining func(on bool)        // switches draining; takes effect at once
+	SetDraining func(on bool)        // makes callers' test messages fail while on is true; takes effect at once
 	Post        func(ev core.Event)  // sends an event to the event loop; may block
 	TierSocket  *peers.Socket        // socket of the tier's datagrams; nil: membership is off
 	Log         zerolog.Logger
@@ -120,7 +120,7 @@
 	}
 }
 
-// handle carries out a request and returns the status and the text of the response. members are the values of the query
+// handle carries out a request and returns the status and the text of the response. memberNames are the values of the query
 // parameter "member". allow lists the permitted methods if the path doesn't permit the request's method; otherwise it
 // is nil.
 func (s *AdminServer) handle(method, path string, memberNames []string) (status int, text string, allow []string) {
--- a/internal/mgmt/servers.go
+++ b/internal/mgmt/servers.go
@@ -30,9 +30,9 @@
 	State          string         `json:"state"`             // ready, draining or gone
 	DrainReported  bool           `json:"heard"`             // draining only by another member's newer list, not by this softswitch's list
 	HoldBackShare  float64        `json:"share"`             // fraction of new set-ups to hold back, from all reports, 0 to 1
-	MeanRate       float64        `json:"rate"`              // mean number of set-ups per second that the server takes from another member
+	MeanRate       float64        `json:"rate"`              // mean set-ups/s that the warm server takes from another member; 0: not known
 	FailingShare   float64        `json:"failing"`           // share of the other members, by weight, that consider the server failing
-	AllowedRate    float64        `json:"allowed,omitempty"` // set-ups per second, of a warm server, that this softswitch may use of a cold server's budget
+	AllowedRate    float64        `json:"allowed,omitempty"` // usable quota of a cold server's budget, in set-ups/s of the warm server
 	Reports        []MemberReport `json:"told"`              // the newest reports, by index of the member
 	OmittedReports int            `json:"more,omitempty"`    // number of older reports that are not shown
 }
@@ -57,8 +57,8 @@
 // Quota is one member's quota of the budgets of cold servers. A quota has budget.Units units.
 type Quota struct {
 	Index  int `json:"number"` // index of the member whose quota it is
-	Usable int `json:"use"`    // units that this softswitch may use
-	Lent   int `json:"lent"`   // own units lent to other members
+	Usable int `json:"use"`    // units that this softswitch may use now
+	Lent   int `json:"lent"`   // units that this softswitch has lent to other members; 0 if the quota is not its own
 
 	// Holders are the members to which this softswitch has granted the units, by unit; -1: none. The first unit always
 	// belongs to the member itself.
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -240,7 +240,7 @@
 }
 
 // checkConsistency returns an error where the settings contradict themselves, since only one of two contradictory
-// values would take effect.
+// values would take effect, and where they have no class or a value out of range.
 func checkConsistency(text []byte) error {
 	var info wireSettings
 	if err := json.Unmarshal(text, &info); err != nil {
