--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -62,9 +62,9 @@
 
 // startMember starts a member, or restarts a dead one, and reports a cold server to it.
 func (tier *testTier) startMember(member int) {
-	sim := tier.members[member]
-	sim.incarnation++
-	sim.reducer, _, _ = New(Config{Self: member, TierSize: len(tier.members), Limits: tier.limits, Seed: tier.rng.Uint64(), DisabledGuards: tier.disabledGuards}, tier.memberClock(member))
+	state := tier.members[member]
+	state.incarnation++
+	state.reducer, _, _ = New(Config{Self: member, TierSize: len(tier.members), Limits: tier.limits, Seed: tier.rng.Uint64(), DisabledGuards: tier.disabledGuards}, tier.memberClock(member))
 	for other := range tier.members {
 		tier.step(member, MemberAvailability{other, tier.members[other].reducer != nil || tier.members[other].incarnation == 0})
 		tier.step(other, MemberAvailability{member, true})
@@ -88,11 +88,11 @@
 
 // step gives an event to a member, carries out the effects, and checks the invariant.
 func (tier *testTier) step(member int, ev Event) {
-	sim := tier.members[member]
-	if sim.reducer == nil || sim.paused {
+	state := tier.members[member]
+	if state.reducer == nil || state.paused {
 		return
 	}
-	for _, effect := range sim.reducer.Step(tier.memberClock(member), ev) {
+	for _, effect := range state.reducer.Step(tier.memberClock(member), ev) {
 		switch effect := effect.(type) {
 		case Send:
 			if len(effect.Data) > datagram.MaxSize {
@@ -102,7 +102,7 @@
 				tier.queue = append(tier.queue, scheduledEvent{tier.now + tier.delay(), effect.To, 0, Datagram{member, effect.Data}})
 			}
 		case Timer:
-			tier.queue = append(tier.queue, scheduledEvent{time.Duration(float64(effect.At-epoch) / sim.clockRate), member, sim.incarnation, TimerFired{effect.Token}})
+			tier.queue = append(tier.queue, scheduledEvent{time.Duration(float64(effect.At-epoch) / state.clockRate), member, state.incarnation, TimerFired{effect.Token}})
 		}
 	}
 	tier.checkExclusive()
@@ -112,11 +112,11 @@
 func (tier *testTier) checkExclusive() {
 	for owner := range tier.members {
 		var inUse Mask
-		for member, sim := range tier.members {
-			if sim.reducer == nil || sim.paused {
+		for member, state := range tier.members {
+			if state.reducer == nil || state.paused {
 				continue
 			}
-			usable := sim.reducer.Usable(tier.memberClock(member), owner)
+			usable := state.reducer.Usable(tier.memberClock(member), owner)
 			if inUse&usable != 0 {
 				tier.t.Fatalf("at %v units %08b of the quota of member %d are used by member %d and by another one", tier.now, inUse&usable, owner, member)
 			}
@@ -142,10 +142,10 @@
 		pending := tier.queue[next]
 		tier.queue = slices.Delete(tier.queue, next, next+1)
 		tier.now = max(tier.now, pending.at)
-		switch sim := tier.members[pending.to]; {
-		case sim.reducer == nil || pending.incarnation != 0 && pending.incarnation != sim.incarnation:
-		case sim.paused:
-			sim.heldEvents = append(sim.heldEvents, pending)
+		switch state := tier.members[pending.to]; {
+		case state.reducer == nil || pending.incarnation != 0 && pending.incarnation != state.incarnation:
+		case state.paused:
+			state.heldEvents = append(state.heldEvents, pending)
 		default:
 			tier.step(pending.to, pending.ev)
 		}
@@ -154,18 +154,18 @@
 
 // resumeMember resumes a paused member and delivers the events that arrived in the meantime.
 func (tier *testTier) resumeMember(member int) {
-	sim := tier.members[member]
-	sim.paused = false
+	state := tier.members[member]
+	state.paused = false
 	tier.checkExclusive()
-	tier.queue = append(tier.queue, sim.heldEvents...)
-	sim.heldEvents = nil
+	tier.queue = append(tier.queue, state.heldEvents...)
+	state.heldEvents = nil
 }
 
 // unitsInUse returns how many units of an owner's quota are used by running members.
 func (tier *testTier) unitsInUse(owner int) (n int) {
-	for member, sim := range tier.members {
-		if sim.reducer != nil && !sim.paused {
-			for usable := sim.reducer.Usable(tier.memberClock(member), owner); usable != 0; usable &= usable - 1 {
+	for member, state := range tier.members {
+		if state.reducer != nil && !state.paused {
+			for usable := state.reducer.Usable(tier.memberClock(member), owner); usable != 0; usable &= usable - 1 {
 				n++
 			}
 		}
@@ -211,8 +211,8 @@
 	}
 }
 
-// A busy member borrows from an idle one at once. The owner does not use units that it has lent, and gets them back
-// when the borrower dies.
+// A busy member borrows from an idle one at once, and the owner does not use units that it has lent. After the death of the
+// borrower the owner, in a tier of two, has no majority that renews its leases, and uses its reserved unit alone.
 func TestLoan(t *testing.T) {
 	for _, disabled := range []Guard{0, GuardLoan} {
 		tier := newTestTier(t, 2, disabled, 1)
@@ -267,14 +267,14 @@
 	}
 }
 
-// Under datagrams lost and delayed, and members isolated, killed, restarted and paused, with clock pace differing by
-// a hundredth, no unit is used by two members. After the faults have ended, each available member uses its own quota,
-// and the units of the dead are used.
+// With datagrams lost and delayed, members isolated, killed, restarted and paused, and clocks that run up to a hundredth
+// too fast or too slow, no unit is used by two members. After the faults have ended, each available member uses its own
+// quota, and the units of the dead are used.
 func TestRandomFaults(t *testing.T) {
 	for seed := range uint64(40) {
 		tier := newTestTier(t, 5, 0, seed)
-		for member, sim := range tier.members {
-			sim.clockRate = 1 + 0.01*float64(member-2)/2
+		for member, state := range tier.members {
+			state.clockRate = 1 + 0.01*float64(member-2)/2
 		}
 		isolated := [5]bool{}
 		tier.cut = func(from, to int) bool { return isolated[from] != isolated[to] || tier.rng.IntN(5) == 0 }
@@ -286,18 +286,18 @@
 		}
 		for range 40 {
 			member := tier.rng.IntN(5)
-			switch sim := tier.members[member]; tier.rng.IntN(8) {
+			switch state := tier.members[member]; tier.rng.IntN(8) {
 			case 0:
-				if sim.reducer != nil {
+				if state.reducer != nil {
 					tier.killMember(member)
 				}
 			case 1:
-				if sim.reducer == nil {
+				if state.reducer == nil {
 					tier.startMember(member)
 				}
 			case 2:
-				if sim.reducer != nil {
-					sim.paused = true
+				if state.reducer != nil {
+					state.paused = true
 				}
 			case 3:
 				tier.setAvailable(member, tier.rng.IntN(2) == 0) // the members' views may be wrong
@@ -307,27 +307,27 @@
 				tier.demand[member] = 3 * tier.rng.Float64()
 				tier.step(member, Demand{tier.demand[member]})
 			}
-			for member, sim := range tier.members {
-				if sim.paused && tier.rng.IntN(3) == 0 {
+			for member, state := range tier.members {
+				if state.paused && tier.rng.IntN(3) == 0 {
 					tier.resumeMember(member)
 				}
 			}
 			tier.run(tier.now + time.Duration(tier.rng.IntN(700))*time.Millisecond)
 		}
 		tier.cut, tier.delay = func(int, int) bool { return false }, func() time.Duration { return 5 * time.Millisecond }
-		for member, sim := range tier.members {
-			if sim.paused {
+		for member, state := range tier.members {
+			if state.paused {
 				tier.resumeMember(member)
 			}
-			if sim.reducer == nil && member < 4 {
+			if state.reducer == nil && member < 4 {
 				tier.startMember(member)
 			}
 			tier.setAvailable(member, tier.members[member].reducer != nil)
 		}
 		tier.run(tier.now + 15*time.Second)
-		for owner, sim := range tier.members {
+		for owner, state := range tier.members {
 			want := Units
-			if sim.reducer == nil {
+			if state.reducer == nil {
 				want--
 			}
 			if got := tier.unitsInUse(owner); got != want {
--- a/internal/budget/reducer.go
+++ b/internal/budget/reducer.go
@@ -379,8 +379,8 @@
 	}
 }
 
-// handleGrant counts the votes in an answer to a claim. After a majority has answered, units that were not won are
-// given back, so that of two successors that split the votes one wins them all in the next round.
+// handleGrant counts the votes in an answer to a claim. After a majority has answered, about half of the units that were
+// not won are given back (returnUnwon), so that of two successors that split the votes one wins them in a later round.
 func (r *Reducer) handleGrant(from int, msg message) {
 	for i := range r.rounds {
 		round := &r.rounds[i]
--- a/internal/budget/types.go
+++ b/internal/budget/types.go
@@ -181,8 +181,8 @@
 	VotesGranted, VotesRefused uint64 // units granted and refused in answers to claims of other members
 	Sent                       uint64 // datagrams sent
 	SentBytes                  uint64 // bytes of these datagrams
-	Malformed                  uint64 // datagrams dropped as malformed
-	UnknownSenders             uint64 // datagrams dropped because the sender is no member or its tier has another size
+	Malformed                  uint64 // datagrams dropped as malformed or of another version
+	UnknownSenders             uint64 // datagrams dropped because the sender is no other member or its tier has another size
 }
 
 // Quota is this member's knowledge of one member's quota.
--- a/internal/knowledge/reducer.go
+++ b/internal/knowledge/reducer.go
@@ -20,7 +20,7 @@
 	Observation
 	// Stamp is the message's stamp, at least 1; 0: the entry is of an earlier incarnation, any message is newer.
 	Stamp uint32
-	// ObservedAt is the time at which the observation was sent, corrected for the delay of its datagram.
+	// ObservedAt is the time at which the entry was received, less the extra delay of its message (see extraDelay).
 	ObservedAt Time
 }
 
@@ -51,7 +51,7 @@
 	queried      map[int]bool // members queried since the start
 	tries        int          // rounds of queries sent
 	answered     bool         // no more queries are needed
-	emptyAnswers int          // number of answers from members without any entries
+	emptyAnswers int          // number of answers without entries; as many as Fanout end the queries
 	timerSeq     uint32       // token of the only valid timer
 	counters     Counters
 }
@@ -150,14 +150,14 @@
 		r.tries++
 		candidates := r.rng.Perm(r.cfg.TierSize)
 		// rank orders the candidates: available before unavailable members, members already queried last.
-		rank := func(member int) (sent int) {
+		rank := func(member int) (value int) {
 			if r.queried[member] {
-				sent = 2
+				value = 2
 			}
 			if !r.available[member] {
-				sent++
+				value++
 			}
-			return sent
+			return value
 		}
 		slices.SortStableFunc(candidates, func(a, b int) int { return rank(a) - rank(b) })
 		sent := 0
--- a/internal/knowledge/types.go
+++ b/internal/knowledge/types.go
@@ -91,7 +91,7 @@
 	HoldBackShareAt Time
 	// Rate is the rate, in set-ups a second, that the server takes from the member when warm; 0: not known.
 	Rate float64
-	// Lines is the server's number of lines; 0: not reported.
+	// TotalLines is the server's number of lines; 0: not reported.
 	TotalLines float64
 	// FailureWeight is the weight of the failed set-ups in a row. Values above 15 are sent as 15.
 	FailureWeight int
@@ -173,8 +173,8 @@
 	QueriesAnswered uint64 // queries of other members answered
 	Sent            uint64 // separate datagrams sent
 	SentBytes       uint64 // bytes of these datagrams and of piggybacked data
-	Malformed       uint64 // datagrams and piggybacked data dropped as malformed
-	UnknownSenders  uint64 // datagrams dropped because the sender is no member or its tier has another size
+	Malformed       uint64 // datagrams and piggybacked data dropped as malformed or of another version
+	UnknownSenders  uint64 // messages dropped because the sender is no other member, its tier has another size, or their kind is unknown
 }
 
 // message is the content of a datagram, or of piggybacked data (always of kindEntries). It is sent as a CBOR array.
--- a/internal/maintenance/lease.go
+++ b/internal/maintenance/lease.go
@@ -14,16 +14,16 @@
 	Lease     time.Duration // duration of the requested lease
 	Voters    []int         // other members that the request is sent to
 	Granters  []int         // members that granted the request, this member included
-	Refusals  int           // number of members that refused the request
+	Refusals  int           // number of refusals; a member that refuses the request and its repetition counts twice
 }
 
 // lease is the lease that this member holds.
 type lease struct {
 	Slot     int
 	Epoch    uint64
-	Seq      uint32 // of the last round that renewed it, or failed to
+	Seq      uint32 // of the round that obtained the lease, or of the last round that renewed it or failed to
 	Expiry   Time
-	Granters []int // members that granted the last renewal; nil: ask all members for the next one
+	Granters []int // members that granted it in that round, late answers included
 }
 
 // releaseNotice is the release of a slot, which is sent several times: a member that misses it would hold the slot
@@ -225,7 +225,8 @@
 	r.setRecord(r.cfg.Self, record)
 }
 
-// countRefusal counts a refused vote, and ends the round when a majority is no longer possible.
+// countRefusal counts a refused vote, and ends the round once the refusals outnumber the members that a majority can do
+// without.
 func (r *Reducer) countRefusal(seq uint32) {
 	if round := r.round; round != nil && round.Seq == seq {
 		if round.Refusals++; round.Refusals > r.cfg.TierSize-r.quorum() {
@@ -234,8 +235,9 @@
 	}
 }
 
-// failRound ends a round without a majority. A new slot is released at the members that granted it, and requested
-// again after a random wait of 1 to 3 rounds. For the renewal of a lease all members are asked half a round later.
+// failRound ends a round without a majority. In a round for a new slot the grants obtained so far are released, and a slot
+// is requested again after a random wait of 1 to 3 rounds. The renewal of a lease is tried again half a round later, with all
+// members unless a quorum has granted late.
 func (r *Reducer) failRound() {
 	round := r.round
 	r.round = nil
--- a/internal/maintenance/maintenance_test.go
+++ b/internal/maintenance/maintenance_test.go
@@ -32,8 +32,8 @@
 	maxOutOfService int       // maximum number of members that were out of service at once
 }
 
-// scheduledEvent is an event for the member with index to. A timer is delivered only to the reducer that requested
-// it.
+// scheduledEvent is an event for the member with index to. Except for a datagram it is delivered only to the reducer that
+// the member had when the event was scheduled.
 type scheduledEvent struct {
 	at      Time
 	seq     int
@@ -193,8 +193,8 @@
 }
 
 // Two operators send requests to two members in the same second, some of them for the same machines. Each machine is
-// maintained once, at most B at a time, and all members agree on the order. The test runs without loss and with a
-// loss of 30% of the datagrams.
+// maintained once, at most B at a time, and both members agree on the order. With a loss of 30% of the datagrams only the
+// budget and the end of all requests are checked: a lease may expire then, and its request starts again.
 func TestTwoOperators(t *testing.T) {
 	for _, loss := range []float64{0, 0.3} {
 		limits := shortLimits()
--- a/internal/maintenance/records.go
+++ b/internal/maintenance/records.go
@@ -173,7 +173,8 @@
 	}
 }
 
-// sendRecords sends as many of the records of these members as fit into one datagram, and returns how many did.
+// sendRecords sends as many of the records of these members as fit into one datagram, and returns how many did. The room
+// is computed with the maximum sizes of Seq, Lease and RecordsHash, so that the datagram never exceeds its maximum size.
 func (r *Reducer) sendRecords(to int, members []int) (count int) {
 	msg := message{Kind: kindRecords, Seq: math.MaxUint32, RecordsHash: math.MaxUint32, Lease: math.MaxUint32, Epoch: 0}
 	msg.Tier, msg.Zone, msg.Name = uint16(r.cfg.TierSize), int8(r.cfg.Zone), r.cfg.Name
--- a/internal/maintenance/recover.go
+++ b/internal/maintenance/recover.go
@@ -18,7 +18,7 @@
 // member that knows the lease.
 //
 // The member queries only a few members a round, so that a large tier whose members start together causes no storm of
-// datagrams, and one a round once every member has been queried.
+// datagrams, and one a round after the rounds in which every member could have been queried twice.
 
 // recoverGrants sends the next queries to members that have not answered as recovered members, or ends the recovery
 // when all grants of earlier incarnations have expired.
--- a/internal/maintenance/reducer.go
+++ b/internal/maintenance/reducer.go
@@ -51,7 +51,7 @@
 	highestEpochs          [MaxSlots]uint64 // the highest epoch that was granted or released, for each slot
 	refusedUntil           [MaxSlots]Time   // by slot: until this time the slot counts as granted by other members and is not requested
 	recovered              bool             // this member knows what it may have granted before its start, and may grant slots
-	queryNonce             uint32           // identifies the queries of this incarnation; answers to others are ignored
+	queryNonce             uint32           // identifies the queries of this incarnation; answers to queries of an earlier one are ignored
 	queryRounds            uint32           // rounds of queries sent
 	nextQueried            int              // index of the member queried next
 	answers                []queryAnswer
--- a/internal/membership/codec.go
+++ b/internal/membership/codec.go
@@ -31,8 +31,8 @@
 	_           struct{} `cbor:",toarray"`
 	Kind        messageKind
 	Tier        uint16 // number of members of the sender's tier
-	Seq         uint32 // of the probe
-	Target      uint16 // index of the member that is probed or has answered
+	Seq         uint32 // of the probe, chosen by the member that sent the kindPing or kindPingReq; otherwise 0
+	Target      uint16 // of a kindPingReq, kindAck or kindNack: index of the probed member; otherwise 0
 	State       State  // of the sender: alive, draining or left
 	Incarnation uint64 // of the sender
 	Updates     []int64
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -40,9 +40,9 @@
 	return u
 }
 
-// send sends a datagram with the updates that were transmitted least often. The mandatory updates come first. A
-// member that is considered suspect or dead gets its own state first of all, because it can refute only what it receives
-// (Lifeguard, Buddy System).
+// send sends a datagram with the updates that were transmitted least often. The mandatory updates come before those of
+// the queue. If the receiver is considered suspect, dead or left, its own state is one of them, because a member can refute
+// only what it receives (Lifeguard, Buddy System).
 func (r *Reducer) send(to int, msg message, mandatory ...update) {
 	if s := r.members[to].State; s == StateSuspect || s.Down() {
 		mandatory = append(mandatory, r.currentUpdate(to))
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -138,12 +138,12 @@
 // partition.
 func TestIsolatedMemberTakesReducedColdQuota(t *testing.T) {
 	tier := startTier(t, 4, 1)
-	if factor := tier.Member(0).View().ColdQuotaFraction(); factor != 0.25 {
-		t.Errorf("cold quota fraction at the start: %v", factor)
+	if fraction := tier.Member(0).View().ColdQuotaFraction(); fraction != 0.25 {
+		t.Errorf("cold quota fraction at the start: %v", fraction)
 	}
 	tier.advance(20 * second)
-	if factor := tier.Member(0).View().ColdQuotaFraction(); factor != 0.25 {
-		t.Errorf("cold quota fraction after 20 s of isolation: %v", factor)
+	if fraction := tier.Member(0).View().ColdQuotaFraction(); fraction != 0.25 {
+		t.Errorf("cold quota fraction after 20 s of isolation: %v", fraction)
 	}
 }
 
@@ -214,8 +214,8 @@
 	tier.expectAgreement("after the pause", membership.StateDead)
 }
 
-// A drain and an orderly shutdown are announced at once and without a suspicion. A member that has left stays in that
-// state until it restarts.
+// A drain and an orderly shutdown become known within seconds and without a suspicion. A member that has left stays in
+// that state until it restarts.
 func TestDrainAndLeave(t *testing.T) {
 	tier := startTier(t, 8, 0)
 	tier.advance(8 * second)
@@ -233,8 +233,8 @@
 	}
 }
 
-// When all members start together, and have many updates to send, each sends only a few datagrams a period, of at
-// most 256 bytes.
+// When all members start together, and have many updates to send, each sends only a few datagrams a period, and the
+// mean size of the datagrams is within the maximum of 256 bytes.
 func TestSimultaneousRestartCausesNoStorm(t *testing.T) {
 	tier := startTier(t, 270, 0)
 	tier.advance(5 * second)
--- a/internal/membership/types.go
+++ b/internal/membership/types.go
@@ -55,12 +55,12 @@
 	Period         time.Duration // protocol period T' (SWIM 3.1); one probe starts in each
 	ProbeTimeout   time.Duration // time-out of a direct probe; shorter than Period
 	IndirectProbes int           // k, the number of members asked to probe on this member's behalf
-	SuspicionMin   float64       // α: the shortest suspicion time-out is α·max(1, log10 n) periods
+	SuspicionMin   float64       // α: the shortest suspicion time-out is α·max(1, log10 n) periods; n: members not dead or left
 	SuspicionMax   float64       // β: the time-out without confirmations is β times the shortest; 1 makes it constant
 	Confirmations  int           // K, the number of independent confirmations that bring the time-out to its minimum
-	RetransmitMult int           // λ: each update is sent λ·⌈log10(n+1)⌉ times
+	RetransmitMult int           // λ: each update is sent λ·⌈log10(n+1)⌉ times; n: members of the tier
 	MaxHealth      int           // S, the maximum of the local health multiplier; 0 disables local health awareness
-	StallThreshold time.Duration // a period timer that fires this much late shows that the process was paused; 0: never
+	StallThreshold time.Duration // a period timer overdue by more than this shows that the process was paused; 0: never
 	ReclaimPeriods int           // periods between two probes of members considered dead
 	MaxDatagram    int           // maximum size of a datagram, in bytes
 	MaxRelays      int           // maximum number of concurrent probes on behalf of other members
@@ -122,8 +122,8 @@
 	TimerFired struct{ Token Token }
 	// Drain reports that this member starts (On) or ends a drain.
 	Drain struct{ On bool }
-	// Leave reports that this member shuts down in order. After Leave the reducer starts no probe; its answers carry the
-	// state Left, which overrides Dead at the same incarnation.
+	// Leave reports that this member shuts down in order. After Leave the reducer starts no probe of its own; its answers
+	// carry the state Left, which overrides Dead at the same incarnation.
 	Leave struct{}
 )
 
@@ -171,9 +171,9 @@
 // The purposes of timers.
 const (
 	tokenPeriod       tokenKind = iota // the next protocol period begins
-	tokenProbeTimeout                  // the direct probe timed out
+	tokenProbeTimeout                  // the time-out of the direct probe is over
 	tokenSuspicion                     // a suspicion may have timed out
-	tokenRelayTimeout                  // a probe on behalf of another member timed out: a nack is due
+	tokenRelayTimeout                  // a probe on behalf of another member, whose period usually still runs, timed out: a nack may be due
 )
 
 // Member is what the reducer's member knows of one member of the tier, itself included.
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -137,7 +137,7 @@
 }
 
 // read receives datagrams and posts those of members. A datagram from an unknown sender is only counted. A datagram that exceeds
-// datagram.MaxSize is posted with MaxSize+1 bytes, and membership counts it as malformed.
+// datagram.MaxSize is posted with MaxSize+1 bytes, and the protocol that its first byte names counts it as malformed.
 func (s *Socket) read(conn *net.UDPConn) {
 	var buf [datagram.MaxSize + 1]byte
 	limiter := rate.NewLimiter(rate.Limit(s.cfg.Limits.MaxReceiveRate), max(int(s.cfg.Limits.MaxReceiveRate), 1))
--- a/internal/swarm/experiment.go
+++ b/internal/swarm/experiment.go
@@ -64,7 +64,7 @@
 	}
 	const victim = 0 // never one of the impaired members, which are the last
 	sim.Run(Epoch + e.WarmUp)
-	startCounters, killedAt, heldDead := sim.Counters(), Time(0), make([]bool, e.Members)
+	startCounters, killedAt, consideredDead := sim.Counters(), Time(0), make([]bool, e.Members)
 	startPiggybackBytes := sim.PiggybackBytes()
 	sim.OnChange = func(at Time, observer int, change membership.StateChanged) {
 		switch {
@@ -72,8 +72,8 @@
 			if outcome.FirstSuspected < 0 && (change.New == membership.StateSuspect || change.New == membership.StateDead) {
 				outcome.FirstSuspected = at - killedAt
 			}
-			heldDead[observer] = change.New == membership.StateDead
-			if outcome.FirstDead < 0 && heldDead[observer] {
+			consideredDead[observer] = change.New == membership.StateDead
+			if outcome.FirstDead < 0 && consideredDead[observer] {
 				outcome.FirstDead = at - killedAt
 			}
 		case change.New == membership.StateDead && change.Member < e.Members-e.Impaired:
@@ -107,10 +107,10 @@
 	}
 	killedAt = sim.Now()
 	sim.Kill(victim)
-	heldDead[victim] = true
+	consideredDead[victim] = true
 	for step, deadline := e.Limits.Period/5, killedAt+200*e.Limits.Period; sim.Now() < deadline; {
 		sim.Run(sim.Now() + step)
-		if !slices.Contains(heldDead, false) {
+		if !slices.Contains(consideredDead, false) {
 			outcome.AllDead = sim.Now() - killedAt
 			break
 		}
--- a/internal/swarm/swarm.go
+++ b/internal/swarm/swarm.go
@@ -214,7 +214,8 @@
 	heap.Push(&s.queue, e)
 }
 
-// applyEffects schedules the datagrams and timers that a member asks for and reports its state changes of other members.
+// applyEffects schedules the datagrams and timers that a member asks for, and reports to OnChange the changes of other
+// members' states in its view.
 func (s *Simulation) applyEffects(member int, effects []membership.Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
--- a/internal/wire/codes.go
+++ b/internal/wire/codes.go
@@ -23,7 +23,7 @@
 	actionSelectInstance = 16 // names the instance that the following actions are from
 	actionSend           = 17 // starts an attempt
 	actionSetTimer       = 18 // sets a timer
-	actionFail           = 20 // final answer: the call is given up
+	actionFail           = 20 // final answer: the call failed and may have run at a server
 	actionCancel         = 21 // stops waiting for an attempt
 	actionInstanceFailed = 23 // the instance has failed, with the reason as text
 	actionSubscribe      = 24 // asks for updates of the server list
