--- a/internal/platform/binary.go
+++ b/internal/platform/binary.go
@@ -52,7 +52,7 @@
 }
 
 // parseFrame decodes the message at the start of b and returns it with its size in bytes, including the length field. A message
-// of more than maxSize bytes is an error.
+// of more than maxSize bytes is an error. With the error of a malformed parameter, f still has the message's type and call id.
 func parseFrame(b []byte, maxSize int) (f frame, size int, err error) {
 	if len(b) < lengthSize {
 		return f, 0, errIncomplete
--- a/internal/platform/caller.go
+++ b/internal/platform/caller.go
@@ -233,9 +233,10 @@
 // readCaller reads a caller's messages until the connection ends. unparsed holds bytes that a predecessor has read; hadSetUp
 // says whether a set-up has already come on the connection.
 //
-// A connection on which a message is not complete within the message timeout, or which is idle for the idle timeout, has to be
-// closed, as it holds a file descriptor that others need. The core decides when to close it, since a set-up may still be
-// pending on the connection; data that arrives before the close is dropped.
+// A connection on which the first message, or one that has begun, is not complete within the message timeout, or which is idle
+// for the idle timeout, has to be closed, as it holds a file descriptor that others need. The core decides when to close it,
+// since a set-up may still be pending on the connection. Until then an idle connection is read on; after an incomplete or
+// malformed message all further data is dropped.
 func (p *Platform) readCaller(c *callerConn, limits link.Limits, unparsed []byte, hadSetUp bool) {
 	transferred := false
 	defer func() {
@@ -249,7 +250,7 @@
 			return
 		}
 	}
-	var messageDeadline time.Time // when the message being read must be complete, however slowly it arrives; zero: none is being read
+	var messageDeadline time.Time // when the first message, or one that has begun, must be complete, however slowly it arrives; zero: none is due
 	if !hadSetUp || len(unparsed) > 0 {
 		messageDeadline = time.Now().Add(limits.MessageTimeout)
 	}
--- a/internal/platform/crossings_test.go
+++ b/internal/platform/crossings_test.go
@@ -57,8 +57,8 @@
 const acceptLine = `{"op":"accept","call":"%016x","with":{},"desc":"x"}`
 
 // While a set-up is pending on a caller's connection, the connection is idle for too long, stops within a message or carries a
-// malformed message. The set-up must be answered before the connection is closed; it used to be closed at once, and the answer
-// was lost. A later connection without a set-up shows by its end that the first connection's time has run out.
+// malformed message. The set-up must be answered before the connection is closed. The connection used to be closed at once, and
+// the answer was lost. A later connection without a set-up shows by its end that the first connection's time has run out.
 func TestCloseWaitsForOpenSetUp(t *testing.T) {
 	testFrame := appendFrame(nil, typeTest, 5, appendParam(nil, paramCause, 0))
 	partial := setUpFrame(9, "voice", "5000", "")[:20]
@@ -90,15 +90,16 @@
 	}
 }
 
-// Connections above MaxCallerConns, the limit set by the available file descriptors, must wait in the listener's backlog with their
-// set-ups and be served when there is room. A connection above MaxCallerConns must displace one that can be closed, and be
-// served even if there is none. Connections above the limits used to be closed with their set-ups unread.
+// Connections above Config.MaxCallerConns, the limit set by the available file descriptors, must wait in the listener's backlog
+// with their set-ups and be served when there is room. A connection above MaxCallerConns of core.Limits, a lower limit, must
+// displace one that can be closed, and be served even if there is none. Connections above the limits used to be closed with their
+// set-ups unread.
 func TestConnectionsAboveLimit(t *testing.T) {
-	s := newScenario(t, func(s *scenario) { s.limits.MaxCallerConns, s.limits.NewConnGrace = 2, time.Minute }) // MaxCallerConns includes the scenario's own caller
+	s := newScenario(t, func(s *scenario) { s.limits.MaxCallerConns, s.limits.NewConnGrace = 2, time.Minute }) // this limit includes the scenario's own caller
 	s.callerConn.Write(setUpFrame(1, "voice", "9000", ""))
 	s.wantLine(`"offer"`, `0001"`)
 	var callers []*extraCaller
-	for id := core.ID(2); id <= 12; id++ { // MaxCallerConns is 8
+	for id := core.ID(2); id <= 12; id++ { // Config.MaxCallerConns is 8
 		caller := s.connectCaller()
 		caller.conn.Write(setUpFrame(id, "voice", "9000", ""))
 		callers = append(callers, caller)
--- a/internal/platform/errors.go
+++ b/internal/platform/errors.go
@@ -8,5 +8,5 @@
 // errCallerStalled means that a connection can't be transferred because the caller does not read the messages queued for it.
 var errCallerStalled = errors.New("caller does not read")
 
-// errJSON is the error for input that is not valid JSON or not of the expected type.
+// errJSON is the error for a line that is not valid JSON, or that holds a value of the wrong type or form.
 var errJSON = errors.New("malformed JSON")
--- a/internal/platform/json.go
+++ b/internal/platform/json.go
@@ -6,14 +6,15 @@
 	"unicode/utf8"
 )
 
-// serverMessage is a message from a server, which is one line of JSON. Numbers are kept as the text in which they were written.
+// serverMessage is a message from a server, which is one line of JSON. A text field whose JSON value is not a string holds the
+// value as it was written.
 type serverMessage struct {
 	op, call, desc   string
 	cause            int // the key "why"; -1 if the message has none
 	loadReport, note string
 }
 
-// maxNesting is the maximum nesting of values under unknown keys; the protocol needs two levels.
+// maxNesting is the maximum nesting of values that skipValue accepts; the protocol needs two levels.
 const maxNesting = 16
 
 // parseServerMessage decodes a line. It skips unknown keys.
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -91,7 +91,7 @@
 	case <-timeout:
 		return
 	}
-	for p.openConns.Load() > 0 { // a new connection may not have reached the loop yet, which will reject it
+	for p.openConns.Load() > 0 { // a connection made late may not have reached the loop yet; the ended loop closes it gracefully
 		select {
 		case <-timeout:
 			return
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -48,8 +48,8 @@
 }
 
 // newScenario returns a scenario whose server and caller are connected. options change it before the softswitch starts. The
-// controller refuses set-ups when a server's answers are delayed by a tenth of the retransmit interval. The interval is long, so
-// that a stall of the test machine does not count as such a delay.
+// controller may refuse set-ups when a server's answers are delayed by more than a tenth of the retransmit interval. The interval
+// is long, so that a stall of the test machine does not count as such a delay.
 func newScenario(t *testing.T, options ...func(*scenario)) *scenario {
 	t.Helper()
 	s := &scenario{T: t, effects: make(chan core.Effect, 100), limits: core.Limits{RebindTimeout: 100 * time.Millisecond, MinRedialDelay: time.Millisecond,
@@ -82,8 +82,8 @@
 	}, eventLoop, zerolog.Nop())
 	eventLoop.SetDialer(Protocol, func(d core.Dial) {
 		s.dialCount.Add(1)
-		if hold := s.dialGate.Load(); hold != nil {
-			<-*hold
+		if gate := s.dialGate.Load(); gate != nil {
+			<-*gate
 		}
 		platform.Dial(d)
 	})
@@ -152,7 +152,7 @@
 }
 
 // wantFrame reads the caller's next message, which must have the given type, call id and cause (-1: no cause).
-func (s *scenario) wantFrame(kind byte, id core.ID, cause int) frame {
+func (s *scenario) wantFrame(msgType byte, id core.ID, cause int) frame {
 	s.Helper()
 	header := make([]byte, lengthSize)
 	_, err := io.ReadFull(s.callerConn, header)
@@ -161,8 +161,8 @@
 		_, err = io.ReadFull(s.callerConn, body)
 	}
 	f, _, parseErr := parseFrame(append(header, body...), 16<<10)
-	if err != nil || parseErr != nil || f.msgType != kind || f.callID != id || f.cause != cause {
-		s.Fatalf("message %+v (%v, %v), want type %d, call %x, cause %d", f, err, parseErr, kind, id, cause)
+	if err != nil || parseErr != nil || f.msgType != msgType || f.callID != id || f.cause != cause {
+		s.Fatalf("message %+v (%v, %v), want type %d, call %x, cause %d", f, err, parseErr, msgType, id, cause)
 	}
 	return f
 }
@@ -349,7 +349,7 @@
 		}
 		c.Close()
 	}
-	s.send(`{"op":"group","with":{"load":`) // an incomplete line ends the connection to the server, and a new one is made
+	s.send(`{"op":"group","with":{"load":`) // a line of truncated JSON: the connection to the server ends, and a new one is made
 	s.acceptServerConn()
 	s.callerConn.Write(setUpFrame(1, "voice", "5000", ""))
 	s.wantLine(`"offer"`)
--- a/internal/platform/server.go
+++ b/internal/platform/server.go
@@ -122,7 +122,7 @@
 		case partial:
 		case lastReport.IsZero() || silenceTimeout == 0:
 			conn.SetReadDeadline(time.Time{})
-		case silent: // reported as silent: check again after the longest report interval
+		case silent: // reported as silent: check again at most one report interval later
 			conn.SetReadDeadline(now.Add(silenceTimeout / silenceIntervals))
 		default:
 			conn.SetReadDeadline(now.Add(silenceTimeout))
--- a/internal/platform/setup.go
+++ b/internal/platform/setup.go
@@ -13,7 +13,8 @@
 )
 
 // setUpEvent translates a set-up message. An invalid set-up gets class -1, and the core refuses it. It must not reach a server:
-// on a call without an id, servers close the connection with all other calls on it, and other errors cost them work.
+// on a call without an id, servers close the connection with all other calls on it, and they would answer any other invalid
+// set-up with an error, which costs them work.
 func (p *Platform) setUpEvent(conn core.ConnID, f frame, receivedAt core.Time) core.SetUp {
 	ev := core.SetUp{ID: f.callID, From: conn, ClassName: f.class, Tenant: f.tenant, NumberText: f.numberText, Number: numberValue(f.numberText),
 		Desc: f.desc, Cell: -1, At: receivedAt}
@@ -49,7 +50,7 @@
 		return ev
 	}
 	ev.TimeLeft = time.Duration(timeLeft * float64(time.Millisecond))
-	if class.Deadline > 0 { // no caller waits longer; a claim of days would keep a timer for days
+	if class.Deadline > 0 { // no caller waits longer; a time left of days would keep a timer for days
 		ev.TimeLeft = min(ev.TimeLeft, class.Deadline)
 	}
 	return ev
