--- a/cmd/elmseamctl/main.go
+++ b/cmd/elmseamctl/main.go
@@ -1,5 +1,6 @@
 // Command elmseamctl is the tool of operators and developers. It explores the states of the softswitch's reducers, runs
-// several softswitches in the lab, and shows a running softswitch's view of its tier and of the servers.
+// several softswitches in the lab, shows a running softswitch's view of its tier and of the servers, and requests
+// maintenance of the tier's members.
 package main
 
 import (
@@ -13,7 +14,7 @@
 // Exit codes of all commands except "lab run".
 const (
 	exitPassed     = 0 // success
-	exitViolation  = 1 // an invariant is violated, or the softswitch reports an unhealthy state
+	exitViolation  = 1 // an invariant is violated, or the softswitch reports an unhealthy state or can't accept a request now
 	exitIncomplete = 2 // no violation found, but not every state was explored
 	exitUsage      = 3 // invalid command, flag or file, or the admin endpoint gave no usable answer
 )
@@ -22,7 +23,7 @@
 type exitCode int
 
 // Error implements error.
-func (o exitCode) Error() string { return fmt.Sprintf("exit code %d", int(o)) }
+func (c exitCode) Error() string { return fmt.Sprintf("exit code %d", int(c)) }
 
 func main() { os.Exit(run(os.Args[1:])) }
 
--- a/cmd/elmseamctl/tier.go
+++ b/cmd/elmseamctl/tier.go
@@ -71,7 +71,7 @@
 	return values[len(values)/2]
 }
 
-// maxDatagramDelay is the longest delay of a datagram in the experiments.
+// maxDatagramDelay is the MaxDelay of the experiments: a datagram takes 0.5 ms plus a random time below it.
 const maxDatagramDelay = 5 * time.Millisecond
 
 // reportScaling measures how the detection time and the load grow with the size of the tier, and writes a table to w
@@ -151,8 +151,8 @@
 	return nil
 }
 
-// reportFalseDeaths measures how often available members are considered dead while others are impaired, for plain SWIM
-// and for each extension added to it (swarm.Variants).
+// reportFalseDeaths measures how often available members are considered dead while datagrams are lost or other members
+// are impaired, for plain SWIM and for each extension added to it (swarm.Variants).
 func reportFalseDeaths(w io.Writer, runs int) error {
 	fmt.Fprintf(w, "\nUnimpaired members considered dead, in %d runs of 120 s with 32 members; suspicions in brackets.\n\n", runs)
 	fmt.Fprint(w, "| impairment |")
--- a/internal/bgp/message.go
+++ b/internal/bgp/message.go
@@ -17,7 +17,8 @@
 	msgKeepalive    = 4
 )
 
-// Errors of a NOTIFICATION (RFC 4271, section 4.5): the code in the high byte, the subcode in the low byte.
+// Errors of a NOTIFICATION (RFC 4271, section 4.5; subcodes of code 6 in RFC 4486): the code in the high byte, the subcode in the
+// low byte.
 const (
 	codeBadLength           = 1<<8 | 2
 	codeBadType             = 1<<8 | 3
@@ -189,7 +190,7 @@
 		return msg, truncated
 	}
 	for attrs := b[2 : 2+attrsSize]; len(attrs) > 0; {
-		size, headerSize := 0, 3
+		size, attrHeaderSize := 0, 3
 		switch {
 		case len(attrs) < 3:
 			return msg, truncated
@@ -198,12 +199,12 @@
 		case len(attrs) < 4:
 			return msg, truncated
 		default:
-			size, headerSize = int(binary.BigEndian.Uint16(attrs[2:])), 4
+			size, attrHeaderSize = int(binary.BigEndian.Uint16(attrs[2:])), 4
 		}
-		if len(attrs) < headerSize+size {
+		if len(attrs) < attrHeaderSize+size {
 			return msg, truncated
 		}
-		attrs = attrs[headerSize+size:]
+		attrs = attrs[attrHeaderSize+size:]
 	}
 	msg.announced, err = parsePrefixes(b[2+attrsSize:])
 	return msg, err
--- a/internal/bgp/speaker.go
+++ b/internal/bgp/speaker.go
@@ -275,8 +275,9 @@
 }
 
 // handleUpdate applies an UPDATE to the routes. A route is down when the last peer that announced it has withdrawn it; the
-// withdrawal of a route that no peer has announced is ignored. A peer's routes are kept when its session ends: they are
-// withdrawn only by an explicit withdrawal, or by an End-of-RIB marker in a session that did not announce them.
+// withdrawal of a route that no peer has announced is ignored, as such addresses are reached without BGP. A peer's routes are
+// kept when its session ends: they are withdrawn only by an explicit withdrawal, or by an End-of-RIB marker in a session that
+// did not announce them.
 func (ses *session) handleUpdate(update updateMessage) error {
 	speaker := ses.speaker
 	speaker.routesMu.Lock()
--- a/internal/m3ua/caller.go
+++ b/internal/m3ua/caller.go
@@ -13,10 +13,10 @@
 // callerConn is the connection of an older client, which acts as an ASP of this program.
 type callerConn struct {
 	session
-	activationTimer *time.Timer // closes the connection if no ASP Up arrives in time
-	connID          core.ConnID // valid while active
-	aspUp           bool        // whether the ASP has sent ASP Up
-	active          bool        // whether the ASP has sent ASP Active: only then its calls are accepted
+	aspUpTimer *time.Timer // closes the connection if no ASP Up arrives in time
+	connID     core.ConnID // valid while active
+	aspUp      bool        // whether the ASP has sent ASP Up, and no ASP Down since
+	active     bool        // whether the ASP is active, as it requested with ASP Active: only then its calls are accepted
 }
 
 // Serve accepts and serves callers' connections until the listener is closed.
@@ -24,8 +24,8 @@
 	link.NewAcceptor(func() int { return m.config.Load().MaxCallerConns }, func(conn net.Conn) {
 		c := &callerConn{session: m.newSession(conn, m.config.Load().CallerConn)}
 		c.handler = c.handleMessage
-		c.activationTimer = time.AfterFunc(c.limits.MessageTimeout, func() { conn.Close() })
-		defer c.activationTimer.Stop()
+		c.aspUpTimer = time.AfterFunc(c.limits.MessageTimeout, func() { conn.Close() })
+		defer c.aspUpTimer.Stop()
 		err := c.read()
 		m.sampledLog.Info().Err(err).Stringer("caller", conn.RemoteAddr()).Msg("association ended")
 		c.deactivate()
@@ -70,7 +70,7 @@
 	switch msg.kind {
 	case msgASPUP:
 		c.deactivate()
-		c.activationTimer.Stop()
+		c.aspUpTimer.Stop()
 		c.aspUp = true
 		c.send(msgASPUPACK)
 		c.send(msgNTFY, uint32Param(tagStatus, statusASInactive), routingContext)
@@ -147,13 +147,13 @@
 	if err != nil {
 		return err
 	}
-	sig, err := parseISUP(isup)
+	isupMsg, err := parseISUP(isup)
 	if err != nil {
 		return err
 	}
-	switch sig.kind {
+	switch isupMsg.kind {
 	case isupIAM:
-		c.handleSetUp(circ, sig, receivedAt)
+		c.handleSetUp(circ, isupMsg, receivedAt)
 	case isupREL, isupRSC: // a client resets its circuits after a restart
 		c.m3ua.mu.Lock()
 		id, ok := c.m3ua.freeLocked(circ)
@@ -208,8 +208,8 @@
 }
 
 // sendISUP queues an ISUP message on a circuit.
-func (c *callerConn) sendISUP(circ circuit, sig isupMessage) {
-	isup, err := buildISUP(circ.cic, sig)
+func (c *callerConn) sendISUP(circ circuit, isupMsg isupMessage) {
+	isup, err := buildISUP(circ.cic, isupMsg)
 	if err != nil {
 		c.m3ua.log.Error().Err(err).Msg("ISUP message not sent")
 		return
@@ -248,12 +248,12 @@
 }
 
 // release frees the circuit of a call and sends the REL on it, if the call still has a circuit.
-func (c *callerEffects) release(id core.ID, sig isupMessage) {
+func (c *callerEffects) release(id core.ID, isupMsg isupMessage) {
 	m := c.caller.m3ua
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if circ, ok := m.circuitByCall[id]; ok {
 		m.freeLocked(circ)
-		c.caller.sendISUP(circ.reverse(), sig)
+		c.caller.sendISUP(circ.reverse(), isupMsg)
 	}
 }
--- a/internal/m3ua/m3ua.go
+++ b/internal/m3ua/m3ua.go
@@ -98,14 +98,14 @@
 	log        zerolog.Logger
 	sampledLog zerolog.Logger    // for lines that a peer can cause at any rate
 	trunks     map[string]*trunk // by server name
-	lastSerial atomic.Uint64     // of the last call id
-	idPrefix   uint64            // random high half of the ids of this process's calls
-
-	mu            sync.Mutex          // guards the fields below
-	callByCircuit map[circuit]core.ID // calls on callers' circuits
-	circuitByCall map[core.ID]circuit // the inverse of callByCircuit
-	activeCallers map[*callerConn]bool
-	serving       bool // whether new calls are accepted
+	lastSerial atomic.Uint64     // serial number in the id that newID returned last
+	idPrefix   uint64            // random high half of the ids that newID returns
+
+	mu            sync.Mutex           // guards the fields below
+	callByCircuit map[circuit]core.ID  // calls on callers' circuits
+	circuitByCall map[core.ID]circuit  // the inverse of callByCircuit
+	activeCallers map[*callerConn]bool // callers' connections whose ASP is active
+	serving       bool                 // whether new calls are accepted
 }
 
 // New returns an M3UA that posts its events to the loop. It fails if a category is configured for an unknown class.
--- a/internal/m3ua/m3ua_test.go
+++ b/internal/m3ua/m3ua_test.go
@@ -34,7 +34,7 @@
 	clientPC         = 300
 )
 
-// testDeployment are the settings of the sockets in the tests: one class.
+// testDeployment holds the settings of both protocols in the tests: one class.
 var testDeployment = settings.Deployment{Classes: []settings.Class{{Name: "voice", Deadline: 5 * time.Second}}}
 
 // testLimits are the limits of all connections in the tests.
@@ -321,8 +321,8 @@
 	}
 }
 
-// TestAvailability checks that DUNA, AS-INACTIVE and ASP Inactive stop new calls at once, and that DAVA and AS-ACTIVE
-// admit new calls again.
+// TestAvailability checks that a server's DUNA, AS-INACTIVE or unrequested ASP Inactive Ack stops new calls at once, and
+// that its DAVA or AS-ACTIVE admits new calls again. A caller's ASP Inactive stops the new calls of that caller.
 func TestAvailability(t *testing.T) {
 	serverListener := listen(t)
 	_, address := startSoftswitch(t, testReleaseGuard, serverFileConfig("hlr", 201, serverListener))
--- a/internal/m3ua/message.go
+++ b/internal/m3ua/message.go
@@ -119,7 +119,7 @@
 }
 
 // parseMessage parses the first message in b, which may be at most maxSize bytes long, and returns its size. The
-// size is 0 if the framing is lost.
+// size is 0 if the message is incomplete or the framing is lost.
 func parseMessage(b []byte, maxSize int) (msg message, size int, err error) {
 	if len(b) < headerSize {
 		return msg, 0, errIncomplete
--- a/internal/m3ua/server.go
+++ b/internal/m3ua/server.go
@@ -178,18 +178,18 @@
 	if circ.opc != s.trunk.route.dpc || circ.dpc != s.trunk.route.opc {
 		return &protocolError{errParamValue, "point codes do not belong to this route", false}
 	}
-	sig, err := parseISUP(isup)
+	isupMsg, err := parseISUP(isup)
 	if err != nil {
 		return err
 	}
-	switch sig.kind {
+	switch isupMsg.kind {
 	case isupACM:
 	case isupANM:
 		var id core.ID
 		var ok bool
 		s.trunk.withLock(func(time.Time) { id, ok = s.trunk.Answered(circ.cic) })
 		if ok {
-			s.m3ua.loop.Post(core.ServerAnswer{Server: s.name, Conn: s.connID, ID: id, Desc: sig.desc})
+			s.m3ua.loop.Post(core.ServerAnswer{Server: s.name, Conn: s.connID, ID: id, Desc: isupMsg.desc})
 		}
 	case isupREL, isupRSC: // an RSC has no cause: its call ends with core.ReasonReset
 		var id core.ID
@@ -200,7 +200,7 @@
 		})
 		if ok {
 			s.m3ua.loop.Post(core.ServerEnd{
-				Server: s.name, Conn: s.connID, ID: id, Reason: q850.ReasonFromCause(sig.cause), Refusal: q850.RefusalFromCause(sig.cause),
+				Server: s.name, Conn: s.connID, ID: id, Reason: q850.ReasonFromCause(isupMsg.cause), Refusal: q850.RefusalFromCause(isupMsg.cause),
 			})
 		}
 	case isupRLC:
@@ -212,8 +212,8 @@
 }
 
 // sendISUP queues an ISUP message on a circuit. If onWritten is not nil, it is called when the message has been written.
-func (s *serverConn) sendISUP(cic uint16, sig isupMessage, onWritten func()) {
-	isup, err := buildISUP(cic, sig)
+func (s *serverConn) sendISUP(cic uint16, isupMsg isupMessage, onWritten func()) {
+	isup, err := buildISUP(cic, isupMsg)
 	if err != nil {
 		s.m3ua.log.Error().Err(err).Msg("ISUP message not sent")
 		return
--- a/internal/m3ua/session.go
+++ b/internal/m3ua/session.go
@@ -33,10 +33,10 @@
 	s.outbox.Send(link.Item{Data: buildMessage(kind, params...)})
 }
 
-// read reads and dispatches messages until the connection ends. It answers a malformed message with an ERR, and returns
-// if the framing is lost or the peer has sent maxMalformedMessages malformed messages. It sends heartbeats to a silent
-// peer, and returns when the peer has left maxUnansweredHeartbeats unanswered. It also returns if a message is not
-// complete within MessageTimeout, whether the peer stopped sending or sends byte by byte.
+// read reads and dispatches messages until the connection ends. It answers a malformed or unexpected message with an
+// ERR, and returns if the framing is lost or the peer has sent maxMalformedMessages of such messages. It sends
+// heartbeats to a silent peer, and returns when the peer has left maxUnansweredHeartbeats unanswered. It also returns if
+// a message is not complete within MessageTimeout, whether the peer stopped sending or sends byte by byte.
 func (s *session) read() error {
 	buf := link.NewBuffer(s.limits.InitialBufferSize, s.limits.MaxMessageSize)
 	heartbeat := time.Duration(s.m3ua.HeartbeatMS) * time.Millisecond
@@ -93,7 +93,7 @@
 // maxUnansweredHeartbeats is how many heartbeats in a row a peer may leave unanswered.
 const maxUnansweredHeartbeats = 2
 
-// maxMalformedMessages is the number of malformed messages after which a connection is closed.
+// maxMalformedMessages is the number of malformed or unexpected messages after which a connection is closed.
 const maxMalformedMessages = 8
 
 // dispatch handles the messages that both callers and servers may send, and passes all others to the handler.
@@ -116,7 +116,8 @@
 	return s.handler(msg, receivedAt)
 }
 
-// unexpectedMessage returns the error for a message that the peer may not send, or not in the present state.
+// unexpectedMessage returns the error for a message of unknown class or type, or that the peer may not send, at all or in
+// the present state.
 func unexpectedMessage(kind uint16) error {
 	switch {
 	case kind>>8 > 4:
