--- a/internal/lab/caller.go
+++ b/internal/lab/caller.go
@@ -60,15 +60,15 @@
 	return caller, nil
 }
 
-// setUpMessage encodes a set-up. giveUp is the time that the caller waits, sent in milliseconds. The called number is
-// derived from the id.
-func setUpMessage(id uint64, class string, giveUp time.Duration) []byte {
+// setUpMessage encodes a set-up. giveUpAfter is the time that the caller waits, sent in milliseconds. The called number
+// is derived from the id.
+func setUpMessage(id uint64, class string, giveUpAfter time.Duration) []byte {
 	message := binary.BigEndian.AppendUint64([]byte{0, 0, msgSetUp}, id)
 	appendParam := func(code byte, value string) {
 		message = append(binary.BigEndian.AppendUint16(append(message, code), uint16(len(value))), value...)
 	}
 	appendParam(paramClass, class)
-	appendParam(paramTimeLeft, fmt.Sprint(giveUp.Milliseconds()))
+	appendParam(paramTimeLeft, fmt.Sprint(giveUpAfter.Milliseconds()))
 	appendParam(paramNumber, fmt.Sprintf("%016x", id^0x5a5a))
 	appendParam(paramExtras, "dest:0;width:1;via:-1")
 	appendParam(paramDesc, "lab")
@@ -84,7 +84,7 @@
 	return message
 }
 
-// write sends a whole message, or fails after 200 ms.
+// write sends a message, and fails if the message is not written whole within 200 ms.
 func (c *callerConn) write(message []byte) error {
 	c.conn.SetWriteDeadline(time.Now().Add(200 * time.Millisecond))
 	_, err := c.conn.Write(message)
--- a/internal/lab/checker.go
+++ b/internal/lab/checker.go
@@ -32,7 +32,7 @@
 	// set-ups stayed unanswered because of a fault that the lab injected.
 	Offered, Served, Refused, Lost, Excused int
 	Arrivals                                map[string]int // attempts that reached each server
-	Lagged                                  bool           // the lab itself lagged, so that timing was not checked
+	Lagged                                  bool           // the lab itself lagged; violations during the lag are ignored
 }
 
 // Checker checks what the lab sees of the fleet from outside against the rules. It does no I/O and reads no clock:
@@ -53,7 +53,7 @@
 	sent, giveUp time.Duration // times; giveUp is when the caller stops waiting
 	memberIndex  int           // the softswitch that the set-up was sent to
 	finalAnswers int           // final answers received so far
-	resolved     bool          // answered, given up or excused
+	resolved     bool          // answered, or recorded as unanswered
 	served       bool          // the call was established
 }
 
@@ -101,7 +101,7 @@
 	violation.Count++
 }
 
-// RecordLag marks a span in which the lab lagged: violations inside the span are ignored.
+// RecordLag marks a span in which the lab lagged: violations inside the span, widened by the slack, are ignored.
 func (c *Checker) RecordLag(from, to time.Duration) {
 	c.lagSpans = append(c.lagSpans, [2]time.Duration{from, to})
 	for second := from / time.Second; second <= to/time.Second; second++ {
@@ -182,8 +182,8 @@
 	Peers []float64     // as Share, for all other softswitches together
 }
 
-// Recovery compares a softswitch with the others in the given number of seconds from its first call at or after the time
-// after. It returns nil if there was no such call.
+// Recovery compares a softswitch with the others for the given number of seconds, counted from the first set-up that
+// was sent to the softswitch at the time after or later. It returns nil if there was no such set-up.
 func (c *Checker) Recovery(index int, after time.Duration, seconds int) *RecoveryStats {
 	first := time.Duration(-1)
 	for _, s := range c.setUps {
@@ -311,8 +311,8 @@
 	}
 }
 
-// CheckOpen checks the set-ups that are still unanswered at the end of a run: a set-up whose give-up time has passed is
-// a violation.
+// CheckOpen checks the set-ups that are still unanswered at the end of a run: a set-up whose give-up time has passed by
+// more than the slack is a violation.
 func (c *Checker) CheckOpen(at time.Duration) {
 	for id, s := range c.setUps {
 		if !s.resolved && at > s.giveUp+c.rules.Slack {
--- a/internal/lab/environment.go
+++ b/internal/lab/environment.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// loopbackAddress returns the loopback address of a softswitch in one of the lab's networks: 1 softswitches, 2
-// stand-in servers, 3 command channel, 4 relay.
+// loopbackAddress returns the loopback address that is reserved for a softswitch in one of the lab's networks: 1
+// softswitches, 2 stand-in servers, 3 command channel, 4 relay.
 func loopbackAddress(network, index int) string { return fmt.Sprintf("127.0.%d.%d", network, index+1) }
 
 // startAll starts the stand-in servers, the command channel, the relay and the softswitches, and waits until every
@@ -94,7 +94,8 @@
 		}
 	}
 	// If another program takes a port between its choice and the softswitch's start, the softswitch's process exits.
-	// It gets new ports, at most three times; no peer or caller knows the softswitch's ports yet.
+	// The softswitch then gets new ports for callers and for the admin endpoint, which no caller knows yet, at most
+	// three times in all. The port for datagrams stays, because the relay has it already.
 	for attempt := 0; ; attempt++ {
 		err := r.waitReady(r.members)
 		var exited *exitedAtStart
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -3,7 +3,7 @@
 import "time"
 
 // generateLoad sends set-ups at the scenario's rate to the ready softswitches, in turn or by their shares. It
-// measures its own lag and reports lag above MaxLag to the checker, so that no timing is checked there.
+// measures its own lag and reports lag above MaxLag to the checker, which ignores violations during that lag.
 func (r *runner) generateLoad() {
 	const tick = 5 * time.Millisecond
 	due, next, class := 0.0, 0, 0
--- a/internal/lab/maintenance_checker.go
+++ b/internal/lab/maintenance_checker.go
@@ -7,7 +7,7 @@
 type MaintenanceRun struct {
 	Softswitch     string        `json:"softswitch"`
 	OutOfServiceAt time.Duration `json:"out_ns"`   // the softswitch is granted maintenance and sends its callers away
-	ReadyAt        time.Duration `json:"ready_ns"` // no call or connection remains on the softswitch
+	ReadyAt        time.Duration `json:"ready_ns"` // no call is left on the softswitch: the work may begin
 	InServiceAt    time.Duration `json:"back_ns"`  // the softswitch no longer holds its maintenance slot
 	index          int           // of the softswitch
 }
@@ -37,8 +37,8 @@
 }
 
 // CheckMaintenanceBudget checks how many softswitches are out for maintenance, by their readiness as seen from
-// outside. A softswitch that the lab itself disturbs, or has just ceased to disturb, is not counted, unless the
-// disturbance is the lab operator's maintenance work.
+// outside. A softswitch that the lab itself disturbs is not counted, unless the disturbance is the lab operator's
+// maintenance work, and neither is a softswitch whose last disturbance ended within recoveryGrace.
 func (c *TierChecker) CheckMaintenanceBudget(at time.Duration, budget int, unready func(index int) bool) {
 	outOfService := 0
 	for index := range c.lastViews {
--- a/internal/lab/plan.go
+++ b/internal/lab/plan.go
@@ -17,7 +17,7 @@
 	ActResume                              // SIGCONT to Members; they count as disturbed until they are ready
 	ActNetworkConditions                   // the relay applies Conditions
 	ActReset                               // the connections between Members and Server reset
-	ActStall                               // those connections left silent (Stall true), or answered again
+	ActStall                               // the same connections left silent (Stall true), or served again
 	ActSlow                                // Server works Factor times slower (1: normal speed)
 	ActMaintenance                         // maintenance of Members requested or (Withdraw) withdrawn at Via
 	ActServerStatus                        // Server's Status published on the command channel
--- a/internal/lab/relay.go
+++ b/internal/lab/relay.go
@@ -21,7 +21,7 @@
 	allPeersConn   *net.UDPConn   // the socket for peers_all
 	memberAddrs    []*net.UDPAddr // by softswitch: its peer_listen address
 	memberBySource map[string]int // source address -> index of the softswitch
-	mu             sync.Mutex     // guards conditions and rand
+	mu             sync.Mutex     // guards conditions and rng
 	conditions     NetworkConditions
 	rng            *rand.Rand
 	stop           chan struct{} // closed to end the relay
--- a/internal/lab/result.go
+++ b/internal/lab/result.go
@@ -21,14 +21,14 @@
 	// Unsent counts the set-ups for which no softswitch could be reached.
 	Unsent   int           `json:"unsent"`
 	MaxLag   time.Duration `json:"lag_max_ns"`  // greatest lag of the lab's load generator
-	LagSpans int           `json:"blind_spans"` // spans of lag in which no rule was checked
+	LagSpans int           `json:"blind_spans"` // spans of lag in which the checker ignored violations
 	// AdminServed is the number of answered calls by the softswitches' own counters, over all their processes.
 	AdminServed    int64           `json:"door_served"`
 	Datagrams      map[string]int  `json:"datagrams"` // the relay's counters
 	Starts         map[string]int  `json:"starts"`    // processes started, by softswitch
 	InjectedFaults []InjectedFault `json:"faults"`
 
-	// The fields below are filled if membership is on.
+	// The fields from here to MaintenanceRuns, and MaxOutOfService, are filled if membership is on.
 	Detections  []*Detection `json:"detections,omitempty"`
 	FalseDeaths []FalseDeath `json:"false_deaths,omitempty"`
 	// Counters from the admin endpoints, summed over all softswitches and all their processes.
@@ -38,7 +38,8 @@
 	BudgetCounters      map[string]int64  `json:"parts,omitempty"`
 	MaintenanceRuns     []*MaintenanceRun `json:"works,omitempty"`
 	Recoveries          []*RecoveryStats  `json:"returns,omitempty"` // of softswitches that were killed and restarted
-	// MaxOutOfService is the greatest number of softswitches that were out for maintenance in one sample.
+	// MaxOutOfService is the greatest number of softswitches that were out for maintenance in one sample, as
+	// CheckMaintenanceBudget counts them.
 	MaxOutOfService int           `json:"most_out"`
 	Elapsed         time.Duration `json:"span_ns"` // from the start of the load to the end of the run
 
@@ -107,7 +108,7 @@
 			Violation{Rule: "datagram over 256 bytes", Count: int(counters.Oversized.Load())})
 	}
 	// If no softswitch was restarted, the lab's count must agree with the admin endpoints' count within the
-	// tolerance.
+	// tolerance and two set-ups more.
 	if diff := float64(res.AdminServed - int64(res.Served)); !restarted &&
 		abs(diff) > r.scenario.Tolerance*float64(max(res.Served, 1))+2 {
 		res.Violations = append(res.Violations, Violation{Rule: "counts disagree with the doors", Count: 1,
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -36,7 +36,8 @@
 type runner struct {
 	scenario *Scenario
 	options  Options
-	// mu guards checker, tierChecker and the counts, and startedAt while the run starts.
+	// mu guards checker, tierChecker, unsent, injectedFaults, readyBySecond, viewsBySecond, lagSpans and the members'
+	// underMaintenance, and startedAt while the run starts.
 	mu             sync.Mutex
 	checker        *Checker
 	tierChecker    *TierChecker
--- a/internal/lab/sampling.go
+++ b/internal/lab/sampling.go
@@ -6,7 +6,7 @@
 )
 
 // sampleLoop samples every admin endpoint at the scenario's interval and records, for each second, which softswitches
-// were ready and the states that they reported. It also checks the maintenance budget.
+// were ready and the states that they reported. It also checks the maintenance budget, if the scenario has one.
 func (r *runner) sampleLoop(stop chan struct{}) {
 	ticker := time.NewTicker(r.scenario.SampleInterval.Duration)
 	defer ticker.Stop()
@@ -45,7 +45,8 @@
 	}
 }
 
-// readViews reads each softswitch's view of its tier and its maintenance status, if membership is on.
+// readViews reads each softswitch's view of its tier, if membership is on. If the scenario has a maintenance budget, it
+// also plays the operator for each softswitch.
 func (r *runner) readViews() {
 	if r.scenario.Membership == nil {
 		return
--- a/internal/lab/scenario.go
+++ b/internal/lab/scenario.go
@@ -16,7 +16,7 @@
 // second.
 type Scenario struct {
 	Name           string        `toml:"name"`
-	Duration       Duration      `toml:"duration"`     // of the load; the run ends when the last give-up has passed
+	Duration       Duration      `toml:"duration"`     // of the load; for the end of the run, see QuietPeriod
 	Seed           uint64        `toml:"seed"`         // of every random choice that the lab makes
 	Softswitches   int           `toml:"softswitches"` // number of softswitches; they are named n1..nN
 	GiveUp         Duration      `toml:"give_up"`      // how long a caller waits for its answer
@@ -26,10 +26,10 @@
 	Load           []LoadStep    `toml:"load"`         // the callers' rate, a step function of time
 	Faults         []Fault       `toml:"fault"`        // the faults at fixed times
 	SampleInterval Duration      `toml:"sample"`       // interval of the samples of the admin endpoints; 250ms by default
-	MaxLag         Duration      `toml:"lag"`          // lag of the lab above which a span is not checked; 20ms by default
+	MaxLag         Duration      `toml:"lag"`          // load generator's lag above which violations are ignored; 20ms by default
 	CallerConns    int           `toml:"callers"`      // callers' connections to each softswitch; 2 by default
 	StartTimeout   Duration      `toml:"start"`        // how long a softswitch may take to become ready; 10s by default
-	QuietPeriod    Duration      `toml:"quiet"`        // after the load, before the run ends; the give-up time by default
+	QuietPeriod    Duration      `toml:"quiet"`        // from the last give-up to the run's end, at least; GiveUp by default
 	PeersEnabled   bool          `toml:"peers"`        // whether the softswitches know their peers
 	RandomFaults   []RandomFault `toml:"random_fault"` // faults drawn from the seed
 	// Tolerance is the share by which the lab's count of served set-ups may differ from the admin endpoints' count;
@@ -42,8 +42,8 @@
 	MaintenanceBudget int `toml:"budget"`
 	// WorkDuration is how long the lab's operator works on a softswitch that is ready for maintenance; 0: never.
 	WorkDuration Duration `toml:"work_takes"`
-	// WorkMethod is how the operator ends the work: "release" (a request to the admin endpoint) or "restart" (SIGTERM
-	// and a new process).
+	// WorkMethod is how the operator ends the work: "release" (a request to the admin endpoint; the default) or
+	// "restart" (SIGTERM and a new process).
 	WorkMethod       string   `toml:"work_by"`
 	ExpectMaintained []string `toml:"maintained"` // softswitches that must each have been maintained exactly once at the end
 
@@ -107,9 +107,9 @@
 
 // Check fills in defaults and checks every field. The error names the first invalid field.
 func (s *Scenario) Check() error {
-	setDefault := func(d *Duration, server time.Duration) {
+	setDefault := func(d *Duration, value time.Duration) {
 		if d.Duration == 0 {
-			d.Duration = server
+			d.Duration = value
 		}
 	}
 	setDefault(&s.GiveUp, 1500*time.Millisecond)
--- a/internal/lab/settings.go
+++ b/internal/lab/settings.go
@@ -50,8 +50,8 @@
 	return rules, nil
 }
 
-// memberSettings returns the settings object for one softswitch: its own index ("me") and the size of the tier
-// differ.
+// memberSettings returns the settings object for one softswitch: the run's settings with the softswitch's own index
+// ("me"), the size of the tier and whether datagrams between softswitches are on.
 func (r *runner) memberSettings(index int) (json.RawMessage, error) {
 	var settings map[string]any
 	if err := json.Unmarshal(r.settings, &settings); err != nil {
--- a/internal/lab/standin_server.go
+++ b/internal/lab/standin_server.go
@@ -32,7 +32,7 @@
 	establishedCalls int
 	slowdown         float64      // factor on the service time; 1: normal speed
 	stalledMembers   map[int]bool // softswitches whose connections are left silent
-	removed          bool         // no longer accepts connections
+	removed          bool         // closes new connections at once
 	wg               sync.WaitGroup
 }
 
@@ -234,7 +234,7 @@
 }
 
 // resetConns resets the connections from the given softswitches, or all connections if members is nil. remove also
-// makes the server refuse new connections.
+// makes the server close new connections at once.
 func (s *standInServer) resetConns(members map[int]bool, remove bool) {
 	s.mu.Lock()
 	if remove {
--- a/internal/lab/tier_checker.go
+++ b/internal/lab/tier_checker.go
@@ -107,15 +107,16 @@
 	c.conditions = conditions
 }
 
-// maybeSeparated reports whether two softswitches may not have reached each other, because of a present or recent
-// partition.
+// maybeSeparated reports whether two softswitches may have been unable to reach each other, because a partition
+// separates them, or because any partition has ended within recoveryGrace.
 func (c *TierChecker) maybeSeparated(a, b int, at time.Duration) bool {
 	return c.conditions.Groups != nil && c.conditions.Groups[a] != c.conditions.Groups[b] ||
 		c.partitionEndedAt >= 0 && at < c.partitionEndedAt+recoveryGrace
 }
 
-// RecordView records a softswitch's view of its tier. It checks that a softswitch without a majority reduces its
-// quota of cold servers' budgets at least to the fraction of members that it sees, and looks for false deaths.
+// RecordView records a softswitch's view of its tier. It checks that the softswitch uses no more than its quota of cold
+// servers' budgets, and without a majority no more of the quota than the fraction of members that it sees available. It
+// also looks for false deaths.
 func (c *TierChecker) RecordView(at time.Duration, observer int, view View) {
 	previous := c.lastViews[observer]
 	if len(view.States) != len(c.lastViews) || c.faulted[observer] {
