--- a/internal/explore/actions.go
+++ b/internal/explore/actions.go
@@ -14,7 +14,7 @@
 // The kinds of actions of CallModel. Kinds from firstFaultKind to actDrainStart are faults, whose total is limited by
 // Config.Faults. Where a kind uses Action.Arg, the comment says so.
 const (
-	actSetUp           ActionKind = iota // a caller sends a set-up; Arg: its cell, that of its first-choice server
+	actSetUp           ActionKind = iota // a caller sends a set-up; Arg: cell of its first-choice server
 	actOfferWritten                      // the offer has been written to the server's connection
 	actAnswer                            // the server answers the attempt
 	actRefuseFull                        // the server refuses the attempt for lack of capacity
@@ -43,7 +43,7 @@
 	actServerReady                       // the list declares the draining server ready
 	actReload                            // a configuration with one attempt fewer is loaded
 	actDrainStart                        // the operator starts a drain
-	// The kinds of actions of circuitModel.
+	// The kinds of actions of circuitModel. actLoseREL, actLoseRLC and actConnDown are faults.
 	actSeizeCircuit      // a call takes a circuit and its IAM is sent
 	actClearCall         // the softswitch releases a call
 	actDeliverToServer   // the next message to the server arrives
@@ -55,7 +55,7 @@
 	actLoseRLC           // the server processes the next message, a REL, and its RLC is lost
 	actConnDown          // the connection is lost
 	actConnUp            // a new connection is established
-	// The kinds of actions of tierModel.
+	// The kinds of actions of tierModel. actLoseDatagram, actDelayDatagram and actKillMember are faults.
 	actDeliverDatagram // the next datagram is delivered
 	actLoseDatagram    // the next datagram is lost
 	actDelayDatagram   // the next datagram is delayed by datagramDelay
@@ -82,7 +82,7 @@
 // Action is one transition of a model, for example a message that arrives, a timer that fires or a fault.
 type Action struct {
 	Kind   ActionKind
-	Target uint8 // index of the call, server, circuit or member that the action concerns; actClearCall: the call's id
+	Target uint8 // index of the call, server, circuit or member that the action concerns, otherwise 0; actClearCall: the call's id
 	Arg    uint8 // additional argument of kinds that need one, otherwise 0
 }
 
@@ -295,7 +295,7 @@
 	m.step(core.TimerFired{Token: fired.Token})
 }
 
-// changeServer changes the phase or the incarnation of a server and sends the core the changed list.
+// changeServer changes the phase or the incarnation of a server and sends the core the server's changed list entry.
 func (m *CallModel) changeServer(kind ActionKind, index int) {
 	server := &m.Servers[index]
 	switch kind {
--- a/internal/explore/budget.go
+++ b/internal/explore/budget.go
@@ -10,7 +10,8 @@
 const (
 	// ExclusiveUnits: no unit of a quota is used by two members, so that all members together use at most the whole budget.
 	ExclusiveUnits Invariant = "whole"
-	// AllUnitsUsed: in the end every available member has its own quota, and other members use the units of dead members.
+	// AllUnitsUsed: in the end every unit of a running member's quota is used, by its owner or another member, and every
+	// unit of a dead member's quota except the first, which only the owner may use.
 	AllUnitsUsed Invariant = "carried"
 )
 
@@ -18,7 +19,7 @@
 // that of the others zero.
 type budgetProtocol struct{ Limits budget.Limits }
 
-// newBudgetModel returns the initial state of the budget model. The lease is short, so that leases expire within the
+// newBudgetModel returns the initial state of the budget model. The lease is short, so that leases can expire within the
 // periods in which faults are injected.
 func newBudgetModel(cfg Config) *tierModel {
 	limits := budget.Defaults()
@@ -53,7 +54,7 @@
 }
 
 // startMember starts a member's reducer, informs it and the running members of each other, and declares a
-// server cold.
+// server cold. All members start together, so at its first start the reducer considers every member available.
 func (p *budgetProtocol) startMember(m *tierModel, index int, incarnation uint8) (memberProcess, stepEffects) {
 	reducer, _, err := budget.New(budget.Config{Self: index, TierSize: len(m.Members), Limits: p.Limits,
 		Seed: m.Config.Seed + uint64(index) + 100*uint64(incarnation), DisabledGuards: m.Config.DisabledBudgetGuards}, m.Now)
--- a/internal/explore/callmodel.go
+++ b/internal/explore/callmodel.go
@@ -14,7 +14,7 @@
 	releaseGuardTime = 200 * time.Millisecond // release guard of the core
 	modelProtocol    = core.Protocol("f")
 	pauseDuration    = 120 * time.Millisecond // two exceed the release guard, one the 100 ms in which a lost caller may reconnect
-	timerHorizon     = 2 * time.Second        // time after the last caller's deadline after which timers are ignored
+	timerHorizon     = 2 * time.Second        // timers later than this after the deadline of a set-up sent at the start are ignored
 )
 
 // attemptState is the state of a call's attempt outside the core.
@@ -39,7 +39,7 @@
 type Call struct {
 	Started             bool        // the caller has sent the set-up
 	CallerConn          core.ConnID // connection of the caller's last set-up
-	Cell                int         // cell of the caller
+	Cell                int         // cell of the first-choice server
 	Deadline            core.Time   // when the caller stops waiting for an answer
 	State               attemptState
 	Conn                core.ConnID // connection of the last attempt or end to a server
@@ -269,6 +269,7 @@
 	case core.ForgetCall:
 		m.Calls[m.callIndex(e.ID)].Account.CallerGone = true
 	case core.Violation:
+		// Under a hook, guards have to stop actions: that is no violation of NoGuardTripped.
 		if m.Config.CoreHook.Decide == nil && m.Config.CoreHook.SuppressEvent == nil {
 			m.recordViolation(NoGuardTripped, "call %d: %s", m.callIndex(e.ID), e.Rule)
 		}
--- a/internal/explore/circuits.go
+++ b/internal/explore/circuits.go
@@ -16,7 +16,7 @@
 	// OneCallPerCircuit: a circuit is reused only after the server's RLC, so that no IAM arrives on a circuit that the
 	// server has in use.
 	OneCallPerCircuit Invariant = "one-call"
-	// SignalMatchesCall: a message of the server about one call is never attributed to another call.
+	// SignalMatchesCall: a message about one call is never attributed to another call, by the softswitch or by the server.
 	SignalMatchesCall Invariant = "no-mix-up"
 	// NoLostCircuit: every circuit becomes free again.
 	NoLostCircuit Invariant = "come-back"
@@ -43,7 +43,7 @@
 type message struct {
 	Type    messageType
 	Circuit uint16
-	Call    core.ID // call that the sender means, 0: unknown; read only by the invariants, not by either side
+	Call    core.ID // call that the sender means, 0: unknown; read only to check the invariants, not by either side
 }
 
 // serverCircuit is the server's state of a circuit.
--- a/internal/explore/digest.go
+++ b/internal/explore/digest.go
@@ -108,8 +108,8 @@
 // appendMap appends a map sorted by the encoding of its keys.
 func (d *encoder) appendMap(v reflect.Value) {
 	type pair struct {
-		key []byte
-		at  reflect.Value
+		key   []byte
+		value reflect.Value
 	}
 	pairs := make([]pair, 0, v.Len())
 	start := len(d.buf)
@@ -122,6 +122,6 @@
 	d.appendUint64(uint64(len(pairs)))
 	for _, p := range pairs {
 		d.buf = append(d.buf, p.key...)
-		d.appendValue(p.at)
+		d.appendValue(p.value)
 	}
 }
--- a/internal/explore/explore_test.go
+++ b/internal/explore/explore_test.go
@@ -64,9 +64,9 @@
 	return hook
 }
 
-// For every invariant with a guard in the core, the search finds a violation when the guard is disabled and the controller
-// makes the mistake that the guard stops, and none when the guard is enabled. Guards against a search that cannot detect
-// violations.
+// For every invariant with a guard in the core, the search finds a violation when the guard is disabled and, where needed, a
+// hook makes the controller commit the error that the guard stops, and none when the guard is enabled. Guards against a
+// search that cannot detect violations.
 func TestDisabledCoreGuardsAreDetected(t *testing.T) {
 	var noHook core.Hook
 	// resendAtOnce sends again after a reset without the release guard.
@@ -92,7 +92,7 @@
 		}
 		return actions
 	})
-	// refuseOnTimer refuses a call with an outstanding attempt.
+	// refuseOnTimer refuses the call of a timer when the timer fires, also while an attempt is outstanding.
 	refuseOnTimer := decideHook(func(ev elmseam.Event, actions []elmseam.Action) []elmseam.Action {
 		if timer, ok := ev.(elmseam.TimerFired); ok {
 			actions = append(actions, elmseam.Refuse{Call: elmseam.CallID(timer.Token)})
@@ -263,9 +263,9 @@
 	}
 }
 
-// The invariants of membership hold for three members under lost and delayed datagrams, killed, restarted and paused
-// members. Without refutations, a running member is considered dead permanently; without suspicions of its own, a member
-// does not suspect a dead member in time.
+// The invariants of membership hold for three members under one fault: a lost or delayed datagram, or a killed member that may
+// start again. Without refutations, a running member that was paused is considered dead permanently; without suspicions of
+// its own, a member does not suspect a dead member in time.
 func TestMembershipInvariants(t *testing.T) {
 	cfg := Config{Model: ModelMembership, Servers: 3, Calls: 2, Attempts: 1, Faults: 1, Pauses: 0, GiveUp: time.Second}
 	if report, err := Run(context.Background(), cfg, Bounds{}); err != nil || !report.Complete || report.Counterexample != nil || report.TerminalStates < 100 {
@@ -290,9 +290,9 @@
 	}
 }
 
-// The invariants of maintenance hold for three members, two of them with a request, under lost and delayed datagrams, killed,
-// restarted and paused members. If a holder that was paused beyond the expiry of its lease does not check the expiry, or
-// does not stop its drain, two members are out of service at the same time.
+// The invariants of maintenance hold for three members, two of them with a request, under one fault: a lost or delayed
+// datagram, or a killed member that may start again. If a holder that was paused beyond the expiry of its lease does not
+// check the expiry, or does not stop its drain, two members are out of service at the same time.
 func TestMaintenanceInvariants(t *testing.T) {
 	cfg := Config{Model: ModelMaintenance, Servers: 3, Calls: 2, Attempts: 1, Faults: 1, GiveUp: time.Second}
 	if report, err := Run(context.Background(), cfg, Bounds{}); err != nil || !report.Complete || report.Counterexample != nil || report.TerminalStates < 100 {
@@ -313,9 +313,9 @@
 	}
 }
 
-// The invariants of quotas hold for three members, one of which lends and borrows, under lost and delayed datagrams, killed,
-// restarted and paused members: no unit is used by two members, and in the end no unit is unused. With any of the guards
-// disabled, two members use the same unit.
+// The invariants of quotas hold for three members, one of which borrows from the others, under one fault: a lost or delayed
+// datagram, or a killed member that may start again. No unit is used by two members, and in the end no unit is unused. With
+// any one of the guards listed below disabled, two members use the same unit.
 func TestBudgetInvariants(t *testing.T) {
 	cfg := Config{Model: ModelBudget, Servers: 3, Calls: 1, Attempts: 1, Faults: 1, GiveUp: time.Second}
 	if report, err := Run(context.Background(), cfg, Bounds{}); err != nil || !report.Complete || report.Counterexample != nil || report.TerminalStates < 20 {
--- a/internal/explore/invariants.go
+++ b/internal/explore/invariants.go
@@ -41,7 +41,7 @@
 	Attempts       int       // attempts sent
 	MaxAttempts    int       // attempts allowed by the settings at the set-up
 	Outstanding    int       // attempts without an answer
-	BadEndAt       core.Time // end of the last attempt
+	BadEndAt       core.Time // end of the last attempt, whether bad or not
 	EndedBadly     bool      // the last attempt ended by a time-out, a reset or a cancel
 	FinalAnswers   int       // final answers sent to the caller
 	WasEstablished bool      // a final answer said that the call is established
--- a/internal/explore/maintenance.go
+++ b/internal/explore/maintenance.go
@@ -25,15 +25,16 @@
 	workFinished  struct{ Incarnation uint8 } // an operator has finished the work on the member
 )
 
-// maintenanceProtocol runs the maintenance reducer of each member. The first and the last member receive requests at the same
-// time, for the maintenance of members 0 and 1. In a tier of three members no request is for member 2.
+// maintenanceProtocol runs the maintenance reducer of each member. Two members receive requests at the same time: the first
+// for the maintenance of members 0 and 1, the last for that of member 1. In a tier of three members no request is for
+// member 2.
 type maintenanceProtocol struct {
 	Limits          maintenance.Limits
 	MaintainedCount []int // completed maintenance runs, indexed by member
 }
 
-// newMaintenanceModel returns the initial state of the maintenance model. The leases are short, so that they expire within
-// the periods in which faults are injected.
+// newMaintenanceModel returns the initial state of the maintenance model. The leases are short, so that they can expire
+// within the periods in which faults are injected.
 func newMaintenanceModel(cfg Config) *tierModel {
 	limits := maintenance.Defaults()
 	limits.Lease, limits.WorkLease, limits.RoundTimeout = 2*time.Second, 3*time.Second, 500*time.Millisecond
@@ -111,7 +112,8 @@
 	return result
 }
 
-// startMember starts a member's reducer, and informs it and the running members of each other.
+// startMember starts a member's reducer, and informs it and the running members of each other. All members start together,
+// so at its first start the reducer considers every member available.
 func (p *maintenanceProtocol) startMember(m *tierModel, index int, incarnation uint8) (memberProcess, stepEffects) {
 	reducer, effects, err := maintenance.New(maintenance.Config{Self: index, TierSize: len(m.Members), Zone: -1, Limits: p.Limits,
 		Seed: m.Config.Seed + uint64(index) + 100*uint64(incarnation), DisabledGuards: m.Config.DisabledMaintenanceGuards}, m.Now)
@@ -133,7 +135,7 @@
 	return process, result
 }
 
-// converged requests the maintenance of members 0 and 1 at the first and the last member.
+// converged requests the maintenance of members 0 and 1 at the first member, and that of member 1 at the last member too.
 func (p *maintenanceProtocol) converged(m *tierModel) {
 	m.applyEffects(0, m.Members[0].Process.(*maintenanceProcess).step(m.Now, maintenance.Request{Members: []int{0, 1}}))
 	last := len(m.Members) - 1
--- a/internal/explore/model.go
+++ b/internal/explore/model.go
@@ -1,8 +1,8 @@
 // Package explore is a model checker for the softswitch. It searches the state space of small models, which consist of the
 // production code and a simulated environment, for states that violate an invariant. The main model, CallModel, runs the
 // core and the controller with a few calls and servers; further models run the circuits of the M3UA protocol and the
-// protocols between the members of a tier. An action that violates an invariant yields a counterexample, which is shrunk,
-// can be written as a trace and replayed.
+// protocols between the members of a tier. The actions that lead to a violation of an invariant are a counterexample, which is
+// shrunk, can be written as a trace and replayed.
 package explore
 
 import (
@@ -27,7 +27,7 @@
 
 // The names of the models, values of Config.Model.
 const (
-	ModelCalls       = "calls"    // the core and the decision module
+	ModelCalls       = "calls"    // the core and the controller
 	ModelCircuits    = "circuits" // the circuits of the M3UA signalling protocol to a server
 	ModelMembership  = "members"  // the membership of a tier
 	ModelMaintenance = "works"    // the maintenance of a tier's members that operators request
--- a/internal/explore/search.go
+++ b/internal/explore/search.go
@@ -26,7 +26,7 @@
 	Depth          int    // every state that at most this many actions lead to was visited
 	StopReason     string // bound that stopped the search: depth, time or memory; empty if complete
 	States         int    // distinct states visited
-	Steps          int    // actions applied
+	Steps          int    // actions applied, not counting replays
 	TerminalStates int    // terminal states found by the breadth-first search
 	Walks          int    // random walks made
 	Elapsed        time.Duration
--- a/internal/explore/tier.go
+++ b/internal/explore/tier.go
@@ -86,10 +86,10 @@
 	InFlight    []sentDatagram // undelayed datagrams, in the order of delivery
 	Delayed     []sentDatagram
 	Now         time.Duration
-	FaultsUntil time.Duration // no faults are injected after this time
+	FaultsUntil time.Duration // after this time, faults are injected only until no datagram is in transit
 	FaultsLeft  int           // faults that may still be injected
 	PausesLeft  int           // pauses of members that may still be injected
-	LastFault   time.Duration // time of the last fault, pause, start or end of a pause
+	LastFault   time.Duration // time of the last fault, start of a killed member, or start or end of a pause
 	Settled     bool          // the final state has been reached and checked
 	Violation   *Violation
 }
@@ -159,7 +159,7 @@
 }
 
 // nextDue returns the earliest timer or delayed datagram. For a timer, owner is the index of its member and position its
-// index in Timers; for a datagram, owner is -1 and position its index in t.Delayed. If there is neither, owner is -2.
+// index in Timers; for a datagram, owner is -1 and position its index in m.Delayed. If there is neither, owner is -2.
 func (m *tierModel) nextDue() (owner, position int, at time.Duration) {
 	owner, position = -2, -1
 	for index, member := range m.Members {
