--- a/calls.go
+++ b/calls.go
@@ -96,7 +96,7 @@
 // exceedsTenantShare counts a call of a tenant and returns whether the call is beyond the tenant's share,
 // in deployments where such calls are worth little.
 func (c *Controller) exceedsTenantShare(tenant int) bool {
-	return c.settings.OverShareWorth*highWorthFactor < 1 && c.tenantTracker.ExceedsShare(c.now, tenant)
+	return c.settings.OverShareWorth*highWorthFactor < 1 && c.tenantTracker.CountCall(c.now, tenant)
 }
 
 // isLateTry returns whether a call is known to arrive after its aim has passed. Most calls arrive with the
--- a/cmd/elmseam/upgrade.go
+++ b/cmd/elmseam/upgrade.go
@@ -104,7 +104,7 @@
 	u.mu.Lock()
 	u.localConns[msg.Conn] = connID
 	u.mu.Unlock()
-	callerUp := core.CallerUp{Conn: connID, Protocol: platform.Protocol, HadSetUp: msg.HadSetUp, Open: msg.Pending, Established: msg.Established}
+	callerUp := core.CallerUp{Conn: connID, Protocol: platform.Protocol, Used: msg.Used, Open: msg.Pending, Established: msg.Established}
 	u.platform.Adopt(conn, msg.Unprocessed, callerUp, func() {
 		u.mu.Lock()
 		delete(u.localConns, msg.Conn)
@@ -296,7 +296,7 @@
 	u.mu.Lock()
 	successor := u.successor
 	u.mu.Unlock()
-	err := successor.SendFile(handover.Message{Kind: handover.KindCallerConn, Conn: transfer.To, Unprocessed: unprocessed, Pending: transfer.Open, Established: transfer.Established, HadSetUp: transfer.HadSetUp}, conn)
+	err := successor.SendFile(handover.Message{Kind: handover.KindCallerConn, Conn: transfer.To, Unprocessed: unprocessed, Pending: transfer.Open, Established: transfer.Established, Used: transfer.Used}, conn)
 	if err != nil {
 		return err
 	}
--- a/internal/bgp/speaker.go
+++ b/internal/bgp/speaker.go
@@ -153,7 +153,7 @@
 	if serving {
 		msg = buildAnnouncement(speaker.service, speaker.nextHop, speaker.as, ses.external, ses.fourByteAS)
 	}
-	ses.outbox.Send(link.Item{Data: msg})
+	ses.outbox.Send(link.Message{Data: msg})
 }
 
 // runSession connects to a peer and runs one session until it ends. It reports whether the session was established.
@@ -168,7 +168,7 @@
 		speaker: s, peer: peer, conn: conn, outbox: link.NewOutbox(conn, s.limits.Conn), external: peer.AS != s.as,
 		announced: make(map[netip.Prefix]bool)}
 	defer context.AfterFunc(ctx, func() { ses.notify(codeAdminShutdown) })()
-	ses.outbox.Send(link.Item{Data: openMessage{s.as, s.holdTime, s.routerID}.encode()})
+	ses.outbox.Send(link.Message{Data: openMessage{s.as, s.holdTime, s.routerID}.encode()})
 	established, err = ses.run()
 	s.mu.Lock()
 	delete(s.sessions, ses)
@@ -182,7 +182,7 @@
 
 // notify sends a NOTIFICATION with the given error code and closes the connection.
 func (ses *session) notify(code uint16) {
-	ses.outbox.Send(link.Item{Data: buildMessage(msgNotification, binary.BigEndian.AppendUint16(nil, code))})
+	ses.outbox.Send(link.Message{Data: buildMessage(msgNotification, binary.BigEndian.AppendUint16(nil, code))})
 	ses.outbox.Flush()
 	ses.conn.Close()
 }
@@ -197,7 +197,7 @@
 	for {
 		now := time.Now()
 		if opened && holdTime > 0 && now.Sub(lastKeepalive) >= holdTime/3 {
-			ses.outbox.Send(link.Item{Data: buildMessage(msgKeepalive, nil)})
+			ses.outbox.Send(link.Message{Data: buildMessage(msgKeepalive, nil)})
 			lastKeepalive = now
 		}
 		if holdTime > 0 {
@@ -239,7 +239,7 @@
 				}
 				opened, ses.fourByteAS = true, fourByteAS
 				holdTime = min(holdTime, time.Duration(open.holdTime)*time.Second)
-				ses.outbox.Send(link.Item{Data: buildMessage(msgKeepalive, nil)})
+				ses.outbox.Send(link.Message{Data: buildMessage(msgKeepalive, nil)})
 				lastKeepalive = lastReceived
 			case kind == msgKeepalive && opened:
 				if !established {
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -70,7 +70,7 @@
 		Core: core.Limits{
 			AnswerMargin:        15 * time.Millisecond,
 			RebindTimeout:       100 * time.Millisecond, // a close that crosses a set-up is noticed within 50 ms
-			MinRedialDelay:      100 * time.Millisecond,
+			InitialRedialDelay:  100 * time.Millisecond,
 			MaxRedialDelay:      500 * time.Millisecond,
 			ConnsPerServer:      map[core.Protocol]int{platform.Protocol: 2},
 			MaxServerConns:      parsed.Limits.Sockets - maxCallerConns - reservedSockets,
@@ -89,7 +89,7 @@
 			StopGrace:           700 * time.Millisecond,
 			MaxStopWait:         max(deployment.MaxDeadline, 3*time.Second) + 600*time.Millisecond,
 			StopLinger:          60 * time.Millisecond,             // data that crosses a close arrives within 50 ms
-			MaxCallerConns:      maxCallerConns - maxCallerConns/8, // the remaining eighth is for connections being opened or closed
+			CallerConnsTarget:   maxCallerConns - maxCallerConns/8, // the remaining eighth is for connections being opened or closed
 			NewConnGrace:        250 * time.Millisecond,
 			MaxOpen:             deployment.MaxOpenCalls,
 			MaxEndedCalls:       int(memoryBytes / 8 / endedCallBytes),
--- a/internal/core/callers.go
+++ b/internal/core/callers.go
@@ -10,7 +10,7 @@
 type callerConn struct {
 	id             ConnID
 	protocol       Protocol
-	hadSetUp       bool // the connection has brought a set-up or the end of a call
+	used           bool // the connection has brought a set-up or the end of a call
 	hadEstablished bool // a set-up from the connection was established
 	transferred    bool // the connection was transferred to the successor, which gets the effects for the connection
 
@@ -89,16 +89,16 @@
 // markUsed records that a caller uses its connection. At the first use, releases that waited for a connection go out.
 func (c *Core) markUsed(conn *callerConn) {
 	conn.lastActive = c.now
-	if !conn.hadSetUp {
-		conn.hadSetUp = true
+	if !conn.used {
+		conn.used = true
 		c.flushReleases()
 	}
 }
 
-// acceptsReleases says whether releases of any call can go out on a connection. A transient connection that has not brought a
-// set-up yet may be a health check of the callers' front end, where releases would be lost.
+// acceptsReleases says whether releases of any call can go out on a connection. A transient connection that is not used yet may
+// be a health check of the callers' front end, where releases would be lost.
 func (c *Core) acceptsReleases(conn *callerConn) bool {
-	return conn.hadSetUp || !c.limits.Transient[conn.protocol]
+	return conn.used || !c.limits.Transient[conn.protocol]
 }
 
 // sendRelease tells a caller that an established call has ended, on the connection of the call or, if that is gone, on another of
@@ -153,14 +153,14 @@
 }
 
 // pruneCallers closes connections of callers that have no open set-up: those from which nothing more can be read and, while there
-// are more than MaxCallerConns, the best candidates for eviction. Where every connection has an open set-up, the limit is
+// are more than CallerConnsTarget, the best candidates for eviction. Where every connection has an open set-up, the target is
 // exceeded for a while.
 func (c *Core) pruneCallers() {
-	maxConns := c.limits.MaxCallerConns
+	target := c.limits.CallerConnsTarget
 	if c.sharesCallerLimit { // file descriptors are shared between both processes
-		maxConns /= 2
+		target /= 2
 	}
-	if len(c.callerOrder) <= maxConns && !slices.ContainsFunc(c.callerOrder, func(conn *callerConn) bool { return conn.malformed }) {
+	if len(c.callerOrder) <= target && !slices.ContainsFunc(c.callerOrder, func(conn *callerConn) bool { return conn.malformed }) {
 		return
 	}
 	busy := c.busyConns()
@@ -169,7 +169,7 @@
 			c.closeCaller(conn)
 		}
 	}
-	for len(c.callerOrder) > maxConns {
+	for len(c.callerOrder) > target {
 		victim := c.evictionCandidate(busy)
 		if victim == nil {
 			if !c.pruneTimerSet && c.limits.NewConnGrace > 0 {
@@ -182,14 +182,14 @@
 	}
 }
 
-// evictionCandidate returns the connection to close first: the oldest of those that have brought no set-up, or else the one that
-// has been idle longest. Connections in busy, transferred ones and the newest one are no candidates, nor is one that has brought
-// no set-up and is younger than NewConnGrace, as its first set-up may be on its way. The result is nil if there is no candidate.
+// evictionCandidate returns the connection to close first: the oldest of the unused ones, or else the one that has been idle
+// longest. Connections in busy, transferred ones and the newest one are no candidates, nor is an unused one that is younger than
+// NewConnGrace, as its first set-up may be on its way. The result is nil if there is no candidate.
 func (c *Core) evictionCandidate(busy map[ConnID]bool) (victim *callerConn) {
 	for _, conn := range c.callerOrder[:max(len(c.callerOrder)-1, 0)] {
 		switch {
-		case busy[conn.id], conn.transferred, !conn.hadSetUp && c.now < conn.lastActive+c.limits.NewConnGrace:
-		case victim == nil, victim.hadSetUp && !conn.hadSetUp, victim.hadSetUp == conn.hadSetUp && conn.lastActive < victim.lastActive:
+		case busy[conn.id], conn.transferred, !conn.used && c.now < conn.lastActive+c.limits.NewConnGrace:
+		case victim == nil, victim.used && !conn.used, victim.used == conn.used && conn.lastActive < victim.lastActive:
 			victim = conn
 		}
 	}
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -53,9 +53,9 @@
 func newHarnessWith(t *testing.T, settings elmseam.Settings) *harness {
 	t.Helper()
 	c, err := New(settings, 1, Limits{
-		AnswerMargin: 15 * ms, RebindTimeout: 100 * ms, MinRedialDelay: 100 * ms, MaxRedialDelay: 500 * ms,
+		AnswerMargin: 15 * ms, RebindTimeout: 100 * ms, InitialRedialDelay: 100 * ms, MaxRedialDelay: 500 * ms,
 		Probe:           probe.Limits{Permitted: len(settings.Tenants) > 0, Rate: 5, Burst: 2, Timeout: 300 * ms},
-		ServerLostAfter: 6 * time.Second, StopGrace: 700 * ms, MaxStopWait: 9 * time.Second, MaxCallerConns: 100, MaxOpen: 100, MaxCallBytes: 100, EndedCallTTL: time.Minute, ReportedDrainTTL: 5 * time.Second,
+		ServerLostAfter: 6 * time.Second, StopGrace: 700 * ms, MaxStopWait: 9 * time.Second, CallerConnsTarget: 100, MaxOpen: 100, MaxCallBytes: 100, EndedCallTTL: time.Minute, ReportedDrainTTL: 5 * time.Second,
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -377,13 +377,13 @@
 	h.want(h.step(SetUp{ID: 8, From: 2, Cell: 0, TimeLeft: 5 * time.Second, At: h.now}), "rejected8@2 ")
 }
 
-// When callers hold more than MaxCallerConns connections, those without a set-up are closed first, then those idle longest.
+// When callers hold more than CallerConnsTarget connections, those without a set-up are closed first, then those idle longest.
 // Connections with an open set-up stay, and so does the newest, as its set-up may be on its way: the next connection whose
 // set-up is answered is closed instead. Guards against closing the newest connection with its set-up, and against closing a
 // connection before the answer just written can be read.
 func TestSurplusCallerConnectionsAreClosed(t *testing.T) {
 	h := newHarness(t)
-	h.core.limits.MaxCallerConns = 4
+	h.core.limits.CallerConnsTarget = 4
 	for conn := ConnID(2); conn <= 4; conn++ {
 		h.now += ms
 		h.want(h.step(CallerUp{Conn: conn, Protocol: "f"}), "")
--- a/internal/core/crossings_test.go
+++ b/internal/core/crossings_test.go
@@ -29,7 +29,7 @@
 	h.want(h.setUp(7, 5*time.Second)+h.step(CallerIdle{Conn: 1}), "offer7@10 ")
 	h.want(h.step(ServerAnswer{Server: "a", ID: 7})+h.step(CallerIdle{Conn: 1}), "answered7@1 close@1 ")
 	h.want(h.step(CallerIdle{Conn: 1}), "")
-	h.step(CallerUp{Conn: 2, Protocol: "f", Open: []ID{5}, HadSetUp: true})
+	h.step(CallerUp{Conn: 2, Protocol: "f", Open: []ID{5}, Used: true})
 	h.want(h.step(CallerIdle{Conn: 2}), "")
 	h.step(Relayed{Protocol: "f", Conn: 2, Effect: Rejected{ID: 5}})
 	h.want(h.step(CallerIdle{Conn: 2}), "close@2 ")
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -51,7 +51,7 @@
 	// The ids have to fit into one message. Open set-ups go first: their answers need this connection, whereas the release of an
 	// established call can be sent on another one.
 	established = established[:min(len(established), max(c.limits.MaxTransferredCalls-len(open), 0))]
-	c.emit(Transfer{To: id, Open: open, Established: established, HadSetUp: conn.hadSetUp})
+	c.emit(Transfer{To: id, Open: open, Established: established, Used: conn.used})
 }
 
 // transfersPending says whether a connection of a caller still has to be transferred, or its transfer is not confirmed yet.
@@ -63,7 +63,7 @@
 
 // adoptTransferred records the calls that the predecessor has on a connection that it transferred.
 func (c *Core) adoptTransferred(conn *callerConn, ev CallerUp) {
-	if conn.hadSetUp = ev.HadSetUp; conn.hadSetUp {
+	if conn.used = ev.Used; conn.used {
 		c.flushReleases()
 	}
 	for _, id := range ev.Open {
--- a/internal/core/ops_test.go
+++ b/internal/core/ops_test.go
@@ -96,7 +96,7 @@
 	h := newHarness(t)
 	h.enableDrains()
 	h.step(Predecessor{Present: true})
-	h.want(h.step(CallerUp{Conn: 5, Protocol: "f", HadSetUp: true, Open: []ID{1, 2, 3}, Established: []ID{4, 5}}), "")
+	h.want(h.step(CallerUp{Conn: 5, Protocol: "f", Used: true, Open: []ID{1, 2, 3}, Established: []ID{4, 5}}), "")
 	relay := func(e Effect) string { return h.step(Relayed{Protocol: "f", Conn: 5, Effect: e}) }
 	h.want(relay(Answered{ID: 1}), "answered1@5 ")
 	h.want(relay(Answered{ID: 1}), "")
--- a/internal/core/servers.go
+++ b/internal/core/servers.go
@@ -374,7 +374,7 @@
 	if !s.dialing && !s.redialPending && s.usableConns() < c.wantedConns(s) {
 		at := c.now
 		if cause == elmseam.CauseUnreachable {
-			s.backoff = min(max(2*s.backoff, c.limits.MinRedialDelay), c.limits.MaxRedialDelay)
+			s.backoff = min(max(2*s.backoff, c.limits.InitialRedialDelay), c.limits.MaxRedialDelay)
 			at += s.backoff
 		}
 		s.redialPending = true
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -68,7 +68,7 @@
 	CallerUp struct {
 		Conn        ConnID
 		Protocol    Protocol
-		HadSetUp    bool // a set-up or the end of a call came on the connection before its transfer
+		Used        bool // a set-up or the end of a call came on the connection before its transfer
 		Open        []ID // set-ups that the predecessor has not answered yet
 		Established []ID // calls that are established on the predecessor
 	}
@@ -307,7 +307,7 @@
 		To          ConnID
 		Open        []ID // set-ups that this process still has to answer
 		Established []ID // calls that are established on this process
-		HadSetUp    bool
+		Used        bool // a set-up or the end of a call has come on the connection
 	}
 	// ToPredecessor passes an event to the predecessor.
 	ToPredecessor struct{ Event Event }
@@ -406,7 +406,7 @@
 type Limits struct {
 	AnswerMargin        time.Duration     // the final answer is given this long before the caller's time limit
 	RebindTimeout       time.Duration     // a set-up whose connection has ended is given up if the caller does not send it again within this time
-	MinRedialDelay      time.Duration     // wait after a first failed attempt to reach a server; doubled by each further one
+	InitialRedialDelay  time.Duration     // wait after a first failed attempt to reach a server; doubled by each further one
 	MaxRedialDelay      time.Duration     // longest wait after a failed attempt to reach a server
 	ConnsPerServer      map[Protocol]int  // max connections to one server, by its protocol; 1 where the protocol is missing
 	MaxServerConns      int               // max connections to all servers together; 0: no limit
@@ -424,8 +424,8 @@
 	StopGrace           time.Duration     // time after a Stop in which new calls are still accepted
 	MaxStopWait         time.Duration     // longest wait after a Stop or a HandOver for calls to end
 	StopLinger          time.Duration     // time between the last call and the closing of connections, in which late set-ups are refused
-	MaxCallerConns      int               // max connections of callers
-	NewConnGrace        time.Duration     // age at which a connection without a set-up may be closed; before that its set-up may be on its way
+	CallerConnsTarget   int               // connections of callers above which some are closed; exceeded while every connection has an open set-up
+	NewConnGrace        time.Duration     // age at which an unused connection may be closed; before that its first set-up may be on its way
 	MaxOpen             int               // max set-ups without a final answer at a time
 	MaxCallBytes        int               // max memory that the descriptions and numbers of all calls may take, in bytes
 	RetryAfterHint      time.Duration     // RetryAfter of refusals that the core gives without asking the controller
--- a/internal/explore/invariants.go
+++ b/internal/explore/invariants.go
@@ -41,7 +41,7 @@
 	Attempts       int       // attempts sent
 	MaxAttempts    int       // attempts allowed by the settings at the set-up
 	Outstanding    int       // attempts without an answer
-	BadEndAt       core.Time // end of the last attempt, whether bad or not
+	LastEndAt      core.Time // end of the last attempt, whether bad or not
 	EndedBadly     bool      // the last attempt ended by a time-out, a reset or a cancel
 	FinalAnswers   int       // final answers sent to the caller
 	WasEstablished bool      // a final answer said that the call is established
@@ -67,8 +67,8 @@
 		m.recordViolation(OneOutstandingAttempt, "call %d has a second outstanding attempt", index)
 	case account.Attempts >= account.MaxAttempts:
 		m.recordViolation(AttemptLimit, "call %d is sent %d times, more often than its settings allow", index, account.Attempts+1)
-	case account.EndedBadly && m.Now < account.BadEndAt+releaseGuardTime:
-		m.recordViolation(ReleaseGuard, "call %d is sent %v after its last attempt ended", index, m.Now-account.BadEndAt)
+	case account.EndedBadly && m.Now < account.LastEndAt+releaseGuardTime:
+		m.recordViolation(ReleaseGuard, "call %d is sent %v after its last attempt ended", index, m.Now-account.LastEndAt)
 	case m.Servers[conn.Server].Phase != phaseReady:
 		m.recordViolation(NoSetUpToDrained, "call %d is sent to server %d, which is not ready", index, conn.Server)
 	case account.FinalAnswers > 0 || account.CallerGone:
@@ -84,7 +84,7 @@
 	if account.Outstanding > 0 {
 		account.Outstanding--
 	}
-	account.EndedBadly, account.BadEndAt = bad, m.Now
+	account.EndedBadly, account.LastEndAt = bad, m.Now
 }
 
 // checkFinalAnswer checks a final answer that the core sends to a caller, and counts it.
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -64,7 +64,7 @@
 	Unprocessed   []byte        `json:"rest,omitempty"`    // bytes read from the connection and not yet processed
 	Pending       []core.ID     `json:"open,omitempty"`    // calls of the connection without a final answer
 	Established   []core.ID     `json:"stand,omitempty"`   // established calls of the connection
-	HadSetUp      bool          `json:"asked,omitempty"`   // the connection has carried a set-up
+	Used          bool          `json:"asked,omitempty"`   // the connection has carried a set-up or the end of a call
 	Effect        string        `json:"effect,omitempty"`  // "answered", "rejected" or "released"
 	ID            core.ID       `json:"id,omitempty"`      // the call that the message is about
 	Desc          []byte        `json:"desc,omitempty"`    // description in an answer
--- a/internal/knowledge/reducer.go
+++ b/internal/knowledge/reducer.go
@@ -49,7 +49,7 @@
 	observers    []observer   // by member
 	available    []bool       // by member, as membership reports it
 	queried      map[int]bool // members queried since the start
-	tries        int          // rounds of queries sent
+	queryRounds  int          // rounds of queries sent
 	answered     bool         // no more queries are needed
 	emptyAnswers int          // number of answers without entries; as many as Fanout end the queries
 	timerSeq     uint32       // token of the only valid timer
@@ -143,11 +143,11 @@
 // query sends queries to a few members after the start, until one has answered. Each time it prefers members that
 // were not queried before, and among those the available ones.
 func (r *Reducer) query() {
-	if r.answered || r.tries >= r.cfg.Limits.MaxTries || r.cfg.TierSize == 1 {
+	if r.answered || r.queryRounds >= r.cfg.Limits.MaxQueryRounds || r.cfg.TierSize == 1 {
 		return
 	}
 	if len(r.local) > 0 {
-		r.tries++
+		r.queryRounds++
 		candidates := r.rng.Perm(r.cfg.TierSize)
 		// rank orders the candidates: available before unavailable members, members already queried last.
 		rank := func(member int) (value int) {
--- a/internal/knowledge/types.go
+++ b/internal/knowledge/types.go
@@ -42,8 +42,8 @@
 	Fanout int
 	// RetryInterval is the wait of a newly started member before it queries other members if none has answered.
 	RetryInterval time.Duration
-	// MaxTries is the max number of rounds in which a newly started member sends queries.
-	MaxTries int
+	// MaxQueryRounds is the max number of rounds in which a newly started member sends queries.
+	MaxQueryRounds int
 	// MaxServers is the max number of entries kept for each observer.
 	MaxServers int
 }
@@ -51,7 +51,7 @@
 // Defaults returns the limits for the platform.
 func Defaults() Limits {
 	return Limits{HalfLife: 500 * time.Millisecond, SlowHalfLife: 10 * time.Second, MaxAge: 30 * time.Second, Fanout: 3,
-		RetryInterval: 250 * time.Millisecond, MaxTries: 4, MaxServers: 64}
+		RetryInterval: 250 * time.Millisecond, MaxQueryRounds: 4, MaxServers: 64}
 }
 
 // Check returns an error that names the first invalid limit, by its key in the settings if it has one.
@@ -67,8 +67,8 @@
 		return fmt.Errorf("ask: %d, not in [1, 8]", l.Fanout)
 	case l.RetryInterval < 50*time.Millisecond || l.RetryInterval > 10*time.Second:
 		return fmt.Errorf("retry interval: %v, not in [50ms, 10s]", l.RetryInterval)
-	case l.MaxTries < 1 || l.MaxTries > 16:
-		return fmt.Errorf("max tries: %d, not in [1, 16]", l.MaxTries)
+	case l.MaxQueryRounds < 1 || l.MaxQueryRounds > 16:
+		return fmt.Errorf("max tries: %d, not in [1, 16]", l.MaxQueryRounds)
 	case l.MaxServers < 1 || l.MaxServers > 1024:
 		return fmt.Errorf("max servers: %d, not in [1, 1024]", l.MaxServers)
 	}
--- a/internal/lab/checker.go
+++ b/internal/lab/checker.go
@@ -140,8 +140,8 @@
 	c.secondAt(at).Offered++
 }
 
-// Withdraw takes back a set-up that could not be written whole: no answer is expected for it.
-func (c *Checker) Withdraw(id uint64) {
+// RecordNotWritten takes back a set-up that could not be written whole: no answer is expected for it.
+func (c *Checker) RecordNotWritten(id uint64) {
 	if s := c.setUps[id]; s != nil {
 		c.secondAt(s.sent).Offered--
 		delete(c.setUps, id)
--- a/internal/lab/network_conditions.go
+++ b/internal/lab/network_conditions.go
@@ -6,7 +6,7 @@
 )
 
 // NetworkConditions describes what the simulated network does to datagrams between softswitches at present. It does
-// no I/O; the relay calls Deliver for each datagram.
+// no I/O; the relay calls DrawDelivery for each datagram.
 type NetworkConditions struct {
 	Groups    map[int]int   // softswitch index -> group; groups don't reach each other; nil: no partition
 	OneWay    bool          // only datagrams from group 0 to the other groups are dropped
@@ -22,8 +22,8 @@
 	Delays []time.Duration
 }
 
-// Deliver decides what becomes of a datagram from one softswitch to another.
-func (c *NetworkConditions) Deliver(from, to int, rng *rand.Rand) Delivery {
+// DrawDelivery decides what becomes of a datagram from one softswitch to another.
+func (c *NetworkConditions) DrawDelivery(from, to int, rng *rand.Rand) Delivery {
 	if c.Groups != nil {
 		fromGroup, toGroup := c.Groups[from], c.Groups[to]
 		if fromGroup != toGroup && (!c.OneWay || fromGroup == 0) {
--- a/internal/lab/observations.go
+++ b/internal/lab/observations.go
@@ -44,10 +44,10 @@
 	r.checker.RecordFinalAnswer(r.now(), id, served)
 }
 
-// setUpNotWritten implements callerObserver: it withdraws the set-up at the checker.
+// setUpNotWritten implements callerObserver.
 func (r *runner) setUpNotWritten(id uint64) {
 	r.mu.Lock()
-	r.checker.Withdraw(id)
+	r.checker.RecordNotWritten(id)
 	r.mu.Unlock()
 }
 
--- a/internal/lab/relay.go
+++ b/internal/lab/relay.go
@@ -125,7 +125,7 @@
 // forward delivers one datagram, or drops it, as the present conditions decide.
 func (r *Relay) forward(src, dst int, data []byte) {
 	r.mu.Lock()
-	delivery := r.conditions.Deliver(src, dst, r.rng)
+	delivery := r.conditions.DrawDelivery(src, dst, r.rng)
 	r.mu.Unlock()
 	if delivery.Drop {
 		r.Counters.Dropped.Add(1)
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -33,8 +33,8 @@
 	return conn, peer
 }
 
-// TestStalledPeerDoesNotBlockSend checks that Send does not block when the peer reads nothing, and that queued items can be
-// withdrawn one by one or all at once. Since the write in progress may contain further items, WithdrawAll must close the
+// TestStalledPeerDoesNotBlockSend checks that Send does not block when the peer reads nothing, and that queued messages can be
+// withdrawn one by one or all at once. Since the write in progress may contain further messages, WithdrawAll must close the
 // connection, so that the peer does not receive them late.
 func TestStalledPeerDoesNotBlockSend(t *testing.T) {
 	conn, _ := tcpPair(t)
@@ -46,15 +46,15 @@
 	}
 	for !stalled() { // fill the kernel's socket buffers
 		if outbox.queuedSize() < 32<<20 {
-			outbox.Send(Item{Data: make([]byte, 64<<10)})
+			outbox.Send(Message{Data: make([]byte, 64<<10)})
 		}
 		time.Sleep(time.Millisecond)
 	}
 	for id := uint64(1); id <= 3; id++ {
-		outbox.Send(Item{Data: []byte("offer"), ID: id, Withdrawable: true, Deadline: time.Now().Add(time.Minute)})
+		outbox.Send(Message{Data: []byte("offer"), ID: id, Withdrawable: true, Deadline: time.Now().Add(time.Minute)})
 	}
 	if !outbox.Withdraw(2) || outbox.Withdraw(2) {
-		t.Error("a queued item can be withdrawn exactly once")
+		t.Error("a queued message can be withdrawn exactly once")
 	}
 	if ids := outbox.WithdrawAll(); len(ids) != 2 || ids[0] != 1 || ids[1] != 3 {
 		t.Errorf("withdrawn %v, want 1 and 3", ids)
@@ -64,15 +64,15 @@
 	}
 }
 
-// TestExpiredItemIsNotWritten checks that a withdrawable item whose deadline has passed is dropped, and that the read buffer
-// grows, is compacted and stops at its maximum size.
-func TestExpiredItemIsNotWritten(t *testing.T) {
+// TestExpiredMessageIsNotWritten checks that a withdrawable message whose deadline has passed is dropped, and that the read
+// buffer grows, is compacted and stops at its maximum size.
+func TestExpiredMessageIsNotWritten(t *testing.T) {
 	conn, peer := net.Pipe()
 	defer peer.Close()
 	outbox := NewOutbox(conn, Limits{InitialBufferSize: 1 << 10, MaxQueuedBytes: 1 << 10, WriteTimeout: time.Minute})
 	expired := make(chan bool, 1)
-	outbox.Send(Item{Data: []byte("late"), Withdrawable: true, Deadline: time.Now().Add(-time.Second), OnExpired: func() { expired <- true }})
-	outbox.Send(Item{Data: []byte("next")})
+	outbox.Send(Message{Data: []byte("late"), Withdrawable: true, Deadline: time.Now().Add(-time.Second), OnExpired: func() { expired <- true }})
+	outbox.Send(Message{Data: []byte("next")})
 	buf := NewBuffer(1, 8) // grows from one byte and is compacted in place
 	for !bytes.Equal(buf.Bytes(), []byte("next")) {
 		if err := buf.Fill(peer); err != nil {
@@ -81,7 +81,7 @@
 	}
 	<-expired
 	buf.Skip(3)
-	outbox.Send(Item{Data: []byte("1234567")})
+	outbox.Send(Message{Data: []byte("1234567")})
 	for len(buf.Bytes()) < 8 {
 		if err := buf.Fill(peer); err != nil {
 			t.Fatal(err)
@@ -99,20 +99,20 @@
 	return o.queuedBytes
 }
 
-// TestFinishWritesAllQueuedItems guards against data that is lost when a connection ends while its peer reads nothing for some
-// time: what was not written within 50 ms was cut off. All queued data must be written, followed by a half-close and not a
-// reset, even if the peer goes on sending.
-func TestFinishWritesAllQueuedItems(t *testing.T) {
+// TestFinishWritesAllQueuedMessages guards against data that is lost when a connection ends while its peer reads nothing for
+// some time: what was not written within 50 ms was cut off. All queued data must be written, followed by a half-close and not
+// a reset, even if the peer goes on sending.
+func TestFinishWritesAllQueuedMessages(t *testing.T) {
 	conn, peer := tcpPair(t)
 	outbox := NewOutbox(conn, Limits{InitialBufferSize: 1 << 10, MaxQueuedBytes: 64 << 20, WriteTimeout: time.Minute, FlushTimeout: time.Millisecond})
 	total := 0
 	for n := 64 << 10; total < 16<<20; total += n { // more than the kernel's socket buffers hold
-		outbox.Send(Item{Data: make([]byte, n)})
+		outbox.Send(Message{Data: make([]byte, n)})
 	}
 	done := make(chan struct{})
 	outbox.Finish(func() { close(done) })
 	outbox.Finish(func() { t.Error("the second Finish called its function") })
-	outbox.Send(Item{Data: []byte("too late")})
+	outbox.Send(Message{Data: []byte("too late")})
 	if outbox.Flush() {
 		t.Error("the queue was written at once: the test did not reach its case")
 	}
--- a/internal/link/outbox.go
+++ b/internal/link/outbox.go
@@ -23,14 +23,14 @@
 	FlushTimeout      time.Duration // max wait of Flush; WithdrawAll closes the connection if a write has taken longer
 }
 
-// Item is a message to be written.
-type Item struct {
+// Message is a message that an Outbox writes.
+type Message struct {
 	Data         []byte
-	ID           uint64    // identifies a withdrawable item
-	Withdrawable bool      // Data starts a set-up: the item can be withdrawn while queued, and expires at Deadline
-	Deadline     time.Time // a withdrawable item is not written after this time
-	OnWritten    func()    // called when the item has been written; may be nil
-	OnExpired    func()    // called when the item was dropped because its deadline had passed; required for a withdrawable item
+	ID           uint64    // identifies a withdrawable message
+	Withdrawable bool      // Data starts a set-up: the message can be withdrawn while queued, and expires at Deadline
+	Deadline     time.Time // a withdrawable message is not written after this time
+	OnWritten    func()    // called when the message has been written; may be nil
+	OnExpired    func()    // called when the message was dropped because its deadline had passed; required for a withdrawable message
 }
 
 // Outbox writes messages to a connection in order. Its user never waits for the peer: a goroutine writes while the queue is
@@ -41,8 +41,8 @@
 	writer *bufio.Writer
 
 	mu           sync.Mutex // guards the fields below
-	queue        []Item
-	queuedBytes  int       // total size of the items in queue
+	queue        []Message
+	queuedBytes  int       // total size of the messages in queue
 	writing      bool      // writeLoop is running
 	writeStarted time.Time // start of the write in progress; zero if there is none
 	closed       bool
@@ -56,30 +56,30 @@
 
 // Send queues a message. It closes the connection if more than limits.MaxQueuedBytes are queued. After Finish or Close the
 // message is dropped.
-func (o *Outbox) Send(item Item) {
+func (o *Outbox) Send(message Message) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.closed || o.onFinished != nil {
 		return
 	}
-	if o.queuedBytes += len(item.Data); o.queuedBytes > o.limits.MaxQueuedBytes {
+	if o.queuedBytes += len(message.Data); o.queuedBytes > o.limits.MaxQueuedBytes {
 		o.closeLocked()
 		return
 	}
-	o.queue = append(o.queue, item)
+	o.queue = append(o.queue, message)
 	if !o.writing {
 		o.writing = true
 		go o.writeLoop()
 	}
 }
 
-// Withdraw removes the withdrawable item with the given id from the queue. It reports whether the item was still queued.
+// Withdraw removes the withdrawable message with the given id from the queue. It reports whether the message was still queued.
 func (o *Outbox) Withdraw(id uint64) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	for i, item := range o.queue {
-		if item.Withdrawable && item.ID == id {
-			o.queuedBytes -= len(item.Data)
+	for i, message := range o.queue {
+		if message.Withdrawable && message.ID == id {
+			o.queuedBytes -= len(message.Data)
 			o.queue = append(o.queue[:i], o.queue[i+1:]...)
 			return true
 		}
@@ -87,18 +87,18 @@
 	return false
 }
 
-// WithdrawAll removes all withdrawable items from the queue and returns their ids. If a write has been in progress for more than
-// limits.FlushTimeout it closes the connection: the write may contain items that the peer would receive too late.
+// WithdrawAll removes all withdrawable messages from the queue and returns their ids. If a write has been in progress for more
+// than limits.FlushTimeout it closes the connection: the write may contain messages that the peer would receive too late.
 func (o *Outbox) WithdrawAll() (ids []uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	remaining := o.queue[:0]
-	for _, item := range o.queue {
-		if item.Withdrawable {
-			ids = append(ids, item.ID)
-			o.queuedBytes -= len(item.Data)
+	for _, message := range o.queue {
+		if message.Withdrawable {
+			ids = append(ids, message.ID)
+			o.queuedBytes -= len(message.Data)
 		} else {
-			remaining = append(remaining, item)
+			remaining = append(remaining, message)
 		}
 	}
 	o.queue = remaining
@@ -136,7 +136,7 @@
 	o.conn.Close()
 }
 
-// writeLoop writes until the queue is empty or the connection is closed. The size of one write is limited so that the items
+// writeLoop writes until the queue is empty or the connection is closed. The size of one write is limited so that the messages
 // behind it can still be withdrawn.
 func (o *Outbox) writeLoop() {
 	for {
@@ -154,15 +154,15 @@
 		o.conn.SetWriteDeadline(now.Add(o.limits.WriteTimeout))
 		var err error
 		written := batch[:0]
-		for _, item := range batch {
-			if item.Withdrawable && now.After(item.Deadline) {
-				item.OnExpired()
+		for _, message := range batch {
+			if message.Withdrawable && now.After(message.Deadline) {
+				message.OnExpired()
 				continue
 			}
-			if _, err = o.writer.Write(item.Data); err != nil {
+			if _, err = o.writer.Write(message.Data); err != nil {
 				break
 			}
-			written = append(written, item)
+			written = append(written, message)
 		}
 		if err == nil {
 			err = o.writer.Flush()
@@ -171,17 +171,17 @@
 			o.Close()
 			return
 		}
-		for _, item := range written {
-			if item.OnWritten != nil {
-				item.OnWritten()
+		for _, message := range written {
+			if message.OnWritten != nil {
+				message.OnWritten()
 			}
 		}
 	}
 }
 
-// nextBatch removes the items of the next write from the queue. When the queue is empty it returns the function passed to
+// nextBatch removes the messages of the next write from the queue. When the queue is empty it returns the function passed to
 // Finish, if any.
-func (o *Outbox) nextBatch() (batch []Item, done func()) {
+func (o *Outbox) nextBatch() (batch []Message, done func()) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.writeStarted = (time.Time{}); o.closed || len(o.queue) == 0 {
@@ -196,7 +196,7 @@
 		size += len(o.queue[count].Data)
 		count++
 	}
-	batch = append([]Item(nil), o.queue[:count]...)
+	batch = append([]Message(nil), o.queue[:count]...)
 	o.queue = append(o.queue[:0], o.queue[count:]...)
 	o.queuedBytes -= size
 	o.writeStarted = time.Now()
--- a/internal/loop/loop_test.go
+++ b/internal/loop/loop_test.go
@@ -33,7 +33,7 @@
 	for range 50 { // how many items the loop takes before it ends is random
 		c, err := core.New(elmseam.Settings{
 			Classes: []elmseam.Class{{Deadline: time.Second, Worth: 1}}, MaxAttempts: 1, OwnCell: -1,
-		}, 1, core.Limits{MaxCallerConns: 100, MaxOpen: 1})
+		}, 1, core.Limits{CallerConnsTarget: 100, MaxOpen: 1})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/m3ua/caller.go
+++ b/internal/m3ua/caller.go
@@ -214,7 +214,7 @@
 		c.m3ua.log.Error().Err(err).Msg("ISUP message not sent")
 		return
 	}
-	c.outbox.Send(link.Item{Data: buildData(circ, c.m3ua.NetworkIndicator, c.m3ua.RoutingContext, isup)})
+	c.outbox.Send(link.Message{Data: buildData(circ, c.m3ua.NetworkIndicator, c.m3ua.RoutingContext, isup)})
 }
 
 // callerEffects is the loop.EffectHandler of a caller's connection.
--- a/internal/m3ua/m3ua_test.go
+++ b/internal/m3ua/m3ua_test.go
@@ -136,7 +136,7 @@
 		ReportMetrics: []elmseam.LoadMetric{elmseam.LoadMetricHoldBackShare},
 	}
 	reducer, err := core.New(controllerSettings, 1, core.Limits{AnswerMargin: 15 * time.Millisecond, RebindTimeout: 100 * time.Millisecond,
-		MinRedialDelay: time.Millisecond, MaxRedialDelay: time.Millisecond, ServerLostAfter: time.Minute, MaxCallerConns: 100, MaxOpen: 10000, MaxCallBytes: 1 << 20, EndedCallTTL: time.Minute})
+		InitialRedialDelay: time.Millisecond, MaxRedialDelay: time.Millisecond, ServerLostAfter: time.Minute, CallerConnsTarget: 100, MaxOpen: 10000, MaxCallBytes: 1 << 20, EndedCallTTL: time.Minute})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/m3ua/session.go
+++ b/internal/m3ua/session.go
@@ -30,7 +30,7 @@
 
 // send queues a message.
 func (s *session) send(kind uint16, params ...param) {
-	s.outbox.Send(link.Item{Data: buildMessage(kind, params...)})
+	s.outbox.Send(link.Message{Data: buildMessage(kind, params...)})
 }
 
 // read reads and dispatches messages until the connection ends. It answers a malformed or unexpected message with an
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -48,7 +48,7 @@
 		mandatory = append(mandatory, r.currentUpdate(to))
 	}
 	updates := mandatory
-	for _, p := range r.updateQueue[:min(len(r.updateQueue), r.cfg.Limits.MaxDatagram/2)] { // more never fit: an update takes at least 2 bytes
+	for _, p := range r.updateQueue[:min(len(r.updateQueue), r.cfg.Limits.MaxDatagramSize/2)] { // more never fit: an update takes at least 2 bytes
 		updates = append(updates, p.update)
 	}
 	if fromQueue := r.sendUpdates(to, msg, updates) - len(mandatory); fromQueue > 0 {
@@ -60,7 +60,7 @@
 func (r *Reducer) sendUpdates(to int, msg message, updates []update) int {
 	self := r.self()
 	msg.Tier, msg.State, msg.Incarnation = uint16(r.cfg.TierSize), self.State, self.Incarnation
-	data, count := msg.encode(updates, r.cfg.Limits.MaxDatagram)
+	data, count := msg.encode(updates, r.cfg.Limits.MaxDatagramSize)
 	r.counters.Sent++
 	r.counters.SentBytes += uint64(len(data))
 	r.emit(Send{To: to, Data: data})
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -103,7 +103,7 @@
 	oldIncarnation := tier.StateOf(0, 3).Incarnation
 	tier.Kill(3)
 	tier.advance(10 * second)
-	tier.Skew(3, -time.Hour)
+	tier.SetClockSkew(3, -time.Hour)
 	if err := tier.Start(3); err != nil {
 		t.Fatal(err)
 	}
@@ -351,7 +351,7 @@
 		"period":        func(l *membership.Limits) { l.Period = 0 },
 		"timeout":       func(l *membership.Limits) { l.ProbeTimeout = l.Period },
 		"suspicion_min": func(l *membership.Limits) { l.SuspicionMin = 0 },
-		"datagram":      func(l *membership.Limits) { l.MaxDatagram = 257 },
+		"datagram":      func(l *membership.Limits) { l.MaxDatagramSize = 257 },
 	} {
 		l := membership.Defaults()
 		invalidate(&l)
--- a/internal/membership/reducer.go
+++ b/internal/membership/reducer.go
@@ -358,7 +358,7 @@
 	if d.From == r.cfg.Self { // sent through peers_all, which reaches the sender too
 		return
 	}
-	msg, updates, err := decode(d.Data, r.cfg.TierSize, r.cfg.Limits.MaxDatagram)
+	msg, updates, err := decode(d.Data, r.cfg.TierSize, r.cfg.Limits.MaxDatagramSize)
 	if err == nil && r.tooFarAhead(msg.Incarnation) {
 		err = datagram.ErrMalformed
 	}
--- a/internal/membership/types.go
+++ b/internal/membership/types.go
@@ -52,19 +52,19 @@
 
 // Limits are the times and counts of the protocol. Check reports an invalid value.
 type Limits struct {
-	Period         time.Duration // protocol period T' (SWIM 3.1); one probe starts in each
-	ProbeTimeout   time.Duration // time-out of a direct probe; shorter than Period
-	IndirectProbes int           // k, the number of members asked to probe on this member's behalf
-	SuspicionMin   float64       // α: the shortest suspicion time-out is α·max(1, log10 n) periods; n: members not dead or left
-	SuspicionMax   float64       // β: the time-out without confirmations is β times the shortest; 1 makes it constant
-	Confirmations  int           // K, the number of independent confirmations that bring the time-out to its minimum
-	RetransmitMult int           // λ: each update is sent λ·⌈log10(n+1)⌉ times; n: members of the tier
-	MaxHealth      int           // S, the maximum of the local health multiplier; 0 disables local health awareness
-	StallThreshold time.Duration // a period timer overdue by more than this shows that the process was paused; 0: never
-	ReclaimPeriods int           // periods between two probes of members considered dead
-	MaxDatagram    int           // maximum size of a datagram, in bytes
-	MaxRelays      int           // maximum number of concurrent probes on behalf of other members
-	MaxSkew        time.Duration // an incarnation further ahead of this member's clock is rejected as malformed
+	Period          time.Duration // protocol period T' (SWIM 3.1); one probe starts in each
+	ProbeTimeout    time.Duration // time-out of a direct probe; shorter than Period
+	IndirectProbes  int           // k, the number of members asked to probe on this member's behalf
+	SuspicionMin    float64       // α: the shortest suspicion time-out is α·max(1, log10 n) periods; n: members not dead or left
+	SuspicionMax    float64       // β: the time-out without confirmations is β times the shortest; 1 makes it constant
+	Confirmations   int           // K, the number of independent confirmations that bring the time-out to its minimum
+	RetransmitMult  int           // λ: each update is sent λ·⌈log10(n+1)⌉ times; n: members of the tier
+	MaxHealth       int           // S, the maximum of the local health multiplier; 0 disables local health awareness
+	StallThreshold  time.Duration // a period timer overdue by more than this shows that the process was paused; 0: never
+	ReclaimPeriods  int           // periods between two probes of members considered dead
+	MaxDatagramSize int           // maximum size of a datagram, in bytes
+	MaxRelays       int           // maximum number of concurrent probes on behalf of other members
+	MaxSkew         time.Duration // an incarnation further ahead of this member's clock is rejected as malformed
 }
 
 // Defaults returns the limits for a tier on the platform.
@@ -72,7 +72,7 @@
 	return Limits{
 		Period: 500 * time.Millisecond, ProbeTimeout: 150 * time.Millisecond, IndirectProbes: 3,
 		SuspicionMin: 4, SuspicionMax: 4, Confirmations: 3, RetransmitMult: 4, MaxHealth: 8,
-		StallThreshold: 400 * time.Millisecond, ReclaimPeriods: 4, MaxDatagram: datagram.MaxSize, MaxRelays: 64, MaxSkew: time.Hour,
+		StallThreshold: 400 * time.Millisecond, ReclaimPeriods: 4, MaxDatagramSize: datagram.MaxSize, MaxRelays: 64, MaxSkew: time.Hour,
 	}
 }
 
@@ -99,8 +99,8 @@
 		return fmt.Errorf("stall: %v is negative", l.StallThreshold)
 	case l.ReclaimPeriods < 1 || l.ReclaimPeriods > 1000:
 		return fmt.Errorf("reclaim: %d, not in [1, 1000]", l.ReclaimPeriods)
-	case l.MaxDatagram < 64 || l.MaxDatagram > datagram.MaxSize:
-		return fmt.Errorf("datagram: %d, not in [64, %d]", l.MaxDatagram, datagram.MaxSize)
+	case l.MaxDatagramSize < 64 || l.MaxDatagramSize > datagram.MaxSize:
+		return fmt.Errorf("datagram: %d, not in [64, %d]", l.MaxDatagramSize, datagram.MaxSize)
 	case l.MaxRelays < 1:
 		return fmt.Errorf("relays: %d, not positive", l.MaxRelays)
 	case l.MaxSkew < time.Second:
--- a/internal/mgmt/stats.go
+++ b/internal/mgmt/stats.go
@@ -43,5 +43,5 @@
 // probeStatsText formats the counters of connection probes.
 func probeStatsText(counters probe.Counters) string {
 	return statLines("probes", []statValue{{"sent", counters.Sent}, {"answered", counters.Answered},
-		{"failed", counters.Failed}, {"held", counters.RateLimited}, {"late", counters.Late}})
+		{"failed", counters.Failed}, {"held", counters.RateLimited}, {"late", counters.Unexpected}})
 }
--- a/internal/platform/caller.go
+++ b/internal/platform/caller.go
@@ -189,11 +189,11 @@
 func (c *callerConn) writeEffect(e core.Effect) {
 	switch e := e.(type) {
 	case core.Answered:
-		c.outbox.Send(link.Item{Data: appendFrame(nil, typeAnswer, e.ID, appendParam(nil, paramDesc, e.Desc...))})
+		c.outbox.Send(link.Message{Data: appendFrame(nil, typeAnswer, e.ID, appendParam(nil, paramDesc, e.Desc...))})
 	case core.Rejected:
-		c.outbox.Send(link.Item{Data: rejectionFrame(e.ID, q850.CauseFromReason(e.Reason), e.RetryAfter)})
+		c.outbox.Send(link.Message{Data: rejectionFrame(e.ID, q850.CauseFromReason(e.Reason), e.RetryAfter)})
 	case core.Released:
-		c.outbox.Send(link.Item{Data: appendFrame(nil, typeRelease, e.ID, appendParam(nil, paramCause, q850.CauseFromReason(e.Reason)))})
+		c.outbox.Send(link.Message{Data: appendFrame(nil, typeRelease, e.ID, appendParam(nil, paramCause, q850.CauseFromReason(e.Reason)))})
 	case core.GracefulClose:
 		c.closeGracefully()
 	case core.StopReading:
@@ -226,18 +226,18 @@
 		defer p.openConns.Add(-1)
 		defer onClosed()
 		defer conn.Close()
-		p.readCaller(c, limits, unparsed, up.HadSetUp)
+		p.readCaller(c, limits, unparsed, up.Used)
 	}()
 }
 
-// readCaller reads a caller's messages until the connection ends. unparsed holds bytes that a predecessor has read; hadSetUp
-// says whether a set-up has already come on the connection.
+// readCaller reads a caller's messages until the connection ends. unparsed holds bytes that a predecessor has read; used
+// says whether a set-up or the end of a call has already come on the connection.
 //
 // A connection on which the first message, or one that has begun, is not complete within the message timeout, or which is idle
 // for the idle timeout, has to be closed, as it holds a file descriptor that others need. The core decides when to close it,
 // since a set-up may still be pending on the connection. Until then an idle connection is read on; after an incomplete or
 // malformed message all further data is dropped.
-func (p *Platform) readCaller(c *callerConn, limits link.Limits, unparsed []byte, hadSetUp bool) {
+func (p *Platform) readCaller(c *callerConn, limits link.Limits, unparsed []byte, used bool) {
 	transferred := false
 	defer func() {
 		if !transferred {
@@ -251,7 +251,7 @@
 		}
 	}
 	var messageDeadline time.Time // when the first message, or one that has begun, must be complete, however slowly it arrives; zero: none is due
-	if !hadSetUp || len(unparsed) > 0 {
+	if !used || len(unparsed) > 0 {
 		messageDeadline = time.Now().Add(limits.MessageTimeout)
 	}
 	var discardedSetUps map[core.ID]bool // set-ups that were given up before they were posted
@@ -351,13 +351,13 @@
 		p.loop.Post(p.setUpEvent(conn, f, receivedAt))
 	case typeRelease:
 		p.loop.Post(core.CallerEnd{ID: f.callID, From: conn, SetUpDiscarded: setUpDiscarded})
-		outbox.Send(link.Item{Data: appendFrame(nil, typeReleaseAck, f.callID, nil)})
+		outbox.Send(link.Message{Data: appendFrame(nil, typeReleaseAck, f.callID, nil)})
 	case typeTest:
 		passed := byte(1)
 		if p.stopping.Load() || p.draining.Load() {
 			passed = 0
 		}
-		outbox.Send(link.Item{Data: appendFrame(nil, typeTested, f.callID, appendParam(nil, paramCause, passed))})
+		outbox.Send(link.Message{Data: appendFrame(nil, typeTested, f.callID, appendParam(nil, paramCause, passed))})
 	case typeProgress, typeReleaseAck, typeGroup, typeTested:
 	default:
 		return fmt.Errorf("unknown message type %d", f.msgType)
--- a/internal/platform/crossings_test.go
+++ b/internal/platform/crossings_test.go
@@ -91,11 +91,11 @@
 }
 
 // Connections above Config.MaxCallerConns, the limit set by the available file descriptors, must wait in the listener's backlog
-// with their set-ups and be served when there is room. A connection above MaxCallerConns of core.Limits, a lower limit, must
-// displace one that can be closed, and be served even if there is none. Connections above the limits used to be closed with their
+// with their set-ups and be served when there is room. A connection above CallerConnsTarget of core.Limits, which is lower,
+// must displace one that can be closed, and be served even if there is none. Connections above the limits used to be closed with their
 // set-ups unread.
 func TestConnectionsAboveLimit(t *testing.T) {
-	s := newScenario(t, func(s *scenario) { s.limits.MaxCallerConns, s.limits.NewConnGrace = 2, time.Minute }) // this limit includes the scenario's own caller
+	s := newScenario(t, func(s *scenario) { s.limits.CallerConnsTarget, s.limits.NewConnGrace = 2, time.Minute }) // this limit includes the scenario's own caller
 	s.callerConn.Write(setUpFrame(1, "voice", "9000", ""))
 	s.wantLine(`"offer"`, `0001"`)
 	var callers []*extraCaller
@@ -480,7 +480,7 @@
 	s.wantLine(`"offer"`)
 	const chunk = 64 << 10
 	for ; queuedBytes < 16<<20; queuedBytes += chunk { // more than the kernel buffers
-		c.outbox.Send(link.Item{Data: make([]byte, chunk)})
+		c.outbox.Send(link.Message{Data: make([]byte, chunk)})
 	}
 	return client, c, queuedBytes
 }
--- a/internal/platform/server.go
+++ b/internal/platform/server.go
@@ -39,7 +39,7 @@
 func (s *serverConn) HandleEffect(e core.Effect) []core.Event {
 	switch e := e.(type) {
 	case core.Offer:
-		s.outbox.Send(link.Item{
+		s.outbox.Send(link.Message{
 			Data: appendOffer(nil, e, s.platform.loop.Now()), ID: uint64(e.ID), Withdrawable: true, Deadline: s.platform.loop.WallTime(e.Until),
 			OnWritten: func() { s.platform.loop.Post(core.OfferWritten{Server: s.name, ID: e.ID}) },
 			OnExpired: func() { s.platform.loop.Post(core.NotSent{Server: s.name, Conn: s.connID, ID: e.ID}) },
@@ -48,13 +48,13 @@
 		if s.outbox.Withdraw(uint64(e.ID)) {
 			return []core.Event{core.NotSent{Server: s.name, Conn: s.connID, ID: e.ID}}
 		}
-		item := link.Item{Data: appendEnd(nil, e.ID, q850.NormalClearing)}
+		message := link.Message{Data: appendEnd(nil, e.ID, q850.NormalClearing)}
 		if e.Notify {
-			item.OnWritten = func() { s.platform.loop.Post(core.EndWritten{Server: s.name, Conn: s.connID, ID: e.ID}) }
+			message.OnWritten = func() { s.platform.loop.Post(core.EndWritten{Server: s.name, Conn: s.connID, ID: e.ID}) }
 		}
-		s.outbox.Send(item)
+		s.outbox.Send(message)
 	case core.Probe:
-		s.outbox.Send(link.Item{Data: fmt.Appendf(nil, `{"op":"test","call":"%016x","with":{},"why":%d}`+"\n", uint64(e.ID), testCauseReport)})
+		s.outbox.Send(link.Message{Data: fmt.Appendf(nil, `{"op":"test","call":"%016x","with":{},"why":%d}`+"\n", uint64(e.ID), testCauseReport)})
 	case core.GracefulClose: // the server gets lingerTimeout to read the last messages
 		s.outbox.Finish(func() { time.AfterFunc(s.lingerTimeout, s.outbox.Close) })
 	case core.Withdraw:
@@ -234,7 +234,7 @@
 			s.platform.loop.Post(core.ServerReport{Server: s.name, Conn: s.connID, Report: report})
 		}
 	case "test":
-		s.outbox.Send(link.Item{Data: fmt.Appendf(nil, `{"op":"tested","call":"%016x","with":{},"why":1}`+"\n", uint64(id))})
+		s.outbox.Send(link.Message{Data: fmt.Appendf(nil, `{"op":"tested","call":"%016x","with":{},"why":1}`+"\n", uint64(id))})
 	case "tested":
 		s.platform.loop.Post(core.ServerProbeAnswer{Server: s.name, Conn: s.connID, ID: probe.ID(id), Report: report})
 	case "ringing", "ended":
--- a/internal/probe/probe.go
+++ b/internal/probe/probe.go
@@ -19,7 +19,7 @@
 	Answered    uint64 // answers accepted
 	Failed      uint64 // probes without an answer in time, or whose connection was closed first
 	RateLimited uint64 // requests refused because of the limited rate
-	Late        uint64 // answers to no outstanding probe: repeated, too late, or on another connection
+	Unexpected  uint64 // answers to no outstanding probe: repeated, too late, or on another connection
 }
 
 // ID identifies a probe.
@@ -83,7 +83,7 @@
 // probed.
 func (p *Prober) Answered(id ID, conn uint64) bool {
 	if probed, outstanding := p.outstanding[id]; !outstanding || probed != conn {
-		p.counters.Late++
+		p.counters.Unexpected++
 		return false
 	}
 	delete(p.outstanding, id)
--- a/internal/shares/shares.go
+++ b/internal/shares/shares.go
@@ -45,11 +45,11 @@
 	}
 }
 
-// ExceedsShare counts a call of the tenant with the given index and reports whether the call exceeds the tenant's
+// CountCall counts a call of the tenant with the given index and reports whether the call exceeds the tenant's
 // share: if a tenant makes a fifth more of the calls than its share, a sixth of its calls exceed it. A call of an
 // unknown tenant always exceeds its share, or else a tenant could get more than its share by leaving out its name.
 // Without any tenants no call does.
-func (tracker *Tracker) ExceedsShare(now time.Duration, index int) bool {
+func (tracker *Tracker) CountCall(now time.Duration, index int) bool {
 	if len(tracker.tenants) == 0 {
 		return false
 	}
--- a/internal/shares/shares_test.go
+++ b/internal/shares/shares_test.go
@@ -13,13 +13,13 @@
 	countExceeding := func(n int, indexes ...int) (exceeding int) {
 		for i := range n {
 			now += 10 * time.Millisecond
-			if index := indexes[i%len(indexes)]; tracker.ExceedsShare(now, index) && index == indexes[0] {
+			if index := indexes[i%len(indexes)]; tracker.CountCall(now, index) && index == indexes[0] {
 				exceeding++
 			}
 		}
 		return exceeding
 	}
-	if tracker.ExceedsShare(now, 0) || tracker.ExceedsShare(now, -1) {
+	if tracker.CountCall(now, 0) || tracker.CountCall(now, -1) {
 		t.Error("a call exceeds a share though there are no tenants")
 	}
 	tracker.Configure([]Tenant{{"a", 30}, {"b", 10}})
@@ -28,10 +28,10 @@
 	if got := countExceeding(40, 0, 2); got < 8 || got > 12 {
 		t.Errorf("%d of 20 calls exceed the share directly after new settings, want about 10", got)
 	}
-	if tracker.ExceedsShare(now, 1) {
+	if tracker.CountCall(now, 1) {
 		t.Error("the first call of a new tenant exceeds its share")
 	}
-	if !tracker.ExceedsShare(now, 3) || !tracker.ExceedsShare(now, -1) {
+	if !tracker.CountCall(now, 3) || !tracker.CountCall(now, -1) {
 		t.Error("a call of an unknown tenant does not exceed the share")
 	}
 }
--- a/internal/swarm/experiment.go
+++ b/internal/swarm/experiment.go
@@ -85,7 +85,7 @@
 			apply(member)
 		}
 	}
-	forEachImpaired(func(member int) { sim.Slow(member, e.SlowDelay) })
+	forEachImpaired(func(member int) { sim.SetInputDelay(member, e.SlowDelay) })
 	for end := sim.Now() + e.MeasureDuration; sim.Now() < end; {
 		if e.PauseInterval <= 0 {
 			sim.Run(end)
--- a/internal/swarm/swarm.go
+++ b/internal/swarm/swarm.go
@@ -149,12 +149,14 @@
 	}
 }
 
-// Slow delays every datagram and timer of a member that is scheduled after the call by the given time.
-func (s *Simulation) Slow(member int, delay time.Duration) { s.members[member].inputDelay = delay }
+// SetInputDelay sets the time by which every datagram and timer of a member that is scheduled after the call is delayed.
+func (s *Simulation) SetInputDelay(member int, delay time.Duration) {
+	s.members[member].inputDelay = delay
+}
 
-// Skew sets how far a member's clock is ahead of the simulated clock. Call Skew while the member is killed, so that the
+// SetClockSkew sets how far a member's clock is ahead of the simulated clock. Call it while the member is killed, so that the
 // clock of a running member doesn't jump.
-func (s *Simulation) Skew(member int, skew time.Duration) { s.members[member].clockSkew = skew }
+func (s *Simulation) SetClockSkew(member int, skew time.Duration) { s.members[member].clockSkew = skew }
 
 // Inject passes an event to a member at the present instant, unless the member is killed.
 func (s *Simulation) Inject(member int, ev membership.Event) {
