--- a/cmd/elmseam/main.go
+++ b/cmd/elmseam/main.go
@@ -22,13 +22,13 @@
 	"elmseam/internal/core"
 	"elmseam/internal/feed"
 	"elmseam/internal/handover"
-	"elmseam/internal/link"
 	"elmseam/internal/loop"
 	"elmseam/internal/m3ua"
 	"elmseam/internal/maintenance"
 	"elmseam/internal/mgmt"
 	"elmseam/internal/peers"
 	"elmseam/internal/platform"
+	"elmseam/internal/transport"
 )
 
 // signallingFile is the default signalling file, which configures M3UA and BGP. ELMSEAM_SIGNALLING overrides it.
@@ -79,11 +79,11 @@
 	}
 	var m3uaProtocol *m3ua.M3UA
 	var speaker *bgp.Speaker
-	upgrader := &upgrader{socketPath: handover.SocketPath(os.Getenv("TMPDIR"), cfg.Name), limits: cfg.Limits.HandOver, memory: memory, log: log, sampledLog: link.SampledLogger(log)}
+	upgrader := &upgrader{socketPath: handover.SocketPath(os.Getenv("TMPDIR"), cfg.Name), limits: cfg.Limits.HandOver, memory: memory, log: log, sampledLog: transport.SampledLogger(log)}
 	ready := make(chan struct{})
 	var tierSocket *peers.Socket
 	var platformRef atomic.Pointer[platform.Platform] // set before the first event is posted
-	sampledLog := link.SampledLogger(log)
+	sampledLog := transport.SampledLogger(log)
 	eventLoop := loop.New(reducer, cfg.Limits.EventQueue, func(e core.Effect) {
 		switch e := e.(type) {
 		case core.Serving:
--- a/internal/bgp/bgp_test.go
+++ b/internal/bgp/bgp_test.go
@@ -13,7 +13,7 @@
 
 	"elmseam/internal/core"
 	"elmseam/internal/leak"
-	"elmseam/internal/link"
+	"elmseam/internal/transport"
 )
 
 // testTimeout limits the wait for expected messages. It only runs out when a test fails.
@@ -23,7 +23,7 @@
 type scriptedPeer struct {
 	*testing.T
 	net.Conn
-	buf *link.Buffer
+	buf *transport.Buffer
 }
 
 // next returns the body of the next message of the given type. It skips KEEPALIVEs, unless they are asked for, and fails on any
@@ -61,7 +61,7 @@
 	}
 	t.Cleanup(func() { conn.Close() })
 	conn.SetDeadline(time.Now().Add(testTimeout))
-	peer := &scriptedPeer{t, conn, link.NewBuffer(64, maxMessageSize)}
+	peer := &scriptedPeer{t, conn, transport.NewBuffer(64, maxMessageSize)}
 	open, fourByteAS, err := parseOpen(peer.next(msgOpen))
 	if err != nil || open.as != 64512 || !fourByteAS {
 		t.Fatalf("OPEN %+v, %v", open, err)
@@ -84,7 +84,7 @@
 	s, err := New(Config{
 		AS: 64512, RouterID: "127.0.0.1", Service: "127.0.9.1/32", NextHop: "127.0.0.1", HoldS: holdS,
 		Peers: []Peer{{listener.Addr().String(), 64513}},
-	}, Limits{ConnectTimeout: time.Second, MinRetryDelay: time.Millisecond, MaxRetryDelay: 4 * time.Millisecond, MaxRoutes: 100, Conn: link.Limits{
+	}, Limits{ConnectTimeout: time.Second, MinRetryDelay: time.Millisecond, MaxRetryDelay: 4 * time.Millisecond, MaxRoutes: 100, Conn: transport.Limits{
 		InitialBufferSize: 64, MaxMessageSize: maxMessageSize, MaxQueuedBytes: 1 << 16, WriteTimeout: time.Second, FlushTimeout: 50 * time.Millisecond,
 	}}, func(ev core.Event) { events <- ev }, zerolog.Nop())
 	if err != nil {
--- a/internal/bgp/speaker.go
+++ b/internal/bgp/speaker.go
@@ -14,7 +14,7 @@
 	"github.com/rs/zerolog"
 
 	"elmseam/internal/core"
-	"elmseam/internal/link"
+	"elmseam/internal/transport"
 )
 
 // Config is the [bgp] table of the signalling file (deploy/m3ua.toml).
@@ -35,11 +35,11 @@
 
 // Limits are a speaker's timeouts and size limits.
 type Limits struct {
-	ConnectTimeout time.Duration // max time to connect to a peer
-	MinRetryDelay  time.Duration // wait before the first attempt to open a session again; doubles with each attempt
-	MaxRetryDelay  time.Duration // max wait between two attempts
-	MaxRoutes      int           // max number of distinct prefixes that all peers together may announce
-	Conn           link.Limits   // limits of a session's connection
+	ConnectTimeout time.Duration    // max time to connect to a peer
+	MinRetryDelay  time.Duration    // wait before the first attempt to open a session again; doubles with each attempt
+	MaxRetryDelay  time.Duration    // max wait between two attempts
+	MaxRoutes      int              // max number of distinct prefixes that all peers together may announce
+	Conn           transport.Limits // limits of a session's connection
 }
 
 // Speaker keeps a BGP session with each configured peer.
@@ -67,7 +67,7 @@
 // New checks the configuration and returns a speaker. An error names the invalid field.
 func New(cfg Config, limits Limits, post func(core.Event), log zerolog.Logger) (*Speaker, error) {
 	s := &Speaker{
-		as: cfg.AS, holdTime: uint16(cfg.HoldS), peers: cfg.Peers, limits: limits, post: post, log: log, sampledLog: link.SampledLogger(log),
+		as: cfg.AS, holdTime: uint16(cfg.HoldS), peers: cfg.Peers, limits: limits, post: post, log: log, sampledLog: transport.SampledLogger(log),
 		sessions: make(map[*session]bool), routes: make(map[netip.Prefix]map[string]bool),
 	}
 	var err error
@@ -140,7 +140,7 @@
 	speaker    *Speaker
 	peer       Peer
 	conn       net.Conn
-	outbox     *link.Outbox
+	outbox     *transport.Outbox
 	external   bool                  // the peer is in another AS
 	fourByteAS bool                  // the peer supports four-byte AS numbers
 	announced  map[netip.Prefix]bool // prefixes that the peer has announced in this session and not withdrawn
@@ -153,7 +153,7 @@
 	if serving {
 		msg = buildAnnouncement(speaker.service, speaker.nextHop, speaker.as, ses.external, ses.fourByteAS)
 	}
-	ses.outbox.Send(link.Message{Data: msg})
+	ses.outbox.Send(transport.Message{Data: msg})
 }
 
 // runSession connects to a peer and runs one session until it ends. It reports whether the session was established.
@@ -165,10 +165,10 @@
 	}
 	defer conn.Close()
 	ses := &session{
-		speaker: s, peer: peer, conn: conn, outbox: link.NewOutbox(conn, s.limits.Conn), external: peer.AS != s.as,
+		speaker: s, peer: peer, conn: conn, outbox: transport.NewOutbox(conn, s.limits.Conn), external: peer.AS != s.as,
 		announced: make(map[netip.Prefix]bool)}
 	defer context.AfterFunc(ctx, func() { ses.notify(codeAdminShutdown) })()
-	ses.outbox.Send(link.Message{Data: openMessage{s.as, s.holdTime, s.routerID}.encode()})
+	ses.outbox.Send(transport.Message{Data: openMessage{s.as, s.holdTime, s.routerID}.encode()})
 	established, err = ses.run()
 	s.mu.Lock()
 	delete(s.sessions, ses)
@@ -182,7 +182,7 @@
 
 // notify sends a NOTIFICATION with the given error code and closes the connection.
 func (ses *session) notify(code uint16) {
-	ses.outbox.Send(link.Message{Data: buildMessage(msgNotification, binary.BigEndian.AppendUint16(nil, code))})
+	ses.outbox.Send(transport.Message{Data: buildMessage(msgNotification, binary.BigEndian.AppendUint16(nil, code))})
 	ses.outbox.Flush()
 	ses.conn.Close()
 }
@@ -190,14 +190,14 @@
 // run reads and handles the peer's messages: OPEN, KEEPALIVE, then UPDATEs. It sends a KEEPALIVE when a third of the hold time
 // has passed since the last one, and ends the session when nothing was received for the whole hold time.
 func (ses *session) run() (established bool, err error) {
-	buf := link.NewBuffer(headerSize, maxMessageSize)
+	buf := transport.NewBuffer(headerSize, maxMessageSize)
 	holdTime := time.Duration(ses.speaker.holdTime) * time.Second
 	opened := false
 	lastReceived, lastKeepalive := time.Now(), time.Now()
 	for {
 		now := time.Now()
 		if opened && holdTime > 0 && now.Sub(lastKeepalive) >= holdTime/3 {
-			ses.outbox.Send(link.Message{Data: buildMessage(msgKeepalive, nil)})
+			ses.outbox.Send(transport.Message{Data: buildMessage(msgKeepalive, nil)})
 			lastKeepalive = now
 		}
 		if holdTime > 0 {
@@ -239,7 +239,7 @@
 				}
 				opened, ses.fourByteAS = true, fourByteAS
 				holdTime = min(holdTime, time.Duration(open.holdTime)*time.Second)
-				ses.outbox.Send(link.Message{Data: buildMessage(msgKeepalive, nil)})
+				ses.outbox.Send(transport.Message{Data: buildMessage(msgKeepalive, nil)})
 				lastKeepalive = lastReceived
 			case kind == msgKeepalive && opened:
 				if !established {
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -6,7 +6,6 @@
 	"elmseam/internal/core"
 	"elmseam/internal/feed"
 	"elmseam/internal/handover"
-	"elmseam/internal/link"
 	"elmseam/internal/maintenance"
 	"elmseam/internal/membership"
 	"elmseam/internal/mgmt"
@@ -14,15 +13,16 @@
 	"elmseam/internal/platform"
 	"elmseam/internal/probe"
 	"elmseam/internal/settings"
+	"elmseam/internal/transport"
 )
 
 // Limits holds all sizes, counts and times of a softswitch. Load fills it at the start and at each reload; the other
 // packages receive their part of it.
 type Limits struct {
 	Core       core.Limits
-	CallerConn link.Limits // limits of a caller's connection
+	CallerConn transport.Limits // limits of a caller's connection
 
-	ServerConn link.Limits // limits of a connection to a server
+	ServerConn transport.Limits // limits of a connection to a server
 
 	Feed           feed.Limits
 	ConnectTimeout time.Duration // longest time to connect to a server
@@ -98,7 +98,7 @@
 			RetryAfterHint:      max(deployment.MinAim/4, 50*time.Millisecond), // leaves time for a new set-up within the aim
 			EndedCallTTL:        max(deployment.MaxDeadline, 10*time.Second) * 6,
 		},
-		CallerConn: link.Limits{
+		CallerConn: transport.Limits{
 			InitialBufferSize: 4 << 10, MaxMessageSize: maxMessageSize, MaxQueuedBytes: 1 << 20,
 			WriteTimeout: 5 * time.Second, FlushTimeout: 50 * time.Millisecond,
 			MessageTimeout: 2500 * time.Millisecond, IdleTimeout: max(deployment.MaxDeadline, 10*time.Second) + 2*time.Second,
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -17,7 +17,7 @@
 
 	"elmseam"
 	"elmseam/internal/core"
-	"elmseam/internal/link"
+	"elmseam/internal/transport"
 )
 
 // Limits are the timeouts and size limits of the channel's connections.
@@ -122,7 +122,7 @@
 // Run follows the channel until ctx is done. When a connection ends it connects again and continues after the last event. It
 // connects at most once in Limits.RetryDelay, or at once when Follow names another channel.
 func (f *Feed) Run(ctx context.Context) {
-	f.sampledLog = link.SampledLogger(f.Log)
+	f.sampledLog = transport.SampledLogger(f.Log)
 	for ctx.Err() == nil {
 		started := time.Now()
 		connCtx, disconnect, address := f.nextTarget(ctx)
@@ -156,7 +156,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &reader{conn: conn, buf: link.NewBuffer(f.Limits.InitialBufferSize, f.Limits.MaxEventSize)}
+	r := &reader{conn: conn, buf: transport.NewBuffer(f.Limits.InitialBufferSize, f.Limits.MaxEventSize)}
 	r.stopAfterFunc = context.AfterFunc(ctx, func() { conn.Close() })
 	conn.SetDeadline(time.Now().Add(f.Limits.ReadTimeout)) // covers the request and the whole response header
 	_, err = fmt.Fprintf(conn, "GET /cmd/next HTTP/1.1\r\nHost: %s\r\nAccept: text/event-stream\r\nLast-Event-ID: %d\r\n\r\n", address, f.lastCursor())
@@ -289,7 +289,7 @@
 // reader reads the lines of an HTTP response, with or without chunked transfer encoding.
 type reader struct {
 	conn           net.Conn
-	buf            *link.Buffer
+	buf            *transport.Buffer
 	stopAfterFunc  func() bool // detaches the connection from the context whose end closes it
 	chunked        bool
 	chunkRemaining int    // unread bytes of the current chunk
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -18,7 +18,7 @@
 	"elmseam"
 	"elmseam/internal/core"
 	"elmseam/internal/leak"
-	"elmseam/internal/link"
+	"elmseam/internal/transport"
 )
 
 // testTimeout limits the wait for expected events. It only runs out when a test fails.
@@ -322,7 +322,7 @@
 	f.Add([]byte("HTTP/1.1 200 OK\r\n\r\n" + eventText(1, "a", "in_service")))
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3;x\r\na\nb\r\n1\r\n\n\r\n0\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		r := &reader{conn: oneShotConn{r: strings.NewReader(string(b))}, buf: link.NewBuffer(4, 256)}
+		r := &reader{conn: oneShotConn{r: strings.NewReader(string(b))}, buf: transport.NewBuffer(4, 256)}
 		if r.readHeader() != nil {
 			return
 		}
--- a/internal/m3ua/caller.go
+++ b/internal/m3ua/caller.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"elmseam/internal/core"
-	"elmseam/internal/link"
 	"elmseam/internal/q850"
+	"elmseam/internal/transport"
 )
 
 // callerConn is the connection of an older client, which acts as an ASP of this program.
@@ -21,7 +21,7 @@
 
 // Serve accepts and serves callers' connections until the listener is closed.
 func (m *M3UA) Serve(l net.Listener) {
-	link.NewAcceptor(func() int { return m.config.Load().MaxCallerConns }, func(conn net.Conn) {
+	transport.NewAcceptor(func() int { return m.config.Load().MaxCallerConns }, func(conn net.Conn) {
 		c := &callerConn{session: m.newSession(conn, m.config.Load().CallerConn)}
 		c.handler = c.handleMessage
 		c.aspUpTimer = time.AfterFunc(c.limits.MessageTimeout, func() { conn.Close() })
@@ -214,7 +214,7 @@
 		c.m3ua.log.Error().Err(err).Msg("ISUP message not sent")
 		return
 	}
-	c.outbox.Send(link.Message{Data: buildData(circ, c.m3ua.NetworkIndicator, c.m3ua.RoutingContext, isup)})
+	c.outbox.Send(transport.Message{Data: buildData(circ, c.m3ua.NetworkIndicator, c.m3ua.RoutingContext, isup)})
 }
 
 // callerEffects is the loop.EffectHandler of a caller's connection.
--- a/internal/m3ua/m3ua.go
+++ b/internal/m3ua/m3ua.go
@@ -15,9 +15,9 @@
 
 	"elmseam"
 	"elmseam/internal/core"
-	"elmseam/internal/link"
 	"elmseam/internal/loop"
 	"elmseam/internal/settings"
+	"elmseam/internal/transport"
 )
 
 // Protocol is the name under which the core knows this signalling protocol.
@@ -82,12 +82,12 @@
 type Config struct {
 	FileConfig
 	Deployment     settings.Deployment
-	CallerConn     link.Limits   // limits of a caller's connection
-	ConnectTimeout time.Duration // limit for connecting to a server, and again for becoming active there
+	CallerConn     transport.Limits // limits of a caller's connection
+	ConnectTimeout time.Duration    // limit for connecting to a server, and again for becoming active there
 
-	ServerConn     link.Limits   // limits of a connection to a server
-	MaxCallerConns int           // maximum number of open connections of callers
-	ConfirmTimeout time.Duration // wait before a release that a server has not confirmed is sent again
+	ServerConn     transport.Limits // limits of a connection to a server
+	MaxCallerConns int              // maximum number of open connections of callers
+	ConfirmTimeout time.Duration    // wait before a release that a server has not confirmed is sent again
 }
 
 // M3UA serves callers and reaches servers over M3UA-style signalling.
@@ -111,7 +111,7 @@
 // New returns an M3UA that posts its events to the loop. It fails if a category is configured for an unknown class.
 func New(cfg Config, l *loop.Loop, log zerolog.Logger) (*M3UA, error) {
 	m := &M3UA{
-		FileConfig: cfg.FileConfig, loop: l, log: log, sampledLog: link.SampledLogger(log), trunks: make(map[string]*trunk),
+		FileConfig: cfg.FileConfig, loop: l, log: log, sampledLog: transport.SampledLogger(log), trunks: make(map[string]*trunk),
 		callByCircuit: make(map[circuit]core.ID), circuitByCall: make(map[core.ID]circuit), activeCallers: make(map[*callerConn]bool),
 	}
 	m.Configure(cfg)
--- a/internal/m3ua/m3ua_test.go
+++ b/internal/m3ua/m3ua_test.go
@@ -20,10 +20,10 @@
 	"elmseam"
 	"elmseam/internal/core"
 	"elmseam/internal/leak"
-	"elmseam/internal/link"
 	"elmseam/internal/loop"
 	"elmseam/internal/platform"
 	"elmseam/internal/settings"
+	"elmseam/internal/transport"
 )
 
 // Times of the tests.
@@ -38,19 +38,19 @@
 var testDeployment = settings.Deployment{Classes: []settings.Class{{Name: "voice", Deadline: 5 * time.Second}}}
 
 // testLimits are the limits of all connections in the tests.
-var testLimits = link.Limits{InitialBufferSize: 256, MaxMessageSize: 16 << 10, MaxQueuedBytes: 1 << 20, WriteTimeout: time.Second, FlushTimeout: 50 * time.Millisecond,
+var testLimits = transport.Limits{InitialBufferSize: 256, MaxMessageSize: 16 << 10, MaxQueuedBytes: 1 << 20, WriteTimeout: time.Second, FlushTimeout: 50 * time.Millisecond,
 	MessageTimeout: testTimeout, IdleTimeout: testTimeout, LingerTimeout: 100 * time.Millisecond, MaxLingerBytes: 1 << 16}
 
 // testPeer is the scripted end of an association. It writes messages and reads them one by one.
 type testPeer struct {
 	net.Conn
-	buf *link.Buffer
+	buf *transport.Buffer
 	mu  sync.Mutex
 }
 
 // newTestPeer returns a test peer that reads from and writes to a connection.
 func newTestPeer(c net.Conn) *testPeer {
-	return &testPeer{Conn: c, buf: link.NewBuffer(256, 16<<10)}
+	return &testPeer{Conn: c, buf: transport.NewBuffer(256, 16<<10)}
 }
 
 // send writes an encoded message.
--- a/internal/m3ua/server.go
+++ b/internal/m3ua/server.go
@@ -9,8 +9,8 @@
 	"elmseam"
 	"elmseam/internal/circuits"
 	"elmseam/internal/core"
-	"elmseam/internal/link"
 	"elmseam/internal/q850"
+	"elmseam/internal/transport"
 )
 
 // trunk holds the circuits to one server. The mutex guards them, as the loop and the connection both change them.
@@ -220,7 +220,7 @@
 	}
 	circ := s.trunk.route
 	circ.cic = cic
-	s.outbox.Send(link.Message{Data: buildData(circ, s.m3ua.NetworkIndicator, s.m3ua.RoutingContext, isup), OnWritten: onWritten})
+	s.outbox.Send(transport.Message{Data: buildData(circ, s.m3ua.NetworkIndicator, s.m3ua.RoutingContext, isup), OnWritten: onWritten})
 }
 
 // Close closes the connection.
@@ -293,7 +293,7 @@
 	if err != nil || len(data) > s.limits.MaxMessageSize {
 		return s.notSent(e.ID)
 	}
-	s.outbox.Send(link.Message{
+	s.outbox.Send(transport.Message{
 		Data: data, ID: uint64(e.ID), Withdrawable: true, Deadline: s.m3ua.loop.WallTime(e.Until),
 		OnWritten: func() { s.m3ua.loop.Post(core.OfferWritten{Server: s.name, ID: e.ID}) },
 		OnExpired: func() {
--- a/internal/m3ua/session.go
+++ b/internal/m3ua/session.go
@@ -8,21 +8,21 @@
 	"time"
 
 	"elmseam/internal/core"
-	"elmseam/internal/link"
+	"elmseam/internal/transport"
 )
 
 // session is the part that connections of callers and to servers share: reading, heartbeats and error reports.
 type session struct {
 	m3ua    *M3UA
 	conn    net.Conn
-	limits  link.Limits
-	outbox  *link.Outbox
+	limits  transport.Limits
+	outbox  *transport.Outbox
 	handler func(msg message, at core.Time) error // handles the messages that dispatch does not
 }
 
 // newSession returns a session on an open connection.
-func (m *M3UA) newSession(conn net.Conn, limits link.Limits) session {
-	return session{m3ua: m, conn: conn, limits: limits, outbox: link.NewOutbox(conn, limits)}
+func (m *M3UA) newSession(conn net.Conn, limits transport.Limits) session {
+	return session{m3ua: m, conn: conn, limits: limits, outbox: transport.NewOutbox(conn, limits)}
 }
 
 // errMessageTimeout ends a connection whose peer takes longer than MessageTimeout to send one message.
@@ -30,7 +30,7 @@
 
 // send queues a message.
 func (s *session) send(kind uint16, params ...param) {
-	s.outbox.Send(link.Message{Data: buildMessage(kind, params...)})
+	s.outbox.Send(transport.Message{Data: buildMessage(kind, params...)})
 }
 
 // read reads and dispatches messages until the connection ends. It answers a malformed or unexpected message with an
@@ -38,7 +38,7 @@
 // heartbeats to a silent peer, and returns when the peer has left maxUnansweredHeartbeats unanswered. It also returns if
 // a message is not complete within MessageTimeout, whether the peer stopped sending or sends byte by byte.
 func (s *session) read() error {
-	buf := link.NewBuffer(s.limits.InitialBufferSize, s.limits.MaxMessageSize)
+	buf := transport.NewBuffer(s.limits.InitialBufferSize, s.limits.MaxMessageSize)
 	heartbeat := time.Duration(s.m3ua.HeartbeatMS) * time.Millisecond
 	malformedCount, unanswered := 0, 0
 	var messageDeadline time.Time // by when the message being read must be complete; zero between messages
--- a/internal/platform/caller.go
+++ b/internal/platform/caller.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"elmseam/internal/core"
-	"elmseam/internal/link"
 	"elmseam/internal/q850"
+	"elmseam/internal/transport"
 )
 
 // callerConn is a connection of a caller. It is the loop.EffectHandler of that connection; readCaller is its receiving side.
@@ -22,7 +22,7 @@
 	platform      *Platform
 	connID        core.ConnID
 	conn          net.Conn
-	outbox        *link.Outbox
+	outbox        *transport.Outbox
 	lingerTimeout time.Duration      // longest time between the half-close and the end of the connection
 	writeTimeout  time.Duration      // longest time that one write may take
 	closing       atomic.Bool        // the connection is being closed gracefully
@@ -39,9 +39,9 @@
 }
 
 // newCallerConn returns the callerConn for an open connection.
-func (p *Platform) newCallerConn(id core.ConnID, conn net.Conn, limits link.Limits) *callerConn {
+func (p *Platform) newCallerConn(id core.ConnID, conn net.Conn, limits transport.Limits) *callerConn {
 	return &callerConn{
-		platform: p, connID: id, conn: conn, outbox: link.NewOutbox(conn, limits),
+		platform: p, connID: id, conn: conn, outbox: transport.NewOutbox(conn, limits),
 		lingerTimeout: limits.LingerTimeout, writeTimeout: limits.WriteTimeout,
 		transfer: make(chan core.Transfer, 1), done: make(chan struct{}),
 	}
@@ -106,7 +106,7 @@
 }
 
 // discard reads and drops all data until the connection ends.
-func (c *callerConn) discard(buf *link.Buffer) {
+func (c *callerConn) discard(buf *transport.Buffer) {
 	for {
 		buf.Skip(len(buf.Bytes()))
 		c.mu.Lock()
@@ -189,11 +189,11 @@
 func (c *callerConn) writeEffect(e core.Effect) {
 	switch e := e.(type) {
 	case core.Answered:
-		c.outbox.Send(link.Message{Data: appendFrame(nil, typeAnswer, e.ID, appendParam(nil, paramDesc, e.Desc...))})
+		c.outbox.Send(transport.Message{Data: appendFrame(nil, typeAnswer, e.ID, appendParam(nil, paramDesc, e.Desc...))})
 	case core.Rejected:
-		c.outbox.Send(link.Message{Data: rejectionFrame(e.ID, q850.CauseFromReason(e.Reason), e.RetryAfter)})
+		c.outbox.Send(transport.Message{Data: rejectionFrame(e.ID, q850.CauseFromReason(e.Reason), e.RetryAfter)})
 	case core.Released:
-		c.outbox.Send(link.Message{Data: appendFrame(nil, typeRelease, e.ID, appendParam(nil, paramCause, q850.CauseFromReason(e.Reason)))})
+		c.outbox.Send(transport.Message{Data: appendFrame(nil, typeRelease, e.ID, appendParam(nil, paramCause, q850.CauseFromReason(e.Reason)))})
 	case core.GracefulClose:
 		c.closeGracefully()
 	case core.StopReading:
@@ -237,14 +237,14 @@
 // for the idle timeout, has to be closed, as it holds a file descriptor that others need. The core decides when to close it,
 // since a set-up may still be pending on the connection. Until then an idle connection is read on; after an incomplete or
 // malformed message all further data is dropped.
-func (p *Platform) readCaller(c *callerConn, limits link.Limits, unparsed []byte, used bool) {
+func (p *Platform) readCaller(c *callerConn, limits transport.Limits, unparsed []byte, used bool) {
 	transferred := false
 	defer func() {
 		if !transferred {
 			p.loop.Post(core.CallerDown{Conn: c.connID})
 		}
 	}()
-	buf := link.NewBuffer(limits.InitialBufferSize, limits.MaxMessageSize)
+	buf := transport.NewBuffer(limits.InitialBufferSize, limits.MaxMessageSize)
 	for reader := bytes.NewReader(unparsed); reader.Len() > 0; {
 		if buf.Fill(reader) != nil {
 			return
@@ -286,7 +286,7 @@
 				c.discard(buf)
 			}
 			return
-		case timedOut && !messageDeadline.IsZero(), err == link.ErrTooLong:
+		case timedOut && !messageDeadline.IsZero(), err == transport.ErrTooLong:
 			closeMalformed()
 			return
 		case timedOut:
@@ -296,7 +296,7 @@
 			return
 		}
 		if firstRead { // the caller may have left while the connection waited in the backlog or for its transfer
-			firstRead, peerClosed = false, link.PeerClosed(c.conn)
+			firstRead, peerClosed = false, transport.PeerClosed(c.conn)
 		}
 		receivedAt := p.loop.Now()
 		for {
@@ -345,19 +345,19 @@
 
 // handleFrame posts the event for a caller's message and answers the message if the protocol requires that. setUpDiscarded
 // means that the set-up which a release message ends was never posted.
-func (p *Platform) handleFrame(conn core.ConnID, outbox *link.Outbox, f frame, receivedAt core.Time, setUpDiscarded bool) error {
+func (p *Platform) handleFrame(conn core.ConnID, outbox *transport.Outbox, f frame, receivedAt core.Time, setUpDiscarded bool) error {
 	switch f.msgType {
 	case typeSetUp:
 		p.loop.Post(p.setUpEvent(conn, f, receivedAt))
 	case typeRelease:
 		p.loop.Post(core.CallerEnd{ID: f.callID, From: conn, SetUpDiscarded: setUpDiscarded})
-		outbox.Send(link.Message{Data: appendFrame(nil, typeReleaseAck, f.callID, nil)})
+		outbox.Send(transport.Message{Data: appendFrame(nil, typeReleaseAck, f.callID, nil)})
 	case typeTest:
 		passed := byte(1)
 		if p.stopping.Load() || p.draining.Load() {
 			passed = 0
 		}
-		outbox.Send(link.Message{Data: appendFrame(nil, typeTested, f.callID, appendParam(nil, paramCause, passed))})
+		outbox.Send(transport.Message{Data: appendFrame(nil, typeTested, f.callID, appendParam(nil, paramCause, passed))})
 	case typeProgress, typeReleaseAck, typeGroup, typeTested:
 	default:
 		return fmt.Errorf("unknown message type %d", f.msgType)
--- a/internal/platform/crossings_test.go
+++ b/internal/platform/crossings_test.go
@@ -17,7 +17,7 @@
 	"elmseam"
 	"elmseam/internal/core"
 	"elmseam/internal/leak"
-	"elmseam/internal/link"
+	"elmseam/internal/transport"
 )
 
 // The tests in this file force the crossings of messages and events that docs/CROSSINGS.md lists, over sockets.
@@ -268,7 +268,7 @@
 	s.callerListener = listen(t)
 	s.changeConfig(func(c *Config) { c.CallerConn.InitialBufferSize = 16 << 10 }) // large enough to read all messages at once
 	hasRoom := make(chan struct{})
-	go link.NewAcceptor(func() int { <-hasRoom; return 100 }, s.platform.serveCaller).Serve(s.callerListener)
+	go transport.NewAcceptor(func() int { <-hasRoom; return 100 }, s.platform.serveCaller).Serve(s.callerListener)
 	givesUp, closes, stays := s.connectCaller(), s.connectCaller(), s.connectCaller()
 	const setUps = 100
 	var messages []byte
@@ -480,7 +480,7 @@
 	s.wantLine(`"offer"`)
 	const chunk = 64 << 10
 	for ; queuedBytes < 16<<20; queuedBytes += chunk { // more than the kernel buffers
-		c.outbox.Send(link.Message{Data: make([]byte, chunk)})
+		c.outbox.Send(transport.Message{Data: make([]byte, chunk)})
 	}
 	return client, c, queuedBytes
 }
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -12,9 +12,9 @@
 	"github.com/rs/zerolog"
 
 	"elmseam/internal/core"
-	"elmseam/internal/link"
 	"elmseam/internal/loop"
 	"elmseam/internal/settings"
+	"elmseam/internal/transport"
 )
 
 // Protocol is the name of the platform's protocol in the core and the logs.
@@ -23,11 +23,11 @@
 // Config holds the settings of a Platform. Configure can replace them at any time.
 type Config struct {
 	Deployment     settings.Deployment
-	CallerConn     link.Limits   // limits of a caller's connection
-	ConnectTimeout time.Duration // longest time to make a connection to a server
+	CallerConn     transport.Limits // limits of a caller's connection
+	ConnectTimeout time.Duration    // longest time to make a connection to a server
 
-	ServerConn     link.Limits // limits of a connection to a server
-	MaxCallerConns int         // maximum number of simultaneous caller connections
+	ServerConn     transport.Limits // limits of a connection to a server
+	MaxCallerConns int              // maximum number of simultaneous caller connections
 }
 
 // activeConfig is a Config with an index over its classes: the index of each class by its name.
@@ -47,14 +47,14 @@
 	successor  atomic.Pointer[Successor]
 	silence    silenceDetector // shared by all connections to servers
 	openConns  atomic.Int64    // open connections to servers and of adopted callers, which acceptor doesn't count
-	acceptor   *link.Acceptor
+	acceptor   *transport.Acceptor
 }
 
 // New returns a Platform that exchanges events and effects with l.
 func New(cfg Config, l *loop.Loop, log zerolog.Logger) *Platform {
-	p := &Platform{loop: l, log: log, sampledLog: link.SampledLogger(log)}
+	p := &Platform{loop: l, log: log, sampledLog: transport.SampledLogger(log)}
 	p.Configure(cfg)
-	p.acceptor = link.NewAcceptor(func() int { return p.config.Load().MaxCallerConns }, p.serveCaller)
+	p.acceptor = transport.NewAcceptor(func() int { return p.config.Load().MaxCallerConns }, p.serveCaller)
 	return p
 }
 
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -19,10 +19,10 @@
 
 	"elmseam"
 	"elmseam/internal/core"
-	"elmseam/internal/link"
 	"elmseam/internal/loop"
 	"elmseam/internal/probe"
 	"elmseam/internal/settings"
+	"elmseam/internal/transport"
 )
 
 // testTimeout is the longest wait for an expected event; a test that passes does not wait that long.
@@ -73,7 +73,7 @@
 		default:
 		}
 	}, zerolog.Nop())
-	limits := link.Limits{InitialBufferSize: 64, MaxMessageSize: 16 << 10, MaxQueuedBytes: 1 << 20, WriteTimeout: time.Second, FlushTimeout: 50 * time.Millisecond,
+	limits := transport.Limits{InitialBufferSize: 64, MaxMessageSize: 16 << 10, MaxQueuedBytes: 1 << 20, WriteTimeout: time.Second, FlushTimeout: 50 * time.Millisecond,
 		LineTimeout: 50 * time.Millisecond, MaxSilence: 100 * time.Millisecond,
 		MessageTimeout: testTimeout, IdleTimeout: testTimeout, LingerTimeout: 100 * time.Millisecond, MaxLingerBytes: 1 << 16}
 	platform := New(Config{
--- a/internal/platform/server.go
+++ b/internal/platform/server.go
@@ -13,10 +13,10 @@
 	"time"
 
 	"elmseam/internal/core"
-	"elmseam/internal/link"
 	"elmseam/internal/probe"
 	"elmseam/internal/q850"
 	"elmseam/internal/settings"
+	"elmseam/internal/transport"
 )
 
 // serverConn is a connection to a server. It is the loop.EffectHandler of that connection; readLines is its receiving side.
@@ -24,7 +24,7 @@
 	platform *Platform
 	name     string // name of the server
 	connID   core.ConnID
-	outbox   *link.Outbox
+	outbox   *transport.Outbox
 
 	lingerTimeout time.Duration // between a graceful close and the end of the connection
 }
@@ -39,7 +39,7 @@
 func (s *serverConn) HandleEffect(e core.Effect) []core.Event {
 	switch e := e.(type) {
 	case core.Offer:
-		s.outbox.Send(link.Message{
+		s.outbox.Send(transport.Message{
 			Data: appendOffer(nil, e, s.platform.loop.Now()), ID: uint64(e.ID), Withdrawable: true, Deadline: s.platform.loop.WallTime(e.Until),
 			OnWritten: func() { s.platform.loop.Post(core.OfferWritten{Server: s.name, ID: e.ID}) },
 			OnExpired: func() { s.platform.loop.Post(core.NotSent{Server: s.name, Conn: s.connID, ID: e.ID}) },
@@ -48,13 +48,13 @@
 		if s.outbox.Withdraw(uint64(e.ID)) {
 			return []core.Event{core.NotSent{Server: s.name, Conn: s.connID, ID: e.ID}}
 		}
-		message := link.Message{Data: appendEnd(nil, e.ID, q850.NormalClearing)}
+		message := transport.Message{Data: appendEnd(nil, e.ID, q850.NormalClearing)}
 		if e.Notify {
 			message.OnWritten = func() { s.platform.loop.Post(core.EndWritten{Server: s.name, Conn: s.connID, ID: e.ID}) }
 		}
 		s.outbox.Send(message)
 	case core.Probe:
-		s.outbox.Send(link.Message{Data: fmt.Appendf(nil, `{"op":"test","call":"%016x","with":{},"why":%d}`+"\n", uint64(e.ID), testCauseReport)})
+		s.outbox.Send(transport.Message{Data: fmt.Appendf(nil, `{"op":"test","call":"%016x","with":{},"why":%d}`+"\n", uint64(e.ID), testCauseReport)})
 	case core.GracefulClose: // the server gets lingerTimeout to read the last messages
 		s.outbox.Finish(func() { time.AfterFunc(s.lingerTimeout, s.outbox.Close) })
 	case core.Withdraw:
@@ -99,7 +99,7 @@
 	p.openConns.Add(1)
 	defer p.openConns.Add(-1)
 	defer conn.Close()
-	s := &serverConn{platform: p, name: e.Server, connID: p.loop.NewConnID(), outbox: link.NewOutbox(conn, cfg.ServerConn),
+	s := &serverConn{platform: p, name: e.Server, connID: p.loop.NewConnID(), outbox: transport.NewOutbox(conn, cfg.ServerConn),
 		lingerTimeout: cfg.ServerConn.LingerTimeout}
 	p.loop.Attach(s.connID, s, core.ServerUp{Server: e.Server, Address: e.Address, Conn: s.connID})
 	err = s.readLines(conn, cfg.ServerConn)
@@ -108,8 +108,8 @@
 }
 
 // readLines reads a server's messages until the connection ends, and returns the error that ended it.
-func (s *serverConn) readLines(conn net.Conn, limits link.Limits) error {
-	buf := link.NewBuffer(limits.InitialBufferSize, limits.MaxMessageSize)
+func (s *serverConn) readLines(conn net.Conn, limits transport.Limits) error {
+	buf := transport.NewBuffer(limits.InitialBufferSize, limits.MaxMessageSize)
 	var lastReport time.Time // when the server's last state report arrived; zero: none yet
 	partial := false
 	silent := false
@@ -234,7 +234,7 @@
 			s.platform.loop.Post(core.ServerReport{Server: s.name, Conn: s.connID, Report: report})
 		}
 	case "test":
-		s.outbox.Send(link.Message{Data: fmt.Appendf(nil, `{"op":"tested","call":"%016x","with":{},"why":1}`+"\n", uint64(id))})
+		s.outbox.Send(transport.Message{Data: fmt.Appendf(nil, `{"op":"tested","call":"%016x","with":{},"why":1}`+"\n", uint64(id))})
 	case "tested":
 		s.platform.loop.Post(core.ServerProbeAnswer{Server: s.name, Conn: s.connID, ID: probe.ID(id), Report: report})
 	case "ringing", "ended":
--- a/internal/link/buffer.go
+++ b/internal/transport/buffer.go
@@ -1,6 +1,6 @@
-// Package link provides what the TCP connections of all protocols need: a read buffer, an outbox that never blocks its user,
+// Package transport provides what the TCP connections of all protocols need: a read buffer, an outbox that never blocks its user,
 // and an acceptor that limits the number of open connections.
-package link
+package transport
 
 import (
 	"errors"
--- a/internal/link/conn.go
+++ b/internal/transport/conn.go
@@ -1,4 +1,4 @@
-package link
+package transport
 
 import (
 	"net"
