--- a/cmd/elmseamctl/check.go
+++ b/cmd/elmseamctl/check.go
@@ -48,9 +48,10 @@
 	flags.IntVar(&cfg.Calls, "calls", 2, "number of calls, or of 500 ms periods in which faults occur")
 	flags.IntVar(&cfg.Attempts, "attempts", 4, "max. attempts of a call")
 	flags.IntVar(&cfg.Faults, "faults", 1, "max. faults in total: resets, lost connections, changes of the server list, give-ups ...")
-	flags.IntVar(&cfg.Pauses, "pauses", 1, "max. pauses: 120 ms pass although no timer expires")
+	flags.IntVar(&cfg.Pauses, "pauses", 1,
+		"max. pauses: 120 ms in which no timer expires (calls), a stall of the server (circuits), a pause of a member (members, works, parts)")
 	flags.DurationVar(&cfg.GiveUp, "wait", time.Second, "time after which a caller gives up")
-	flags.Uint64Var(&cfg.Seed, "seed", 0, "seed of the decision module and of the random walks")
+	flags.Uint64Var(&cfg.Seed, "seed", 0, "seed of the decision module (calls) or of the members (members, works, parts)")
 	flags.IntVar(&bounds.Depth, "depth", 0, "stop at this number of successive actions (0: no limit)")
 	flags.DurationVar(&bounds.Time, "time", 5*time.Minute, "stop after this time (0: no limit)")
 	flags.Int64Var(&memoryMiB, "memory", 1024, "stop when the visited states take this many MiB")
--- a/cmd/elmseamctl/tier.go
+++ b/cmd/elmseamctl/tier.go
@@ -80,7 +80,7 @@
 	limits := membership.Defaults()
 	fmt.Fprintf(w, "Medians of %d runs; times after a kill in protocol periods of %v.\n\n", runs, limits.Period)
 	fmt.Fprintln(w,
-		"| members | loss | datagrams per member and s | bytes per member and s | first suspicion | first considers it dead | all consider it dead | max. of all |")
+		"| members | loss | datagrams per member and s | bytes per member and s | first suspicion | first considers it dead | all consider it dead | all consider it dead, max. of the runs (-1: not in every run) |")
 	fmt.Fprintln(w, "| --- | --- | --- | --- | --- | --- | --- | --- |")
 	detection, load := map[string][][2]float64{}, map[string][][2]float64{}
 	var names []string
