--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -19,10 +19,10 @@
 
 	"elmseam"
 	"elmseam/internal/core"
-	"elmseam/internal/link"
 	"elmseam/internal/loop"
 	"elmseam/internal/probe"
 	"elmseam/internal/settings"
+	"elmseam/internal/transport"
 )
 
 // testTimeout is the longest wait for an expected event; a test that passes does not wait that long.
@@ -52,8 +52,8 @@
 // is long, so that a stall of the test machine does not count as such a delay.
 func newScenario(t *testing.T, options ...func(*scenario)) *scenario {
 	t.Helper()
-	s := &scenario{T: t, effects: make(chan core.Effect, 100), limits: core.Limits{RebindTimeout: 100 * time.Millisecond, MinRedialDelay: time.Millisecond,
-		MaxRedialDelay: time.Millisecond, ServerLostAfter: time.Minute, MaxCallerConns: 100, MaxOpen: 100, MaxCallBytes: 1 << 20, EndedCallTTL: time.Minute,
+	s := &scenario{T: t, effects: make(chan core.Effect, 100), limits: core.Limits{RebindTimeout: 100 * time.Millisecond, InitialRedialDelay: time.Millisecond,
+		MaxRedialDelay: time.Millisecond, ServerLostAfter: time.Minute, CallerConnsTarget: 100, MaxOpen: 100, MaxCallBytes: 1 << 20, EndedCallTTL: time.Minute,
 		Transient: map[core.Protocol]bool{Protocol: true}}}
 	for _, option := range options {
 		option(s)
@@ -73,7 +73,7 @@
 		default:
 		}
 	}, zerolog.Nop())
-	limits := link.Limits{InitialBufferSize: 64, MaxMessageSize: 16 << 10, MaxQueuedBytes: 1 << 20, WriteTimeout: time.Second, FlushTimeout: 50 * time.Millisecond,
+	limits := transport.Limits{InitialBufferSize: 64, MaxMessageSize: 16 << 10, MaxQueuedBytes: 1 << 20, WriteTimeout: time.Second, FlushTimeout: 50 * time.Millisecond,
 		LineTimeout: 50 * time.Millisecond, MaxSilence: 100 * time.Millisecond,
 		MessageTimeout: testTimeout, IdleTimeout: testTimeout, LingerTimeout: 100 * time.Millisecond, MaxLingerBytes: 1 << 16}
 	platform := New(Config{
