--- a/api.go
+++ b/api.go
@@ -24,7 +24,7 @@
 // Phase is the state of a server in the server list.
 type Phase uint8
 
-// The phases of a server. PhaseGone also marks, in a ListDelta, a server that leaves the list.
+// The phases of a server. A list entry with PhaseGone marks a server that leaves the list.
 const (
 	PhaseGone     Phase = iota // removed from the list
 	PhaseReady                 // takes new calls
@@ -34,7 +34,8 @@
 // LoadMetric is the meaning of one value of a load report.
 type LoadMetric uint8
 
-// The metrics that a load report may hold. LoadMetricUnknown stands for any other metric and is skipped.
+// The metrics that a load report may hold. LoadMetricUnknown stands for any other metric. The decisions use
+// the lines, the wait, the rate and the hold-back share; the other metrics are skipped.
 const (
 	LoadMetricUnknown       LoadMetric = iota
 	LoadMetricFreeLines                // free lines of the server
@@ -50,7 +51,7 @@
 // RetryPolicy says when an attempt that may have run at a server can be retried.
 type RetryPolicy uint8
 
-// The retry policies, by when a retry is safe.
+// The retry policies, by when a retry is safe. The controller treats RetryGuarded like RetryNever.
 const (
 	RetryAlways  RetryPolicy = iota // always
 	RetryGuarded                    // only where the server group drops duplicates, within a window
@@ -76,7 +77,7 @@
 	Tenants            []Tenant      // customers with an allowance
 	OverShareWorth     float64       // worth of a call beyond its tenant's share
 	ReportMetrics      []LoadMetric  // metrics of the values of a load report, in their order
-	MaxAttempts        int           // maximum number of attempts per call
+	MaxAttempts        int           // maximum number of attempts per call; 0 counts as 1
 	MaxRetryAfter      time.Duration // longest retry-after hint for callers; 0: callers get no hint
 	CanCancel          bool          // whether the Cancel action is permitted
 	OwnCell            int           // own cell in a mesh, which gets no set-ups; -1 outside a mesh
@@ -123,6 +124,7 @@
 )
 
 // Report is one load report, with values in the order of Settings.ReportMetrics, or empty if no report came.
+// A negative value stands for a metric that was not reported.
 type Report []float64
 
 // Event is an input of Controller.Handle; the types below implement it.
@@ -141,7 +143,7 @@
 	// Arrival is a new call, which needs exactly one final answer.
 	Arrival struct {
 		Call        CallID
-		Class       int           // index in Settings.Classes
+		Class       int           // index in Settings.Classes; any other value counts as 0
 		Tenant      int           // index in Settings.Tenants; any other value: an unknown tenant
 		Number      uint64        // called number; 0: none
 		Cell        int           // cell of the first choice; -1: none
@@ -155,7 +157,8 @@
 		Server    ServerID
 		SetUpTime time.Duration // time from the sending of the set-up to the server's answer
 	}
-	// Outcome is the end of an attempt. Final is set if the call needs no further answer.
+	// Outcome is the end of an attempt or of an established call. Final is set if the call needs no further
+	// answer.
 	Outcome struct {
 		Call    CallID
 		Server  ServerID
--- a/budgets.go
+++ b/budgets.go
@@ -27,8 +27,8 @@
 	)
 }
 
-// coldRateMultiple returns the number of set-ups that a cold server may get at a time for each set-up that
-// it takes when warm.
+// coldRateMultiple returns the number of set-ups that a cold server may get, at the time now, for each set-up
+// that it takes when warm.
 func (c *Controller) coldRateMultiple(s *server, now Time) float64 {
 	warmShare := c.settings.ColdInitialShare + (1-c.settings.ColdInitialShare)*
 		float64(now-s.started)/float64(c.settings.ColdRamp)
@@ -47,9 +47,9 @@
 
 // lineAvailable returns whether a server has a line for one more call. Where few lines are free, all
 // softswitches learn of the same lines and compete for them, and each refused set-up costs the server
-// processor time. A softswitch then reuses the lines that its own calls have freed, and keeps the last of
-// them for calls of high worth. It also tries for other lines, as a newly started softswitch has freed none,
-// but the less often the fewer are free.
+// processor time. Until lineShortUntil, a softswitch then reuses the lines that its own calls have freed, and
+// keeps the last of them for calls of high worth. It also tries for other lines, as a newly started
+// softswitch has freed none, but the less often the fewer are free.
 func (c *Controller) lineAvailable(s *server, call *callState) bool {
 	freeRatio := s.freeLines / max(lowLineShare*s.totalLines, 1)
 	if c.now >= s.lineShortUntil || freeRatio >= 1 {
@@ -85,7 +85,7 @@
 func (c *Controller) expectedRate(s *server) float64 { return c.ratePerLine * c.linesOrMean(s) }
 
 // linesOrMean returns the most lines that a server has reported, as a measure of its processor. For a
-// server that reports no lines it returns the mean of the others.
+// server that reports no lines it returns the mean of the others, or 1 if no server reports lines.
 func (c *Controller) linesOrMean(s *server) float64 {
 	if s.maxLines > 0 {
 		return s.maxLines
@@ -96,8 +96,9 @@
 // updateRatePerLine updates the rate of established calls for each line: the calls established at warm
 // servers, over the line seconds that these servers had for them, both with the same decay. Servers that
 // leave, few or many, thus change the rate by no more than what they took themselves, and with no server
-// left the last known rate holds. The rate is at least that of a share of the offered calls: a softswitch
-// that has newly started, or whose calls were not established lately, has to try some server.
+// left the last known rate holds until the line seconds have decayed to the least divisor. The rate is at
+// least that of a share of the offered calls: a softswitch that has newly started, or whose calls were not
+// established lately, has to try some server.
 func (c *Controller) updateRatePerLine() {
 	reportedLines, reporting := 0.0, 0.0
 	for _, s := range c.servers {
@@ -123,7 +124,7 @@
 // currentRate returns the rate of a counter now, per second.
 func (c *Controller) currentRate(counter decayingCounter) float64 { return c.rateAt(counter, c.now) }
 
-// rateAt returns the rate of a counter, per second, as it was at a time after the last addition.
+// rateAt returns the rate of a counter, per second, as it was at a time not before the last addition.
 func (c *Controller) rateAt(counter decayingCounter, at Time) float64 {
 	return counter.value(at) /
 		(rateTimeConstant * (1 - decayFactor(max((at-c.startedAt).Seconds(), minRateSpan))))
--- a/calls.go
+++ b/calls.go
@@ -70,8 +70,8 @@
 }
 
 // numberIsBusy returns whether all lines of a number were busy recently. Many calls to one number cost the
-// servers a set-up for each try, and nearly all of them fail. After busyNumberHold the next call tests the
-// number.
+// servers a set-up for each try, and nearly all of them fail. After busyNumberHold calls test the number
+// again.
 func (c *Controller) numberIsBusy(number uint64) bool {
 	for i := range c.busyNumbers {
 		if entry := &c.busyNumbers[i]; number != 0 && entry.number == number {
@@ -166,8 +166,9 @@
 	c.route(call)
 }
 
-// handleEstablished removes an established call, updates the rates and the answer delay of its server, and
-// presumes earlier attempts without an answer to be lost.
+// handleEstablished removes an established call and updates the rates and the answer delay of its server. A
+// trial that is established lifts the block. Attempts at the server that were sent more than overtakeMargin
+// earlier and have no answer are presumed to be lost.
 func (c *Controller) handleEstablished(ev Established) {
 	call := c.calls[ev.Call]
 	if call == nil {
@@ -209,8 +210,8 @@
 	}
 }
 
-// handleOutcome processes the end of an attempt: the load of the server, then the retry or final answer of
-// the call.
+// handleOutcome processes the end of an attempt or of an established call: the load of the server, then, for
+// an attempt, the retry or final answer of the call.
 func (c *Controller) handleOutcome(ev Outcome) {
 	call := c.calls[ev.Call]
 	if s := c.byID[ev.Server]; s != nil {
@@ -299,7 +300,8 @@
 }
 
 // presumeLost handles an unanswered attempt that was sent before an answered one: servers answer in order,
-// so the attempt or its answer was lost. The attempt is cancelled if its call can be retried.
+// so the attempt or its answer was lost. The attempt is cancelled if the settings permit it, the caller has
+// not left, and calls of its class can always be retried.
 func (c *Controller) presumeLost(a *attempt) {
 	call := a.call
 	if a.presumedLost = true; !a.cancelled && c.settings.CanCancel &&
--- a/constants.go
+++ b/constants.go
@@ -26,9 +26,9 @@
 	neededRateShare = 0.5
 
 	// Unanswered set-ups. An idle server is one whose recent reports show a low load. A set-up shows that an
-	// earlier one is lost if it is answered first and was sent later by overtakeMargin.
+	// earlier one is lost if it is answered first and was sent later by more than overtakeMargin.
 
-	maxUnanswered    = 0.3 // retransmit intervals that a set-up may be unanswered before the next is sent
+	maxUnanswered    = 0.3 // retransmit intervals past the round trip until an unanswered set-up stops others
 	suspectLossAfter = 0.6 // retransmit intervals until an idle server's unanswered set-up counts as lost
 	assumeLossAfter  = 2.0 // retransmit intervals until any unanswered set-up counts as lost
 	overtakeMargin   = 0.2 // retransmit intervals
--- a/controller.go
+++ b/controller.go
@@ -14,7 +14,7 @@
 // Controller decides for one softswitch which server gets which call set-up.
 type Controller struct {
 	settings          Settings
-	servers           []*server // in the order of the list
+	servers           []*server // in the order in which the list first named them
 	byID              map[ServerID]*server
 	removed           []removedServer // servers removed last, oldest first
 	calls             map[CallID]*callState
@@ -29,7 +29,7 @@
 	startedAt         Time            // time of the first event, moved back by a first tier report
 	established       decayingCounter // calls established at warm servers
 	offered           decayingCounter // calls that arrived
-	meanLines         float64         // mean lines of the servers that report lines
+	meanLines         float64         // mean lines of the servers that report lines; 1 if none does
 	measuredAt        Time            // time of the last update of ratePerLine
 	lineSeconds       float64         // line seconds of warm servers, decayed like the counters
 	ratePerLine       float64         // established calls per second for each line of a warm server
@@ -56,8 +56,9 @@
 	return c, nil
 }
 
-// Configure replaces the settings and keeps what is known of servers and calls. Invalid settings change
-// nothing. The classes of the previous settings must keep their indexes.
+// Configure replaces the settings and keeps what is known of servers and calls; only the usual times left
+// are learned again. Invalid settings change nothing. The classes of the previous settings must keep their
+// indexes.
 func (c *Controller) Configure(settings Settings) error {
 	if err := checkSettings(&settings); err != nil {
 		return fmt.Errorf("elmseam: settings: %w", err)
--- a/controller_test.go
+++ b/controller_test.go
@@ -220,10 +220,9 @@
 	}
 }
 
-// Under overload a tenant that asks for three times its share loses the calls beyond it, whether the other
-// tenants are far within their share or just within it. A tenant within its share loses next to no calls.
-// A call that names no known tenant is in no share. The load reports hold no hold-back share here: their
-// wait asks for one.
+// Under overload a tenant that makes three times the calls of another with an equal share loses calls beyond
+// its share, and the other, which is within its share, loses next to none. A call that names no known tenant
+// is in no share. The load reports hold no hold-back share here: their wait asks for one.
 func TestTenantWithinShareServed(t *testing.T) {
 	settings := testSettings()
 	settings.OverShareWorth = 0.1
@@ -463,10 +462,9 @@
 	}
 }
 
-// A live report that asks for a low hold-back share allows nearly as many diverted calls as one that asks
-// for none. With a budget that was not graded, in the lab with two equal servers at a third more than their
-// capacity, the second choice alternated between three times its rate and its rate, and got an eighth of what
-// it could take.
+// The lower the hold-back share that a live report asks for, the more diverted calls the budget allows. With a
+// budget that was not graded, in the lab with two equal servers at a third more than their capacity, the
+// second choice alternated between three times its rate and its rate, and got an eighth of what it could take.
 func TestDivertBudgetGradedByShare(t *testing.T) {
 	settings := testSettings()
 	settings.ReportMetrics = []LoadMetric{LoadMetricHoldBackShare}
@@ -1170,7 +1168,7 @@
 }
 
 // softswitchGroup is a number of softswitches side by side, each with its own seed and a call every 1.6 s at
-// its own phase. Servers 1 to 4 establish all calls; set-ups to a watched server are recorded.
+// its own phase. The servers establish all calls; set-ups to a watched server are recorded and left to the test.
 type softswitchGroup struct {
 	softswitches []*harness
 	now          Time
@@ -1259,7 +1257,8 @@
 	}
 }
 
-// The calls that many softswitches divert to a small server are together no more than its share by lines.
+// The calls that many softswitches divert to a small server are together at most one and a half times its
+// share by lines.
 func TestDivertedRateOfManySoftswitches(t *testing.T) {
 	g := newSoftswitchGroup(t, 200)
 	for s := ServerID(1); s <= 4; s++ {
@@ -1543,8 +1542,8 @@
 	h.expectServer("when that call is established", h.establish(1, 20*ms), 1)
 }
 
-// A newly started softswitch adopts the rates that other members report, keeps them while it counts its
-// own, and takes no larger quota of a cold server's budget for them than it has counted itself. Without
+// A newly started softswitch adopts the rates that other members report and keeps them while it counts its
+// own. Its quota of a cold server's budget begins at a part of them and grows as it counts its own. Without
 // reported rates a newly started softswitch diverted calls without limit for three seconds and took the set-up
 // time of a full queue for the round trip.
 func TestTierReportRates(t *testing.T) {
--- a/load.go
+++ b/load.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// applyReport replaces the load of a server by the load in a report.
+// applyReport replaces the load of a server by the load in a report. A report that asks for a hold-back
+// share, 0 included, lifts a block, but until minBlockTime after the block only the lines of a report count.
 func (c *Controller) applyReport(s *server, r Report) {
 	c.applyLineReport(s, r)
 	share, known := c.shareFromReport(s, r)
@@ -20,9 +21,10 @@
 }
 
 // ApplyTierReport processes what the other members of the tier have observed of a server. Their hold-back
-// share counts like that of a load report if it is newer than the last one here, but never lifts a block.
-// A server that is failing for them is blocked at its next failure here. A newly started softswitch adopts
-// the members' rates; the budgets of cold servers do not grow by them (see coldQuota).
+// share counts like that of a load report if it is newer than the last one that counted, but not while the
+// server is blocked. A server that is failing for them is blocked at its next failure here. Their set-up time
+// is taken if none is known here. A newly started softswitch adopts the members' rates; of these, the quotas
+// of cold servers' budgets count only minOfferedShare (see coldQuota).
 func (c *Controller) ApplyTierReport(now Time, id ServerID, report TierReport) {
 	s := c.byID[id]
 	if s == nil {
@@ -53,7 +55,7 @@
 
 // applyLineReport updates the lines of a server, which the server reports unasked at short intervals. They
 // matter for a server that refuses every call for want of lines: its processor is free, so its other metrics
-// ask to hold back nothing.
+// ask to hold back nothing. A report without both the free and the total lines changes nothing here.
 func (c *Controller) applyLineReport(s *server, r Report) {
 	free, total := -1.0, -1.0
 	for i, metric := range c.settings.ReportMetrics {
--- a/rates.go
+++ b/rates.go
@@ -9,7 +9,7 @@
 
 // bucket is a budget of set-ups that refills with time.
 type bucket struct {
-	tokens    float64 // set-ups that the budget allows now
+	tokens    float64 // set-ups allowed at the last refill, less those sent since; may be negative
 	updatedAt Time    // time of the last refill
 }
 
--- a/routing.go
+++ b/routing.go
@@ -39,7 +39,7 @@
 
 // pickLastResort returns a server that is blocked for errors, for a call that would be refused otherwise,
 // or nil. Errors are answered at once, so an error costs a call less than a refusal does, and a server
-// seldom fails every call.
+// seldom fails every call. Calls of low worth, and those that cannot always be retried, are not served so.
 func (c *Controller) pickLastResort(call *callState) *server {
 	for _, s := range c.servers {
 		if s.blocked && s.blockedForErrors && !call.lowWorth && call.class.Retry == RetryAlways &&
@@ -54,8 +54,9 @@
 // pickServer returns the server for a call, or nil. The first choice is taken if it is available and its
 // thinning lets the call pass. Otherwise the call is diverted to the least loaded of the other servers
 // whose divert budget allows it, if that server's thinning lets the call pass; a server without a live
-// report counts as not loaded. A call of high worth whose first choice is loaded is diverted at once:
-// admitting the call to a queue that loses callers would not help it.
+// report is judged by the other signs of load, such as its lines and answer delays. For a call of high worth
+// a loaded first choice counts as one of the other servers: admitting the call to a queue that loses callers
+// would not help it.
 func (c *Controller) pickServer(call *callState) *server {
 	var primary, best *server
 	for _, s := range c.servers {
@@ -116,7 +117,7 @@
 }
 
 // highWorth returns whether a call is worth far more than a call of the class of least worth, or was
-// established before and cut.
+// established before and cut. A call of low worth is neither.
 func (c *Controller) highWorth(call *callState) bool {
 	return !call.lowWorth && (call.interrupted || call.class.Worth > highWorthFactor*c.minWorth)
 }
--- a/servers.go
+++ b/servers.go
@@ -28,7 +28,7 @@
 	lineTryBudget  bucket  // budget of set-ups for other free lines
 	credit         float64 // credit of the thinning; a set-up that passes uses 1
 
-	minSetUpTime  time.Duration // shortest set-up time seen, taken for the round trip
+	minSetUpTime  time.Duration // shortest set-up time seen or told by the tier, taken for the round trip
 	answerDelay   time.Duration // set-up time of the last call beyond maxRoundTrip
 	answerDelayAt Time          // time of that call's answer
 	pending       []*attempt    // unanswered attempts, oldest first
@@ -100,8 +100,8 @@
 	return max(s.rateBeforeRestart, c.rateAt(s.established, s.established.updatedAt))
 }
 
-// newServer makes the state of a server that the list names for the first time. A server that comes back
-// within removedServerTTL keeps its lines, rate and set-up time.
+// newServer makes the state of a server that is new in the list. A server that comes back while it is
+// remembered as removed keeps its most lines, rate and set-up time.
 func (c *Controller) newServer(id ServerID) *server {
 	s := &server{id: id, allottedRate: -1}
 	for _, old := range c.removed {
--- a/tier.go
+++ b/tier.go
@@ -12,26 +12,28 @@
 }
 
 // SetColdRate sets the quota of a cold server's budget that the tier allots to this softswitch, in set-ups
-// per second of a warm server. With a negative rate the softswitch uses its own quota.
+// per second of a warm server. With a negative rate the softswitch uses the fraction of its own quota that
+// SetColdQuotaFraction has set.
 func (c *Controller) SetColdRate(id ServerID, rate float64) {
 	if s := c.byID[id]; s != nil {
 		s.allottedRate = rate
 	}
 }
 
-// Observation is what this softswitch has observed of a server itself.
+// Observation is what this softswitch has observed of a server itself. A tier report can have raised the
+// FailureWeight, and supplies the MinSetUpTime until a shorter one is seen here.
 type Observation struct {
 	HoldBackShare   float64       // hold-back share of the last report to this softswitch, 0 to 1
 	HoldBackShareAt Time          // time of that report; 0: none
 	Rate            float64       // set-ups per second that the warm server takes from here; 0: unknown
 	TotalLines      float64       // most lines that the server has reported in all; 0: none reported
 	FailureWeight   int           // weight of the consecutive failures
-	MinSetUpTime    time.Duration // shortest set-up time, taken for the round trip; 0: no call established
+	MinSetUpTime    time.Duration // shortest set-up time, taken for the round trip; 0: unknown
 }
 
 // Observed returns what this softswitch has observed of a server itself until now, and whether the server is
-// listed.
-func (c *Controller) Observed(id ServerID, now Time) (observation Observation, listed bool) {
+// known: it is listed or still has a pending attempt.
+func (c *Controller) Observed(id ServerID, now Time) (observation Observation, known bool) {
 	s := c.byID[id]
 	if s == nil {
 		return observation, false
@@ -44,7 +46,7 @@
 	case s.started > 0 && now < s.started+c.settings.ColdRamp:
 		observation.Rate = s.rateBeforeRestart
 	case !c.newlyStarted(now) && c.currentImportedShare(now) < 0.5:
-		// Rates reported by members are not passed on.
+		// Rates of which members have reported half or more are not passed on.
 		observation.Rate = c.rateAt(s.established, now)
 	}
 	return observation, true
@@ -52,16 +54,17 @@
 
 // TierReport is what the other members of the tier have observed of a server.
 type TierReport struct {
-	HoldBackShare   float64       // hold-back share that their load reports ask for, 0 to 1
+	HoldBackShare   float64       // hold-back share that their load reports, and those here, ask for, 0 to 1
 	HoldBackShareAt Time          // time of the newest of these load reports; 0: none
 	Rate            float64       // mean set-ups per second per member that the warm server takes; 0: unknown
 	Failing         bool          // whether the server is failing for most members
-	MinSetUpTime    time.Duration // longest round trip to the server of any member; 0: unknown
+	MinSetUpTime    time.Duration // longest of the members' shortest set-up times; 0: unknown
 }
 
 // ScaleRates multiplies the rates that this softswitch has counted by factor, after callers of other members
 // of the tier have moved here or back. Counting alone would show the change only after about
-// rateTimeConstant. Budgets of cold servers are not scaled (see coldQuota).
+// rateTimeConstant. Budgets of cold servers are not scaled (see coldQuota). A factor that is not positive
+// changes nothing.
 func (c *Controller) ScaleRates(now Time, factor float64) {
 	if !(factor > 0) || c.startedAt == 0 {
 		return
@@ -87,7 +90,8 @@
 	RateMultiple float64 // set-ups that the server may get now for each set-up that the warm server takes
 }
 
-// ColdBudget returns the budget of a cold server, or false if the server is not cold at the given time.
+// ColdBudget returns the budget of a cold server, or false if the server is not listed, not ready or not cold
+// at the given time.
 func (c *Controller) ColdBudget(id ServerID, now Time) (ColdBudget, bool) {
 	s := c.byID[id]
 	if s == nil || s.phase != PhaseReady || s.started <= 0 || now >= s.started+c.settings.ColdRamp {
@@ -96,8 +100,8 @@
 	return ColdBudget{s.started + c.settings.ColdRamp, c.coldQuota(s), c.coldRateMultiple(s, now)}, true
 }
 
-// Blocked returns whether a server gets no new set-ups now: it is not listed or not ready, it is blocked, its
-// load reports ask to hold back everything, or it has no free line.
+// Blocked returns whether a server gets no new set-ups now, except for trials and last resorts: it is not
+// listed or not ready, it is blocked, its load reports ask to hold back everything, or it has no free line.
 func (c *Controller) Blocked(id ServerID, now Time) bool {
 	s := c.byID[id]
 	return s == nil || s.phase != PhaseReady || s.blocked ||
