--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -27,7 +27,9 @@
 }
 
 // startAttempt starts the attempt that the controller decided on, if the rules permit it: the call has no final answer, no other
-// attempt and attempts remaining, and the server takes new work. Within the release guard the attempt waits.
+// attempt and attempts remaining, its time is not up, and the server takes new work. Within the release guard the attempt waits. For a
+// call that is answered, abandoned or has another attempt, and for an unknown server, a Violation is all that happens; in the other
+// cases the attempt ends at once as not sent.
 func (c *Core) startAttempt(call *call, decision elmseam.Send) {
 	s := c.serversByID[decision.Server]
 	if call.answered || call.callerGone || call.attempt != nil && c.guardEnabled(GuardSingleAttempt) || s == nil {
@@ -47,7 +49,8 @@
 	c.offer(call)
 }
 
-// offer sends the offer of an attempt, or has the attempt wait for the release guard or for a connection.
+// offer sends the offer of an attempt, or has the attempt wait for the release guard or for a connection. Without a connection, and
+// with no room to dial one, the attempt ends as not sent.
 func (c *Core) offer(call *call) {
 	s := call.attempt.server
 	conn := c.connFor(s)
@@ -67,7 +70,8 @@
 	}
 }
 
-// retryAttempt resumes an attempt that waited for the release guard or for a connection.
+// retryAttempt resumes an attempt that waited for the release guard or for a connection. If the call needs no attempt any more, or the
+// server takes no new work, the attempt ends as not sent.
 func (c *Core) retryAttempt(call *call) {
 	if call.callerGone || call.answered || c.now >= call.deadline || call.attempt.server.effectivePhase != elmseam.PhaseReady {
 		c.endAttempt(call, elmseam.Outcome{Cause: elmseam.CauseNotSent})
@@ -76,7 +80,8 @@
 	c.offer(call)
 }
 
-// giveUpAttempt gives an attempt up. If its offer went out, the attempt stays outstanding until its End has been written.
+// giveUpAttempt gives an attempt up. If its offer went out, the attempt stays outstanding until its End has been written. An attempt
+// that waits ends at once as not sent, whatever the cause.
 func (c *Core) giveUpAttempt(call *call, cause elmseam.Cause) {
 	a := call.attempt
 	switch {
@@ -88,7 +93,8 @@
 	}
 }
 
-// endAttempt ends the outstanding attempt of a call and reports the outcome to the controller.
+// endAttempt ends the outstanding attempt of a call and reports the outcome to the controller. A call that needs no answer any more is
+// forgotten.
 func (c *Core) endAttempt(call *call, outcome elmseam.Outcome) {
 	ended := call.attempt
 	call.attempt = nil
--- a/internal/core/callers.go
+++ b/internal/core/callers.go
@@ -25,7 +25,7 @@
 	protocol Protocol
 	id       ID
 	reason   Reason
-	at       Time // when the release began to wait
+	at       Time // when the release was last put on the list; each flushReleases that finds no connection for it sets it again
 }
 
 // callerUp handles a new connection of a caller.
@@ -125,7 +125,7 @@
 	c.emit(Released{To: to, ID: id, Reason: reason})
 }
 
-// flushReleases sends the releases that have waited for a connection. A release older than EndedCallTTL is dropped.
+// flushReleases sends the releases that have waited for a connection. A release whose wait has reached EndedCallTTL is dropped.
 func (c *Core) flushReleases() {
 	releases := c.pendingReleases
 	c.pendingReleases = nil
@@ -153,8 +153,7 @@
 }
 
 // pruneCallers closes connections of callers that have no open set-up: those from which nothing more can be read and, while there
-// are more than CallerConnsTarget, the best candidates for eviction. Where every connection has an open set-up, the target is
-// exceeded for a while.
+// are more than CallerConnsTarget, the best candidates for eviction. Where there is no candidate, the target is exceeded for a while.
 func (c *Core) pruneCallers() {
 	target := c.limits.CallerConnsTarget
 	if c.sharesCallerLimit { // file descriptors are shared between both processes
--- a/internal/core/calls.go
+++ b/internal/core/calls.go
@@ -21,7 +21,7 @@
 	answered     bool           // the final answer has been given, or none is due any more as the caller has gone
 	callerGone   bool           // the caller has given the set-up up or released the call
 	attempts     int            // attempts made so far
-	maxAttempts  int            // attempts permitted by the settings that the call arrived under; 0: any number
+	maxAttempts  int            // attempts that the core permits by the settings that the call arrived under; 0: any number
 	attempt      *attempt       // outstanding attempt; nil: none
 	earlierConns []ConnID       // connections of the attempts that have ended
 	resendAfter  Time           // no offer goes out before this time, by the release guard
@@ -39,7 +39,7 @@
 // caller may have sent the set-up again because its answer was lost with a closing connection.
 func (c *Core) setUp(ev SetUp) {
 	from := c.callers[ev.From]
-	if from == nil { // the connection has been closed: the caller sends the set-up again on another
+	if from == nil { // the connection has been closed: the caller may send the set-up again on another
 		if c.calls[ev.ID] == nil {
 			c.emit(ForgetCall{ID: ev.ID})
 		}
@@ -86,8 +86,8 @@
 	call.Tenant = ""
 }
 
-// repeatedSetUp handles a set-up with the id of a call that has not ended. The same set-up on another connection was sent again
-// after its first connection had closed: the call goes on for the new connection, which is given the answer that its caller
+// repeatedSetUp handles a set-up with the id of a call that has not ended. The same set-up on another connection is taken to be sent
+// again because its first connection closed: the call goes on for the new connection, which is given the answer that its caller
 // may have missed. Any other set-up is refused, as the answer to the existing call is no answer to it. When both came on one
 // connection and the first has no final answer yet, both are refused, as the caller could not tell which of them an answer is for.
 func (c *Core) repeatedSetUp(call *call, ev SetUp) {
@@ -115,7 +115,7 @@
 }
 
 // reject gives a call a final answer other than being established. A call that already has its final answer gets no second one:
-// the attempt to give one is reported as a violation.
+// the attempt to give one is reported as a violation. A caller that has gone, or whose connection ended, gets no message.
 func (c *Core) reject(call *call, rejection Rejected) {
 	if call.answered {
 		c.emit(Violation{ID: call.ID, Rule: "second final answer for a call"})
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -19,8 +19,8 @@
 // Core is the reducer of one softswitch.
 type Core struct {
 	limits              Limits
-	releaseGuard        time.Duration        // wait before a call whose attempt ended badly is sent again
-	maxAttempts         int                  // attempts a call may have; 0: any number
+	releaseGuard        time.Duration        // wait before a call whose attempt timed out, was reset or was cancelled is sent again
+	maxAttempts         int                  // attempts that the core permits a call; 0: any number
 	reportMetrics       []elmseam.LoadMetric // values of a load report, in the order that the controller reads
 	tenants             []elmseam.Tenant     // tenants of the settings; the controller knows them by their index
 	prober              *probe.Prober        // decides on probes of silent connections
@@ -42,7 +42,7 @@
 	callerOrder         []*callerConn     // oldest first
 	pruneTimerSet       bool              // a timer is set for the next pruneCallers
 	pendingReleases     []*pendingRelease // releases to callers that wait for a connection
-	ended               map[ID]Time       // ids of calls that ended recently, with the time when each id was recorded
+	ended               map[ID]Time       // ids of calls that ended recently, with the time when each id was last recorded
 	endedOrder          []endedCall       // the same ids, oldest first
 	stopping            bool              // a Stop or a HandOver has begun
 	stopGraceOver       bool              // the grace period of a Stop or HandOver, in which new callers may still connect, has ended
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -355,8 +355,8 @@
 }
 
 // A different set-up with the id of an open call is refused and does not affect that call. Guards against the second set-up taking the
-// call over and being given its answer. Two set-ups with one id on one connection are both refused, and the id of an ended call is never
-// used again.
+// call over and being given its answer. Two set-ups with one id on one connection are both refused, and so is a set-up with the id of an
+// ended call.
 func TestRepeatedIDs(t *testing.T) {
 	h := newHarness(t)
 	h.step(CallerUp{Conn: 2, Protocol: "f"})
--- a/internal/core/drain.go
+++ b/internal/core/drain.go
@@ -5,8 +5,8 @@
 // A drain sends callers away while the process goes on. Operators and ordered maintenance can begin and end drains any number of
 // times. New calls cease to be welcome at once, which the health check of the callers' front end shows. The front end notices the drain
 // only after a while; the set-ups that it still sends until then are served. After DrainGrace, idle connections of transient protocols
-// without a call are closed. A connection with established calls stays open, as their releases need it, and set-ups that still arrive
-// on it are refused after DrainRefuseAfter.
+// without a call are closed. A connection with established calls stays open, as their releases need it. Set-ups that still arrive, on
+// any connection, are refused after DrainRefuseAfter.
 
 // setDraining begins or ends a drain. It does nothing if the drain already is as requested.
 func (c *Core) setDraining(on bool) {
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -10,7 +10,7 @@
 // for their callers go through the successor. The successor records the set-ups that the predecessor has not answered yet, and
 // rejects them if the predecessor ends first.
 
-// handOver begins to transfer the connections of callers. Their input from now on is read by the successor.
+// handOver begins to transfer the connections of callers. The input of those that are transferred is read by the successor from then on.
 func (c *Core) handOver() {
 	if c.handingOver || c.closing { // while closing, the connections are about to be closed, and a connection in transfer would be lost
 		return
@@ -31,7 +31,8 @@
 	}
 }
 
-// transfer passes a connection that is read no further to the successor, with the ids of its open set-ups and established calls.
+// transfer passes a connection that is read no further to the successor, with the ids of its open set-ups and, up to
+// MaxTransferredCalls in all, of its established calls.
 func (c *Core) transfer(id ConnID) {
 	conn := c.callers[id]
 	if conn == nil {
@@ -88,7 +89,8 @@
 	clear(c.predecessorSetUps)
 }
 
-// relayFromPredecessor passes an effect of the predecessor on to the caller. A second final answer to a set-up is dropped.
+// relayFromPredecessor passes an answer or a release of the predecessor on to the caller. A second final answer to a set-up is dropped,
+// and so is the release of a call whose end is known here.
 func (c *Core) relayFromPredecessor(ev Relayed) {
 	switch effect := ev.Effect.(type) {
 	case Answered:
--- a/internal/core/hook.go
+++ b/internal/core/hook.go
@@ -18,7 +18,7 @@
 	GuardForgetEnded                     // an ended call is forgotten
 )
 
-// Hook makes a core violate its rules on purpose, for tests that have to detect the violation. No program sets a Hook.
+// Hook makes a core violate its rules on purpose, for tests that have to detect the violation. Outside tests it is empty.
 type Hook struct {
 	DisabledGuards Guard                                                  // guards that are switched off, as a bit set
 	SuppressEvent  func(elmseam.Event) bool                               // events for which it returns true are kept from the controller
@@ -45,13 +45,13 @@
 
 // Retained counts what a core keeps for calls.
 type Retained struct {
-	Calls, Open, Bytes    int // calls, those without a final answer, and the memory of all calls in bytes
+	Calls, Open, Bytes    int // calls, those without a final answer, and the size of the numbers and descriptions of all calls in bytes
 	Attempts, Established int // outstanding attempts and established calls at all servers
 	PendingReleases       int // releases that wait for a connection of callers
 	ControllerCalls       int // calls that the controller keeps
 }
 
-// Retained returns what the core keeps now. All counts are 0 when every call has ended.
+// Retained returns what the core keeps now. All counts are 0 when every call has ended and no release to a caller waits.
 func (c *Core) Retained() Retained {
 	retained := Retained{Calls: len(c.calls), Open: c.openSetUps, Bytes: c.callBytes, PendingReleases: len(c.pendingReleases), ControllerCalls: c.controller.Calls()}
 	for _, s := range c.servers {
--- a/internal/core/knowledge.go
+++ b/internal/core/knowledge.go
@@ -64,8 +64,8 @@
 	}
 }
 
-// applyTierReport gives the controller what other members report of a server. A reported drain later than the server's last entry
-// in this softswitch's own list makes the server count as draining for ReportedDrainTTL.
+// applyTierReport gives the controller what other members report of a server. A reported drain later than the last entry of a ready
+// server in this softswitch's own list makes the server count as draining for ReportedDrainTTL.
 func (c *Core) applyTierReport(key uint32) {
 	s := c.serversByKey()[key]
 	if s == nil {
@@ -89,8 +89,8 @@
 	}
 }
 
-// serversByKey returns the servers by the hash of their names. Servers whose names have the same hash are left out: their entry is
-// nil.
+// serversByKey returns the servers of the list by the hash of their names. Servers whose names have the same hash are left out: their
+// entry is nil.
 func (c *Core) serversByKey() map[uint32]*server {
 	byKey := make(map[uint32]*server, len(c.serverOrder))
 	for _, s := range c.serverOrder {
@@ -159,8 +159,8 @@
 	Name          string
 	Phase         elmseam.Phase
 	DrainReported bool                      // the server counts as draining only because members report so
-	View          knowledge.View            // the weighed reports of all members
-	Reports       []knowledge.ObserverEntry // the report of each member
+	View          knowledge.View            // the weighed reports of the other members; its HoldBackShare also weighs this softswitch's own
+	Reports       []knowledge.ObserverEntry // the report of each member that has one, this softswitch included
 	// ColdRate is the quota of a cold server's budget that this softswitch may use, in set-ups per second of the warm server.
 	// Negative: the server is not cold, or this softswitch's own quota applies.
 	ColdRate float64
--- a/internal/core/probe.go
+++ b/internal/core/probe.go
@@ -37,11 +37,12 @@
 func (ServerProbeAnswer) event() {}
 func (Probe) effect()            {}
 
-// serverSilent handles a connection on which nothing has come for the duration SilentFor. If an unanswered set-up went out on the
-// connection at least SilentFor/2 ago, the connection counts as dead and is replaced, whether that set-up is still outstanding or was
-// given up meanwhile. If the first unanswered set-up was sent later, the connection is judged at the next ServerSilent. Without an
-// unanswered set-up the silence is normal, except at a server with established calls, whose releases may come on any connection: the
-// connection to such a server is probed, or replaced where the settings permit no probe or the server is not ready.
+// serverSilent handles a connection on which nothing has come for the duration SilentFor. If an unanswered set-up or probe went out on
+// the connection at least SilentFor/2 ago, the connection counts as dead and is replaced, whether that set-up is still outstanding or
+// was given up meanwhile. If the first unanswered one was sent later, the connection is judged at the next ServerSilent. Without any
+// the silence is normal, except at a server with established calls, whose releases may come on any connection: the connection to such
+// a server is probed, or replaced where the settings permit no probe or the server is not ready. It is left alone while it has an outstanding
+// probe or the rate of probes is used up.
 func (c *Core) serverSilent(ev ServerSilent) {
 	s := c.servers[ev.Server]
 	if s == nil {
--- a/internal/core/servermsgs.go
+++ b/internal/core/servermsgs.go
@@ -13,7 +13,7 @@
 	conns            []*serverConn
 	dialing          bool          // a Dial effect was given and its result has not come
 	backoff          time.Duration // wait before the last redial
-	unreachableSince Time          // when the last connection ended or could not be made; 0: reachable
+	unreachableSince Time          // when the last connection ended or could not be made; 0: not known to be unreachable
 	paused           bool          // its own signalling takes no new work
 	source           string        // source of the list entry
 	effectivePhase   elmseam.Phase // phase reported to the controller: that of the list, lowered by routes, pauses and drain reports
@@ -38,12 +38,12 @@
 type serverConn struct {
 	id              ConnID
 	lastSetUp       Time // when the last offer went out on the connection
-	malformed       bool // a message on the connection could not be decoded: no new offer goes there
+	malformed       bool // a message on the connection could not be decoded, or the connection counts as dead: no new offer goes there
 	unansweredSince Time // time of the first set-up or probe sent since the connection last brought something; 0: none
 }
 
 // serverAnswer handles the answer of a server to a set-up. An answer to an attempt that has ended is released at the server and
-// never passed on to the caller.
+// never passed on to the caller, and so is one that comes too late, or whose caller has gone or lost its connection.
 func (c *Core) serverAnswer(ev ServerAnswer) {
 	s := c.servers[ev.Server]
 	if s == nil {
@@ -170,7 +170,7 @@
 }
 
 // orderReport puts the values of a report into the order in which the controller reads them. A value that the server did not
-// report is -1.
+// report is -1. The result is nil if the report has none of the values.
 func (c *Core) orderReport(report Report) elmseam.Report {
 	var values elmseam.Report
 	for i, metric := range c.reportMetrics {
@@ -187,7 +187,8 @@
 	return values
 }
 
-// reportHealth tells the controller of a load report that a server sent by itself, or with a message that concerns no attempt.
+// reportHealth tells the controller of a load report that comes with no outcome: a server sent it by itself, or with an answer or a late
+// message. A report without any value that the controller reads is dropped.
 func (c *Core) reportHealth(s *server, report Report) {
 	if values := c.orderReport(report); values != nil {
 		c.notifyController(elmseam.Health{Server: s.id, OK: true, Report: values})
--- a/internal/core/servers.go
+++ b/internal/core/servers.go
@@ -186,8 +186,8 @@
 	})
 }
 
-// dial asks for a connection to a server, unless a dial is under way or the server has connections enough. It returns whether a
-// dial is under way.
+// dial asks for a connection to a server, unless a dial is under way, the server has connections enough, or MaxServerConns is reached and
+// no other connection can be closed. It returns whether a dial is under way.
 func (c *Core) dial(s *server) bool {
 	if s.dialing || s.usableConns() >= max(c.wantedConns(s), 1) {
 		return s.dialing
@@ -201,7 +201,7 @@
 }
 
 // dialAhead asks for a connection before a set-up needs it, if no connection to another server has to be closed for it. A server
-// with established calls and no usable connection is dialled in any case.
+// with established calls and no usable connection is dialled even if another connection has to be closed.
 func (c *Core) dialAhead(s *server) {
 	if c.limits.MaxServerConns == 0 || c.serverConnCount() < c.limits.MaxServerConns || len(s.established) > 0 && s.usableConns() == 0 {
 		c.dial(s)
@@ -279,7 +279,7 @@
 }
 
 // releaseAtServer releases a call that is established on a server. Without a usable connection the release waits for the next one:
-// the server would otherwise keep a line occupied for a caller who has left.
+// the server would otherwise keep a line occupied for a caller who has left. A server that is gone and has none gets no release.
 func (c *Core) releaseAtServer(s *server, id ID) {
 	if s.usableConns() > 0 {
 		c.sendEnd(s, id)
@@ -295,7 +295,8 @@
 	}
 }
 
-// closeServerConns closes all connections to a server at once and ends the outstanding attempts there as reset.
+// closeServerConns closes all connections to a server at once. The attempts outstanding on them end as reset, and attempts that wait for
+// a connection as not sent.
 func (c *Core) closeServerConns(s *server) {
 	conns := s.conns
 	s.conns = nil
@@ -306,7 +307,7 @@
 }
 
 // serverUp handles a new connection to a server: the releases and attempts that waited for a connection go out. A connection that
-// is not wanted any more is closed.
+// is not wanted any more is closed. Attempts within their release guard wait on.
 func (c *Core) serverUp(ev ServerUp) {
 	s := c.servers[ev.Server]
 	if s == nil {
@@ -384,7 +385,7 @@
 }
 
 // failAttempts ends the attempts at a server that are outstanding on a connection that has ended. If the server has no connection
-// left, the attempts that wait for a connection end too.
+// left, the attempts that wait end too. An attempt that was given up keeps its cause; one that waits ends as not sent, not as reset.
 func (c *Core) failAttempts(s *server, endedConn *serverConn, cause elmseam.Cause) {
 	for _, call := range inArrivalOrder(s.outstanding) {
 		if call.attempt == nil || call.attempt.server != s {
--- a/internal/core/servers_test.go
+++ b/internal/core/servers_test.go
@@ -33,7 +33,8 @@
 	h.want(h.step(ServerSilent{Server: "b", Conn: 12, SilentFor: time.Second}), "")
 
 	// A set-up that the controller has given up counts as unanswered too. Otherwise each further set-up on a dead connection was
-	// lost too, and a tenth of all calls was refused (0.82 to 0.92 instead of 0.996 of the calls in rate+silent+leave).
+	// lost too, and a tenth of all calls was refused: a simulation of silent connections and leaving servers gave 0.82 to 0.92
+	// instead of 0.996.
 	h.want(h.step(SetUp{ID: 2, From: 1, Cell: 1, TimeLeft: 5 * time.Second, At: h.now}), "offer2@12 ")
 	h.core.effects = nil
 	h.core.giveUpAttempt(h.core.calls[2], elmseam.CauseCancelled)
--- a/internal/core/stats.go
+++ b/internal/core/stats.go
@@ -6,7 +6,8 @@
 	"elmseam/internal/probe"
 )
 
-// ClassStats counts the set-ups of a class by their final answers.
+// ClassStats counts the set-ups of a class by their final answers. Not counted are set-ups of an unknown class or with the id of another
+// call, and those whose caller has gone.
 type ClassStats struct {
 	Answered uint64 // the call was established
 	Deferred uint64 // refused: the caller may safely try again
--- a/internal/core/stop.go
+++ b/internal/core/stop.go
@@ -47,7 +47,7 @@
 	c.setTimer(c.now+c.limits.StopLinger, Token{kind: tokenStopLinger})
 }
 
-// finishStop closes the connections of transient protocols gracefully and reports that the process has stopped.
+// finishStop closes the connections of transient protocols that were not transferred, gracefully, and reports that the process can end.
 func (c *Core) finishStop() {
 	for _, conn := range slices.Clone(c.callerOrder) {
 		if c.limits.Transient[conn.protocol] && !conn.transferred {
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -191,7 +191,7 @@
 		ID     ID
 	}
 	// HandOver begins to transfer the connections of callers to a successor that serves. The process ends when nothing is
-	// pending any more.
+	// pending any more, or after MaxStopWait. A HandOver has no effect once the process has begun to close its connections.
 	HandOver struct{}
 	// ReadingStopped reports that a connection is no longer read, after a StopReading.
 	ReadingStopped struct{ Conn ConnID }
@@ -202,7 +202,7 @@
 	// Predecessor reports whether there is another process that owns calls whose callers are connected here. Transferring means
 	// that the predecessor has begun to transfer its connections of callers.
 	Predecessor struct{ Present, Transferring bool }
-	// Relayed is an effect of a predecessor for one of its callers. A Conn of 0 stands for any connection.
+	// Relayed is an effect of a predecessor for one of its callers. A Conn of 0 stands for any connection of the protocol.
 	Relayed struct {
 		Protocol Protocol
 		Conn     ConnID
@@ -279,7 +279,7 @@
 		NumberText string
 		Desc       []byte
 		Cell       int
-		Until      Time // when the caller gives up
+		Until      Time // latest time of the final answer, AnswerMargin before the caller gives up
 	}
 	// End gives an attempt up or releases a call.
 	End struct {
@@ -393,7 +393,7 @@
 	tokenDrainCheck                      // idle connections are closed during a drain
 	tokenMaxStopWait                     // a stop or a hand-over waits no longer for calls to end
 	tokenPruneCallers                    // pruneCallers runs again, as connections may have become older than NewConnGrace
-	tokenStopLinger                      // set-ups have been refused for StopLinger after the last call ended
+	tokenStopLinger                      // set-ups have been refused for StopLinger since the process began to close
 	tokenMembership                      // a timer of the membership reducer
 	tokenMaintenance                     // a timer of the maintenance reducer
 	tokenBudget                          // a timer of the budget reducer
@@ -404,7 +404,7 @@
 
 // Limits are the times and sizes that the core keeps to.
 type Limits struct {
-	AnswerMargin        time.Duration     // the final answer is given this long before the caller's time limit
+	AnswerMargin        time.Duration     // the final answer is given at the latest this long before the caller's time limit
 	RebindTimeout       time.Duration     // a set-up whose connection has ended is given up if the caller does not send it again within this time
 	InitialRedialDelay  time.Duration     // wait after a first failed attempt to reach a server; doubled by each further one
 	MaxRedialDelay      time.Duration     // longest wait after a failed attempt to reach a server
@@ -419,19 +419,19 @@
 	DrainCheckInterval  time.Duration     // interval between searches for idle connections during a drain
 	DrainIdle           time.Duration     // a connection active less than this long ago is not idle: it may bring another set-up
 	Transient           map[Protocol]bool // protocols whose callers connect and disconnect freely, and are sent away by closing their connections
-	MaxTransferredCalls int               // max calls that are named when a connection is transferred; open set-ups go first
+	MaxTransferredCalls int               // max calls named when a connection is transferred; open set-ups are named even beyond it
 	HandOverGrace       time.Duration     // time after a HandOver in which connections may still arrive
 	StopGrace           time.Duration     // time after a Stop in which new calls are still accepted
 	MaxStopWait         time.Duration     // longest wait after a Stop or a HandOver for calls to end
 	StopLinger          time.Duration     // time between the last call and the closing of connections, in which late set-ups are refused
-	CallerConnsTarget   int               // connections of callers above which some are closed; exceeded while every connection has an open set-up
+	CallerConnsTarget   int               // connections of callers above which some are closed; exceeded while none of them may be closed
 	NewConnGrace        time.Duration     // age at which an unused connection may be closed; before that its first set-up may be on its way
 	MaxOpen             int               // max set-ups without a final answer at a time
-	MaxCallBytes        int               // max memory that the descriptions and numbers of all calls may take, in bytes
+	MaxCallBytes        int               // bytes of descriptions and numbers of all calls beyond which set-ups are refused
 	RetryAfterHint      time.Duration     // RetryAfter of refusals that the core gives without asking the controller
 	EndedCallTTL        time.Duration     // how long the id of an ended call is remembered
 	MaxEndedCalls       int               // max ids of ended calls that are remembered; 0: no limit
 	ReportedDrainTTL    time.Duration     // how long a server counts as draining because members reported so
 	Probe               probe.Limits      // limits of probes of silent connections
-	MaxRoutes           int               // max withdrawn routes that are remembered though they concern no server of the list
+	MaxRoutes           int               // once so many withdrawn routes are remembered, one that concerns no server of the list is not
 }
