--- a/internal/circuits/circuits.go
+++ b/internal/circuits/circuits.go
@@ -28,11 +28,11 @@
 	state             state
 	pendingRLCs       int       // RLCs that may still arrive: one for each REL, unless the server has lost it
 	ownRLCUnconfirmed bool      // the circuit was freed by an RLC sent here, and no message has shown that the server received it
-	stateSince        time.Time // time of the last REL, of the RLC that began stateAwaitingExtraRLC, or of the ConnLost that ended a set-up
+	stateSince        time.Time // time of the last REL, of the last RLC that left others pending, or of the ConnLost that ended a set-up
 }
 
 // Circuits holds all circuits to one server. They outlive the server's connections: an established call keeps its
-// circuit, and the circuit of a released call is not used again before the server has confirmed the release.
+// circuit, and the circuit of a call released here is not used again before the server has confirmed the release.
 type Circuits struct {
 	circuits       []circuit          // by circuit identification code (CIC)
 	byCall         map[core.ID]uint16 // CIC of each call
@@ -49,10 +49,10 @@
 const (
 	GuardConfirm      Guard = 1 << iota // a circuit that was released here waits for the server's RLC
 	GuardReleaseCount                   // the circuit waits for as many RLCs as RELs were sent
-	GuardOverdue                        // a REL that is not confirmed is sent again
+	GuardOverdue                        // an unconfirmed REL is sent again, and an extra RLC is awaited for a limited time
 )
 
-// DisableGuards switches guards off. No program does.
+// DisableGuards switches off the given guards and switches on all others. Only tests switch any off.
 func (c *Circuits) DisableGuards(g Guard) { c.disabledGuards = g }
 
 // guardEnabled reports whether the guard is on.
@@ -64,7 +64,7 @@
 }
 
 // Allocate assigns a free circuit to a call whose IAM is about to be sent. Circuits that still await an RLC are not
-// used, even if no other circuit is free.
+// used, even if no other circuit is free; ok is then false.
 func (c *Circuits) Allocate(call core.ID) (cic uint16, ok bool) {
 	for range c.circuits {
 		i := c.nextIndex
@@ -79,14 +79,15 @@
 	return 0, false
 }
 
-// NotSent frees the circuit of a call whose IAM was not sent.
+// NotSent frees the circuit of a call whose IAM was not sent. It does nothing if the call is not being set up.
 func (c *Circuits) NotSent(call core.ID) {
 	if cic, found := c.byCall[call]; found && c.circuits[cic].state == stateSettingUp {
 		c.detach(cic, stateFree)
 	}
 }
 
-// Release handles the release of a call by this side. It returns the circuit on which a REL has to be sent.
+// Release handles the release of a call by this side. It returns the circuit on which a REL has to be sent; ok is false
+// if the call is on no circuit.
 func (c *Circuits) Release(call core.ID, now time.Time) (cic uint16, ok bool) {
 	cic, found := c.byCall[call]
 	if !found || c.circuits[cic].state != stateSettingUp && c.circuits[cic].state != stateEstablished {
@@ -96,7 +97,8 @@
 	return cic, true
 }
 
-// Answered handles an ANM and returns the call that is now established.
+// Answered handles an ANM and returns the call that is now established. It returns false if no call is being set up on
+// the circuit.
 func (c *Circuits) Answered(cic uint16) (core.ID, bool) {
 	if int(cic) >= len(c.circuits) || c.circuits[cic].state != stateSettingUp {
 		return 0, false
@@ -107,8 +109,9 @@
 	return circuit.call, true
 }
 
-// Released handles a REL or RSC of the server and returns the call that it ends. If it crosses a REL sent here, the
-// circuit stays in use until the server has confirmed that REL too. An RLC has to be sent in any case.
+// Released handles a REL or RSC of the server and returns the call that it ends, or false if the circuit has no call. If
+// it crosses a REL sent here, the circuit stays in use until the server has confirmed that REL too. An RLC has to be sent
+// in any case.
 func (c *Circuits) Released(cic uint16) (core.ID, bool) {
 	if int(cic) >= len(c.circuits) || c.circuits[cic].state != stateSettingUp && c.circuits[cic].state != stateEstablished {
 		return 0, false
@@ -120,8 +123,8 @@
 }
 
 // Confirmed handles an RLC. If the REL was sent more than once, as many RLCs may arrive, and the circuit becomes free
-// with the last of them. Otherwise a late RLC would be taken for the confirmation of the circuit's next release, and
-// then messages of the server about the earlier call for messages about the next one.
+// with the last of them, or when Overdue gives that one up. Otherwise a late RLC would be taken for the confirmation of
+// the circuit's next release, and then messages of the server about the earlier call for messages about the next one.
 func (c *Circuits) Confirmed(cic uint16, now time.Time) {
 	if int(cic) >= len(c.circuits) {
 		return
@@ -137,9 +140,9 @@
 	}
 }
 
-// ConnLost handles the end of a connection. It gives up the set-ups that were outstanding on the connection. Messages
-// that were on their way are lost. An RLC sent here may be one of them, and a server that waits for it holds the
-// circuit, so such circuits are released again.
+// ConnLost handles the end of a connection. It gives up all outstanding set-ups. Messages that were on their way are
+// lost. An RLC sent here may be one of them, and a server that waits for it holds the circuit, so such circuits are
+// released again.
 func (c *Circuits) ConnLost(now time.Time) {
 	for i := range c.circuits {
 		switch circuit := &c.circuits[i]; {
@@ -154,7 +157,8 @@
 	}
 }
 
-// Unconfirmed returns the circuits on which a REL has to be sent when a connection has come up.
+// Unconfirmed returns the circuits on which a REL has to be sent when a connection has come up, and records that it is
+// sent.
 func (c *Circuits) Unconfirmed(now time.Time) (cics []uint16) {
 	for i := range c.circuits {
 		if c.circuits[i].state == stateReleasing {
@@ -167,7 +171,8 @@
 
 // Overdue returns the circuits whose release the server has not confirmed for the timeout. The REL or the RLC may
 // have been lost, or the server does not answer; each such case would otherwise cost a circuit for good. The REL has
-// to be sent again on each of them. A circuit that has awaited an extra RLC for the timeout is free.
+// to be sent again on each of them; Overdue records that. A circuit that has awaited an extra RLC for the timeout
+// becomes free. Overdue returns nil if less than the timeout has passed since its last search.
 func (c *Circuits) Overdue(now time.Time, timeout time.Duration) (cics []uint16) {
 	if now.Sub(c.lastSweep) < timeout || !c.guardEnabled(GuardOverdue) {
 		return nil
@@ -207,7 +212,7 @@
 	return ids
 }
 
-// markReleasing records that a REL is sent on a circuit.
+// markReleasing removes the call, if any, from a circuit and records that a REL is sent on it.
 func (c *Circuits) markReleasing(cic uint16, now time.Time) {
 	c.detach(cic, stateReleasing)
 	c.circuits[cic].stateSince = now
--- a/internal/circuits/circuits_test.go
+++ b/internal/circuits/circuits_test.go
@@ -28,9 +28,9 @@
 	}
 }
 
-// An overdue REL was sent twice: after one RLC the other may be on its way. A call that took the circuit between the
-// two RLCs would lose it to the second one while the server's answer to this call is under way, and the answer would
-// be taken for the answer to the next call. A server that confirms only once must not cost the circuit either.
+// An overdue REL was sent twice: after one RLC the other may be on its way. If a call took the circuit between the two
+// RLCs and was released, the second one would confirm that release too early, and an answer to this call that is under
+// way would be taken for the answer to the next call. A server that confirms only once must not cost the circuit either.
 func TestRepeatedReleaseAwaitsBothRLCs(t *testing.T) {
 	c, now := New(1), time.Unix(1000, 0)
 	c.Allocate(1)
--- a/internal/handover/effect.go
+++ b/internal/handover/effect.go
@@ -19,7 +19,7 @@
 	return m, true
 }
 
-// ToEffect converts a message that FromEffect built back to its effect. It returns nil where the effect is unknown.
+// ToEffect converts a message that FromEffect built back to its effect, with To left 0. It returns nil if the effect is unknown.
 func (m Message) ToEffect() core.Effect {
 	switch m.Effect {
 	case "answered":
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -25,14 +25,14 @@
 type Limits struct {
 	HelloTimeout   time.Duration // max time to connect, to receive KindHello, and to receive the answer to it
 	ExitTimeout    time.Duration // how long a successor waits for an exiting predecessor to end
-	WriteTimeout   time.Duration // max time to write one message; beyond it the connection is closed
+	WriteTimeout   time.Duration // max time to write a message (a queued one that exceeds it closes the connection), and max wait of Flush
 	MaxMessageSize int           // max size of an encoded message, in bytes
 	MaxQueuedBytes int           // max bytes queued for the peer; beyond it the connection is closed
 	MaxEndedCalls  int           // max number of ids in a KindCallsEnded message
 }
 
 // ReasonExiting is the refusal reason of a process that is exiting and closes its listener. The refused process waits until
-// the exiting one has ended, and then listens itself.
+// the exiting one has ended, at most for Limits.ExitTimeout, and then listens itself.
 const ReasonExiting = "this process is ending"
 
 // Kind is the type of a message.
@@ -59,7 +59,7 @@
 	Version       int           `json:"version,omitempty"` // format version, see [Version]
 	Listen        string        `json:"listen,omitempty"`  // the callers' address whose listener is requested
 	RefusalReason string        `json:"why,omitempty"`     // reason of a KindRefused message
-	Conn          core.ConnID   `json:"link,omitempty"`    // id of a connection in the predecessor
+	Conn          core.ConnID   `json:"link,omitempty"`    // id of a connection in the predecessor; 0: none in particular
 	Protocol      core.Protocol `json:"front,omitempty"`   // signalling protocol of the caller that an effect is for
 	Unprocessed   []byte        `json:"rest,omitempty"`    // bytes read from the connection and not yet processed
 	Pending       []core.ID     `json:"open,omitempty"`    // calls of the connection without a final answer
@@ -69,7 +69,7 @@
 	ID            core.ID       `json:"id,omitempty"`      // the call that the message is about
 	Desc          []byte        `json:"desc,omitempty"`    // description in an answer
 	Reason        core.Reason   `json:"reason,omitempty"`  // why a call was rejected, released or ended by a server
-	RetryAfter    time.Duration `json:"retry,omitempty"`   // when a rejected caller may try again, in nanoseconds
+	RetryAfter    time.Duration `json:"retry,omitempty"`   // wait recommended to a rejected caller, in nanoseconds
 	Server        string        `json:"server,omitempty"`  // name of the server that ended the call
 	IDs           []core.ID     `json:"ids,omitempty"`     // the calls of a KindCallsEnded message
 }
@@ -109,7 +109,8 @@
 	p.conn.Close()
 }
 
-// Send queues a message. It never blocks. The connection is closed if the message is too large or the queue is full.
+// Send queues a message. It never blocks. The connection is closed if the message is too large or cannot be encoded, or if the
+// queue is full. After Close the message is dropped.
 func (p *Peer) Send(m Message) {
 	payload, err := json.Marshal(m)
 	p.mu.Lock()
@@ -158,7 +159,7 @@
 }
 
 // SendFile sends a message with the file descriptor of source attached. It blocks until the message is in the socket's
-// buffer.
+// buffer, and may overtake queued messages. After an error the connection stays open.
 func (p *Peer) SendFile(m Message, source syscall.Conn) error {
 	payload, err := json.Marshal(m)
 	if err != nil {
@@ -179,7 +180,7 @@
 	return writeErr
 }
 
-// Flush waits until the queue is written, for at most limits.WriteTimeout.
+// Flush waits until the queue is written or dropped, for at most limits.WriteTimeout.
 func (p *Peer) Flush() {
 	for deadline := time.Now().Add(p.limits.WriteTimeout); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 		p.mu.Lock()
@@ -191,10 +192,12 @@
 	}
 }
 
-// errTruncated is the error for a message of which the kernel did not deliver all bytes or control data.
+// errTruncated is the error for a message of which the kernel did not deliver all bytes or control data, or whose control data
+// is not one file.
 var errTruncated = errors.New("message truncated")
 
-// Receive waits for the next message and returns it with the file attached to it, or nil if there is none.
+// Receive waits for the next message and returns it with the file attached to it, or nil if there is none. It returns an
+// error once either side has closed the connection. It must not be called concurrently.
 func (p *Peer) Receive() (m Message, file *os.File, err error) {
 	oob := make([]byte, syscall.CmsgSpace(4))
 	n, oobn, flags, _, err := p.conn.ReadMsgUnix(p.readBuf, oob)
@@ -236,8 +239,9 @@
 	return os.NewFile(uintptr(fds[0]), "handed over"), nil
 }
 
-// RequestListener asks the process behind the socket at path for its listener of the address listen. It fails if no process
-// answers or the process refuses.
+// RequestListener asks the process behind the socket at path for its listener of the address listen. It fails if path is empty,
+// no process answers or the process refuses. After a refusal with ReasonExiting it returns when the process has ended, or after
+// limits.ExitTimeout.
 func RequestListener(path, listen string, limits Limits) (*Peer, net.Listener, error) {
 	if path == "" {
 		return nil, nil, errors.New("no directory for the hand-over socket")
@@ -292,8 +296,9 @@
 	return listener, nil
 }
 
-// AcceptSuccessor receives the KindHello message of a process that has connected, and sends it the listener if the process asks for the
-// address listen. A refusal that is not empty is sent instead, as the reason.
+// AcceptSuccessor receives the KindHello message of a process that has connected, and sends it the listener if the process asks
+// for the address listen in this version of the format. Otherwise, or if refusal is not empty, it sends the reason instead, and
+// returns it as the error. It closes the connection on an error, unless the reason is ReasonExiting.
 func AcceptSuccessor(conn *net.UnixConn, listen, refusal string, listener syscall.Conn, limits Limits) (*Peer, error) {
 	p := newPeer(conn, limits)
 	conn.SetReadDeadline(time.Now().Add(limits.HelloTimeout))
@@ -320,7 +325,7 @@
 	switch {
 	case err == nil:
 		return p, nil
-	case refusal == ReasonExiting: // the connection stays open until this process ends, which the refused one waits for
+	case refusal == ReasonExiting: // the refused process waits for the end of the connection, which comes when this process ends
 		go func() { p.Receive(); p.Close() }()
 	default:
 		p.Close()
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -17,7 +17,8 @@
 // EffectHandler executes effects on one connection.
 type EffectHandler interface {
 	// HandleEffect executes an effect and returns the events that result immediately, without an answer from the peer. It
-	// must not block.
+	// must not block. The loop's goroutine calls it; after the loop has ended, also the goroutine that calls Attach or Post,
+	// with a core.GracefulClose.
 	HandleEffect(core.Effect) []core.Event
 	// Close closes the connection immediately. It must not block.
 	Close()
@@ -26,8 +27,8 @@
 	Flush()
 }
 
-// Dialer connects to a server and posts core.ServerUp, or core.ServerDown if the connection fails. Each call runs in its own
-// goroutine and may serve the connection until its end.
+// Dialer connects to a server and posts core.ServerUp, or core.ServerDown if that fails. Each call runs in its own goroutine, and
+// may serve the connection until its end and then post core.ServerDown.
 type Dialer func(core.Dial)
 
 // Loop owns a core and runs it. Its methods may be called from any goroutine, except for those that must be called before Run.
@@ -53,7 +54,7 @@
 	At time.Time // when the snapshot was taken
 }
 
-// inboxItem is an event in the inbox, with the time at which the event happened. If the event begins a connection, conn and
+// inboxItem is an event in the inbox, with the time at which it was posted. If the event begins a connection, conn and
 // handler name the connection and its effect handler; otherwise they are zero.
 type inboxItem struct {
 	at      core.Time
@@ -144,7 +145,7 @@
 }
 
 // Run runs the core until it emits core.Stopped, after a core.Stop or a core.HandOver, or until the context ends.
-// After core.Stopped, Run flushes all connections before it returns.
+// After core.Stopped, Run flushes the connections that are not being closed before it returns.
 func (l *Loop) Run(ctx context.Context) {
 	defer l.rejectQueued()
 	defer close(l.done)
@@ -188,8 +189,8 @@
 	}
 }
 
-// process steps the core with an item's event and with the events that effect handlers return for the resulting effects. It
-// reports whether the core has stopped.
+// process steps the core with an item's event and with the events that effect handlers return for the resulting effects. A dial
+// for which there is no dialer results in a core.ServerDown. process reports whether the core has stopped.
 func (l *Loop) process(item inboxItem) (stopped bool) {
 	if item.handler != nil {
 		l.handlers[item.conn] = item.handler
@@ -234,7 +235,7 @@
 			case core.Stopped:
 				stopped = true
 			case core.Violation:
-				l.log.Error().Uint64("call", uint64(e.ID)).Str("rule", e.Rule).Msg("guard prevented a rule violation")
+				l.log.Error().Uint64("call", uint64(e.ID)).Str("rule", e.Rule).Msg("guard prevented a rule violation, or a configuration is invalid")
 			default:
 				if handler := l.handlers[target(e)]; handler != nil {
 					events = append(events, handler.HandleEffect(e)...)
@@ -245,7 +246,7 @@
 	return stopped
 }
 
-// target returns the connection that an effect is for, or 0 if the effect is for no connection.
+// target returns the connection whose handler has to execute an effect, or 0 for the effects that process executes itself.
 func target(e core.Effect) core.ConnID {
 	switch e := e.(type) {
 	case core.Answered:
--- a/internal/loop/loop_test.go
+++ b/internal/loop/loop_test.go
@@ -26,9 +26,9 @@
 func (h *recordingHandler) Close() {}
 func (h *recordingHandler) Flush() {}
 
-// Connections are attached while the loop ends and after it has ended. Each of them must either be accepted by the loop or be
-// closed gracefully. Connections still in the inbox used to stay open with nothing to serve them; later ones were closed at
-// once, with the caller's data unread.
+// Connections are attached before Run is called with a context that has ended, and after Run has returned. Each of them must
+// either be accepted by the loop or be closed gracefully. Connections still in the inbox used to stay open with nothing to serve
+// them; later ones were closed at once, with the caller's data unread.
 func TestConnectionsAttachedAtShutdown(t *testing.T) {
 	for range 50 { // how many items the loop takes before it ends is random
 		c, err := core.New(elmseam.Settings{
--- a/internal/m3ua/caller.go
+++ b/internal/m3ua/caller.go
@@ -19,7 +19,7 @@
 	active     bool        // whether the ASP is active, as it requested with ASP Active: only then its calls are accepted
 }
 
-// Serve accepts and serves callers' connections until the listener is closed.
+// Serve accepts and serves callers' connections until the listener is closed. It does not wait for them to end.
 func (m *M3UA) Serve(l net.Listener) {
 	transport.NewAcceptor(func() int { return m.config.Load().MaxCallerConns }, func(conn net.Conn) {
 		c := &callerConn{session: m.newSession(conn, m.config.Load().CallerConn)}
@@ -113,7 +113,8 @@
 	return nil
 }
 
-// activate attaches the connection to the core, which then accepts the caller's calls.
+// activate attaches the connection to the core, which then accepts the caller's calls. If this signalling point accepts
+// no new calls, the caller is sent a DUNA before.
 func (c *callerConn) activate() {
 	if c.active {
 		return
--- a/internal/m3ua/isup.go
+++ b/internal/m3ua/isup.go
@@ -153,7 +153,8 @@
 	return b, true
 }
 
-// buildISUP encodes an ISUP message, which starts with its circuit identification code.
+// buildISUP encodes an ISUP message, which starts with its circuit identification code. It fails if the called number
+// cannot be encoded.
 func buildISUP(cic uint16, msg isupMessage) ([]byte, error) {
 	b := binary.LittleEndian.AppendUint16(nil, cic)
 	b = append(b, msg.kind)
--- a/internal/m3ua/m3ua.go
+++ b/internal/m3ua/m3ua.go
@@ -35,7 +35,7 @@
 	HeartbeatMS      int            `toml:"heartbeat_ms"` // silence after which a peer is sent a heartbeat, in milliseconds
 	Circuits         int            `toml:"circuits"`     // number of circuits to each server
 	Categories       map[string]int `toml:"categories"`   // calling party's category by class name
-	Cells            map[string]int `toml:"cells"`        // index of the preferred cell by destination point code
+	Cells            map[string]int `toml:"cells"`        // index of the preferred cell by destination point code, in decimal
 	Servers          []struct {
 		Name      string `toml:"name"`
 		Address   string `toml:"address"`
@@ -44,7 +44,7 @@
 	} `toml:"server"`
 }
 
-// Check returns an error that names the first invalid field.
+// Check returns an error that names an invalid field, or nil if it finds none.
 func (f *FileConfig) Check() error {
 	if _, _, err := net.SplitHostPort(f.Listen); err != nil {
 		return fmt.Errorf("listen: %w", err)
@@ -87,7 +87,7 @@
 
 	ServerConn     transport.Limits // limits of a connection to a server
 	MaxCallerConns int              // maximum number of open connections of callers
-	ConfirmTimeout time.Duration    // wait before a release that a server has not confirmed is sent again
+	ConfirmTimeout time.Duration    // min wait before a release that a server has not confirmed is sent again
 }
 
 // M3UA serves callers and reaches servers over M3UA-style signalling.
@@ -146,7 +146,7 @@
 // HasServer reports whether the signalling file lists the server.
 func (m *M3UA) HasServer(name string) bool { return m.trunks[name] != nil }
 
-// classByName returns the index of the class with the given name, or -1.
+// classByName returns the index of the class with the given name, or -1 if there is none or it is removed.
 func (m *M3UA) classByName(name string) int {
 	for i, class := range m.config.Load().Deployment.Classes {
 		if class.Name == name && !class.Removed {
@@ -164,8 +164,8 @@
 
 // classOfCategory returns the index of the class that a calling party's category stands for, or -1.
 func (m *M3UA) classOfCategory(category byte) int {
-	for name, have := range m.Categories {
-		if have == int(category) {
+	for name, configured := range m.Categories {
+		if configured == int(category) {
 			return m.classByName(name)
 		}
 	}
--- a/internal/m3ua/m3ua_test.go
+++ b/internal/m3ua/m3ua_test.go
@@ -706,7 +706,7 @@
 		})
 	}
 	wg.Wait()
-	client.send(buildMessage(msgBEAT)) // its answer arrives after all messages sent before
+	client.send(buildMessage(msgBEAT)) // handled after all messages sent before; its answer is not awaited
 	time.Sleep(50 * time.Millisecond)
 	for i := range received {
 		if len(received[i]) > 0 {
--- a/internal/m3ua/message.go
+++ b/internal/m3ua/message.go
@@ -10,7 +10,7 @@
 	"fmt"
 )
 
-// Message classes and types (RFC 4666, 3.1.3): the class is in the high byte, the type in the low byte.
+// Message classes and types (RFC 4666, 3.1): the class is in the high byte, the type in the low byte.
 const (
 	msgERR      = 0x0000
 	msgNTFY     = 0x0001
@@ -185,7 +185,8 @@
 	return buildMessage(msgDATA, uint32Param(tagRoutingContext, routingContext), param{tagProtocolData, protocolData})
 }
 
-// parseData returns the circuit and the ISUP message that a DATA message carries.
+// parseData returns the circuit and the ISUP message that a DATA message carries. The ISUP message begins with its circuit
+// identification code. A DATA without a routing context is accepted.
 func parseData(msg message, routingContext uint32) (circ circuit, isup []byte, err error) {
 	if rc, ok := msg.getUint32(tagRoutingContext); ok && rc != routingContext {
 		return circ, nil, &protocolError{errContext, fmt.Sprintf("unknown routing context %d", rc), false}
--- a/internal/m3ua/server.go
+++ b/internal/m3ua/server.go
@@ -13,7 +13,8 @@
 	"elmseam/internal/transport"
 )
 
-// trunk holds the circuits to one server. The mutex guards them, as the loop and the connection both change them.
+// trunk holds the circuits to one server. The mutex guards them, as the loop, the reading side and the writing side of the
+// connection all change them.
 type trunk struct {
 	route circuit // the two point codes; the circuit identification code is 0
 	mu    sync.Mutex
@@ -42,7 +43,7 @@
 	active    bool          // whether the association has become active
 }
 
-// errActivationTimeout reports an association that ended before it became active.
+// errActivationTimeout is for an association that ended without another error before it became active.
 var errActivationTimeout = errors.New("association did not become active in time")
 
 // Dial connects to a server, activates the association and reads the connection until it ends. Dial is a loop.Dialer.
@@ -123,8 +124,8 @@
 	return nil
 }
 
-// activate attaches the connection to the core, which may then send set-ups to the server. Before that, it repeats the
-// REL on every circuit whose release the server has not confirmed.
+// activate attaches the connection to the core, which may then send set-ups to the server. Before that, it sends a REL
+// on every circuit whose release the server has not confirmed. It does nothing if the association is active already.
 func (s *serverConn) activate(address string) {
 	if s.active {
 		return
@@ -230,7 +231,7 @@
 func (s *serverConn) Flush() { s.outbox.Flush() }
 
 // HandleEffect sends the ISUP message for an effect to the server. It returns core.NotSent for offers that it could not send
-// or could withdraw, and core.EndWritten for an end that needs no message.
+// or could withdraw, and core.EndWritten, if e.Notify asks for it, for an end that needs no message.
 func (s *serverConn) HandleEffect(e core.Effect) []core.Event {
 	switch e := e.(type) {
 	case core.Offer:
@@ -251,7 +252,7 @@
 				s.sendISUP(cic, isupMessage{kind: isupREL, cause: q850.NormalClearing}, onWritten)
 			}
 		})
-		if !found && e.Notify { // the server has released the call meanwhile
+		if !found && e.Notify { // the call has no circuit any more, for example as the server has released it
 			return []core.Event{written}
 		}
 	case core.GracefulClose:
--- a/internal/m3ua/session.go
+++ b/internal/m3ua/session.go
@@ -35,8 +35,9 @@
 
 // read reads and dispatches messages until the connection ends. It answers a malformed or unexpected message with an
 // ERR, and returns if the framing is lost or the peer has sent maxMalformedMessages of such messages. It sends
-// heartbeats to a silent peer, and returns when the peer has left maxUnansweredHeartbeats unanswered. It also returns if
-// a message is not complete within MessageTimeout, whether the peer stopped sending or sends byte by byte.
+// heartbeats to a silent peer, and returns when the peer has sent nothing after maxUnansweredHeartbeats of them. It also
+// returns if a message is not complete within MessageTimeout, whether the peer stopped sending or sends byte by byte.
+// The error is never nil.
 func (s *session) read() error {
 	buf := transport.NewBuffer(s.limits.InitialBufferSize, s.limits.MaxMessageSize)
 	heartbeat := time.Duration(s.m3ua.HeartbeatMS) * time.Millisecond
@@ -90,7 +91,8 @@
 	}
 }
 
-// maxUnansweredHeartbeats is how many heartbeats in a row a peer may leave unanswered.
+// maxUnansweredHeartbeats is the number of heartbeats in a row that a silent peer is sent before its connection is
+// closed.
 const maxUnansweredHeartbeats = 2
 
 // maxMalformedMessages is the number of malformed or unexpected messages after which a connection is closed.
--- a/internal/platform/caller.go
+++ b/internal/platform/caller.go
@@ -28,7 +28,7 @@
 	closing       atomic.Bool        // the connection is being closed gracefully
 	transferring  atomic.Bool        // the connection is to be read no further, so that it can be transferred
 	transfer      chan core.Transfer // receives the core's order to transfer the connection
-	done          chan struct{}      // closed when the connection begins to close
+	done          chan struct{}      // closed when the core closes the connection, at once or gracefully
 
 	mu            sync.Mutex    // guards the fields below
 	closeDeadline time.Time     // when the connection ends at the latest; zero: it is not being closed
@@ -74,9 +74,9 @@
 	}
 }
 
-// closeGracefully writes all queued messages, half-closes the connection, and lets the reading side drop what the caller still
-// sends until the caller closes its side. Closing with unread data would reset the connection, and the reset would discard
-// messages that the caller has not read yet. Both the writing and the reading have a time limit.
+// closeGracefully begins to write all queued messages and to half-close the connection, and lets the reading side drop what the
+// caller still sends until the caller closes its side. It does not wait. Closing with unread data would reset the connection, and
+// the reset would discard messages that the caller has not read yet. Both the writing and the reading have a time limit.
 func (c *callerConn) closeGracefully() {
 	c.closeWithin(c.writeTimeout + c.lingerTimeout)
 	c.signalDone()
@@ -105,7 +105,7 @@
 	c.conn.SetReadDeadline(deadline)
 }
 
-// discard reads and drops all data until the connection ends.
+// discard reads and drops all data until the connection ends or its close deadline has passed.
 func (c *callerConn) discard(buf *transport.Buffer) {
 	for {
 		buf.Skip(len(buf.Bytes()))
@@ -177,7 +177,8 @@
 	return c.redirected
 }
 
-// HandleEffect sends the message for an effect to the caller, directly or through the successor.
+// HandleEffect executes an effect on the connection, holds it during a transfer, or forwards it to the successor that has the
+// connection. It returns no events.
 func (c *callerConn) HandleEffect(e core.Effect) []core.Event {
 	if !c.redirect(e) {
 		c.writeEffect(e)
@@ -216,7 +217,8 @@
 }
 
 // Adopt serves a connection that the predecessor has transferred, with the bytes that the predecessor has read and not yet
-// parsed. It posts up before it returns, and calls onClosed when the connection has ended.
+// parsed. It posts up before it returns, and calls onClosed when this process has closed its descriptor: the connection has ended,
+// or the successor has it.
 func (p *Platform) Adopt(conn net.Conn, unparsed []byte, up core.CallerUp, onClosed func()) {
 	limits := p.config.Load().CallerConn
 	c := p.newCallerConn(up.Conn, conn, limits)
@@ -230,8 +232,8 @@
 	}()
 }
 
-// readCaller reads a caller's messages until the connection ends. unparsed holds bytes that a predecessor has read; used
-// says whether a set-up or the end of a call has already come on the connection.
+// readCaller reads a caller's messages until the connection ends or the successor has it. unparsed holds bytes that a predecessor
+// has read; used says whether a set-up or the end of a call has already come on the connection.
 //
 // A connection on which the first message, or one that has begun, is not complete within the message timeout, or which is idle
 // for the idle timeout, has to be closed, as it holds a file descriptor that others need. The core decides when to close it,
@@ -250,11 +252,12 @@
 			return
 		}
 	}
-	var messageDeadline time.Time // when the first message, or one that has begun, must be complete, however slowly it arrives; zero: none is due
+	// When the first message, or one that has begun, must be complete, however slowly it arrives; zero: none is due.
+	var messageDeadline time.Time
 	if !used || len(unparsed) > 0 {
 		messageDeadline = time.Now().Add(limits.MessageTimeout)
 	}
-	var discardedSetUps map[core.ID]bool // set-ups that were given up before they were posted
+	var discardedSetUps map[core.ID]bool // set-ups that were not posted, as the caller had given them up or left
 	firstRead, peerClosed := true, false
 	closeMalformed := func() {
 		p.loop.Post(core.CallerMalformed{Conn: c.connID})
--- a/internal/platform/crossings_test.go
+++ b/internal/platform/crossings_test.go
@@ -640,7 +640,7 @@
 }
 
 // A connection to a server comes up late: its set-up has been given up and the server is draining. The connection must be closed
-// with nothing sent on it. When the server is in service again, it must get a new connection with the next set-up.
+// with nothing sent on it. When the server is in service again, it must get a new connection, which carries the next set-up.
 func TestLateServerConnection(t *testing.T) {
 	s := newScenario(t)
 	gate := make(chan struct{})
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -27,10 +27,10 @@
 	ConnectTimeout time.Duration    // longest time to make a connection to a server
 
 	ServerConn     transport.Limits // limits of a connection to a server
-	MaxCallerConns int              // maximum number of simultaneous caller connections
+	MaxCallerConns int              // maximum number of open connections that Serve has accepted; adopted ones do not count
 }
 
-// activeConfig is a Config with an index over its classes: the index of each class by its name.
+// activeConfig is a Config with the index of each class by its name, without removed classes.
 type activeConfig struct {
 	Config
 	classIndexes map[string]int
@@ -72,16 +72,18 @@
 	return names
 }
 
-// MarkStopping makes all later test messages of callers fail, so that no new callers are sent to this softswitch.
+// MarkStopping makes this softswitch answer all later test messages of callers with a failure, so that no new callers are sent to
+// it.
 func (p *Platform) MarkStopping() { p.stopping.Store(true) }
 
-// SetDraining makes test messages of callers fail while on is true.
+// SetDraining makes this softswitch answer test messages of callers with a failure while on is true.
 func (p *Platform) SetDraining(on bool) { p.draining.Store(on) }
 
 // SetSuccessor sets the newer process that callers' connections are transferred to.
 func (p *Platform) SetSuccessor(s Successor) { p.successor.Store(&s) }
 
-// Wait waits until all connections have ended, at most for twice the linger timeout of a caller's connection.
+// Wait waits until Serve has returned and all connections have ended, at most for twice the linger timeout of a caller's
+// connection.
 func (p *Platform) Wait() {
 	ended := make(chan struct{})
 	timeout := time.After(2 * p.config.Load().CallerConn.LingerTimeout)
@@ -109,7 +111,7 @@
 // Successor is the newer process of a hand-over, which callers' connections are transferred to.
 type Successor interface {
 	// Transfer passes a connection to the successor, with the bytes that were read from it and not yet parsed. It may
-	// wait. An error means that the successor did not receive the connection.
+	// wait, and may be called concurrently. An error means that the successor did not receive the connection.
 	Transfer(transfer core.Transfer, unparsed []byte, conn syscall.Conn) error
 	// ForwardEffect passes an effect for a caller on to the successor, which has the caller's connection. It must not wait.
 	ForwardEffect(conn core.ConnID, e core.Effect)
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -355,7 +355,7 @@
 	s.wantLine(`"offer"`)
 }
 
-// A set-up with a value out of range, an unknown class or first-choice server, or no id must be refused here. Servers used to
+// A set-up with a malformed value or one out of range, an unknown class or cell, or no id must be refused here. Servers used to
 // get such set-ups: they answered with an error, and on a call without an id closed the connection with all calls on it.
 func TestInvalidSetUps(t *testing.T) {
 	s := newScenario(t)
--- a/internal/platform/server.go
+++ b/internal/platform/server.go
@@ -26,7 +26,7 @@
 	connID   core.ConnID
 	outbox   *transport.Outbox
 
-	lingerTimeout time.Duration // between a graceful close and the end of the connection
+	lingerTimeout time.Duration // between the half-close and the close of a graceful close
 }
 
 // Close closes the connection immediately.
@@ -111,8 +111,8 @@
 func (s *serverConn) readLines(conn net.Conn, limits transport.Limits) error {
 	buf := transport.NewBuffer(limits.InitialBufferSize, limits.MaxMessageSize)
 	var lastReport time.Time // when the server's last state report arrived; zero: none yet
-	partial := false
-	silent := false
+	partial := false         // a line has begun, and its read deadline is set
+	silent := false          // reported as silent, and nothing has come since
 	for {
 		silenceTimeout := s.platform.silence.timeout(limits.MaxSilence)
 		switch now := time.Now(); {
@@ -166,7 +166,7 @@
 // callField matches the field of a line that names the line's call.
 var callField = regexp.MustCompile(`"call"\s*:\s*"([0-9a-fA-F]{16})"`)
 
-// callIDIn returns the id of the call that a malformed line names, or 0 if the line names no call or more than one.
+// callIDIn returns the id of the call that a malformed line names, or 0 if the line has no callField or more than one.
 func callIDIn(b []byte) core.ID {
 	matches := callField.FindAllSubmatch(b, 2)
 	if len(matches) != 1 {
@@ -178,7 +178,8 @@
 
 // silenceDetector detects connections that are open but dead. Servers send reports of their group's state at intervals of their
 // own choice. When several such intervals have passed without a line from a server, the set-ups outstanding on the connection
-// will not be answered either. One detector serves all connections, so a new connection uses the intervals seen before it.
+// will not be answered either. One detector serves all connections, so a new connection uses the intervals seen before it, once
+// its first report has arrived.
 type silenceDetector struct {
 	mu          sync.Mutex    // guards the fields below
 	maxInterval time.Duration // recent maximum of the time between two reports
@@ -188,7 +189,7 @@
 // Parameters of silenceDetector.
 const (
 	minIntervals     = 3  // intervals that must be observed before any connection counts as silent
-	silenceIntervals = 3  // maximum intervals without a line after which a connection counts as silent
+	silenceIntervals = 3  // number of maximum intervals without a line after which a connection counts as silent
 	maxIntervalDecay = 32 // an interval shorter than the maximum lowers the maximum by 1/32 of their difference
 )
 
@@ -200,7 +201,8 @@
 	d.maxInterval = max(interval, d.maxInterval+(interval-d.maxInterval)/maxIntervalDecay)
 }
 
-// timeout returns how long a connection may stay without a line, at most maxSilence. 0 means without limit.
+// timeout returns how long a connection may stay without a line, at most maxSilence. 0 means without limit, as long as too few
+// intervals have been observed.
 func (d *silenceDetector) timeout(maxSilence time.Duration) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/platform/setup.go
+++ b/internal/platform/setup.go
@@ -62,8 +62,8 @@
 	maxCells    = 1 << 16 // cell index
 )
 
-// numberValue converts a called number to the value that the controller compares: hexadecimal digits to their value, other
-// text to a hash. 0 means no number.
+// numberValue converts a called number to the value that the controller compares: hexadecimal digits to their value if it fits
+// into 64 bits, other text to a hash. 0 means no number to the controller.
 func numberValue(text string) uint64 {
 	if text == "" {
 		return 0
--- a/internal/probe/probe.go
+++ b/internal/probe/probe.go
@@ -19,7 +19,7 @@
 	Answered    uint64 // answers accepted
 	Failed      uint64 // probes without an answer in time, or whose connection was closed first
 	RateLimited uint64 // requests refused because of the limited rate
-	Unexpected  uint64 // answers to no outstanding probe: repeated, too late, or on another connection
+	Unexpected  uint64 // answers that match no outstanding probe: repeated, too late, or on another connection
 }
 
 // ID identifies a probe.
@@ -56,8 +56,8 @@
 	VerdictSend                     // the probe has to be sent now
 )
 
-// Request reports whether a connection may be probed. For VerdictSend it also returns the id of the probe and the deadline
-// for the answer.
+// Request reports whether a connection may be probed. For VerdictSend it records the probe as sent, and also returns its id and
+// the deadline for the answer.
 func (p *Prober) Request(now time.Duration, conn uint64) (v Verdict, id ID, deadline time.Duration) {
 	if !p.limits.Permitted {
 		return VerdictForbidden, 0, 0
@@ -91,7 +91,7 @@
 	return true
 }
 
-// Expire ends a probe at its deadline and reports whether the probe was still outstanding.
+// Expire ends a probe at its deadline, as failed, and reports whether the probe was still outstanding.
 func (p *Prober) Expire(id ID) bool {
 	if _, outstanding := p.outstanding[id]; !outstanding {
 		return false
@@ -101,7 +101,7 @@
 	return true
 }
 
-// ConnClosed ends the probe that is outstanding on a closed connection.
+// ConnClosed ends the probe that is outstanding on a closed connection, if any, as failed.
 func (p *Prober) ConnClosed(conn uint64) {
 	for id, probed := range p.outstanding {
 		if probed == conn {
--- a/internal/transport/buffer.go
+++ b/internal/transport/buffer.go
@@ -1,5 +1,5 @@
-// Package transport provides what the TCP connections of all protocols need: a read buffer, an outbox that never blocks its user,
-// and an acceptor that limits the number of open connections.
+// Package transport provides what the TCP connections of all protocols need: a read buffer, an outbox that sends without
+// waiting for the peer, and an acceptor that limits the number of open connections.
 package transport
 
 import (
@@ -28,7 +28,8 @@
 // Skip consumes n bytes.
 func (b *Buffer) Skip(n int) { b.start += n }
 
-// Fill makes room in the buffer and reads from r once.
+// Fill makes room in the buffer and reads from r once. It returns ErrTooLong if there is no room. If r returns data together with
+// an error, Fill returns nil.
 func (b *Buffer) Fill(r io.Reader) error {
 	if b.start > 0 {
 		n := copy(b.data, b.data[b.start:])
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -7,7 +7,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// PeerClosed reports whether the peer has closed its side of a TCP connection. Data that it sent before may still be unread.
+// PeerClosed reports whether the peer has closed its side of a TCP connection, or the connection has ended. Data that the peer sent
+// before may still be unread. For other connections PeerClosed returns false.
 func PeerClosed(conn net.Conn) bool {
 	sysConn, ok := conn.(syscall.Conn)
 	if !ok {
--- a/internal/transport/listen.go
+++ b/internal/transport/listen.go
@@ -17,7 +17,7 @@
 const (
 	// backlogDrainDuration is how long Accept goes on after DrainBacklog. TCP handshakes in progress complete within it.
 	backlogDrainDuration = 20 * time.Millisecond
-	// acceptRetry is the wait after an accept that failed, for example for lack of file descriptors.
+	// acceptRetry is the wait before the next accept after one that failed, for example for lack of file descriptors.
 	acceptRetry = 10 * time.Millisecond
 )
 
@@ -32,17 +32,18 @@
 
 	mu                  sync.Mutex // guards the fields below
 	listener            net.Listener
-	backlogDrainStarted chan struct{} // closed by the first DrainBacklog
+	backlogDrainStarted chan struct{} // closed by the first DrainBacklog; waitForSlot receives from it without mu
 	drainingBacklog     bool
 }
 
 // NewAcceptor returns an acceptor that calls handle for each connection. maxConns returns the max number of open connections;
-// it is called before each accept.
+// it is called before each accept, and while Serve waits at the maximum, each time a connection has ended.
 func NewAcceptor(maxConns func() int, handle func(net.Conn)) *Acceptor {
 	return &Acceptor{maxConns: maxConns, handle: handle, slotFreed: make(chan struct{}, 1), backlogDrainStarted: make(chan struct{})}
 }
 
-// Serve accepts connections until the listener is closed, by DrainBacklog or otherwise.
+// Serve accepts connections until the listener is closed, by DrainBacklog or otherwise. It does not wait for the connections to
+// end.
 func (a *Acceptor) Serve(listener net.Listener) {
 	a.wg.Add(1)
 	defer a.wg.Done()
@@ -99,8 +100,9 @@
 	}
 }
 
-// DrainBacklog closes the listener once all connections in its backlog are accepted; closing it at once would reset them. DrainBacklog does
-// not wait. It must not be called while another process shares the listener.
+// DrainBacklog has Serve close the listener once all connections in its backlog are accepted, beyond the maximum number too;
+// closing it at once would reset them. DrainBacklog does not wait. It must not be called while another process shares the
+// listener.
 func (a *Acceptor) DrainBacklog() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -114,8 +116,8 @@
 	}
 }
 
-// startBacklogDrain has the kernel refuse new connections, so that the backlog only shrinks, and sets a deadline for Accept that
-// leaves time for TCP handshakes in progress. A listener without deadlines is closed.
+// startBacklogDrain has the kernel refuse new connections, so that the backlog runs empty, and sets a deadline for Accept that
+// leaves time for TCP handshakes in progress. A listener without deadlines is closed. The caller holds a.mu.
 func (a *Acceptor) startBacklogDrain(listener net.Listener) {
 	if tcpListener, ok := listener.(*net.TCPListener); ok {
 		refuseNewConns(tcpListener)
@@ -137,7 +139,8 @@
 }
 
 // acceptBacklog accepts all connections that remain in the backlog and closes the listener. It calls accept(2) directly, as
-// Accept fails after its deadline even if the backlog is not empty. When file descriptors run out it waits for some.
+// Accept fails after its deadline even if the backlog is not empty. A failed accept, for example for lack of file descriptors, is
+// repeated.
 func (a *Acceptor) acceptBacklog(listener net.Listener) {
 	defer listener.Close()
 	tcpListener, ok := listener.(*net.TCPListener)
--- a/internal/transport/outbox.go
+++ b/internal/transport/outbox.go
@@ -11,13 +11,13 @@
 // Limits are the size limits and timeouts of a connection.
 type Limits struct {
 	InitialBufferSize int           // initial size of the read buffer, and size of the write buffer, in bytes
-	MaxMessageSize    int           // max size of a received message, in bytes
+	MaxMessageSize    int           // max size of a received message, and of the set-ups that package m3ua sends, in bytes
 	MaxQueuedBytes    int           // max bytes queued for writing; beyond it the peer counts as stalled and the connection is closed
 	WriteTimeout      time.Duration // max duration of one write; beyond it the connection is closed
 	MessageTimeout    time.Duration // max time until the first message, or a message that has begun, is complete
-	IdleTimeout       time.Duration // max time between messages
+	IdleTimeout       time.Duration // max time without data between messages
 	LineTimeout       time.Duration // max time from the first byte of a line to its last
-	MaxSilence        time.Duration // max time without data from a peer that sends at regular intervals
+	MaxSilence        time.Duration // max time without data after which a peer that sends at regular intervals counts as silent
 	LingerTimeout     time.Duration // max time between half-close and close, in which the peer reads the last messages
 	MaxLingerBytes    int           // max bytes read and dropped from the peer within LingerTimeout
 	FlushTimeout      time.Duration // max wait of Flush; WithdrawAll closes the connection if a write has taken longer
@@ -28,13 +28,14 @@
 	Data         []byte
 	ID           uint64    // identifies a withdrawable message
 	Withdrawable bool      // Data starts a set-up: the message can be withdrawn while queued, and expires at Deadline
-	Deadline     time.Time // a withdrawable message is not written after this time
+	Deadline     time.Time // the write of a withdrawable message does not begin after this time
 	OnWritten    func()    // called when the message has been written; may be nil
 	OnExpired    func()    // called when the message was dropped because its deadline had passed; required for a withdrawable message
 }
 
-// Outbox writes messages to a connection in order. Its user never waits for the peer: a goroutine writes while the queue is
-// not empty. The connection of a peer that reads nothing is closed.
+// Outbox writes messages to a connection in order. Only Flush and Linger wait for the peer: a goroutine writes while the queue
+// is not empty, and calls the functions of the messages. The connection of a peer that reads nothing is closed when a write
+// exceeds limits.WriteTimeout or the queue exceeds limits.MaxQueuedBytes.
 type Outbox struct {
 	conn   net.Conn
 	limits Limits
@@ -109,7 +110,9 @@
 }
 
 // Finish half-closes the connection once the queue is written, and then calls done. The peer can thus read the last messages,
-// followed by the end of the stream. Messages passed to Send after Finish are dropped. Finish does not wait.
+// followed by the end of the stream. If the half-close fails, the connection is closed before done is called. If the connection
+// is closed before the queue is written, or after an earlier Finish, done is never called. Messages passed to Send after Finish
+// are dropped. Finish does not wait.
 func (o *Outbox) Finish(done func()) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -123,7 +126,7 @@
 	}
 }
 
-// Close closes the connection at once.
+// Close drops the queue and closes the connection at once.
 func (o *Outbox) Close() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -203,7 +206,8 @@
 	return batch, nil
 }
 
-// Flush waits until the queue is written, for at most limits.FlushTimeout. It reports whether the queue was written.
+// Flush waits until the queue is written, for at most limits.FlushTimeout. It reports whether the queue was written and the
+// connection was not closed by this side.
 func (o *Outbox) Flush() bool {
 	for deadline := time.Now().Add(o.limits.FlushTimeout); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 		o.mu.Lock()
@@ -217,8 +221,8 @@
 }
 
 // Linger flushes the outbox, half-closes the connection and drops what the peer still sends, within limits.LingerTimeout and
-// limits.MaxLingerBytes. The peer can thus read the last messages. Closing at once would reset the connection, and the peer's
-// kernel would discard the data that the peer has not read.
+// limits.MaxLingerBytes. It blocks meanwhile and leaves the close to its user. The peer can thus read the last messages. A
+// close with data of the peer unread would reset the connection, and the peer's kernel would discard what the peer has not read.
 func (o *Outbox) Linger(conn net.Conn) {
 	o.Flush()
 	if halfCloser, ok := conn.(interface{ CloseWrite() error }); ok && halfCloser.CloseWrite() == nil {
