--- a/internal/knowledge/knowledge_test.go
+++ b/internal/knowledge/knowledge_test.go
@@ -14,7 +14,8 @@
 	epoch = 1_700_000_000 * time.Second
 )
 
-// newReducer makes the reducer of a member that lists the given servers without observations.
+// newReducer makes the reducer of a member that lists the given servers without observations, and returns it with its
+// effects so far.
 func newReducer(t *testing.T, self, tierSize int, now Time, servers ...uint32) (*Reducer, []Effect) {
 	t.Helper()
 	r, effects, err := New(Config{Self: self, TierSize: tierSize, Limits: Defaults(), Seed: uint64(self)}, now)
@@ -55,7 +56,7 @@
 	if v := a.View(now, 7); math.Abs(v.HoldBackShare-0.25) > 0.01 || now-v.HoldBackShareAt < 100*ms || now-v.HoldBackShareAt > 120*ms {
 		t.Errorf("%+v, want a share of 0.25 that is about 100 ms old", v)
 	}
-	now = epoch + 9*time.Second // the second message was under way six seconds longer
+	now = epoch + 9*time.Second // the second message was under way for 7 s, the first for 10 ms
 	a.Step(now, Piggyback{1, second})
 	v := a.View(now, 7)
 	if age := now - v.HoldBackShareAt; age < 6900*ms || age > 7300*ms {
@@ -76,8 +77,8 @@
 	}
 }
 
-// Of two contradicting reports the newer one weighs more, by a factor of two for each half-life; a stale one hardly
-// counts, and entries older than MaxAge do not count at all.
+// Of two contradicting reports the newer one weighs more, by a factor of two for each half-life between them, and
+// entries of the age MaxAge or more do not count at all.
 func TestNewerEntriesWeighMore(t *testing.T) {
 	a, _ := newReducer(t, 0, 3, epoch, 7)
 	now := epoch + time.Minute
@@ -90,7 +91,7 @@
 		t.Errorf("%+v, want a hold-back share of 1/3, a rate of 6, a failing share of 1/2", v)
 	}
 	if v := a.View(now+a.cfg.Limits.MaxAge, 7); v.Observers != 0 || v.Rate != 0 {
-		t.Errorf("%+v from entries older than MaxAge", v)
+		t.Errorf("%+v from entries of the age MaxAge", v)
 	}
 }
 
--- a/internal/knowledge/reducer.go
+++ b/internal/knowledge/reducer.go
@@ -12,13 +12,13 @@
 	"elmseam/internal/datagram"
 )
 
-// errTierSize rejects a message from a tier with another number of members, or of an unknown kind.
-var errTierSize = errors.New("datagram from a tier of another size")
+// errIncompatible rejects a message from a tier with another number of members, or of an unknown kind.
+var errIncompatible = errors.New("message of an unknown kind or from a tier of another size")
 
 // entry is an observer's latest observation of a server, with times on this member's clock.
 type entry struct {
 	Observation
-	// Stamp is the message's stamp, at least 1; 0: the entry is of an earlier incarnation, any message is newer.
+	// Stamp is the message's stamp, at least 1; 0: the entry is of an earlier incarnation, so any new message is newer.
 	Stamp uint32
 	// ObservedAt is the time at which the entry was received, less the extra delay of its message (see extraDelay).
 	ObservedAt Time
@@ -56,7 +56,7 @@
 	counters     Counters
 }
 
-// New returns the reducer of a member and its first effects.
+// New returns the reducer of a member and its first effects, or an error if Self, TierSize or a limit is invalid.
 func New(cfg Config, now Time) (*Reducer, []Effect, error) {
 	switch {
 	case cfg.TierSize < 1 || cfg.TierSize > math.MaxUint16:
@@ -69,12 +69,12 @@
 	}
 	r := &Reducer{cfg: cfg, now: now, startedAt: now, rng: rand.New(rand.NewPCG(cfg.Seed, 0x6b6e6f77)), local: make(map[uint32]Observation),
 		observers: make([]observer, cfg.TierSize), available: make([]bool, cfg.TierSize), queried: make(map[int]bool)}
-	r.setTimer(cfg.Limits.RetryInterval / 8) // a wait after which the server list is known
+	r.setTimer(cfg.Limits.RetryInterval / 8) // time for the server list to arrive; without it query only waits on
 	return r, r.takeEffects(), nil
 }
 
 // Step handles one event and returns the effects, which have to be carried out in their order. A time before that of
-// the last Step counts as the time of the last Step.
+// the last Step or AppendPiggyback counts as the latter.
 func (r *Reducer) Step(now Time, ev Event) []Effect {
 	r.now = max(now, r.now)
 	switch ev := ev.(type) {
@@ -140,8 +140,9 @@
 	}
 }
 
-// query sends queries to a few members after the start, until one has answered. Each time it prefers members that
-// were not queried before, and among those the available ones.
+// query sends queries to a few members after the start, every RetryInterval: until entries of another member have come,
+// or Fanout messages without entries, or MaxQueryRounds is reached. While this member lists no servers it only waits.
+// Each time it prefers members that were not queried before, and among those the available ones.
 func (r *Reducer) query() {
 	if r.answered || r.queryRounds >= r.cfg.Limits.MaxQueryRounds || r.cfg.TierSize == 1 {
 		return
@@ -180,7 +181,7 @@
 		return
 	}
 	switch err := msg.check(r.cfg.TierSize); {
-	case errors.Is(err, errTierSize):
+	case errors.Is(err, errIncompatible):
 		r.counters.UnknownSenders++
 		return
 	case err != nil:
@@ -204,8 +205,9 @@
 }
 
 // extraDelay returns how much longer a message was under way than the quickest message of its sender, as far as the
-// clocks show. It is negative if the message is of an earlier incarnation of the sender. The minimum grows with time,
-// because the pace of two clocks may differ by up to two hundredths.
+// clocks show. It is negative if the message is of an earlier incarnation of the sender. It is 0 for the first message
+// of an incarnation and for one quicker than the minimum, whose lag it records as the new minimum. The minimum grows with
+// time, because the pace of two clocks may differ by up to two hundredths.
 func (r *Reducer) extraDelay(observer *observer, msg message) time.Duration {
 	const maxDrift = 0.02
 	lag := int64(r.now/time.Millisecond) - int64(msg.Stamp)
@@ -229,7 +231,8 @@
 	}
 }
 
-// applyEntries stores the entries of a message from an observer that was delayed by delay.
+// applyEntries stores the entries of an observer's message with the given extra delay (see extraDelay). It ignores
+// entries for unlisted servers, entries that are no newer than the stored ones, and new entries beyond MaxServers.
 func (r *Reducer) applyEntries(observer *observer, msg message, delay time.Duration) {
 	var updated []uint32
 	for items := msg.Items; len(items) > 0; {
@@ -276,7 +279,8 @@
 }
 
 // nextEntries returns a message with as many own entries as fit into space bytes, and their number. Entries sent
-// longest ago come first. All fresh entries may be included, and at most maxOlder others.
+// longest ago come first. All fresh entries may be included, and at most maxOlder others. The included
+// entries count as sent.
 func (r *Reducer) nextEntries(space, maxOlder int) (msg message, n int) {
 	msg = r.stamped(message{Kind: kindEntries, Items: []int64{}})
 	space -= datagram.Size(msg) + 2 // two more bytes for the count of the items
@@ -333,7 +337,7 @@
 }
 
 // AppendPiggyback appends own entries to a datagram of another protocol, as far as there is room, and returns the
-// datagram.
+// datagram; without room or entries it returns the datagram unchanged.
 func (r *Reducer) AppendPiggyback(now Time, data []byte) []byte {
 	r.now = max(now, r.now)
 	msg, n := r.nextEntries(datagram.MaxSize-len(data), maxOlderPiggybacked)
--- a/internal/knowledge/types.go
+++ b/internal/knowledge/types.go
@@ -6,11 +6,10 @@
 // There is one entry for each pair of server and observer. Only the observer writes the entry, and each new version
 // replaces the one before (a last-writer-wins register for each entry, ordered by the writer's own clock: Johnson and
 // Thomas, RFC 677), so datagrams that are lost, reordered or duplicated do no harm. An entry carries ages instead of
-// times. The receiver adds to the ages how much longer the datagram was under way than the quickest datagram of the same
-// sender, so neither clocks that differ nor a late datagram make an old observation look recent. Entries are
-// piggybacked on the probes and answers of membership (internal/datagram.AppendPiggyback); only a newly started
-// member, and the members that answer its queries, send separate datagrams. docs/KNOWLEDGE.md describes the whole
-// protocol.
+// times. The receiver adds to the ages how much longer the datagram was under way than the quickest earlier datagram of
+// the same sender, so neither clocks that differ nor a late datagram make an old observation look recent. Entries are
+// piggybacked on the datagrams of membership (internal/datagram.AppendPiggyback); only a newly started member, and the
+// members that answer its queries, send separate datagrams. docs/KNOWLEDGE.md describes the whole protocol.
 //
 // The package is a reducer like internal/membership: a state machine without I/O, goroutines or a clock.
 package knowledge
@@ -40,7 +39,7 @@
 	MaxAge time.Duration
 	// Fanout is the number of members that a newly started member queries at a time.
 	Fanout int
-	// RetryInterval is the wait of a newly started member before it queries other members if none has answered.
+	// RetryInterval is the time between the rounds of queries of a newly started member.
 	RetryInterval time.Duration
 	// MaxQueryRounds is the max number of rounds in which a newly started member sends queries.
 	MaxQueryRounds int
@@ -68,7 +67,7 @@
 	case l.RetryInterval < 50*time.Millisecond || l.RetryInterval > 10*time.Second:
 		return fmt.Errorf("retry interval: %v, not in [50ms, 10s]", l.RetryInterval)
 	case l.MaxQueryRounds < 1 || l.MaxQueryRounds > 16:
-		return fmt.Errorf("max tries: %d, not in [1, 16]", l.MaxQueryRounds)
+		return fmt.Errorf("max query rounds: %d, not in [1, 16]", l.MaxQueryRounds)
 	case l.MaxServers < 1 || l.MaxServers > 1024:
 		return fmt.Errorf("max servers: %d, not in [1, 1024]", l.MaxServers)
 	}
@@ -87,7 +86,7 @@
 type Observation struct {
 	// HoldBackShare is the share of new set-ups that the server last asked to hold back, from 0 to 1.
 	HoldBackShare float64
-	// HoldBackShareAt is the time at which the server asked for that share; 0: the server has asked for none.
+	// HoldBackShareAt is the time of the load report that asked for that share, which may be 0; 0: no report has come.
 	HoldBackShareAt Time
 	// Rate is the rate, in set-ups a second, that the server takes from the member when warm; 0: not known.
 	Rate float64
@@ -97,7 +96,7 @@
 	FailureWeight int
 	// MinSetUpTime is the shortest set-up time; 0: no call was established yet.
 	MinSetUpTime time.Duration
-	// DrainingSince is the time since which the server list marks the server as draining; 0: not draining.
+	// DrainingSince is the time at which the server list last marked the server as draining; 0: not draining.
 	DrainingSince Time
 }
 
@@ -152,7 +151,7 @@
 		At    Time
 		Token Token
 	}
-	// ServersUpdated lists the servers, by hash of their names, for which entries of other members were updated.
+	// ServersUpdated lists the servers, by hash of their names, for which entries of another member were stored.
 	ServersUpdated struct{ Servers []uint32 }
 )
 
@@ -167,13 +166,13 @@
 type Counters struct {
 	EntriesSent     uint64 // own entries sent
 	EntriesReceived uint64 // entries of other members stored
-	Stale           uint64 // entries and messages ignored because they were not newer than what was known
+	Stale           uint64 // entries ignored as no newer than the stored ones, and messages of earlier incarnations
 	Unlisted        uint64 // entries ignored because this member's server list does not contain the server
 	QueriesSent     uint64 // queries sent after the start
 	QueriesAnswered uint64 // queries of other members answered
 	Sent            uint64 // separate datagrams sent
 	SentBytes       uint64 // bytes of these datagrams and of piggybacked data
-	Malformed       uint64 // datagrams and piggybacked data dropped as malformed or of another version
+	Malformed       uint64 // datagrams dropped as malformed or of another version; piggybacked data that is malformed or not of kindEntries
 	UnknownSenders  uint64 // messages dropped because the sender is no other member, its tier has another size, or their kind is unknown
 }
 
@@ -187,7 +186,7 @@
 	Incarnation uint32
 	// Stamp is the time at which the message was sent, in milliseconds since the sender's start.
 	Stamp uint32
-	// Items holds the encoded entries one after another; empty in a query.
+	// Items holds the encoded entries one after another; empty in a query and in the answer of a member without entries.
 	Items []int64
 }
 
@@ -204,8 +203,8 @@
 // Bit layout and units of an entry, which is encoded as three to six integers:
 //
 // (1) the hash of the server's name; (2) age and value of the hold-back share; (3) the rate, the failure weight, and
-// flags for which optional integers follow; then the optional integers: the number of lines, for how long the server
-// has been draining, and the shortest set-up time.
+// flags for which optional integers follow; then the optional integers: the number of lines, the age of
+// DrainingSince, and the shortest set-up time.
 const (
 	ageUnit           = 10 * time.Millisecond  // unit of an encoded age
 	maxEncodedAge     = 1<<14 - 1              // in units of ageUnit
@@ -215,7 +214,7 @@
 	maxEncodedRate    = 1<<24 - 1              // in tenths of a set-up a second
 	failureWeightBits = 4                      // bits of the failure weight
 	hasTotalLines     = 1                      // flag: the number of lines follows
-	hasDrainingSince  = 2                      // flag: the draining time follows
+	hasDrainingSince  = 2                      // flag: the age of DrainingSince follows
 	hasMinSetUpTime   = 4                      // flag: the shortest set-up time follows
 	flagBits          = 3                      // number of flag bits
 	setUpTimeUnit     = 100 * time.Microsecond // unit of the shortest set-up time
@@ -252,7 +251,8 @@
 }
 
 // decodeObservation decodes the first entry of items, whose ages count back from now, and returns the number of
-// integers consumed. The number is 0 if the entry is malformed.
+// integers consumed. The number is 0 if the entry is malformed. A shortest set-up time above one minute is returned as
+// one minute.
 func decodeObservation(items []int64, now Time) (server uint32, obs Observation, n int) {
 	const maxValue = int64(1) << 40
 	if len(items) < 3 || items[0] < 0 || items[0] > math.MaxUint32 || items[1] < 0 || items[1]>>shareBits > maxEncodedAge || items[2] < 0 || items[2] > maxValue {
@@ -291,14 +291,14 @@
 	return server, obs, n
 }
 
-// check validates a message received in a tier of tierSize members. It returns errTierSize for a message of an unknown
-// kind or from a tier of another size, and datagram.ErrMalformed for a message with an undecodable entry.
+// check validates a message received in a tier of tierSize members. It returns errIncompatible for a message of an
+// unknown kind or from a tier of another size, and datagram.ErrMalformed for a message with an undecodable entry.
 func (m message) check(tierSize int) error {
 	if m.Kind >= numKinds || int(m.Tier) != tierSize {
-		return errTierSize
+		return errIncompatible
 	}
 	for items := m.Items; len(items) > 0; {
-		_, _, n := decodeObservation(items, time.Hour)
+		_, _, n := decodeObservation(items, time.Hour) // any time will do: only n is used
 		if n == 0 {
 			return datagram.ErrMalformed
 		}
--- a/internal/knowledge/view.go
+++ b/internal/knowledge/view.go
@@ -17,12 +17,12 @@
 	Rate float64
 	// FairRate is Rate as it will be once this member, too, handles an equal share of the callers.
 	FairRate float64
-	// FailingShare is the share of the other members' weight that considers the server failing.
+	// FailingShare is the share, by weight, of the Observers that consider the server failing.
 	FailingShare float64
-	// DrainingSince is the latest time since which another member's server list marks the server as draining; 0: none
+	// DrainingSince is the latest time at which another member's server list marked the server as draining; 0: none
 	// does.
 	DrainingSince Time
-	// Observers is the number of other members with an entry for the server.
+	// Observers is the number of other members with an entry for the server that is younger than MaxAge.
 	Observers int
 	// MinSetUpTime is the longest of the other members' shortest set-up times, as their network paths to the server
 	// differ; 0: not known.
@@ -38,8 +38,8 @@
 }
 
 // View combines what is known of a server. The weight of each entry halves with each half-life of its age, so a
-// member with stale reports, or two members that contradict each other, are outweighed by a member with a newer
-// report. This member's own last report counts beside the others'.
+// member with stale reports, or two members that contradict each other, are outweighed by a member with a much newer
+// report. This member's own observations count only in HoldBackShare, beside the reports of the others.
 func (r *Reducer) View(now Time, server uint32) (v View) {
 	now = max(now, r.now)
 	shareSum, shareWeight, rateSum, rateWeight, failingWeight, totalWeight := 0.0, 0.0, 0.0, 0.0, 0.0, 0.0
@@ -87,8 +87,9 @@
 }
 
 // TakeoverFactor returns the factor by which this member's rates grow when the given members have died. Their callers
-// move to all available members in equal numbers, as far as is known. If the rates of a dead member or of this one
-// are not known, each member is assumed to have had equally many callers.
+// move to all available members in equal numbers, as far as is known; available is the number of these, this member
+// included. If the rates of a dead member or of this one are not known, each member is assumed to have had equally many
+// callers. The factor is at most one more than the number of dead members.
 func (r *Reducer) TakeoverFactor(dead []int, available int) float64 {
 	localRate, deadRate, allKnown := 0.0, 0.0, true
 	for _, obs := range r.local {
@@ -117,7 +118,8 @@
 	At Time // time of the observation on this member's clock
 }
 
-// Entries returns all entries for a server, ordered by observer, this member's own included.
+// Entries returns all stored entries for a server, ordered by observer, this member's own included. Entries older than
+// MaxAge are included until the next LocalObservations event drops them.
 func (r *Reducer) Entries(server uint32) (entries []ObserverEntry) {
 	for member, observer := range r.observers {
 		if entry, known := observer.Entries[server]; known {
