--- a/internal/maintenance/codec.go
+++ b/internal/maintenance/codec.go
@@ -25,7 +25,7 @@
 	Kind        messageKind
 	Tier        uint16 // number of members of the sender's tier
 	Zone        int8   // of the sender; -1: not known
-	Seq         uint32 // of the round, or the nonce of a query
+	Seq         uint32 // of the round, or the nonce of a query; repeated in the answers
 	Slot        uint8
 	Epoch       uint64
 	Lease       uint32 // milliseconds
@@ -58,7 +58,8 @@
 	return []int64{int64(member), int64(record.Generation), int64(record.RequestedAt), int64(record.Restarts), int64(record.Stage), int64(record.Slot), int64(record.Epoch)}
 }
 
-// decode decodes a datagram. One invalid value makes the whole datagram malformed.
+// decode decodes a datagram; records holds those of a kindRecords message by the index of the member. One invalid value
+// makes the whole datagram malformed. The error is datagram.ErrMalformed or datagram.ErrVersion.
 func (r *Reducer) decode(data []byte) (msg message, records map[int]Record, err error) {
 	if err := datagram.Decode(data, Version, datagram.MaxSize, &msg); err != nil {
 		return msg, nil, err
--- a/internal/maintenance/lease.go
+++ b/internal/maintenance/lease.go
@@ -13,7 +13,7 @@
 	StartedAt Time
 	Lease     time.Duration // duration of the requested lease
 	Voters    []int         // other members that the request is sent to
-	Granters  []int         // members that granted the request, this member included
+	Granters  []int         // members that granted the request; this member too, if it did
 	Refusals  int           // number of refusals; a member that refuses the request and its repetition counts twice
 }
 
@@ -31,15 +31,15 @@
 type releaseNotice struct {
 	Slot      int
 	Epoch     uint64
-	Remaining int // transmissions
+	Remaining int // further transmissions
 }
 
-// unknownHolder is the holder of a slot on which the answers to a query differ. The slot is granted to no member
-// until that grant has expired.
+// unknownHolder is the holder of a slot on which the answers to a query differ or whose holder the sender does not know
+// either. The slot is granted to no member until that grant has expired.
 const unknownHolder = -2
 
-// expireLease ends a lease that has expired. Step calls it before it handles the event, so that a holder that was
-// paused beyond the expiry no longer relies on the lease when it resumes.
+// expireLease ends a lease that has expired, and returns the request to StageWaiting. Step calls it before it handles the
+// event, so that a holder that was paused beyond the expiry no longer relies on the lease when it resumes.
 func (r *Reducer) expireLease() {
 	if r.lease == nil || r.now < r.lease.Expiry || !r.guardEnabled(GuardExpiry) {
 		return
@@ -118,7 +118,7 @@
 	return max(usable, 0)
 }
 
-// startRound starts a round with these voters, or with all members if voters is nil.
+// startRound starts a round with these voters, or with all members if voters is nil. This member votes at once.
 func (r *Reducer) startRound(slot int, epoch uint64, lease time.Duration, voters []int) {
 	r.round = &round{Seq: r.nextSeq(), Slot: slot, Epoch: epoch, StartedAt: r.now, Lease: lease}
 	r.counters.Rounds++
@@ -192,7 +192,7 @@
 }
 
 // countGrant counts a granted vote. With a majority this member holds the slot; its lease counts from the start of
-// the round.
+// the round. A majority that is reached only after that lease would have expired has no effect.
 func (r *Reducer) countGrant(from int, seq uint32) {
 	if held := r.lease; held != nil && held.Seq == seq && !slices.Contains(held.Granters, from) {
 		held.Granters = append(held.Granters, from)
@@ -236,8 +236,8 @@
 }
 
 // failRound ends a round without a majority. In a round for a new slot the grants obtained so far are released, and a slot
-// is requested again after a random wait of 1 to 3 rounds. The renewal of a lease is tried again half a round later, with all
-// members unless a quorum has granted late.
+// is requested again no earlier than after a random wait of 1 to 3 rounds. The renewal of a lease is tried again half a
+// round later, with all members unless a quorum has granted late.
 func (r *Reducer) failRound() {
 	round := r.round
 	r.round = nil
@@ -277,7 +277,7 @@
 	r.releaseNotices = slices.DeleteFunc(r.releaseNotices, func(notice releaseNotice) bool { return notice.Remaining <= 0 })
 }
 
-// handleRelease ends the grant of a slot that its holder has released.
+// handleRelease ends the grant of a slot that its holder has released, unless the grant has a higher epoch.
 func (r *Reducer) handleRelease(from, slot int, epoch uint64) {
 	if grant := &r.grants[slot]; grant.Holder == from && grant.Epoch <= epoch {
 		grant.Holder = -1
--- a/internal/maintenance/maintenance_test.go
+++ b/internal/maintenance/maintenance_test.go
@@ -12,8 +12,8 @@
 
 const second = time.Second
 
-// testTier is a tier in simulated time. Datagrams take 1 ms; those between members for which cut returns true are
-// lost.
+// testTier is a tier in simulated time. Datagrams take 1 ms; those between members for which cut returns true, and a
+// random share of the others, are lost.
 type testTier struct {
 	*testing.T
 	limits          Limits
@@ -24,12 +24,12 @@
 	draining        []bool
 	queue           []scheduledEvent
 	seq             int
-	loss            float64 // share of datagrams that are lost
+	loss            float64 // random share of the datagrams that is lost
 	rng             *rand.Rand
 	cut             func(from, to int) bool
 	stages          [][]Stage // by index: the stages of the member's own requests, in their order
 	lastDrainAt     []Time    // by index: when the member last started to drain
-	maxOutOfService int       // maximum number of members that were out of service at once
+	maxOutOfService int       // maximum number of running members that were out of service at once
 }
 
 // scheduledEvent is an event for the member with index to. Except for a datagram it is delivered only to the reducer that
@@ -61,7 +61,7 @@
 	return limits
 }
 
-// start starts or restarts a member and announces its availability to all members.
+// start starts or restarts a member, announces its availability to all members, and tells it that all are available.
 func (tier *testTier) start(member int) {
 	reducer, effects, err := New(Config{Self: member, TierSize: len(tier.reducers), Zone: tier.zones[member], Name: fmt.Sprint("n", member), Limits: tier.limits, Seed: uint64(tier.seq), DisabledGuards: tier.disabledGuards}, tier.now)
 	if err != nil {
@@ -245,8 +245,8 @@
 	}
 }
 
-// A member cut off from the majority starts no drain, and a lease that it holds expires by its own clock before
-// another member starts. After the partition all requests are served.
+// A member whose turn would come while it is cut off from the majority starts no drain. After the partition all requests
+// are served.
 func TestMinorityStartsNoDrain(t *testing.T) {
 	tier := startTier(t, 5, shortLimits())
 	tier.advance(2 * second)
@@ -268,8 +268,8 @@
 	tier.expectMaintainedOnce(0, 3)
 }
 
-// The death of a holder frees its slot within the lease. Its own request waits until it has restarted, and is served
-// then.
+// The death of a holder frees its slot within the lease and two rounds. Its own request waits until it has restarted, and
+// is served then.
 func TestHolderDeathFreesSlot(t *testing.T) {
 	tier := startTier(t, 3, shortLimits())
 	tier.advance(2 * second)
@@ -439,7 +439,8 @@
 	}
 }
 
-// Datagrams that are damaged, of another version or tier, or from an unknown sender are counted and change no state.
+// Datagrams that are damaged, truncated, of another version or tier, or from an unknown sender are counted and change no
+// grant.
 func TestInvalidDatagramsDropped(t *testing.T) {
 	tier := startTier(t, 3, shortLimits())
 	tier.advance(second)
--- a/internal/maintenance/records.go
+++ b/internal/maintenance/records.go
@@ -18,7 +18,7 @@
 	Restarts    uint32 // how often the request had to return to StageWaiting
 	Stage       Stage
 	Slot        uint8  // slot of the grant under which the member is out of service
-	Epoch       uint64 // of that grant; a later grant of any slot has a higher epoch
+	Epoch       uint64 // of that grant; above all epochs that the member knew when it requested the slot
 }
 
 // Merge returns the record that follows from both. It is commutative, associative and idempotent: members that
@@ -34,8 +34,8 @@
 	return a
 }
 
-// less orders records. Within a generation an ended request is higher than any other, then the one with more
-// restarts, then the later stage.
+// less orders records by generation. Within a generation an ended request is higher than any other, and StageDone
+// higher than StageWithdrawn; then the order is by restarts, stage, epoch and slot.
 func less(a, b Record) bool {
 	switch {
 	case a.Generation != b.Generation:
@@ -54,7 +54,7 @@
 	return a.Slot < b.Slot
 }
 
-// restartRequest returns the request of this member to StageWaiting.
+// restartRequest returns the request of this member to StageWaiting, unless it has ended.
 func (r *Reducer) restartRequest() {
 	record := r.records[r.cfg.Self]
 	if record.Stage.Ended() {
@@ -65,7 +65,7 @@
 	r.setRecord(r.cfg.Self, record)
 }
 
-// handleRequest starts requests for members. A request that has not ended stays as it is.
+// handleRequest starts requests for members, once this member has recovered. A request that has not ended stays as it is.
 func (r *Reducer) handleRequest(members []int) {
 	if !r.recovered {
 		return
@@ -96,7 +96,7 @@
 }
 
 // setRecord replaces a record, reports the change, and sends it to a few members at once. If the request of this
-// member has ended, its slot is released.
+// member has ended, its slot is released, or its attempt to get one ends.
 func (r *Reducer) setRecord(member int, record Record) {
 	if r.records[member] == record {
 		return
@@ -118,7 +118,8 @@
 }
 
 // Queue returns the indexes of the waiting members in their order: by the time of the request, and among requests
-// made at the same time such that the zones take turns. Members with the same records compute the same order.
+// made at the same time such that the zones take turns, those of the members out of service counted. Members that know
+// the same records and zones compute the same order.
 func (r *Reducer) Queue() []int {
 	var waiting []int
 	outPerZone := make(map[int8]int)
@@ -152,8 +153,8 @@
 	return queue
 }
 
-// gossip sends recently changed records, and those of requests that have not ended, to one random member. Once all
-// requests have ended and all changes were sent often enough, it sends nothing.
+// gossip sends recently changed records, and those of requests that have not ended, as far as they fit into one datagram,
+// to one random member. Once all requests have ended and all changes were sent often enough, it sends nothing.
 func (r *Reducer) gossip() {
 	var members []int
 	for i := range r.records {
@@ -173,8 +174,9 @@
 	}
 }
 
-// sendRecords sends as many of the records of these members as fit into one datagram, and returns how many did. The room
-// is computed with the maximum sizes of Seq, Lease and RecordsHash, so that the datagram never exceeds its maximum size.
+// sendRecords sends as many of the records of these members as fit into one datagram, and returns how many did. Records
+// in StageNone count but are not sent; without others nothing is sent. The room is computed with the maximum sizes of
+// Seq, Lease and RecordsHash, so that the datagram never exceeds its maximum size.
 func (r *Reducer) sendRecords(to int, members []int) (count int) {
 	msg := message{Kind: kindRecords, Seq: math.MaxUint32, RecordsHash: math.MaxUint32, Lease: math.MaxUint32, Epoch: 0}
 	msg.Tier, msg.Zone, msg.Name = uint16(r.cfg.TierSize), int8(r.cfg.Zone), r.cfg.Name
@@ -211,7 +213,8 @@
 	return uint32(xxh3.Hash(b))
 }
 
-// mergeRecords merges received records, and sends the sender back those records of which this member knows more.
+// mergeRecords merges received records, and sends the sender back those records of which this member knows more, as far
+// as they fit into one datagram.
 func (r *Reducer) mergeRecords(from int, records map[int]Record) {
 	var newer []int
 	for member := range r.records {
--- a/internal/maintenance/recover.go
+++ b/internal/maintenance/recover.go
@@ -21,7 +21,7 @@
 // datagrams, and one a round after the rounds in which every member could have been queried twice.
 
 // recoverGrants sends the next queries to members that have not answered as recovered members, or ends the recovery
-// when all grants of earlier incarnations have expired.
+// when all grants of earlier incarnations have expired. In the first two rounds it does nothing.
 func (r *Reducer) recoverGrants() {
 	if r.now >= r.startedAt+r.cfg.Limits.maxGrantDuration() {
 		r.finishRecovery()
@@ -63,8 +63,8 @@
 	r.advanceOwnRequest()
 }
 
-// answerQuery answers a kindQuery: first with the records, if the sender's records differ, then with the grants and
-// the lease that this member knows.
+// answerQuery answers a kindQuery: first with the records, if the sender's records differ, then with the grants that
+// this member knows and the lease that it holds.
 func (r *Reducer) answerQuery(to int, msg message) {
 	if msg.RecordsHash != r.recordsHash() {
 		var members []int
@@ -93,8 +93,9 @@
 	r.send(to, message{Kind: kindState, Seq: msg.Seq, Items: items})
 }
 
-// handleQueryAnswer merges the grants of an answer. The answer counts towards the recovery only if the sender's
-// records equal those of this member.
+// handleQueryAnswer merges the grants of an answer, and ends the recovery when enough members have answered. The answer
+// counts towards the recovery only if the sender's records equal those of this member. Answers to queries of an earlier
+// incarnation, and all answers after the recovery, are ignored.
 func (r *Reducer) handleQueryAnswer(from int, msg message) {
 	if r.recovered || msg.Seq != r.queryNonce {
 		return
--- a/internal/maintenance/reducer.go
+++ b/internal/maintenance/reducer.go
@@ -17,10 +17,10 @@
 	Name           string // name of this member, shown to operators
 	Limits         Limits
 	Seed           uint64
-	DisabledGuards Guard // guards that a check switches off to see a rule violated; no program sets it
+	DisabledGuards Guard // guards that a test switches off to see a rule violated; no program sets it
 }
 
-// Guard is a set of parts of the protocol, as a bit set, that a check can switch off.
+// Guard is a set of parts of the protocol, as a bit set, that a test can switch off.
 type Guard uint8
 
 // The guards, each with the behaviour that it stands for.
@@ -48,7 +48,7 @@
 	available              []bool   // by index: the member is available
 	serving                bool     // this member accepts calls
 	grants                 [MaxSlots]Grant
-	highestEpochs          [MaxSlots]uint64 // the highest epoch that was granted or released, for each slot
+	highestEpochs          [MaxSlots]uint64 // the highest known epoch that was granted or released, for each slot
 	refusedUntil           [MaxSlots]Time   // by slot: until this time the slot counts as granted by other members and is not requested
 	recovered              bool             // this member knows what it may have granted before its start, and may grant slots
 	queryNonce             uint32           // identifies the queries of this incarnation; answers to queries of an earlier one are ignored
@@ -66,7 +66,7 @@
 	counters               Counters
 }
 
-// New returns the reducer of a member and its first effects.
+// New returns the reducer of a member and its first effects, or an error if Self, TierSize or a limit is invalid.
 func New(cfg Config, now Time) (*Reducer, []Effect, error) {
 	switch {
 	case cfg.TierSize < 1 || cfg.TierSize > math.MaxUint16:
@@ -156,7 +156,8 @@
 	r.emit(Timer{At: r.now + delay, Token: Token{kind: tokenTick, seq: r.tickCount}})
 }
 
-// handleTimer handles a timer that fired. Outdated timers are ignored.
+// handleTimer handles a timer that fired. Outdated timers are ignored. tokenExpiry needs no handling here, as Step has
+// called expireLease already.
 func (r *Reducer) handleTimer(token Token) {
 	switch token.kind {
 	case tokenTick:
@@ -213,7 +214,7 @@
 	r.emit(Send{To: to, Data: data})
 }
 
-// handleDatagram handles a received datagram.
+// handleDatagram handles a received datagram: drops and counts an invalid one, and responds to the others by their kind.
 func (r *Reducer) handleDatagram(d Datagram) {
 	if d.From < 0 || d.From >= r.cfg.TierSize {
 		r.counters.UnknownSenders++
--- a/internal/maintenance/types.go
+++ b/internal/maintenance/types.go
@@ -61,7 +61,7 @@
 	WorkLease     time.Duration // lease of a member that is ready for work: the longest absence during which it keeps its slot
 	RoundTimeout  time.Duration // time for a majority to answer, and interval between two looks at the queue
 	MaxDrift      float64       // maximum difference between the rates of two clocks, as a share
-	Transmissions int           // number of times that a change of a record or a release is sent on
+	Transmissions int           // number of times that a changed record or a release is sent again after its first transmission
 }
 
 // Defaults returns the limits for a tier on the platform.
@@ -111,7 +111,8 @@
 	}
 	// TimerFired reports that a timer requested by a Timer effect has fired.
 	TimerFired struct{ Token Token }
-	// Request requests maintenance of the members with these indexes.
+	// Request requests maintenance of the members with these indexes, except those with a request that has not ended. It is
+	// ignored until this member has recovered.
 	Request struct{ Members []int }
 	// Cancel withdraws the requests for the members with these indexes. For a member that is ready for work it reports that
 	// the work is done.
@@ -126,7 +127,7 @@
 	// Serving reports whether this member accepts calls. A member that is back from work releases its slot then.
 	Serving struct{ Serving bool }
 	// SetBudget changes the budget B. After a reduction the members that are out of service stay out, and no other one
-	// starts until fewer than the new budget are out.
+	// starts until fewer than the new budget are out. A budget not in [1, MaxSlots] is ignored.
 	SetBudget struct{ Budget int }
 )
 
@@ -196,7 +197,7 @@
 	SentBytes                  uint64
 	Malformed                  uint64 // datagrams dropped as damaged, truncated, too long or invalid
 	VersionMismatches          uint64 // datagrams dropped for another protocol version
-	UnknownSenders             uint64 // datagrams dropped because the sender is no member of the tier, or is of another tier
+	UnknownSenders             uint64 // datagrams dropped because the sender is no member of the tier, or its tier has another size
 }
 
 // Grant is what this member, as a voter, has granted of one slot.
--- a/internal/membership/codec.go
+++ b/internal/membership/codec.go
@@ -43,7 +43,7 @@
 	member      int
 	state       State
 	incarnation uint64
-	observer    int // of a suspicion: index of the member that observed the failure
+	observer    int // of a suspicion: index of the member that observed the failure; otherwise unused
 }
 
 // stateBits is the width of the state in the first integer of an update; the index of the member is above it.
@@ -59,8 +59,8 @@
 	remaining := maxSize - datagram.Overhead - datagram.Size(m) - 2 // 2 bytes more for the length of the list of updates
 	for _, u := range updates {
 		ints := u.encode(m.Incarnation)
-		for _, w := range ints {
-			remaining -= datagram.IntSize(w)
+		for _, value := range ints {
+			remaining -= datagram.IntSize(value)
 		}
 		if remaining < 0 {
 			break
@@ -80,7 +80,8 @@
 	return ints
 }
 
-// decode decodes a datagram of a tier of tierSize members. One invalid value makes the whole datagram malformed.
+// decode decodes a datagram of a tier of tierSize members. One invalid value makes the whole datagram malformed. The
+// error is datagram.ErrMalformed, datagram.ErrVersion or errOtherTier.
 func decode(data []byte, tierSize, maxSize int) (msg message, updates []update, err error) {
 	if err := datagram.Decode(data, Version, maxSize, &msg); err != nil {
 		return msg, nil, err
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -5,7 +5,7 @@
 // enqueueUpdate queues an update for the next datagrams, in place of an older update about the same member. The queue
 // is in order of transmission: the least often transmitted updates first, and of those the newest first.
 func (r *Reducer) enqueueUpdate(u update) {
-	if i := slices.IndexFunc(r.updateQueue, func(p queuedUpdate) bool { return p.member == u.member }); i >= 0 {
+	if i := slices.IndexFunc(r.updateQueue, func(queued queuedUpdate) bool { return queued.member == u.member }); i >= 0 {
 		r.updateQueue = slices.Delete(r.updateQueue, i, i+1)
 	}
 	r.lastUpdateSeq++
@@ -19,7 +19,7 @@
 	for i := range sent {
 		sent[i].Transmissions++
 	}
-	sent = slices.DeleteFunc(sent, func(p queuedUpdate) bool { return p.Transmissions >= r.maxTransmissions })
+	sent = slices.DeleteFunc(sent, func(queued queuedUpdate) bool { return queued.Transmissions >= r.maxTransmissions })
 	unsent, queue := r.updateQueue[count:], make([]queuedUpdate, 0, len(r.updateQueue))
 	for len(sent) > 0 && len(unsent) > 0 {
 		if a, b := sent[0], unsent[0]; a.Transmissions < b.Transmissions || a.Transmissions == b.Transmissions && a.Seq > b.Seq {
@@ -40,16 +40,16 @@
 	return u
 }
 
-// send sends a datagram with the updates that were transmitted least often. The mandatory updates come before those of
-// the queue. If the receiver is considered suspect, dead or left, its own state is one of them, because a member can refute
-// only what it receives (Lifeguard, Buddy System).
+// send sends a datagram with as many updates as fit, those transmitted least often first. The mandatory updates come
+// before those of the queue. If the receiver is considered suspect, dead or left, its own state is one of them, because a
+// member can refute only what it receives (Lifeguard, Buddy System).
 func (r *Reducer) send(to int, msg message, mandatory ...update) {
 	if s := r.members[to].State; s == StateSuspect || s.Down() {
 		mandatory = append(mandatory, r.currentUpdate(to))
 	}
 	updates := mandatory
-	for _, p := range r.updateQueue[:min(len(r.updateQueue), r.cfg.Limits.MaxDatagramSize/2)] { // more never fit: an update takes at least 2 bytes
-		updates = append(updates, p.update)
+	for _, queued := range r.updateQueue[:min(len(r.updateQueue), r.cfg.Limits.MaxDatagramSize/2)] { // more never fit: an update takes at least 2 bytes
+		updates = append(updates, queued.update)
 	}
 	if fromQueue := r.sendUpdates(to, msg, updates) - len(mandatory); fromQueue > 0 {
 		r.markTransmitted(fromQueue)
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -72,7 +72,7 @@
 
 // A killed member is considered dead by all members, and available again after its restart: the incarnation of the new
 // process overrides what is known of the old process, although the new process remembers nothing, and also when the
-// member restarts within one period. 30% of the datagrams are lost.
+// member restarts within one period. Until the restart 30% of the datagrams are lost.
 func TestKilledMemberReturns(t *testing.T) {
 	for _, downtime := range []time.Duration{20 * second, 100 * time.Millisecond} {
 		tier := startTier(t, 8, 0.3)
@@ -147,8 +147,8 @@
 	}
 }
 
-// If all datagrams of one member are lost while it receives those of the others, only that member is considered dead,
-// and it considers all others available. After the fault all members consider it available again.
+// If all datagrams of one member are lost while it receives those of the others, the others consider only that member
+// dead. After the fault all members consider each other available again.
 func TestOneWayLoss(t *testing.T) {
 	tier := startTier(t, 6, 0)
 	tier.advance(5 * second)
@@ -166,8 +166,8 @@
 	tier.expectAgreement("healed", membership.StateDead)
 }
 
-// A link that fails and recovers repeatedly leaves all members available in the end. Members that do not use the link
-// are available all the time.
+// A member whose network connection fails and recovers repeatedly leaves all members available in the end. The other
+// members never consider each other dead.
 func TestFlappingLink(t *testing.T) {
 	tier := startTier(t, 6, 0.1)
 	tier.advance(5 * second)
@@ -214,8 +214,8 @@
 	tier.expectAgreement("after the pause", membership.StateDead)
 }
 
-// A drain and an orderly shutdown become known within seconds and without a suspicion. A member that has left stays in
-// that state until it restarts.
+// A drain and an orderly shutdown become known within seconds, and no member is declared dead. A member that has left is
+// still considered left, not dead, when its process has ended.
 func TestDrainAndLeave(t *testing.T) {
 	tier := startTier(t, 8, 0)
 	tier.advance(8 * second)
@@ -233,8 +233,8 @@
 	}
 }
 
-// When all members start together, and have many updates to send, each sends only a few datagrams a period, and the
-// mean size of the datagrams is within the maximum of 256 bytes.
+// When all members start together, and have many updates to send, they send on average only a few datagrams a period
+// each, with a mean size within the maximum of 256 bytes, and in the end all consider each other available.
 func TestSimultaneousRestartCausesNoStorm(t *testing.T) {
 	tier := startTier(t, 270, 0)
 	tier.advance(5 * second)
--- a/internal/membership/reducer.go
+++ b/internal/membership/reducer.go
@@ -16,10 +16,10 @@
 	Self, TierSize int // index of this member, and number of members of the tier
 	Limits         Limits
 	Seed           uint64
-	DisabledGuards Guard // guards that a check switches off to see a rule violated; no program sets it
+	DisabledGuards Guard // guards that a test switches off to see a rule violated; no program sets it
 }
 
-// Guard is a set of parts of the protocol, as a bit set, that a check can switch off.
+// Guard is a set of parts of the protocol, as a bit set, that a test can switch off.
 type Guard uint8
 
 // The guards, each with the behaviour that it stands for.
@@ -50,7 +50,7 @@
 // suspicion is a running suspicion of a member.
 type suspicion struct {
 	StartedAt Time
-	Observers []int // members that suspect the member, each by its own observation
+	Observers []int // the first K+1 known members that suspect the member, each by its own observation
 }
 
 // queuedUpdate is an update to be sent with the next datagrams.
@@ -77,7 +77,7 @@
 	periodCount      uint32 // number of the period scheduled last
 	probe            *probe
 	relayedProbes    []relayedProbe
-	synced           bool   // this member has received another member's list since its start, its last pause and the last sign of a healed partition
+	synced           bool   // part of another member's list came since this member's start, its last pause and the last sign of a healed partition
 	lastSyncPeriod   uint32 // period of the last kindSyncRequest; 0: none was sent
 	syncCursor       int    // index at which the next list sent begins
 	hasLeft          bool   // this member has announced that it shuts down
@@ -85,10 +85,10 @@
 	maxTransmissions int // number of times that each update is sent
 }
 
-// New returns the reducer of a member and its first effects. The incarnation of the member is the time in
-// milliseconds since the Unix epoch: a member has no disk, and its earlier incarnations must have lower numbers. The
-// first period begins at a random time within one period, so that a tier whose members start together does not probe
-// in step.
+// New returns the reducer of a member and its first effects, or an error if Self, TierSize or a limit is invalid. The
+// incarnation of the member is the time in milliseconds since the Unix epoch: a member has no disk, and its earlier
+// incarnations must have lower numbers. The first period begins at a random time within one period, so that a tier
+// whose members start together does not probe in step.
 func New(cfg Config, now Time) (*Reducer, []Effect, error) {
 	switch {
 	case cfg.TierSize < 1 || cfg.TierSize > math.MaxUint16:
@@ -184,7 +184,8 @@
 	}
 }
 
-// runPeriod concludes the probe of the last period and starts the next one.
+// runPeriod concludes the probe of the last period and starts the next one. It also probes suspects again and, every
+// ReclaimPeriods periods, a dead member.
 func (r *Reducer) runPeriod() {
 	if p := r.probe; p != nil {
 		r.probe = nil
@@ -205,6 +206,7 @@
 
 // nextTarget returns the member to be probed next. Each member is probed once a round, in an order that is shuffled
 // again for each round, so that some member detects a failure soon and every member does within two rounds (SWIM 4.3).
+// It returns false if all other members are dead or have left.
 func (r *Reducer) nextTarget() (int, bool) {
 	for range 2 {
 		for len(r.probeOrder) > 0 {
@@ -248,8 +250,9 @@
 	return candidates[:min(count, len(candidates))]
 }
 
-// concludeProbe evaluates a probe at the end of its period. If the intermediaries did not answer either, the fault is
-// likely on this member's side, and its health gets worse (Lifeguard, LHA-Probe).
+// concludeProbe evaluates a probe at the end of its period. An answer improves this member's health; without one it
+// suspects the target, unless that is down. If the intermediaries did not answer either, or there were none, the fault
+// is likely on this member's side, and its health gets worse (Lifeguard, LHA-Probe).
 func (r *Reducer) concludeProbe(p *probe) {
 	if p.Acked {
 		r.adjustHealth(-1)
@@ -267,8 +270,8 @@
 }
 
 // reprobeSuspects probes again, once a period, a few of the members that this member suspects by its own observation.
-// The probe carries the suspicion, so one answer refutes it. At most the first K+1 members that suspect a member do
-// this.
+// The probe carries the suspicion, so one answer refutes it. A member that already knew of K+1 others that suspect the
+// member does not do this.
 func (r *Reducer) reprobeSuspects() {
 	var suspects []int
 	for index, s := range r.suspicions {
@@ -285,8 +288,9 @@
 // maxReprobes is the maximum number of suspects that are probed again in one period.
 const maxReprobes = 3
 
-// probeDead probes one of the members considered dead: that member may be alive and not know that it was declared dead, as
-// after a partition. The probe carries the state that this member holds of it, so that it refutes before it answers.
+// probeDead probes a random one of the members considered dead: that member may be alive and not know that it was
+// declared dead, as after a partition. The probe carries the state that this member holds of it, so that it refutes
+// before it answers.
 func (r *Reducer) probeDead() {
 	var dead []int
 	for m := range r.members {
@@ -300,8 +304,9 @@
 }
 
 // handleStall handles a pause of this process, which shows as a late period timer. During the pause this member could
-// not receive anything, so the current probe does not count as failed, every suspicion starts again with its full
-// time-out, and the next member that answers is asked for its list. Lifeguard detects a pause only when the member
+// not receive anything, so the current probe does not count as failed, probes on behalf of others are forgotten, the
+// time-out of every suspicion starts again, and the next member that answers is asked for its list (see requestSync).
+// This member's health gets worse, and the next period begins at once. Lifeguard detects a pause only when the member
 // has to refute a suspicion of itself, after it has already suspected others falsely.
 func (r *Reducer) handleStall() {
 	r.counters.Stalls++
@@ -317,7 +322,7 @@
 }
 
 // setDraining changes the state of this member to draining or back to alive, with a new incarnation, as other members
-// accept the change only with a higher incarnation.
+// accept the change only with a higher incarnation. After Leave it does nothing.
 func (r *Reducer) setDraining(on bool) {
 	self := r.self()
 	state := StateAlive
@@ -342,7 +347,7 @@
 	r.announceSelf(r.maxTransmissions)
 }
 
-// announceSelf sends the state of this member to count members at once; they send it on.
+// announceSelf sends the state of this member at once to up to count available members; they send it on.
 func (r *Reducer) announceSelf(count int) {
 	for _, m := range r.randomAvailable(count, r.cfg.Self) {
 		r.send(m, message{Kind: kindUpdates})
@@ -355,7 +360,7 @@
 		r.counters.UnknownSenders++
 		return
 	}
-	if d.From == r.cfg.Self { // sent through peers_all, which reaches the sender too
+	if d.From == r.cfg.Self { // its own datagram came back, as from an address that reaches all members
 		return
 	}
 	msg, updates, err := decode(d.Data, r.cfg.TierSize, r.cfg.Limits.MaxDatagramSize)
@@ -456,7 +461,8 @@
 // continues where the last one stopped.
 const maxSyncParts = 16
 
-// sendSync sends the states of all members to a member, in datagrams of which each can be used without the others.
+// sendSync sends the states of all members of which this member knows something to a member, in up to maxSyncParts
+// datagrams of which each can be used without the others.
 func (r *Reducer) sendSync(to int) {
 	var updates []update
 	for i := range r.members {
--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -19,8 +19,8 @@
 	r.scheduleSuspicionTimer(index)
 }
 
-// confirmSuspicion records that another member suspects the same member by its own observation. Each new observer, up
-// to K confirmations, shortens the suspicion and is sent on (Lifeguard, LHA-Suspicion).
+// confirmSuspicion records that one more member, possibly this one, suspects the same member by its own observation. Each
+// new observer, up to K confirmations, shortens the suspicion and is sent on (Lifeguard, LHA-Suspicion).
 func (r *Reducer) confirmSuspicion(index, observer int) {
 	s := r.suspicions[index]
 	if s == nil || len(s.Observers) > r.cfg.Limits.Confirmations || slices.Contains(s.Observers, observer) {
--- a/internal/membership/types.go
+++ b/internal/membership/types.go
@@ -63,7 +63,7 @@
 	StallThreshold  time.Duration // a period timer overdue by more than this shows that the process was paused; 0: never
 	ReclaimPeriods  int           // periods between two probes of members considered dead
 	MaxDatagramSize int           // maximum size of a datagram, in bytes
-	MaxRelays       int           // maximum number of concurrent probes on behalf of other members
+	MaxRelays       int           // maximum number of probes on behalf of other members that are remembered; the oldest are forgotten
 	MaxSkew         time.Duration // an incarnation further ahead of this member's clock is rejected as malformed
 }
 
@@ -146,7 +146,7 @@
 		At    Time
 		Token Token
 	}
-	// StateChanged reports that the state of a member, possibly of this member itself, changed from Old to New.
+	// StateChanged reports that the state of a member changed from Old to New; of this member itself only by a Drain event.
 	StateChanged struct {
 		Member      int
 		Old, New    State
@@ -180,17 +180,17 @@
 type Member struct {
 	State        State
 	Incarnation  uint64
-	LastReceived Time // time of the last datagram from the member; 0: none was received
+	LastReceived Time // time of the last valid datagram from the member; 0: none was received
 	Since        Time // time since which the member is in State
 }
 
 // Counters count what the protocol has done since the start.
 type Counters struct {
-	Probes            uint64 // direct probes sent
+	Probes            uint64 // regular probes started; repetitions and the probes of suspected and dead members are not counted
 	IndirectProbes    uint64 // requests to other members to probe on this member's behalf
-	Acks              uint64 // probes of this member that were answered
+	Acks              uint64 // regular probes of this member that were answered
 	Nacks             uint64 // negative answers of members asked to probe: the target did not answer them either
-	FailedProbes      uint64 // probes without any answer
+	FailedProbes      uint64 // regular probes that were not answered, except by nacks, until the next period
 	Suspicions        uint64 // suspicions started here or reported by other members
 	Deaths            uint64 // transitions of members to StateDead
 	Refutations       uint64 // refutations of false information about this member
@@ -200,5 +200,5 @@
 	Received          uint64 // datagrams accepted
 	Malformed         uint64 // datagrams dropped as damaged, truncated, too long or invalid, and updates with an incarnation too far ahead
 	VersionMismatches uint64 // datagrams dropped for another protocol version
-	UnknownSenders    uint64 // datagrams dropped because the sender is no member of the tier, or is of another tier
+	UnknownSenders    uint64 // datagrams dropped because the sender is no member of the tier, or its tier has another size
 }
--- a/internal/membership/updates.go
+++ b/internal/membership/updates.go
@@ -1,8 +1,8 @@
 package membership
 
 // apply merges an update about a member, in SWIM's order (4.2): a higher incarnation overrides a lower one, and at
-// the same incarnation a suspicion overrides alive, and dead or left override both. With propagate, a change of state
-// is sent on to other members; suspicions and confirmations are always sent on.
+// the same incarnation a suspicion overrides alive, dead overrides both, and left overrides dead too. With propagate, a
+// change of state or incarnation is sent on to other members; suspicions and confirmations are always sent on.
 func (r *Reducer) apply(u update, propagate bool) {
 	if u.member == r.cfg.Self {
 		r.applyToSelf(u)
@@ -38,9 +38,9 @@
 }
 
 // applyToSelf handles an update about this member. An update that is wrong and has this member's incarnation or a
-// higher one is refuted by a higher incarnation. A refuted suspicion or death is announced to some members at once,
-// as the suspicion is timing out. Information about an earlier incarnation of this member is refuted too, in case the
-// clock was set back between the two starts.
+// higher one is refuted by a higher incarnation. The refutation of a suspicion or death is announced to some members at
+// once, as the suspicion is timing out, and this member's health gets worse. Information about an earlier incarnation of
+// this member is refuted too, in case the clock was set back between the two starts. After Leave nothing is refuted.
 func (r *Reducer) applyToSelf(u update) {
 	self := r.self()
 	if r.hasLeft || !r.guardEnabled(GuardRefute) || u.incarnation < self.Incarnation || u.incarnation == self.Incarnation && u.state == self.State {
@@ -54,7 +54,8 @@
 	}
 }
 
-// setState sets the state and incarnation of a member, and with propagate queues the update for other members.
+// setState sets the state and incarnation of a member, and with propagate queues the update for other members. Any state
+// but StateSuspect ends a suspicion of the member.
 func (r *Reducer) setState(u update, propagate bool) {
 	member := &r.members[u.member]
 	old := member.State
