--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -86,7 +86,7 @@
 	}
 }
 
-// step gives an event to a member, carries out the effects, and checks the invariant.
+// step gives an event to a member, unless it is dead or paused, carries out the effects, and checks the invariant.
 func (tier *testTier) step(member int, ev Event) {
 	state := tier.members[member]
 	if state.reducer == nil || state.paused {
@@ -152,7 +152,7 @@
 	}
 }
 
-// resumeMember resumes a paused member and delivers the events that arrived in the meantime.
+// resumeMember resumes a paused member and queues the events that arrived in the meantime.
 func (tier *testTier) resumeMember(member int) {
 	state := tier.members[member]
 	state.paused = false
@@ -173,9 +173,9 @@
 	return n
 }
 
-// Units of two dead members go to the available members once the leases of the dead have expired, and not before;
-// no member uses the reserved unit of a dead member. A member that was only paused resumes with its reserved unit alone,
-// and has the other units back within two leases.
+// Units of two members that are considered dead go to the available members once their leases have expired, and not
+// before; no other member uses their reserved units. The one that was only paused resumes with its reserved unit alone,
+// and has the other units back within 5 s.
 func TestSuccessorsUseUnitsOfDeadMembers(t *testing.T) {
 	tier := newTestTier(t, 5, 0, 1)
 	tier.run(6 * time.Second)
@@ -207,16 +207,16 @@
 	tier.setAvailable(3, true)
 	tier.run(16 * time.Second)
 	if usable := tier.members[3].reducer.Usable(tier.memberClock(3), 3); usable != reservedUnit|transferableUnits {
-		t.Errorf("the resumed member uses units %08b after two leases, want all", usable)
+		t.Errorf("the resumed member uses units %08b 5 s after it resumed, want all", usable)
 	}
 }
 
-// A busy member borrows from an idle one at once, and the owner does not use units that it has lent. After the death of the
+// A busy member borrows from an idle one within 2 s, and the owner does not use units that it has lent. After the death of the
 // borrower the owner, in a tier of two, has no majority that renews its leases, and uses its reserved unit alone.
 func TestLoan(t *testing.T) {
 	for _, disabled := range []Guard{0, GuardLoan} {
 		tier := newTestTier(t, 2, disabled, 1)
-		usedByBoth := func() (n Mask) {
+		usedByBoth := func() (units Mask) {
 			return tier.members[0].reducer.Usable(tier.memberClock(0), 1) & tier.members[1].reducer.Usable(tier.memberClock(1), 1)
 		}
 		tier.run(4 * time.Second)
--- a/internal/budget/loans.go
+++ b/internal/budget/loans.go
@@ -13,11 +13,12 @@
 
 // Conditions of loans.
 const (
-	borrowThreshold = 0.8 // a member that uses this share of its units requests loans
+	borrowThreshold = 0.8 // a member that uses more than this share of its units requests loans, and renews none that it has given
 	lenderReserve   = 1   // transferable units that a lender keeps beyond those that it uses
 )
 
-// lendableUnits returns the transferable units of its own quota that this member could lend.
+// lendableUnits returns the transferable units of its own quota that this member could lend; none before the first
+// Demand event.
 func (r *Reducer) lendableUnits() (units Mask) {
 	if r.demand < 0 {
 		return 0
@@ -82,7 +83,7 @@
 }
 
 // handleBorrow answers a loan request: it renews existing loans while this member can spare the units, and lends
-// additional units.
+// additional units. Without any units to lend it sends no answer.
 func (r *Reducer) handleBorrow(borrower int, msg message) {
 	additional, renewals := int(msg.Items[0]), Mask(msg.Items[1])
 	var units Mask
@@ -114,7 +115,8 @@
 	r.send(borrower, message{Kind: kindLend, Seq: msg.Seq, Items: []int64{int64(units), int64(duration / time.Millisecond)}, Rates: r.encodeRates()})
 }
 
-// handleLoan records the units of a loan received from a lender. The loan counts from when it was requested.
+// handleLoan records the units of a loan received from a lender. The loan counts from when it was requested; the answer
+// to an earlier request is ignored.
 func (r *Reducer) handleLoan(from int, msg message) {
 	if msg.Seq != r.loanSeq || msg.Items[0] == 0 {
 		return
@@ -133,7 +135,8 @@
 	}
 }
 
-// Usable returns the units of an owner's quota that this member may use at a time.
+// Usable returns the units of an owner's quota that this member may use at the given time. It must not be called in
+// a tier whose units do not move.
 func (r *Reducer) Usable(now Time, owner int) (units Mask) {
 	now = max(now, r.now)
 	if owner == r.cfg.Self {
@@ -150,7 +153,7 @@
 	return units
 }
 
-// Rate returns the rate that this member may send to a cold server at a time, in set-ups a second of a warm server.
+// Rate returns the rate that this member may send to a cold server at the given time, in set-ups a second of a warm server.
 // It returns false for a server that is not known to be cold, or if units do not move.
 func (r *Reducer) Rate(now Time, server uint32) (rate float64, known bool) {
 	cold := r.findServer(server)
@@ -165,7 +168,7 @@
 	return rate, true
 }
 
-// Quotas returns what is known of each member's quota. The result is a copy.
+// Quotas returns what is known of each member's quota, by index; nil if units do not move. The result is a copy.
 func (r *Reducer) Quotas() (quotas []Quota) {
 	for owner := range r.heldExpiry {
 		quota := Quota{Usable: r.Usable(r.now, owner), Grants: r.grants[owner]}
@@ -182,7 +185,7 @@
 	return quotas
 }
 
-// AnyCold reports whether a server is cold now.
+// AnyCold reports whether a server was cold at the last round or has become cold since; false if units do not move.
 func (r *Reducer) AnyCold() bool { return r.active }
 
 // Counters returns the current counters.
--- a/internal/budget/reducer.go
+++ b/internal/budget/reducer.go
@@ -18,7 +18,7 @@
 	StartedAt Time         // when the claims were sent
 	Units     []Mask       // units claimed, by owner
 	Votes     [][Units]int // number of members that granted the unit, by owner and unit
-	Voters    []int        // members that have answered
+	Voters    []int        // this member, and the members that have answered
 }
 
 // loan is a loan of one of this member's own units.
@@ -60,7 +60,8 @@
 	counters        Counters
 }
 
-// New returns the reducer of a member and its first effects.
+// New returns the reducer of a member, or an error if Self, TierSize or a limit is invalid. It has no first effects:
+// rounds begin with the first ColdServer event.
 func New(cfg Config, now Time) (*Reducer, []Effect, error) {
 	switch {
 	case cfg.TierSize < 1 || cfg.TierSize > math.MaxUint16:
@@ -97,7 +98,7 @@
 func (r *Reducer) Transferable() bool { return r.cfg.TierSize <= r.cfg.Limits.MaxMembers }
 
 // Step handles one event and returns the effects, which have to be carried out in their order. A time before that of
-// the last Step counts as the time of the last Step.
+// the last Step counts as the time of the last Step. In a tier whose units do not move there are no effects.
 func (r *Reducer) Step(now Time, ev Event) []Effect {
 	r.now = max(now, r.now)
 	if !r.Transferable() {
@@ -184,13 +185,14 @@
 	}
 	r.sendClaims()
 	r.requestLoans()
-	r.timerSeq++ // random jitter, so that two successors do not keep claiming at the same time
+	r.timerSeq++
+	// Random jitter, so that two successors do not keep claiming at the same time.
 	delay := r.cfg.Limits.roundInterval()*7/8 + time.Duration(r.rng.Int64N(int64(r.cfg.Limits.roundInterval()/4)))
 	r.emit(Timer{At: r.now + delay, Token: Token{r.timerSeq}})
 }
 
-// sendClaims claims from all members this member's own units, and the units of unavailable members whose successor
-// this member is or which it still holds.
+// sendClaims claims from all members this member's own transferable units, and the units of unavailable members whose
+// successor this member is or which it still holds.
 func (r *Reducer) sendClaims() {
 	round := claimRound{StartedAt: r.now, Units: make([]Mask, r.cfg.TierSize), Votes: make([][Units]int, r.cfg.TierSize), Voters: []int{r.cfg.Self}}
 	r.claimSeq++
@@ -244,14 +246,15 @@
 	return items
 }
 
-// vote returns the units of an owner's quota that this member grants to a claimant, and records the grants.
+// vote returns the units of an owner's quota that this member grants to a claimant, and records the grants. Before
+// recoveredAt it grants none.
 func (r *Reducer) vote(claimant int, incarnation uint64, seq uint32, owner int, units Mask) (granted Mask) {
 	if r.now < r.recoveredAt {
 		return 0
 	}
 	byOwner := owner == claimant
 	if !byOwner && (owner == r.cfg.Self || r.available[owner] || r.now < r.ownerRefusedAt[owner]+r.cfg.Limits.Lease) {
-		return 0 // the owner is available and claims its units, or has claimed them in vain within the last lease
+		return 0 // the owner is this member, or is available and claims its units, or has claimed them in vain within the last lease
 	}
 	for unit := 1; unit < Units; unit++ {
 		if units&(1<<unit) == 0 {
@@ -395,8 +398,8 @@
 	}
 }
 
-// returnUnwon gives back, once a majority has answered the last claim, units of other members' quotas that did not
-// get a majority of votes, each with a probability of one half.
+// returnUnwon gives back, at the answer that completes a majority of answers to the last claim, units of other members'
+// quotas that did not get a majority of votes and that this member does not hold, each with a probability of one half.
 func (r *Reducer) returnUnwon(round *claimRound) {
 	if len(round.Voters) != r.quorum() || round.Seq != r.claimSeq {
 		return
@@ -427,7 +430,8 @@
 	}
 }
 
-// handleReturn removes the grants of units that the holder gives back. A grant of a later claim remains.
+// handleReturn removes the grants of units that the holder gives back. A grant of a later claim, or to another
+// incarnation of the holder, remains.
 func (r *Reducer) handleReturn(from int, msg message) {
 	for _, item := range msg.Items {
 		for unit := 1; unit < Units; unit++ {
--- a/internal/budget/types.go
+++ b/internal/budget/types.go
@@ -7,8 +7,8 @@
 // unit is a lease that a majority of the tier grants, in the manner of Gray and Cheriton, "Leases: An Efficient
 // Fault-Tolerant Mechanism for Distributed File Cache Consistency" (SOSP 1989), without a disk as in Trencséni, Gazsó
 // and Reinhardt, "PaxosLease" (2009). The majority grants a unit to its owner or, when the owner's lease has expired
-// and the owner is not available, to a successor. A unit that its owner holds by such a lease may be lent for a
-// shorter time. A loan is escrow between two members (O'Neil, "The Escrow Transactional Method", TODS 1986; Barbará
+// and the owner is not available, to a successor. A unit that its owner holds by such a lease may be lent until that
+// lease ends at most. A loan is escrow between two members (O'Neil, "The Escrow Transactional Method", TODS 1986; Barbará
 // and Garcia-Molina, "The Demarcation Protocol", 1992) and needs no third one. docs/BUDGET.md describes the whole
 // protocol.
 //
@@ -53,7 +53,7 @@
 	// MaxMembers is the max size of a tier in which units move. In a larger tier a unit would be a small fraction of
 	// a set-up, so its quotas stay fixed.
 	MaxMembers int
-	// MaxServers is the max number of servers that are cold at the same time.
+	// MaxServers is the max number of cold servers that are handled at the same time; further ones are ignored.
 	MaxServers int
 }
 
@@ -77,7 +77,8 @@
 	return nil
 }
 
-// roundInterval is the time between rounds of claims: three rounds may be lost within a lease.
+// roundInterval is the mean time between rounds of claims. A lease is claimed again about three times before it ends, so
+// it outlasts two lost rounds.
 func (l Limits) roundInterval() time.Duration { return l.Lease / 4 }
 
 // safeDuration is how long a holder relies on a lease, counted from its request.
@@ -96,7 +97,7 @@
 	Limits         Limits
 	// Seed seeds the random jitter of the rounds.
 	Seed uint64
-	// DisabledGuards are switched off, for tests that have to see a violation; no program sets it.
+	// DisabledGuards is the set of guards to switch off, for tests that have to see a violation; no program sets it.
 	DisabledGuards Guard
 }
 
@@ -131,7 +132,8 @@
 	}
 	// ColdServer says that a server, identified by the hash of its name and its start, is cold until the time
 	// ColdUntil. Rate, in set-ups a second of the warm server, is this member's whole quota of the server's budget.
-	// The rate applies until ColdUntil unless a later event gives a greater rate.
+	// The rate applies until ColdUntil unless a later event gives a greater rate. Events with a negative rate, with
+	// ColdUntil in the past, or for more than MaxServers servers are ignored.
 	ColdServer struct {
 		Server    uint32
 		Rate      float64
@@ -230,7 +232,7 @@
 const loanItems = 2
 
 // decode decodes a datagram received in a tier of tierSize members. An invalid field makes the whole datagram
-// malformed.
+// malformed. The error is datagram.ErrMalformed or datagram.ErrVersion.
 func decode(data []byte, tierSize int) (msg message, err error) {
 	if err := datagram.Decode(data, Version, datagram.MaxSize, &msg); err != nil {
 		return msg, err
--- a/internal/datagram/datagram.go
+++ b/internal/datagram/datagram.go
@@ -1,6 +1,6 @@
 // Package datagram implements the common format of all datagrams between softswitches: a byte for protocol and
-// version, a CBOR array (RFC 8949), and the low 32 bits of the XXH3 hash of all bytes before, big-endian. The
-// checksum detects damage, not forgery.
+// version, a CBOR array (RFC 8949), possibly a piggybacked second array, and the low 32 bits of the XXH3 hash of all
+// bytes before, big-endian. The checksum detects damage, not forgery.
 package datagram
 
 import (
@@ -50,14 +50,15 @@
 // checksum returns the low 32 bits of the XXH3 hash.
 func checksum(b []byte) uint32 { return uint32(xxh3.Hash(b)) }
 
-// Encode encodes v, a struct that CBOR encodes as an array, as a datagram with the given version byte.
+// Encode encodes v, a value that CBOR encodes as an array, as a datagram with the given version byte. It does not limit
+// the size, and panics if v has no CBOR form.
 func Encode(version byte, v any) []byte {
 	body := EncodeItem(v)
 	data := append(append(make([]byte, 0, len(body)+Overhead), version), body...)
 	return binary.BigEndian.AppendUint32(data, checksum(data))
 }
 
-// Size returns the size of the encoded array v in bytes.
+// Size returns the size in bytes of v encoded as by EncodeItem.
 func Size(v any) int { return len(EncodeItem(v)) }
 
 // IntSize returns the size of an encoded integer in bytes.
@@ -107,7 +108,7 @@
 }
 
 // SplitPiggyback splits a datagram into the datagram without piggybacked data and the piggybacked data, which is
-// empty if there is none.
+// empty if there is none. The version byte and the content are not checked. The error is ErrMalformed.
 func SplitPiggyback(data []byte) (bare, piggyback []byte, err error) {
 	if len(data) < Overhead || len(data) > MaxSize {
 		return nil, nil, ErrMalformed
@@ -136,7 +137,7 @@
 	return nil
 }
 
-// EncodeItem encodes v, a single array.
+// EncodeItem encodes v, a single array. It panics if v has no CBOR form.
 func EncodeItem(v any) []byte {
 	body, err := encMode.Marshal(v)
 	if err != nil {
@@ -145,7 +146,8 @@
 	return body
 }
 
-// FixChecksum returns the datagram with its last four bytes replaced by the correct checksum.
+// FixChecksum returns the datagram with its last four bytes replaced by the correct checksum. Data of fewer than four
+// bytes is returned unchanged.
 func FixChecksum(data []byte) []byte {
 	if len(data) < checksumSize {
 		return data
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -23,7 +23,7 @@
 // Limits are the size limits, rates and times of the socket.
 type Limits struct {
 	MaxQueued        int           // max number of datagrams queued for sending; more are dropped
-	MaxReceiveRate   float64       // max number of datagrams received per second, also the max burst; more are dropped
+	MaxReceiveRate   float64       // max number of datagrams received from members per second, also the max burst; more are dropped
 	ListenRetryDelay time.Duration // wait before trying again to listen: a predecessor may still use the address
 }
 
@@ -84,7 +84,7 @@
 }
 
 // Run opens the socket as soon as its address is free, posts the join events, and sends and receives until ctx is done and the
-// queue is written.
+// queue is written. If ctx is done before the socket is open, Run posts and sends nothing.
 func (s *Socket) Run(ctx context.Context, join ...core.Event) {
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(s.listen))
 	for first := true; err != nil; first = false {
@@ -126,8 +126,8 @@
 	}
 }
 
-// Send queues a datagram. Send never blocks: the datagram is dropped if the queue is full, which is harmless because the protocols
-// between members tolerate lost datagrams.
+// Send queues a datagram, also before Run has opened the socket. Send never blocks: the datagram is dropped if the queue is full,
+// which is harmless because the protocols between members tolerate lost datagrams.
 func (s *Socket) Send(msg core.SendToMember) {
 	select {
 	case s.queue <- msg:
@@ -136,8 +136,9 @@
 	}
 }
 
-// read receives datagrams and posts those of members. A datagram from an unknown sender is only counted. A datagram that exceeds
-// datagram.MaxSize is posted with MaxSize+1 bytes, and the protocol that its first byte names counts it as malformed.
+// read receives datagrams and posts those of members, until conn is closed. A datagram from an unknown sender or beyond the rate
+// limit is only counted. A datagram that exceeds datagram.MaxSize is posted with MaxSize+1 bytes, and the protocol that its first
+// byte names counts it as malformed.
 func (s *Socket) read(conn *net.UDPConn) {
 	var buf [datagram.MaxSize + 1]byte
 	limiter := rate.NewLimiter(rate.Limit(s.cfg.Limits.MaxReceiveRate), max(int(s.cfg.Limits.MaxReceiveRate), 1))
