--- a/cmd/elmseam/main.go
+++ b/cmd/elmseam/main.go
@@ -82,7 +82,7 @@
 	upgrader := &upgrader{socketPath: handover.SocketPath(os.Getenv("TMPDIR"), cfg.Name), limits: cfg.Limits.HandOver, memory: memory, log: log, sampledLog: transport.SampledLogger(log)}
 	ready := make(chan struct{})
 	var tierSocket *peers.Socket
-	var platformRef atomic.Pointer[platform.Platform] // set before the first event is posted
+	var platformRef atomic.Pointer[platform.Platform] // set before the event loop runs
 	sampledLog := transport.SampledLogger(log)
 	eventLoop := loop.New(reducer, cfg.Limits.EventQueue, func(e core.Effect) {
 		switch e := e.(type) {
@@ -229,7 +229,8 @@
 	commandFeed.Follow(cfg.CommandChannel, nil)
 	tasks = append(tasks, func() { commandFeed.Run(ctx) })
 
-	// reload reads the configuration again and applies it. An invalid configuration changes nothing.
+	// reload reads the configuration again and applies it. An invalid configuration changes nothing. Of the members file only
+	// the maintenance budget is applied.
 	reload := func() {
 		newCfg, err := config.Reload(os.Getenv, cfg)
 		if err != nil {
--- a/cmd/elmseam/main_test.go
+++ b/cmd/elmseam/main_test.go
@@ -350,8 +350,8 @@
 }
 
 // TestReload checks that SIGHUP, which once ended the program, reloads the configuration: an invalid file changes nothing,
-// a new command channel is followed from the cursor reached, calls of a new class are accepted, and open calls stay open,
-// also after repeated signals and while the program stops.
+// a new command channel is followed from the cursor reached, calls of a new class are offered to a server, and open calls
+// stay open, also after repeated signals and while the program stops.
 func TestReload(t *testing.T) {
 	srv, channel := listen(t), listen(t)
 	p := startProgram(t, "", endpoint("s", "in_service", srv))
@@ -437,7 +437,8 @@
 	}
 }
 
-// TestInvalidConfiguration checks that the program exits on an invalid configuration, with one line that names the field.
+// TestInvalidConfiguration checks that the program exits on an invalid configuration, with one line that names the field,
+// and on an invalid signalling file, with an error that names the field.
 func TestInvalidConfiguration(t *testing.T) {
 	good := `{"name":"n","listen":"127.0.0.1:0","seed":"1","limits":{"memory_mb":1,"sockets":99},"channel":"127.0.0.1:1","settings":` + testSettings + "}"
 	for field, text := range map[string]string{
@@ -514,10 +515,9 @@
 	p.wantResponse("/ops/members", 404, "membership is off")
 }
 
-// TestDeploymentWithoutPeerMessages runs a deployment like the second organisation's: tenants with shares, load reports
-// without a hold-back share, five attempts, and no peer messages, although the members file enables membership and the
-// configuration names a tier. The program must serve calls and send no datagram from start to end. With peer messages
-// permitted it must send some.
+// TestDeploymentWithoutPeerMessages runs a deployment with tenants and shares, load reports without a hold-back share, five
+// attempts, and no peer messages, although the members file enables membership and the configuration names a tier. The
+// program must serve calls and send no datagram from start to end. With peer messages permitted it must send some.
 func TestDeploymentWithoutPeerMessages(t *testing.T) {
 	for _, permitted := range []bool{false, true} {
 		srv, channel := listen(t), listen(t)
--- a/cmd/elmseam/ops_test.go
+++ b/cmd/elmseam/ops_test.go
@@ -68,9 +68,9 @@
 	for range 40 { // more than the admin endpoint accepts at once
 		dial(t, p.mgmt)
 	}
-	for want, call := range map[int][2]string{404: {"GET", "/ops"}, 405: {"GET", "/ops/drain/start"}} {
-		if got, _ := p.request(call[0], call[1]); got != want {
-			t.Errorf("%v: %d, want %d", call, got, want)
+	for want, request := range map[int][2]string{404: {"GET", "/ops"}, 405: {"GET", "/ops/drain/start"}} {
+		if got, _ := p.request(request[0], request[1]); got != want {
+			t.Errorf("%v: %d, want %d", request, got, want)
 		}
 	}
 	for want, text := range map[string]string{" 400 ": "what?\r\n\r\n", " 431 ": "GET /ops/stats HTTP/1.1\r\nX: " + strings.Repeat("x", 9000)} {
@@ -115,8 +115,8 @@
 	p.wantLog("stopping")
 }
 
-// TestReloadInvalidConfiguration checks that an invalid configuration changes nothing, is counted, and is logged in one
-// line that names the field. After a valid one, the open call is still answered, calls of a class that the new
+// TestReloadInvalidConfiguration checks that an invalid configuration changes nothing, is counted, and is logged in a line
+// that names the field. After a valid one, the open call is still answered, calls of a class that the new
 // configuration drops are refused, and calls of a class that it adds are accepted. That an open call keeps the attempt
 // limit of its arrival is tested by TestReconfiguration of package core.
 func TestReloadInvalidConfiguration(t *testing.T) {
--- a/cmd/elmseam/stop_test.go
+++ b/cmd/elmseam/stop_test.go
@@ -13,7 +13,7 @@
 
 // TestStopUnderLoad stops the program while set-ups are outstanding, callers keep calling on open and new connections, and
 // signals are repeated. Each set-up must get one answer or cross the close of its connection, and no connection may be
-// reset. Up to twenty reload signals must not hide a SIGTERM.
+// reset. Twenty reload signals before a SIGTERM, or one while the program stops, must not hide the SIGTERM.
 func TestStopUnderLoad(t *testing.T) {
 	srv := listen(t)
 	p := startProgram(t, "", endpoint("s", "in_service", srv))
--- a/cmd/elmseam/upgrade.go
+++ b/cmd/elmseam/upgrade.go
@@ -32,17 +32,18 @@
 	mu                sync.Mutex                  // guards the fields below
 	successorListener *net.UnixListener           // where a successor connects
 	localConns        map[core.ConnID]core.ConnID // this process's connection ids by the predecessor's
-	successor         *handover.Peer              // nil if there is no successor
-	listenerShared    bool                        // the successor has the callers' listener too
+	successor         *handover.Peer              // nil if there is no successor; kept if it disconnects while transferring
+	listenerShared    bool                        // the successor has the callers' listener too, or is being sent it
 	listenerClosing   bool                        // the callers' listener is being closed
 	successorServing  bool                        // the successor serves callers
 	stopping          bool                        // a stop of this process was requested
-	transferring      bool                        // this process is transferring its callers' connections
+	transferring      bool                        // the transfer of callers' connections has begun; it is never reset
 	transferred       map[core.ConnID]bool        // callers' connections that the successor has; nil without a successor
 }
 
 // takeOver obtains the callers' listener from a running process that serves the address. It returns false if there is no
-// such process or if that process refuses.
+// such process, if that process refuses, or if the hand-over fails. If that process is exiting, takeOver first waits, for at
+// most ExitTimeout, until it has ended.
 func (u *upgrader) takeOver(listenAddr string) bool {
 	if addr, err := net.ResolveTCPAddr("tcp", listenAddr); err == nil {
 		listenAddr = addr.String()
@@ -88,7 +89,8 @@
 	}
 }
 
-// adoptConn serves a caller's connection that the predecessor transferred.
+// adoptConn serves a caller's connection that the predecessor transferred. It informs the predecessor when the connection has
+// ended, or if it can't be used.
 func (u *upgrader) adoptConn(msg handover.Message, file *os.File) {
 	if file == nil {
 		return
@@ -135,14 +137,16 @@
 	}
 }
 
-// reportServing informs the predecessor that this process serves callers, so that the predecessor may exit.
+// reportServing informs the predecessor that this process serves callers from now on, so that the predecessor transfers its
+// callers' connections when it is stopped.
 func (u *upgrader) reportServing() {
 	if u.predecessor != nil {
 		u.predecessor.Send(handover.Message{Kind: handover.KindServing})
 	}
 }
 
-// listenForSuccessor opens the hand-over socket for successors. If that fails, there is no hand-over to a successor.
+// listenForSuccessor opens the hand-over socket for successors, unless it is open or this process is transferring its callers'
+// connections. If that fails, there is no hand-over to a successor.
 func (u *upgrader) listenForSuccessor() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -188,7 +192,7 @@
 		u.mu.Lock()
 		u.listenerShared = u.successor != nil
 		u.mu.Unlock()
-		u.log.Warn().Err(err).Msg("hand-over refused")
+		u.log.Warn().Err(err).Msg("hand-over to a successor refused or failed")
 		return
 	}
 	u.log.Info().Msg("successor connected")
@@ -256,7 +260,8 @@
 }
 
 // closeListener closes the callers' listener. If the successor shares the listener, only this process's descriptor is
-// closed: the socket stays unchanged, and the connections in its accept queue are left to the successor.
+// closed: the socket stays unchanged, and the connections in its accept queue are left to the successor. Otherwise the
+// connections in the queue are accepted first.
 func (u *upgrader) closeListener() {
 	u.mu.Lock()
 	u.listenerClosing = true
@@ -291,7 +296,8 @@
 	u.log.Info().Msg("hand-over to the successor started")
 }
 
-// Transfer sends a caller's connection and its state to the successor.
+// Transfer sends a caller's connection and its state to the successor. If the successor has disconnected meanwhile, the
+// connection counts as ended.
 func (u *upgrader) Transfer(transfer core.Transfer, unprocessed []byte, conn syscall.Conn) error {
 	u.mu.Lock()
 	successor := u.successor
@@ -329,8 +335,8 @@
 	}
 }
 
-// finish sends the successor the ids of the calls that have ended recently, as repeated messages about them may still
-// arrive there, and closes the connection to the successor.
+// finish closes the connection to the successor, if there is one. If callers' connections were transferred, it first sends
+// the successor the ids of the calls that have ended recently, as repeated messages about them may still arrive there.
 func (u *upgrader) finish(reducer *core.Core) {
 	u.mu.Lock()
 	successor, transferring := u.successor, u.transferring
--- a/cmd/elmseam/upgrade_test.go
+++ b/cmd/elmseam/upgrade_test.go
@@ -122,8 +122,8 @@
 func TestUpgradePredecessorExitsEarly(t *testing.T) {
 	dir, srv := t.TempDir(), listen(t)
 	predecessor := startUpgradable(t, dir, endpoint("s", "in_service", srv))
-	acceptServer(t, srv) // the successor cannot connect to this server
-	srv.Close()
+	acceptServer(t, srv)
+	srv.Close() // so that the successor cannot connect to the server
 	successor := &program{T: t, channel: predecessor.channel, config: predecessor.config, logLines: make(chan string, 100)}
 	successor.launch("", "TMPDIR="+dir, "ROUTER_LISTEN="+predecessor.listen)
 	predecessor.wantLog("successor connected")
--- a/cmd/elmseamctl/lab.go
+++ b/cmd/elmseamctl/lab.go
@@ -19,8 +19,8 @@
 const (
 	labExitPassed    = 0 // no invariant was violated
 	labExitViolation = 1 // an invariant was violated
-	labExitInvalid   = 2 // the scenario is invalid
-	labExitFailed    = 3 // the lab itself failed
+	labExitInvalid   = 2 // the scenario is invalid or can't be read
+	labExitFailed    = 3 // the lab itself failed; also exitUsage, for an invalid command line
 )
 
 // labCommand returns the command "lab" with its subcommands "run" and "tier".
--- a/cmd/elmseamctl/main.go
+++ b/cmd/elmseamctl/main.go
@@ -16,7 +16,7 @@
 	exitPassed     = 0 // success
 	exitViolation  = 1 // an invariant is violated, or the softswitch reports an unhealthy state or can't accept a request now
 	exitIncomplete = 2 // no violation found, but not every state was explored
-	exitUsage      = 3 // invalid command, flag or file, or the admin endpoint gave no usable answer
+	exitUsage      = 3 // invalid command, flag or file, no usable answer from the admin endpoint, or any other error
 )
 
 // exitCode is an error that ends the program with this code instead of exitUsage and without a message.
--- a/cmd/elmseamctl/tier.go
+++ b/cmd/elmseamctl/tier.go
@@ -61,7 +61,7 @@
 	return results, errors.Join(errs...)
 }
 
-// median returns the median of a value of the outcomes.
+// median returns the median of a value of the outcomes; for an even number of outcomes, the higher of the two middle values.
 func median(outcomes []swarm.Outcome, value func(swarm.Outcome) float64) float64 {
 	var values []float64
 	for _, outcome := range outcomes {
@@ -102,13 +102,13 @@
 				}
 				worst = max(worst, periods(outcome.AllDead))
 			}
-			dead := median(results, func(outcome swarm.Outcome) float64 { return periods(outcome.AllDead) })
+			allDead := median(results, func(outcome swarm.Outcome) float64 { return periods(outcome.AllDead) })
 			bytes := median(results, func(outcome swarm.Outcome) float64 { return outcome.ByteRate })
 			fmt.Fprintf(w, "| %d | %.0f %% | %.1f | %.0f | %.1f | %.1f | %.1f | %.1f |\n", size, 100*loss,
 				median(results, func(outcome swarm.Outcome) float64 { return outcome.DatagramRate }), bytes,
 				median(results, func(outcome swarm.Outcome) float64 { return periods(outcome.FirstSuspected) }),
-				median(results, func(outcome swarm.Outcome) float64 { return periods(outcome.FirstDead) }), dead, worst)
-			detection[name] = append(detection[name], [2]float64{float64(size), dead})
+				median(results, func(outcome swarm.Outcome) float64 { return periods(outcome.FirstDead) }), allDead, worst)
+			detection[name] = append(detection[name], [2]float64{float64(size), allDead})
 			load[name] = append(load[name], [2]float64{float64(size), bytes})
 		}
 	}
@@ -151,7 +151,7 @@
 	return nil
 }
 
-// reportFalseDeaths measures how often available members are considered dead while datagrams are lost or other members
+// reportFalseDeaths measures how often unimpaired members are considered dead while datagrams are lost or other members
 // are impaired, for plain SWIM and for each extension added to it (swarm.Variants).
 func reportFalseDeaths(w io.Writer, runs int) error {
 	fmt.Fprintf(w, "\nUnimpaired members considered dead, in %d runs of 120 s with 32 members; suspicions in brackets.\n\n", runs)
