--- a/internal/bgp/bgp_test.go
+++ b/internal/bgp/bgp_test.go
@@ -118,8 +118,8 @@
 	}
 }
 
-// TestPeerRouteEvents checks that a withdrawal takes a route down only if the peer has announced it, and that the end of a
-// session alone takes no route down.
+// TestPeerRouteEvents checks that a withdrawal takes a route down only if the peer has announced it, that the end of a session
+// alone takes no route down, and that an End-of-RIB marker takes down a route that its session has not announced.
 func TestPeerRouteEvents(t *testing.T) {
 	_, listener, events := startSpeaker(t, 90)
 	peer := acceptSession(t, listener, 90)
@@ -178,8 +178,8 @@
 }
 
 // TestSessionErrors checks that the session with a silent peer ends with a NOTIFICATION when the hold timer expires, with
-// KEEPALIVEs sent until then; and that a malformed message ends the session with a NOTIFICATION, after which the speaker
-// connects again.
+// a KEEPALIVE sent before; and that a malformed or unexpected message ends the session with a NOTIFICATION, after which the
+// speaker connects again.
 func TestSessionErrors(t *testing.T) {
 	_, listener, _ := startSpeaker(t, 3)
 	peer := acceptSession(t, listener, 3)
--- a/internal/bgp/message.go
+++ b/internal/bgp/message.go
@@ -65,6 +65,7 @@
 var errIncomplete = errors.New("incomplete message")
 
 // parseMessage parses the first message in b. body is the message without its header, size is the size of the whole message.
+// The error is errIncomplete or a *messageError.
 func parseMessage(b []byte) (kind byte, body []byte, size int, err error) {
 	if len(b) < headerSize {
 		return 0, nil, 0, errIncomplete
@@ -131,7 +132,8 @@
 	return buildMessage(msgOpen, append(b, caps...))
 }
 
-// parseOpen parses the body of an OPEN message. fourByteAS reports whether the peer supports four-byte AS numbers.
+// parseOpen parses the body of an OPEN message, which has at least minOpenBody bytes. fourByteAS reports whether the peer
+// supports four-byte AS numbers.
 func parseOpen(b []byte) (msg openMessage, fourByteAS bool, err error) {
 	if b[0] != protocolVersion {
 		return msg, false, &messageError{codeUnsupportedVersion, fmt.Sprintf("unsupported BGP version %d", b[0])}
@@ -173,7 +175,8 @@
 	endOfRIB             bool // an End-of-RIB marker (RFC 4724): the peer has sent all its routes
 }
 
-// parseUpdate parses the body of an UPDATE message. It checks that the path attributes are complete and ignores their values.
+// parseUpdate parses the body of an UPDATE message, which has at least 4 bytes. It checks that each path attribute is complete
+// and ignores the types and values of the attributes.
 func parseUpdate(b []byte) (msg updateMessage, err error) {
 	truncated := &messageError{codeMalformedAttributes, "truncated UPDATE"}
 	msg.endOfRIB = len(b) == 4
--- a/internal/bgp/speaker.go
+++ b/internal/bgp/speaker.go
@@ -95,7 +95,8 @@
 	return s, nil
 }
 
-// SetServing announces the service prefix to all peers, or withdraws it.
+// SetServing announces the service prefix on all established sessions, or withdraws it. Sessions established later announce
+// the prefix if serving was last set to true.
 func (s *Speaker) SetServing(serving bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -114,8 +115,8 @@
 	wg.Wait()
 }
 
-// maintainSession opens the session with a peer again whenever it ends. The wait between attempts doubles until a session is
-// established.
+// maintainSession opens the session with a peer again whenever it ends, until ctx is done. The wait between attempts doubles, up
+// to Limits.MaxRetryDelay, until a session is established.
 func (s *Speaker) maintainSession(ctx context.Context, peer Peer) {
 	retryDelay := s.limits.MinRetryDelay
 	for ctx.Err() == nil {
@@ -156,7 +157,8 @@
 	ses.outbox.Send(transport.Message{Data: msg})
 }
 
-// runSession connects to a peer and runs one session until it ends. It reports whether the session was established.
+// runSession connects to a peer and runs one session until it ends. It reports whether the session was established. A session
+// that ends by a messageError, or because ctx is done, ends with a NOTIFICATION.
 func (s *Speaker) runSession(ctx context.Context, peer Peer) (established bool, err error) {
 	dialer := net.Dialer{Timeout: s.limits.ConnectTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", peer.Address)
@@ -187,8 +189,9 @@
 	ses.conn.Close()
 }
 
-// run reads and handles the peer's messages: OPEN, KEEPALIVE, then UPDATEs. It sends a KEEPALIVE when a third of the hold time
-// has passed since the last one, and ends the session when nothing was received for the whole hold time.
+// run reads and handles the peer's messages: OPEN, KEEPALIVE, then UPDATEs. After the OPEN it sends a KEEPALIVE when a third of
+// the hold time has passed since the last one. It ends the session when no complete message was received for the whole hold
+// time. With a hold time of 0 from the peer it does neither.
 func (ses *session) run() (established bool, err error) {
 	buf := transport.NewBuffer(headerSize, maxMessageSize)
 	holdTime := time.Duration(ses.speaker.holdTime) * time.Second
@@ -277,7 +280,8 @@
 // handleUpdate applies an UPDATE to the routes. A route is down when the last peer that announced it has withdrawn it; the
 // withdrawal of a route that no peer has announced is ignored, as such addresses are reached without BGP. A peer's routes are
 // kept when its session ends: they are withdrawn only by an explicit withdrawal, or by an End-of-RIB marker in a session that
-// did not announce them.
+// did not announce them. The error says that the peers announce more than Limits.MaxRoutes prefixes; the prefix that exceeds
+// the limit is applied, those after it are not.
 func (ses *session) handleUpdate(update updateMessage) error {
 	speaker := ses.speaker
 	speaker.routesMu.Lock()
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -58,7 +58,7 @@
 }
 
 // Load reads the configuration file that the environment variable ROUTER_CONFIG names; ROUTER_NAME, ROUTER_LISTEN and
-// ROUTER_MGMT override its fields. The text of an error is one line that names the field.
+// ROUTER_MGMT, if not empty, override its fields. The text of an error is one line that names the field or the variable.
 func Load(getenv func(string) string) (*Config, error) {
 	path := getenv("ROUTER_CONFIG")
 	if path == "" {
@@ -144,8 +144,8 @@
 	return cfg, nil
 }
 
-// Reload reads the configuration again. The new file must contain every top-level key of the old one. The classes of
-// the old configuration keep their indexes.
+// Reload reads the configuration again. The new file must contain every top-level key of the old one, with a value other
+// than null. The classes of the old configuration keep their indexes.
 func Reload(getenv func(string) string, old *Config) (*Config, error) {
 	cfg, err := Load(getenv)
 	if err != nil {
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -16,8 +16,8 @@
 	"elmseam/internal/transport"
 )
 
-// Limits holds all sizes, counts and times of a softswitch. Load fills it at the start and at each reload; the other
-// packages receive their part of it.
+// Limits holds the sizes, counts and times of a softswitch. Load fills it at the start and at each reload, except for the
+// fields that TierConfig fills; the other packages receive their part of it.
 type Limits struct {
 	Core       core.Limits
 	CallerConn transport.Limits // limits of a caller's connection
@@ -27,7 +27,7 @@
 	Feed           feed.Limits
 	ConnectTimeout time.Duration // longest time to connect to a server
 	ConfirmTimeout time.Duration // wait for the confirmation of a release (M3UA) before the release is sent again
-	MaxCallerConns int           // max. simultaneous connections of callers
+	MaxCallerConns int           // max. simultaneous connections of platform callers; M3UA callers may have a quarter as many besides
 	EventQueue     int           // max. events that wait for the core
 	StatsInterval  time.Duration // time between two snapshots of the statistics
 	Mgmt           mgmt.Limits
@@ -35,7 +35,7 @@
 	HandOver    handover.Limits
 	Peers       peers.Limits
 	Membership  membership.Limits  // filled by TierConfig from the members file
-	Maintenance maintenance.Limits // filled by TierConfig from the members file
+	Maintenance maintenance.Limits // filled by TierConfig from the members file, if that enables maintenance
 	MemoryLimit int64              // soft memory limit of the Go runtime, in bytes
 	GCPercent   int                // heap growth, in per cent, that triggers a garbage collection (GOGC)
 }
@@ -58,11 +58,12 @@
 // endedCallBytes is the approximate memory, in bytes, that one remembered ended call takes.
 const endedCallBytes = 128
 
-// buildLimits derives all limits from the configuration file and the deployment's settings; the rest are constants.
+// buildLimits returns the limits, without those of TierConfig: some are derived from the configuration file or the
+// deployment's settings, the others are constants.
 func buildLimits(parsed configFile, deployment settings.Deployment) Limits {
 	maxMessageSize := 16 << 10
 	memoryBytes := int64(parsed.Limits.MemoryMB) << 20
-	maxCallerConns := parsed.Limits.Sockets / 2     // well-behaved callers use a third; up to a quarter may come over the M3UA protocol
+	maxCallerConns := parsed.Limits.Sockets / 2     // well-behaved callers use a third; the M3UA protocol may accept a quarter of this besides
 	if parsed.Limits.Sockets < scarceSocketsBelow { // with few descriptors, connections to servers need the larger share
 		maxCallerConns = parsed.Limits.Sockets * 2 / 5
 	}
@@ -128,7 +129,8 @@
 	limits.ServerConn.LineTimeout, limits.ServerConn.MaxSilence = 500*time.Millisecond, 3*time.Second
 	// Servers close at once, and the descriptor may be needed for another connection.
 	limits.ServerConn.LingerTimeout = 50 * time.Millisecond
-	// Data queued for callers that don't read, and the data of open calls, take at most a quarter of the memory each.
+	// Data queued for platform callers that don't read, and the data of open calls, take at most a quarter of the memory
+	// each, unless the queues need more to hold two of the largest messages each.
 	limits.CallerConn.MaxQueuedBytes = min(limits.CallerConn.MaxQueuedBytes, max(int(memoryBytes/4)/maxCallerConns, 2*maxMessageSize))
 	limits.Core.MaxCallBytes = int(memoryBytes / 4)
 	if limits.ConnectTimeout <= 0 {
--- a/internal/config/members.go
+++ b/internal/config/members.go
@@ -20,18 +20,18 @@
 )
 
 // MembersFile is the members file (deploy/members.toml): whether this softswitch takes part in its tier's membership,
-// and with which limits. Keys that the file omits have the values of membership.Defaults.
+// and with which limits. Limits that the file omits have the values of membership.Defaults.
 type MembersFile struct {
 	Enabled        bool     `toml:"enabled"`
 	Period         duration `toml:"period"`        // time between two probes
 	ProbeTimeout   duration `toml:"timeout"`       // wait for the answer to a direct probe
 	IndirectProbes int      `toml:"indirect"`      // members asked to probe indirectly after that
-	SuspicionMin   float64  `toml:"suspicion_min"` // min. suspicion time, in periods times the logarithm of the tier's size
+	SuspicionMin   float64  `toml:"suspicion_min"` // min. suspicion time, in periods times max(1, log10 n); n: members not dead or left
 	SuspicionMax   float64  `toml:"suspicion_max"` // max. suspicion time (no confirmations), as a multiple of the min.; 1: always the min.
 	Confirmations  int      `toml:"confirm"`       // independent confirmations that shorten a suspicion to the min.
-	RetransmitMult int      `toml:"retransmit"`    // transmissions of an update, times the logarithm of the tier's size
+	RetransmitMult int      `toml:"retransmit"`    // transmissions of an update, in multiples of ⌈log10(n+1)⌉; n: members of the tier
 	MaxHealth      int      `toml:"health"`        // max. local health multiplier; 0: local health is not used
-	StallThreshold duration `toml:"stall"`         // lateness of a timer of this process that counts as a pause of the process; 0: never
+	StallThreshold duration `toml:"stall"`         // lateness of the period timer beyond which the process counts as paused; 0: never
 	ReclaimPeriods int      `toml:"reclaim"`       // periods between two probes of members considered dead
 
 	Maintenance Maintenance `toml:"maintenance"`
@@ -40,7 +40,7 @@
 }
 
 // Knowledge is the [knowledge] table of the members file: whether this softswitch shares its observations of the
-// servers with its tier. Keys that the file omits have the values of knowledge.Defaults.
+// servers with its tier. Limits that the file omits have the values of knowledge.Defaults.
 type Knowledge struct {
 	Enabled      bool     `toml:"enabled"`
 	HalfLife     duration `toml:"half_life"` // age at which a load report's weight is halved
@@ -57,7 +57,7 @@
 }
 
 // Quotas is the [parts] table of the members file: whether units of a cold server's budget move between softswitches.
-// Keys that the file omits have the values of budget.Defaults.
+// Limits that the file omits have the values of budget.Defaults.
 type Quotas struct {
 	Enabled    bool     `toml:"enabled"`
 	Lease      duration `toml:"lease"`   // lease of a unit; after its expiry a dead member's units are granted to others
@@ -73,13 +73,13 @@
 }
 
 // Maintenance is the [maintenance] table of the members file: whether this softswitch takes part in its tier's ordered
-// maintenance. Keys that the file omits have the values of maintenance.Defaults.
+// maintenance. Limits that the file omits have the values of maintenance.Defaults.
 type Maintenance struct {
 	Enabled      bool         `toml:"enabled"`
 	Budget       countOrShare `toml:"budget"` // members that may be out for maintenance at the same time
 	Lease        duration     `toml:"lease"`  // lease of the slot of a draining member
 	WorkLease    duration     `toml:"work"`   // lease of the slot of a member that is ready for work
-	RoundTimeout duration     `toml:"round"`  // time in which a majority has to answer
+	RoundTimeout duration     `toml:"round"`  // time in which a majority has to answer, and interval between two looks at the queue
 	MaxDrift     float64      `toml:"drift"`  // max. fraction by which the rates of the members' clocks differ
 }
 
@@ -89,7 +89,8 @@
 	Share float64 // fraction of the tier's size, 0 to 1
 }
 
-// UnmarshalTOML reads an integer, or a string with a percentage.
+// UnmarshalTOML reads an integer, or a string with a percentage. An integer far out of range becomes one that is just out
+// of range, for maintenance.Limits.Check to reject.
 func (c *countOrShare) UnmarshalTOML(v any) error {
 	*c = countOrShare{}
 	switch v := v.(type) {
@@ -141,7 +142,7 @@
 }
 
 // LoadMembers reads the members file. explicit says that an operator named the path. If not, the file may be missing, and
-// membership is then off. The text of an error is one line that names the field.
+// membership is then off. The text of an error is one line that names the path and, for an invalid file, the field.
 func LoadMembers(path string, explicit bool) (MembersFile, error) {
 	text, err := os.ReadFile(path)
 	switch {
@@ -215,10 +216,10 @@
 }
 
 // TierConfig returns the configuration of the tier's datagram socket and the events that start the tier's protocols in
-// the core: membership and, where the members file enables them, maintenance, knowledge and the cold servers' quotas.
-// It fills Limits.Membership and Limits.Maintenance. The configuration must contain the peers' addresses and this
-// softswitch's index; an error names the field. permitted is false if the settings don't allow datagrams between
-// softswitches.
+// the core: membership and, where the members file enables them, maintenance, knowledge and the cold servers' quotas. The
+// caller checks file.Enabled. TierConfig fills Limits.Membership and, where maintenance is enabled, Limits.Maintenance. An
+// error names the field "peers"; peers.New checks the other fields. If the settings don't allow datagrams between
+// softswitches, permitted is false and the other results are zero.
 func (c *Config) TierConfig(file MembersFile) (socket peers.Config, startEvents []core.Event, permitted bool, err error) {
 	if !c.Deployment.PeerMessagesEnabled {
 		return socket, startEvents, false, nil
--- a/internal/config/signalling.go
+++ b/internal/config/signalling.go
@@ -19,7 +19,8 @@
 	BGP     bgp.Config      `toml:"bgp"`
 }
 
-// LoadSignalling reads the signalling file. The text of an error is one line that names the field.
+// LoadSignalling reads the signalling file. It checks the [m3ua] table if the file is enabled; bgp.New checks the [bgp]
+// table. The text of an error is one line that names the path and, for an invalid file, the field.
 func LoadSignalling(path string) (s SignallingFile, err error) {
 	meta, err := toml.DecodeFile(path, &s)
 	if err != nil {
@@ -44,7 +45,8 @@
 	}
 }
 
-// M3UA returns the configuration of the M3UA protocol: the [m3ua] table of the signalling file and the limits.
+// M3UA returns the configuration of the M3UA protocol: the [m3ua] table of the signalling file, the deployment's settings
+// and the limits.
 func (c *Config) M3UA(file m3ua.FileConfig) m3ua.Config {
 	return m3ua.Config{
 		FileConfig: file, Deployment: c.Deployment, CallerConn: c.Limits.CallerConn, ServerConn: c.Limits.ServerConn,
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -25,7 +25,7 @@
 	ConnectTimeout    time.Duration // max time to connect
 	ReadTimeout       time.Duration // max time to the end of the response header, and of each line; then the connection is closed
 	RenewAfter        time.Duration // time without an event after which a connection is replaced by a new one
-	RetryDelay        time.Duration // min time between two attempts to connect to the same address
+	RetryDelay        time.Duration // min time between two attempts to connect, except after Follow and for a renewal (RenewAfter)
 	MaxEventSize      int           // max size of a line, and of an event's data, in bytes
 	InitialBufferSize int           // initial size of the read buffer, in bytes
 }
@@ -66,7 +66,7 @@
 	for _, endpoint := range c.Servers.Endpoints {
 		phase, known := phases[endpoint.Status]
 		if !known || endpoint.Name == "" {
-			err = fmt.Errorf("endpoint %q: unknown status %q", endpoint.Name, endpoint.Status)
+			err = fmt.Errorf("endpoint %q: no name, or unknown status %q", endpoint.Name, endpoint.Status)
 			continue
 		}
 		list.Servers = append(list.Servers, core.Server{
@@ -96,7 +96,7 @@
 
 // Follow switches to the channel at address. known are commands that were received along with the address. Event ids continue
 // across channels: events handled before are not handled again. Follow may be called at any time and ends the current
-// connection at once.
+// connection at once, also if the address is the same. It waits while Run posts the commands of an earlier call.
 func (f *Feed) Follow(address string, known []Command) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -106,8 +106,8 @@
 	}
 }
 
-// nextTarget handles the commands passed to Follow. It returns the address to connect to, with a context that is cancelled
-// when Follow changes the address, and the function that cancels it.
+// nextTarget handles the commands passed to the last Follow. It returns the address to connect to, with a context that ends
+// with ctx or at the next Follow, and the function that cancels it.
 func (f *Feed) nextTarget(ctx context.Context) (connCtx context.Context, disconnect func(), address string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -120,7 +120,7 @@
 }
 
 // Run follows the channel until ctx is done. When a connection ends it connects again and continues after the last event. It
-// connects at most once in Limits.RetryDelay, or at once when Follow names another channel.
+// does so at most once in Limits.RetryDelay, or at once after Follow.
 func (f *Feed) Run(ctx context.Context) {
 	f.sampledLog = transport.SampledLogger(f.Log)
 	for ctx.Err() == nil {
@@ -170,11 +170,13 @@
 	return r, nil
 }
 
-// watch handles the events of a connection until the connection ends. It returns the connection that replaces it, if any.
+// watch handles the events of a connection until the connection ends. It returns the connection that replaces it, or the error
+// that ended it.
 //
 // A connection may stop delivering events although its comments still arrive, while the channel counts the events as
 // delivered. So when no event has arrived for Limits.RenewAfter, watch opens a second connection, which replaces the first one
-// once its response header has arrived. Events that both deliver are handled once, by their id.
+// once its response header has arrived; if it fails, the next attempt follows after another RenewAfter. Events that both
+// deliver are handled once, by their id.
 func (f *Feed) watch(ctx context.Context, address string, r *reader) (*reader, error) {
 	var mu sync.Mutex
 	var replacement *reader
@@ -208,9 +210,9 @@
 	return nil, err
 }
 
-// readEvents reads and handles events until the connection ends, and calls onEvent after each. A malformed event is skipped:
-// if the connection were closed instead, the channel would send the event again on each new connection, and no later event
-// would ever arrive.
+// readEvents reads and handles events until the connection ends, and calls onEvent after each. A malformed event is skipped,
+// and its id counts as handled: if the connection were closed instead, the channel would send the event again on each new
+// connection, and no later event would ever arrive.
 func (f *Feed) readEvents(r *reader, onEvent func()) error {
 	var data []byte
 	var id int64
@@ -292,7 +294,7 @@
 	buf            *transport.Buffer
 	stopAfterFunc  func() bool // detaches the connection from the context whose end closes it
 	chunked        bool
-	chunkRemaining int    // unread bytes of the current chunk
+	chunkRemaining int    // unread bytes of the current chunk; meaningless unless chunked
 	lineBuf        []byte // the part of the current line that was read
 }
 
@@ -308,7 +310,8 @@
 	errTooLong     = errors.New("line or event too long")
 )
 
-// rawLine reads a line of the response as sent, without regard to chunks.
+// rawLine reads a line of the response as sent, without regard to chunks, and returns it without its line end. It fails on a
+// line that is longer than the buffer's maximum size.
 func (r *reader) rawLine() (string, error) {
 	for {
 		if i := bytes.IndexByte(r.buf.Bytes(), '\n'); i >= 0 {
@@ -322,7 +325,7 @@
 	}
 }
 
-// readHeader reads the status line and the header.
+// readHeader reads the status line and the header. It fails on a status other than 200.
 func (r *reader) readHeader() error {
 	status, err := r.rawLine()
 	if err != nil {
@@ -346,7 +349,8 @@
 	}
 }
 
-// readLine reads a line of the body. A line that is too long is read to its end before errTooLong is returned.
+// readLine reads a line of the body and returns it without its line end. The result is valid until the next call. A line that
+// is too long is read to its end before errTooLong is returned.
 func (r *reader) readLine() ([]byte, error) {
 	r.lineBuf = r.lineBuf[:0]
 	tooLong := false
@@ -388,7 +392,7 @@
 	}
 }
 
-// readChunkSize reads the size line of the next chunk.
+// readChunkSize reads the size line of the next chunk. A size of 0, which ends the body, is an error too.
 func (r *reader) readChunkSize() error {
 	text, err := r.rawLine()
 	if err != nil {
--- a/internal/mgmt/maintenance.go
+++ b/internal/mgmt/maintenance.go
@@ -36,7 +36,8 @@
 }
 
 // handleMaintenance carries out a request to /ops/maintenance: GET shows the status, POST requests maintenance of the
-// members with the given names, DELETE cancels or ends it. The results are those of handle.
+// members with the given names (see memberIndex), DELETE cancels or ends it. A POST is refused while this softswitch is
+// newly started. The results are those of handle.
 func (s *AdminServer) handleMaintenance(method string, memberNames []string) (status int, text string, allow []string) {
 	snapshot := s.Snapshot()
 	if time.Since(snapshot.At) > s.Limits.MaxStatsAge {
--- a/internal/mgmt/mgmt.go
+++ b/internal/mgmt/mgmt.go
@@ -26,7 +26,7 @@
 	MaxRequestSize int           // max. bytes of a request
 	ReadTimeout    time.Duration // longest time until a request has been read
 	WriteTimeout   time.Duration // longest time until the response has been written
-	MaxStatsAge    time.Duration // older snapshots are not shown
+	MaxStatsAge    time.Duration // older snapshots are not shown; maintenance orders are refused then
 	MaxOrders      int           // max. operator orders (drain, resume, maintenance) that wait for the event loop
 }
 
@@ -46,7 +46,7 @@
 }
 
 // Serve accepts connections and answers their requests until the listener is closed, and then waits for the requests in
-// progress.
+// progress, but not until the event loop has taken their orders.
 func (s *AdminServer) Serve(listener net.Listener) {
 	s.orders = make(chan core.Event, s.Limits.MaxOrders)
 	defer close(s.orders)
@@ -213,8 +213,9 @@
 	return http.StatusServiceUnavailable, reason, nil
 }
 
-// writeResponse writes a response and closes the connection for writing. It then reads what the client still sends,
-// because closing a connection with unread data resets it, and the client could lose the response.
+// writeResponse writes a response and closes the connection for writing. It then reads what the client still sends, within
+// the limits of time and size, because closing a connection with unread data resets it, and the client could lose the
+// response.
 func (s *AdminServer) writeResponse(conn net.Conn, status int, text string, allow ...string) {
 	conn.SetDeadline(time.Now().Add(s.Limits.WriteTimeout))
 	header := http.Header{"Content-Type": {"text/plain; charset=utf-8"}}
--- a/internal/mgmt/servers.go
+++ b/internal/mgmt/servers.go
@@ -19,7 +19,7 @@
 // reports are, and which member holds which units of the budgets of cold servers.
 type ServersStatus struct {
 	Self    int            `json:"self"`    // index of this softswitch
-	Servers []ServerStatus `json:"servers"` // in the order of the server list; empty: knowledge is off
+	Servers []ServerStatus `json:"servers"` // in the order of the server list; empty also where knowledge is off
 	AnyCold bool           `json:"active"`  // a server is cold, and members hold units of its budget
 	Quotas  []Quota        `json:"parts"`   // by member; empty: the quotas are fixed
 }
@@ -32,7 +32,7 @@
 	HoldBackShare  float64        `json:"share"`             // fraction of new set-ups to hold back, from all reports, 0 to 1
 	MeanRate       float64        `json:"rate"`              // mean set-ups/s that the warm server takes from another member; 0: not known
 	FailingShare   float64        `json:"failing"`           // share of the other members, by weight, that consider the server failing
-	AllowedRate    float64        `json:"allowed,omitempty"` // usable quota of a cold server's budget, in set-ups/s of the warm server
+	AllowedRate    float64        `json:"allowed,omitempty"` // rate allowed to a cold server by usable units, in set-ups/s of the warm server
 	Reports        []MemberReport `json:"told"`              // the newest reports, by index of the member
 	OmittedReports int            `json:"more,omitempty"`    // number of older reports that are not shown
 }
--- a/internal/q850/q850.go
+++ b/internal/q850/q850.go
@@ -1,5 +1,5 @@
-// Package q850 maps the core's end reasons to the cause values of ITU-T Q.850 and back. Both signalling
-// protocols carry these cause values.
+// Package q850 maps the core's end reasons to the cause values of ITU-T Q.850 and back, and tells the kind of a
+// refusal. Both signalling protocols carry these cause values.
 package q850
 
 import (
@@ -19,7 +19,8 @@
 	TimerExpiry         = 102
 )
 
-// CauseFromReason returns the cause value sent to a caller for a reason.
+// CauseFromReason returns the cause value sent to a caller for a reason. A reason without an entry gives
+// TemporaryFailure.
 func CauseFromReason(r core.Reason) byte {
 	switch r {
 	case core.ReasonNormal:
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -74,53 +74,55 @@
 // LoadMetricByName returns the meaning of a value of a load report by its name; LoadMetricUnknown for other names.
 func LoadMetricByName(name string) elmseam.LoadMetric { return loadMetrics[name] }
 
-// retryPolicies maps the values of a class's key "effect" to retry policies.
+// retryPolicies maps the values of a class's key "effect" to retry policies. Without the key, or with an empty value, the
+// policy is elmseam.RetryAlways.
 var retryPolicies = map[string]elmseam.RetryPolicy{
 	"free":        elmseam.RetryAlways,
 	"guarded":     elmseam.RetryGuarded,
 	"single_shot": elmseam.RetryNever,
 }
 
-// Decode decodes the settings of the decision module. It doesn't check them for missing keys: see Validate.
+// Decode decodes the settings of the decision module. It fails for an unknown "effect", and doesn't check the settings for
+// missing keys: see Validate.
 func Decode(text []byte) (elmseam.Settings, error) {
-	var info wireSettings
-	info.FamilyInfo.OwnNumber = -1
-	if err := json.Unmarshal(text, &info); err != nil {
+	var parsed wireSettings
+	parsed.FamilyInfo.OwnNumber = -1
+	if err := json.Unmarshal(text, &parsed); err != nil {
 		return elmseam.Settings{}, fmt.Errorf("settings: %w", err)
 	}
 	decoded := elmseam.Settings{
-		OverShareWorth:     info.OverShareWorth,
-		MaxAttempts:        info.Limits.MaxAttempts,
-		CanCancel:          info.Limits.Cancel,
-		OwnCell:            info.FamilyInfo.OwnNumber,
-		RetransmitInterval: info.FamilyInfo.Retransmit.duration(),
-		ReleaseGuard:       info.FamilyInfo.ReleaseGuard.duration(),
-		ColdInitialShare:   info.Obligations.ColdFrom,
-		ColdRamp:           info.Obligations.RampTime.duration(),
-		OverloadMultiple:   info.Obligations.TipMultiple,
-		OverloadAfter:      info.Obligations.TipAfter.duration(),
-		ListOnRequest:      info.Discovery == "ask",
+		OverShareWorth:     parsed.OverShareWorth,
+		MaxAttempts:        parsed.Limits.MaxAttempts,
+		CanCancel:          parsed.Limits.Cancel,
+		OwnCell:            parsed.FamilyInfo.OwnNumber,
+		RetransmitInterval: parsed.FamilyInfo.Retransmit.duration(),
+		ReleaseGuard:       parsed.FamilyInfo.ReleaseGuard.duration(),
+		ColdInitialShare:   parsed.Obligations.ColdFrom,
+		ColdRamp:           parsed.Obligations.RampTime.duration(),
+		OverloadMultiple:   parsed.Obligations.TipMultiple,
+		OverloadAfter:      parsed.Obligations.TipAfter.duration(),
+		ListOnRequest:      parsed.Discovery == "ask",
 	}
-	if info.Limits.RetryAfter {
-		decoded.MaxRetryAfter = info.Limits.MaxRetryAfter.duration()
+	if parsed.Limits.RetryAfter {
+		decoded.MaxRetryAfter = parsed.Limits.MaxRetryAfter.duration()
 	}
-	if info.LoadReport.Via != "off" {
-		for _, name := range info.LoadReport.Columns {
+	if parsed.LoadReport.Via != "off" {
+		for _, name := range parsed.LoadReport.Columns {
 			decoded.ReportMetrics = append(decoded.ReportMetrics, loadMetrics[name])
 		}
 	}
-	for i, entry := range info.Classes {
+	for i, entry := range parsed.Classes {
 		retry, found := retryPolicies[entry.Effect]
 		if !found && entry.Effect != "" {
 			return decoded, fmt.Errorf("settings: class %d: unknown effect %q", i, entry.Effect)
 		}
 		class := elmseam.Class{Aim: entry.Objective.duration(), Deadline: entry.HardLimit.duration(), Worth: entry.Gain, Retry: retry}
-		if i < len(info.FamilyInfo.ClassCells) {
-			class.Cells = info.FamilyInfo.ClassCells[i]
+		if i < len(parsed.FamilyInfo.ClassCells) {
+			class.Cells = parsed.FamilyInfo.ClassCells[i]
 		}
 		decoded.Classes = append(decoded.Classes, class)
 	}
-	for _, tenant := range info.Tenants {
+	for _, tenant := range parsed.Tenants {
 		decoded.Tenants = append(decoded.Tenants, elmseam.Tenant{Name: tenant.Name, Allowance: tenant.Allowance})
 	}
 	return decoded, nil
@@ -129,15 +131,15 @@
 // Deployment holds the settings that a softswitch on sockets needs beside those of the decision module.
 type Deployment struct {
 	Classes             []Class       // classes of call, by index
-	ReportMetrics       []string      // names of the values of a load report, in order
+	ReportMetrics       []string      // names of the values of a load report, in order, also if reports are off
 	ConnectTimeout      time.Duration // a server that takes longer to connect to counts as unreachable
 	KeepAlive           time.Duration // the peer closes a connection that has been idle for this time
 	MaxDeadline         time.Duration // longest Deadline of all classes
-	MinAim              time.Duration // shortest aim of all classes: the time within which a call should be established
+	MinAim              time.Duration // shortest aim of the classes that have one: the time within which a call should be established
 	MaxMeanHold         time.Duration // longest mean holding time of all classes
 	MaxOpenCalls        int           // max. calls open at the same time
 	Self                int           // index of this softswitch in the tier; -1: not given
-	Zone                int           // zone of this softswitch; -1: not given
+	Zone                int           // zone of this softswitch, at most 127; -1: not given
 	TierSize            int           // number of softswitches in the tier; 0: not given
 	PeerMessagesEnabled bool          // datagrams between softswitches are permitted
 	ProbesEnabled       bool          // probes of connections to servers are permitted
@@ -199,8 +201,9 @@
 	"request-classes": {"name", "effect", "gain", "hard-limit-us", "objective-us"},
 }
 
-// Validate checks that the settings contain every required key, that limits which have to be positive are, and that the
-// settings don't contradict themselves. The text of an error is one line that names the field.
+// Validate checks that the settings contain every required key, that max-attempts and the classes' hard limits are
+// positive, that the tenants' shares and allowances and over-share-worth are in their ranges, and that the settings don't
+// contradict themselves. The text of an error is one line that names the field.
 func Validate(text []byte) error {
 	var top map[string]json.RawMessage
 	if err := json.Unmarshal(text, &top); err != nil {
@@ -242,22 +245,22 @@
 // checkConsistency returns an error where the settings contradict themselves, since only one of two contradictory
 // values would take effect, and where they have no class or a value out of range.
 func checkConsistency(text []byte) error {
-	var info wireSettings
-	if err := json.Unmarshal(text, &info); err != nil {
+	var parsed wireSettings
+	if err := json.Unmarshal(text, &parsed); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	if len(info.Classes) == 0 {
+	if len(parsed.Classes) == 0 {
 		return fmt.Errorf("settings.request-classes: no classes")
 	}
 	seen := make(map[string]bool)
-	for i, class := range info.Classes {
+	for i, class := range parsed.Classes {
 		if seen[class.Name] {
 			return fmt.Errorf("settings.request-classes[%d].name: duplicate class %q", i, class.Name)
 		}
 		seen[class.Name] = true
 	}
 	clear(seen)
-	for i, name := range info.LoadReport.Columns {
+	for i, name := range parsed.LoadReport.Columns {
 		if seen[name] {
 			return fmt.Errorf("settings.load-report.columns[%d]: duplicate column %q", i, name)
 		}
@@ -265,7 +268,7 @@
 	}
 	clear(seen)
 	shares := 0.0
-	for i, tenant := range info.Tenants {
+	for i, tenant := range parsed.Tenants {
 		field := fmt.Sprintf("settings.tenants[%d].", i)
 		switch {
 		case tenant.Name == "":
@@ -282,7 +285,7 @@
 			return fmt.Errorf("%sshare: the shares up to this tenant sum to %.3g, which is more than 1", field, shares)
 		}
 	}
-	if worth := info.OverShareWorth; !(worth >= 0 && worth <= 1) {
+	if worth := parsed.OverShareWorth; !(worth >= 0 && worth <= 1) {
 		return fmt.Errorf("settings.over-share-worth: %v is not between 0 and 1", worth)
 	}
 	return nil
@@ -291,8 +294,8 @@
 // shareTolerance is how far the sum of the tenants' shares may exceed 1, because the shares are rounded to a few digits.
 const shareTolerance = 0.01
 
-// checkRequiredKeys returns an error that names the first required key that the JSON object text lacks, with prefix
-// before the key. section is the object's key in requiredKeys.
+// checkRequiredKeys returns an error that names the first required key that is missing or null in the JSON object text,
+// with prefix before the key. section is the object's key in requiredKeys.
 func checkRequiredKeys(text []byte, section, prefix string) error {
 	var object map[string]json.RawMessage
 	if err := json.Unmarshal(text, &object); err != nil {
@@ -306,9 +309,10 @@
 	return nil
 }
 
-// DecodeDeployment decodes the settings that concern sockets. Other keys are ignored.
+// DecodeDeployment decodes the settings that Deployment holds. Other keys are ignored. It fails for a class without a name
+// and for two classes of the same name.
 func DecodeDeployment(text []byte) (Deployment, error) {
-	var info struct {
+	var parsed struct {
 		FamilyInfo struct {
 			ClassCells [][]int        `json:"class-cells"`
 			ClassHold  []microseconds `json:"class-hold-us"`
@@ -333,39 +337,39 @@
 			Objective microseconds `json:"objective-us"`
 		} `json:"request-classes"`
 	}
-	if err := json.Unmarshal(text, &info); err != nil {
+	if err := json.Unmarshal(text, &parsed); err != nil {
 		return Deployment{}, fmt.Errorf("settings: %w", err)
 	}
 	d := Deployment{
-		ReportMetrics:       info.LoadReport.Columns,
-		ConnectTimeout:      info.Limits.Connect.duration(),
-		KeepAlive:           info.Limits.KeepAlive.duration(),
-		MaxOpenCalls:        info.Limits.MaxOpen,
+		ReportMetrics:       parsed.LoadReport.Columns,
+		ConnectTimeout:      parsed.Limits.Connect.duration(),
+		KeepAlive:           parsed.Limits.KeepAlive.duration(),
+		MaxOpenCalls:        parsed.Limits.MaxOpen,
 		Self:                -1,
 		Zone:                -1,
-		TierSize:            int(info.Tier),
-		PeerMessagesEnabled: info.Limits.Peers,
-		ProbesEnabled:       info.Limits.Probes,
+		TierSize:            int(parsed.Tier),
+		PeerMessagesEnabled: parsed.Limits.Peers,
+		ProbesEnabled:       parsed.Limits.Probes,
 	}
-	if info.Zone != nil {
-		d.Zone = int(min(max(*info.Zone, -1), 127))
+	if parsed.Zone != nil {
+		d.Zone = int(min(max(*parsed.Zone, -1), 127))
 	}
-	if info.Me != nil {
-		d.Self = int(*info.Me)
+	if parsed.Me != nil {
+		d.Self = int(*parsed.Me)
 	}
-	for i, entry := range info.Classes {
+	for i, entry := range parsed.Classes {
 		if entry.Name == "" {
 			return d, fmt.Errorf("settings: request-classes[%d].name: missing", i)
 		}
 		class := Class{Name: entry.Name, Deadline: entry.HardLimit.duration()}
-		if i < len(info.FamilyInfo.ClassCells) {
-			class.Cells = info.FamilyInfo.ClassCells[i]
+		if i < len(parsed.FamilyInfo.ClassCells) {
+			class.Cells = parsed.FamilyInfo.ClassCells[i]
 		}
-		if i < len(info.FamilyInfo.Widths) {
-			class.Lines = info.FamilyInfo.Widths[i]
+		if i < len(parsed.FamilyInfo.Widths) {
+			class.Lines = parsed.FamilyInfo.Widths[i]
 		}
-		if i < len(info.FamilyInfo.ClassHold) {
-			d.MaxMeanHold = max(d.MaxMeanHold, info.FamilyInfo.ClassHold[i].duration())
+		if i < len(parsed.FamilyInfo.ClassHold) {
+			d.MaxMeanHold = max(d.MaxMeanHold, parsed.FamilyInfo.ClassHold[i].duration())
 		}
 		d.Classes = append(d.Classes, class)
 		d.MaxDeadline = max(d.MaxDeadline, class.Deadline)
--- a/internal/shares/shares.go
+++ b/internal/shares/shares.go
@@ -18,7 +18,7 @@
 type Tracker struct {
 	tenants      []tenant
 	timeConstant time.Duration // of the decaying counters
-	lastCallAt   time.Duration // time of the last call
+	lastCallAt   time.Duration // time of the last call that was counted
 }
 
 // tenant is a tenant and its state in the tracker.
@@ -47,8 +47,8 @@
 
 // CountCall counts a call of the tenant with the given index and reports whether the call exceeds the tenant's
 // share: if a tenant makes a fifth more of the calls than its share, a sixth of its calls exceed it. A call of an
-// unknown tenant always exceeds its share, or else a tenant could get more than its share by leaving out its name.
-// Without any tenants no call does.
+// unknown tenant is not counted and always exceeds its share, or else a tenant could get more than its share by
+// leaving out its name. Without any tenants no call is counted or exceeds a share.
 func (tracker *Tracker) CountCall(now time.Duration, index int) bool {
 	if len(tracker.tenants) == 0 {
 		return false
--- a/internal/swarm/experiment.go
+++ b/internal/swarm/experiment.go
@@ -35,10 +35,10 @@
 	// DatagramRate and ByteRate are the datagrams and bytes sent per member and second during the measurement. ByteRate
 	// includes piggybacked bytes.
 	DatagramRate, ByteRate float64
-	// FirstSuspected and FirstDead are the times until the first other member suspects the killed member and until the
-	// first other member considers it dead.
+	// FirstSuspected and FirstDead are the times until the first other member suspects the killed member, or considers it dead
+	// at once, and until the first other member considers it dead.
 	FirstSuspected, FirstDead time.Duration
-	// AllDead is the time until all other members consider the killed member dead.
+	// AllDead is the time until all other members consider the killed member dead, rounded up to a fifth of a protocol period.
 	AllDead time.Duration
 	// FalseDeaths counts how often, from the start of the measurement on, a member came to consider a running, unimpaired
 	// member dead.
@@ -46,7 +46,7 @@
 	// Suspicions is the number of suspicions during the measurement, summed over all members.
 	Suspicions uint64
 	// OwnAge and NewestKnownAge are the mean ages of the newest load report of a server that a member received itself and of
-	// the newest report that the member knows of; see Simulation.ReportAges.
+	// the newest report that the member knows of, at the end of the measurement; see Simulation.ReportAges.
 	OwnAge, NewestKnownAge time.Duration
 }
 
@@ -62,7 +62,7 @@
 	if err != nil {
 		return outcome, err
 	}
-	const victim = 0 // never one of the impaired members, which are the last
+	const victim = 0 // not impaired, unless all members are: the impaired members are the last
 	sim.Run(Epoch + e.WarmUp)
 	startCounters, killedAt, consideredDead := sim.Counters(), Time(0), make([]bool, e.Members)
 	startPiggybackBytes := sim.PiggybackBytes()
--- a/internal/swarm/knowledge.go
+++ b/internal/swarm/knowledge.go
@@ -48,7 +48,7 @@
 }
 
 // takePiggyback passes the knowledge piggybacked on a datagram to the member's knowledge reducer and returns the datagram
-// without the piggybacked data. Any other event is returned unchanged.
+// without the piggybacked data. An event that is no datagram, or is for a member without knowledge, is returned unchanged.
 func (s *Simulation) takePiggyback(member int, ev membership.Event) membership.Event {
 	datagramEvent, isDatagram := ev.(membership.Datagram)
 	if state := &s.members[member]; isDatagram && state.knowledge != nil {
@@ -84,7 +84,8 @@
 	return time.Duration(sums[0] / max(counts[0], 1)), time.Duration(sums[1] / max(counts[1], 1))
 }
 
-// PiggybackBytes returns the number of piggybacked bytes that the members have sent, each in its latest incarnation.
+// PiggybackBytes returns the number of piggybacked bytes that the members, killed ones included, have sent, each in its latest
+// incarnation.
 func (s *Simulation) PiggybackBytes() (total uint64) {
 	for _, state := range s.members {
 		if state.knowledge != nil {
--- a/internal/swarm/swarm.go
+++ b/internal/swarm/swarm.go
@@ -102,7 +102,8 @@
 // Now returns the simulated time.
 func (s *Simulation) Now() Time { return s.now }
 
-// Start starts a member, without any state from an earlier incarnation: the member has only its index and the clock.
+// Start starts a member, without any state from an earlier incarnation: the member has only its index, a seed and the clock.
+// A member that is not killed has to be killed first, or its counters are lost.
 func (s *Simulation) Start(member int) error {
 	reducer, effects, err := membership.New(membership.Config{Self: member, TierSize: s.cfg.Members, Limits: s.cfg.Limits, Seed: s.rng.Uint64()}, s.now+s.members[member].clockSkew)
 	if err != nil {
@@ -134,7 +135,7 @@
 // maxHeldEvents is the number of held events from which on datagrams for a paused member are dropped.
 const maxHeldEvents = 128
 
-// Resume ends a member's pause. The overdue timers are delivered first, then the held datagrams.
+// Resume ends a member's pause. The next Run delivers the held timers first, then the held datagrams.
 func (s *Simulation) Resume(member int) {
 	state := &s.members[member]
 	held := state.heldEvents
@@ -158,7 +159,7 @@
 // clock of a running member doesn't jump.
 func (s *Simulation) SetClockSkew(member int, skew time.Duration) { s.members[member].clockSkew = skew }
 
-// Inject passes an event to a member at the present instant, unless the member is killed.
+// Inject passes an event to a member at the present instant, also while it is paused, unless the member is killed.
 func (s *Simulation) Inject(member int, ev membership.Event) {
 	if reducer := s.members[member].reducer; reducer != nil {
 		s.applyEffects(member, reducer.Step(s.now+s.members[member].clockSkew, ev))
@@ -209,7 +210,7 @@
 	s.now = max(s.now, until)
 }
 
-// schedule adds an event to the queue, after all events of the same instant.
+// schedule adds an event to the queue, after all queued events of the same instant.
 func (s *Simulation) schedule(e event) {
 	s.seq++
 	e.seq = s.seq
--- a/internal/wire/host.go
+++ b/internal/wire/host.go
@@ -11,7 +11,7 @@
 )
 
 // Host runs one Controller for each instance that a stream of batches addresses. The instances share nothing but the
-// numbered server lists.
+// numbered server lists and the membership limits.
 type Host struct {
 	instances        map[uint16]*elmseam.Controller // by the instance number on the wire
 	serverLists      map[uint32][]elmseam.ListEntry // by list number
@@ -33,7 +33,8 @@
 	}
 }
 
-// Serve reads batches from r and writes a reply to each on w, then calls flush, until the input ends between two batches.
+// Serve reads batches from r and writes a reply to each on w, then calls flush, until the input ends between two batches. It
+// returns an error for malformed input and for a failed read, write or flush.
 func (h *Host) Serve(r io.Reader, w io.Writer, flush func() error) error {
 	for {
 		batch, err := ReadBatch(r)
@@ -68,7 +69,8 @@
 }
 
 // handleRecord handles one event record: it changes the instances or the server lists, or passes the event to the
-// current instance. An event for an instance that is not running is ignored.
+// current instance. A valid event for a controller that is not running is ignored; the instance's membership, if it takes
+// part in one, still gets its peer messages and timers.
 func (h *Host) handleRecord(b *Batch, rec []byte, now elmseam.Time) error {
 	switch rec[0] {
 	case eventSelectInstance:
@@ -132,8 +134,8 @@
 	h.reportFailure(err.Error())
 }
 
-// runController passes an event to a controller and appends the resulting actions to the reply. A panic in the controller
-// ends the instance and is reported as its failure.
+// runController passes an event to a controller and appends the resulting actions to the reply. After a panic the controller
+// is removed, and the instance's failure is reported.
 func (h *Host) runController(controller *elmseam.Controller, now elmseam.Time, ev elmseam.Event) {
 	defer func() {
 		if recovered := recover(); recovered != nil {
--- a/internal/wire/membership.go
+++ b/internal/wire/membership.go
@@ -10,15 +10,16 @@
 type member struct {
 	reducer   *membership.Reducer         // membership state machine of the instance
 	timers    map[uint32]membership.Token // pending membership timers, by the timer token on the wire
-	lastToken uint32                      // timer token used last; tokens are counted down from the highest number
+	lastToken uint32                      // timer token used last, 0 before the first; tokens are counted down from the highest number
 }
 
 // EnableMembership makes every instance that starts after the call take part in the membership protocol of its tier, if
-// the instance's settings permit peer messages. Membership is off by default, because the simulator charges for peer
-// messages.
+// the instance's settings permit peer messages and give its index. Membership is off by default, because the simulator
+// charges for peer messages.
 func (h *Host) EnableMembership(l membership.Limits) { h.membershipLimits = &l }
 
 // startMembership makes the current instance a member of its tier, if membership is enabled and permitted by the settings.
+// Invalid tier settings are reported as the instance's failure.
 func (h *Host) startMembership(settingsText []byte, seed uint64, now elmseam.Time) {
 	delete(h.members, h.currentInstance)
 	if h.membershipLimits == nil {
@@ -47,7 +48,7 @@
 
 // fireMembershipTimer passes the timer with the given token to the membership reducer, if the timer belongs to membership.
 // Membership takes its tokens from the highest number downwards. A call whose id equals such a token also gets the timer
-// event, which has no effect on the call.
+// event, which has no effect on the call before one of the call's own timers is due.
 func (h *Host) fireMembershipTimer(now elmseam.Time, token uint32) {
 	if m := h.members[h.currentInstance]; m != nil {
 		if membershipToken, found := m.timers[token]; found {
@@ -58,7 +59,7 @@
 }
 
 // applyMembershipEffects appends the peer messages and timers that membership asks for to the reply. When the state of a
-// member changes, the function sets the fraction of its cold-server quota that the controller may use.
+// member changes, the function sets the fraction of the own quota of a cold server's budget that the controller may use.
 func (h *Host) applyMembershipEffects(m *member, effects []membership.Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -11,7 +11,7 @@
 	"elmseam"
 )
 
-// decodeHex decodes bytes written as hex digits with spaces between bytes; +N stands for N zero bytes.
+// decodeHex decodes words of hex digits, separated by spaces; the word +N stands for N zero bytes.
 func decodeHex(t testing.TB, text string) []byte {
 	t.Helper()
 	var out []byte
