--- a/internal/lab/caller.go
+++ b/internal/lab/caller.go
@@ -13,10 +13,10 @@
 
 // The callers' binary messages (PROTOCOL, "Messages"): message types, then parameter codes.
 const (
-	msgSetUp   = 1
-	msgAnswer  = 9
-	msgRelease = 12
-	msgHeard   = 16
+	msgSetUp      = 1
+	msgAnswer     = 9
+	msgRelease    = 12
+	msgReleaseAck = 16
 
 	paramClass    = 16
 	paramTimeLeft = 19
@@ -148,7 +148,7 @@
 			if wasPending {
 				c.observer.finalAnswer(id, false, "")
 			} else {
-				c.write(append([]byte{0, 9, msgHeard}, body[1:9]...))
+				c.write(append([]byte{0, 9, msgReleaseAck}, body[1:9]...))
 			}
 		}
 	}
--- a/internal/lab/checker.go
+++ b/internal/lab/checker.go
@@ -32,7 +32,7 @@
 	// set-ups stayed unanswered because of a fault that the lab injected.
 	Offered, Served, Refused, Lost, Excused int
 	Arrivals                                map[string]int // attempts that reached each server
-	Lagged                                  bool           // the lab itself lagged; violations during the lag are ignored
+	Lagged                                  bool           // the lab itself lagged, see RecordLag
 }
 
 // Checker checks what the lab sees of the fleet from outside against the rules. It does no I/O and reads no clock:
@@ -66,7 +66,7 @@
 
 // serverState is what the checker knows of a server.
 type serverState struct {
-	retiredAt      time.Duration   // when the softswitches were informed that the server drains or is gone; -1: not retired
+	retiredAt      time.Duration   // when the command channel first said that the server drains or is gone; -1: not retired
 	startedAt      time.Duration   // time of a cold start; -1 for a server that is warm from the beginning
 	capacity       float64         // set-ups a second when warm
 	recentAttempts []time.Duration // times of the attempts in the cold budget's last window
@@ -88,7 +88,7 @@
 }
 
 // recordViolation counts a violation of a rule and keeps the detail of the first one. A violation inside a span of
-// the lab's own lag is ignored.
+// the lab's own lag that was recorded before is ignored.
 func (c *Checker) recordViolation(rule string, at time.Duration, format string, args ...any) {
 	if c.inLagSpan(at) {
 		return
@@ -101,7 +101,8 @@
 	violation.Count++
 }
 
-// RecordLag marks a span in which the lab lagged: violations inside the span, widened by the slack, are ignored.
+// RecordLag marks a span in which the lab lagged: violations that are recorded from now on with a time inside the span,
+// widened by the slack, are ignored. Violations recorded before stay.
 func (c *Checker) RecordLag(from, to time.Duration) {
 	c.lagSpans = append(c.lagSpans, [2]time.Duration{from, to})
 	for second := from / time.Second; second <= to/time.Second; second++ {
@@ -125,16 +126,16 @@
 	c.servers[name] = &serverState{retiredAt: -1, startedAt: startedAt, capacity: capacity}
 }
 
-// RecordRetirement records that the softswitches were informed that a server is draining or gone. at is the time at which
-// the last one was informed.
+// RecordRetirement records that the command channel informs the softswitches, from the time at, that a server is draining
+// or gone. Only the first call for a server counts.
 func (c *Checker) RecordRetirement(name string, at time.Duration) {
 	if s := c.servers[name]; s != nil && s.retiredAt < 0 {
 		s.retiredAt = at
 	}
 }
 
-// RecordSetUp records a caller's set-up that was sent to a softswitch whole; the caller waits for the answer until
-// giveUp.
+// RecordSetUp records a caller's set-up that is about to be written to a softswitch; the caller waits for the answer
+// until giveUp. RecordNotWritten takes the set-up back.
 func (c *Checker) RecordSetUp(at time.Duration, id uint64, memberIndex int, giveUp time.Duration) {
 	c.setUps[id] = &setUpState{sent: at, giveUp: giveUp, memberIndex: memberIndex}
 	c.secondAt(at).Offered++
@@ -149,7 +150,8 @@
 }
 
 // RecordFinalAnswer records a final answer to a set-up: served says that the call is established, otherwise the
-// set-up was refused.
+// set-up was refused. After RecordUnanswered a refusal is not counted, but a served call is, in addition to the set-up
+// that was lost or excused.
 func (c *Checker) RecordFinalAnswer(at time.Duration, id uint64, served bool) {
 	s := c.setUps[id]
 	if s == nil {
@@ -173,7 +175,7 @@
 }
 
 // RecoveryStats compares a restarted softswitch with the other softswitches: the share of the set-ups sent to it that
-// were answered and the same share of the set-ups sent to the others, for each second since its first call after the
+// were served and the same share of the set-ups sent to the others, for each second since its first call after the
 // restart.
 type RecoveryStats struct {
 	Name  string        // of the restarted softswitch
@@ -222,7 +224,7 @@
 
 // RecordUnanswered records that a set-up's caller gave up without a final answer, or lost its connection. excused
 // says that a fault that the lab injected (a kill, a pause, a stop) prevented the answer; such a set-up is counted,
-// but is no violation.
+// but is no violation. An unknown set-up, or one that is resolved already, is left as it is.
 func (c *Checker) RecordUnanswered(at time.Duration, id uint64, excused bool) {
 	s := c.setUps[id]
 	if s == nil || s.resolved {
@@ -299,7 +301,8 @@
 	return c.rules.RampedCapacity(s.capacity, s.startedAt, at)
 }
 
-// RecordAttemptEnd records that an attempt ended at its server, and how.
+// RecordAttemptEnd records that an attempt ended at its server, and how. It is ignored if the call has no outstanding
+// attempt at this server.
 func (c *Checker) RecordAttemptEnd(at time.Duration, server string, id uint64, outcome AttemptOutcome) {
 	call := c.calls[id]
 	if call == nil || call.outstandingAt != server {
--- a/internal/lab/checker_test.go
+++ b/internal/lab/checker_test.go
@@ -21,7 +21,7 @@
 	return names
 }
 
-// Each rule is reported, and no other rule, for a sequence of events that violates it.
+// Each rule in the table is reported, and no other rule, for a sequence of events that violates it.
 func TestCheckerReportsEachViolation(t *testing.T) {
 	for _, test := range []struct {
 		name, want string
@@ -96,7 +96,7 @@
 	checker.RecordUnanswered(300*ms, 2, true) // excused: a fault that the lab injected prevented the answer
 	checker.RecordRetirement("a", 300*ms)
 	checker.RecordAttempt(590*ms, "a", 3) // within the drain grace and the slack
-	for i := range 70 {                   // within the cold-server budget, with the slack for chance
+	for i := range 70 {                   // within the cold-server budget
 		checker.RecordAttempt(time.Duration(i)*10*ms, "c", uint64(i+10))
 	}
 	checker.CheckOpen(3 * time.Second)
--- a/internal/lab/doc.go
+++ b/internal/lab/doc.go
@@ -3,5 +3,6 @@
 // softswitches. It injects faults by a schedule and checks what it sees against the rules.
 //
 // The checkers (checker.go, tier_checker.go, maintenance_checker.go), the network conditions, the scenario and its
-// plan (scenario.go, scenario_faults.go, plan.go) open no sockets and start no processes; the rest of the package does.
+// plan (scenario.go, scenario_faults.go, plan.go) open no sockets and start no processes, and tests run them without
+// either.
 package lab
--- a/internal/lab/environment.go
+++ b/internal/lab/environment.go
@@ -94,8 +94,8 @@
 		}
 	}
 	// If another program takes a port between its choice and the softswitch's start, the softswitch's process exits.
-	// The softswitch then gets new ports for callers and for the admin endpoint, which no caller knows yet, at most
-	// three times in all. The port for datagrams stays, because the relay has it already.
+	// Any softswitch that exits before it is ready gets new ports for callers and for the admin endpoint, which no
+	// caller knows yet, at most three times in all. The port for datagrams stays, because the relay has it already.
 	for attempt := 0; ; attempt++ {
 		err := r.waitReady(r.members)
 		var exited *exitedAtStart
@@ -141,7 +141,8 @@
 			peers, allPeersAddr, settings), r.membersFile)
 }
 
-// waitReady waits until all the given members are ready, at most for the scenario's start timeout.
+// waitReady waits until all the given members are ready, at most for the scenario's start timeout. The error is an
+// exitedAtStart if the process of a member that is not ready has exited.
 func (r *runner) waitReady(members []*member) error {
 	deadline := time.Now().Add(r.scenario.StartTimeout.Duration)
 	for _, m := range members {
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -8,7 +8,8 @@
 )
 
 // runFaults executes the plan's actions at their times. Work that waits for softswitches to become ready runs in the
-// background, so that it delays no later action.
+// background, so that it delays no later action. runFaults returns when that work is done, after the last action or
+// once stop is closed.
 func (r *runner) runFaults(stop chan struct{}) {
 	var background sync.WaitGroup
 	defer background.Wait()
@@ -122,7 +123,8 @@
 	}
 }
 
-// recordFault records that the lab begins (begins true) or ceases to disturb a softswitch by a fault of this kind.
+// recordFault records that the lab begins (begins true) to disturb a softswitch by a fault of this kind, or ceases to
+// disturb it; then kind is not used.
 func (r *runner) recordFault(m *member, kind string, begins bool) {
 	now := r.now()
 	m.markFaultSpan(now, begins)
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// generateLoad sends set-ups at the scenario's rate to the ready softswitches, in turn or by their shares. It
-// measures its own lag and reports lag above MaxLag to the checker, which ignores violations during that lag.
+// generateLoad sends set-ups at the scenario's rate to the ready softswitches, in turn or by their shares, until the
+// end of the load or a stop. It measures its own lag and reports a tick's lag above MaxLag to the checker (RecordLag).
 func (r *runner) generateLoad() {
 	const tick = 5 * time.Millisecond
-	due, next, class := 0.0, 0, 0
+	due, next, setUpCount := 0.0, 0, 0
 	credit := make([]float64, len(r.members))
 	tickAt := time.Duration(0)
 	for tickAt < r.scenario.Duration.Duration {
@@ -30,12 +30,12 @@
 			if shares := r.scenario.SharesAt(tickAt); shares != nil {
 				next = nextByShare(credit, shares)
 			}
-			if !r.sendSetUp(&next, r.scenario.Classes[class%len(r.scenario.Classes)]) {
+			if !r.sendSetUp(&next, r.scenario.Classes[setUpCount%len(r.scenario.Classes)]) {
 				r.mu.Lock()
 				r.unsent++
 				r.mu.Unlock()
 			}
-			class++
+			setUpCount++
 		}
 		tickAt += tick
 		if d := tickAt - r.now(); d > 0 {
--- a/internal/lab/member.go
+++ b/internal/lab/member.go
@@ -19,7 +19,8 @@
 	"elmseam/internal/mgmt"
 )
 
-// member is one softswitch process of the fleet. A restarted process keeps the member's name and addresses.
+// member is one softswitch process of the fleet. A restarted process keeps the member's name and addresses,
+// except for the ports that startAll may change before the load begins.
 type member struct {
 	index int // index in the fleet, from 0
 	name  string
@@ -123,7 +124,8 @@
 	}
 }
 
-// markFaultSpan opens or closes a span in which the lab disturbs the member.
+// markFaultSpan opens or closes a span in which the lab disturbs the member. A member has at most one open span: the
+// first end closes it, also when several faults overlap.
 func (m *member) markFaultSpan(at time.Duration, begins bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -151,7 +153,8 @@
 // adminClient makes the requests to the softswitches' admin endpoints.
 var adminClient = &http.Client{Timeout: 300 * time.Millisecond}
 
-// sample reads readiness and counters from the member's admin endpoint.
+// sample reads readiness and counters from the member's admin endpoint. Without an answer the member counts as not
+// ready, and its counters stay as they are.
 func (m *member) sample() {
 	ready := false
 	if response, err := adminClient.Get("http://" + m.mgmtAddr + "/ops/readiness"); err == nil {
--- a/internal/lab/network_conditions.go
+++ b/internal/lab/network_conditions.go
@@ -8,7 +8,7 @@
 // NetworkConditions describes what the simulated network does to datagrams between softswitches at present. It does
 // no I/O; the relay calls DrawDelivery for each datagram.
 type NetworkConditions struct {
-	Groups    map[int]int   // softswitch index -> group; groups don't reach each other; nil: no partition
+	Groups    map[int]int   // softswitch index -> group (missing: 0); groups don't reach each other; nil: no partition
 	OneWay    bool          // only datagrams from group 0 to the other groups are dropped
 	Loss      float64       // probability that a datagram is dropped
 	Duplicate float64       // probability that a datagram is sent twice
--- a/internal/lab/observations.go
+++ b/internal/lab/observations.go
@@ -33,8 +33,8 @@
 	r.mu.Unlock()
 }
 
-// finalAnswer implements callerObserver. It also checks that the description of an established call was made by a
-// stand-in server for that call.
+// finalAnswer implements callerObserver: it passes the answer to the checker. It also checks that the description of an
+// established call was made by a stand-in server for that call.
 func (r *runner) finalAnswer(id uint64, served bool, desc string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/lab/operator.go
+++ b/internal/lab/operator.go
@@ -32,8 +32,9 @@
 	r.options.Log.Error().Str("via", r.members[action.Via].name).Msg("maintenance request not accepted")
 }
 
-// operateMaintenance plays the operator: when a softswitch is ready for maintenance, the operator works on it for the
-// scenario's work duration, and then releases it or restarts its process.
+// operateMaintenance records what a softswitch reports of its maintenance and plays the operator: when the softswitch is
+// ready for maintenance, the operator works on it, in the background, for the scenario's work duration, and then
+// releases it or restarts its process.
 func (r *runner) operateMaintenance(m *member) {
 	status, text := m.callAdmin(http.MethodGet, "/ops/maintenance")
 	var maintenanceStatus mgmt.MaintenanceStatus
--- a/internal/lab/plan.go
+++ b/internal/lab/plan.go
@@ -12,15 +12,15 @@
 // The kinds of actions. Members, Server and the other capitalised words are fields of Action.
 const (
 	ActKill              ActionKind = iota // SIGKILL, or SIGTERM if Term, to Members; they count as disturbed from now on
-	ActLaunch                              // Members started again; they count as disturbed until they are ready
+	ActLaunch                              // Members started again; disturbed until they are ready or waitReady fails
 	ActPause                               // SIGSTOP to Members; they count as disturbed from now on
-	ActResume                              // SIGCONT to Members; they count as disturbed until they are ready
+	ActResume                              // SIGCONT to Members; disturbed until they are ready or waitReady fails
 	ActNetworkConditions                   // the relay applies Conditions
 	ActReset                               // the connections between Members and Server reset
-	ActStall                               // the same connections left silent (Stall true), or served again
+	ActStall                               // set-ups on the same connections get no answer (Stall true), or get one again
 	ActSlow                                // Server works Factor times slower (1: normal speed)
 	ActMaintenance                         // maintenance of Members requested or (Withdraw) withdrawn at Via
-	ActServerStatus                        // Server's Status published on the command channel
+	ActServerStatus                        // Server's Status published; terminated: Server's connections reset too
 )
 
 // actionKindNames are the kinds' names in the log.
@@ -55,7 +55,8 @@
 
 // Plan turns a checked scenario into the actions of its run, ordered by time; actions of the same time are in the
 // order of their faults. It does no I/O. Network faults can overlap: the conditions at a time combine all network
-// faults that are active then (probabilities of loss compound, delays add up, the latest partition applies).
+// faults that are active then (probabilities of loss compound, delays add up, the latest partition and the greatest
+// Duplicate and Reorder apply).
 // announceStarts says whether the late starts of servers are published on the command channel.
 func Plan(s *Scenario, announceStarts bool) []Action {
 	var plan []Action
--- a/internal/lab/plot.go
+++ b/internal/lab/plot.go
@@ -10,7 +10,7 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// InjectedFault is a fault that the lab injected, for the verdict and the plots.
+// InjectedFault is an action of a fault that the lab injected, its start or its end, for the verdict and the plots.
 type InjectedFault struct {
 	At     float64 `json:"at_s"` // seconds since the start of the run
 	Kind   string  `json:"kind"`
@@ -18,7 +18,8 @@
 }
 
 // WritePlots draws two PNG pictures: the attempts a second that reached each server, and the outcomes of set-ups a
-// second (served, refused, lost, excused). Both show the injected faults as dashed grey lines.
+// second (served, refused, lost, excused). Both show the start and the end of the injected faults
+// as dashed grey lines.
 func (res *Result) WritePlots(loadPath, answersPath string) error {
 	load := map[string]func(SecondStats) float64{}
 	for _, s := range res.servers {
--- a/internal/lab/relay.go
+++ b/internal/lab/relay.go
@@ -29,7 +29,8 @@
 	Counters       RelayCounters
 }
 
-// RelayCounters are the relay's counters, of datagrams except for Bytes.
+// RelayCounters are the relay's counters, of datagrams except for Bytes. Forwarded and Bytes count a duplicated datagram
+// twice.
 type RelayCounters struct {
 	Forwarded, Dropped, Duplicated, UnknownSenders, Oversized, Bytes atomic.Int64
 }
--- a/internal/lab/result.go
+++ b/internal/lab/result.go
@@ -21,25 +21,27 @@
 	// Unsent counts the set-ups for which no softswitch could be reached.
 	Unsent   int           `json:"unsent"`
 	MaxLag   time.Duration `json:"lag_max_ns"`  // greatest lag of the lab's load generator
-	LagSpans int           `json:"blind_spans"` // spans of lag in which the checker ignored violations
+	LagSpans int           `json:"blind_spans"` // ticks of the load generator whose lag was above the scenario's MaxLag
 	// AdminServed is the number of answered calls by the softswitches' own counters, over all their processes.
 	AdminServed    int64           `json:"door_served"`
 	Datagrams      map[string]int  `json:"datagrams"` // the relay's counters
 	Starts         map[string]int  `json:"starts"`    // processes started, by softswitch
 	InjectedFaults []InjectedFault `json:"faults"`
 
-	// The fields from here to MaintenanceRuns, and MaxOutOfService, are filled if membership is on.
+	// Detections has an entry for each kill, stop and pause of a softswitch, without the others' observations if
+	// membership is off.
+	// FalseDeaths, the counters and MaintenanceRuns are filled only if membership is on.
 	Detections  []*Detection `json:"detections,omitempty"`
 	FalseDeaths []FalseDeath `json:"false_deaths,omitempty"`
-	// Counters from the admin endpoints, summed over all softswitches and all their processes.
+	// Those counters of the admin endpoints that only grow, summed over all softswitches and all their processes.
 	MembershipCounters  map[string]int64  `json:"members,omitempty"`
 	MaintenanceCounters map[string]int64  `json:"maintenance,omitempty"`
 	KnowledgeCounters   map[string]int64  `json:"knowledge,omitempty"`
 	BudgetCounters      map[string]int64  `json:"parts,omitempty"`
 	MaintenanceRuns     []*MaintenanceRun `json:"works,omitempty"`
-	Recoveries          []*RecoveryStats  `json:"returns,omitempty"` // of softswitches that were killed and restarted
+	Recoveries          []*RecoveryStats  `json:"returns,omitempty"` // after faults of kind "kill" with a restart
 	// MaxOutOfService is the greatest number of softswitches that were out for maintenance in one sample, as
-	// CheckMaintenanceBudget counts them.
+	// CheckMaintenanceBudget counts them; 0 without a maintenance budget.
 	MaxOutOfService int           `json:"most_out"`
 	Elapsed         time.Duration `json:"span_ns"` // from the start of the load to the end of the run
 
@@ -47,7 +49,7 @@
 	servers  []string
 	views    [][]string  // by second, by softswitch: the states it reports, as initials
 	ready    [][]bool    // by second, by softswitch: ready at the second's last sample
-	capacity [][]float64 // by second, by server: set-ups a second that the server can handle
+	capacity [][]float64 // by second, by server: set-ups a second at the second's start, without slowdowns
 }
 
 // result collects the run's counts and adds the violations that show only at the end: oversized datagrams, and counts
--- a/internal/lab/rules.go
+++ b/internal/lab/rules.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Rules are the limits that the checker applies to a whole fleet. They come from the settings that the softswitches
-// are given (WIRE section 9, PROTOCOL "The rules on sockets"); every time limit is extended by Slack.
+// Rules are the limits that the checker applies to a whole fleet. All but the slacks come from the settings that
+// the softswitches are given (WIRE section 9, PROTOCOL "The rules on sockets").
 type Rules struct {
 	MaxAttempts int // attempts of one call at all servers, of all softswitches together
 	// ReleaseGuard is the wait after a cancel or a reset before the call is sent again
@@ -17,8 +17,10 @@
 	OverloadAfter    time.Duration // window of the cold-server budget (obligations.tip-after-us)
 	ColdInitialShare float64       // share of its capacity that a server starts with (obligations.cold-from)
 	ColdRamp         time.Duration // time from a server's start until it is warm (obligations.ramp-time-us)
-	Slack            time.Duration // extension of every time limit; 50 ms on sockets
-	ColdSlack        int           // attempts above the cold-server budget that chance may cause
+	// Slack is the tolerance for the release guard, the drain grace and the give-up, and the margin of a span of lag;
+	// 50 ms on sockets.
+	Slack     time.Duration
+	ColdSlack int // attempts above the cold-server budget of a window that chance may cause
 }
 
 // RampedCapacity returns what a server can handle at a time, in set-ups a second. startedAt is the time of its cold
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -15,21 +15,22 @@
 // Options are the parameters of a run that are not in the scenario.
 type Options struct {
 	Binary string // path of the softswitch program
-	OutDir string // folder for the table, the verdict and each softswitch's configuration and log
+	OutDir string // folder for the members file and each softswitch's configuration and log; created if missing
 	Log    zerolog.Logger
 
 	// SelfTestFault makes the lab mislead the fleet on purpose, so that tests can verify that the checker reports the
 	// violations. "unheard drains": the checker records drains that the command channel does not publish. "weak cold
-	// servers": the checker assumes that a server has a tenth of its capacity and is cold from the beginning, while the
-	// command channel lists it as warm and it serves at its whole capacity.
+	// servers": the checker assumes that every server has a tenth of its capacity and is cold from the beginning,
+	// while the command channel lists it as warm and it serves at its whole capacity.
 	SelfTestFault string
 
-	// Stop, once closed, ends the run early. Every process and socket of the lab is closed then too, and Run returns
-	// ErrLab.
+	// Stop, once closed, ends the run early, but not before all softswitches are ready or their start has failed. Every
+	// process and socket of the lab is closed then too, and Run returns ErrLab.
 	Stop <-chan struct{}
 }
 
-// ErrLab is the error of a run that failed because of the lab itself, not of the fleet.
+// ErrLab is the error of a run that gives no result: the lab itself failed, a softswitch did not become ready at the
+// start, or the run was stopped.
 var ErrLab = errors.New("lab failed")
 
 // runner executes one run: it holds the fleet and everything that the lab simulates around it.
@@ -57,8 +58,8 @@
 	maxLag         time.Duration // of the load generator
 	lagSpans       int           // number of lag spans
 	rng            *rand.Rand
-	pickPort       func(network, host string) (string, error) // picks a free port; tests replace it
-	// callerConns has Scenario.CallerConns connections for each softswitch; an entry may be nil.
+	pickPort       func(network, host string) (string, error) // returns an address with a free port; tests replace it
+	// callerConns has up to Scenario.CallerConns connections for each softswitch; an entry may be nil.
 	callerConns [][]*callerConn
 	connMu      sync.Mutex // guards callerConns
 }
@@ -66,8 +67,8 @@
 // now returns the time since the start of the run.
 func (r *runner) now() time.Duration { return time.Since(r.startedAt) }
 
-// Run executes a scenario against real processes of the program. The error is ErrLab if the lab itself failed; a
-// fleet that violated a rule gives a Result that has not passed.
+// Run executes a scenario against real processes of the program. The error wraps ErrLab, unless the
+// scenario's settings are invalid. A fleet that violated a rule gives a Result that has not passed.
 func Run(scenario *Scenario, options Options) (*Result, error) {
 	settings := scenario.Settings
 	if settings == "" {
--- a/internal/lab/run_test.go
+++ b/internal/lab/run_test.go
@@ -34,8 +34,8 @@
 }
 
 // A fleet whose members are killed, paused and partitioned keeps every rule. The lab excuses the set-ups that the
-// faults cost, agrees with the softswitches' own counts, retries when another program takes a port, and leaves no
-// process behind.
+// faults cost, retries when another program takes a port, and leaves no process behind. The lab's counts are not compared
+// with the softswitches' own, because softswitches restart.
 func TestTierUnderFaults(t *testing.T) {
 	bin := buildSoftswitch(t)
 	scenario := shortScenario("faults",
@@ -129,7 +129,7 @@
 	}
 }
 
-// Membership and maintenance with datagrams lost (30%), duplicated and reordered: all members see a killed member
+// Membership with datagrams lost (30%), duplicated and reordered, then maintenance: all members see a killed member
 // dead and then available again, a partitioned member is available again after the partition, and all views agree in the
 // end. All three members are maintained, one at a time, each once, although the member that received the requests is killed
 // shortly afterwards and another member is partitioned; no call is lost because of the maintenance.
--- a/internal/lab/scenario.go
+++ b/internal/lab/scenario.go
@@ -16,36 +16,40 @@
 // second.
 type Scenario struct {
 	Name           string        `toml:"name"`
-	Duration       Duration      `toml:"duration"`     // of the load; for the end of the run, see QuietPeriod
+	Duration       Duration      `toml:"duration"`     // of the load; for the end of the run, see QuietPeriod and ConvergenceTime
 	Seed           uint64        `toml:"seed"`         // of every random choice that the lab makes
 	Softswitches   int           `toml:"softswitches"` // number of softswitches; they are named n1..nN
-	GiveUp         Duration      `toml:"give_up"`      // how long a caller waits for its answer
+	GiveUp         Duration      `toml:"give_up"`      // how long a caller waits for its answer; 1500ms by default
 	Classes        []string      `toml:"classes"`      // classes of the set-ups, used in turn; by default "voice"
 	Settings       string        `toml:"settings"`     // the settings object as JSON; by default DefaultSettings
 	Servers        []Server      `toml:"server"`       // the stand-in servers
 	Load           []LoadStep    `toml:"load"`         // the callers' rate, a step function of time
-	Faults         []Fault       `toml:"fault"`        // the faults at fixed times
+	Faults         []Fault       `toml:"fault"`        // the faults at fixed times; Check adds the random ones
 	SampleInterval Duration      `toml:"sample"`       // interval of the samples of the admin endpoints; 250ms by default
 	MaxLag         Duration      `toml:"lag"`          // load generator's lag above which violations are ignored; 20ms by default
 	CallerConns    int           `toml:"callers"`      // callers' connections to each softswitch; 2 by default
-	StartTimeout   Duration      `toml:"start"`        // how long a softswitch may take to become ready; 10s by default
+	StartTimeout   Duration      `toml:"start"`        // how long softswitches started together may take to be ready; 10s by default
 	QuietPeriod    Duration      `toml:"quiet"`        // from the last give-up to the run's end, at least; GiveUp by default
 	PeersEnabled   bool          `toml:"peers"`        // whether the softswitches know their peers
 	RandomFaults   []RandomFault `toml:"random_fault"` // faults drawn from the seed
 	// Tolerance is the share by which the lab's count of served set-ups may differ from the admin endpoints' count;
 	// 0.02 by default.
 	Tolerance float64 `toml:"tolerance"`
-	// ConvergenceTime is the time after the last fault by which the softswitches' views must agree; 0: not checked.
+	// ConvergenceTime is the least time between the end of the last fault and the end of the run, when the softswitches'
+	// views must agree and ExpectMaintained is checked; 0: neither is checked.
 	ConvergenceTime Duration `toml:"agree"`
 
-	// MaintenanceBudget is the number of softswitches that may be out for maintenance at once; 0: not checked.
+	// MaintenanceBudget is the number of softswitches that may be out for maintenance at once; 0: not checked, and
+	// no operator works.
 	MaintenanceBudget int `toml:"budget"`
 	// WorkDuration is how long the lab's operator works on a softswitch that is ready for maintenance; 0: never.
 	WorkDuration Duration `toml:"work_takes"`
 	// WorkMethod is how the operator ends the work: "release" (a request to the admin endpoint; the default) or
 	// "restart" (SIGTERM and a new process).
-	WorkMethod       string   `toml:"work_by"`
-	ExpectMaintained []string `toml:"maintained"` // softswitches that must each have been maintained exactly once at the end
+	WorkMethod string `toml:"work_by"`
+	// ExpectMaintained are softswitches that must each have been ready for maintenance exactly once, and be back in
+	// service, at the end; checked only with a ConvergenceTime.
+	ExpectMaintained []string `toml:"maintained"`
 
 	// Membership is the softswitches' members file without "enabled"; nil: membership is off.
 	Membership map[string]any `toml:"membership"`
@@ -58,7 +62,7 @@
 type Server struct {
 	Name     string   `toml:"name"`
 	Capacity float64  `toml:"capacity"` // set-ups a second when warm
-	Lines    int      `toml:"lines"`    // calls that may be established at once; 256 by default
+	Lines    int      `toml:"lines"`    // established calls from which set-ups are refused as blocked; 256 by default
 	HoldTime Duration `toml:"hold"`     // how long an answered call stays established; 1s by default
 	// MaxQueueDelay is the longest wait for the server's processor; a set-up that would wait longer is refused as
 	// swamped. 300ms by default.
@@ -105,7 +109,8 @@
 	return &s, s.Check()
 }
 
-// Check fills in defaults and checks every field. The error names the first invalid field.
+// Check fills in defaults, checks the fields, adds the random faults to Faults and sorts Faults by time. A second call
+// would add the random faults again. The error names the first invalid field found; Run checks Settings.
 func (s *Scenario) Check() error {
 	setDefault := func(d *Duration, value time.Duration) {
 		if d.Duration == 0 {
--- a/internal/lab/scenario_faults.go
+++ b/internal/lab/scenario_faults.go
@@ -12,18 +12,21 @@
 //	kill, term         the Target softswitches' processes end (SIGKILL or SIGTERM); they are restarted under the
 //	                   same names and addresses after Duration (0: never)
 //	pause              the Target softswitches are stopped (SIGSTOP) for Duration
-//	restart            every softswitch is killed at once, and all are restarted after Duration
+//	restart            every softswitch is killed at once, and all are restarted after Duration (0: never)
 //	partition          datagrams between Groups are dropped for Duration; with OneWay only those from the first
-//	                   group to the others
+//	                   group to the others; a softswitch in no group counts to the first
 //	loss, duplicate    datagrams are dropped or sent twice with Probability, for Duration
 //	delay, reorder     datagrams are delayed by Delay for Duration (reorder: by a random part of Delay, so that
 //	                   they overtake each other)
-//	reset, stall       the connections between the Target softswitches and Server are reset, or left silent for
-//	                   Duration
+//	reset, stall       the connections between the Target softswitches and Server are reset, or set-ups on them
+//	                   get no answer for Duration
 //	slow               Server works Factor times slower for Duration
-//	drain, gone        the command channel reports Server as draining or gone
+//	drain, gone        the command channel reports Server as draining or gone (gone: Server also resets its
+//	                   connections and closes new ones at once)
 //	maintain, withdraw maintenance of the Target softswitches is requested or withdrawn at the admin endpoint
 //	                   of Via
+//
+// A network fault (partition to reorder) with a Duration of 0 lasts to the end of the run.
 type Fault struct {
 	At          Duration   `toml:"at"` // since the start of the load
 	Kind        string     `toml:"kind"`
@@ -38,9 +41,9 @@
 	Via         string     `toml:"via"`
 }
 
-// RandomFault draws Count faults of a kind at times in [From, To). The seed decides the softswitches, the servers,
-// the groups of a partition and whether the partition is one-way; Duration, Probability, Delay and Factor are the
-// same for all faults drawn.
+// RandomFault draws Count faults of a kind at times in [From, To). The seed decides the times, the softswitches,
+// the servers, the groups of a partition and whether the partition is one-way; Duration, Probability, Delay and Factor
+// are the same for all faults drawn.
 type RandomFault struct {
 	Kind        string   `toml:"kind"`
 	Count       int      `toml:"count"`
@@ -52,8 +55,8 @@
 	Factor      float64  `toml:"factor"`
 }
 
-// randomFaultKinds are the kinds that can be drawn. Changes of the server list and requests for maintenance have to
-// be scheduled explicitly.
+// randomFaultKinds are the kinds that can be drawn. Restarts of all softswitches, changes of the server list and
+// requests for maintenance have to be scheduled explicitly.
 var randomFaultKinds = []string{"kill", "term", "pause", "partition", "loss", "duplicate", "delay", "reorder",
 	"reset", "stall", "slow"}
 
@@ -67,7 +70,7 @@
 		return fmt.Errorf("kind: %q is not one of %v", fault.Kind, faultKinds)
 	}
 	if fault.At.Duration < 0 || fault.At.Duration > s.Duration.Duration {
-		return fmt.Errorf("at: %v, not within the run", fault.At)
+		return fmt.Errorf("at: %v, not within the load's duration", fault.At)
 	}
 	for _, name := range fault.Target {
 		if _, ok := s.indexByName[name]; !ok {
@@ -134,7 +137,7 @@
 		case spec.Count < 1 || spec.Count > 64:
 			return fmt.Errorf("random_fault[%d].count: %d, not in [1, 64]", i, spec.Count)
 		case spec.To.Duration <= spec.From.Duration || spec.To.Duration > s.Duration.Duration:
-			return fmt.Errorf("random_fault[%d].to: %v, want a time after from and within the run", i, spec.To)
+			return fmt.Errorf("random_fault[%d].to: %v, want a time after from and within the load's duration", i, spec.To)
 		}
 		for range spec.Count {
 			at := spec.From.Duration + time.Duration(rng.Int64N(int64(spec.To.Duration-spec.From.Duration)))
@@ -150,7 +153,7 @@
 	return nil
 }
 
-// randomGroups splits the softswitches at random into two groups; neither is empty.
+// randomGroups splits the softswitches, of which there must be at least two, at random into two groups; neither is empty.
 func (s *Scenario) randomGroups(rng *rand.Rand) [][]string {
 	groups := make([][]string, 2)
 	order, firstSize := rng.Perm(s.Softswitches), 1+rng.IntN(s.Softswitches-1)
@@ -164,7 +167,7 @@
 	return groups
 }
 
-// lastFaultEnd returns the time at which the last fault has ended.
+// lastFaultEnd returns the time at which the last fault has ended. A fault without a duration ends at its start.
 func (s *Scenario) lastFaultEnd() (at time.Duration) {
 	for _, f := range s.Faults {
 		at = max(at, f.At.Duration+f.Duration.Duration)
--- a/internal/lab/scenario_test.go
+++ b/internal/lab/scenario_test.go
@@ -46,7 +46,8 @@
 	}
 }
 
-// Faults drawn at random are valid for every kind that can be drawn, and the same for the same seed.
+// Faults drawn at random are valid for every kind that can be drawn, the same for the same seed, and others for another
+// seed.
 func TestRandomFaults(t *testing.T) {
 	draw := func(seed uint64) []Fault {
 		scenario := shortScenario("random")
--- a/internal/lab/settings.go
+++ b/internal/lab/settings.go
@@ -15,7 +15,7 @@
  "load-report":{"columns":["spare","total","cut_by"],"via":"inline"},
  "obligations":{"cold-from":0.3,"ramp-time-us":14000000,"tip-multiple":2.5,"tip-after-us":1000000,"drain-grace-us":250000}}`
 
-// parseRules reads the rules' limits from a settings object.
+// parseRules reads the rules' limits from a settings object. A missing drain grace is 250 ms; the slacks are fixed.
 func parseRules(settings []byte) (Rules, error) {
 	var parsed struct {
 		FamilyInfo struct {
--- a/internal/lab/standin_server.go
+++ b/internal/lab/standin_server.go
@@ -25,13 +25,13 @@
 type standInServer struct {
 	Server
 	observer         serverObserver
-	mu               sync.Mutex     // guards serverConn.pending and the fields below, except listeners
+	mu               sync.Mutex     // guards serverConn.pending and the fields below, except listeners and wg
 	listeners        []net.Listener // by softswitch
 	conns            map[*serverConn]bool
 	busyUntil        time.Duration // when the processor will have finished the set-ups accepted so far
 	establishedCalls int
 	slowdown         float64      // factor on the service time; 1: normal speed
-	stalledMembers   map[int]bool // softswitches whose connections are left silent
+	stalledMembers   map[int]bool // softswitches whose set-ups get no answer
 	removed          bool         // closes new connections at once
 	wg               sync.WaitGroup
 }
@@ -155,7 +155,7 @@
 }
 
 // handleOffer queues a set-up for the processor, or refuses it: as blocked if no line is free, as swamped if the wait
-// would be too long. A stalled connection gets no answer.
+// would be too long. A set-up that arrives, or would be answered, while its connection is stalled never gets an answer.
 func (s *standInServer) handleOffer(c *serverConn, id uint64) {
 	s.observer.attemptReceived(s.Name, id)
 	now := s.observer.now()
@@ -255,7 +255,8 @@
 	}
 }
 
-// setStalled leaves the connections from the given softswitches silent, or makes the server answer on them again.
+// setStalled leaves the set-ups of the given softswitches without an answer, or has them answered again. Test messages
+// and ends are answered during a stall too.
 func (s *standInServer) setStalled(members []int, stalled bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -264,14 +265,14 @@
 	}
 }
 
-// setSlowdown sets the factor on the service time.
+// setSlowdown sets the factor on the service time of the set-ups that arrive from now on.
 func (s *standInServer) setSlowdown(factor float64) {
 	s.mu.Lock()
 	s.slowdown = factor
 	s.mu.Unlock()
 }
 
-// close closes the listeners and resets all connections.
+// close closes the listeners and resets all connections. It does not wait for their goroutines.
 func (s *standInServer) close() {
 	for _, listener := range s.listeners {
 		listener.Close()
--- a/internal/lab/tier_checker.go
+++ b/internal/lab/tier_checker.go
@@ -79,7 +79,7 @@
 }
 
 // RecordFault records that the lab begins or ceases to disturb a softswitch. Any fault but a pause ends the process,
-// and so discards its last view.
+// and so discards its last view. The end of a fault ends all open faults of the softswitch; kind is not used then.
 func (c *TierChecker) RecordFault(at time.Duration, index int, kind string, begins bool) {
 	switch {
 	case begins:
@@ -116,7 +116,8 @@
 
 // RecordView records a softswitch's view of its tier. It checks that the softswitch uses no more than its quota of cold
 // servers' budgets, and without a majority no more of the quota than the fraction of members that it sees available. It
-// also looks for false deaths.
+// also looks for false deaths and updates the detections. A view is ignored if it doesn't cover the whole tier or if the
+// lab disturbs the observer.
 func (c *TierChecker) RecordView(at time.Duration, observer int, view View) {
 	previous := c.lastViews[observer]
 	if len(view.States) != len(c.lastViews) || c.faulted[observer] {
@@ -151,7 +152,7 @@
 
 // updateDetection records how far the other running members have noticed a fault or its end.
 func (c *TierChecker) updateDetection(at time.Duration, detection *Detection) {
-	observers, suspecting, holdingDead, available := 0, 0, 0, 0
+	observers, suspecting, reportingDead, available := 0, 0, 0, 0
 	for observer, view := range c.lastViews {
 		if observer == detection.index || c.faulted[observer] || len(view.States) == 0 {
 			continue
@@ -162,7 +163,7 @@
 			available++
 		case isDown(state):
 			suspecting++
-			holdingDead++
+			reportingDead++
 		case state == "suspect":
 			suspecting++
 		}
@@ -175,8 +176,8 @@
 	if detection.Ended < 0 {
 		setOnce(&detection.Suspected, suspecting > 0, detection.At)
 		setOnce(&detection.AllSuspected, suspecting == observers, detection.At)
-		setOnce(&detection.Dead, holdingDead > 0, detection.At)
-		setOnce(&detection.AllDead, holdingDead == observers, detection.At)
+		setOnce(&detection.Dead, reportingDead > 0, detection.At)
+		setOnce(&detection.AllDead, reportingDead == observers, detection.At)
 	} else {
 		setOnce(&detection.AllAvailable, available == observers, detection.Ended)
 	}
