--- a/internal/explore/actions.go
+++ b/internal/explore/actions.go
@@ -64,7 +64,7 @@
 	actStartMember     // a killed member starts again
 	actPauseMember     // a member's process is paused
 	actResumeMember    // a paused member continues
-	actSettle          // no more faults: the model runs until it has settled
+	actSettle          // the faults are over: settleTime passes, and the final state is checked
 
 	numActionKinds
 )
@@ -315,7 +315,7 @@
 	dials := server.Dials
 	m.step(core.ServerList{Servers: []core.Server{m.listEntry(index)}})
 	if kind == actServerRestart && server.Dials == dials {
-		// The core has not dialled again: its connection attempt to the old address fails.
+		// The core has not dialled again: its connection attempt to the old address, if any, fails.
 		m.step(core.ServerDown{Server: serverName(index)})
 	}
 }
--- a/internal/explore/budget.go
+++ b/internal/explore/budget.go
@@ -53,8 +53,8 @@
 	return p.step(now, budget.TimerFired{Token: token.(budget.Token)})
 }
 
-// startMember starts a member's reducer, informs it and the running members of each other, and declares a
-// server cold. All members start together, so at its first start the reducer considers every member available.
+// startMember starts a member's reducer, informs it and the running, unpaused members of each other, and
+// declares a server cold. All members start together, so at its first start the reducer considers every member available.
 func (p *budgetProtocol) startMember(m *tierModel, index int, incarnation uint8) (memberProcess, stepEffects) {
 	reducer, _, err := budget.New(budget.Config{Self: index, TierSize: len(m.Members), Limits: p.Limits,
 		Seed: m.Config.Seed + uint64(index) + 100*uint64(incarnation), DisabledGuards: m.Config.DisabledBudgetGuards}, m.Now)
@@ -85,7 +85,7 @@
 // converged does nothing: startMember has already declared a server cold.
 func (p *budgetProtocol) converged(*tierModel) {}
 
-// memberKilled informs the running members at once that a member is dead.
+// memberKilled informs the running, unpaused members at once that a member is dead.
 func (p *budgetProtocol) memberKilled(m *tierModel, index int) {
 	for other, member := range m.Members {
 		if member.Process != nil && !member.Paused {
@@ -97,8 +97,8 @@
 // checkStep checks ExclusiveUnits.
 func (p *budgetProtocol) checkStep(m *tierModel, _ int) { p.checkTimePassed(m) }
 
-// usedUnits returns the units of a member's quota that running members use, and how many members use any. It checks
-// ExclusiveUnits. owner is the member's index.
+// usedUnits returns the units of a member's quota that running, unpaused members use, and how many of them use any. It
+// checks ExclusiveUnits. owner is the member's index.
 func (p *budgetProtocol) usedUnits(m *tierModel, owner int) (units budget.Mask, users int) {
 	for index, member := range m.Members {
 		if member.Process == nil || member.Paused {
@@ -141,7 +141,7 @@
 			want &^= 1 // only the owner itself uses the first unit of its quota
 		}
 		if units, _ := p.usedUnits(m, owner); units != want {
-			m.recordViolation(AllUnitsUsed, "%v after the last fault units %08b of member %d's quota are used", settleTime, units, owner)
+			m.recordViolation(AllUnitsUsed, "after %v without faults units %08b of member %d's quota are used", settleTime, units, owner)
 		}
 	}
 }
--- a/internal/explore/callmodel.go
+++ b/internal/explore/callmodel.go
@@ -44,7 +44,7 @@
 	State               attemptState
 	Conn                core.ConnID // connection of the last attempt or end to a server
 	Server              int         // server of the last attempt; where the call is established
-	Established         bool        // the server has answered and not released the call
+	Established         bool        // the server has answered, and neither side has released the call
 	LateAnswerFrom      int         // 1 + index of a server that may still answer an attempt that has ended; 0: none
 	RepeatedReleaseFrom int         // 1 + index of a server that may repeat its release, or whose release may cross that of the core; 0: none
 	Repeated            bool        // the caller has sent the set-up again
@@ -111,6 +111,7 @@
 }
 
 // NewCallModel returns the initial state of the call model: all servers ready and connected, one caller connected, no call.
+// The error is that of Config.Check, or a violation in the initial state.
 func NewCallModel(cfg Config) (*CallModel, error) {
 	if err := cfg.Check(); err != nil {
 		return nil, err
@@ -219,7 +220,7 @@
 }
 
 // step passes an event to the core and applies the effects that the core requests, then does the same with the events that
-// result immediately from these effects.
+// result immediately from these effects. In the end it removes the timers that can have no effect any more.
 func (m *CallModel) step(ev core.Event) {
 	events := []core.Event{ev}
 	for len(events) > 0 {
@@ -269,7 +270,7 @@
 	case core.ForgetCall:
 		m.Calls[m.callIndex(e.ID)].Account.CallerGone = true
 	case core.Violation:
-		// Under a hook, guards have to stop actions: that is no violation of NoGuardTripped.
+		// If a hook changes decisions or events, guards have to stop actions: that is no violation of NoGuardTripped.
 		if m.Config.CoreHook.Decide == nil && m.Config.CoreHook.SuppressEvent == nil {
 			m.recordViolation(NoGuardTripped, "call %d: %s", m.callIndex(e.ID), e.Rule)
 		}
@@ -326,7 +327,8 @@
 	}
 }
 
-// endServerProcess ends a server's process: its established calls end, and it sends nothing more.
+// endServerProcess ends a server's process: its established calls end, and it sends no late answer and no repeated release.
+// Its connections and outstanding attempts end only when the core closes the connections or they are lost.
 func (m *CallModel) endServerProcess(server int) {
 	for i := range m.Calls {
 		call := &m.Calls[i]
--- a/internal/explore/circuits.go
+++ b/internal/explore/circuits.go
@@ -13,8 +13,8 @@
 
 // The invariants of circuits.
 const (
-	// OneCallPerCircuit: a circuit is reused only after the server's RLC, so that no IAM arrives on a circuit that the
-	// server has in use.
+	// OneCallPerCircuit: no IAM arrives on a circuit that the server has in use. A circuit that the softswitch has
+	// released is therefore reused only after the server's RLC.
 	OneCallPerCircuit Invariant = "one-call"
 	// SignalMatchesCall: a message about one call is never attributed to another call, by the softswitch or by the server.
 	SignalMatchesCall Invariant = "no-mix-up"
@@ -261,7 +261,7 @@
 	}
 }
 
-// Terminal reports whether every call has ended and every circuit is free on both sides.
+// Terminal reports whether every call has ended, every circuit is free on both sides and no message is in transit.
 func (c *circuitModel) Terminal() bool {
 	if c.Started < c.Config.Calls || c.Circuits.Free() < len(c.ServerCircuits) || len(c.ToServer)+len(c.FromServer) > 0 {
 		return false
--- a/internal/explore/config.go
+++ b/internal/explore/config.go
@@ -18,13 +18,13 @@
 	Model    string        `json:"model,omitempty"` // one of the Model constants; empty: ModelCalls
 	Servers  int           `json:"servers"`         // servers, circuits (ModelCircuits) or members (models of a tier)
 	Calls    int           `json:"calls"`           // calls, or half seconds in which faults are injected (models of a tier)
-	Attempts int           `json:"attempts"`        // maximum attempts per call
+	Attempts int           `json:"attempts"`        // maximum attempts per call (ModelCalls)
 	Faults   int           `json:"faults"`          // maximum number of faults in total; see ActionKind
 	Pauses   int           `json:"pauses"`          // maximum number of pauses of time (ModelCalls), of the server or of members
-	GiveUp   time.Duration `json:"wait"`            // time that callers wait for an answer
+	GiveUp   time.Duration `json:"wait"`            // time that callers wait for an answer (ModelCalls)
 	Seed     uint64        `json:"seed"`            // seed of the controller or of the members' reducers
 
-	CoreHook              core.Hook      `json:"-"` // disables guards of the core or replaces decisions, in tests
+	CoreHook              core.Hook      `json:"-"` // disables guards of the core, hides events or replaces decisions, in tests
 	DisabledCircuitGuards circuits.Guard `json:"-"` // guards of the circuits to disable, in tests
 
 	DisabledMembershipGuards  membership.Guard  `json:"-"` // guards of the membership to disable, in tests
@@ -32,7 +32,8 @@
 	DisabledBudgetGuards      budget.Guard      `json:"-"` // guards of the budget to disable, in tests
 }
 
-// Check returns an error that names the first value that is out of range.
+// Check returns an error that names the first value that is out of range, or nil. All values must be in range, also those
+// that the model does not use.
 func (c Config) Check() error {
 	for _, f := range []struct {
 		name            string
--- a/internal/explore/explore_test.go
+++ b/internal/explore/explore_test.go
@@ -127,7 +127,7 @@
 		test.cfg.CoreHook = withoutGuard(test.guard, test.hook)
 		report := runSearch(t, test.cfg, Bounds{})
 		if report.Counterexample == nil || report.Counterexample.Violation.Invariant != test.invariant {
-			t.Errorf("%s: no violation found without its guard: %+v", test.invariant, report)
+			t.Errorf("%s: no violation of it found without its guard: %+v", test.invariant, report)
 			continue
 		}
 		test.cfg.GiveUp = time.Second
@@ -166,7 +166,7 @@
 	}{{OneCallPerCircuit, circuits.GuardConfirm, 1}, {SignalMatchesCall, circuits.GuardReleaseCount, 0}, {NoLostCircuit, circuits.GuardOverdue, 1}} {
 		cfg := Config{Model: ModelCircuits, Servers: 1, Calls: 3, Attempts: 1, Faults: test.faults, Pauses: 1, DisabledCircuitGuards: test.guard}
 		if report := runSearch(t, cfg, Bounds{}); report.Counterexample == nil || report.Counterexample.Violation.Invariant != test.invariant {
-			t.Errorf("%s: no violation found without its guard: %+v", test.invariant, report.Counterexample)
+			t.Errorf("%s: no violation of it found without its guard: %+v", test.invariant, report.Counterexample)
 		}
 	}
 }
@@ -213,7 +213,8 @@
 	}
 }
 
-// Counterexamples found by earlier searches no longer violate an invariant in the corrected code.
+// Counterexamples found by earlier searches no longer violate an invariant in the corrected code. A trace with
+// an action that is no longer enabled is only logged.
 func TestRecordedCounterexamplesNoLongerFail(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.trace")
 	if err != nil {
@@ -314,7 +315,8 @@
 }
 
 // The invariants of quotas hold for three members, one of which borrows from the others, under one fault: a lost or delayed
-// datagram, or a killed member that may start again. No unit is used by two members, and in the end no unit is unused. With
+// datagram, or a killed member that may start again. No unit is used by two members, and in the end no unit that may be
+// used is unused. With
 // any one of the guards listed below disabled, two members use the same unit.
 func TestBudgetInvariants(t *testing.T) {
 	cfg := Config{Model: ModelBudget, Servers: 3, Calls: 1, Attempts: 1, Faults: 1, GiveUp: time.Second}
--- a/internal/explore/invariants.go
+++ b/internal/explore/invariants.go
@@ -36,11 +36,12 @@
 // Error returns the name of the invariant and the detail.
 func (v *Violation) Error() string { return fmt.Sprintf("%s: %s", v.Invariant, v.Detail) }
 
-// account is the record of a call that the invariants are checked against. The core's own records are not used.
+// account is the record of a call that the invariants are checked against. The core's own records are not used, except
+// for NoLeak.
 type account struct {
 	Attempts       int       // attempts sent
 	MaxAttempts    int       // attempts allowed by the settings at the set-up
-	Outstanding    int       // attempts without an answer
+	Outstanding    int       // attempts that have not ended
 	LastEndAt      core.Time // end of the last attempt, whether bad or not
 	EndedBadly     bool      // the last attempt ended by a time-out, a reset or a cancel
 	FinalAnswers   int       // final answers sent to the caller
--- a/internal/explore/maintenance.go
+++ b/internal/explore/maintenance.go
@@ -84,7 +84,8 @@
 // member.
 const workDuration = 300 * time.Millisecond
 
-// collectEffects applies the reducer's effects to the process, and returns the datagrams and timers among them.
+// collectEffects applies the reducer's effects to the process. It returns the datagrams and timers among them, and timers for
+// the events that follow in the member's environment.
 func (p *maintenanceProcess) collectEffects(now time.Duration, effects []maintenance.Effect) (result stepEffects) {
 	for _, e := range effects {
 		switch e := e.(type) {
@@ -112,8 +113,8 @@
 	return result
 }
 
-// startMember starts a member's reducer, and informs it and the running members of each other. All members start together,
-// so at its first start the reducer considers every member available.
+// startMember starts a member's reducer, and informs it and the running, unpaused members of each other. All members start
+// together, so at its first start the reducer considers every member available.
 func (p *maintenanceProtocol) startMember(m *tierModel, index int, incarnation uint8) (memberProcess, stepEffects) {
 	reducer, effects, err := maintenance.New(maintenance.Config{Self: index, TierSize: len(m.Members), Zone: -1, Limits: p.Limits,
 		Seed: m.Config.Seed + uint64(index) + 100*uint64(incarnation), DisabledGuards: m.Config.DisabledMaintenanceGuards}, m.Now)
@@ -142,7 +143,7 @@
 	m.applyEffects(last, m.Members[last].Process.(*maintenanceProcess).step(m.Now, maintenance.Request{Members: []int{1}}))
 }
 
-// memberKilled informs the running members at once that a member is dead.
+// memberKilled informs the running, unpaused members at once that a member is dead.
 func (p *maintenanceProtocol) memberKilled(m *tierModel, index int) {
 	for other, member := range m.Members {
 		if member.Process != nil && !member.Paused {
@@ -151,7 +152,7 @@
 	}
 }
 
-// checkStep checks OnlyRequested and WithinMaintenanceBudget.
+// checkStep checks OnlyRequested and WithinMaintenanceBudget for the running, unpaused members.
 func (p *maintenanceProtocol) checkStep(m *tierModel, index int) {
 	drainingCount := 0
 	for other, member := range m.Members {
@@ -182,11 +183,11 @@
 		}
 		process := member.Process.(*maintenanceProcess)
 		if process.Draining || process.Reducer.HoldsSlot() {
-			m.recordViolation(NoStuckDrain, "%v after the last fault member %d drains: %t, and holds a slot: %t", settleTime, index, process.Draining, process.Reducer.HoldsSlot())
+			m.recordViolation(NoStuckDrain, "after %v without faults member %d drains: %t, and holds a slot: %t", settleTime, index, process.Draining, process.Reducer.HoldsSlot())
 		}
 		for target, record := range process.Reducer.Status().Records {
 			if m.Members[target].Process != nil && !record.Stage.Ended() {
-				m.recordViolation(MaintainedOnce, "%v after the last fault member %d considers the request for member %d to be %v", settleTime, index, target, record.Stage)
+				m.recordViolation(MaintainedOnce, "after %v without faults member %d considers the request for member %d to be %v", settleTime, index, target, record.Stage)
 			}
 		}
 		if want := map[bool]int{true: 1}[index < 2]; p.MaintainedCount[index] != want && !(member.Incarnations > 1 && p.MaintainedCount[index] == 0 && process.Reducer.Status().Records[index].Generation == 0) {
--- a/internal/explore/membership.go
+++ b/internal/explore/membership.go
@@ -79,7 +79,8 @@
 }
 
 // checkTimePassed checks TimelySuspicion. The time limit: every running member probes each other member within two rounds,
-// and a probe takes one period, which a member's health may stretch by a factor of MaxHealth+1.
+// and a probe takes one period, which a member's health may stretch by a factor of MaxHealth+1. The
+// time counts from the latest of the member's death, the observer's start, the end of its last pause and LastFault.
 func (p *membershipProtocol) checkTimePassed(m *tierModel) {
 	bound := time.Duration(2*len(m.Members)) * p.Limits.Period * time.Duration(p.Limits.MaxHealth+1)
 	for deadIndex, dead := range m.Members {
@@ -106,9 +107,9 @@
 		for index, member := range m.Members {
 			switch state := observer.Process.(*membershipProcess).Reducer.Members()[index].State; {
 			case member.Process != nil && !state.Available():
-				m.recordViolation(NoPermanentFalseDeath, "%v after the last fault member %d considers the running member %d %v", settleTime, observerIndex, index, state)
+				m.recordViolation(NoPermanentFalseDeath, "after %v without faults member %d considers the running member %d %v", settleTime, observerIndex, index, state)
 			case member.Process == nil && state != membership.StateDead:
-				m.recordViolation(StaysDead, "%v after the last fault member %d considers the dead member %d %v", settleTime, observerIndex, index, state)
+				m.recordViolation(StaysDead, "after %v without faults member %d considers the dead member %d %v", settleTime, observerIndex, index, state)
 			}
 		}
 	}
--- a/internal/explore/model.go
+++ b/internal/explore/model.go
@@ -34,7 +34,8 @@
 	ModelBudget      = "parts"    // the quotas of a cold server's budget in a tier
 )
 
-// New returns the initial state of the model that the configuration names.
+// New returns the initial state of the model that the configuration names, or an error for an invalid configuration.
+// NewCallModel also returns a violation in its initial state as an error; other models keep it.
 func New(cfg Config) (Model, error) {
 	if err := cfg.Check(); err != nil {
 		return nil, err
@@ -58,7 +59,8 @@
 func (m *CallModel) clock() time.Duration  { return m.Now }
 
 // digestOf returns the canonical digest of a model. The digest covers every field, also fields added later, except the
-// configuration, hooks and the core's buffer of effects. Each pointer is followed once, and maps are sorted by their keys.
+// configuration, hooks and the core's buffer of effects; of a function or channel it covers only whether it is nil. Each
+// pointer is followed once, and maps are sorted by their keys.
 func digestOf(model any) xxh3.Uint128 {
 	d := digestPool.Get().(*encoder)
 	defer digestPool.Put(d)
--- a/internal/explore/search.go
+++ b/internal/explore/search.go
@@ -13,7 +13,7 @@
 // Bounds limits a search.
 type Bounds struct {
 	Depth   int           // maximum number of actions that lead to a state; 0: unlimited
-	Time    time.Duration // maximum duration of the breadth-first search; 0: unlimited
+	Time    time.Duration // duration after which the breadth-first search starts no further batch; 0: unlimited
 	Memory  int64         // maximum size of the visited states in bytes; 0: 1 GiB
 	Workers int           // goroutines that compute successors; 0: one per processor
 	Walks   int           // random walks after an incomplete search without a counterexample
@@ -24,7 +24,7 @@
 type Report struct {
 	Complete       bool   // every reachable state was visited
 	Depth          int    // every state that at most this many actions lead to was visited
-	StopReason     string // bound that stopped the search: depth, time or memory; empty if complete
+	StopReason     string // bound that stopped the search: depth, time or memory; empty if complete or if a violation was found
 	States         int    // distinct states visited
 	Steps          int    // actions applied, not counting replays
 	TerminalStates int    // terminal states found by the breadth-first search
@@ -61,7 +61,8 @@
 }
 
 // Run searches the state space of a model breadth first. To save memory it keeps states as the actions that lead to them
-// and rebuilds them by replay; docs/CHECKING.md says what that costs.
+// and rebuilds them by replay; docs/CHECKING.md says what that costs. The end of ctx stops the breadth-first
+// search as the bound on time does, and like that bound it does not stop the random walks. The error is that of New.
 func Run(ctx context.Context, cfg Config, bounds Bounds) (*Report, error) {
 	start := time.Now()
 	initial, err := New(cfg)
--- a/internal/explore/tier.go
+++ b/internal/explore/tier.go
@@ -86,7 +86,7 @@
 	InFlight    []sentDatagram // undelayed datagrams, in the order of delivery
 	Delayed     []sentDatagram
 	Now         time.Duration
-	FaultsUntil time.Duration // after this time, faults are injected only until no datagram is in transit
+	FaultsUntil time.Duration // from this time on, faults are injected only until no datagram is in InFlight
 	FaultsLeft  int           // faults that may still be injected
 	PausesLeft  int           // pauses of members that may still be injected
 	LastFault   time.Duration // time of the last fault, start of a killed member, or start or end of a pause
@@ -158,8 +158,9 @@
 	}
 }
 
-// nextDue returns the earliest timer or delayed datagram. For a timer, owner is the index of its member and position its
-// index in Timers; for a datagram, owner is -1 and position its index in m.Delayed. If there is neither, owner is -2.
+// nextDue returns the earliest timer of a running, unpaused member, or the delayed datagram if one is due earlier. For a
+// timer, owner is the index of its member and position its index in Timers; for a datagram, owner is -1 and position its
+// index in m.Delayed. If there is neither, owner is -2.
 func (m *tierModel) nextDue() (owner, position int, at time.Duration) {
 	owner, position = -2, -1
 	for index, member := range m.Members {
@@ -297,7 +298,8 @@
 	}
 }
 
-// resume ends the pause of a member: its overdue timers fire first, in their order, then it receives the held datagrams.
+// resume ends the pause of a member: its overdue timers fire first, in their order, then the held datagrams
+// join those in flight.
 func (m *tierModel) resume(index int) {
 	member := &m.Members[index]
 	held := member.HeldDatagrams
