--- a/cmd/elmseam/main.go
+++ b/cmd/elmseam/main.go
@@ -48,9 +48,9 @@
 func run() error {
 	// Signals are caught before anything else, because an uncaught signal ends the process. Stop and reload signals
 	// have separate channels, so that many signals of one kind cannot displace one of the other.
-	stops, reloads := make(chan os.Signal, 1), make(chan os.Signal, 1)
-	signal.Notify(stops, syscall.SIGTERM, os.Interrupt)
-	signal.Notify(reloads, syscall.SIGHUP)
+	stopSignals, reloadSignals := make(chan os.Signal, 1), make(chan os.Signal, 1)
+	signal.Notify(stopSignals, syscall.SIGTERM, os.Interrupt)
+	signal.Notify(reloadSignals, syscall.SIGHUP)
 	cfg, err := config.Load(os.Getenv)
 	if err != nil {
 		return err
@@ -70,48 +70,48 @@
 	log := zerolog.New(os.Stderr).Level(zerolog.InfoLevel).With().Timestamp().Str("node", cfg.Name).Logger()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	memory := &memoryShare{}
-	memory.setLimits(cfg.Limits)
+	limiter := &memoryLimiter{}
+	limiter.setLimits(cfg.Limits)
 
 	reducer, err := core.New(cfg.Settings, cfg.Seed, cfg.Limits.Core)
 	if err != nil {
 		return err
 	}
 	var m3uaProtocol *m3ua.M3UA
-	var speaker *bgp.Speaker
-	upgrader := &upgrader{socketPath: handover.SocketPath(os.Getenv("TMPDIR"), cfg.Name), limits: cfg.Limits.HandOver, memory: memory, log: log, sampledLog: transport.SampledLogger(log)}
-	ready := make(chan struct{})
+	var bgpSpeaker *bgp.Speaker
+	upgrader := &upgrader{socketPath: handover.SocketPath(os.Getenv("TMPDIR"), cfg.Name), limits: cfg.Limits.HandOver, memoryLimiter: limiter, log: log, sampledLog: transport.SampledLogger(log)}
+	readyToServe := make(chan struct{})
 	var tierSocket *peers.Socket
 	var platformRef atomic.Pointer[platform.Platform] // set before the event loop runs
 	sampledLog := transport.SampledLogger(log)
-	eventLoop := loop.New(reducer, cfg.Limits.EventQueue, func(e core.Effect) {
-		switch e := e.(type) {
+	eventLoop := loop.New(reducer, cfg.Limits.EventQueue, func(effect core.Effect) {
+		switch effect := effect.(type) {
 		case core.Serving:
 			if m3uaProtocol != nil {
-				m3uaProtocol.SetServing(e.On)
+				m3uaProtocol.SetServing(effect.On)
 			}
-			if speaker != nil {
-				speaker.SetServing(e.On)
+			if bgpSpeaker != nil {
+				bgpSpeaker.SetServing(effect.On)
 			}
 		case core.ReadyToServe:
-			close(ready)
+			close(readyToServe)
 		case core.CloseListener:
 			upgrader.closeListener()
 		case core.SendToMember:
-			tierSocket.Send(e)
+			tierSocket.Send(effect)
 		case core.MemberChanged:
-			sampledLog.Info().Int("member", e.Member).Stringer("was", e.Old).Stringer("is", e.New).Uint64("incarnation", e.Incarnation).Msg("membership changed")
+			sampledLog.Info().Int("member", effect.Member).Stringer("was", effect.Old).Stringer("is", effect.New).Uint64("incarnation", effect.Incarnation).Msg("membership changed")
 		case core.DrainChanged:
-			platformRef.Load().SetDraining(e.On)
+			platformRef.Load().SetDraining(effect.On)
 		case core.MaintenanceProgress:
-			sampledLog.Info().Int("member", e.Member).Stringer("stage", e.Record.Stage).Uint64("epoch", e.Record.Epoch).Msg("maintenance")
+			sampledLog.Info().Int("member", effect.Member).Stringer("stage", effect.Record.Stage).Uint64("epoch", effect.Record.Epoch).Msg("maintenance")
 		case core.ToPredecessor:
-			upgrader.sendToPredecessor(e)
+			upgrader.sendToPredecessor(effect)
 		case core.ToSuccessor:
-			upgrader.sendToSuccessor(e.Protocol, 0, e.Effect)
+			upgrader.sendToSuccessor(effect.Protocol, 0, effect.Effect)
 		case core.ForgetCall:
-			if m3uaProtocol != nil && e.Protocol != platform.Protocol {
-				m3uaProtocol.FreeCircuit(e.ID)
+			if m3uaProtocol != nil && effect.Protocol != platform.Protocol {
+				m3uaProtocol.FreeCircuit(effect.ID)
 			}
 		}
 	}, log)
@@ -126,11 +126,11 @@
 		} else if tierSocket, err = peers.New(socketConfig, eventLoop.Post, log); err != nil {
 			return err
 		} else {
-			var tierDone sync.WaitGroup
+			var tierSocketDone sync.WaitGroup
 			tierCtx, stopTier := context.WithCancel(context.Background())
-			defer tierDone.Wait() // until the socket has sent what is queued, such as the announcement that this member leaves
+			defer tierSocketDone.Wait() // until the socket has sent what is queued, such as the announcement that this member leaves
 			defer stopTier()
-			tierDone.Go(func() { tierSocket.Run(tierCtx, joinEvents...) })
+			tierSocketDone.Go(func() { tierSocket.Run(tierCtx, joinEvents...) })
 		}
 	}
 
@@ -150,11 +150,11 @@
 		upgrader.listenForSuccessor()
 	}
 	defer listener.Close()
-	tasks := []func(){func() { platformProtocol.Serve(listener) }}
+	backgroundTasks := []func(){func() { platformProtocol.Serve(listener) }}
 	if hasPredecessor { // the predecessor serves until this process is ready
-		memory.addProcesses(1)
-		tasks = []func(){upgrader.followPredecessor, func() {
-			<-ready
+		limiter.addProcesses(1)
+		backgroundTasks = []func(){upgrader.followPredecessor, func() {
+			<-readyToServe
 			upgrader.reportServing()
 			platformProtocol.Serve(listener)
 		}}
@@ -173,8 +173,8 @@
 		log.Info().Str("mgmt", adminListener.Addr().String()).Msg("admin endpoint listening")
 		go admin.Serve(adminListener)
 	}
-	var speakerDone sync.WaitGroup // the speaker closes its sessions with its peers
-	defer speakerDone.Wait()
+	var bgpSpeakerDone sync.WaitGroup // the speaker closes its sessions with its peers
+	defer bgpSpeakerDone.Wait()
 	defer cancel()
 
 	retryDelay := cfg.Limits.Feed.RetryDelay
@@ -203,7 +203,7 @@
 		if err == nil {
 			log.Info().Str("m3ua", m3uaListener.Addr().String()).Msg("M3UA endpoint listening")
 		}
-		tasks = append(tasks, func() {
+		backgroundTasks = append(backgroundTasks, func() {
 			for err != nil { // the predecessor holds the address until it exits
 				time.Sleep(retryDelay)
 				m3uaListener, err = net.Listen("tcp", signalling.M3UA.Listen)
@@ -213,21 +213,21 @@
 		})
 	}
 	if signalling.Enabled && len(signalling.BGP.Peers) > 0 {
-		if speaker, err = bgp.New(signalling.BGP, cfg.Limits.BGP(), eventLoop.Post, log); err != nil {
+		if bgpSpeaker, err = bgp.New(signalling.BGP, cfg.Limits.BGP(), eventLoop.Post, log); err != nil {
 			return err
 		}
-		speakerDone.Go(func() { speaker.Run(ctx) })
+		bgpSpeakerDone.Go(func() { bgpSpeaker.Run(ctx) })
 	}
-	for _, cmd := range cfg.InitialCommands {
-		list, err := cmd.List(protocolFor, true)
+	for _, command := range cfg.InitialCommands {
+		serverList, err := command.List(protocolFor, true)
 		if err != nil {
 			return err
 		}
-		initialEvents = append(initialEvents, list)
+		initialEvents = append(initialEvents, serverList)
 	}
 	commandFeed := &feed.Feed{Cursor: cfg.Cursor, ProtocolFor: protocolFor, Limits: cfg.Limits.Feed, Post: eventLoop.Post, Log: log}
 	commandFeed.Follow(cfg.CommandChannel, nil)
-	tasks = append(tasks, func() { commandFeed.Run(ctx) })
+	backgroundTasks = append(backgroundTasks, func() { commandFeed.Run(ctx) })
 
 	// reload reads the configuration again and applies it. An invalid configuration changes nothing. Of the members file only
 	// the maintenance budget is applied.
@@ -242,7 +242,7 @@
 			log.Warn().Str("name", newCfg.Name).Str("listen", newCfg.Listen).Str("mgmt", newCfg.Mgmt).Msg("changes of name, listen and mgmt need a restart")
 		}
 		cfg = newCfg
-		memory.setLimits(cfg.Limits)
+		limiter.setLimits(cfg.Limits)
 		platformProtocol.Configure(cfg.Platform())
 		if m3uaProtocol != nil { // before the core knows the new classes and offers their calls to M3UA servers
 			m3uaProtocol.Configure(cfg.M3UA(signalling.M3UA))
@@ -257,17 +257,17 @@
 		log.Info().Str("channel", cfg.CommandChannel).Msg("configuration reloaded")
 	}
 	go func() {
-		for _, ev := range initialEvents {
-			eventLoop.Post(ev)
+		for _, event := range initialEvents {
+			eventLoop.Post(event)
 		}
-		for _, task := range tasks {
+		for _, task := range backgroundTasks {
 			go task()
 		}
 		for {
 			select {
-			case <-reloads:
+			case <-reloadSignals:
 				reload()
-			case <-stops:
+			case <-stopSignals:
 				log.Info().Msg("stopping")
 				if !upgrader.requestStop() {
 					platformProtocol.MarkStopping()
--- a/cmd/elmseam/main_test.go
+++ b/cmd/elmseam/main_test.go
@@ -73,7 +73,7 @@
 func (p *program) launch(signalling string, env ...string) {
 	t := p.T
 	t.Helper()
-	p.cmd = command(p.config, signalling)
+	p.cmd = programCommand(p.config, signalling)
 	p.cmd.Env = append(p.cmd.Env, env...)
 	out, err := p.cmd.StderrPipe()
 	if err != nil {
@@ -128,8 +128,8 @@
 	}
 }
 
-// command returns the command that runs this test binary as the program.
-func command(config, signalling string) *exec.Cmd {
+// programCommand returns the command that runs this test binary as the program.
+func programCommand(config, signalling string) *exec.Cmd {
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(os.Environ(), "ELMSEAM_TEST_RUN=1", "ROUTER_CONFIG="+config, "ROUTER_NAME=", "ROUTER_LISTEN=", "TMPDIR=")
 	if signalling != "" {
@@ -139,60 +139,60 @@
 }
 
 // endpoint returns the command channel's description of a server.
-func endpoint(name, status string, l net.Listener) string {
-	return fmt.Sprintf(`{"name":%q,"address":%q,"group":0,"status":%q,"since_ms":0}`, name, l.Addr(), status)
+func endpoint(name, status string, server net.Listener) string {
+	return fmt.Sprintf(`{"name":%q,"address":%q,"group":0,"status":%q,"since_ms":0}`, name, server.Addr(), status)
 }
 
 // listen opens a loopback port that is closed when the test ends.
 func listen(t *testing.T) net.Listener {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.Close() })
-	return l
+	t.Cleanup(func() { listener.Close() })
+	return listener
 }
 
 // conn is a scripted peer's connection to the program.
 type conn struct {
 	*testing.T
 	net.Conn
-	r *bufio.Reader
+	reader *bufio.Reader
 }
 
 // newConn wraps a connection, which is closed when the test ends.
-func newConn(t *testing.T, c net.Conn, err error) *conn {
+func newConn(t *testing.T, netConn net.Conn, err error) *conn {
 	t.Helper()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(testTimeout))
-	return &conn{t, c, bufio.NewReader(c)}
+	t.Cleanup(func() { netConn.Close() })
+	netConn.SetDeadline(time.Now().Add(testTimeout))
+	return &conn{t, netConn, bufio.NewReader(netConn)}
 }
 
 // accept accepts a connection from the program.
-func accept(t *testing.T, l net.Listener) *conn {
+func accept(t *testing.T, listener net.Listener) *conn {
 	t.Helper()
-	l.(*net.TCPListener).SetDeadline(time.Now().Add(testTimeout))
-	c, err := l.Accept()
-	return newConn(t, c, err)
+	listener.(*net.TCPListener).SetDeadline(time.Now().Add(testTimeout))
+	netConn, err := listener.Accept()
+	return newConn(t, netConn, err)
 }
 
 // acceptServer accepts both connections that the program makes to a server. The result reads the lines of both and writes
 // to the first.
-func acceptServer(t *testing.T, l net.Listener) *conn {
+func acceptServer(t *testing.T, listener net.Listener) *conn {
 	t.Helper()
-	c := accept(t, l)
-	r, w := io.Pipe()
-	lines := bufio.NewWriterSize(w, 1<<16)
+	first := accept(t, listener)
+	pipeReader, pipeWriter := io.Pipe()
+	lines := bufio.NewWriterSize(pipeWriter, 1<<16)
 	var mu sync.Mutex
 	var readers sync.WaitGroup
-	for _, c := range []*conn{c, accept(t, l)} {
+	for _, serverConn := range []*conn{first, accept(t, listener)} {
 		readers.Go(func() {
 			for {
-				text, err := c.r.ReadString('\n')
+				text, err := serverConn.reader.ReadString('\n')
 				if err != nil {
 					return
 				}
@@ -203,26 +203,26 @@
 			}
 		})
 	}
-	go func() { readers.Wait(); w.Close() }()
-	return &conn{t, c.Conn, bufio.NewReader(r)}
+	go func() { readers.Wait(); pipeWriter.Close() }()
+	return &conn{t, first.Conn, bufio.NewReader(pipeReader)}
 }
 
 // dial connects to the program.
 func dial(t *testing.T, address string) *conn {
 	t.Helper()
-	c, err := net.Dial("tcp", address)
-	return newConn(t, c, err)
+	netConn, err := net.Dial("tcp", address)
+	return newConn(t, netConn, err)
 }
 
-// wantLine reads a line, which must contain want, and returns the call id in the line, if any.
+// wantLine reads a line of the servers' protocol, which must contain want, and returns the call id in the line, if any.
 func (c *conn) wantLine(want string) string {
 	c.Helper()
-	l, err := c.r.ReadString('\n')
-	if err != nil || !strings.Contains(l, want) {
-		c.Fatalf("line %q, %v, want %s", l, err, want)
+	line, err := c.reader.ReadString('\n')
+	if err != nil || !strings.Contains(line, want) {
+		c.Fatalf("line %q, %v, want %s", line, err, want)
 	}
-	if m := regexp.MustCompile(`"call":"([0-9a-f]{16})"`).FindStringSubmatch(l); m != nil {
-		return m[1]
+	if match := regexp.MustCompile(`"call":"([0-9a-f]{16})"`).FindStringSubmatch(line); match != nil {
+		return match[1]
 	}
 	return ""
 }
@@ -231,21 +231,21 @@
 func (c *conn) readBytes(n int) []byte {
 	c.Helper()
 	b := make([]byte, n)
-	if _, err := io.ReadFull(c.r, b); err != nil {
+	if _, err := io.ReadFull(c.reader, b); err != nil {
 		c.Fatalf("%d bytes: %v", n, err)
 	}
 	return b
 }
 
-// wantFrame reads a message of the callers' protocol, which must have the given type and call, and returns its
-// parameters.
-func (c *conn) wantFrame(kind byte, call uint64) []byte {
+// wantCallerMessage reads a message of the callers' protocol, which must have the given type (9: answer, 12: release, 53: result
+// of a readiness test) and call, and returns its parameters.
+func (c *conn) wantCallerMessage(kind byte, call uint64) []byte {
 	c.Helper()
-	b := c.readBytes(int(binary.BigEndian.Uint16(c.readBytes(2))))
-	if b[0] != kind || binary.BigEndian.Uint64(b[1:]) != call {
-		c.Fatalf("message %x, want type %d for call %x", b, kind, call)
+	message := c.readBytes(int(binary.BigEndian.Uint16(c.readBytes(2))))
+	if message[0] != kind || binary.BigEndian.Uint64(message[1:]) != call {
+		c.Fatalf("message %x, want type %d for call %x", message, kind, call)
 	}
-	return b[9:]
+	return message[9:]
 }
 
 // sendSetUp asks for a call of the class voice.
@@ -256,28 +256,28 @@
 
 // setUpMessage encodes a set-up in the callers' protocol.
 func setUpMessage(class string, call uint64) []byte {
-	b := binary.BigEndian.AppendUint64([]byte{0, 0, 1}, call)
-	for code, v := range map[byte]string{16: class, 19: "60000", 28: "0a", 31: "dest:0;width:1;via:-1", 61: "d"} {
-		b = append(append(b, code, 0, byte(len(v))), v...)
+	message := binary.BigEndian.AppendUint64([]byte{0, 0, 1}, call)
+	for code, value := range map[byte]string{16: class, 19: "60000", 28: "0a", 31: "dest:0;width:1;via:-1", 61: "d"} {
+		message = append(append(message, code, 0, byte(len(value))), value...)
 	}
-	b[1] = byte(len(b) - 2)
-	return b
+	message[1] = byte(len(message) - 2)
+	return message
 }
 
 // acceptEventStream answers the program's request on the command channel and returns its Last-Event-ID.
-func (c *conn) acceptEventStream() (last string) {
+func (c *conn) acceptEventStream() (lastEventID string) {
 	c.Helper()
 	for {
-		l, err := c.r.ReadString('\n')
+		line, err := c.reader.ReadString('\n')
 		if err != nil {
 			c.Fatal(err)
 		}
-		if v, ok := strings.CutPrefix(l, "Last-Event-ID: "); ok {
-			last = strings.TrimSpace(v)
+		if v, ok := strings.CutPrefix(line, "Last-Event-ID: "); ok {
+			lastEventID = strings.TrimSpace(v)
 		}
-		if l == "\r\n" {
+		if line == "\r\n" {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n")
-			return last
+			return lastEventID
 		}
 	}
 }
@@ -297,54 +297,54 @@
 // after a SIGTERM still accepts and answers calls during the grace period.
 func TestServeFollowStop(t *testing.T) {
 	old, added := listen(t), listen(t)
-	p := startProgram(t, "", endpoint("old", "in_service", old))
+	process := startProgram(t, "", endpoint("old", "in_service", old))
 	first := acceptServer(t, old)
-	caller := dial(t, p.listen)
+	caller := dial(t, process.listen)
 	caller.sendSetUp(1)
-	id := first.wantLine(`"offer"`)
-	fmt.Fprintf(first, `{"op":"accept","call":%q,"with":{},"desc":"x"}`+"\n", id)
-	if b := caller.wantFrame(9, 1); !bytes.Equal(b, []byte{61, 0, 1, 'x'}) {
+	callID := first.wantLine(`"offer"`)
+	fmt.Fprintf(first, `{"op":"accept","call":%q,"with":{},"desc":"x"}`+"\n", callID)
+	if b := caller.wantCallerMessage(9, 1); !bytes.Equal(b, []byte{61, 0, 1, 'x'}) {
 		t.Errorf("answer %x", b)
 	}
 
-	channel := accept(t, p.channel)
+	channel := accept(t, process.channel)
 	if last := channel.acceptEventStream(); last != "1" {
 		t.Errorf("Last-Event-ID %s, want 1", last)
 	}
 	channel.sendEvent(2, endpoint("new", "in_service", added))
 	second := acceptServer(t, added)
 	channel.Close()
-	channel = accept(t, p.channel)
+	channel = accept(t, process.channel)
 	if last := channel.acceptEventStream(); last != "2" {
 		t.Errorf("Last-Event-ID %s, want 2", last)
 	}
 	channel.sendEvent(3, endpoint("old", "terminated", old))
-	if _, err := first.r.ReadByte(); err != io.EOF { // the connection to the server closes when its calls have ended
+	if _, err := first.reader.ReadByte(); err != io.EOF { // the connection to the server closes when its calls have ended
 		t.Errorf("the old server reads %v, want EOF", err)
 	}
-	caller.wantFrame(12, 1) // the call established on the removed server ends
+	caller.wantCallerMessage(12, 1) // the call established on the removed server ends
 	caller.sendSetUp(2)
-	id = second.wantLine(`"offer"`)
+	callID = second.wantLine(`"offer"`)
 
-	p.cmd.Process.Signal(syscall.SIGTERM)
+	process.cmd.Process.Signal(syscall.SIGTERM)
 	caller.Write([]byte{0, 13, 52, 0, 0, 0, 0, 0, 0, 0, 9, 58, 0, 1, 0}) // the readiness test must fail from now on: repeated until it does
-	for caller.wantFrame(53, 9)[3] != 0 {
+	for caller.wantCallerMessage(53, 9)[3] != 0 {
 		caller.Write([]byte{0, 13, 52, 0, 0, 0, 0, 0, 0, 0, 9, 58, 0, 1, 0})
 	}
-	answer := func(id string) { fmt.Fprintf(second, `{"op":"accept","call":%q,"with":{},"desc":""}`+"\n", id) }
-	answer(id) // an unanswered set-up would keep the next one from the server
-	caller.wantFrame(9, 2)
-	lateCaller := dial(t, p.listen)
+	answer := func(callID string) { fmt.Fprintf(second, `{"op":"accept","call":%q,"with":{},"desc":""}`+"\n", callID) }
+	answer(callID) // an unanswered set-up would keep the next one from the server
+	caller.wantCallerMessage(9, 2)
+	lateCaller := dial(t, process.listen)
 	lateCaller.sendSetUp(3)
 	lateID := second.wantLine(`"offer"`)
 	answer(lateID)
-	lateCaller.wantFrame(9, 3)
-	for _, id := range []string{id, lateID} {
-		fmt.Fprintf(second, `{"op":"end","call":%q,"with":{},"why":16}`+"\n", id)
+	lateCaller.wantCallerMessage(9, 3)
+	for _, callID := range []string{callID, lateID} {
+		fmt.Fprintf(second, `{"op":"end","call":%q,"with":{},"why":16}`+"\n", callID)
 	}
-	caller.wantFrame(12, 2)
-	lateCaller.wantFrame(12, 3)
-	if err := p.cmd.Wait(); err != nil {
+	caller.wantCallerMessage(12, 2)
+	lateCaller.wantCallerMessage(12, 3)
+	if err := process.cmd.Wait(); err != nil {
 		t.Errorf("the program exits with %v", err)
 	}
 }
@@ -354,45 +354,45 @@
 // stay open, also after repeated signals and while the program stops.
 func TestReload(t *testing.T) {
 	srv, channel := listen(t), listen(t)
-	p := startProgram(t, "", endpoint("s", "in_service", srv))
+	process := startProgram(t, "", endpoint("s", "in_service", srv))
 	peer := acceptServer(t, srv)
-	caller := dial(t, p.listen)
+	caller := dial(t, process.listen)
 	caller.sendSetUp(1)
-	id := peer.wantLine(`"offer"`)
-	oldChannel := accept(t, p.channel)
+	callID := peer.wantLine(`"offer"`)
+	oldChannel := accept(t, process.channel)
 	oldChannel.acceptEventStream()
 	oldChannel.sendEvent(2, endpoint("s", "in_service", srv))
 
-	os.WriteFile(p.config, []byte(`{"name":"n1"}`), 0o600)
-	p.cmd.Process.Signal(syscall.SIGHUP)
-	p.wantLog("configuration rejected")
-	p.writeConfig(channel, strings.Replace(testSettings, `"total"`, `"spare"`, 1)) // invalid: the same column twice
-	p.cmd.Process.Signal(syscall.SIGHUP)
-	p.wantLog("load-report.columns[1]")
-	p.writeConfig(channel, strings.Replace(testSettings, `[{"name":"voice"`, `[{"name":"video","effect":"free","gain":1,"objective-us":1000000,"hard-limit-us":3000000},{"name":"voice"`, 1))
-	p.cmd.Process.Signal(syscall.SIGHUP)
+	os.WriteFile(process.config, []byte(`{"name":"n1"}`), 0o600)
+	process.cmd.Process.Signal(syscall.SIGHUP)
+	process.wantLog("configuration rejected")
+	process.writeConfig(channel, strings.Replace(testSettings, `"total"`, `"spare"`, 1)) // invalid: the same column twice
+	process.cmd.Process.Signal(syscall.SIGHUP)
+	process.wantLog("load-report.columns[1]")
+	process.writeConfig(channel, strings.Replace(testSettings, `[{"name":"voice"`, `[{"name":"video","effect":"free","gain":1,"objective-us":1000000,"hard-limit-us":3000000},{"name":"voice"`, 1))
+	process.cmd.Process.Signal(syscall.SIGHUP)
 	newChannel := accept(t, channel)
 	if last := newChannel.acceptEventStream(); last != "2" {
 		t.Errorf("Last-Event-ID %s, want 2", last)
 	}
-	p.cmd.Process.Signal(syscall.SIGHUP)
-	p.wantLog("configuration reloaded")
+	process.cmd.Process.Signal(syscall.SIGHUP)
+	process.wantLog("configuration reloaded")
 	// The open call is answered first, because the controller sends no other set-up to a server that has left one
 	// unanswered for a part of the retransmit interval.
-	fmt.Fprintf(peer, `{"op":"accept","call":%q,"with":{},"desc":""}`+"\n", id)
-	caller.wantFrame(9, 1)
+	fmt.Fprintf(peer, `{"op":"accept","call":%q,"with":{},"desc":""}`+"\n", callID)
+	caller.wantCallerMessage(9, 1)
 	caller.sendSetUpOfClass("video", 2)
 	second := peer.wantLine(`"video"`)
 
-	p.cmd.Process.Signal(syscall.SIGTERM)
-	p.wantLog("stopping")
-	p.cmd.Process.Signal(syscall.SIGHUP)
-	p.wantLog("configuration reloaded")
-	fmt.Fprintf(peer, `{"op":"end","call":%q,"with":{},"why":16}`+"\n", id)
-	caller.wantFrame(12, 1)
+	process.cmd.Process.Signal(syscall.SIGTERM)
+	process.wantLog("stopping")
+	process.cmd.Process.Signal(syscall.SIGHUP)
+	process.wantLog("configuration reloaded")
+	fmt.Fprintf(peer, `{"op":"end","call":%q,"with":{},"why":16}`+"\n", callID)
+	caller.wantCallerMessage(12, 1)
 	fmt.Fprintf(peer, `{"op":"end","call":%q,"with":{},"why":47}`+"\n", second)
-	caller.wantFrame(12, 2)
-	if err := p.cmd.Wait(); err != nil {
+	caller.wantCallerMessage(12, 2)
+	if err := process.cmd.Wait(); err != nil {
 		t.Errorf("the program exits with %v", err)
 	}
 }
@@ -414,23 +414,23 @@
 		name = "hlr"
 		address = %q
 		point_code = 201`, srv.Addr()), 0o600)
-	p := startProgram(t, path)
+	process := startProgram(t, path)
 	hlr := accept(t, srv)
 	hlr.readBytes(8) // ASP Up
 	hlr.Write([]byte{1, 0, 3, 4, 0, 0, 0, 8})
 	hlr.readBytes(16) // ASP Active
 	hlr.Write([]byte{1, 0, 4, 3, 0, 0, 0, 8})
 	iam := func() byte { return hlr.readBytes(int(binary.BigEndian.Uint32(hlr.readBytes(8)[4:])) - 8)[26] }
-	caller := dial(t, p.listen)
+	caller := dial(t, process.listen)
 	caller.sendSetUp(1)
 	if kind := iam(); kind != 1 {
 		t.Fatalf("ISUP message type %d, want an IAM", kind)
 	}
-	p.writeConfig(p.channel, strings.Replace(testSettings, `[{"name":"voice"`, `[{"name":"video","effect":"free","gain":1,"objective-us":1000000,"hard-limit-us":3000000},{"name":"voice"`, 1))
-	p.cmd.Process.Signal(syscall.SIGHUP)
-	p.wantLog("configuration reloaded")
+	process.writeConfig(process.channel, strings.Replace(testSettings, `[{"name":"voice"`, `[{"name":"video","effect":"free","gain":1,"objective-us":1000000,"hard-limit-us":3000000},{"name":"voice"`, 1))
+	process.cmd.Process.Signal(syscall.SIGHUP)
+	process.wantLog("configuration reloaded")
 	caller.sendSetUpOfClass("video", 2)
-	caller.wantFrame(12, 2)
+	caller.wantCallerMessage(12, 2)
 	caller.sendSetUp(3)
 	if kind := iam(); kind != 1 {
 		t.Fatalf("ISUP message type %d, want another IAM", kind)
@@ -440,23 +440,23 @@
 // TestInvalidConfiguration checks that the program exits on an invalid configuration, with one line that names the field,
 // and on an invalid signalling file, with an error that names the field.
 func TestInvalidConfiguration(t *testing.T) {
-	good := `{"name":"n","listen":"127.0.0.1:0","seed":"1","limits":{"memory_mb":1,"sockets":99},"channel":"127.0.0.1:1","settings":` + testSettings + "}"
+	validConfig := `{"name":"n","listen":"127.0.0.1:0","seed":"1","limits":{"memory_mb":1,"sockets":99},"channel":"127.0.0.1:1","settings":` + testSettings + "}"
 	for field, text := range map[string]string{
 		"ROUTER_CONFIG":      `{"name":`,
-		"name":               strings.Replace(good, `"n"`, `""`, 1),
-		"listen":             strings.Replace(good, "127.0.0.1:0", "here", 1),
-		"seed":               strings.Replace(good, `"1"`, `"x"`, 1),
-		"limits.memory_mb":   strings.Replace(good, `"memory_mb":1`, `"memory_mb":0`, 1),
-		"limits.sockets":     strings.Replace(good, "99", "9", 1),
-		"channel":            strings.Replace(good, "127.0.0.1:1", "", 1),
-		"request-classes[0]": strings.Replace(good, `"voice"`, `""`, 1),
-		"columns[2]":         strings.Replace(good, `"cut_by"`, `"total"`, 1),
-		"tenants[1].share":   strings.Replace(good, `"limits":{"max`, `"tenants":[{"name":"a","share":0.7},{"name":"b","share":0.6}],"limits":{"max`, 1),
-		"known.cmds[0]":      strings.Replace(good, `"channel"`, `"known":{"cmds":[{"nodes":{"endpoints":[{"name":"s"}]}}]},"channel"`, 1),
+		"name":               strings.Replace(validConfig, `"n"`, `""`, 1),
+		"listen":             strings.Replace(validConfig, "127.0.0.1:0", "here", 1),
+		"seed":               strings.Replace(validConfig, `"1"`, `"x"`, 1),
+		"limits.memory_mb":   strings.Replace(validConfig, `"memory_mb":1`, `"memory_mb":0`, 1),
+		"limits.sockets":     strings.Replace(validConfig, "99", "9", 1),
+		"channel":            strings.Replace(validConfig, "127.0.0.1:1", "", 1),
+		"request-classes[0]": strings.Replace(validConfig, `"voice"`, `""`, 1),
+		"columns[2]":         strings.Replace(validConfig, `"cut_by"`, `"total"`, 1),
+		"tenants[1].share":   strings.Replace(validConfig, `"limits":{"max`, `"tenants":[{"name":"a","share":0.7},{"name":"b","share":0.6}],"limits":{"max`, 1),
+		"known.cmds[0]":      strings.Replace(validConfig, `"channel"`, `"known":{"cmds":[{"nodes":{"endpoints":[{"name":"s"}]}}]},"channel"`, 1),
 	} {
 		path := filepath.Join(t.TempDir(), "c.json")
 		os.WriteFile(path, []byte(text), 0o600)
-		out, err := command(path, "").CombinedOutput()
+		out, err := programCommand(path, "").CombinedOutput()
 		if err == nil || bytes.Count(out, []byte("\n")) != 1 || !bytes.Contains(out, []byte(field+":")) && !bytes.Contains(out, []byte(field+".")) {
 			t.Errorf("%s: %v, %s", field, err, out)
 		}
@@ -467,9 +467,9 @@
 		"m3ua.categories.x": "enabled = true\n[m3ua]\nlisten = \"127.0.0.1:0\"\npoint_code = 1\nheartbeat_ms = 1\ncircuits = 1\n[m3ua.categories]\nx = 1",
 	} {
 		dir := t.TempDir()
-		os.WriteFile(filepath.Join(dir, "c.json"), []byte(good), 0o600)
+		os.WriteFile(filepath.Join(dir, "c.json"), []byte(validConfig), 0o600)
 		os.WriteFile(filepath.Join(dir, "m.toml"), []byte(text), 0o600)
-		out, err := command(filepath.Join(dir, "c.json"), filepath.Join(dir, "m.toml")).CombinedOutput()
+		out, err := programCommand(filepath.Join(dir, "c.json"), filepath.Join(dir, "m.toml")).CombinedOutput()
 		if err == nil || !bytes.Contains(out, []byte(field+":")) {
 			t.Errorf("%s: %v, %s", field, err, out)
 		}
@@ -483,7 +483,7 @@
 	tierFields := `"peer_listen":"127.0.0.1:1","peers":["127.0.0.1:1","127.0.0.1:2"],`
 	permitted := strings.Replace(testSettings, `"max-open"`, `"peer-messages":true,"max-open"`, 1)
 	withIndex := strings.Replace(permitted, `{"request-classes"`, `{"me":1,"peers-total":2,"request-classes"`, 1)
-	for field, c := range map[string]struct{ members, tier, settings string }{
+	for field, tc := range map[string]struct{ members, tier, settings string }{
 		"period": {"enabled = true\nperiod = \"1ms\"", tierFields, withIndex},
 		"who":    {"who = 1", tierFields, withIndex},
 
@@ -499,9 +499,9 @@
 		dir := t.TempDir()
 		config, members := filepath.Join(dir, "c.json"), filepath.Join(dir, "members.toml")
 		os.WriteFile(config, []byte(`{"name":"n","listen":"127.0.0.1:0","seed":"1","limits":{"memory_mb":1,"sockets":99},"channel":"127.0.0.1:1",`+
-			c.tier+`"settings":`+c.settings+"}"), 0o600)
-		os.WriteFile(members, []byte(c.members), 0o600)
-		cmd := command(config, "")
+			tc.tier+`"settings":`+tc.settings+"}"), 0o600)
+		os.WriteFile(members, []byte(tc.members), 0o600)
+		cmd := programCommand(config, "")
 		cmd.Env = append(cmd.Env, "ELMSEAM_MEMBERS="+members)
 		out, err := cmd.CombinedOutput()
 		if err == nil || bytes.Count(out, []byte("\n")) != 1 || !bytes.Contains(out, []byte(field+":")) {
@@ -510,9 +510,9 @@
 	}
 	members := filepath.Join(t.TempDir(), "members.toml")
 	os.WriteFile(members, []byte("enabled = true"), 0o600)
-	p := newProgram(t)
-	p.launch("", "ELMSEAM_MEMBERS="+members)
-	p.wantResponse("/ops/members", 404, "membership is off")
+	process := newProgram(t)
+	process.launch("", "ELMSEAM_MEMBERS="+members)
+	process.wantResponse("/ops/members", 404, "membership is off")
 }
 
 // TestDeploymentWithoutPeerMessages runs a deployment with tenants and shares, load reports without a hold-back share, five
@@ -523,28 +523,28 @@
 		srv, channel := listen(t), listen(t)
 		var tierConns [2]*net.UDPConn
 		for i := range tierConns {
-			c, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
+			udpConn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 			if err != nil {
 				t.Fatal(err)
 			}
-			tierConns[i] = c
-			defer c.Close()
+			tierConns[i] = udpConn
+			defer udpConn.Close()
 		}
 		tierConns[0].Close() // the program opens this address itself
 		members := filepath.Join(t.TempDir(), "members.toml")
 		os.WriteFile(members, []byte("enabled = true"), 0o600)
-		p := newProgram(t)
+		process := newProgram(t)
 		text := strings.NewReplacer(`"total","cut_by"`, `"total","recent_ms"`, `"max-attempts":4`, `"max-attempts":5,"probes":true,"peer-messages":`+fmt.Sprint(permitted),
 			`{"request-classes"`, `{"me":0,"peers-total":2,"over-share-worth":0.1,"tenants":[{"name":"a","share":0.5,"allowance-per-s":9}],"request-classes"`).Replace(testSettings)
-		p.writeConfig(channel, text, endpoint("s", "in_service", srv))
-		config, _ := os.ReadFile(p.config)
+		process.writeConfig(channel, text, endpoint("s", "in_service", srv))
+		config, _ := os.ReadFile(process.config)
 		config = bytes.Replace(config, []byte(`{"name"`), fmt.Appendf(nil, `{"peer_listen":%q,"peers":[%[1]q,%q],"name"`, tierConns[0].LocalAddr(), tierConns[1].LocalAddr()), 1)
-		os.WriteFile(p.config, config, 0o600)
-		p.launch("", "ELMSEAM_MEMBERS="+members)
-		peer, caller := acceptServer(t, srv), dial(t, p.listen)
+		os.WriteFile(process.config, config, 0o600)
+		process.launch("", "ELMSEAM_MEMBERS="+members)
+		peer, caller := acceptServer(t, srv), dial(t, process.listen)
 		caller.sendSetUp(1)
 		fmt.Fprintf(peer, `{"op":"accept","call":%q,"with":{"load":"spare:9;total:9;recent_ms:4"},"desc":""}`+"\n", peer.wantLine(`"offer"`))
-		caller.wantFrame(9, 1)
+		caller.wantCallerMessage(9, 1)
 		tierConns[1].SetReadDeadline(time.Now().Add(testTimeout))
 		if permitted {
 			if _, err := tierConns[1].Read(make([]byte, 256)); err != nil {
@@ -552,12 +552,12 @@
 			}
 			continue
 		}
-		p.wantResponse("/ops/stats", 200, "app.probes.sent=0\n")
-		p.cmd.Process.Signal(syscall.SIGTERM)
-		p.wantLog("stopping")
+		process.wantResponse("/ops/stats", 200, "app.probes.sent=0\n")
+		process.cmd.Process.Signal(syscall.SIGTERM)
+		process.wantLog("stopping")
 		fmt.Fprintf(peer, `{"op":"end","call":"0000000000000001","with":{},"why":16}`+"\n")
-		caller.wantFrame(12, 1)
-		if err := p.cmd.Wait(); err != nil {
+		caller.wantCallerMessage(12, 1)
+		if err := process.cmd.Wait(); err != nil {
 			t.Errorf("the program exits with %v", err)
 		}
 		tierConns[1].SetReadDeadline(time.Now().Add(100 * time.Millisecond)) // a datagram sent before has arrived by now
@@ -580,7 +580,7 @@
 		"status-check = 10\n", "", "profile-read = 12\n", "").Replace(string(text))
 	file += fmt.Sprintf("[[bgp.peer]]\naddress = %q\nas = 64513\n", neighbour.Addr())
 	os.WriteFile(path, []byte(file), 0o600)
-	p := startProgram(t, path, endpoint("new", "in_service", serverListener))
+	process := startProgram(t, path, endpoint("new", "in_service", serverListener))
 	serverConn := acceptServer(t, serverListener)
 
 	peer := accept(t, neighbour)
@@ -600,14 +600,14 @@
 		t.Errorf("message type %d %x, want an announcement", kind, body)
 	}
 
-	client := dial(t, p.m3ua)
+	client := dial(t, process.m3ua)
 	client.Write([]byte{1, 0, 3, 1, 0, 0, 0, 8})
 	client.Write([]byte{1, 0, 4, 1, 0, 0, 0, 16, 0, 6, 0, 8, 0, 0, 0, 1})
 	// Protocol data from point 300 to 100, national: IAM on circuit 7, category 11, number 12.
 	client.Write([]byte{1, 0, 1, 1, 0, 0, 0, 44, 2, 0x10, 0, 33, 0, 0, 1, 44, 0, 0, 0, 100, 5, 2, 0, 7,
 		7, 0, 1, 0, 0x60, 1, 11, 0, 2, 0, 3, 3, 0x10, 0x21, 0, 0, 0, 0, 0, 0})
-	id := serverConn.wantLine(`"key":"12"`)
-	fmt.Fprintf(serverConn, `{"op":"accept","call":%q,"with":{},"desc":"x"}`+"\n", id)
+	callID := serverConn.wantLine(`"key":"12"`)
+	fmt.Fprintf(serverConn, `{"op":"accept","call":%q,"with":{},"desc":"x"}`+"\n", callID)
 	for {
 		b := client.readBytes(8)
 		rest := client.readBytes(int(binary.BigEndian.Uint32(b[4:])) - 8)
@@ -618,7 +618,7 @@
 			break
 		}
 	}
-	p.cmd.Process.Signal(syscall.SIGTERM)
+	process.cmd.Process.Signal(syscall.SIGTERM)
 	for kind, body = message(); kind == 4; kind, body = message() {
 	}
 	if kind != 2 || !bytes.Equal(body, []byte{0, 5, 32, 127, 0, 0, 1, 0, 0}) {
--- a/cmd/elmseam/ops_test.go
+++ b/cmd/elmseam/ops_test.go
@@ -46,73 +46,73 @@
 	p.Fatalf("%s: %s, want %d with %q", path, last, status, text)
 }
 
-// acceptsWork asks at the callers' address, by the callers' protocol, whether the program accepts set-ups.
-func (p *program) acceptsWork() bool {
+// acceptsSetUps asks at the callers' address, by the callers' protocol, whether the program accepts set-ups.
+func (p *program) acceptsSetUps() bool {
 	c := dial(p.T, p.listen)
 	defer c.Close()
 	c.Write([]byte{0, 13, 52, 0, 0, 0, 0, 0, 0, 0, 9, 58, 0, 1, 0})
-	return c.wantFrame(53, 9)[3] == 1
+	return c.wantCallerMessage(53, 9)[3] == 1
 }
 
 // TestAdminEndpoint checks the admin endpoint's readiness, statistics and drain. Silent connections must not delay other
 // requests, and malformed requests must be refused at once.
 func TestAdminEndpoint(t *testing.T) {
 	srv := listen(t)
-	p := startProgram(t, "")
-	p.wantResponse("/ops/readiness", 503, "no server")
-	channel := accept(t, p.channel)
+	process := startProgram(t, "")
+	process.wantResponse("/ops/readiness", 503, "no server")
+	channel := accept(t, process.channel)
 	channel.acceptEventStream()
 	channel.sendEvent(2, endpoint("s", "in_service", srv))
 	peer := acceptServer(t, srv)
-	p.wantResponse("/ops/readiness", 200, "")
+	process.wantResponse("/ops/readiness", 200, "")
 	for range 40 { // more than the admin endpoint accepts at once
-		dial(t, p.mgmt)
+		dial(t, process.mgmt)
 	}
 	for want, request := range map[int][2]string{404: {"GET", "/ops"}, 405: {"GET", "/ops/drain/start"}} {
-		if got, _ := p.request(request[0], request[1]); got != want {
+		if got, _ := process.request(request[0], request[1]); got != want {
 			t.Errorf("%v: %d, want %d", request, got, want)
 		}
 	}
 	for want, text := range map[string]string{" 400 ": "what?\r\n\r\n", " 431 ": "GET /ops/stats HTTP/1.1\r\nX: " + strings.Repeat("x", 9000)} {
-		c := dial(t, p.mgmt)
-		io.WriteString(c, text)
-		if l, err := c.r.ReadString('\n'); err != nil || !strings.Contains(l, want) {
-			t.Errorf("%q, %v, want%s", l, err, want)
+		client := dial(t, process.mgmt)
+		io.WriteString(client, text)
+		if statusLine, err := client.reader.ReadString('\n'); err != nil || !strings.Contains(statusLine, want) {
+			t.Errorf("%q, %v, want%s", statusLine, err, want)
 		}
 	}
 
-	caller, idle := dial(t, p.listen), dial(t, p.listen)
+	caller, idle := dial(t, process.listen), dial(t, process.listen)
 	caller.sendSetUp(1)
-	id := peer.wantLine(`"offer"`)
-	fmt.Fprintf(peer, `{"op":"accept","call":%q,"with":{},"desc":""}`+"\n", id)
-	caller.wantFrame(9, 1)
-	p.wantResponse("/ops/stats", 200, "app.transactions.voice.answered=1\n")
-	p.wantResponse("/ops/stats", 200, "app.sends=1\napp.current=1\napp.cluster_size=1\napp.cluster_unhealthy=0\n")
+	callID := peer.wantLine(`"offer"`)
+	fmt.Fprintf(peer, `{"op":"accept","call":%q,"with":{},"desc":""}`+"\n", callID)
+	caller.wantCallerMessage(9, 1)
+	process.wantResponse("/ops/stats", 200, "app.transactions.voice.answered=1\n")
+	process.wantResponse("/ops/stats", 200, "app.sends=1\napp.current=1\napp.cluster_size=1\napp.cluster_unhealthy=0\n")
 
 	for range 2 {
-		if got, text := p.request("POST", "/ops/drain/start"); got != 200 {
+		if got, text := process.request("POST", "/ops/drain/start"); got != 200 {
 			t.Fatalf("drain: %d %s", got, text)
 		}
-		if p.acceptsWork() {
+		if process.acceptsSetUps() {
 			t.Error("the program reports that it accepts work while drained")
 		}
 	}
-	p.wantResponse("/ops/readiness", 503, "drained")
-	if _, err := idle.r.ReadByte(); err != io.EOF { // closed in order, not reset
+	process.wantResponse("/ops/readiness", 503, "drained")
+	if _, err := idle.reader.ReadByte(); err != io.EOF { // closed in order, not reset
 		t.Errorf("the idle connection ends with %v, want EOF", err)
 	}
-	fmt.Fprintf(peer, `{"op":"end","call":%q,"with":{},"why":16}`+"\n", id)
-	caller.wantFrame(12, 1) // the established call is released on its own connection, which then closes
-	if _, err := caller.r.ReadByte(); err != io.EOF {
+	fmt.Fprintf(peer, `{"op":"end","call":%q,"with":{},"why":16}`+"\n", callID)
+	caller.wantCallerMessage(12, 1) // the established call is released on its own connection, which then closes
+	if _, err := caller.reader.ReadByte(); err != io.EOF {
 		t.Errorf("the connection of an established call ends with %v, want EOF", err)
 	}
-	p.request("POST", "/ops/drain/stop")
-	p.wantResponse("/ops/readiness", 200, "")
-	if !p.acceptsWork() {
+	process.request("POST", "/ops/drain/stop")
+	process.wantResponse("/ops/readiness", 200, "")
+	if !process.acceptsSetUps() {
 		t.Error("the program accepts no work after the drain")
 	}
-	p.cmd.Process.Signal(syscall.SIGTERM)
-	p.wantLog("stopping")
+	process.cmd.Process.Signal(syscall.SIGTERM)
+	process.wantLog("stopping")
 }
 
 // TestReloadInvalidConfiguration checks that an invalid configuration changes nothing, is counted, and is logged in a line
@@ -121,9 +121,9 @@
 // limit of its arrival is tested by TestReconfiguration of package core.
 func TestReloadInvalidConfiguration(t *testing.T) {
 	srv := listen(t)
-	p := startProgram(t, "", endpoint("s", "in_service", srv))
+	process := startProgram(t, "", endpoint("s", "in_service", srv))
 	peer := acceptServer(t, srv)
-	valid, err := os.ReadFile(p.config)
+	valid, err := os.ReadFile(process.config)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -134,54 +134,54 @@
 		strings.Replace(string(valid), `"max-attempts":4`, `"max-attempts":0`, 1):         "settings.limits.max-attempts",
 		strings.Replace(string(valid), `"max-attempts":4`, `"max-attempts":-1`, 1):        "settings.limits.max-attempts",
 	}
-	without := func(field string, path ...string) {
-		var top map[string]any
-		if err := json.Unmarshal(valid, &top); err != nil {
+	addWithoutKey := func(field string, path ...string) {
+		var topLevel map[string]any
+		if err := json.Unmarshal(valid, &topLevel); err != nil {
 			t.Fatal(err)
 		}
-		at := top
+		object := topLevel
 		for _, name := range path[:len(path)-1] {
-			if list, ok := at[name].([]any); ok {
-				at = list[0].(map[string]any)
+			if list, ok := object[name].([]any); ok {
+				object = list[0].(map[string]any)
 			} else {
-				at = at[name].(map[string]any)
+				object = object[name].(map[string]any)
 			}
 		}
-		delete(at, path[len(path)-1])
-		text, _ := json.Marshal(top)
+		delete(object, path[len(path)-1])
+		text, _ := json.Marshal(topLevel)
 		invalid[string(text)] = field
 	}
 	for _, key := range []string{"name", "listen", "seed", "limits", "channel", "known", "settings"} {
-		without(key, key)
+		addWithoutKey(key, key)
 	}
 	for _, key := range []string{"request-classes", "family-info", "limits", "load-report", "obligations"} {
-		without("settings."+key, "settings", key)
+		addWithoutKey("settings."+key, "settings", key)
 	}
-	without("settings.limits.max-attempts", "settings", "limits", "max-attempts")
+	addWithoutKey("settings.limits.max-attempts", "settings", "limits", "max-attempts")
 	count := 0
 	for text, field := range invalid {
-		os.WriteFile(p.config, []byte(text), 0o600)
-		p.cmd.Process.Signal(syscall.SIGHUP)
-		p.wantLog(field)
+		os.WriteFile(process.config, []byte(text), 0o600)
+		process.cmd.Process.Signal(syscall.SIGHUP)
+		process.wantLog(field)
 		count++
-		p.wantResponse("/ops/stats", 200, fmt.Sprintf("app.conf_loaded=0\napp.conf_invalid=%d\n", count))
+		process.wantResponse("/ops/stats", 200, fmt.Sprintf("app.conf_loaded=0\napp.conf_invalid=%d\n", count))
 	}
-	caller := dial(t, p.listen)
+	caller := dial(t, process.listen)
 	caller.sendSetUp(1)
-	id := peer.wantLine(`"offer"`)
-	next := strings.Replace(testSettings, `"max-attempts":4`, `"max-attempts":1`, 1)
-	p.writeConfig(p.channel, strings.Replace(next, `"name":"voice"`, `"name":"video"`, 1))
-	p.cmd.Process.Signal(syscall.SIGHUP)
-	p.wantResponse("/ops/stats", 200, "app.conf_loaded=1\n")
-	answer := func(id string, call uint64) {
-		fmt.Fprintf(peer, `{"op":"accept","call":%q,"with":{},"desc":""}`+"\n", id)
-		caller.wantFrame(9, call)
-	}
-	answer(id, 1)
+	callID := peer.wantLine(`"offer"`)
+	newSettings := strings.Replace(testSettings, `"max-attempts":4`, `"max-attempts":1`, 1)
+	process.writeConfig(process.channel, strings.Replace(newSettings, `"name":"voice"`, `"name":"video"`, 1))
+	process.cmd.Process.Signal(syscall.SIGHUP)
+	process.wantResponse("/ops/stats", 200, "app.conf_loaded=1\n")
+	answer := func(callID string, call uint64) {
+		fmt.Fprintf(peer, `{"op":"accept","call":%q,"with":{},"desc":""}`+"\n", callID)
+		caller.wantCallerMessage(9, call)
+	}
+	answer(callID, 1)
 	caller.sendSetUpOfClass("voice", 2)
-	caller.wantFrame(12, 2)
+	caller.wantCallerMessage(12, 2)
 	caller.sendSetUpOfClass("video", 3)
 	answer(peer.wantLine(`"video"`), 3)
-	p.wantResponse("/ops/stats", 200, "app.transactions.voice.answered=1\n")
-	p.wantResponse("/ops/stats", 200, "app.transactions.video.answered=1\n")
+	process.wantResponse("/ops/stats", 200, "app.transactions.voice.answered=1\n")
+	process.wantResponse("/ops/stats", 200, "app.transactions.video.answered=1\n")
 }
--- a/cmd/elmseam/upgrade.go
+++ b/cmd/elmseam/upgrade.go
@@ -23,22 +23,22 @@
 	loop                   *loop.Loop
 	platform               *platform.Platform
 	listener               net.Listener // for callers
-	memory                 *memoryShare
+	memoryLimiter          *memoryLimiter
 	log                    zerolog.Logger
 	sampledLog             zerolog.Logger // for lines logged once per connection
 
 	predecessor *handover.Peer // nil if there was no predecessor
 
-	mu                sync.Mutex                  // guards the fields below
-	successorListener *net.UnixListener           // where a successor connects
-	localConns        map[core.ConnID]core.ConnID // this process's connection ids by the predecessor's
-	successor         *handover.Peer              // nil if there is no successor; kept if it disconnects while transferring
-	listenerShared    bool                        // the successor has the callers' listener too, or is being sent it
-	listenerClosing   bool                        // the callers' listener is being closed
-	successorServing  bool                        // the successor serves callers
-	stopping          bool                        // a stop of this process was requested
-	transferring      bool                        // the transfer of callers' connections has begun; it is never reset
-	transferred       map[core.ConnID]bool        // callers' connections that the successor has; nil without a successor
+	mu                          sync.Mutex                  // guards the fields below
+	successorListener           *net.UnixListener           // where a successor connects
+	localConns                  map[core.ConnID]core.ConnID // this process's id of each connection taken over, by the predecessor's id
+	successor                   *handover.Peer              // nil if there is no successor; kept if it disconnects while transferring
+	listenerSharedWithSuccessor bool                        // the successor has the callers' listener too, or is being sent it
+	listenerClosing             bool                        // the callers' listener is being closed
+	successorServing            bool                        // the successor serves callers
+	stopping                    bool                        // a stop of this process was requested
+	transferring                bool                        // the transfer of callers' connections has begun; it is never reset
+	transferredConns            map[core.ConnID]bool        // callers' connections that the successor has; nil without a successor
 }
 
 // takeOver obtains the callers' listener from a running process that serves the address. It returns false if there is no
@@ -48,12 +48,12 @@
 	if addr, err := net.ResolveTCPAddr("tcp", listenAddr); err == nil {
 		listenAddr = addr.String()
 	}
-	predecessor, l, err := handover.RequestListener(u.socketPath, listenAddr, u.limits)
+	predecessor, listener, err := handover.RequestListener(u.socketPath, listenAddr, u.limits)
 	if err != nil {
 		u.log.Debug().Err(err).Msg("nothing to take over")
 		return false
 	}
-	u.predecessor, u.listener, u.localConns = predecessor, l, make(map[core.ConnID]core.ConnID)
+	u.predecessor, u.listener, u.localConns = predecessor, listener, make(map[core.ConnID]core.ConnID)
 	u.log.Info().Msg("taking over from a running process")
 	return true
 }
@@ -63,28 +63,28 @@
 	defer func() {
 		u.predecessor.Close()
 		u.loop.Post(core.Predecessor{})
-		u.memory.addProcesses(-1)
+		u.memoryLimiter.addProcesses(-1)
 		u.listenForSuccessor()
 		u.log.Info().Msg("predecessor disconnected")
 	}()
 	for {
-		m, file, err := u.predecessor.Receive()
+		msg, file, err := u.predecessor.Receive()
 		if err != nil {
 			return
 		}
-		switch m.Kind {
+		switch msg.Kind {
 		case handover.KindTransferring: // from now on, the next successor must find this process
 			u.listenForSuccessor()
 			u.loop.Post(core.Predecessor{Present: true, Transferring: true})
 		case handover.KindCallerConn:
-			u.adoptConn(m, file)
+			u.adoptConn(msg, file)
 		case handover.KindCallsEnded:
-			u.loop.Post(core.EndedCalls{IDs: m.IDs})
+			u.loop.Post(core.EndedCalls{IDs: msg.IDs})
 		case handover.KindEffect:
 			u.mu.Lock()
-			connID := u.localConns[m.Conn]
+			connID := u.localConns[msg.Conn]
 			u.mu.Unlock()
-			u.loop.Post(core.Relayed{Protocol: m.Protocol, Conn: connID, Effect: m.ToEffect()})
+			u.loop.Post(core.Relayed{Protocol: msg.Protocol, Conn: connID, Effect: msg.ToEffect()})
 		}
 	}
 }
@@ -117,23 +117,23 @@
 }
 
 // sendToPredecessor forwards an event about a call that this process does not know, and the predecessor may.
-func (u *upgrader) sendToPredecessor(e core.ToPredecessor) {
+func (u *upgrader) sendToPredecessor(request core.ToPredecessor) {
 	if u.predecessor == nil {
 		return
 	}
-	switch ev := e.Event.(type) {
+	switch event := request.Event.(type) {
 	case core.CallerEnd:
-		var from core.ConnID
+		var predecessorConn core.ConnID
 		u.mu.Lock()
-		for theirs, ours := range u.localConns {
-			if ours == ev.From {
-				from = theirs
+		for predecessorID, ownID := range u.localConns {
+			if ownID == event.From {
+				predecessorConn = predecessorID
 			}
 		}
 		u.mu.Unlock()
-		u.predecessor.Send(handover.Message{Kind: handover.KindCallerEnd, Conn: from, ID: ev.ID})
+		u.predecessor.Send(handover.Message{Kind: handover.KindCallerEnd, Conn: predecessorConn, ID: event.ID})
 	case core.ServerEnd:
-		u.predecessor.Send(handover.Message{Kind: handover.KindServerEnd, Server: ev.Server, ID: ev.ID, Reason: ev.Reason})
+		u.predecessor.Send(handover.Message{Kind: handover.KindServerEnd, Server: event.Server, ID: event.ID, Reason: event.Reason})
 	}
 }
 
@@ -184,21 +184,21 @@
 	case !ok:
 		refusal = "the listener can't be handed over"
 	default:
-		u.listenerShared = true
+		u.listenerSharedWithSuccessor = true
 	}
 	u.mu.Unlock()
 	successor, err := handover.AcceptSuccessor(conn, u.listenAddr, refusal, listener, u.limits)
 	if err != nil {
 		u.mu.Lock()
-		u.listenerShared = u.successor != nil
+		u.listenerSharedWithSuccessor = u.successor != nil
 		u.mu.Unlock()
 		u.log.Warn().Err(err).Msg("hand-over to a successor refused or failed")
 		return
 	}
 	u.log.Info().Msg("successor connected")
-	u.memory.addProcesses(1)
+	u.memoryLimiter.addProcesses(1)
 	u.mu.Lock()
-	u.successor, u.transferred = successor, make(map[core.ConnID]bool)
+	u.successor, u.transferredConns = successor, make(map[core.ConnID]bool)
 	u.mu.Unlock()
 	go u.followSuccessor(successor)
 }
@@ -206,14 +206,14 @@
 // followSuccessor handles the successor's messages until its connection ends.
 func (u *upgrader) followSuccessor(successor *handover.Peer) {
 	for {
-		m, file, err := successor.Receive()
+		msg, file, err := successor.Receive()
 		if file != nil {
 			file.Close()
 		}
 		if err != nil {
 			break
 		}
-		switch m.Kind {
+		switch msg.Kind {
 		case handover.KindServing:
 			u.mu.Lock()
 			u.successorServing = true
@@ -221,29 +221,29 @@
 			u.transferIfReady()
 		case handover.KindCallerDown:
 			u.mu.Lock()
-			delete(u.transferred, m.Conn)
+			delete(u.transferredConns, msg.Conn)
 			u.mu.Unlock()
-			u.loop.Post(core.CallerDown{Conn: m.Conn})
+			u.loop.Post(core.CallerDown{Conn: msg.Conn})
 		case handover.KindCallerEnd:
-			u.loop.Post(core.CallerEnd{ID: m.ID, From: m.Conn})
+			u.loop.Post(core.CallerEnd{ID: msg.ID, From: msg.Conn})
 		case handover.KindServerEnd:
-			u.loop.Post(core.ServerEnd{Server: m.Server, ID: m.ID, Reason: m.Reason})
+			u.loop.Post(core.ServerEnd{Server: msg.Server, ID: msg.ID, Reason: msg.Reason})
 		}
 	}
 	successor.Close()
 	u.mu.Lock()
-	transferred := u.transferred
-	u.transferred = nil
+	transferredConns := u.transferredConns
+	u.transferredConns = nil
 	if !u.transferring {
-		u.successor, u.successorServing, u.listenerShared = nil, false, false
+		u.successor, u.successorServing, u.listenerSharedWithSuccessor = nil, false, false
 		if u.stopping {
 			u.platform.MarkStopping()
 		}
 	}
 	u.mu.Unlock()
-	u.memory.addProcesses(-1)
+	u.memoryLimiter.addProcesses(-1)
 	u.log.Warn().Msg("successor disconnected")
-	for connID := range transferred {
+	for connID := range transferredConns {
 		u.loop.Post(core.CallerDown{Conn: connID})
 	}
 }
@@ -265,7 +265,7 @@
 func (u *upgrader) closeListener() {
 	u.mu.Lock()
 	u.listenerClosing = true
-	shared := u.listenerShared
+	shared := u.listenerSharedWithSuccessor
 	u.mu.Unlock()
 	if shared {
 		u.listener.Close()
@@ -278,8 +278,8 @@
 // requested.
 func (u *upgrader) transferIfReady() {
 	u.mu.Lock()
-	starts := u.successorServing && u.stopping && !u.transferring
-	if starts {
+	startsTransfer := u.successorServing && u.stopping && !u.transferring
+	if startsTransfer {
 		u.transferring = true
 		if u.successorListener != nil {
 			u.successorListener.Close()
@@ -289,7 +289,7 @@
 		u.successor.Send(handover.Message{Kind: handover.KindTransferring})
 	}
 	u.mu.Unlock() // the loop may need the mutex before it handles the event posted below
-	if !starts {
+	if !startsTransfer {
 		return
 	}
 	u.loop.Post(core.HandOver{})
@@ -307,9 +307,9 @@
 		return err
 	}
 	u.mu.Lock()
-	successorGone := u.transferred == nil
+	successorGone := u.transferredConns == nil
 	if !successorGone {
-		u.transferred[transfer.To] = true
+		u.transferredConns[transfer.To] = true
 	}
 	u.mu.Unlock()
 	if successorGone {
@@ -319,19 +319,20 @@
 	return nil
 }
 
-// ForwardEffect sends the successor an effect for a caller whose connection the successor has. A connection id of 0
-// stands for any of the successor's connections.
-func (u *upgrader) ForwardEffect(connID core.ConnID, e core.Effect) {
-	u.sendToSuccessor(platform.Protocol, connID, e)
+// ForwardEffect sends the successor an effect of this process's core, such as a release, for a caller whose connection the
+// successor has. A connection id of 0 stands for any of the successor's connections.
+func (u *upgrader) ForwardEffect(connID core.ConnID, effect core.Effect) {
+	u.sendToSuccessor(platform.Protocol, connID, effect)
 }
 
-// sendToSuccessor sends the successor an effect, if there is a successor and the effect has a message.
-func (u *upgrader) sendToSuccessor(protocol core.Protocol, connID core.ConnID, e core.Effect) {
+// sendToSuccessor sends the successor an effect of this process's core, if there is a successor and a hand-over message for
+// the effect.
+func (u *upgrader) sendToSuccessor(protocol core.Protocol, connID core.ConnID, effect core.Effect) {
 	u.mu.Lock()
 	successor := u.successor
 	u.mu.Unlock()
-	if m, ok := handover.FromEffect(protocol, connID, e); ok && successor != nil {
-		successor.Send(m)
+	if msg, ok := handover.FromEffect(protocol, connID, effect); ok && successor != nil {
+		successor.Send(msg)
 	}
 }
 
@@ -351,32 +352,32 @@
 	successor.Close()
 }
 
-// memoryShare sets this process's memory limit. During a hand-over, the configured limit is divided among the processes
+// memoryLimiter sets this process's memory limit. During a hand-over, the configured limit is divided among the processes
 // that run side by side.
-type memoryShare struct {
+type memoryLimiter struct {
 	mu             sync.Mutex // guards the fields below
 	limits         config.Limits
 	otherProcesses int // processes that run beside this one
 }
 
-// addProcesses adds n, which may be negative, to the number of processes that run beside this one.
-func (m *memoryShare) addProcesses(n int) {
+// addProcesses adds change, which may be negative, to the number of processes that run beside this one.
+func (m *memoryLimiter) addProcesses(change int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.otherProcesses += n
-	m.apply()
+	m.otherProcesses += change
+	m.applyLimits()
 }
 
 // setLimits applies the limits of a new configuration.
-func (m *memoryShare) setLimits(l config.Limits) {
+func (m *memoryLimiter) setLimits(limits config.Limits) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.limits = l
-	m.apply()
+	m.limits = limits
+	m.applyLimits()
 }
 
-// apply sets the garbage collector's limits to this process's share.
-func (m *memoryShare) apply() {
+// applyLimits sets the memory limit to this process's share, and the garbage collector's percentage to GCPercent.
+func (m *memoryLimiter) applyLimits() {
 	debug.SetMemoryLimit(m.limits.MemoryLimit / int64(1+m.otherProcesses))
 	debug.SetGCPercent(m.limits.GCPercent)
 }
--- a/cmd/elmseam/upgrade_test.go
+++ b/cmd/elmseam/upgrade_test.go
@@ -44,16 +44,16 @@
 	predecessor := startUpgradable(t, dir, endpoint("s", "in_service", srv))
 	peer := acceptServer(t, srv)
 	caller, partial := dial(t, predecessor.listen), dial(t, predecessor.listen)
-	answer := func(peer *conn, id string) {
-		fmt.Fprintf(peer, `{"op":"accept","call":%q,"with":{},"desc":"x"}`+"\n", id)
+	answer := func(peer *conn, callID string) {
+		fmt.Fprintf(peer, `{"op":"accept","call":%q,"with":{},"desc":"x"}`+"\n", callID)
 	}
 	for call := uint64(1); call <= 2; call++ {
 		caller.sendSetUp(call)
 		answer(peer, peer.wantLine(`"offer"`))
-		caller.wantFrame(9, call)
+		caller.wantCallerMessage(9, call)
 	}
 	caller.sendSetUp(3)
-	open := peer.wantLine(`"offer"`)
+	openCallID := peer.wantLine(`"offer"`)
 	setUp := setUpMessage("voice", 4)
 	partial.Write(setUp[:20])
 
@@ -61,23 +61,23 @@
 	successorPeer := acceptServer(t, srv)
 	predecessor.cmd.Process.Signal(syscall.SIGTERM)
 	successor.wantConnsTakenOver(2)
-	answer(peer, open)
-	caller.wantFrame(9, 3)
+	answer(peer, openCallID)
+	caller.wantCallerMessage(9, 3)
 	partial.Write(setUp[20:])
 	answer(successorPeer, successorPeer.wantLine(`"offer"`))
-	partial.wantFrame(9, 4)
+	partial.wantCallerMessage(9, 4)
 	fmt.Fprintf(peer, `{"op":"end","call":"%016x","with":{},"why":16}`+"\n", 1)
-	caller.wantFrame(12, 1)
+	caller.wantCallerMessage(12, 1)
 	predecessor.cmd.Process.Kill()
 	successor.wantLog("predecessor disconnected")
 	fmt.Fprintf(successorPeer, `{"op":"end","call":"%016x","with":{},"why":16}`+"\n", 2)
-	caller.wantFrame(12, 2)
+	caller.wantCallerMessage(12, 2)
 
 	third := successor.startSuccessor(dir)
 	successor.cmd.Process.Signal(syscall.SIGTERM)
 	third.wantConnsTakenOver(2)
 	fmt.Fprintf(successorPeer, `{"op":"end","call":"%016x","with":{},"why":16}`+"\n", 4)
-	partial.wantFrame(12, 4)
+	partial.wantCallerMessage(12, 4)
 	if err := successor.cmd.Wait(); err != nil { // no call remains
 		t.Errorf("the predecessor exits with %v", err)
 	}
@@ -111,7 +111,7 @@
 	predecessor.cmd.Process.Signal(syscall.SIGTERM)
 	successor.wantConnsTakenOver(1)
 	predecessor.cmd.Process.Kill()
-	if b := caller.wantFrame(12, 1); b[3] != 41 {
+	if b := caller.wantCallerMessage(12, 1); b[3] != 41 {
 		t.Errorf("release %x, want cause 41, as the server may have answered the call", b)
 	}
 }
@@ -140,7 +140,7 @@
 	t.Cleanup(func() { listener.Close() })
 	peer := acceptServer(t, listener)
 	fmt.Fprintf(peer, `{"op":"accept","call":%q,"with":{},"desc":"x"}`+"\n", peer.wantLine(`"offer"`))
-	caller.wantFrame(9, 1)
+	caller.wantCallerMessage(9, 1)
 }
 
 // TestUpgradeRefused checks that the program refuses a hand-over to a process of another protocol version or another
@@ -155,21 +155,21 @@
 		fmt.Sprintf(`{"kind":"hello","listen":%q}`, predecessor.listen):   "version",
 		`{"kind":"hello","version":1,"listen":"` + predecessor.listen[:3]: "",
 	} {
-		c, err := net.Dial("unixpacket", filepath.Join(dir, "elmseam-n1.sock"))
+		client, err := net.Dial("unixpacket", filepath.Join(dir, "elmseam-n1.sock"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.Write([]byte(hello))
-		b := make([]byte, 1000)
-		if n, _ := c.Read(b); want != "" && !strings.Contains(string(b[:n]), want) {
-			t.Errorf("%s: %s, want %s", hello, b[:n], want)
+		client.Write([]byte(hello))
+		response := make([]byte, 1000)
+		if n, _ := client.Read(response); want != "" && !strings.Contains(string(response[:n]), want) {
+			t.Errorf("%s: %s, want %s", hello, response[:n], want)
 		}
-		c.Close()
+		client.Close()
 	}
 	other := newProgram(t, endpoint("s", "in_service", srv))
 	other.launch("", "TMPDIR="+filepath.Join(dir, "none"))
 	other.wantResponse("/ops/readiness", 200, "")
-	if !predecessor.acceptsWork() || !other.acceptsWork() {
+	if !predecessor.acceptsSetUps() || !other.acceptsSetUps() {
 		t.Error("one of the two processes does not accept work")
 	}
 }
@@ -181,38 +181,38 @@
 	dir, srv := t.TempDir(), listen(t)
 	go func() { // a server that answers at once and releases the call 20 ms later
 		for {
-			c, err := srv.Accept()
+			serverConn, err := srv.Accept()
 			if err != nil {
 				return
 			}
 			go func() {
-				defer c.Close()
+				defer serverConn.Close()
 				var mu sync.Mutex
 				respond := func(format string, id string) {
 					mu.Lock()
 					defer mu.Unlock()
-					fmt.Fprintf(c, format+"\n", id)
+					fmt.Fprintf(serverConn, format+"\n", id)
 				}
-				for lines := bufio.NewScanner(c); lines.Scan(); {
-					var l struct{ Op, Call string }
-					if json.Unmarshal(lines.Bytes(), &l); l.Op == "offer" {
-						respond(`{"op":"accept","call":%q,"with":{},"desc":"x"}`, l.Call)
-						time.AfterFunc(20*time.Millisecond, func() { respond(`{"op":"end","call":%q,"with":{},"why":16}`, l.Call) })
+				for lines := bufio.NewScanner(serverConn); lines.Scan(); {
+					var message struct{ Op, Call string }
+					if json.Unmarshal(lines.Bytes(), &message); message.Op == "offer" {
+						respond(`{"op":"accept","call":%q,"with":{},"desc":"x"}`, message.Call)
+						time.AfterFunc(20*time.Millisecond, func() { respond(`{"op":"end","call":%q,"with":{},"why":16}`, message.Call) })
 					}
 				}
 			}()
 		}
 	}()
-	p := startUpgradable(t, dir, endpoint("s", "in_service", srv))
-	p.wantResponse("/ops/readiness", 200, "")
+	process := startUpgradable(t, dir, endpoint("s", "in_service", srv))
+	process.wantResponse("/ops/readiness", 200, "")
 	const callers = 8
 	var requested, established atomic.Int64
-	stop := make(chan struct{})
+	stopCalls := make(chan struct{})
 	var callerLoops sync.WaitGroup
 	for n := range callers {
-		c := dial(t, p.listen)
+		callerConn := dial(t, process.listen)
 		callerLoops.Go(func() {
-			if err := makeCalls(c, uint64(n+1)<<32, stop, &requested, &established); err != nil {
+			if err := makeCalls(callerConn, uint64(n+1)<<32, stopCalls, &requested, &established); err != nil {
 				t.Errorf("caller %d: %v", n, err)
 			}
 		})
@@ -221,66 +221,66 @@
 		for from := requested.Load(); requested.Load() < from+50; {
 			time.Sleep(time.Millisecond)
 		}
-		successor := p.startSuccessor(dir)
-		p.cmd.Process.Signal(syscall.SIGTERM)
-		if err := p.cmd.Wait(); err != nil {
+		successor := process.startSuccessor(dir)
+		process.cmd.Process.Signal(syscall.SIGTERM)
+		if err := process.cmd.Wait(); err != nil {
 			t.Errorf("the predecessor exits with %v", err)
 		}
-		p = successor
+		process = successor
 	}
-	close(stop)
+	close(stopCalls)
 	callerLoops.Wait()
 	if requested.Load() < 150 || established.Load() < requested.Load()/2 {
 		t.Errorf("%d set-ups, %d established: too few for a meaningful test", requested.Load(), established.Load())
 	}
 }
 
-// makeCalls makes one call after the other, writing each set-up in two parts, and checks the answers and releases. After
-// stop is closed, it waits for the release of the open calls.
-func makeCalls(c *conn, id uint64, stop chan struct{}, requested, established *atomic.Int64) error {
-	read := func() (kind byte, call uint64, err error) {
+// makeCalls makes one call after the other, with ids above callID, writing each set-up in two parts, and checks the answers
+// and releases. After stop is closed, it waits for the release of the open calls.
+func makeCalls(caller *conn, callID uint64, stop chan struct{}, requested, established *atomic.Int64) error {
+	readMessage := func() (kind byte, call uint64, err error) {
 		var head [2]byte
-		if _, err := io.ReadFull(c.r, head[:]); err != nil {
+		if _, err := io.ReadFull(caller.reader, head[:]); err != nil {
 			return 0, 0, err
 		}
-		b := make([]byte, binary.BigEndian.Uint16(head[:]))
-		if _, err := io.ReadFull(c.r, b); err != nil {
+		message := make([]byte, binary.BigEndian.Uint16(head[:]))
+		if _, err := io.ReadFull(caller.reader, message); err != nil {
 			return 0, 0, err
 		}
-		return b[0], binary.BigEndian.Uint64(b[1:]), nil
+		return message[0], binary.BigEndian.Uint64(message[1:]), nil
 	}
-	open := make(map[uint64]bool)
-	for done := false; !done || len(open) > 0; {
-		if !done {
-			id++
-			message := setUpMessage("voice", id)
-			c.Write(message[:len(message)/2])
-			time.Sleep(time.Duration(id%3) * time.Millisecond)
-			c.Write(message[len(message)/2:])
+	openCalls := make(map[uint64]bool)
+	for stopped := false; !stopped || len(openCalls) > 0; {
+		if !stopped {
+			callID++
+			setUp := setUpMessage("voice", callID)
+			caller.Write(setUp[:len(setUp)/2])
+			time.Sleep(time.Duration(callID%3) * time.Millisecond)
+			caller.Write(setUp[len(setUp)/2:])
 			requested.Add(1)
 		}
-		for answered := done; ; {
-			kind, call, err := read()
+		for answered := stopped; ; {
+			kind, call, err := readMessage()
 			switch {
 			case err != nil:
 				return err
-			case call == id && !answered && kind == 9:
-				answered, open[call] = true, true
+			case call == callID && !answered && kind == 9:
+				answered, openCalls[call] = true, true
 				established.Add(1)
-			case call == id && !answered && kind == 12:
+			case call == callID && !answered && kind == 12:
 				answered = true
-			case kind == 12 && open[call]:
-				delete(open, call)
+			case kind == 12 && openCalls[call]:
+				delete(openCalls, call)
 			default:
 				return fmt.Errorf("unexpected message of type %d for call %x", kind, call)
 			}
-			if answered && (!done || len(open) == 0) {
+			if answered && (!stopped || len(openCalls) == 0) {
 				break
 			}
 		}
 		select {
 		case <-stop:
-			done = true
+			stopped = true
 		default:
 		}
 	}
--- a/cmd/elmseamctl/check.go
+++ b/cmd/elmseamctl/check.go
@@ -38,7 +38,7 @@
 			if err != nil {
 				return err
 			}
-			return printReport(cmd.OutOrStdout(), cfg, result, tracePath)
+			return printExploration(cmd.OutOrStdout(), cfg, result, tracePath)
 		},
 	}
 	flags := cmd.Flags()
@@ -68,8 +68,8 @@
 	return cmd
 }
 
-// printReport prints the result of an exploration and writes the counterexample, if any.
-func printReport(out io.Writer, cfg explore.Config, result *explore.Report, tracePath string) error {
+// printExploration prints the result of an exploration and writes the counterexample, if any.
+func printExploration(out io.Writer, cfg explore.Config, result *explore.Report, tracePath string) error {
 	fmt.Fprintf(out, "%s: %d servers, %d calls, %d attempts, %d faults, %d pauses: %d states, %d steps, %d terminal states, %v, %d MiB\n",
 		cfg.Model, cfg.Servers, cfg.Calls, cfg.Attempts, cfg.Faults, cfg.Pauses, result.States, result.Steps,
 		result.TerminalStates, result.Elapsed.Round(time.Millisecond), result.Memory>>20)
@@ -122,10 +122,10 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
-	step := 0
+	stepNumber := 0
 	violation, err := trace.Replay(trace.Config, func(action explore.Action, at time.Duration) {
-		step++
-		fmt.Fprintf(out, "%3d %8v  %s\n", step, at, action)
+		stepNumber++
+		fmt.Fprintf(out, "%3d %8v  %s\n", stepNumber, at, action)
 	})
 	switch {
 	case err != nil:
--- a/cmd/elmseamctl/lab.go
+++ b/cmd/elmseamctl/lab.go
@@ -26,19 +26,19 @@
 // labCommand returns the command "lab" with its subcommands "run" and "tier".
 func labCommand() *cobra.Command {
 	cmd := &cobra.Command{Use: "lab", Short: "Runs several softswitches with stand-ins for their callers and servers, and injects faults"}
-	var binary, out string
-	run := &cobra.Command{
+	var binaryPath, outDir string
+	runCommand := &cobra.Command{
 		Use:   "run SCENARIO",
 		Short: "Runs a scenario file against processes of the softswitch, and checks invariants on what is visible from outside",
 		Args:  cobra.ExactArgs(1),
-		RunE: func(c *cobra.Command, args []string) error {
+		RunE: func(command *cobra.Command, args []string) error {
 			scenario, err := lab.ReadScenario(args[0])
 			if err != nil {
 				fmt.Fprintln(os.Stderr, "elmseamctl:", err)
 				return exitCode(labExitInvalid)
 			}
-			if out == "" {
-				out = filepath.Join(os.TempDir(), "elmseam-lab-"+scenario.Name)
+			if outDir == "" {
+				outDir = filepath.Join(os.TempDir(), "elmseam-lab-"+scenario.Name)
 			}
 			log := zerolog.New(os.Stderr).With().Timestamp().Str("scenario", scenario.Name).Logger()
 			interrupted := make(chan os.Signal, 1)
@@ -50,7 +50,7 @@
 					close(stop)
 				}
 			}()
-			result, err := lab.Run(scenario, lab.Options{Binary: binary, OutDir: out, Log: log, Stop: stop})
+			result, err := lab.Run(scenario, lab.Options{Binary: binaryPath, OutDir: outDir, Log: log, Stop: stop})
 			if errors.Is(err, lab.ErrLab) {
 				fmt.Fprintln(os.Stderr, "elmseamctl:", err)
 				return exitCode(labExitFailed)
@@ -60,28 +60,28 @@
 				return exitCode(labExitInvalid)
 			}
 			text, _ := json.MarshalIndent(result, "", "  ")
-			if err := errors.Join(os.WriteFile(filepath.Join(out, "verdict.json"), text, 0o644),
-				result.WriteTable(filepath.Join(out, "seconds.csv")),
-				result.WritePlots(filepath.Join(out, "load.png"), filepath.Join(out, "answers.png"))); err != nil {
+			if err := errors.Join(os.WriteFile(filepath.Join(outDir, "verdict.json"), text, 0o644),
+				result.WriteTable(filepath.Join(outDir, "seconds.csv")),
+				result.WritePlots(filepath.Join(outDir, "load.png"), filepath.Join(outDir, "answers.png"))); err != nil {
 				fmt.Fprintln(os.Stderr, "elmseamctl:", err)
 				return exitCode(labExitFailed)
 			}
-			printVerdict(c, result, out)
+			printVerdict(command, result, outDir)
 			if !result.Passed {
 				return exitCode(labExitViolation)
 			}
 			return nil
 		},
 	}
-	run.Flags().StringVar(&binary, "binary", "bin/elmseam", "path of the softswitch program")
-	run.Flags().StringVar(&out, "out", "",
+	runCommand.Flags().StringVar(&binaryPath, "binary", "bin/elmseam", "path of the softswitch program")
+	runCommand.Flags().StringVar(&outDir, "out", "",
 		"directory for the table, the verdict and the softswitches' logs (default: in the temporary directory)")
-	cmd.AddCommand(run, tierCommand())
+	cmd.AddCommand(runCommand, tierCommand())
 	return cmd
 }
 
 // printVerdict prints the counts, the violated invariants and the verdict of a lab run.
-func printVerdict(cmd *cobra.Command, result *lab.Result, out string) {
+func printVerdict(cmd *cobra.Command, result *lab.Result, outDir string) {
 	output := cmd.OutOrStdout()
 	fmt.Fprintf(output,
 		"%s: offered %d, served %d, refused %d, lost %d, excused %d, unsent %d; max. lag of the lab %v, %d time spans not checked\n",
@@ -94,5 +94,5 @@
 	if !result.Passed {
 		verdict = "broken"
 	}
-	fmt.Fprintf(output, "%s; table and logs in %s\n", verdict, out)
+	fmt.Fprintf(output, "%s; table and logs in %s\n", verdict, outDir)
 }
--- a/cmd/elmseamctl/maintenance.go
+++ b/cmd/elmseamctl/maintenance.go
@@ -27,14 +27,14 @@
 is off there, or the command is invalid.`,
 	}
 	cmd.PersistentFlags().DurationVar(&timeout, "wait", 2*time.Second, "time to wait for the admin endpoint's answer")
-	newOrderCommand := func(use, short, method string) *cobra.Command {
-		return &cobra.Command{Use: use, Short: short, Args: cobra.MinimumNArgs(2), RunE: func(c *cobra.Command, args []string) error {
+	newRequestCommand := func(use, short, method string) *cobra.Command {
+		return &cobra.Command{Use: use, Short: short, Args: cobra.MinimumNArgs(2), RunE: func(command *cobra.Command, args []string) error {
 			status, text, err := requestMaintenance(method, args[0], args[1:], timeout)
 			switch {
 			case err != nil:
 				return err
 			case status == http.StatusServiceUnavailable:
-				fmt.Fprint(c.OutOrStdout(), text)
+				fmt.Fprint(command.OutOrStdout(), text)
 				return exitCode(exitViolation)
 			case status != http.StatusAccepted:
 				return fmt.Errorf("%s: %d: %s", args[0], status, strings.TrimSpace(text))
@@ -43,12 +43,12 @@
 		}}
 	}
 	cmd.AddCommand(
-		newOrderCommand("request ADDRESS MEMBER...", "Requests maintenance of members, given by name, peer address or index", http.MethodPost),
-		newOrderCommand("cancel ADDRESS MEMBER...",
+		newRequestCommand("request ADDRESS MEMBER...", "Requests maintenance of members, given by name, peer address or index", http.MethodPost),
+		newRequestCommand("cancel ADDRESS MEMBER...",
 			"Withdraws requests; for a member that is ready for work, reports that the work is done", http.MethodDelete),
 		&cobra.Command{Use: "status ADDRESS",
 			Short: "Shows the waiting requests, and the members that are out for maintenance", Args: cobra.ExactArgs(1),
-			RunE: func(c *cobra.Command, args []string) error {
+			RunE: func(command *cobra.Command, args []string) error {
 				status, text, err := requestMaintenance(http.MethodGet, args[0], nil, timeout)
 				if err != nil {
 					return err
@@ -57,7 +57,7 @@
 				if status != http.StatusOK || json.Unmarshal([]byte(text), &maintenanceStatus) != nil {
 					return fmt.Errorf("%s: %d: %.80s", args[0], status, strings.TrimSpace(text))
 				}
-				printMaintenance(c.OutOrStdout(), maintenanceStatus)
+				printMaintenance(command.OutOrStdout(), maintenanceStatus)
 				return nil
 			}})
 	return cmd
@@ -65,7 +65,7 @@
 
 // requestMaintenance sends a maintenance request for the given members to the admin endpoint at address.
 func requestMaintenance(method, address string, members []string, timeout time.Duration) (status int, text string, err error) {
-	return adminRequest(method, address, "/ops/maintenance?"+url.Values{"member": members}.Encode(), timeout)
+	return sendAdminRequest(method, address, "/ops/maintenance?"+url.Values{"member": members}.Encode(), timeout)
 }
 
 // printMaintenance prints the granted, waiting and ended requests, in this order.
@@ -79,9 +79,9 @@
 		}
 	}
 	table.Flush()
-	note := ""
+	recoveryNote := ""
 	if !status.Recovered {
-		note = "; NEWLY STARTED: accepts no requests and votes on no grants yet"
+		recoveryNote = "; NEWLY STARTED: accepts no requests and votes on no grants yet"
 	}
-	fmt.Fprintf(out, "%d members out for maintenance, at most %d allowed%s\n", len(status.Granted), status.Budget, note)
+	fmt.Fprintf(out, "%d members out for maintenance, at most %d allowed%s\n", len(status.Granted), status.Budget, recoveryNote)
 }
--- a/cmd/elmseamctl/members.go
+++ b/cmd/elmseamctl/members.go
@@ -42,7 +42,7 @@
 
 // fetchTierStatus fetches /ops/members from the admin endpoint at address.
 func fetchTierStatus(address string, timeout time.Duration) (tier mgmt.TierStatus, err error) {
-	status, text, err := adminRequest(http.MethodGet, address, "/ops/members", timeout)
+	status, text, err := sendAdminRequest(http.MethodGet, address, "/ops/members", timeout)
 	if err != nil {
 		return tier, err
 	}
@@ -55,8 +55,8 @@
 	return tier, nil
 }
 
-// adminRequest sends a request to the admin endpoint at address. It reads at most 1 MiB of the answer.
-func adminRequest(method, address, path string, timeout time.Duration) (status int, text string, err error) {
+// sendAdminRequest sends a request to the admin endpoint at address. It reads at most 1 MiB of the answer.
+func sendAdminRequest(method, address, path string, timeout time.Duration) (status int, text string, err error) {
 	req, err := http.NewRequest(method, "http://"+address+path, nil)
 	if err != nil {
 		return 0, "", err
@@ -96,6 +96,6 @@
 }
 
 // formatMS formats a number of milliseconds as a duration, rounded to 100 ms.
-func formatMS(n int64) string {
-	return (time.Duration(n) * time.Millisecond).Round(100 * time.Millisecond).String()
+func formatMS(milliseconds int64) string {
+	return (time.Duration(milliseconds) * time.Millisecond).Round(100 * time.Millisecond).String()
 }
--- a/cmd/elmseamctl/servers.go
+++ b/cmd/elmseamctl/servers.go
@@ -27,7 +27,7 @@
 from the admin endpoint, or knowledge and parts are both off there.`,
 		Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			status, text, err := adminRequest(http.MethodGet, args[0], "/ops/servers", timeout)
+			status, text, err := sendAdminRequest(http.MethodGet, args[0], "/ops/servers", timeout)
 			if err != nil {
 				return err
 			}
--- a/cmd/elmseamctl/tier.go
+++ b/cmd/elmseamctl/tier.go
@@ -19,7 +19,7 @@
 
 // tierCommand returns the command "lab tier", which measures membership in a discrete-event simulation.
 func tierCommand() *cobra.Command {
-	var out string
+	var plotDir string
 	var sizes []int
 	var runs int
 	cmd := &cobra.Command{
@@ -30,14 +30,14 @@
 			if runs < 1 || runs > 100 || len(sizes) == 0 || slices.Min(sizes) < 3 || slices.Max(sizes) > 2000 {
 				return errors.New("plays: 1 to 100; sizes: 3 to 2000")
 			}
-			w := cmd.OutOrStdout()
-			if err := reportScaling(w, sizes, runs, out); err != nil {
+			output := cmd.OutOrStdout()
+			if err := reportScaling(output, sizes, runs, plotDir); err != nil {
 				return err
 			}
-			return errors.Join(reportFalseDeaths(w, runs), reportKnowledge(w, runs))
+			return errors.Join(reportFalseDeaths(output, runs), reportKnowledge(output, runs))
 		},
 	}
-	cmd.Flags().StringVar(&out, "out", ".", "directory for the plots")
+	cmd.Flags().StringVar(&plotDir, "out", ".", "directory for the plots")
 	cmd.Flags().IntSliceVar(&sizes, "sizes", []int{10, 100, 1000}, "numbers of members")
 	cmd.Flags().IntVar(&runs, "plays", 5, "runs of each experiment, each with a different seed")
 	return cmd
@@ -46,15 +46,15 @@
 // runExperiments runs an experiment several times with the seeds 1, 2, ..., in parallel on all processors.
 func runExperiments(experiment swarm.Experiment, runs int) ([]swarm.Outcome, error) {
 	results, errs := make([]swarm.Outcome, runs), make([]error, runs)
-	slots := make(chan struct{}, runtime.GOMAXPROCS(0))
+	processorSlots := make(chan struct{}, runtime.GOMAXPROCS(0))
 	var wg sync.WaitGroup
 	for i := range runs {
 		seeded := experiment
 		seeded.Seed = uint64(i + 1)
 		wg.Go(func() {
-			slots <- struct{}{}
+			processorSlots <- struct{}{}
 			results[i], errs[i] = seeded.Run()
-			<-slots
+			<-processorSlots
 		})
 	}
 	wg.Wait()
@@ -76,94 +76,94 @@
 
 // reportScaling measures how the detection time and the load grow with the size of the tier, and writes a table to w
 // and plots to outDir.
-func reportScaling(w io.Writer, sizes []int, runs int, outDir string) error {
+func reportScaling(output io.Writer, sizes []int, runs int, outDir string) error {
 	limits := membership.Defaults()
-	fmt.Fprintf(w, "Medians of %d runs; times after a kill in protocol periods of %v.\n\n", runs, limits.Period)
-	fmt.Fprintln(w,
+	fmt.Fprintf(output, "Medians of %d runs; times after a kill in protocol periods of %v.\n\n", runs, limits.Period)
+	fmt.Fprintln(output,
 		"| members | loss | datagrams per member and s | bytes per member and s | first suspicion | first considers it dead | all consider it dead | all consider it dead, max. of the runs (-1: not in every run) |")
-	fmt.Fprintln(w, "| --- | --- | --- | --- | --- | --- | --- | --- |")
-	detection, load := map[string][][2]float64{}, map[string][][2]float64{}
-	var names []string
+	fmt.Fprintln(output, "| --- | --- | --- | --- | --- | --- | --- | --- |")
+	detectionTimes, byteRates := map[string][][2]float64{}, map[string][][2]float64{}
+	var lossNames []string
 	for _, loss := range []float64{0, 0.1, 0.3} {
-		name := fmt.Sprintf("%.0f %% lost", 100*loss)
-		names = append(names, name)
+		lossName := fmt.Sprintf("%.0f %% lost", 100*loss)
+		lossNames = append(lossNames, lossName)
 		for _, size := range sizes {
 			results, err := runExperiments(swarm.Experiment{Members: size, Limits: limits, Loss: loss, MaxDelay: maxDatagramDelay,
 				WarmUp: 30 * time.Second, MeasureDuration: 20 * time.Second, Kill: true}, runs)
 			if err != nil {
 				return err
 			}
-			periods := func(d time.Duration) float64 { return float64(d) / float64(limits.Period) }
-			worst := 0.0
+			inPeriods := func(d time.Duration) float64 { return float64(d) / float64(limits.Period) }
+			maxAllDead := 0.0
 			for _, outcome := range results {
 				if outcome.AllDead < 0 {
-					worst = -1
+					maxAllDead = -1
 					break
 				}
-				worst = max(worst, periods(outcome.AllDead))
+				maxAllDead = max(maxAllDead, inPeriods(outcome.AllDead))
 			}
-			allDead := median(results, func(outcome swarm.Outcome) float64 { return periods(outcome.AllDead) })
-			bytes := median(results, func(outcome swarm.Outcome) float64 { return outcome.ByteRate })
-			fmt.Fprintf(w, "| %d | %.0f %% | %.1f | %.0f | %.1f | %.1f | %.1f | %.1f |\n", size, 100*loss,
-				median(results, func(outcome swarm.Outcome) float64 { return outcome.DatagramRate }), bytes,
-				median(results, func(outcome swarm.Outcome) float64 { return periods(outcome.FirstSuspected) }),
-				median(results, func(outcome swarm.Outcome) float64 { return periods(outcome.FirstDead) }), allDead, worst)
-			detection[name] = append(detection[name], [2]float64{float64(size), allDead})
-			load[name] = append(load[name], [2]float64{float64(size), bytes})
+			allDead := median(results, func(outcome swarm.Outcome) float64 { return inPeriods(outcome.AllDead) })
+			byteRate := median(results, func(outcome swarm.Outcome) float64 { return outcome.ByteRate })
+			fmt.Fprintf(output, "| %d | %.0f %% | %.1f | %.0f | %.1f | %.1f | %.1f | %.1f |\n", size, 100*loss,
+				median(results, func(outcome swarm.Outcome) float64 { return outcome.DatagramRate }), byteRate,
+				median(results, func(outcome swarm.Outcome) float64 { return inPeriods(outcome.FirstSuspected) }),
+				median(results, func(outcome swarm.Outcome) float64 { return inPeriods(outcome.FirstDead) }), allDead, maxAllDead)
+			detectionTimes[lossName] = append(detectionTimes[lossName], [2]float64{float64(size), allDead})
+			byteRates[lossName] = append(byteRates[lossName], [2]float64{float64(size), byteRate})
 		}
 	}
 	return errors.Join(
 		lab.PlotGrowth(filepath.Join(outDir, "tier-detection.png"), "time from a kill until all consider the member dead",
-			"protocol periods", names, detection),
-		lab.PlotGrowth(filepath.Join(outDir, "tier-load.png"), "load sent by a member", "bytes per second", names, load))
+			"protocol periods", lossNames, detectionTimes),
+		lab.PlotGrowth(filepath.Join(outDir, "tier-load.png"), "load sent by a member", "bytes per second", lossNames, byteRates))
 }
 
 // reportKnowledge measures how many bytes the sharing of knowledge of servers costs, and how old the newest reports are.
-func reportKnowledge(w io.Writer, runs int) error {
-	fmt.Fprintf(w, "\nKnowledge of servers, medians of %d runs of 20 s, each 30 s after the start.\n\n", runs)
-	fmt.Fprintln(w,
+func reportKnowledge(output io.Writer, runs int) error {
+	fmt.Fprintf(output, "\nKnowledge of servers, medians of %d runs of 20 s, each 30 s after the start.\n\n", runs)
+	fmt.Fprintln(output,
 		"| members | servers | report to each member | loss | datagrams per member and s | bytes | bytes without knowledge | age of newest own report | age of newest known report |")
-	fmt.Fprintln(w, "| --- | --- | --- | --- | --- | --- | --- | --- | --- |")
-	for _, config := range []struct {
+	fmt.Fprintln(output, "| --- | --- | --- | --- | --- | --- | --- | --- | --- |")
+	for _, setting := range []struct {
 		members, servers int
 		interval         time.Duration
 		loss             float64
 	}{{5, 3, 200 * time.Millisecond, 0}, {8, 3, 200 * time.Millisecond, 0}, {8, 3, 200 * time.Millisecond, 0.3},
 		{300, 24, 10 * time.Second, 0}, {300, 24, 10 * time.Second, 0.3}} {
-		experiment := swarm.Experiment{Members: config.members, Limits: membership.Defaults(), Loss: config.loss,
+		experiment := swarm.Experiment{Members: setting.members, Limits: membership.Defaults(), Loss: setting.loss,
 			MaxDelay: maxDatagramDelay, WarmUp: 30 * time.Second, MeasureDuration: 20 * time.Second}
-		without, err := runExperiments(experiment, runs)
+		withoutKnowledge, err := runExperiments(experiment, runs)
 		if err != nil {
 			return err
 		}
-		experiment.Servers, experiment.ReportInterval = config.servers, config.interval
-		with, err := runExperiments(experiment, runs)
+		experiment.Servers, experiment.ReportInterval = setting.servers, setting.interval
+		withKnowledge, err := runExperiments(experiment, runs)
 		if err != nil {
 			return err
 		}
-		bytes := func(outcome swarm.Outcome) float64 { return outcome.ByteRate }
-		fmt.Fprintf(w, "| %d | %d | every %v | %.0f %% | %.1f | %.0f | %.0f | %.1f s | %.1f s |\n", config.members,
-			config.servers, config.interval, 100*config.loss,
-			median(with, func(outcome swarm.Outcome) float64 { return outcome.DatagramRate }), median(with, bytes), median(without, bytes),
-			median(with, func(outcome swarm.Outcome) float64 { return outcome.OwnAge.Seconds() }),
-			median(with, func(outcome swarm.Outcome) float64 { return outcome.NewestKnownAge.Seconds() }))
+		byteRate := func(outcome swarm.Outcome) float64 { return outcome.ByteRate }
+		fmt.Fprintf(output, "| %d | %d | every %v | %.0f %% | %.1f | %.0f | %.0f | %.1f s | %.1f s |\n", setting.members,
+			setting.servers, setting.interval, 100*setting.loss,
+			median(withKnowledge, func(outcome swarm.Outcome) float64 { return outcome.DatagramRate }), median(withKnowledge, byteRate), median(withoutKnowledge, byteRate),
+			median(withKnowledge, func(outcome swarm.Outcome) float64 { return outcome.OwnAge.Seconds() }),
+			median(withKnowledge, func(outcome swarm.Outcome) float64 { return outcome.NewestKnownAge.Seconds() }))
 	}
 	return nil
 }
 
 // reportFalseDeaths measures how often unimpaired members are considered dead while datagrams are lost or other members
 // are impaired, for plain SWIM and for each extension added to it (swarm.Variants).
-func reportFalseDeaths(w io.Writer, runs int) error {
-	fmt.Fprintf(w, "\nUnimpaired members considered dead, in %d runs of 120 s with 32 members; suspicions in brackets.\n\n", runs)
-	fmt.Fprint(w, "| impairment |")
+func reportFalseDeaths(output io.Writer, runs int) error {
+	fmt.Fprintf(output, "\nUnimpaired members considered dead, in %d runs of 120 s with 32 members; suspicions in brackets.\n\n", runs)
+	fmt.Fprint(output, "| impairment |")
 	for _, variant := range swarm.Variants {
-		fmt.Fprintf(w, " %s |", variant.Name)
+		fmt.Fprintf(output, " %s |", variant.Name)
 	}
-	fmt.Fprint(w, "\n| --- |")
+	fmt.Fprint(output, "\n| --- |")
 	for range swarm.Variants {
-		fmt.Fprint(w, " --- |")
+		fmt.Fprint(output, " --- |")
 	}
-	fmt.Fprintln(w)
+	fmt.Fprintln(output)
 	base := swarm.Experiment{Members: 32, MaxDelay: maxDatagramDelay, WarmUp: 20 * time.Second, MeasureDuration: 120 * time.Second}
 	for _, impairment := range []struct {
 		name  string
@@ -183,7 +183,7 @@
 			experiment.Impaired, experiment.SlowDelay = 8, 600*time.Millisecond
 		}},
 	} {
-		fmt.Fprintf(w, "| %s |", impairment.name)
+		fmt.Fprintf(output, "| %s |", impairment.name)
 		for _, variant := range swarm.Variants {
 			experiment := base
 			experiment.Limits = membership.Defaults()
@@ -198,9 +198,9 @@
 				deaths += outcome.FalseDeaths
 				suspicions += outcome.Suspicions
 			}
-			fmt.Fprintf(w, " %d (%d) |", deaths, suspicions)
+			fmt.Fprintf(output, " %d (%d) |", deaths, suspicions)
 		}
-		fmt.Fprintln(w)
+		fmt.Fprintln(output)
 	}
 	return nil
 }
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -14,21 +14,21 @@
 )
 
 func main() {
-	members := false
-	cmd := &cobra.Command{
+	membershipEnabled := false
+	command := &cobra.Command{
 		Use: "simhost", Short: "Runs the decision module under the simulator, on standard input and output",
 		Args: cobra.NoArgs, SilenceUsage: true, SilenceErrors: true,
 		RunE: func(*cobra.Command, []string) error {
 			host := wire.NewHost()
-			if members {
+			if membershipEnabled {
 				host.EnableMembership(membership.Defaults())
 			}
 			out := bufio.NewWriter(os.Stdout)
 			return host.Serve(bufio.NewReader(os.Stdin), out, out.Flush)
 		},
 	}
-	cmd.Flags().BoolVar(&members, "members", false, "let the instances take part in their tier's membership where the settings permit peer messages")
-	if err := cmd.Execute(); err != nil {
+	command.Flags().BoolVar(&membershipEnabled, "members", false, "let the instances take part in their tier's membership where the settings permit peer messages")
+	if err := command.Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "simhost:", err)
 		os.Exit(1)
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -72,8 +72,8 @@
 	if err := json.Unmarshal(text, &parsed); err != nil {
 		return nil, fmt.Errorf("ROUTER_CONFIG: %w", err)
 	}
-	var keys map[string]json.RawMessage
-	if err := json.Unmarshal(text, &keys); err != nil {
+	var topLevelKeys map[string]json.RawMessage
+	if err := json.Unmarshal(text, &topLevelKeys); err != nil {
 		return nil, fmt.Errorf("ROUTER_CONFIG: %w", err)
 	}
 	if value := getenv("ROUTER_NAME"); value != "" {
@@ -85,15 +85,15 @@
 	if value := getenv("ROUTER_MGMT"); value != "" {
 		parsed.Mgmt = value
 	}
-	cfg, err := build(parsed)
+	cfg, err := buildConfig(parsed)
 	if err == nil {
-		cfg.topLevelKeys = keys
+		cfg.topLevelKeys = topLevelKeys
 	}
 	return cfg, err
 }
 
-// build checks the fields of a configuration file and derives the limits from them.
-func build(parsed configFile) (*Config, error) {
+// buildConfig checks the fields of a configuration file and derives the limits from them.
+func buildConfig(parsed configFile) (*Config, error) {
 	cfg := &Config{Name: parsed.Name, Listen: parsed.Listen, Mgmt: parsed.Mgmt, CommandChannel: parsed.Channel,
 		Cursor: parsed.Initial.Cursor, InitialCommands: parsed.Initial.Cmds,
 		PeerListen: parsed.PeerListen, Peers: parsed.Peers}
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -70,7 +70,7 @@
 	limits := Limits{
 		Core: core.Limits{
 			AnswerMargin:        15 * time.Millisecond,
-			RebindTimeout:       100 * time.Millisecond, // a close that crosses a set-up is noticed within 50 ms
+			RebindTimeout:       100 * time.Millisecond, // a close of the connection that crosses a set-up is noticed within 50 ms
 			InitialRedialDelay:  100 * time.Millisecond,
 			MaxRedialDelay:      500 * time.Millisecond,
 			ConnsPerServer:      map[core.Protocol]int{platform.Protocol: 2},
@@ -89,7 +89,7 @@
 			HandOverGrace:       100 * time.Millisecond,
 			StopGrace:           700 * time.Millisecond,
 			MaxStopWait:         max(deployment.MaxDeadline, 3*time.Second) + 600*time.Millisecond,
-			StopLinger:          60 * time.Millisecond,             // data that crosses a close arrives within 50 ms
+			StopLinger:          60 * time.Millisecond,             // data that crosses the close of a connection arrives within 50 ms
 			CallerConnsTarget:   maxCallerConns - maxCallerConns/8, // the remaining eighth is for connections being opened or closed
 			NewConnGrace:        250 * time.Millisecond,
 			MaxOpen:             deployment.MaxOpenCalls,
@@ -107,7 +107,7 @@
 		},
 		Feed: feed.Limits{
 			ConnectTimeout: time.Second, ReadTimeout: 2500 * time.Millisecond, // the channel sends a comment every second
-			RenewAfter: 5 * time.Second, // an update counts as received 7 s after it was sent
+			RenewAfter: 5 * time.Second, // the channel counts an update as received 7 s after it sent it
 			RetryDelay: 100 * time.Millisecond, MaxEventSize: 1 << 20, InitialBufferSize: 4 << 10,
 		},
 		ConnectTimeout: deployment.ConnectTimeout,
@@ -127,7 +127,7 @@
 	}
 	limits.ServerConn = limits.CallerConn
 	limits.ServerConn.LineTimeout, limits.ServerConn.MaxSilence = 500*time.Millisecond, 3*time.Second
-	// Servers close at once, and the descriptor may be needed for another connection.
+	// The linger is short for servers: they close at once, and the descriptor may be needed for another connection.
 	limits.ServerConn.LingerTimeout = 50 * time.Millisecond
 	// Data queued for platform callers that don't read, and the data of open calls, take at most a quarter of the memory
 	// each, unless the queues need more to hold two of the largest messages each.
--- a/internal/config/signalling.go
+++ b/internal/config/signalling.go
@@ -21,20 +21,20 @@
 
 // LoadSignalling reads the signalling file. It checks the [m3ua] table if the file is enabled; bgp.New checks the [bgp]
 // table. The text of an error is one line that names the path and, for an invalid file, the field.
-func LoadSignalling(path string) (s SignallingFile, err error) {
-	meta, err := toml.DecodeFile(path, &s)
+func LoadSignalling(path string) (file SignallingFile, err error) {
+	meta, err := toml.DecodeFile(path, &file)
 	if err != nil {
-		return s, fmt.Errorf("%s: %w", path, err)
+		return file, fmt.Errorf("%s: %w", path, err)
 	}
 	if unknown := meta.Undecoded(); len(unknown) > 0 {
-		return s, fmt.Errorf("%s: %s: unknown field", path, unknown[0])
+		return file, fmt.Errorf("%s: %s: unknown field", path, unknown[0])
 	}
-	if s.Enabled {
-		if err := s.M3UA.Check(); err != nil {
-			return s, fmt.Errorf("%s: m3ua.%w", path, err)
+	if file.Enabled {
+		if err := file.M3UA.Check(); err != nil {
+			return file, fmt.Errorf("%s: m3ua.%w", path, err)
 		}
 	}
-	return s, nil
+	return file, nil
 }
 
 // Platform returns the configuration of the platform protocol.
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -30,17 +30,17 @@
 	InitialBufferSize int           // initial size of the read buffer, in bytes
 }
 
-// Source is the core's name for the server list of this package.
+// Source names the command channel as the origin of a server list.
 const Source = "channel"
 
-// phases maps the channel's status values to server phases.
-var phases = map[string]elmseam.Phase{
+// phaseByStatus maps the channel's status values to server phases.
+var phaseByStatus = map[string]elmseam.Phase{
 	"in_service":  elmseam.PhaseReady,
 	"terminating": elmseam.PhaseDraining,
 	"terminated":  elmseam.PhaseGone,
 }
 
-// Command is one event of the channel.
+// Command is one event of the command channel: a change of the server list, or the complete list.
 type Command struct {
 	Cursor  int64    `json:"cursor"` // the event's id; ids increase
 	Servers struct { // the changed servers, or all servers
@@ -53,7 +53,7 @@
 type Endpoint struct {
 	Name    string `json:"name"`
 	Address string `json:"address"`  // host:port
-	Status  string `json:"status"`   // a key of phases
+	Status  string `json:"status"`   // a key of phaseByStatus
 	Group   int    `json:"group"`    // the server's cell
 	SinceMS int64  `json:"since_ms"` // start of the server, in milliseconds
 }
@@ -64,7 +64,7 @@
 func (c Command) List(protocolFor func(name string) core.Protocol, cached bool) (list core.ServerList, err error) {
 	list = core.ServerList{Source: Source, Full: c.Servers.Snapshot, Cached: cached}
 	for _, endpoint := range c.Servers.Endpoints {
-		phase, known := phases[endpoint.Status]
+		phase, known := phaseByStatus[endpoint.Status]
 		if !known || endpoint.Name == "" {
 			err = fmt.Errorf("endpoint %q: no name, or unknown status %q", endpoint.Name, endpoint.Status)
 			continue
@@ -94,21 +94,21 @@
 	disconnect      func()    // cancels the context of the current connection
 }
 
-// Follow switches to the channel at address. known are commands that were received along with the address. Event ids continue
-// across channels: events handled before are not handled again. Follow may be called at any time and ends the current
-// connection at once, also if the address is the same. It waits while Run posts the commands of an earlier call.
-func (f *Feed) Follow(address string, known []Command) {
+// Follow switches to the channel at address. initialCommands were received along with the address. Event ids continue across
+// channels: events handled before are not handled again. Follow may be called at any time and ends the current connection at
+// once, also if the address is the same. It waits while Run posts the commands of an earlier call.
+func (f *Feed) Follow(address string, initialCommands []Command) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.address, f.initialCommands = address, known
+	f.address, f.initialCommands = address, initialCommands
 	if f.disconnect != nil {
 		f.disconnect()
 	}
 }
 
-// nextTarget handles the commands passed to the last Follow. It returns the address to connect to, with a context that ends
-// with ctx or at the next Follow, and the function that cancels it.
-func (f *Feed) nextTarget(ctx context.Context) (connCtx context.Context, disconnect func(), address string) {
+// prepareConnection handles the commands passed to the last Follow. It returns the address to connect to, with a context that
+// ends with ctx or at the next Follow, and the function that cancels it.
+func (f *Feed) prepareConnection(ctx context.Context) (connCtx context.Context, disconnect func(), address string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, command := range f.initialCommands {
@@ -125,7 +125,7 @@
 	f.sampledLog = transport.SampledLogger(f.Log)
 	for ctx.Err() == nil {
 		started := time.Now()
-		connCtx, disconnect, address := f.nextTarget(ctx)
+		connCtx, disconnect, address := f.prepareConnection(ctx)
 		err := f.followAddress(connCtx, address)
 		if ctx.Err() == nil {
 			f.Log.Info().Err(err).Str("channel", address).Int64("cursor", f.lastCursor()).Msg("command channel connection ended")
@@ -142,68 +142,68 @@
 
 // followAddress reads events from the channel at an address until a connection ends that has no replacement.
 func (f *Feed) followAddress(ctx context.Context, address string) error {
-	r, err := f.connect(ctx, address)
+	response, err := f.connect(ctx, address)
 	for err == nil {
-		r, err = f.watch(ctx, address, r)
+		response, err = f.readUntilReplaced(ctx, address, response)
 	}
 	return err
 }
 
 // connect opens a connection and requests the events after the last one.
-func (f *Feed) connect(ctx context.Context, address string) (*reader, error) {
+func (f *Feed) connect(ctx context.Context, address string) (*responseReader, error) {
 	dialer := net.Dialer{Timeout: f.Limits.ConnectTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	r := &reader{conn: conn, buf: transport.NewBuffer(f.Limits.InitialBufferSize, f.Limits.MaxEventSize)}
-	r.stopAfterFunc = context.AfterFunc(ctx, func() { conn.Close() })
+	response := &responseReader{conn: conn, buf: transport.NewBuffer(f.Limits.InitialBufferSize, f.Limits.MaxEventSize)}
+	response.stopAfterFunc = context.AfterFunc(ctx, func() { conn.Close() })
 	conn.SetDeadline(time.Now().Add(f.Limits.ReadTimeout)) // covers the request and the whole response header
 	_, err = fmt.Fprintf(conn, "GET /cmd/next HTTP/1.1\r\nHost: %s\r\nAccept: text/event-stream\r\nLast-Event-ID: %d\r\n\r\n", address, f.lastCursor())
 	if err == nil {
-		err = r.readHeader()
+		err = response.readHeader()
 	}
 	if err != nil {
-		r.close()
+		response.close()
 		return nil, err
 	}
-	return r, nil
+	return response, nil
 }
 
-// watch handles the events of a connection until the connection ends. It returns the connection that replaces it, or the error
-// that ended it.
+// readUntilReplaced handles the events of a connection until the connection ends. It returns the connection that replaces it, or
+// the error that ended it.
 //
-// A connection may stop delivering events although its comments still arrive, while the channel counts the events as
-// delivered. So when no event has arrived for Limits.RenewAfter, watch opens a second connection, which replaces the first one
-// once its response header has arrived; if it fails, the next attempt follows after another RenewAfter. Events that both
+// A connection may stop delivering events although its comments (lines without an event) still arrive, while the channel counts the events as
+// delivered. So when no event has arrived for Limits.RenewAfter, the function opens a second connection, which replaces the
+// first one once its response header has arrived; if it fails, the next attempt follows after another RenewAfter. Events that both
 // deliver are handled once, by their id.
-func (f *Feed) watch(ctx context.Context, address string, r *reader) (*reader, error) {
-	var mu sync.Mutex
-	var replacement *reader
-	ended := false
-	var timer *time.Timer
+func (f *Feed) readUntilReplaced(ctx context.Context, address string, response *responseReader) (*responseReader, error) {
+	var mu sync.Mutex // guards replacement and connEnded
+	var replacement *responseReader
+	connEnded := false
+	var renewTimer *time.Timer
 	mu.Lock()
-	timer = time.AfterFunc(f.Limits.RenewAfter, func() {
+	renewTimer = time.AfterFunc(f.Limits.RenewAfter, func() {
 		candidate, err := f.connect(ctx, address)
 		mu.Lock()
 		defer mu.Unlock()
 		switch {
-		case err != nil && !ended:
-			timer.Reset(f.Limits.RenewAfter)
-		case err == nil && (ended || replacement != nil):
+		case err != nil && !connEnded:
+			renewTimer.Reset(f.Limits.RenewAfter)
+		case err == nil && (connEnded || replacement != nil):
 			candidate.close()
 		case err == nil:
 			replacement = candidate
-			r.conn.Close()
+			response.conn.Close()
 		}
 	})
 	mu.Unlock()
-	err := f.readEvents(r, func() { timer.Reset(f.Limits.RenewAfter) })
-	r.close()
+	err := f.readEvents(response, func() { renewTimer.Reset(f.Limits.RenewAfter) })
+	response.close()
 	mu.Lock()
 	defer mu.Unlock()
-	ended = true
-	timer.Stop()
+	connEnded = true
+	renewTimer.Stop()
 	if replacement != nil {
 		return replacement, nil
 	}
@@ -213,16 +213,16 @@
 // readEvents reads and handles events until the connection ends, and calls onEvent after each. A malformed event is skipped,
 // and its id counts as handled: if the connection were closed instead, the channel would send the event again on each new
 // connection, and no later event would ever arrive.
-func (f *Feed) readEvents(r *reader, onEvent func()) error {
+func (f *Feed) readEvents(response *responseReader, onEvent func()) error {
 	var data []byte
-	var id int64
-	malformed := error(nil)
+	var eventID int64
+	malformedErr := error(nil)
 	for {
-		r.conn.SetReadDeadline(time.Now().Add(f.Limits.ReadTimeout)) // covers the whole line, even if its bytes arrive one by one
-		line, err := r.readLine()
+		response.conn.SetReadDeadline(time.Now().Add(f.Limits.ReadTimeout)) // covers the whole line, even if its bytes arrive one by one
+		line, err := response.readLine()
 		switch {
 		case err == errTooLong:
-			malformed = err
+			malformedErr = err
 			continue
 		case err != nil:
 			return err
@@ -230,24 +230,24 @@
 		name, value, _ := bytes.Cut(line, []byte(":"))
 		value = bytes.TrimPrefix(value, []byte(" "))
 		switch {
-		case len(line) == 0 && (data != nil || malformed != nil):
+		case len(line) == 0 && (data != nil || malformedErr != nil):
 			var command Command
-			if malformed == nil {
-				malformed = json.Unmarshal(data, &command)
+			if malformedErr == nil {
+				malformedErr = json.Unmarshal(data, &command)
 			}
-			if malformed != nil {
-				f.sampledLog.Warn().Err(malformed).Int64("id", id).Msg("malformed event skipped")
-				f.advanceCursor(id)
+			if malformedErr != nil {
+				f.sampledLog.Warn().Err(malformedErr).Int64("id", eventID).Msg("malformed event skipped")
+				f.advanceCursor(eventID)
 			} else {
 				f.handleCommand(command)
 			}
 			onEvent()
-			data, id, malformed = nil, 0, nil
+			data, eventID, malformedErr = nil, 0, nil
 		case string(name) == "id":
-			id, _ = strconv.ParseInt(string(value), 10, 64)
-		case string(name) == "data" && malformed == nil:
+			eventID, _ = strconv.ParseInt(string(value), 10, 64)
+		case string(name) == "data" && malformedErr == nil:
 			if len(data)+len(value) > f.Limits.MaxEventSize {
-				data, malformed = nil, errTooLong
+				data, malformedErr = nil, errTooLong
 				continue
 			}
 			if data != nil {
@@ -266,13 +266,13 @@
 }
 
 // advanceCursor records an event's id and reports whether the event is new.
-func (f *Feed) advanceCursor(id int64) bool {
+func (f *Feed) advanceCursor(eventID int64) bool {
 	f.cursorMu.Lock()
 	defer f.cursorMu.Unlock()
-	if id <= f.Cursor {
+	if eventID <= f.Cursor {
 		return false
 	}
-	f.Cursor = id
+	f.Cursor = eventID
 	return true
 }
 
@@ -288,8 +288,8 @@
 	f.Post(list)
 }
 
-// reader reads the lines of an HTTP response, with or without chunked transfer encoding.
-type reader struct {
+// responseReader reads the lines of an HTTP response, with or without chunked transfer encoding.
+type responseReader struct {
 	conn           net.Conn
 	buf            *transport.Buffer
 	stopAfterFunc  func() bool // detaches the connection from the context whose end closes it
@@ -299,20 +299,20 @@
 }
 
 // close closes the connection.
-func (r *reader) close() {
+func (r *responseReader) close() {
 	r.stopAfterFunc()
 	r.conn.Close()
 }
 
-// Errors of reader.
+// Errors of responseReader and of Feed.readEvents.
 var (
 	errBadResponse = errors.New("unexpected HTTP response")
 	errTooLong     = errors.New("line or event too long")
 )
 
-// rawLine reads a line of the response as sent, without regard to chunks, and returns it without its line end. It fails on a
+// readRawLine reads a line of the response as sent, without regard to chunks, and returns it without its line end. It fails on a
 // line that is longer than the buffer's maximum size.
-func (r *reader) rawLine() (string, error) {
+func (r *responseReader) readRawLine() (string, error) {
 	for {
 		if i := bytes.IndexByte(r.buf.Bytes(), '\n'); i >= 0 {
 			line := string(bytes.TrimSuffix(r.buf.Bytes()[:i], []byte("\r")))
@@ -326,16 +326,16 @@
 }
 
 // readHeader reads the status line and the header. It fails on a status other than 200.
-func (r *reader) readHeader() error {
-	status, err := r.rawLine()
+func (r *responseReader) readHeader() error {
+	statusLine, err := r.readRawLine()
 	if err != nil {
 		return err
 	}
-	if len(status) < 12 || status[:5] != "HTTP/" || status[8:12] != " 200" {
-		return fmt.Errorf("%w: %.40q", errBadResponse, status)
+	if len(statusLine) < 12 || statusLine[:5] != "HTTP/" || statusLine[8:12] != " 200" {
+		return fmt.Errorf("%w: %.40q", errBadResponse, statusLine)
 	}
 	for {
-		line, err := r.rawLine()
+		line, err := r.readRawLine()
 		if err != nil {
 			return err
 		}
@@ -351,7 +351,7 @@
 
 // readLine reads a line of the body and returns it without its line end. The result is valid until the next call. A line that
 // is too long is read to its end before errTooLong is returned.
-func (r *reader) readLine() ([]byte, error) {
+func (r *responseReader) readLine() ([]byte, error) {
 	r.lineBuf = r.lineBuf[:0]
 	tooLong := false
 	for {
@@ -360,28 +360,28 @@
 				return nil, err
 			}
 		}
-		part := r.buf.Bytes()
-		if r.chunked && len(part) > r.chunkRemaining {
-			part = part[:r.chunkRemaining]
+		available := r.buf.Bytes()
+		if r.chunked && len(available) > r.chunkRemaining {
+			available = available[:r.chunkRemaining]
 		}
-		end := bytes.IndexByte(part, '\n')
-		n := end + 1
-		if end < 0 {
-			n = len(part)
+		lineEnd := bytes.IndexByte(available, '\n')
+		n := lineEnd + 1
+		if lineEnd < 0 {
+			n = len(available)
 		}
 		if tooLong = tooLong || len(r.lineBuf)+n > r.buf.MaxSize(); !tooLong {
-			r.lineBuf = append(r.lineBuf, part[:n]...)
+			r.lineBuf = append(r.lineBuf, available[:n]...)
 		}
 		r.buf.Skip(n)
 		if r.chunkRemaining -= n; r.chunked && r.chunkRemaining == 0 {
-			if _, err := r.rawLine(); err != nil { // the line end after the chunk
+			if _, err := r.readRawLine(); err != nil { // the line end after the chunk
 				return nil, err
 			}
 		}
-		if end >= 0 && tooLong {
+		if lineEnd >= 0 && tooLong {
 			return nil, errTooLong
 		}
-		if end >= 0 {
+		if lineEnd >= 0 {
 			return bytes.TrimRight(r.lineBuf, "\r\n"), nil
 		}
 		if len(r.buf.Bytes()) == 0 {
@@ -393,20 +393,20 @@
 }
 
 // readChunkSize reads the size line of the next chunk. A size of 0, which ends the body, is an error too.
-func (r *reader) readChunkSize() error {
-	text, err := r.rawLine()
+func (r *responseReader) readChunkSize() error {
+	sizeLine, err := r.readRawLine()
 	if err != nil {
 		return err
 	}
-	for i := range text {
-		if text[i] == ';' {
-			text = text[:i]
+	for i := range sizeLine {
+		if sizeLine[i] == ';' {
+			sizeLine = sizeLine[:i]
 			break
 		}
 	}
-	n, err := strconv.ParseUint(text, 16, 31)
+	n, err := strconv.ParseUint(sizeLine, 16, 31)
 	if err != nil || n == 0 {
-		return fmt.Errorf("%w: invalid chunk size %.20q", errBadResponse, text)
+		return fmt.Errorf("%w: invalid chunk size %.20q", errBadResponse, sizeLine)
 	}
 	r.chunkRemaining = int(n)
 	return nil
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -322,12 +322,12 @@
 	f.Add([]byte("HTTP/1.1 200 OK\r\n\r\n" + eventText(1, "a", "in_service")))
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3;x\r\na\nb\r\n1\r\n\n\r\n0\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		r := &reader{conn: oneShotConn{r: strings.NewReader(string(b))}, buf: transport.NewBuffer(4, 256)}
-		if r.readHeader() != nil {
+		response := &responseReader{conn: oneShotConn{r: strings.NewReader(string(b))}, buf: transport.NewBuffer(4, 256)}
+		if response.readHeader() != nil {
 			return
 		}
 		for lines := 0; ; lines++ {
-			line, err := r.readLine()
+			line, err := response.readLine()
 			if err != nil {
 				return
 			}
--- a/internal/mgmt/maintenance.go
+++ b/internal/mgmt/maintenance.go
@@ -37,7 +37,7 @@
 
 // handleMaintenance carries out a request to /ops/maintenance: GET shows the status, POST requests maintenance of the
 // members with the given names (see memberIndex), DELETE cancels or ends it. A POST is refused while this softswitch is
-// newly started. The results are those of handle.
+// newly started. The results are those of handleRequest.
 func (s *AdminServer) handleMaintenance(method string, memberNames []string) (status int, text string, allow []string) {
 	snapshot := s.Snapshot()
 	if time.Since(snapshot.At) > s.Limits.MaxStatsAge {
@@ -70,7 +70,7 @@
 	case !stats.Recovered:
 		return http.StatusServiceUnavailable, "just started, and still asking what the tier has granted\n", nil
 	}
-	if !s.enqueue(core.MaintenanceRequest{Event: event}) {
+	if !s.enqueueOrder(core.MaintenanceRequest{Event: event}) {
 		return http.StatusServiceUnavailable, "too many orders wait\n", nil
 	}
 	s.Log.Info().Str("method", method).Ints("members", members).Msg("operator order: maintenance")
@@ -100,7 +100,7 @@
 	status := MaintenanceStatus{Self: stats.Self, Recovered: stats.Recovered, Budget: stats.Budget,
 		HoldsSlot: stats.Slot >= 0, Queue: []MaintenanceRequest{}, Granted: []MaintenanceRequest{},
 		Ended: []MaintenanceRequest{}}
-	requestOf := func(index int) MaintenanceRequest {
+	requestForMember := func(index int) MaintenanceRequest {
 		record := stats.Records[index]
 		request := MaintenanceRequest{Index: index, Name: stats.Names[index], Stage: record.Stage.String(),
 			RequestedAt: time.UnixMilli(int64(record.RequestedAt)).UTC(), Restarts: record.Restarts}
@@ -110,14 +110,14 @@
 		return request
 	}
 	for _, index := range stats.Queue {
-		status.Queue = append(status.Queue, requestOf(index))
+		status.Queue = append(status.Queue, requestForMember(index))
 	}
 	for index, record := range stats.Records {
 		switch {
 		case record.Stage == maintenance.StageDraining, record.Stage == maintenance.StageReady:
-			status.Granted = append(status.Granted, requestOf(index))
+			status.Granted = append(status.Granted, requestForMember(index))
 		case record.Stage != maintenance.StageNone && record.Stage.Ended():
-			status.Ended = append(status.Ended, requestOf(index))
+			status.Ended = append(status.Ended, requestForMember(index))
 		}
 	}
 	encoded, _ := json.Marshal(status)
--- a/internal/mgmt/members.go
+++ b/internal/mgmt/members.go
@@ -56,7 +56,7 @@
 }
 
 // membershipStatsText formats the counters of membership and of the tier's socket as lines "app.members.NAME=VALUE".
-func membershipStatsText(stats core.MemberStats, socket peers.Counters) string {
+func membershipStatsText(stats core.MemberStats, socketCounters peers.Counters) string {
 	var text strings.Builder
 	for _, line := range []struct {
 		name  string
@@ -68,8 +68,8 @@
 		{"suspicions", stats.Suspicions}, {"deaths", stats.Deaths}, {"refutations", stats.Refutations}, {"stalls", stats.Stalls},
 		{"sent", stats.Sent}, {"sent_bytes", stats.SentBytes}, {"heard", stats.Received},
 		{"dropped_garbled", stats.Malformed}, {"dropped_version", stats.VersionMismatches},
-		{"dropped_stranger", stats.UnknownSenders + socket.UnknownSenders},
-		{"dropped_flood", socket.RateLimited}, {"unwritten", socket.SendDrops},
+		{"dropped_stranger", stats.UnknownSenders + socketCounters.UnknownSenders},
+		{"dropped_flood", socketCounters.RateLimited}, {"unwritten", socketCounters.SendDrops},
 	} {
 		fmt.Fprintf(&text, "app.members.%s=%d\n", line.name, line.value)
 	}
--- a/internal/mgmt/mgmt.go
+++ b/internal/mgmt/mgmt.go
@@ -102,28 +102,28 @@
 // serveConn reads the request of a connection and answers it.
 func (s *AdminServer) serveConn(conn net.Conn) {
 	conn.SetReadDeadline(time.Now().Add(s.Limits.ReadTimeout))
-	limited := &io.LimitedReader{R: conn, N: int64(s.Limits.MaxRequestSize)}
-	req, err := http.ReadRequest(bufio.NewReaderSize(limited, 1<<10))
+	limitedReader := &io.LimitedReader{R: conn, N: int64(s.Limits.MaxRequestSize)}
+	req, err := http.ReadRequest(bufio.NewReaderSize(limitedReader, 1<<10))
 	var netErr net.Error
 	switch {
 	case err == io.EOF: // the client closed without a request, for example after a check that the port is open
 		return
 	case errors.As(err, &netErr) && netErr.Timeout():
 		s.writeResponse(conn, http.StatusRequestTimeout, "no call came in time\n")
-	case err != nil && limited.N <= 0:
+	case err != nil && limitedReader.N <= 0:
 		s.writeResponse(conn, http.StatusRequestHeaderFieldsTooLarge, "the call is too long\n")
 	case err != nil:
 		s.writeResponse(conn, http.StatusBadRequest, "the call can't be read\n")
 	default:
-		status, text, allow := s.handle(req.Method, req.URL.Path, req.URL.Query()["member"])
+		status, text, allow := s.handleRequest(req.Method, req.URL.Path, req.URL.Query()["member"])
 		s.writeResponse(conn, status, text, allow...)
 	}
 }
 
-// handle carries out a request and returns the status and the text of the response. memberNames are the values of the query
-// parameter "member". allow lists the permitted methods if the path doesn't permit the request's method; otherwise it
-// is nil.
-func (s *AdminServer) handle(method, path string, memberNames []string) (status int, text string, allow []string) {
+// handleRequest carries out a request and returns the status and the text of the response. memberNames are the values of
+// the query parameter "member". allow lists the permitted methods if the path doesn't permit the request's method;
+// otherwise it is nil.
+func (s *AdminServer) handleRequest(method, path string, memberNames []string) (status int, text string, allow []string) {
 	wantMethod := http.MethodGet
 	if path == pathDrainStart || path == pathDrainStop {
 		wantMethod = http.MethodPost
@@ -173,32 +173,32 @@
 			}
 			return http.StatusOK, membersJSON(snapshot, s.TierSocket.Addresses()), nil
 		}
-		return readiness(snapshot.Stats)
+		return readinessResponse(snapshot.Stats)
 	}
-	on := path == pathDrainStart
+	drainOn := path == pathDrainStart
 	if snapshot.Stopping {
 		return http.StatusServiceUnavailable, "stopping\n", nil
 	}
-	if !s.enqueue(core.Drain{On: on}) {
+	if !s.enqueueOrder(core.Drain{On: drainOn}) {
 		return http.StatusServiceUnavailable, "too many orders wait\n", nil
 	}
-	s.SetDraining(on)
-	s.Log.Info().Bool("drain", on).Msg("operator order: drain")
+	s.SetDraining(drainOn)
+	s.Log.Info().Bool("drain", drainOn).Msg("operator order: drain")
 	return http.StatusOK, "", nil
 }
 
-// enqueue puts an order of an operator into the queue to the event loop. It returns false where the queue is full.
-func (s *AdminServer) enqueue(event core.Event) bool {
+// enqueueOrder puts an order of an operator into the queue to the event loop. It returns false where the queue is full.
+func (s *AdminServer) enqueueOrder(order core.Event) bool {
 	select {
-	case s.orders <- event:
+	case s.orders <- order:
 		return true
 	default:
 		return false
 	}
 }
 
-// readiness answers /ops/readiness: whether this process can serve and, if not, why.
-func readiness(stats core.Stats) (int, string, []string) {
+// readinessResponse is the response to /ops/readiness: whether this process can serve and, if not, why.
+func readinessResponse(stats core.Stats) (status int, text string, allow []string) {
 	reason := "no server can be reached\n"
 	switch {
 	case stats.Ready:
--- a/internal/mgmt/servers.go
+++ b/internal/mgmt/servers.go
@@ -77,45 +77,45 @@
 		status.Self = snapshot.Members.Self
 	}
 	if snapshot.Knowledge != nil {
-		for _, known := range snapshot.Knowledge.Servers {
-			entry := ServerStatus{Name: known.Name, State: phaseNames[known.Phase], DrainReported: known.DrainReported,
-				HoldBackShare: known.View.HoldBackShare, MeanRate: known.View.Rate,
-				FailingShare: known.View.FailingShare, AllowedRate: max(known.ColdRate, 0), Reports: []MemberReport{}}
-			newest := slices.SortedStableFunc(slices.Values(known.Reports), func(a, b knowledge.ObserverEntry) int {
+		for _, knownServer := range snapshot.Knowledge.Servers {
+			serverStatus := ServerStatus{Name: knownServer.Name, State: phaseNames[knownServer.Phase], DrainReported: knownServer.DrainReported,
+				HoldBackShare: knownServer.View.HoldBackShare, MeanRate: knownServer.View.Rate,
+				FailingShare: knownServer.View.FailingShare, AllowedRate: max(knownServer.ColdRate, 0), Reports: []MemberReport{}}
+			newestReports := slices.SortedStableFunc(slices.Values(knownServer.Reports), func(a, b knowledge.ObserverEntry) int {
 				return cmp.Compare(b.At, a.At)
 			})
-			entry.OmittedReports = max(len(newest)-maxReportsShown, 0)
-			newest = newest[:len(newest)-entry.OmittedReports]
-			slices.SortFunc(newest, func(a, b knowledge.ObserverEntry) int { return a.Observer - b.Observer })
-			for _, observed := range newest {
-				report := MemberReport{Index: observed.Observer, HoldBackShare: observed.HoldBackShare,
-					Rate: observed.Rate, TotalLines: observed.TotalLines, FailureWeight: observed.FailureWeight,
-					MinSetUpTimeUS: observed.MinSetUpTime.Microseconds(), Draining: observed.DrainingSince > 0, AgeMS: ageMS(observed.At)}
-				if observed.HoldBackShareAt > 0 {
-					age := ageMS(observed.HoldBackShareAt)
+			serverStatus.OmittedReports = max(len(newestReports)-maxReportsShown, 0)
+			newestReports = newestReports[:len(newestReports)-serverStatus.OmittedReports]
+			slices.SortFunc(newestReports, func(a, b knowledge.ObserverEntry) int { return a.Observer - b.Observer })
+			for _, observation := range newestReports {
+				report := MemberReport{Index: observation.Observer, HoldBackShare: observation.HoldBackShare,
+					Rate: observation.Rate, TotalLines: observation.TotalLines, FailureWeight: observation.FailureWeight,
+					MinSetUpTimeUS: observation.MinSetUpTime.Microseconds(), Draining: observation.DrainingSince > 0, AgeMS: ageMS(observation.At)}
+				if observation.HoldBackShareAt > 0 {
+					age := ageMS(observation.HoldBackShareAt)
 					report.HoldBackAgeMS = &age
 				}
-				entry.Reports = append(entry.Reports, report)
+				serverStatus.Reports = append(serverStatus.Reports, report)
 			}
-			status.Servers = append(status.Servers, entry)
+			status.Servers = append(status.Servers, serverStatus)
 		}
 	}
 	if snapshot.Quotas != nil {
 		status.AnyCold = snapshot.Quotas.AnyCold
 		for index, quota := range snapshot.Quotas.Quotas {
-			entry := Quota{Index: index, Usable: quota.Usable.Count(), Lent: quota.Lent.Count()}
+			quotaEntry := Quota{Index: index, Usable: quota.Usable.Count(), Lent: quota.Lent.Count()}
 			for unit := range budget.Units {
-				entry.Holders = append(entry.Holders, quota.Grants[unit].Holder)
+				quotaEntry.Holders = append(quotaEntry.Holders, quota.Grants[unit].Holder)
 			}
-			status.Quotas = append(status.Quotas, entry)
+			status.Quotas = append(status.Quotas, quotaEntry)
 		}
 	}
 	encoded, _ := json.Marshal(status)
 	return string(encoded) + "\n"
 }
 
-// statLines formats the values of a group as lines "app.GROUP.NAME=VALUE".
-func statLines(group string, values []statValue) string {
+// formatStatLines formats the values of a group as lines "app.GROUP.NAME=VALUE".
+func formatStatLines(group string, values []statValue) string {
 	var text strings.Builder
 	for _, value := range values {
 		fmt.Fprintf(&text, "app.%s.%s=%d\n", group, value.name, value.value)
@@ -131,7 +131,7 @@
 
 // knowledgeStatsText formats the counters of knowledge.
 func knowledgeStatsText(stats core.KnowledgeStats) string {
-	return statLines("knowledge", []statValue{{"told", stats.EntriesSent}, {"heard", stats.EntriesReceived},
+	return formatStatLines("knowledge", []statValue{{"told", stats.EntriesSent}, {"heard", stats.EntriesReceived},
 		{"stale", stats.Stale}, {"unlisted", stats.Unlisted}, {"asked", stats.QueriesSent},
 		{"answered", stats.QueriesAnswered}, {"sent", stats.Sent}, {"sent_bytes", stats.SentBytes},
 		{"dropped_garbled", stats.Malformed}, {"dropped_stranger", stats.UnknownSenders}})
@@ -139,7 +139,7 @@
 
 // quotaStatsText formats the counters of the cold servers' quotas.
 func quotaStatsText(stats core.QuotaStats) string {
-	return statLines("parts", []statValue{{"claims", stats.Claims}, {"granted", stats.Granted},
+	return formatStatLines("parts", []statValue{{"claims", stats.Claims}, {"granted", stats.Granted},
 		{"inherited", stats.TakenOver}, {"expired", stats.Expired},
 		{"borrowed", stats.Borrowed}, {"lent", stats.Lent}, {"yes", stats.VotesGranted}, {"no", stats.VotesRefused},
 		{"sent", stats.Sent}, {"sent_bytes", stats.SentBytes},
--- a/internal/mgmt/stats.go
+++ b/internal/mgmt/stats.go
@@ -19,10 +19,10 @@
 	pathDrainStop   = "/ops/drain/stop"
 )
 
-// StatsText formats statistics as lines "app.NAME=VALUE". names are the names of the classes, by index.
-func StatsText(stats core.Stats, names []string) string {
+// StatsText formats statistics as lines "app.NAME=VALUE". classNames are the names of the classes, by index.
+func StatsText(stats core.Stats, classNames []string) string {
 	var text strings.Builder
-	for i, name := range names {
+	for i, name := range classNames {
 		var class core.ClassStats
 		if i < len(stats.Classes) {
 			class = stats.Classes[i]
@@ -42,6 +42,6 @@
 
 // probeStatsText formats the counters of connection probes.
 func probeStatsText(counters probe.Counters) string {
-	return statLines("probes", []statValue{{"sent", counters.Sent}, {"answered", counters.Answered},
+	return formatStatLines("probes", []statValue{{"sent", counters.Sent}, {"answered", counters.Answered},
 		{"failed", counters.Failed}, {"held", counters.RateLimited}, {"late", counters.Unexpected}})
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -59,7 +59,7 @@
 	} `json:"tenants"`
 }
 
-// loadMetrics maps the names of a load report's values to their meanings.
+// loadMetrics maps the names of a load report's values, as "load-report.columns" lists them, to their meanings.
 var loadMetrics = map[string]elmseam.LoadMetric{
 	"spare":       elmseam.LoadMetricFreeLines,
 	"total":       elmseam.LoadMetricTotalLines,
@@ -112,11 +112,11 @@
 		}
 	}
 	for i, entry := range parsed.Classes {
-		retry, found := retryPolicies[entry.Effect]
+		retryPolicy, found := retryPolicies[entry.Effect]
 		if !found && entry.Effect != "" {
 			return decoded, fmt.Errorf("settings: class %d: unknown effect %q", i, entry.Effect)
 		}
-		class := elmseam.Class{Aim: entry.Objective.duration(), Deadline: entry.HardLimit.duration(), Worth: entry.Gain, Retry: retry}
+		class := elmseam.Class{Aim: entry.Objective.duration(), Deadline: entry.HardLimit.duration(), Worth: entry.Gain, Retry: retryPolicy}
 		if i < len(parsed.FamilyInfo.ClassCells) {
 			class.Cells = parsed.FamilyInfo.ClassCells[i]
 		}
@@ -157,9 +157,9 @@
 // ClassIndexes returns the indexes of the classes by name, without removed classes.
 func (d Deployment) ClassIndexes() map[string]int {
 	indexes := make(map[string]int)
-	for i, c := range d.Classes {
-		if !c.Removed {
-			indexes[c.Name] = i
+	for i, class := range d.Classes {
+		if !class.Removed {
+			indexes[class.Name] = i
 		}
 	}
 	return indexes
@@ -168,30 +168,31 @@
 // KeepClassIndexes reorders the classes of the current configuration so that each class keeps the index it had in the
 // old one, because calls in progress refer to their class by index. Classes that the current configuration lacks keep
 // their index and are marked as removed; new classes follow at the end.
-func KeepClassIndexes(old Deployment, current *Deployment, currentSettings *elmseam.Settings, oldSettings elmseam.Settings) {
-	indexes := current.ClassIndexes()
+func KeepClassIndexes(oldDeployment Deployment, currentDeployment *Deployment, currentSettings *elmseam.Settings, oldSettings elmseam.Settings) {
+	currentIndexes := currentDeployment.ClassIndexes()
 	var classes []Class
 	var controllerClasses []elmseam.Class
-	for i, class := range old.Classes {
-		index, found := indexes[class.Name]
+	for i, class := range oldDeployment.Classes {
+		index, found := currentIndexes[class.Name]
 		if !found {
 			class.Removed = true
 			classes, controllerClasses = append(classes, class), append(controllerClasses, oldSettings.Classes[i])
 			continue
 		}
-		delete(indexes, class.Name)
-		classes, controllerClasses = append(classes, current.Classes[index]), append(controllerClasses, currentSettings.Classes[index])
+		delete(currentIndexes, class.Name)
+		classes, controllerClasses = append(classes, currentDeployment.Classes[index]), append(controllerClasses, currentSettings.Classes[index])
 	}
-	for i, class := range current.Classes {
-		if index, found := indexes[class.Name]; found && index == i {
+	for i, class := range currentDeployment.Classes {
+		if index, found := currentIndexes[class.Name]; found && index == i {
 			classes, controllerClasses = append(classes, class), append(controllerClasses, currentSettings.Classes[i])
 		}
 	}
-	current.Classes, currentSettings.Classes = classes, controllerClasses
+	currentDeployment.Classes, currentSettings.Classes = classes, controllerClasses
 }
 
 // requiredKeys lists the keys that the settings must contain, by the object that contains them; "" is the outermost
-// object. Without this check a truncated file whose braces were closed again would be read as settings of zero.
+// object. Without this check a truncated file whose braces were closed again would be read as settings
+// whose values are zero.
 var requiredKeys = map[string][]string{
 	"":                {"request-classes", "family-info", "limits", "load-report", "obligations"},
 	"family-info":     {"own-number", "release-guard-us", "retransmit-us"},
@@ -205,20 +206,20 @@
 // positive, that the tenants' shares and allowances and over-share-worth are in their ranges, and that the settings don't
 // contradict themselves. The text of an error is one line that names the field.
 func Validate(text []byte) error {
-	var top map[string]json.RawMessage
-	if err := json.Unmarshal(text, &top); err != nil {
+	var topLevelKeys map[string]json.RawMessage
+	if err := json.Unmarshal(text, &topLevelKeys); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
 	if err := checkRequiredKeys(text, "", "settings."); err != nil {
 		return err
 	}
 	for _, section := range []string{"family-info", "limits", "load-report", "obligations"} {
-		if err := checkRequiredKeys(top[section], section, "settings."+section+"."); err != nil {
+		if err := checkRequiredKeys(topLevelKeys[section], section, "settings."+section+"."); err != nil {
 			return err
 		}
 	}
 	var classes []json.RawMessage
-	if err := json.Unmarshal(top["request-classes"], &classes); err != nil {
+	if err := json.Unmarshal(topLevelKeys["request-classes"], &classes); err != nil {
 		return fmt.Errorf("settings.request-classes: %w", err)
 	}
 	for i, class := range classes {
@@ -226,24 +227,24 @@
 		if err := checkRequiredKeys(class, "request-classes", field); err != nil {
 			return err
 		}
-		var limit struct {
+		var classLimits struct {
 			HardLimit microseconds `json:"hard-limit-us"`
 		}
-		if err := json.Unmarshal(class, &limit); err != nil || limit.HardLimit.duration() <= 0 {
-			return fmt.Errorf("%shard-limit-us: %v is not positive", field, float64(limit.HardLimit))
+		if err := json.Unmarshal(class, &classLimits); err != nil || classLimits.HardLimit.duration() <= 0 {
+			return fmt.Errorf("%shard-limit-us: %v is not positive", field, float64(classLimits.HardLimit))
 		}
 	}
 	var limits struct {
 		MaxAttempts int `json:"max-attempts"`
 	}
-	if err := json.Unmarshal(top["limits"], &limits); err != nil || limits.MaxAttempts <= 0 {
+	if err := json.Unmarshal(topLevelKeys["limits"], &limits); err != nil || limits.MaxAttempts <= 0 {
 		return fmt.Errorf("settings.limits.max-attempts: %d is not positive", limits.MaxAttempts)
 	}
 	return checkConsistency(text)
 }
 
-// checkConsistency returns an error where the settings contradict themselves, since only one of two contradictory
-// values would take effect, and where they have no class or a value out of range.
+// checkConsistency returns an error where the settings name a class, a tenant or a column of the load report twice, since
+// only one of the two would take effect. It also returns one where they have no class or a value out of range.
 func checkConsistency(text []byte) error {
 	var parsed wireSettings
 	if err := json.Unmarshal(text, &parsed); err != nil {
@@ -252,37 +253,37 @@
 	if len(parsed.Classes) == 0 {
 		return fmt.Errorf("settings.request-classes: no classes")
 	}
-	seen := make(map[string]bool)
+	seenNames := make(map[string]bool)
 	for i, class := range parsed.Classes {
-		if seen[class.Name] {
+		if seenNames[class.Name] {
 			return fmt.Errorf("settings.request-classes[%d].name: duplicate class %q", i, class.Name)
 		}
-		seen[class.Name] = true
+		seenNames[class.Name] = true
 	}
-	clear(seen)
+	clear(seenNames)
 	for i, name := range parsed.LoadReport.Columns {
-		if seen[name] {
+		if seenNames[name] {
 			return fmt.Errorf("settings.load-report.columns[%d]: duplicate column %q", i, name)
 		}
-		seen[name] = true
+		seenNames[name] = true
 	}
-	clear(seen)
-	shares := 0.0
+	clear(seenNames)
+	shareSum := 0.0
 	for i, tenant := range parsed.Tenants {
 		field := fmt.Sprintf("settings.tenants[%d].", i)
 		switch {
 		case tenant.Name == "":
 			return fmt.Errorf("%sname: missing", field)
-		case seen[tenant.Name]:
+		case seenNames[tenant.Name]:
 			return fmt.Errorf("%sname: duplicate tenant %q", field, tenant.Name)
 		case !(tenant.Allowance >= 0):
 			return fmt.Errorf("%sallowance-per-s: %v is negative", field, tenant.Allowance)
 		case !(tenant.Share >= 0):
 			return fmt.Errorf("%sshare: %v is negative", field, tenant.Share)
 		}
-		seen[tenant.Name] = true
-		if shares += tenant.Share; shares > 1+shareTolerance {
-			return fmt.Errorf("%sshare: the shares up to this tenant sum to %.3g, which is more than 1", field, shares)
+		seenNames[tenant.Name] = true
+		if shareSum += tenant.Share; shareSum > 1+shareSumTolerance {
+			return fmt.Errorf("%sshare: the shares up to this tenant sum to %.3g, which is more than 1", field, shareSum)
 		}
 	}
 	if worth := parsed.OverShareWorth; !(worth >= 0 && worth <= 1) {
@@ -291,8 +292,8 @@
 	return nil
 }
 
-// shareTolerance is how far the sum of the tenants' shares may exceed 1, because the shares are rounded to a few digits.
-const shareTolerance = 0.01
+// shareSumTolerance is how far the sum of the tenants' shares may exceed 1, because the shares are rounded to a few digits.
+const shareSumTolerance = 0.01
 
 // checkRequiredKeys returns an error that names the first required key that is missing or null in the JSON object text,
 // with prefix before the key. section is the object's key in requiredKeys.
@@ -340,7 +341,7 @@
 	if err := json.Unmarshal(text, &parsed); err != nil {
 		return Deployment{}, fmt.Errorf("settings: %w", err)
 	}
-	d := Deployment{
+	deployment := Deployment{
 		ReportMetrics:       parsed.LoadReport.Columns,
 		ConnectTimeout:      parsed.Limits.Connect.duration(),
 		KeepAlive:           parsed.Limits.KeepAlive.duration(),
@@ -352,14 +353,14 @@
 		ProbesEnabled:       parsed.Limits.Probes,
 	}
 	if parsed.Zone != nil {
-		d.Zone = int(min(max(*parsed.Zone, -1), 127))
+		deployment.Zone = int(min(max(*parsed.Zone, -1), 127))
 	}
 	if parsed.Me != nil {
-		d.Self = int(*parsed.Me)
+		deployment.Self = int(*parsed.Me)
 	}
 	for i, entry := range parsed.Classes {
 		if entry.Name == "" {
-			return d, fmt.Errorf("settings: request-classes[%d].name: missing", i)
+			return deployment, fmt.Errorf("settings: request-classes[%d].name: missing", i)
 		}
 		class := Class{Name: entry.Name, Deadline: entry.HardLimit.duration()}
 		if i < len(parsed.FamilyInfo.ClassCells) {
@@ -369,16 +370,16 @@
 			class.Lines = parsed.FamilyInfo.Widths[i]
 		}
 		if i < len(parsed.FamilyInfo.ClassHold) {
-			d.MaxMeanHold = max(d.MaxMeanHold, parsed.FamilyInfo.ClassHold[i].duration())
+			deployment.MaxMeanHold = max(deployment.MaxMeanHold, parsed.FamilyInfo.ClassHold[i].duration())
 		}
-		d.Classes = append(d.Classes, class)
-		d.MaxDeadline = max(d.MaxDeadline, class.Deadline)
-		if aim := entry.Objective.duration(); aim > 0 && (d.MinAim == 0 || aim < d.MinAim) {
-			d.MinAim = aim
+		deployment.Classes = append(deployment.Classes, class)
+		deployment.MaxDeadline = max(deployment.MaxDeadline, class.Deadline)
+		if aim := entry.Objective.duration(); aim > 0 && (deployment.MinAim == 0 || aim < deployment.MinAim) {
+			deployment.MinAim = aim
 		}
 	}
-	if indexes := d.ClassIndexes(); len(indexes) < len(d.Classes) {
-		return d, fmt.Errorf("settings: request-classes: %d different names for %d classes", len(indexes), len(d.Classes))
+	if indexes := deployment.ClassIndexes(); len(indexes) < len(deployment.Classes) {
+		return deployment, fmt.Errorf("settings: request-classes: %d different names for %d classes", len(indexes), len(deployment.Classes))
 	}
-	return d, nil
+	return deployment, nil
 }
--- a/internal/shares/shares.go
+++ b/internal/shares/shares.go
@@ -16,16 +16,16 @@
 // known here, so the tracker compares each tenant's fraction of this softswitch's calls, and not its rate, with the
 // allowances.
 type Tracker struct {
-	tenants      []tenant
-	timeConstant time.Duration // of the decaying counters
+	tenants      []tenantState
+	timeConstant time.Duration // of the decay of the tenants' counters of calls
 	lastCallAt   time.Duration // time of the last call that was counted
 }
 
-// tenant is a tenant and its state in the tracker.
-type tenant struct {
+// tenantState is a tenant with its counters in the tracker.
+type tenantState struct {
 	Tenant
-	calls  float64 // decaying counter of calls
-	excess float64 // calls beyond the share that have not been marked yet; a call is marked at 1
+	decayedCalls float64 // counter of the tenant's calls, which decays exponentially
+	excessCalls  float64 // calls beyond the share that CountCall has not reported yet; it reports a call when this reaches 1
 }
 
 // New returns a tracker without tenants whose counters decay with the given time constant.
@@ -33,13 +33,13 @@
 
 // Configure replaces the tenants. Tenants that remain, identified by their names, keep their counters.
 func (tracker *Tracker) Configure(tenants []Tenant) {
-	old := tracker.tenants
-	tracker.tenants = make([]tenant, len(tenants))
-	for i, t := range tenants {
-		tracker.tenants[i].Tenant = t
-		for _, o := range old {
-			if o.Name == t.Name {
-				tracker.tenants[i].calls, tracker.tenants[i].excess = o.calls, o.excess
+	oldStates := tracker.tenants
+	tracker.tenants = make([]tenantState, len(tenants))
+	for i, configured := range tenants {
+		tracker.tenants[i].Tenant = configured
+		for _, previous := range oldStates {
+			if previous.Name == configured.Name {
+				tracker.tenants[i].decayedCalls, tracker.tenants[i].excessCalls = previous.decayedCalls, previous.excessCalls
 			}
 		}
 	}
@@ -56,22 +56,22 @@
 	if index < 0 || index >= len(tracker.tenants) {
 		return true
 	}
-	calls, allowed := 0.0, 0.0
+	totalCalls, totalAllowance := 0.0, 0.0
 	decay := math.Exp(-float64(now-tracker.lastCallAt) / float64(tracker.timeConstant))
 	tracker.lastCallAt = now
-	tracker.tenants[index].calls++
+	tracker.tenants[index].decayedCalls++
 	for i := range tracker.tenants {
-		tracker.tenants[i].calls *= decay
-		calls += tracker.tenants[i].calls
-		allowed += tracker.tenants[i].Allowance
+		tracker.tenants[i].decayedCalls *= decay
+		totalCalls += tracker.tenants[i].decayedCalls
+		totalAllowance += tracker.tenants[i].Allowance
 	}
-	t := &tracker.tenants[index]
-	if share := t.Allowance / max(allowed, 1e-9); t.calls > 0 {
-		t.excess = max(t.excess+1-share*calls/t.calls, 0)
+	calling := &tracker.tenants[index]
+	if share := calling.Allowance / max(totalAllowance, 1e-9); calling.decayedCalls > 0 {
+		calling.excessCalls = max(calling.excessCalls+1-share*totalCalls/calling.decayedCalls, 0)
 	}
-	if t.excess < 1 {
+	if calling.excessCalls < 1 {
 		return false
 	}
-	t.excess--
+	calling.excessCalls--
 	return true
 }
--- a/internal/shares/shares_test.go
+++ b/internal/shares/shares_test.go
@@ -10,8 +10,8 @@
 func TestConfigureKeepsCountsOfRemainingTenants(t *testing.T) {
 	tracker := New(15 * time.Second)
 	now := time.Duration(0)
-	countExceeding := func(n int, indexes ...int) (exceeding int) {
-		for i := range n {
+	countExceeding := func(callCount int, indexes ...int) (exceeding int) {
+		for i := range callCount {
 			now += 10 * time.Millisecond
 			if index := indexes[i%len(indexes)]; tracker.CountCall(now, index) && index == indexes[0] {
 				exceeding++
--- a/internal/wire/codes.go
+++ b/internal/wire/codes.go
@@ -4,7 +4,7 @@
 
 // Event codes: the first byte of an event record.
 const (
-	eventHealth         = 16 // a load report that came unasked or as the answer to a probe, or a failed probe
+	eventHealth         = 16 // a server's load report, unasked or as the answer to a probe; or a failed probe of a server
 	eventKilled         = 17 // the selected instance was killed
 	eventArrival        = 18 // a call arrived
 	eventServerList     = 19 // numbered server list, for later list updates
@@ -13,7 +13,7 @@
 	eventListUpdate     = 22 // the server list changed, or the request for it failed
 	eventEstablished    = 23 // a call was established
 	eventCallerGone     = 24 // the caller gave up
-	eventSelectInstance = 25 // selects the instance that the following events are for
+	eventSelectInstance = 25 // selects the instance (simulated softswitch) that the following events are for
 	eventStarted        = 26 // the selected instance was started, with its settings and seed
 	eventPeerData       = 27 // a message from another instance of the tier
 )
@@ -31,18 +31,18 @@
 	actionRefuse         = 26 // final answer: the call is refused
 )
 
-// Scopes of a server list update.
+// Scopes of a server list update: which entries it holds.
 const (
-	scopeDelta  = iota // the entries that changed
-	scopeFull          // the complete list
-	scopeCached        // the complete list, stored before a restart
-	scopeFailed        // the request for the list failed
+	listScopeDelta  = iota // the entries that changed
+	listScopeFull          // the complete list
+	listScopeCached        // the complete list, stored before a restart
+	listScopeFailed        // the request for the list failed
 )
 
 // Flags of an arriving call.
 const (
-	flagTransit     = 8  // the call may go to its first-choice cell only
-	flagInterrupted = 16 // an established call that was cut and is set up again
+	arrivalFlagTransit     = 8  // the call may go to its first-choice cell (server group) only
+	arrivalFlagInterrupted = 16 // an established call that was cut and is set up again
 )
 
 // maxServerLists is the number of server lists that can be numbered; the numbers start at 0.
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -35,7 +35,7 @@
 // decodeListUpdate decodes a server list update. Its entries are those of the numbered list that the record refers to.
 func (h *Host) decodeListUpdate(rec []byte) (elmseam.Event, error) {
 	listNumber, scope := byteOrder.Uint32(rec[5:]), rec[9]
-	if scope == scopeFailed {
+	if scope == listScopeFailed {
 		return elmseam.ListFailed{}, nil
 	}
 	entries, found := h.serverLists[listNumber]
@@ -43,10 +43,10 @@
 		return nil, fmt.Errorf("server list update: no list %d was sent", listNumber)
 	}
 	switch scope {
-	case scopeDelta:
+	case listScopeDelta:
 		return elmseam.ListDelta{Entries: entries}, nil
-	case scopeFull, scopeCached:
-		return elmseam.ListFull{Entries: entries, Cached: scope == scopeCached}, nil
+	case listScopeFull, listScopeCached:
+		return elmseam.ListFull{Entries: entries, Cached: scope == listScopeCached}, nil
 	}
 	return nil, fmt.Errorf("server list update: unknown scope %d", scope)
 }
@@ -59,16 +59,19 @@
 		Class:       int(byteOrder.Uint16(rec[5:])),
 		Number:      byteOrder.Uint64(rec[11:]),
 		Tenant:      int(byteOrder.Uint32(rec[19:])),
-		Transit:     flags&flagTransit != 0,
-		Interrupted: flags&flagInterrupted != 0,
+		Transit:     flags&arrivalFlagTransit != 0,
+		Interrupted: flags&arrivalFlagInterrupted != 0,
 		TimeLeft:    decodeMicroseconds(rec[25:]),
 		Cell:        int(decodeFloat32(rec[37:])),
 	}
 }
 
-// decodeOutcome decodes the end of an attempt. The low four bits of the refusal field are the kind of
-// refusal: kind 3 is a full processor, as is kind 2 with bit 4 set in an outcome with CauseFull; kind 4 means that all
-// lines of the called number are busy. With kind 3 the bits above hold the wait that the server asks for, in milliseconds.
+// decodeOutcome decodes the end of an attempt. The low four bits of the refusal field are the kind of refusal:
+//   - kind 3: the server's processor is full; the bits above hold the wait that the server asks for, in milliseconds;
+//   - kind 2 with bit 4 set, in an outcome with CauseFull: the server's processor is full;
+//   - kind 4: all lines of the called number are busy.
+//
+// Other kinds have no meaning here.
 func decodeOutcome(rec []byte) (elmseam.Outcome, error) {
 	cause, found := causeByCode[rec[15]]
 	if !found {
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -8,32 +8,32 @@
 )
 
 // encodeAction appends the record of one action of the current instance to the reply.
-func (h *Host) encodeAction(a elmseam.Action) {
+func (h *Host) encodeAction(action elmseam.Action) {
 	h.selectReplyInstance()
-	switch a := a.(type) {
+	switch action := action.(type) {
 	case elmseam.Send:
-		rec := h.reply.addRecord(actionSend)
-		byteOrder.PutUint32(rec[1:], uint32(a.Call))
-		putServerID(rec[5:], a.Server)
-		putMicroseconds(rec[11:], a.Timeout)
+		record := h.reply.addRecord(actionSend)
+		byteOrder.PutUint32(record[1:], uint32(action.Call))
+		putServerID(record[5:], action.Server)
+		putMicroseconds(record[11:], action.Timeout)
 	case elmseam.Refuse:
-		rec := h.reply.addRecord(actionRefuse)
-		byteOrder.PutUint32(rec[1:], uint32(a.Call))
-		putMicroseconds(rec[5:], a.RetryAfter)
+		record := h.reply.addRecord(actionRefuse)
+		byteOrder.PutUint32(record[1:], uint32(action.Call))
+		putMicroseconds(record[5:], action.RetryAfter)
 	case elmseam.Fail:
-		byteOrder.PutUint32(h.reply.addRecord(actionFail)[1:], uint32(a.Call))
+		byteOrder.PutUint32(h.reply.addRecord(actionFail)[1:], uint32(action.Call))
 	case elmseam.Cancel:
-		rec := h.reply.addRecord(actionCancel)
-		byteOrder.PutUint32(rec[1:], uint32(a.Call))
-		rec[5] = byte(a.Attempt)
+		record := h.reply.addRecord(actionCancel)
+		byteOrder.PutUint32(record[1:], uint32(action.Call))
+		record[5] = byte(action.Attempt)
 	case elmseam.SetTimer:
-		rec := h.reply.addRecord(actionSetTimer)
-		byteOrder.PutUint32(rec[1:], a.Token)
-		byteOrder.PutUint64(rec[5:], uint64((a.At+time.Microsecond-1)/time.Microsecond))
+		record := h.reply.addRecord(actionSetTimer)
+		byteOrder.PutUint32(record[1:], action.Token)
+		byteOrder.PutUint64(record[5:], uint64((action.At+time.Microsecond-1)/time.Microsecond))
 	case elmseam.Subscribe:
 		h.reply.addRecord(actionSubscribe)[1] = 1
 	default:
-		panic(fmt.Sprintf("no wire encoding for action %T", a))
+		panic(fmt.Sprintf("no wire encoding for action %T", action))
 	}
 }
 
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -40,8 +40,8 @@
 // record returns event record i. Its first byte is the event code.
 func (b *Batch) record(i int) []byte { return b.events[i*eventRecordSize : (i+1)*eventRecordSize] }
 
-// tailBytes returns the part of the tail that starts at offset and holds count items of size bytes each.
-func (b *Batch) tailBytes(offset, count, size uint32) ([]byte, error) {
+// tailItems returns the part of the tail that starts at offset and holds count items of size bytes each.
+func (b *Batch) tailItems(offset, count, size uint32) ([]byte, error) {
 	end := uint64(offset) + uint64(count)*uint64(size)
 	if end > uint64(len(b.tail)) {
 		return nil, fmt.Errorf("%d x %d bytes at offset %d reach beyond the tail of %d bytes", count, size, offset, len(b.tail))
@@ -51,9 +51,9 @@
 
 // ReadBatch reads one frame. It returns io.EOF if the input ends between frames. Memory use grows with the bytes that
 // were received, not with the length that the header claims.
-func ReadBatch(r io.Reader) (*Batch, error) {
+func ReadBatch(input io.Reader) (*Batch, error) {
 	var header [batchHeaderSize]byte
-	if _, err := io.ReadFull(r, header[:]); err != nil {
+	if _, err := io.ReadFull(input, header[:]); err != nil {
 		if err == io.EOF {
 			return nil, io.EOF
 		}
@@ -65,7 +65,7 @@
 		return nil, fmt.Errorf("batch %d: %d records do not fit into %d bytes", b.Seq, count, length)
 	}
 	var body bytes.Buffer
-	if n, err := io.CopyN(&body, r, int64(length)); err != nil {
+	if n, err := io.CopyN(&body, input, int64(length)); err != nil {
 		return nil, fmt.Errorf("batch %d record %d: frame cut short: %w", b.Seq, n/eventRecordSize, err)
 	}
 	b.events, b.tail = body.Bytes()[:count*eventRecordSize], body.Bytes()[count*eventRecordSize:]
@@ -95,13 +95,13 @@
 }
 
 // WriteTo writes the reply to the batch with sequence number seq and then empties the reply.
-func (r *Reply) WriteTo(w io.Writer, seq uint32) error {
+func (r *Reply) WriteTo(output io.Writer, seq uint32) error {
 	var header [replyHeaderSize]byte
 	byteOrder.PutUint32(header[0:], seq)
 	byteOrder.PutUint32(header[4:], uint32(len(r.records)/actionRecordSize))
 	byteOrder.PutUint32(header[8:], uint32(len(r.records)+len(r.tail)))
 	for _, part := range [][]byte{header[:], r.records, r.tail} {
-		if _, err := w.Write(part); err != nil {
+		if _, err := output.Write(part); err != nil {
 			return fmt.Errorf("reply to batch %d: %w", seq, err)
 		}
 	}
--- a/internal/wire/host.go
+++ b/internal/wire/host.go
@@ -10,10 +10,10 @@
 	"elmseam/internal/settings"
 )
 
-// Host runs one Controller for each instance that a stream of batches addresses. The instances share nothing but the
-// numbered server lists and the membership limits.
+// Host runs one Controller for each instance (simulated softswitch) that a stream of batches addresses. The instances
+// share nothing but the numbered server lists and the membership limits.
 type Host struct {
-	instances        map[uint16]*elmseam.Controller // by the instance number on the wire
+	controllers      map[uint16]*elmseam.Controller // by the instance number on the wire
 	serverLists      map[uint32][]elmseam.ListEntry // by list number
 	currentInstance  uint16                         // instance that the events being read are for
 	replyInstance    uint16                         // instance that the last actionSelectInstance of the reply named
@@ -27,17 +27,17 @@
 // NewHost returns a host without instances. The events of the stream start and kill them.
 func NewHost() *Host {
 	return &Host{
-		instances:   make(map[uint16]*elmseam.Controller),
+		controllers: make(map[uint16]*elmseam.Controller),
 		serverLists: make(map[uint32][]elmseam.ListEntry),
 		members:     make(map[uint16]*member),
 	}
 }
 
-// Serve reads batches from r and writes a reply to each on w, then calls flush, until the input ends between two batches. It
-// returns an error for malformed input and for a failed read, write or flush.
-func (h *Host) Serve(r io.Reader, w io.Writer, flush func() error) error {
+// Serve reads batches from input and writes a reply to each to output, then calls flush, until the input ends between two
+// batches. It returns an error for malformed input and for a failed read, write or flush.
+func (h *Host) Serve(input io.Reader, output io.Writer, flush func() error) error {
 	for {
-		batch, err := ReadBatch(r)
+		batch, err := ReadBatch(input)
 		if err == io.EOF {
 			return nil
 		}
@@ -47,7 +47,7 @@
 		if err := h.handleBatch(batch); err != nil {
 			return err
 		}
-		if err := h.reply.WriteTo(w, batch.Seq); err != nil {
+		if err := h.reply.WriteTo(output, batch.Seq); err != nil {
 			return err
 		}
 		if err := flush(); err != nil {
@@ -57,12 +57,12 @@
 }
 
 // handleBatch handles the events of a batch in order and collects the actions in h.reply.
-func (h *Host) handleBatch(b *Batch) error {
+func (h *Host) handleBatch(batch *Batch) error {
 	h.hasReplyInstance = false
-	now := time.Duration(b.Clock) * time.Microsecond
-	for i := range b.Len() {
-		if err := h.handleRecord(b, b.record(i), now); err != nil {
-			return fmt.Errorf("batch %d record %d: %w", b.Seq, i, err)
+	now := time.Duration(batch.Clock) * time.Microsecond
+	for i := range batch.Len() {
+		if err := h.handleRecord(batch, batch.record(i), now); err != nil {
+			return fmt.Errorf("batch %d record %d: %w", batch.Seq, i, err)
 		}
 	}
 	return nil
@@ -71,13 +71,13 @@
 // handleRecord handles one event record: it changes the instances or the server lists, or passes the event to the
 // current instance. A valid event for a controller that is not running is ignored; the instance's membership, if it takes
 // part in one, still gets its peer messages and timers.
-func (h *Host) handleRecord(b *Batch, rec []byte, now elmseam.Time) error {
+func (h *Host) handleRecord(batch *Batch, rec []byte, now elmseam.Time) error {
 	switch rec[0] {
 	case eventSelectInstance:
 		h.currentInstance = byteOrder.Uint16(rec[1:])
 		return nil
 	case eventServerList:
-		entries, err := b.tailBytes(byteOrder.Uint32(rec[5:]), byteOrder.Uint32(rec[9:]), listEntrySize)
+		entries, err := batch.tailItems(byteOrder.Uint32(rec[5:]), byteOrder.Uint32(rec[9:]), listEntrySize)
 		if err != nil {
 			return fmt.Errorf("server list: %w", err)
 		}
@@ -88,11 +88,11 @@
 		h.serverLists[listNumber] = decodeListEntries(entries)
 		return nil
 	case eventKilled:
-		delete(h.instances, h.currentInstance)
+		delete(h.controllers, h.currentInstance)
 		delete(h.members, h.currentInstance)
 		return nil
 	case eventStarted:
-		settingsText, err := b.tailBytes(byteOrder.Uint32(rec[9:]), byteOrder.Uint32(rec[13:]), 1)
+		settingsText, err := batch.tailItems(byteOrder.Uint32(rec[9:]), byteOrder.Uint32(rec[13:]), 1)
 		if err != nil {
 			return fmt.Errorf("settings: %w", err)
 		}
@@ -100,7 +100,7 @@
 		h.startMembership(settingsText, byteOrder.Uint64(rec[1:]), now)
 		return nil
 	case eventPeerData:
-		datagram, err := b.decodePeerData(rec)
+		datagram, err := batch.decodePeerData(rec)
 		if err != nil {
 			return fmt.Errorf("peer data: %w", err)
 		}
@@ -109,12 +109,12 @@
 	case eventTimerFired:
 		h.fireMembershipTimer(now, byteOrder.Uint32(rec[1:]))
 	}
-	ev, err := h.decodeEvent(rec)
+	event, err := h.decodeEvent(rec)
 	if err != nil {
 		return err
 	}
-	if controller := h.instances[h.currentInstance]; controller != nil {
-		h.runController(controller, now, ev)
+	if controller := h.controllers[h.currentInstance]; controller != nil {
+		h.runController(controller, now, event)
 	}
 	return nil
 }
@@ -122,35 +122,35 @@
 // startInstance replaces the current instance by a new one with the given settings and seed. Invalid settings are
 // reported as the instance's failure.
 func (h *Host) startInstance(settingsText []byte, seed uint64) {
-	delete(h.instances, h.currentInstance)
+	delete(h.controllers, h.currentInstance)
 	controllerSettings, err := settings.Decode(settingsText)
 	if err == nil {
 		var controller *elmseam.Controller
 		if controller, err = elmseam.New(controllerSettings, seed); err == nil {
-			h.instances[h.currentInstance] = controller
+			h.controllers[h.currentInstance] = controller
 			return
 		}
 	}
-	h.reportFailure(err.Error())
+	h.reportInstanceFailure(err.Error())
 }
 
 // runController passes an event to a controller and appends the resulting actions to the reply. After a panic the controller
 // is removed, and the instance's failure is reported.
-func (h *Host) runController(controller *elmseam.Controller, now elmseam.Time, ev elmseam.Event) {
+func (h *Host) runController(controller *elmseam.Controller, now elmseam.Time, event elmseam.Event) {
 	defer func() {
 		if recovered := recover(); recovered != nil {
-			delete(h.instances, h.currentInstance)
-			h.reportFailure(fmt.Sprintf("panic: %v", recovered))
+			delete(h.controllers, h.currentInstance)
+			h.reportInstanceFailure(fmt.Sprintf("panic: %v", recovered))
 		}
 	}()
-	h.actions = controller.Handle(now, ev, h.actions[:0])
+	h.actions = controller.Handle(now, event, h.actions[:0])
 	for _, action := range h.actions {
 		h.encodeAction(action)
 	}
 }
 
-// reportFailure appends an action that says that the current instance has failed, and why.
-func (h *Host) reportFailure(reason string) {
+// reportInstanceFailure appends an action that says that the current instance has failed, and why.
+func (h *Host) reportInstanceFailure(reason string) {
 	h.selectReplyInstance()
 	h.reply.addTextRecord(actionInstanceFailed, reason)
 }
--- a/internal/wire/membership_test.go
+++ b/internal/wire/membership_test.go
@@ -12,14 +12,14 @@
 
 // encodeBatch returns a batch with the given clock, in microseconds, the records, each padded to its full size, and the tail.
 func encodeBatch(clock uint64, records [][]byte, tail []byte) []byte {
-	b := byteOrder.AppendUint32(nil, 1)
-	b = byteOrder.AppendUint32(b, uint32(len(records)*eventRecordSize+len(tail)))
-	b = byteOrder.AppendUint32(b, uint32(len(records)))
-	b = byteOrder.AppendUint64(b, clock)
-	for _, r := range records {
-		b = append(append(b, r...), make([]byte, eventRecordSize-len(r))...)
+	batch := byteOrder.AppendUint32(nil, 1)
+	batch = byteOrder.AppendUint32(batch, uint32(len(records)*eventRecordSize+len(tail)))
+	batch = byteOrder.AppendUint32(batch, uint32(len(records)))
+	batch = byteOrder.AppendUint64(batch, clock)
+	for _, record := range records {
+		batch = append(append(batch, record...), make([]byte, eventRecordSize-len(record))...)
 	}
-	return append(b, tail...)
+	return append(batch, tail...)
 }
 
 // TestMembershipExchange checks that two instances of a tier come to consider each other alive by peer messages and timers on
@@ -30,10 +30,10 @@
 		return strings.Replace(strings.Replace(validSettings, `"max-attempts": 4`, fmt.Sprintf(`"max-attempts": 4, "peer-messages": %t`, permitted), 1),
 			`{"request-classes"`, fmt.Sprintf(`{"me": %d, "peers-total": 2, "request-classes"`, self), 1)
 	}
-	for _, c := range []struct{ enabled, permitted, want bool }{{true, true, true}, {false, true, false}, {true, false, false}} {
-		h := NewHost()
-		if c.enabled {
-			h.EnableMembership(membership.Defaults())
+	for _, tc := range []struct{ enabled, permitted, want bool }{{true, true, true}, {false, true, false}, {true, false, false}} {
+		host := NewHost()
+		if tc.enabled {
+			host.EnableMembership(membership.Defaults())
 		}
 		type pendingTimer struct {
 			at       uint64
@@ -45,7 +45,7 @@
 		var serveBatch func(clock uint64, records [][]byte, tail []byte)
 		serveBatch = func(clock uint64, records [][]byte, tail []byte) {
 			var out bytes.Buffer
-			if err := h.Serve(bytes.NewReader(encodeBatch(clock, records, tail)), &out, func() error { return nil }); err != nil {
+			if err := host.Serve(bytes.NewReader(encodeBatch(clock, records, tail)), &out, func() error { return nil }); err != nil {
 				t.Fatal(err)
 			}
 			reply := out.Bytes()
@@ -68,7 +68,7 @@
 			}
 		}
 		for i := range 2 {
-			settingsText := settingsFor(i, c.permitted)
+			settingsText := settingsFor(i, tc.permitted)
 			startRecord := byteOrder.AppendUint32(byteOrder.AppendUint32(append([]byte{eventStarted}, make([]byte, 8)...), 0), uint32(len(settingsText)))
 			serveBatch(1e9, [][]byte{byteOrder.AppendUint16([]byte{eventSelectInstance}, uint16(i)), startRecord}, []byte(settingsText))
 		}
@@ -81,12 +81,12 @@
 			timers = timers[1:]
 			serveBatch(next.at, [][]byte{byteOrder.AppendUint16([]byte{eventSelectInstance}, next.instance), byteOrder.AppendUint32([]byte{eventTimerFired}, next.token)}, nil)
 		}
-		if (peerMessages > 0) != c.want {
-			t.Errorf("%+v: %d peer messages were written", c, peerMessages)
+		if (peerMessages > 0) != tc.want {
+			t.Errorf("%+v: %d peer messages were written", tc, peerMessages)
 		}
 		for i := range 2 {
-			if m := h.members[uint16(i)]; (m != nil) != c.want || m != nil && m.reducer.Members()[1-i].State != membership.StateAlive {
-				t.Errorf("%+v: instance %d: membership %+v, want the other instance alive, or no membership", c, i, m)
+			if m := host.members[uint16(i)]; (m != nil) != tc.want || m != nil && m.reducer.Members()[1-i].State != membership.StateAlive {
+				t.Errorf("%+v: instance %d: membership %+v, want the other instance alive, or no membership", tc, i, m)
 			}
 		}
 	}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -35,6 +35,8 @@
 
 // Inputs of several tests.
 const (
+	// exampleBatch, in the notation of decodeHex, has five events: select instance 3, a call arrives, a timer fires, select
+	// instance 5, and a caller gives up.
 	exampleBatch = "0c000000 f0000000 05000000 5a5c800000000000" +
 		" 19 0300 +45" +
 		" 12 c4913a5d 0000 00009644 640ad2557c3bf091 00000000 0100 80a90300 e02e0000 00008043 00006442 +7" +
@@ -49,14 +51,14 @@
 
 // TestReadBatch checks the header of an example batch and one of its arrivals.
 func TestReadBatch(t *testing.T) {
-	b, err := ReadBatch(bytes.NewReader(decodeHex(t, exampleBatch)))
+	batch, err := ReadBatch(bytes.NewReader(decodeHex(t, exampleBatch)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if b.Seq != 12 || b.Len() != 5 || b.Clock != 0x805c5a {
-		t.Errorf("batch %d of %d records at %d", b.Seq, b.Len(), b.Clock)
+	if batch.Seq != 12 || batch.Len() != 5 || batch.Clock != 0x805c5a {
+		t.Errorf("batch %d of %d records at %d", batch.Seq, batch.Len(), batch.Clock)
 	}
-	got := decodeArrival(b.record(1))
+	got := decodeArrival(batch.record(1))
 	want := elmseam.Arrival{
 		Call: 0x5d3a91c4, Number: 0x91f03b7c55d20a64, TimeLeft: 240 * time.Millisecond, Cell: 57,
 	}
@@ -67,8 +69,8 @@
 
 // TestDecodeEvents checks the decoding of example records of the events for a controller, arrivals excepted.
 func TestDecodeEvents(t *testing.T) {
-	h := NewHost()
-	h.serverLists[0] = decodeListEntries(decodeHex(t, "0a124a07 2b23 00 00 0000 01 0000803f 0000000000000000"+
+	host := NewHost()
+	host.serverLists[0] = decodeListEntries(decodeHex(t, "0a124a07 2b23 00 00 0000 01 0000803f 0000000000000000"+
 		" 0a9011f2 5423 01 00 0000 02 0000c03f 20145d0000000000"))
 	server := decodeServerID(decodeHex(t, "0a124a07 2b23"))
 	tests := []struct {
@@ -76,52 +78,52 @@
 		rec  string
 		want func(elmseam.Event) bool
 	}{
-		{"established", "17 c4913a5d 0a124a07 2b23 00 22240000 +32", func(ev elmseam.Event) bool {
-			return ev == elmseam.Established{Call: 0x5d3a91c4, Server: server, SetUpTime: 9250 * time.Microsecond}
+		{"established", "17 c4913a5d 0a124a07 2b23 00 22240000 +32", func(event elmseam.Event) bool {
+			return event == elmseam.Established{Call: 0x5d3a91c4, Server: server, SetUpTime: 9250 * time.Microsecond}
 		}},
 		{"outcome", "14 c4913a5d 01 00 44480000 00000000 0a 0a124a07 2b23 03 cdcccc3e 0000a03f 00000c43 00000000 +9",
-			func(ev elmseam.Event) bool {
-				outcome := ev.(elmseam.Outcome)
+			func(event elmseam.Event) bool {
+				outcome := event.(elmseam.Outcome)
 				return outcome.Final && outcome.Cause == elmseam.CauseEnded && outcome.Server == server && len(outcome.Report) == 3 && outcome.Report[2] == 140
 			}},
-		{"processor full for 500 ms", "14 c4913a5d 00 00 44480000 431f0000 1e 0a124a07 2b23 00 +25", func(ev elmseam.Event) bool {
-			outcome := ev.(elmseam.Outcome)
+		{"processor full for 500 ms", "14 c4913a5d 00 00 44480000 431f0000 1e 0a124a07 2b23 00 +25", func(event elmseam.Event) bool {
+			outcome := event.(elmseam.Outcome)
 			return outcome.Refusal == elmseam.RefusalProcessor && outcome.Wait == 500*time.Millisecond && !outcome.Final
 		}},
-		{"health", "10 0a9011f2 5423 0a 78050000 03 cdcccc3e 0000a03f 00000c43 00000000 +19", func(ev elmseam.Event) bool {
-			return ev.(elmseam.Health).OK
+		{"health", "10 0a9011f2 5423 0a 78050000 03 cdcccc3e 0000a03f 00000c43 00000000 +19", func(event elmseam.Event) bool {
+			return event.(elmseam.Health).OK
 		}},
-		{"list", "16 29000000 00000000 02 +38", func(ev elmseam.Event) bool {
-			list := ev.(elmseam.ListFull)
+		{"list", "16 29000000 00000000 02 +38", func(event elmseam.Event) bool {
+			list := event.(elmseam.ListFull)
 			return list.Cached && len(list.Entries) == 2 && list.Entries[1].Phase == elmseam.PhaseDraining &&
 				list.Entries[1].Started == 6100000*time.Microsecond
 		}},
-		{"caller gone", "18 192b6f0e +43", func(ev elmseam.Event) bool { return ev == elmseam.CallerGone{Call: 0x0e6f2b19} }},
-		{"timer fired", "15 4d000000 +43", func(ev elmseam.Event) bool { return ev == elmseam.TimerFired{Token: 77} }},
+		{"caller gone", "18 192b6f0e +43", func(event elmseam.Event) bool { return event == elmseam.CallerGone{Call: 0x0e6f2b19} }},
+		{"timer fired", "15 4d000000 +43", func(event elmseam.Event) bool { return event == elmseam.TimerFired{Token: 77} }},
 	}
 	for _, tt := range tests {
-		ev, err := h.decodeEvent(decodeHex(t, tt.rec))
+		event, err := host.decodeEvent(decodeHex(t, tt.rec))
 		if err != nil {
 			t.Errorf("%s: %v", tt.name, err)
-		} else if !tt.want(ev) {
-			t.Errorf("%s: decoded as %+v", tt.name, ev)
+		} else if !tt.want(event) {
+			t.Errorf("%s: decoded as %+v", tt.name, event)
 		}
 	}
 }
 
 // TestEncodeActions checks the bytes of a reply with actions of two instances.
 func TestEncodeActions(t *testing.T) {
-	h := NewHost()
-	h.currentInstance = 3
-	h.encodeAction(elmseam.Send{Call: 0x5d3a91c4, Server: decodeServerID(decodeHex(t, "0a124a07 2b23")), Timeout: 80 * time.Millisecond})
-	h.encodeAction(elmseam.SetTimer{Token: 77, At: 0x87fd7a * time.Microsecond})
-	h.currentInstance = 5
-	h.encodeAction(elmseam.Refuse{Call: 0x0e6f2b19, RetryAfter: 250 * time.Millisecond})
-	h.encodeAction(elmseam.Fail{Call: 0x5d3a91c4})
-	h.encodeAction(elmseam.Cancel{Call: 0x5d3a91c4, Attempt: 2})
-	h.encodeAction(elmseam.Subscribe{})
+	host := NewHost()
+	host.currentInstance = 3
+	host.encodeAction(elmseam.Send{Call: 0x5d3a91c4, Server: decodeServerID(decodeHex(t, "0a124a07 2b23")), Timeout: 80 * time.Millisecond})
+	host.encodeAction(elmseam.SetTimer{Token: 77, At: 0x87fd7a * time.Microsecond})
+	host.currentInstance = 5
+	host.encodeAction(elmseam.Refuse{Call: 0x0e6f2b19, RetryAfter: 250 * time.Millisecond})
+	host.encodeAction(elmseam.Fail{Call: 0x5d3a91c4})
+	host.encodeAction(elmseam.Cancel{Call: 0x5d3a91c4, Attempt: 2})
+	host.encodeAction(elmseam.Subscribe{})
 	var out bytes.Buffer
-	if err := h.reply.WriteTo(&out, 12); err != nil {
+	if err := host.reply.WriteTo(&out, 12); err != nil {
 		t.Fatal(err)
 	}
 	want := decodeHex(t, "0c000000 08000000 80000000 10 0300 +13 11 c4913a5d 0a124a07 2b23 80380100 +1"+
@@ -206,11 +208,11 @@
 // TestKillAndStartInOneBatch checks that an instance that is killed and started again within one batch gets a new
 // controller, without the state of the earlier one.
 func TestKillAndStartInOneBatch(t *testing.T) {
-	h := NewHost()
-	if err := h.Serve(bytes.NewReader(startBatch(validSettings)), io.Discard, func() error { return nil }); err != nil {
+	host := NewHost()
+	if err := host.Serve(bytes.NewReader(startBatch(validSettings)), io.Discard, func() error { return nil }); err != nil {
 		t.Fatal(err)
 	}
-	before := h.instances[3]
+	before := host.controllers[3]
 	frame := startBatch(validSettings)
 	killRecord := make([]byte, eventRecordSize)
 	killRecord[0] = eventKilled
@@ -218,25 +220,25 @@
 	frame = append(frame[:insertAt:insertAt], append(killRecord, frame[insertAt:]...)...)
 	byteOrder.PutUint32(frame[4:], byteOrder.Uint32(frame[4:])+eventRecordSize)
 	byteOrder.PutUint32(frame[8:], 3)
-	if err := h.Serve(bytes.NewReader(frame), io.Discard, func() error { return nil }); err != nil {
+	if err := host.Serve(bytes.NewReader(frame), io.Discard, func() error { return nil }); err != nil {
 		t.Fatal(err)
 	}
-	if after := h.instances[3]; after == nil || after == before {
+	if after := host.controllers[3]; after == nil || after == before {
 		t.Error("the instance kept its controller across the restart")
 	}
 }
 
 // TestPanicReportsFailure checks that a panic in the decision module is reported as an instance failure with the panic's text.
 func TestPanicReportsFailure(t *testing.T) {
-	h := NewHost()
-	h.currentInstance = 3
-	h.instances[3] = new(elmseam.Controller) // not made by New, so that it panics for lack of settings
+	host := NewHost()
+	host.currentInstance = 3
+	host.controllers[3] = new(elmseam.Controller) // not made by New, so that it panics for lack of settings
 	frame := decodeHex(t, "01000000 60000000 02000000 +8 19 0300 +45 12 +47")
 	var out bytes.Buffer
-	if err := h.Serve(bytes.NewReader(frame), &out, func() error { return nil }); err != nil {
+	if err := host.Serve(bytes.NewReader(frame), &out, func() error { return nil }); err != nil {
 		t.Fatal(err)
 	}
-	if !bytes.Contains(out.Bytes(), []byte("panic: ")) || h.instances[3] != nil {
+	if !bytes.Contains(out.Bytes(), []byte("panic: ")) || host.controllers[3] != nil {
 		t.Errorf("reply %q, want the text of the panic", out.Bytes())
 	}
 }
