--- a/cmd/elmseam/main.go
+++ b/cmd/elmseam/main.go
@@ -79,7 +79,7 @@
 	}
 	var m3uaProtocol *m3ua.M3UA
 	var bgpSpeaker *bgp.Speaker
-	upgrader := &upgrader{socketPath: handover.SocketPath(os.Getenv("TMPDIR"), cfg.Name), limits: cfg.Limits.HandOver, memoryLimiter: limiter, log: log, sampledLog: transport.SampledLogger(log)}
+	upgrader := &upgrader{socketPath: handover.SocketPath(os.Getenv("TMPDIR"), cfg.Name), handOverLimits: cfg.Limits.HandOver, memoryLimiter: limiter, log: log, sampledLog: transport.SampledLogger(log)}
 	readyToServe := make(chan struct{})
 	var tierSocket *peers.Socket
 	var platformRef atomic.Pointer[platform.Platform] // set before the event loop runs
@@ -155,7 +155,7 @@
 		limiter.addProcesses(1)
 		backgroundTasks = []func(){upgrader.followPredecessor, func() {
 			<-readyToServe
-			upgrader.reportServing()
+			upgrader.reportServingToPredecessor()
 			platformProtocol.Serve(listener)
 		}}
 	}
@@ -173,7 +173,7 @@
 		log.Info().Str("mgmt", adminListener.Addr().String()).Msg("admin endpoint listening")
 		go admin.Serve(adminListener)
 	}
-	var bgpSpeakerDone sync.WaitGroup // the speaker closes its sessions with its peers
+	var bgpSpeakerDone sync.WaitGroup // done when the speaker has closed its sessions with its peers
 	defer bgpSpeakerDone.Wait()
 	defer cancel()
 
@@ -278,7 +278,7 @@
 	}()
 	log.Info().Str("listen", listener.Addr().String()).Msg("started")
 	eventLoop.Run(ctx)
-	upgrader.finish(reducer)
+	upgrader.finishHandOver(reducer)
 	platformProtocol.Wait()
 	log.Info().Msg("stopped")
 	return nil
--- a/cmd/elmseam/main_test.go
+++ b/cmd/elmseam/main_test.go
@@ -138,8 +138,8 @@
 	return cmd
 }
 
-// endpoint returns the command channel's description of a server.
-func endpoint(name, status string, server net.Listener) string {
+// serverEntry returns the entry of a server in a command of the command channel.
+func serverEntry(name, status string, server net.Listener) string {
 	return fmt.Sprintf(`{"name":%q,"address":%q,"group":0,"status":%q,"since_ms":0}`, name, server.Addr(), status)
 }
 
@@ -154,7 +154,7 @@
 	return listener
 }
 
-// conn is a scripted peer's connection to the program.
+// conn is a connection to the program from a peer that the test plays.
 type conn struct {
 	*testing.T
 	net.Conn
@@ -237,8 +237,8 @@
 	return b
 }
 
-// wantCallerMessage reads a message of the callers' protocol, which must have the given type (9: answer, 12: release, 53: result
-// of a readiness test) and call, and returns its parameters.
+// wantCallerMessage reads a message of the callers' protocol, which must have the given type (9 answer, 12 release, 53
+// readiness) and call, and returns its parameters.
 func (c *conn) wantCallerMessage(kind byte, call uint64) []byte {
 	c.Helper()
 	message := c.readBytes(int(binary.BigEndian.Uint16(c.readBytes(2))))
@@ -283,9 +283,9 @@
 }
 
 // sendEvent sends a change of servers on the command channel, in chunks that end at arbitrary places.
-func (c *conn) sendEvent(cursor int, endpoints ...string) {
+func (c *conn) sendEvent(cursor int, serverEntries ...string) {
 	text := fmt.Sprintf(": comment\n\nid: %d\ndata: {\"cursor\":%d,\"nodes\":{\"snapshot\":false,\"endpoints\":[%s]}}\n\n",
-		cursor, cursor, strings.Join(endpoints, ","))
+		cursor, cursor, strings.Join(serverEntries, ","))
 	for len(text) > 0 {
 		n := min(7, len(text))
 		fmt.Fprintf(c, "%x\r\n%s\r\n", n, text[:n])
@@ -297,7 +297,7 @@
 // after a SIGTERM still accepts and answers calls during the grace period.
 func TestServeFollowStop(t *testing.T) {
 	old, added := listen(t), listen(t)
-	process := startProgram(t, "", endpoint("old", "in_service", old))
+	process := startProgram(t, "", serverEntry("old", "in_service", old))
 	first := acceptServer(t, old)
 	caller := dial(t, process.listen)
 	caller.sendSetUp(1)
@@ -311,14 +311,14 @@
 	if last := channel.acceptEventStream(); last != "1" {
 		t.Errorf("Last-Event-ID %s, want 1", last)
 	}
-	channel.sendEvent(2, endpoint("new", "in_service", added))
+	channel.sendEvent(2, serverEntry("new", "in_service", added))
 	second := acceptServer(t, added)
 	channel.Close()
 	channel = accept(t, process.channel)
 	if last := channel.acceptEventStream(); last != "2" {
 		t.Errorf("Last-Event-ID %s, want 2", last)
 	}
-	channel.sendEvent(3, endpoint("old", "terminated", old))
+	channel.sendEvent(3, serverEntry("old", "terminated", old))
 	if _, err := first.reader.ReadByte(); err != io.EOF { // the connection to the server closes when its calls have ended
 		t.Errorf("the old server reads %v, want EOF", err)
 	}
@@ -354,14 +354,14 @@
 // stay open, also after repeated signals and while the program stops.
 func TestReload(t *testing.T) {
 	srv, channel := listen(t), listen(t)
-	process := startProgram(t, "", endpoint("s", "in_service", srv))
+	process := startProgram(t, "", serverEntry("s", "in_service", srv))
 	peer := acceptServer(t, srv)
 	caller := dial(t, process.listen)
 	caller.sendSetUp(1)
 	callID := peer.wantLine(`"offer"`)
 	oldChannel := accept(t, process.channel)
 	oldChannel.acceptEventStream()
-	oldChannel.sendEvent(2, endpoint("s", "in_service", srv))
+	oldChannel.sendEvent(2, serverEntry("s", "in_service", srv))
 
 	os.WriteFile(process.config, []byte(`{"name":"n1"}`), 0o600)
 	process.cmd.Process.Signal(syscall.SIGHUP)
@@ -536,7 +536,7 @@
 		process := newProgram(t)
 		text := strings.NewReplacer(`"total","cut_by"`, `"total","recent_ms"`, `"max-attempts":4`, `"max-attempts":5,"probes":true,"peer-messages":`+fmt.Sprint(permitted),
 			`{"request-classes"`, `{"me":0,"peers-total":2,"over-share-worth":0.1,"tenants":[{"name":"a","share":0.5,"allowance-per-s":9}],"request-classes"`).Replace(testSettings)
-		process.writeConfig(channel, text, endpoint("s", "in_service", srv))
+		process.writeConfig(channel, text, serverEntry("s", "in_service", srv))
 		config, _ := os.ReadFile(process.config)
 		config = bytes.Replace(config, []byte(`{"name"`), fmt.Appendf(nil, `{"peer_listen":%q,"peers":[%[1]q,%q],"name"`, tierConns[0].LocalAddr(), tierConns[1].LocalAddr()), 1)
 		os.WriteFile(process.config, config, 0o600)
@@ -580,7 +580,7 @@
 		"status-check = 10\n", "", "profile-read = 12\n", "").Replace(string(text))
 	file += fmt.Sprintf("[[bgp.peer]]\naddress = %q\nas = 64513\n", neighbour.Addr())
 	os.WriteFile(path, []byte(file), 0o600)
-	process := startProgram(t, path, endpoint("new", "in_service", serverListener))
+	process := startProgram(t, path, serverEntry("new", "in_service", serverListener))
 	serverConn := acceptServer(t, serverListener)
 
 	peer := accept(t, neighbour)
--- a/cmd/elmseam/ops_test.go
+++ b/cmd/elmseam/ops_test.go
@@ -62,7 +62,7 @@
 	process.wantResponse("/ops/readiness", 503, "no server")
 	channel := accept(t, process.channel)
 	channel.acceptEventStream()
-	channel.sendEvent(2, endpoint("s", "in_service", srv))
+	channel.sendEvent(2, serverEntry("s", "in_service", srv))
 	peer := acceptServer(t, srv)
 	process.wantResponse("/ops/readiness", 200, "")
 	for range 40 { // more than the admin endpoint accepts at once
@@ -121,7 +121,7 @@
 // limit of its arrival is tested by TestReconfiguration of package core.
 func TestReloadInvalidConfiguration(t *testing.T) {
 	srv := listen(t)
-	process := startProgram(t, "", endpoint("s", "in_service", srv))
+	process := startProgram(t, "", serverEntry("s", "in_service", srv))
 	peer := acceptServer(t, srv)
 	valid, err := os.ReadFile(process.config)
 	if err != nil {
--- a/cmd/elmseam/stop_test.go
+++ b/cmd/elmseam/stop_test.go
@@ -16,7 +16,7 @@
 // reset. Twenty reload signals before a SIGTERM, or one while the program stops, must not hide the SIGTERM.
 func TestStopUnderLoad(t *testing.T) {
 	srv := listen(t)
-	process := startProgram(t, "", endpoint("s", "in_service", srv))
+	process := startProgram(t, "", serverEntry("s", "in_service", srv))
 	peer := acceptServer(t, srv)
 	waiting := dial(t, process.listen)
 	waiting.sendSetUp(1)
@@ -107,7 +107,7 @@
 // serve calls by the remaining server.
 func TestReadyWithCommandChannelDown(t *testing.T) {
 	srv, closed := listen(t), listen(t)
-	process := newProgram(t, endpoint("gone", "in_service", closed), endpoint("s", "in_service", srv))
+	process := newProgram(t, serverEntry("gone", "in_service", closed), serverEntry("s", "in_service", srv))
 	process.channel.Close()
 	closed.Close()
 	process.launch("")
--- a/cmd/elmseam/upgrade.go
+++ b/cmd/elmseam/upgrade.go
@@ -19,25 +19,25 @@
 // upgrader performs this process's hand-overs: from a predecessor when it starts, and to a successor when it stops.
 type upgrader struct {
 	socketPath, listenAddr string // path of the hand-over socket, and address for callers
-	limits                 handover.Limits
+	handOverLimits         handover.Limits
 	loop                   *loop.Loop
 	platform               *platform.Platform
 	listener               net.Listener // for callers
 	memoryLimiter          *memoryLimiter
 	log                    zerolog.Logger
-	sampledLog             zerolog.Logger // for lines logged once per connection
+	sampledLog             zerolog.Logger // rate-limited, for lines logged once per connection
 
 	predecessor *handover.Peer // nil if there was no predecessor
 
 	mu                          sync.Mutex                  // guards the fields below
 	successorListener           *net.UnixListener           // where a successor connects
-	localConns                  map[core.ConnID]core.ConnID // this process's id of each connection taken over, by the predecessor's id
-	successor                   *handover.Peer              // nil if there is no successor; kept if it disconnects while transferring
+	takenOverConns              map[core.ConnID]core.ConnID // this process's id of each connection taken over, by the predecessor's id
+	successor                   *handover.Peer              // nil if there is no successor; kept if it disconnects after the transfer began
 	listenerSharedWithSuccessor bool                        // the successor has the callers' listener too, or is being sent it
 	listenerClosing             bool                        // the callers' listener is being closed
 	successorServing            bool                        // the successor serves callers
-	stopping                    bool                        // a stop of this process was requested
-	transferring                bool                        // the transfer of callers' connections has begun; it is never reset
+	stopRequested               bool                        // a stop of this process was requested
+	transferBegun               bool                        // the transfer of callers' connections has begun; it is never reset
 	transferredConns            map[core.ConnID]bool        // callers' connections that the successor has; nil without a successor
 }
 
@@ -48,12 +48,12 @@
 	if addr, err := net.ResolveTCPAddr("tcp", listenAddr); err == nil {
 		listenAddr = addr.String()
 	}
-	predecessor, listener, err := handover.RequestListener(u.socketPath, listenAddr, u.limits)
+	predecessor, listener, err := handover.RequestListener(u.socketPath, listenAddr, u.handOverLimits)
 	if err != nil {
 		u.log.Debug().Err(err).Msg("nothing to take over")
 		return false
 	}
-	u.predecessor, u.listener, u.localConns = predecessor, listener, make(map[core.ConnID]core.ConnID)
+	u.predecessor, u.listener, u.takenOverConns = predecessor, listener, make(map[core.ConnID]core.ConnID)
 	u.log.Info().Msg("taking over from a running process")
 	return true
 }
@@ -77,21 +77,21 @@
 			u.listenForSuccessor()
 			u.loop.Post(core.Predecessor{Present: true, Transferring: true})
 		case handover.KindCallerConn:
-			u.adoptConn(msg, file)
+			u.adoptCallerConn(msg, file)
 		case handover.KindCallsEnded:
 			u.loop.Post(core.EndedCalls{IDs: msg.IDs})
 		case handover.KindEffect:
 			u.mu.Lock()
-			connID := u.localConns[msg.Conn]
+			connID := u.takenOverConns[msg.Conn]
 			u.mu.Unlock()
 			u.loop.Post(core.Relayed{Protocol: msg.Protocol, Conn: connID, Effect: msg.ToEffect()})
 		}
 	}
 }
 
-// adoptConn serves a caller's connection that the predecessor transferred. It informs the predecessor when the connection has
-// ended, or if it can't be used.
-func (u *upgrader) adoptConn(msg handover.Message, file *os.File) {
+// adoptCallerConn serves a caller's connection that the predecessor transferred. It informs the predecessor when the
+// connection has ended, or if it can't be used.
+func (u *upgrader) adoptCallerConn(msg handover.Message, file *os.File) {
 	if file == nil {
 		return
 	}
@@ -104,12 +104,12 @@
 	}
 	connID := u.loop.NewConnID()
 	u.mu.Lock()
-	u.localConns[msg.Conn] = connID
+	u.takenOverConns[msg.Conn] = connID
 	u.mu.Unlock()
 	callerUp := core.CallerUp{Conn: connID, Protocol: platform.Protocol, Used: msg.Used, Open: msg.Pending, Established: msg.Established}
 	u.platform.Adopt(conn, msg.Unprocessed, callerUp, func() {
 		u.mu.Lock()
-		delete(u.localConns, msg.Conn)
+		delete(u.takenOverConns, msg.Conn)
 		u.mu.Unlock()
 		u.predecessor.Send(handover.Message{Kind: handover.KindCallerDown, Conn: msg.Conn})
 	})
@@ -125,7 +125,7 @@
 	case core.CallerEnd:
 		var predecessorConn core.ConnID
 		u.mu.Lock()
-		for predecessorID, ownID := range u.localConns {
+		for predecessorID, ownID := range u.takenOverConns {
 			if ownID == event.From {
 				predecessorConn = predecessorID
 			}
@@ -137,9 +137,9 @@
 	}
 }
 
-// reportServing informs the predecessor that this process serves callers from now on, so that the predecessor transfers its
-// callers' connections when it is stopped.
-func (u *upgrader) reportServing() {
+// reportServingToPredecessor informs the predecessor that this process serves callers from now on, so that the predecessor
+// transfers its callers' connections when it is stopped.
+func (u *upgrader) reportServingToPredecessor() {
 	if u.predecessor != nil {
 		u.predecessor.Send(handover.Message{Kind: handover.KindServing})
 	}
@@ -150,7 +150,7 @@
 func (u *upgrader) listenForSuccessor() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.successorListener != nil || u.socketPath == "" || u.transferring {
+	if u.successorListener != nil || u.socketPath == "" || u.transferBegun {
 		return
 	}
 	listener, err := handover.Listen(u.socketPath)
@@ -187,7 +187,7 @@
 		u.listenerSharedWithSuccessor = true
 	}
 	u.mu.Unlock()
-	successor, err := handover.AcceptSuccessor(conn, u.listenAddr, refusal, listener, u.limits)
+	successor, err := handover.AcceptSuccessor(conn, u.listenAddr, refusal, listener, u.handOverLimits)
 	if err != nil {
 		u.mu.Lock()
 		u.listenerSharedWithSuccessor = u.successor != nil
@@ -234,9 +234,9 @@
 	u.mu.Lock()
 	transferredConns := u.transferredConns
 	u.transferredConns = nil
-	if !u.transferring {
+	if !u.transferBegun {
 		u.successor, u.successorServing, u.listenerSharedWithSuccessor = nil, false, false
-		if u.stopping {
+		if u.stopRequested {
 			u.platform.MarkStopping()
 		}
 	}
@@ -252,7 +252,7 @@
 // whether there is a successor.
 func (u *upgrader) requestStop() bool {
 	u.mu.Lock()
-	u.stopping = true
+	u.stopRequested = true
 	hasSuccessor := u.successor != nil
 	u.mu.Unlock()
 	u.transferIfReady()
@@ -278,9 +278,9 @@
 // requested.
 func (u *upgrader) transferIfReady() {
 	u.mu.Lock()
-	startsTransfer := u.successorServing && u.stopping && !u.transferring
+	startsTransfer := u.successorServing && u.stopRequested && !u.transferBegun
 	if startsTransfer {
-		u.transferring = true
+		u.transferBegun = true
 		if u.successorListener != nil {
 			u.successorListener.Close()
 		}
@@ -336,17 +336,17 @@
 	}
 }
 
-// finish closes the connection to the successor, if there is one. If callers' connections were transferred, it first sends
-// the successor the ids of the calls that have ended recently, as repeated messages about them may still arrive there.
-func (u *upgrader) finish(reducer *core.Core) {
+// finishHandOver closes the connection to the successor, if there is one. If callers' connections were transferred, it first
+// sends the successor the ids of the calls that have ended recently, as repeated messages about them may still arrive there.
+func (u *upgrader) finishHandOver(reducer *core.Core) {
 	u.mu.Lock()
-	successor, transferring := u.successor, u.transferring
+	successor, transferBegun := u.successor, u.transferBegun
 	u.mu.Unlock()
 	if successor == nil {
 		return
 	}
-	if transferring {
-		successor.Send(handover.Message{Kind: handover.KindCallsEnded, IDs: reducer.RecentlyEnded(u.limits.MaxEndedCalls)})
+	if transferBegun {
+		successor.Send(handover.Message{Kind: handover.KindCallsEnded, IDs: reducer.RecentlyEnded(u.handOverLimits.MaxEndedCalls)})
 		successor.Flush()
 	}
 	successor.Close()
@@ -376,7 +376,7 @@
 	m.applyLimits()
 }
 
-// applyLimits sets the memory limit to this process's share, and the garbage collector's percentage to GCPercent.
+// applyLimits sets the memory limit to this process's share, and the garbage collector's percentage.
 func (m *memoryLimiter) applyLimits() {
 	debug.SetMemoryLimit(m.limits.MemoryLimit / int64(1+m.otherProcesses))
 	debug.SetGCPercent(m.limits.GCPercent)
--- a/cmd/elmseam/upgrade_test.go
+++ b/cmd/elmseam/upgrade_test.go
@@ -41,7 +41,7 @@
 func TestUpgrade(t *testing.T) {
 	dir, srv := t.TempDir(), listen(t)
 	os.WriteFile(filepath.Join(dir, "elmseam-n1.sock"), nil, 0o600) // left by a process that was killed
-	predecessor := startUpgradable(t, dir, endpoint("s", "in_service", srv))
+	predecessor := startUpgradable(t, dir, serverEntry("s", "in_service", srv))
 	peer := acceptServer(t, srv)
 	caller, partial := dial(t, predecessor.listen), dial(t, predecessor.listen)
 	answer := func(peer *conn, callID string) {
@@ -96,7 +96,7 @@
 // successor must answer the set-up.
 func TestUpgradeWithKilledProcess(t *testing.T) {
 	dir, srv := t.TempDir(), listen(t)
-	predecessor := startUpgradable(t, dir, endpoint("s", "in_service", srv))
+	predecessor := startUpgradable(t, dir, serverEntry("s", "in_service", srv))
 	peer := acceptServer(t, srv)
 	failed := predecessor.startSuccessor(dir)
 	failed.cmd.Process.Kill()
@@ -121,7 +121,7 @@
 // must not close the successor's.
 func TestUpgradePredecessorExitsEarly(t *testing.T) {
 	dir, srv := t.TempDir(), listen(t)
-	predecessor := startUpgradable(t, dir, endpoint("s", "in_service", srv))
+	predecessor := startUpgradable(t, dir, serverEntry("s", "in_service", srv))
 	acceptServer(t, srv)
 	srv.Close() // so that the successor cannot connect to the server
 	successor := &program{T: t, channel: predecessor.channel, config: predecessor.config, logLines: make(chan string, 100)}
@@ -147,7 +147,7 @@
 // address, and serves on. A process that finds no hand-over socket must start as usual.
 func TestUpgradeRefused(t *testing.T) {
 	dir, srv := t.TempDir(), listen(t)
-	predecessor := startUpgradable(t, dir, endpoint("s", "in_service", srv))
+	predecessor := startUpgradable(t, dir, serverEntry("s", "in_service", srv))
 	for hello, want := range map[string]string{
 		`{"kind":"hello","version":99}`:                                   "version",
 		`{"kind":"hello","version":1,"listen":"127.0.0.1:1"}`:             "served here",
@@ -166,7 +166,7 @@
 		}
 		client.Close()
 	}
-	other := newProgram(t, endpoint("s", "in_service", srv))
+	other := newProgram(t, serverEntry("s", "in_service", srv))
 	other.launch("", "TMPDIR="+filepath.Join(dir, "none"))
 	other.wantResponse("/ops/readiness", 200, "")
 	if !predecessor.acceptsSetUps() || !other.acceptsSetUps() {
@@ -203,7 +203,7 @@
 			}()
 		}
 	}()
-	process := startUpgradable(t, dir, endpoint("s", "in_service", srv))
+	process := startUpgradable(t, dir, serverEntry("s", "in_service", srv))
 	process.wantResponse("/ops/readiness", 200, "")
 	const callers = 8
 	var requested, established atomic.Int64
--- a/cmd/elmseamctl/check.go
+++ b/cmd/elmseamctl/check.go
@@ -62,7 +62,7 @@
 		Use:   "replay FILE",
 		Short: "Replay a trace, and print its actions",
 		Args:  cobra.ExactArgs(1),
-		RunE:  func(cmd *cobra.Command, args []string) error { return replay(cmd.OutOrStdout(), args[0]) },
+		RunE:  func(cmd *cobra.Command, args []string) error { return replayTrace(cmd.OutOrStdout(), args[0]) },
 	})
 	cmd.SetContext(context.Background())
 	return cmd
@@ -111,8 +111,8 @@
 	return file.Close()
 }
 
-// replay replays the trace in the file path and prints each action with its time.
-func replay(out io.Writer, path string) error {
+// replayTrace replays the trace in the file path and prints each action with its time.
+func replayTrace(out io.Writer, path string) error {
 	file, err := os.Open(path)
 	if err != nil {
 		return err
--- a/cmd/elmseamctl/tier.go
+++ b/cmd/elmseamctl/tier.go
@@ -62,10 +62,10 @@
 }
 
 // median returns the median of a value of the outcomes; for an even number of outcomes, the higher of the two middle values.
-func median(outcomes []swarm.Outcome, value func(swarm.Outcome) float64) float64 {
+func median(outcomes []swarm.Outcome, valueOf func(swarm.Outcome) float64) float64 {
 	var values []float64
 	for _, outcome := range outcomes {
-		values = append(values, value(outcome))
+		values = append(values, valueOf(outcome))
 	}
 	slices.Sort(values)
 	return values[len(values)/2]
--- a/internal/config/members.go
+++ b/internal/config/members.go
@@ -25,14 +25,14 @@
 	Enabled        bool         `toml:"enabled"`
 	Period         tomlDuration `toml:"period"`        // time between two probes
 	ProbeTimeout   tomlDuration `toml:"timeout"`       // wait for the answer to a direct probe
-	IndirectProbes int          `toml:"indirect"`      // members asked to probe indirectly after that
+	IndirectProbes int          `toml:"indirect"`      // members asked to probe a member indirectly after ProbeTimeout
 	SuspicionMin   float64      `toml:"suspicion_min"` // min. suspicion time, in periods times max(1, log10 n); n: members not dead or left
 	SuspicionMax   float64      `toml:"suspicion_max"` // max. suspicion time (no confirmations), as a multiple of the min.; 1: always the min.
-	Confirmations  int          `toml:"confirm"`       // independent confirmations that shorten a suspicion to the min.
+	Confirmations  int          `toml:"confirm"`       // independent confirmations of a suspicion that shorten it to the min. time
 	RetransmitMult int          `toml:"retransmit"`    // transmissions of an update, in multiples of ⌈log10(n+1)⌉; n: members of the tier
 	MaxHealth      int          `toml:"health"`        // max. local health multiplier; 0: local health is not used
 	StallThreshold tomlDuration `toml:"stall"`         // lateness of the period timer beyond which the process counts as paused; 0: never
-	ReclaimPeriods int          `toml:"reclaim"`       // periods between two probes of members considered dead
+	ReclaimPeriods int          `toml:"reclaim"`       // protocol periods between two probes of members considered dead
 
 	Maintenance Maintenance `toml:"maintenance"`
 	Quotas      Quotas      `toml:"parts"`
@@ -44,12 +44,12 @@
 type Knowledge struct {
 	Enabled      bool         `toml:"enabled"`
 	HalfLife     tomlDuration `toml:"half_life"` // age at which a load report's weight is halved
-	SlowHalfLife tomlDuration `toml:"lasting"`   // the same for rates and failures, which change slowly
+	SlowHalfLife tomlDuration `toml:"lasting"`   // the same for a report's rates and failures, which change slowly
 	MaxAge       tomlDuration `toml:"forget"`    // age from which an observation is ignored
 	Fanout       int          `toml:"ask"`       // members that a newly started softswitch queries at a time
 }
 
-// knowledgeLimits returns the limits of the knowledge protocol: the defaults with the values of the table.
+// knowledgeLimits returns the limits of the knowledge protocol: the defaults with the values of the [knowledge] table.
 func (k Knowledge) knowledgeLimits() knowledge.Limits {
 	limits := knowledge.Defaults()
 	limits.HalfLife, limits.SlowHalfLife, limits.MaxAge, limits.Fanout = k.HalfLife.Duration, k.SlowHalfLife.Duration, k.MaxAge.Duration, k.Fanout
@@ -60,12 +60,12 @@
 // Limits that the file omits have the values of budget.Defaults.
 type Quotas struct {
 	Enabled    bool         `toml:"enabled"`
-	Lease      tomlDuration `toml:"lease"`   // lease of a unit; after its expiry a dead member's units are granted to others
+	Lease      tomlDuration `toml:"lease"`   // lease of a unit of a budget; after its expiry a dead member's units are granted to others
 	MaxDrift   float64      `toml:"drift"`   // max. fraction by which the rates of the members' clocks differ
-	MaxMembers int          `toml:"members"` // largest tier in which units move
+	MaxMembers int          `toml:"members"` // largest tier in which units move between members
 }
 
-// budgetLimits returns the limits of the budget protocol: the defaults with the values of the table.
+// budgetLimits returns the limits of the budget protocol: the defaults with the values of the [parts] table.
 func (q Quotas) budgetLimits() budgets.Limits {
 	limits := budgets.Defaults()
 	limits.Lease, limits.MaxDrift, limits.MaxMembers = q.Lease.Duration, q.MaxDrift, q.MaxMembers
@@ -77,9 +77,9 @@
 type Maintenance struct {
 	Enabled      bool         `toml:"enabled"`
 	Budget       countOrShare `toml:"budget"` // members that may be out for maintenance at the same time
-	Lease        tomlDuration `toml:"lease"`  // lease of the slot (place within Budget) of a draining member
+	Lease        tomlDuration `toml:"lease"`  // lease of the slot (within Budget) of a draining member
 	WorkLease    tomlDuration `toml:"work"`   // lease of the slot of a member that is ready for work
-	RoundTimeout tomlDuration `toml:"round"`  // time in which a majority has to answer, and interval between two checks of the queue of requests
+	RoundTimeout tomlDuration `toml:"round"`  // time in which a majority has to answer, and interval between two checks of the request queue
 	MaxDrift     float64      `toml:"drift"`  // max. fraction by which the rates of the members' clocks differ
 }
 
@@ -108,7 +108,7 @@
 	return fmt.Errorf("maintenance.budget: %v is neither an integer nor a percentage such as \"20%%\"", value)
 }
 
-// memberCount returns the number of members for a tier of the given size. A share gives at least 1 and at most
+// memberCount returns the number of members that c stands for in a tier of the given size. A share gives at least 1 and at most
 // maintenance.MaxSlots.
 func (c countOrShare) memberCount(tierSize int) int {
 	if c.Share > 0 {
@@ -118,7 +118,7 @@
 }
 
 // maintenanceLimits returns the limits of the maintenance protocol for a tier of the given size: the defaults with the values of
-// the table.
+// the [maintenance] table.
 func (m Maintenance) maintenanceLimits(tierSize int) maintenance.Limits {
 	limits := maintenance.Defaults()
 	limits.Budget, limits.Lease, limits.WorkLease = m.Budget.memberCount(tierSize), m.Lease.Duration, m.WorkLease.Duration
@@ -206,7 +206,7 @@
 	return file, file.membershipLimits().Check()
 }
 
-// membershipLimits returns the limits of the membership protocol: the defaults with the values of the file.
+// membershipLimits returns the limits of the membership protocol: the defaults with the values of the members file.
 func (m MembersFile) membershipLimits() membership.Limits {
 	limits := membership.Defaults()
 	limits.Period, limits.ProbeTimeout, limits.IndirectProbes = m.Period.Duration, m.ProbeTimeout.Duration, m.IndirectProbes
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -40,7 +40,7 @@
 	"terminated":  elmseam.PhaseGone,
 }
 
-// Command is one event of the command channel: a change of the server list, or the complete list.
+// Command is one event of the command channel.
 type Command struct {
 	Cursor  int64    `json:"cursor"` // the event's id; ids increase
 	Servers struct { // the changed servers, or all servers
@@ -86,11 +86,11 @@
 	Log         zerolog.Logger
 
 	cursorMu   sync.Mutex     // guards Cursor
-	sampledLog zerolog.Logger // for events that the channel can cause at any rate
+	sampledLog zerolog.Logger // rate-limited, for events that the channel can cause at any rate
 
 	mu              sync.Mutex // guards the fields below
-	address         string
-	initialCommands []Command // commands received along with address and not handled yet
+	channelAddress  string
+	initialCommands []Command // commands received along with channelAddress and not handled yet
 	disconnect      func()    // cancels the context of the current connection
 }
 
@@ -100,7 +100,7 @@
 func (f *Feed) Follow(address string, initialCommands []Command) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.address, f.initialCommands = address, initialCommands
+	f.channelAddress, f.initialCommands = address, initialCommands
 	if f.disconnect != nil {
 		f.disconnect()
 	}
@@ -116,7 +116,7 @@
 	}
 	f.initialCommands = nil
 	connCtx, f.disconnect = context.WithCancel(ctx)
-	return connCtx, f.disconnect, f.address
+	return connCtx, f.disconnect, f.channelAddress
 }
 
 // Run follows the channel until ctx is done. When a connection ends it connects again and continues after the last event. It
@@ -126,7 +126,7 @@
 	for ctx.Err() == nil {
 		started := time.Now()
 		connCtx, disconnect, address := f.prepareConnection(ctx)
-		err := f.followAddress(connCtx, address)
+		err := f.followChannel(connCtx, address)
 		if ctx.Err() == nil {
 			f.Log.Info().Err(err).Str("channel", address).Int64("cursor", f.lastCursor()).Msg("command channel connection ended")
 		}
@@ -140,17 +140,17 @@
 	}
 }
 
-// followAddress reads events from the channel at an address until a connection ends that has no replacement.
-func (f *Feed) followAddress(ctx context.Context, address string) error {
-	response, err := f.connect(ctx, address)
+// followChannel reads events from the channel at an address until a connection ends that has no replacement.
+func (f *Feed) followChannel(ctx context.Context, address string) error {
+	response, err := f.openStream(ctx, address)
 	for err == nil {
 		response, err = f.readUntilReplaced(ctx, address, response)
 	}
 	return err
 }
 
-// connect opens a connection and requests the events after the last one.
-func (f *Feed) connect(ctx context.Context, address string) (*responseReader, error) {
+// openStream opens a connection to the channel and requests the events after the last one.
+func (f *Feed) openStream(ctx context.Context, address string) (*responseReader, error) {
 	dialer := net.Dialer{Timeout: f.Limits.ConnectTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
@@ -173,10 +173,10 @@
 // readUntilReplaced handles the events of a connection until the connection ends. It returns the connection that replaces it, or
 // the error that ended it.
 //
-// A connection may stop delivering events although its comments (lines without an event) still arrive, while the channel counts the events as
-// delivered. So when no event has arrived for Limits.RenewAfter, the function opens a second connection, which replaces the
-// first one once its response header has arrived; if it fails, the next attempt follows after another RenewAfter. Events that both
-// deliver are handled once, by their id.
+// A connection may stop delivering events although its comments (lines without an event) still arrive, while the channel
+// counts the events as delivered. So when no event has arrived for Limits.RenewAfter, the function opens a second connection,
+// which replaces the first one once its response header has arrived; if it fails, the next attempt follows after another
+// RenewAfter. Events that both deliver are handled once, by their id.
 func (f *Feed) readUntilReplaced(ctx context.Context, address string, response *responseReader) (*responseReader, error) {
 	var mu sync.Mutex // guards replacement and connEnded
 	var replacement *responseReader
@@ -184,7 +184,7 @@
 	var renewTimer *time.Timer
 	mu.Lock()
 	renewTimer = time.AfterFunc(f.Limits.RenewAfter, func() {
-		candidate, err := f.connect(ctx, address)
+		candidate, err := f.openStream(ctx, address)
 		mu.Lock()
 		defer mu.Unlock()
 		switch {
@@ -304,7 +304,7 @@
 	r.conn.Close()
 }
 
-// Errors of responseReader and of Feed.readEvents.
+// Errors of responseReader.
 var (
 	errBadResponse = errors.New("unexpected HTTP response")
 	errTooLong     = errors.New("line or event too long")
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -27,7 +27,7 @@
 // testLimits are the limits of the tested feeds.
 var testLimits = Limits{ConnectTimeout: time.Second, ReadTimeout: time.Second, RenewAfter: time.Minute, RetryDelay: time.Millisecond, MaxEventSize: 4096, InitialBufferSize: 16}
 
-// protocolFor is the ProtocolFor of the tested feeds.
+// protocolFor, the ProtocolFor of the tested feeds, always returns "f".
 func protocolFor(string) core.Protocol { return "f" }
 
 // serveAnswer accepts one connection from the feed and writes answer to it. It returns the Last-Event-ID of the request and a
@@ -117,8 +117,8 @@
 	partialEvent := eventText(6, "no", "in_service")
 	partialEvent = partialEvent[:len(partialEvent)-2] // without the empty line that ends the event
 	for i, tt := range []struct {
-		answer, last string // last is the Last-Event-ID expected in the request
-		cut          bool   // the connection is closed after the answer
+		answer, wantID string // wantID is the Last-Event-ID expected in the request
+		closeAfter     bool   // the connection is closed after the answer
 	}{
 		{header + eventText(4, "old", "in_service") + eventText(5, "a", "in_service"), "4", false}, // followed by silence
 		{"HTTP/1.1 503 Busy\r\n\r\n" + eventText(6, "no", "in_service"), "5", false},
@@ -135,11 +135,11 @@
 	} {
 		lastEventID, closeConn := serveAnswer(t, listener, tt.answer)
 		defer closeConn()
-		if tt.cut {
+		if tt.closeAfter {
 			closeConn()
 		}
-		if lastEventID != tt.last {
-			t.Errorf("connection %d: Last-Event-ID %s, want %s", i, lastEventID, tt.last)
+		if lastEventID != tt.wantID {
+			t.Errorf("connection %d: Last-Event-ID %s, want %s", i, lastEventID, tt.wantID)
 		}
 	}
 	for _, want := range []core.Server{
@@ -308,13 +308,13 @@
 	return strings.Contains(string(table), fmt.Sprintf(":%04X 02 ", n)) // SYN sent
 }
 
-// oneShotConn is a connection that delivers the bytes of r and ends.
+// oneShotConn is a connection that delivers the bytes of input and ends.
 type oneShotConn struct {
 	net.Conn
-	r io.Reader
+	input io.Reader
 }
 
-func (c oneShotConn) Read(b []byte) (int, error)    { return c.r.Read(b) }
+func (c oneShotConn) Read(b []byte) (int, error)    { return c.input.Read(b) }
 func (oneShotConn) SetReadDeadline(time.Time) error { return nil }
 
 // FuzzReader checks that the reader does not panic, loop forever or return lines beyond its size limit.
@@ -322,7 +322,7 @@
 	f.Add([]byte("HTTP/1.1 200 OK\r\n\r\n" + eventText(1, "a", "in_service")))
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3;x\r\na\nb\r\n1\r\n\n\r\n0\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		response := &responseReader{conn: oneShotConn{r: strings.NewReader(string(b))}, buf: transport.NewBuffer(4, 256)}
+		response := &responseReader{conn: oneShotConn{input: strings.NewReader(string(b))}, buf: transport.NewBuffer(4, 256)}
 		if response.readHeader() != nil {
 			return
 		}
--- a/internal/mgmt/maintenance.go
+++ b/internal/mgmt/maintenance.go
@@ -15,7 +15,7 @@
 
 // MaintenanceStatus is the answer of /ops/maintenance: the tier's maintenance requests that this softswitch knows.
 type MaintenanceStatus struct {
-	Self      int                  `json:"self"`    // index of this softswitch
+	Self      int                  `json:"self"`    // index of this softswitch in its tier
 	Recovered bool                 `json:"settled"` // accepts requests and votes on grants; false: newly started, still asking the tier
 	Budget    int                  `json:"budget"`  // max. members out for maintenance at the same time
 	HoldsSlot bool                 `json:"holds"`   // this softswitch is out for maintenance itself
--- a/internal/mgmt/members.go
+++ b/internal/mgmt/members.go
@@ -14,7 +14,7 @@
 
 // TierStatus is the answer of /ops/members: this softswitch's view of its tier.
 type TierStatus struct {
-	Self              int            `json:"self"`      // index of this softswitch
+	Self              int            `json:"self"`      // index of this softswitch in its tier
 	Health            int            `json:"health"`    // local health multiplier; 0 is best
 	Majority          bool           `json:"majority"`  // more than half of the tier is available
 	ColdQuotaFraction float64        `json:"coldShare"` // fraction used of the own quota of a cold server's budget, 0 to 1
--- a/internal/mgmt/mgmt.go
+++ b/internal/mgmt/mgmt.go
@@ -35,7 +35,7 @@
 	Limits      Limits
 	Snapshot    func() loop.Snapshot // returns the last snapshot of the event loop
 	ClassNames  func() []string      // returns the names of the classes, by index
-	SetDraining func(on bool)        // makes callers' test messages fail while on is true; takes effect at once
+	SetDraining func(on bool)        // makes callers' readiness tests fail while on is true; takes effect at once
 	Post        func(ev core.Event)  // sends an event to the event loop; may block
 	TierSocket  *peers.Socket        // socket of the tier's datagrams; nil: membership is off
 	Log         zerolog.Logger
--- a/internal/mgmt/servers.go
+++ b/internal/mgmt/servers.go
@@ -18,7 +18,7 @@
 // ServersStatus is the answer of /ops/servers: what each member of the tier has reported of each server and how old the
 // reports are, and which member holds which units of the budgets of cold servers.
 type ServersStatus struct {
-	Self    int            `json:"self"`    // index of this softswitch
+	Self    int            `json:"self"`    // index of this softswitch in its tier
 	Servers []ServerStatus `json:"servers"` // in the order of the server list; empty also where knowledge is off
 	AnyCold bool           `json:"active"`  // a server is cold, and members hold units of its budget
 	Quotas  []Quota        `json:"parts"`   // by member; empty: the quotas are fixed
@@ -47,8 +47,8 @@
 	HoldBackShare  float64 `json:"share"`   // fraction of new set-ups that the server last asked this member to hold back, 0 to 1
 	HoldBackAgeMS  *int64  `json:"shareMs"` // age of the hold-back share, in milliseconds; null: none received
 	Rate           float64 `json:"rate"`    // set-ups per second that the server takes from this member when warm; 0: not known
-	TotalLines     float64 `json:"lines"`   // lines of the server; 0: not known
-	FailureWeight  int     `json:"bad"`     // weight of the consecutive failed attempts
+	TotalLines     float64 `json:"lines"`   // lines that the server has; 0: not known
+	FailureWeight  int     `json:"bad"`     // weight of the member's consecutive failed attempts
 	MinSetUpTimeUS int64   `json:"floorUs"` // shortest set-up time, in microseconds; 0: no call was established yet
 	Draining       bool    `json:"drains"`  // the member's list says that the server drains
 	AgeMS          int64   `json:"ageMs"`   // age of the report, in milliseconds; 0: this softswitch's own
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -59,8 +59,8 @@
 	} `json:"tenants"`
 }
 
-// loadMetrics maps the names of a load report's values, as "load-report.columns" lists them, to their meanings.
-var loadMetrics = map[string]elmseam.LoadMetric{
+// loadMetricByName maps the names of a load report's values (its columns) to their meanings.
+var loadMetricByName = map[string]elmseam.LoadMetric{
 	"spare":       elmseam.LoadMetricFreeLines,
 	"total":       elmseam.LoadMetricTotalLines,
 	"outstanding": elmseam.LoadMetricOutstanding,
@@ -72,11 +72,11 @@
 }
 
 // LoadMetricByName returns the meaning of a value of a load report by its name; LoadMetricUnknown for other names.
-func LoadMetricByName(name string) elmseam.LoadMetric { return loadMetrics[name] }
+func LoadMetricByName(name string) elmseam.LoadMetric { return loadMetricByName[name] }
 
-// retryPolicies maps the values of a class's key "effect" to retry policies. Without the key, or with an empty value, the
+// retryPolicyByEffect maps the values of a class's key "effect" to retry policies. Without the key, or with an empty value, the
 // policy is elmseam.RetryAlways.
-var retryPolicies = map[string]elmseam.RetryPolicy{
+var retryPolicyByEffect = map[string]elmseam.RetryPolicy{
 	"free":        elmseam.RetryAlways,
 	"guarded":     elmseam.RetryGuarded,
 	"single_shot": elmseam.RetryNever,
@@ -108,11 +108,11 @@
 	}
 	if parsed.LoadReport.Via != "off" {
 		for _, name := range parsed.LoadReport.Columns {
-			decoded.ReportMetrics = append(decoded.ReportMetrics, loadMetrics[name])
+			decoded.ReportMetrics = append(decoded.ReportMetrics, loadMetricByName[name])
 		}
 	}
 	for i, entry := range parsed.Classes {
-		retryPolicy, found := retryPolicies[entry.Effect]
+		retryPolicy, found := retryPolicyByEffect[entry.Effect]
 		if !found && entry.Effect != "" {
 			return decoded, fmt.Errorf("settings: class %d: unknown effect %q", i, entry.Effect)
 		}
@@ -190,10 +190,10 @@
 	currentDeployment.Classes, currentSettings.Classes = classes, controllerClasses
 }
 
-// requiredKeys lists the keys that the settings must contain, by the object that contains them; "" is the outermost
+// requiredKeysBySection lists the keys that the settings must contain, by the object that contains them; "" is the outermost
 // object. Without this check a truncated file whose braces were closed again would be read as settings
 // whose values are zero.
-var requiredKeys = map[string][]string{
+var requiredKeysBySection = map[string][]string{
 	"":                {"request-classes", "family-info", "limits", "load-report", "obligations"},
 	"family-info":     {"own-number", "release-guard-us", "retransmit-us"},
 	"limits":          {"max-attempts", "max-open", "connect-timeout-us", "retry-after", "max-retry-after-us", "cancel"},
@@ -296,13 +296,13 @@
 const shareSumTolerance = 0.01
 
 // checkRequiredKeys returns an error that names the first required key that is missing or null in the JSON object text,
-// with prefix before the key. section is the object's key in requiredKeys.
+// with prefix before the key. section is the object's key in requiredKeysBySection.
 func checkRequiredKeys(text []byte, section, prefix string) error {
 	var object map[string]json.RawMessage
 	if err := json.Unmarshal(text, &object); err != nil {
 		return fmt.Errorf("%s: %w", strings.TrimSuffix(prefix, "."), err)
 	}
-	for _, key := range requiredKeys[section] {
+	for _, key := range requiredKeysBySection[section] {
 		if value, found := object[key]; !found || string(value) == "null" {
 			return fmt.Errorf("%s%s: missing", prefix, key)
 		}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// Load reports without a hold-back share still contain a value that the decision module uses, whatever the other
-// columns are.
+// Load reports without the hold-back share (column "cut_by") still contain values that the decision module uses, whatever
+// the other columns are.
 func TestDecodeWithoutHoldBackShare(t *testing.T) {
 	decoded, err := Decode([]byte(validSettings))
 	if err != nil {
--- a/internal/shares/shares.go
+++ b/internal/shares/shares.go
@@ -17,14 +17,14 @@
 // allowances.
 type Tracker struct {
 	tenants      []tenantState
-	timeConstant time.Duration // of the decay of the tenants' counters of calls
+	timeConstant time.Duration // of the decay of the counters of calls
 	lastCallAt   time.Duration // time of the last call that was counted
 }
 
 // tenantState is a tenant with its counters in the tracker.
 type tenantState struct {
 	Tenant
-	decayedCalls float64 // counter of the tenant's calls, which decays exponentially
+	decayedCalls float64 // decaying counter of its calls
 	excessCalls  float64 // calls beyond the share that CountCall has not reported yet; it reports a call when this reaches 1
 }
 
--- a/internal/wire/codes.go
+++ b/internal/wire/codes.go
@@ -31,7 +31,7 @@
 	actionRefuse         = 26 // final answer: the call is refused
 )
 
-// Scopes of a server list update: which entries it holds.
+// Scopes of a server list update.
 const (
 	listScopeDelta  = iota // the entries that changed
 	listScopeFull          // the complete list
--- a/internal/wire/host.go
+++ b/internal/wire/host.go
@@ -18,7 +18,7 @@
 	currentInstance  uint16                         // instance that the events being read are for
 	replyInstance    uint16                         // instance that the last actionSelectInstance of the reply named
 	hasReplyInstance bool                           // the reply being built names an instance already
-	actions          []elmseam.Action               // buffer for the actions of one event
+	actions          []elmseam.Action               // buffer for the controller's actions on one event
 	reply            Reply                          // reply to the batch being handled
 	membershipLimits *membership.Limits             // limits of the tier's membership protocol; nil: the protocol is off
 	members          map[uint16]*member             // instances that take part in membership, by instance number
