--- a/cmd/elmseamctl/check.go
+++ b/cmd/elmseamctl/check.go
@@ -38,7 +38,7 @@
 			if err != nil {
 				return err
 			}
-			return printReport(cmd.OutOrStdout(), cfg, result, tracePath)
+			return printExploration(cmd.OutOrStdout(), cfg, result, tracePath)
 		},
 	}
 	flags := cmd.Flags()
@@ -62,14 +62,14 @@
 		Use:   "replay FILE",
 		Short: "Replay a trace, and print its actions",
 		Args:  cobra.ExactArgs(1),
-		RunE:  func(cmd *cobra.Command, args []string) error { return replay(cmd.OutOrStdout(), args[0]) },
+		RunE:  func(cmd *cobra.Command, args []string) error { return replayTrace(cmd.OutOrStdout(), args[0]) },
 	})
 	cmd.SetContext(context.Background())
 	return cmd
 }
 
-// printReport prints the result of an exploration and writes the counterexample, if any.
-func printReport(out io.Writer, cfg explore.Config, result *explore.Report, tracePath string) error {
+// printExploration prints the result of an exploration and writes the counterexample, if any.
+func printExploration(out io.Writer, cfg explore.Config, result *explore.Report, tracePath string) error {
 	fmt.Fprintf(out, "%s: %d servers, %d calls, %d attempts, %d faults, %d pauses: %d states, %d steps, %d terminal states, %v, %d MiB\n",
 		cfg.Model, cfg.Servers, cfg.Calls, cfg.Attempts, cfg.Faults, cfg.Pauses, result.States, result.Steps,
 		result.TerminalStates, result.Elapsed.Round(time.Millisecond), result.Memory>>20)
@@ -111,8 +111,8 @@
 	return file.Close()
 }
 
-// replay replays the trace in the file path and prints each action with its time.
-func replay(out io.Writer, path string) error {
+// replayTrace replays the trace in the file path and prints each action with its time.
+func replayTrace(out io.Writer, path string) error {
 	file, err := os.Open(path)
 	if err != nil {
 		return err
@@ -122,10 +122,10 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
-	step := 0
+	stepNumber := 0
 	violation, err := trace.Replay(trace.Config, func(action explore.Action, at time.Duration) {
-		step++
-		fmt.Fprintf(out, "%3d %8v  %s\n", step, at, action)
+		stepNumber++
+		fmt.Fprintf(out, "%3d %8v  %s\n", stepNumber, at, action)
 	})
 	switch {
 	case err != nil:
