--- a/budgets.go
+++ b/budgets.go
@@ -11,9 +11,10 @@
 // coldBudgetAllows returns whether this softswitch's budget for a server allows another set-up; a warm
 // server has no such budget. The budget's rate is this softswitch's quota of what the warm server takes,
 // times the share that is surely warm by now, times a safe part of the overload multiple. If every
-// softswitch keeps to its quota, the server is not overloaded. In a large tier the budget of one softswitch
-// is a small fraction of a set-up, so the budget starts at a random phase: otherwise the first set-ups of
-// all softswitches would come at once.
+// softswitch keeps to its quota, the server is not overloaded.
+//
+// In a large tier the budget of one softswitch is a small fraction of a set-up, so the budget starts at a
+// random phase: otherwise the first set-ups of all softswitches would come at once.
 func (c *Controller) coldBudgetAllows(s *server) bool {
 	if !c.isCold(s) {
 		return true
@@ -23,7 +24,7 @@
 		quota = c.coldQuotaFraction * c.coldQuota(s)
 	}
 	return s.coldBudget.refillCapped(
-		c.now, c.coldRateMultiple(s, c.now)*quota, coldBurst, c.intervals(coldSaveTime),
+		c.now, c.coldRateMultiple(s, c.now)*quota, coldBurst, c.retransmitIntervals(coldSaveTime),
 	)
 }
 
@@ -42,37 +43,43 @@
 	if s.rateBeforeRestart > 0 {
 		return s.rateBeforeRestart
 	}
-	return c.expectedRate(s) * (1 - c.currentImportedShare(c.now))
+	return c.expectedRate(s) * (1 - c.currentImportedRateShare(c.now))
 }
 
 // lineAvailable returns whether a server has a line for one more call. Where few lines are free, all
 // softswitches learn of the same lines and compete for them, and each refused set-up costs the server
-// processor time. Until lineShortUntil, a softswitch then reuses the lines that its own calls have freed, and
-// keeps the last of them for calls of high worth. It also tries for other lines, as a newly started
-// softswitch has freed none, but the less often the fewer are free.
+// processor time.
+//
+// Until lineShortUntil, a softswitch therefore reuses the lines that its own calls have freed, and keeps the
+// last of them for calls of high worth. It also tries for other lines, as a newly started softswitch has
+// freed none, but the less often the fewer are free.
 func (c *Controller) lineAvailable(s *server, call *callState) bool {
 	freeRatio := s.freeLines / max(lowLineShare*s.totalLines, 1)
 	if c.now >= s.lineShortUntil || freeRatio >= 1 {
 		return true
 	}
-	if s.reusableLines >= 1 && c.highWorth(call) || s.reusableLines >= 1+reservedLines {
+	if s.reusableLines >= 1 && c.isHighWorth(call) || s.reusableLines >= 1+reservedLines {
 		return true
 	}
 	return s.lineTryBudget.refill(c.now, freeRatio*freeRatio*c.expectedRate(s), 1) && s.freeLines >= 1
 }
 
-// divertBudgetAllows returns whether a server's divert budget allows one more call. Reports show a flood
-// of diverted calls only after it has come: where a large server leaves, its whole load would fall on
-// small servers and jam them for long. The budget's rate is therefore based on the server's expected rate.
+// divertBudgetAllows returns whether a server's divert budget, for calls whose first choice is another
+// server, allows one more call. Reports show a flood of diverted calls only after it has come: where a large
+// server leaves, its whole load would fall on small servers and jam them for long. The budget's rate is
+// therefore based on the server's expected rate.
+//
 // Calls of high worth overdraw the budget, but not so far that other calls are kept out for long.
 func (c *Controller) divertBudgetAllows(s *server, call *callState) bool {
 	rate := divertFactor * c.expectedRate(s)
-	if c.now < s.shareExpiry {
-		rate *= 1 + (idleDivertFactor-1)*max(1-c.requestedShare(s)/idleMaxShare, 0)
+	if c.now < s.holdBackExpiry {
+		rate *= 1 + (idleDivertFactor-1)*max(1-c.requestedHoldBack(s)/idleMaxShare, 0)
 	}
-	hasRoom := s.divertBudget.refillCapped(c.now, rate, divertBurst, c.intervals(divertSaveTime))
+	budgetAllows := s.divertBudget.refillCapped(
+		c.now, rate, divertBurst, c.retransmitIntervals(divertSaveTime),
+	)
 	// A newly started softswitch knows no rate.
-	return hasRoom || c.highWorth(call) || c.newlyStarted(c.now) && c.importedShare == 0
+	return budgetAllows || c.isHighWorth(call) || c.newlyStarted(c.now) && c.importedRateShare == 0
 }
 
 // newlyStarted returns whether this softswitch has just started and knows no rates of its own.
@@ -82,23 +89,25 @@
 
 // expectedRate returns the set-ups per second that a server is expected to take from this softswitch: its
 // share, by lines, of what warm servers take.
-func (c *Controller) expectedRate(s *server) float64 { return c.ratePerLine * c.linesOrMean(s) }
+func (c *Controller) expectedRate(s *server) float64 { return c.ratePerLine * c.maxLinesOrMean(s) }
 
-// linesOrMean returns the most lines that a server has reported, as a measure of its processor. For a
+// maxLinesOrMean returns the most lines that a server has reported, as a measure of its processor. For a
 // server that reports no lines it returns the mean of the others, or 1 if no server reports lines.
-func (c *Controller) linesOrMean(s *server) float64 {
+func (c *Controller) maxLinesOrMean(s *server) float64 {
 	if s.maxLines > 0 {
 		return s.maxLines
 	}
 	return c.meanLines
 }
 
-// updateRatePerLine updates the rate of established calls for each line: the calls established at warm
-// servers, over the line seconds that these servers had for them, both with the same decay. Servers that
-// leave, few or many, thus change the rate by no more than what they took themselves, and with no server
-// left the last known rate holds until the line seconds have decayed to the least divisor. The rate is at
-// least that of a share of the offered calls: a softswitch that has newly started, or whose calls were not
-// established lately, has to try some server.
+// updateRatePerLine updates ratePerLine: the calls established at warm servers, over the line seconds that
+// these servers had for them. Each line of a warm server adds one line second per second, and both counts
+// have the same decay. Servers that leave, few or many, thus change the rate by no more than what they took
+// themselves. With no server left the last known rate holds until the line seconds have decayed to the least
+// divisor, which is about minRateSpan for each line.
+//
+// The established calls count as at least minOfferedShare of the offered calls: a softswitch that has newly
+// started, or whose calls were not established lately, has to try some server.
 func (c *Controller) updateRatePerLine() {
 	reportedLines, reporting := 0.0, 0.0
 	for _, s := range c.servers {
@@ -109,15 +118,15 @@
 	if c.meanLines = 1; reporting > 0 {
 		c.meanLines = reportedLines / reporting
 	}
-	warmLines, allLines, elapsed := 0.0, 1.0, (c.now - c.measuredAt).Seconds()
+	warmLines, allLines, elapsed := 0.0, 1.0, (c.now - c.lineSecondsAt).Seconds()
 	for _, s := range c.servers {
-		if allLines += c.linesOrMean(s); s.phase == PhaseReady && !c.isCold(s) {
-			warmLines += c.linesOrMean(s)
+		if allLines += c.maxLinesOrMean(s); s.phase == PhaseReady && !c.isCold(s) {
+			warmLines += c.maxLinesOrMean(s)
 		}
 	}
-	c.lineSeconds, c.measuredAt =
+	c.lineSeconds, c.lineSecondsAt =
 		c.lineSeconds*decayFactor(elapsed)+warmLines*min(elapsed, rateTimeConstant), c.now
-	c.ratePerLine = max(c.established.value(c.now), minOfferedShare*c.offered.value(c.now)) /
+	c.ratePerLine = max(c.establishedCounter.value(c.now), minOfferedShare*c.offeredCounter.value(c.now)) /
 		max(c.lineSeconds, allLines*minRateSpan)
 }
 
--- a/calls.go
+++ b/calls.go
@@ -9,21 +9,21 @@
 
 // callState is a call that needs a final answer, or whose caller has left while an attempt is pending.
 type callState struct {
-	id          CallID
-	class       *Class
-	number      uint64 // called number; 0: none
-	cell        int    // cell of the first choice; -1: none
-	transit     bool   // the call may be sent to cell only
-	lowWorth    bool   // late, or beyond its tenant's share
-	answerBy    Time   // latest time of the final answer
-	notBefore   Time   // the call is not sent again before this time
-	attempts    int    // attempts made
-	maxAttempts int    // maximum number of attempts, by the settings at the arrival
-	mayHaveRun  bool   // an attempt may have run at a server
-	callerLeft  bool   // the caller has left
-	interrupted bool   // the call was established before, was cut and is set up again
-	tried       []*server
-	pending     *attempt // the unanswered attempt; nil: none
+	id           CallID
+	class        *Class
+	number       uint64 // called number; 0: none
+	cell         int    // cell of the first choice; -1: none
+	transit      bool   // the call may be sent to cell only
+	lowWorth     bool   // late, or beyond its tenant's share
+	answerBy     Time   // latest time of the final answer
+	notBefore    Time   // the call is not sent again before this time
+	attempts     int    // attempts made
+	maxAttempts  int    // maximum number of attempts, by the settings at the arrival
+	mayHaveRun   bool   // an attempt may have run at a server
+	callerLeft   bool   // the caller has left
+	interrupted  bool   // the call was established before, was cut and is set up again
+	triedServers []*server
+	pending      *attempt // the unanswered attempt; nil: none
 }
 
 // attempt is a set-up that a server has not answered.
@@ -58,15 +58,15 @@
 		cell: ev.Cell, transit: ev.Transit,
 		maxAttempts: c.settings.MaxAttempts, answerBy: c.now + ev.TimeLeft - answerMargin,
 	}
-	c.offered.add(c.now)
+	c.offeredCounter.add(c.now)
 	late, overShare := c.isLateTry(ev), c.exceedsTenantShare(ev.Tenant)
 	call.lowWorth, call.interrupted = late || overShare, ev.Interrupted
 	c.calls[call.id] = call
 	if c.numberIsBusy(call.number) {
-		c.refuse(call, c.settings.MaxRetryAfter)
+		c.refuseCall(call, c.settings.MaxRetryAfter)
 		return
 	}
-	c.route(call)
+	c.routeCall(call)
 }
 
 // numberIsBusy returns whether all lines of a number were busy recently. Many calls to one number cost the
@@ -85,11 +85,11 @@
 func (c *Controller) markNumberBusy(number uint64) {
 	for i := range c.busyNumbers {
 		if c.busyNumbers[i].number == number {
-			c.busyNumbers[i].until = c.now + c.intervals(busyNumberHold)
+			c.busyNumbers[i].until = c.now + c.retransmitIntervals(busyNumberHold)
 			return
 		}
 	}
-	c.busyNumbers[c.nextBusyNumber] = busyNumber{number, c.now + c.intervals(busyNumberHold)}
+	c.busyNumbers[c.nextBusyNumber] = busyNumber{number, c.now + c.retransmitIntervals(busyNumberHold)}
 	c.nextBusyNumber = (c.nextBusyNumber + 1) % len(c.busyNumbers)
 }
 
@@ -117,11 +117,11 @@
 	return !isUsual && usualTime.votes > 0 && class.Deadline-ev.TimeLeft > class.Aim
 }
 
-// send makes an attempt of a call at a server and sets the timer that checks on an unanswered attempt.
-func (c *Controller) send(call *callState, s *server) {
-	a := &attempt{call: call, server: s, sentAt: c.now}
+// sendSetUp makes an attempt of a call at a server and sets the timer that checks on an unanswered attempt.
+func (c *Controller) sendSetUp(call *callState, s *server) {
+	newAttempt := &attempt{call: call, server: s, sentAt: c.now}
 	if s.blocked {
-		a.trial, s.trialPending = true, true
+		newAttempt.trial, s.trialPending = true, true
 		s.trialBudget.tokens--
 	}
 	if c.isCold(s) {
@@ -132,15 +132,15 @@
 	} else {
 		s.lineTryBudget.tokens--
 	}
-	call.pending, call.attempts = a, call.attempts+1
-	call.tried = append(call.tried, s)
-	s.pending = append(s.pending, a)
+	call.pending, call.attempts = newAttempt, call.attempts+1
+	call.triedServers = append(call.triedServers, s)
+	s.pending = append(s.pending, newAttempt)
 	c.emit(Send{Call: call.id, Server: s.id})
-	c.emit(SetTimer{Token: uint32(call.id), At: c.now + c.intervals(suspectLossAfter)})
+	c.emit(SetTimer{Token: uint32(call.id), At: c.now + c.retransmitIntervals(suspectLossAfter)})
 }
 
-// refuse gives a call its final answer: Refuse, or Fail if an attempt may have run and cannot be retried.
-func (c *Controller) refuse(call *callState, retryAfter time.Duration) {
+// refuseCall gives a call its final answer: Refuse, or Fail if an attempt may have run and cannot be retried.
+func (c *Controller) refuseCall(call *callState, retryAfter time.Duration) {
 	delete(c.calls, call.id)
 	if call.mayHaveRun && call.class.Retry != RetryAlways {
 		c.emit(Fail{Call: call.id})
@@ -149,21 +149,23 @@
 	c.emit(Refuse{Call: call.id, RetryAfter: min(retryAfter, c.settings.MaxRetryAfter)})
 }
 
-// retry makes another attempt of a call, now or after the release guard, or refuses the call. A call waits
-// for the release guard to pass only if it has enough time left to survive a stall of this softswitch, as
-// nothing else answers the call meanwhile.
-func (c *Controller) retry(call *callState) {
-	reserve := min(c.intervals(stallReserve), time.Duration(maxStallReserve*float64(call.class.Aim)))
+// retryCall makes another attempt of a call, now or after the release guard, or refuses the call. A call
+// waits for the release guard to pass only if it has enough time left to survive a stall of this softswitch
+// (stallReserve), as nothing else answers the call meanwhile.
+func (c *Controller) retryCall(call *callState) {
+	reserve := min(
+		c.retransmitIntervals(stallReserve), time.Duration(maxStallReserve*float64(call.class.Aim)),
+	)
 	if call.attempts >= call.maxAttempts || call.mayHaveRun && call.class.Retry != RetryAlways ||
 		call.notBefore > c.now && call.notBefore > call.answerBy-reserve {
-		c.refuse(call, c.retryAfterHint)
+		c.refuseCall(call, c.retryAfterHint)
 		return
 	}
 	if call.notBefore > c.now {
 		c.emit(SetTimer{Token: uint32(call.id), At: call.notBefore})
 		return
 	}
-	c.route(call)
+	c.routeCall(call)
 }
 
 // handleEstablished removes an established call and updates the rates and the answer delay of its server. A
@@ -175,25 +177,25 @@
 		return
 	}
 	delete(c.calls, ev.Call)
-	a := c.detachAttempt(call)
-	if a == nil {
+	answered := c.detachAttempt(call)
+	if answered == nil {
 		return
 	}
-	s := a.server
+	s := answered.server
 	if !c.isCold(s) {
-		c.established.add(c.now)
+		c.establishedCounter.add(c.now)
 	}
-	s.established.add(c.now)
+	s.establishedCounter.add(c.now)
 	s.failureWeight = 0
 	if s.minSetUpTime == 0 || ev.SetUpTime < s.minSetUpTime {
 		s.minSetUpTime = ev.SetUpTime
 	}
 	s.answerDelay, s.answerDelayAt = max(ev.SetUpTime-s.maxRoundTrip(), 0), c.now
-	if s.blocked && a.trial {
-		s.blocked, s.trialPending, s.reportedShare = false, false, 0
+	if s.blocked && answered.trial {
+		s.blocked, s.trialPending, s.reportedHoldBack = false, false, 0
 	}
 	for _, other := range s.pending {
-		if other.sentAt+c.intervals(overtakeMargin) < a.sentAt {
+		if other.sentAt+c.retransmitIntervals(overtakeMargin) < answered.sentAt {
 			c.presumeLost(other)
 		}
 	}
@@ -218,11 +220,11 @@
 		c.applyReport(s, ev.Report)
 		switch {
 		case ev.Cause == CauseFull && ev.Refusal == RefusalProcessor, ev.Cause == CauseUnreachable:
-			c.block(s, ev.Wait)
+			c.blockServer(s, ev.Wait)
 		case ev.Cause == CauseFull:
 			// Only a server that reports its lines can report a free one and so lower the share again.
 			if s.lineShortUntil = c.now + lineShortageHold; s.totalLines > 0 {
-				s.lineShare = 1
+				s.lineHoldBack = 1
 			}
 		}
 	}
@@ -233,9 +235,9 @@
 		}
 		return
 	}
-	a := c.detachAttempt(call)
-	if a != nil && a.trial {
-		a.server.trialPending = false
+	endedAttempt := c.detachAttempt(call)
+	if endedAttempt != nil && endedAttempt.trial {
+		endedAttempt.server.trialPending = false
 	}
 	if ev.Final || call.callerLeft {
 		delete(c.calls, ev.Call)
@@ -246,19 +248,19 @@
 		call.mayHaveRun = true
 		if ev.Refusal == RefusalNumber {
 			c.markNumberBusy(call.number)
-			c.refuse(call, c.settings.MaxRetryAfter)
+			c.refuseCall(call, c.settings.MaxRetryAfter)
 			return
 		}
-		if a != nil {
-			c.recordFailure(a.server, 1)
+		if endedAttempt != nil {
+			c.recordFailure(endedAttempt.server, 1)
 		}
-		c.retry(call)
+		c.retryCall(call)
 	case CauseFull, CauseUnreachable, CauseNotSent:
-		c.retry(call)
+		c.retryCall(call)
 	case CauseReset, CauseCancelled:
 		call.mayHaveRun = true
 		call.notBefore = c.now + c.settings.ReleaseGuard
-		c.retry(call)
+		c.retryCall(call)
 	default:
 		call.mayHaveRun = true
 		delete(c.calls, call.id)
@@ -274,16 +276,18 @@
 	case call == nil:
 	case call.pending == nil:
 		if c.now >= call.notBefore {
-			c.retry(call)
+			c.retryCall(call)
 		}
-	case c.now >= call.pending.sentAt+c.intervals(assumeLossAfter):
+	case c.now >= call.pending.sentAt+c.retransmitIntervals(assumeLossAfter):
 		// Where the server reports a low load, the connection is at fault.
 		if call.pending.presumedLost = true; !c.reportedIdle(call.pending.server) {
 			c.recordFailure(call.pending.server, unansweredWeight)
 		}
-	case c.now >= call.pending.sentAt+c.intervals(suspectLossAfter):
+	case c.now >= call.pending.sentAt+c.retransmitIntervals(suspectLossAfter):
 		call.pending.presumedLost = c.reportedIdle(call.pending.server)
-		c.emit(SetTimer{Token: uint32(call.id), At: call.pending.sentAt + c.intervals(assumeLossAfter)})
+		c.emit(SetTimer{
+			Token: uint32(call.id), At: call.pending.sentAt + c.retransmitIntervals(assumeLossAfter),
+		})
 	}
 }
 
@@ -302,24 +306,26 @@
 // presumeLost handles an unanswered attempt that was sent before an answered one: servers answer in order,
 // so the attempt or its answer was lost. The attempt is cancelled if the settings permit it, the caller has
 // not left, and calls of its class can always be retried.
-func (c *Controller) presumeLost(a *attempt) {
-	call := a.call
-	if a.presumedLost = true; !a.cancelled && c.settings.CanCancel &&
+func (c *Controller) presumeLost(lostAttempt *attempt) {
+	call := lostAttempt.call
+	if lostAttempt.presumedLost = true; !lostAttempt.cancelled && c.settings.CanCancel &&
 		call.class.Retry == RetryAlways && !call.callerLeft {
-		a.cancelled = true
+		lostAttempt.cancelled = true
 		c.emit(Cancel{Call: call.id, Attempt: call.attempts - 1})
 	}
 }
 
-// recordFailure adds to the weight of a server's consecutive failures, which an established call resets,
-// and blocks the server at maxFailureWeight. An unanswered set-up weighs more than an error: the call
-// loses the time in which an error is retried elsewhere. A server that fails every call at once looks idle
-// and would attract all calls, whereas an unresponsive server looks loaded, as its set-ups stay pending.
+// recordFailure adds to the weight of a server's consecutive failures, which an established call resets, and
+// blocks the server at maxFailureWeight. An unanswered set-up weighs more than an error: the call loses the
+// time in which an error is retried elsewhere.
+//
+// Errors have to block a server, as one that fails every call at once looks idle and would attract all
+// calls. An unresponsive server looks loaded anyway, as its set-ups stay pending.
 func (c *Controller) recordFailure(s *server, weight int) {
 	if s.failureWeight += weight; s.failureWeight >= maxFailureWeight {
 		// An error does not replace another cause of a block.
 		errorsOnly := weight < unansweredWeight && (s.blockedForErrors || !s.blocked)
-		c.block(s, 0)
+		c.blockServer(s, 0)
 		s.blockedForErrors = errorsOnly
 	}
 }
--- a/constants.go
+++ b/constants.go
@@ -1,7 +1,7 @@
 package elmseam
 
 // Constants of the decisions. Times that depend on the deployment are given in retransmit intervals (see
-// Controller.intervals) or as shares of other settings.
+// Controller.retransmitIntervals) or as shares of other settings.
 
 import "time"
 
@@ -44,16 +44,16 @@
 	busyNumberHold   = 4.0 // retransmit intervals for which calls to a busy number are refused
 	maxBusyNumbers   = 8   // busy numbers remembered
 
-	windowMinShare = 0.1 // requested hold-back share above which a server has a window (see hasWindow)
+	windowMinShare = 0.1 // requested hold-back share above which a server's unanswered set-ups are limited
 
 	// defaultInterval replaces the retransmit interval in deployments without retransmission.
 	defaultInterval = 500 * time.Millisecond
 
 	// Round trips and answer delays. The delay itself lengthens its lifetime, as slow servers jam easily.
 
-	delayLifetime       = 2.0 // retransmit intervals for which an observed answer delay counts at least
-	roundTripVariation  = 1.5 // longest round trip without a queue, as a multiple of the shortest set-up time
-	delayLifetimeFactor = 3   // multiple of the delay that is added to its lifetime
+	answerDelayLifetime       = 2.0 // retransmit intervals for which an observed answer delay counts at least
+	roundTripVariation        = 1.5 // longest round trip without a queue, over the shortest set-up time
+	answerDelayLifetimeFactor = 3   // multiple of the delay that is added to its lifetime
 
 	// Rates.
 
@@ -69,17 +69,18 @@
 	divertFactor     = 0.5  // rate of diverted calls to a server, as a share of its expected rate
 	idleDivertFactor = 3.0  // multiple of the rate of diverted calls at no requested hold-back share
 	idleMaxShare     = 0.25 // requested hold-back share at which that multiple is 1
-	trialMinShare    = 0.5  // reported share above which the expiry of the report is followed by a trial
+	trialMinShare    = 0.5  // reported hold-back share above which a trial follows its expiry
 	trialFactor      = 0.25 // rate of trials at a blocked server, as a share of its expected rate
 	divertSaveTime   = 4.0  // retransmit intervals, save time of a divert budget (see refillCapped)
 	coldSaveTime     = 3.0  // retransmit intervals, save time of a cold budget
 	divertBurst      = 3.0  // diverted calls that may go to a server at once, and limit of the overdraft
 
-	// Thinning, which holds back a share of the set-ups to a server (see passesThinning), and worth.
+	// Thinning, which holds back a share of the set-ups to a server, and worth. Each set-up earns the server
+	// credit, and each one that passes uses 1 (see passesThinning).
 
 	maxCredit             = 3.0  // thinning credit, in set-ups, that a server may save up
-	lowWorthCredit        = 2.0  // credit that a call of low worth needs
-	highWorthCredit       = -3.0 // credit that a call of high worth needs; such a call may overdraw
+	lowWorthCredit        = 2.0  // thinning credit that a call of low worth needs to pass
+	highWorthCredit       = -3.0 // thinning credit that a call of high worth needs, which may overdraw
 	highWorthFactor       = 2.0  // high worth is above this multiple of the least worth of a class
 	highWorthWindowFactor = 3.0  // multiple of the limits on unanswered set-ups for a call of high worth
 
--- a/controller.go
+++ b/controller.go
@@ -13,32 +13,32 @@
 
 // Controller decides for one softswitch which server gets which call set-up.
 type Controller struct {
-	settings          Settings
-	servers           []*server // in the order in which the list first named them
-	byID              map[ServerID]*server
-	removed           []removedServer // servers removed last, oldest first
-	calls             map[CallID]*callState
-	actions           []Action        // actions of the event in progress
-	now               Time            // time of the event in progress
-	minWorth          float64         // least worth of a class
-	retryAfterHint    time.Duration   // hint for the callers of refused calls
-	usualTimes        []usualTimeLeft // by class
-	busyNumbers       [maxBusyNumbers]busyNumber
-	nextBusyNumber    int             // index of the busy number to replace next
-	tenantTracker     *shares.Tracker // finds the calls beyond their tenant's share
-	startedAt         Time            // time of the first event, moved back by a first tier report
-	established       decayingCounter // calls established at warm servers
-	offered           decayingCounter // calls that arrived
-	meanLines         float64         // mean lines of the servers that report lines; 1 if none does
-	measuredAt        Time            // time of the last update of ratePerLine
-	lineSeconds       float64         // line seconds of warm servers, decayed like the counters
-	ratePerLine       float64         // established calls per second for each line of a warm server
-	rng               *rand.Rand
-	subscribeAt       Time    // no Subscribe action before this time
-	subscribed        bool    // a Subscribe action was emitted and has not failed
-	coldQuotaFraction float64 // fraction of its own quota of a cold server's budget that this softswitch uses
-	importedShare     float64 // share of the rates, at importedShareAt, that does not come from own calls
-	importedShareAt   Time    // time at which importedShare was set
+	settings            Settings
+	servers             []*server // in the order in which the list first named them
+	byID                map[ServerID]*server
+	removedServers      []removedServer // servers removed last, oldest first
+	calls               map[CallID]*callState
+	actions             []Action        // actions of the event in progress
+	now                 Time            // time of the event in progress
+	minWorth            float64         // least worth of a class
+	retryAfterHint      time.Duration   // hint for the callers of refused calls
+	usualTimes          []usualTimeLeft // by class
+	busyNumbers         [maxBusyNumbers]busyNumber
+	nextBusyNumber      int             // index of the busy number to replace next
+	tenantTracker       *shares.Tracker // finds the calls beyond their tenant's share
+	startedAt           Time            // time of the first event, moved back by a first tier report
+	establishedCounter  decayingCounter // calls established at warm servers
+	offeredCounter      decayingCounter // calls that arrived
+	meanLines           float64         // mean lines of the servers that report lines; 1 if none does
+	lineSecondsAt       Time            // time of the last update of lineSeconds and ratePerLine
+	lineSeconds         float64         // seconds of all lines of warm servers, decayed like the counters
+	ratePerLine         float64         // established calls per second for each line of a warm server
+	rng                 *rand.Rand      // draws the phases of budgets
+	subscribeAt         Time            // no Subscribe action before this time
+	subscribed          bool            // a Subscribe action was emitted and has not failed
+	coldQuotaFraction   float64         // fraction that is used of the own quota of a cold server's budget
+	importedRateShare   float64         // share of the rates not from own calls, at importedRateShareAt
+	importedRateShareAt Time            // time at which importedRateShare was set
 }
 
 // New makes a controller. The seed sets the phases of its budgets, so that the budgets of many
@@ -67,11 +67,11 @@
 	c.tenantTracker.Configure(settings.Tenants)
 	c.usualTimes = make([]usualTimeLeft, len(settings.Classes))
 	c.minWorth = settings.Classes[0].Worth
-	aim := settings.Classes[0].Aim
+	leastAim := settings.Classes[0].Aim
 	for _, class := range settings.Classes {
-		c.minWorth, aim = min(c.minWorth, class.Worth), min(aim, class.Aim)
+		c.minWorth, leastAim = min(c.minWorth, class.Worth), min(leastAim, class.Aim)
 	}
-	c.retryAfterHint = time.Duration(retryAfterShare * float64(aim))
+	c.retryAfterHint = time.Duration(retryAfterShare * float64(leastAim))
 	return nil
 }
 
@@ -79,9 +79,9 @@
 func (c *Controller) Handle(now Time, ev Event, out []Action) []Action {
 	c.now, c.actions = now, out
 	if c.startedAt == 0 {
-		c.startedAt, c.measuredAt = now, now
+		c.startedAt, c.lineSecondsAt = now, now
 	}
-	c.subscribe()
+	c.requestServerList()
 	switch ev := ev.(type) {
 	case ListFull:
 		c.applyFullList(ev)
--- a/controller_test.go
+++ b/controller_test.go
@@ -42,21 +42,21 @@
 	}
 }
 
-// newHarness makes a harness with servers 1 to servers and a fixed seed.
-func newHarness(t *testing.T, settings Settings, servers int) *harness {
+// newHarness makes a harness with servers 1 to serverCount and a fixed seed.
+func newHarness(t *testing.T, settings Settings, serverCount int) *harness {
 	t.Helper()
-	return newSeededHarness(t, settings, servers, 1)
+	return newSeededHarness(t, settings, serverCount, 1)
 }
 
 // newSeededHarness is newHarness with a seed for the controller.
-func newSeededHarness(t *testing.T, settings Settings, servers int, seed uint64) *harness {
+func newSeededHarness(t *testing.T, settings Settings, serverCount int, seed uint64) *harness {
 	t.Helper()
 	c, err := New(settings, seed)
 	if err != nil {
 		t.Fatalf("New: %v", err)
 	}
 	h := &harness{t: t, controller: c, now: time.Second}
-	h.handle(ListFull{Entries: readyServers(servers), Cached: true})
+	h.handle(ListFull{Entries: readyServers(serverCount), Cached: true})
 	return h
 }
 
@@ -104,8 +104,8 @@
 	return ok
 }
 
-// establish brings in a call for a cell, lets it be established at once and returns its server, or 0 if it
-// was not sent.
+// establish brings in a call with the cell as its first choice, lets it be established at once and returns its
+// server, or 0 if it was not sent.
 func (h *harness) establish(cell int, setUpTime time.Duration) ServerID {
 	id, actions := h.arrive(cell)
 	s := firstSendTarget(actions)
@@ -115,12 +115,12 @@
 	return s
 }
 
-// warmUp establishes ten calls per second for 20 s, spread over the servers 1 to servers, so that the
-// controller knows its rates.
-func (h *harness) warmUp(servers int) {
+// warmUp establishes ten calls per second for 20 s, spread over the servers 1 to serverCount, so
+// that the controller knows its rates.
+func (h *harness) warmUp(serverCount int) {
 	for i := range 200 {
 		h.advance(100 * ms)
-		h.establish(1+i%servers, 20*ms)
+		h.establish(1+i%serverCount, 20*ms)
 	}
 }
 
@@ -153,7 +153,7 @@
 		settings := testSettings()
 		settings.ReportMetrics = []LoadMetric{LoadMetricUnknown, tt.metric}
 		h := newHarness(t, settings, 1)
-		got, known := h.controller.shareFromReport(h.controller.byID[1], Report{0, tt.value})
+		got, known := h.controller.holdBackFromReport(h.controller.byID[1], Report{0, tt.value})
 		if !known || math.Abs(got-tt.want) > 1e-9 {
 			t.Errorf("%s: share %v, known %v; want %v", tt.name, got, known, tt.want)
 		}
@@ -162,17 +162,17 @@
 	settings.ReportMetrics = []LoadMetric{LoadMetricRate}
 	h := newHarness(t, settings, 1)
 	for _, tt := range []struct{ rate, want float64 }{{40, 0}, {30, 0}, {10, 0.5}, {0, 1}, {39, 0}} {
-		if got, _ := h.controller.shareFromReport(h.controller.byID[1], Report{tt.rate}); math.Abs(got-tt.want) > 1e-9 {
+		if got, _ := h.controller.holdBackFromReport(h.controller.byID[1], Report{tt.rate}); math.Abs(got-tt.want) > 1e-9 {
 			t.Errorf("rate %v of a highest rate of 40: share %v, want %v", tt.rate, got, tt.want)
 		}
 	}
 	h = newHarness(t, testSettings(), 1)
-	if _, known := h.controller.shareFromReport(h.controller.byID[1], Report{10, 10, -1}); known {
+	if _, known := h.controller.holdBackFromReport(h.controller.byID[1], Report{10, 10, -1}); known {
 		t.Error("a value of -1 counts as reported")
 	}
 	last := -1.0
 	for wait := time.Duration(0); wait < 4*time.Second; wait += 100 * ms {
-		share := h.controller.shareForWait(wait)
+		share := h.controller.holdBackForWait(wait)
 		if share < last || share > 1 {
 			t.Errorf("share %v at a wait of %v after %v", share, wait, last)
 		}
@@ -289,7 +289,7 @@
 	if got := h.controller.holdBackShare(s); got != 0.5 {
 		t.Errorf("share %v after a second report, want 0.5", got)
 	}
-	h.advance(h.controller.intervals(reportLifetime))
+	h.advance(h.controller.retransmitIntervals(reportLifetime))
 	h.handle(TimerFired{})
 	if got := h.controller.holdBackShare(s); got != 0 {
 		t.Errorf("share %v after the expiry, want 0", got)
@@ -312,7 +312,7 @@
 	h.reportLoad(1, 50, 100, 0)
 	h.advance(100 * ms)
 	h.expectServer("after a report that may be older than the block", h.establish(1, 20*ms), 2)
-	h.advance(h.controller.intervals(reportLifetime))
+	h.advance(h.controller.retransmitIntervals(reportLifetime))
 	trial, actions := h.arrive(1)
 	h.expectServer("trial", firstSendTarget(actions), 1)
 	h.expectServer("another call during the trial", h.establish(1, 20*ms), 2)
@@ -326,7 +326,7 @@
 	h.warmUp(2)
 	id, _ := h.arrive(1)
 	h.handle(Outcome{Call: id, Server: 1, Cause: CauseFull, Refusal: RefusalProcessor})
-	h.advance(h.controller.intervals(reportLifetime))
+	h.advance(h.controller.retransmitIntervals(reportLifetime))
 	trial, actions := h.arrive(1)
 	h.expectServer("trial", firstSendTarget(actions), 1)
 	h.handle(CallerGone{Call: trial})
@@ -424,7 +424,7 @@
 	h.warmUp(1)
 	id, _ := h.arrive(1)
 	h.handle(Outcome{Call: id, Server: 1, Cause: CauseFull, Refusal: RefusalProcessor, Final: true})
-	h.advance(h.controller.intervals(minBlockTime) + ms)
+	h.advance(h.controller.retransmitIntervals(minBlockTime) + ms)
 	h.reportLoad(1, 500, 1000, 0)
 	sent := 0
 	for range 100 {
@@ -533,7 +533,7 @@
 		h.handle(TimerFired{Token: uint32(id)})
 	}
 	h.expectServer("after two unanswered set-ups", h.establish(1, 20*ms), 2)
-	h.advance(h.controller.intervals(reportLifetime))
+	h.advance(h.controller.retransmitIntervals(reportLifetime))
 	h.expectServer("trial", h.establish(1, 20*ms), 1)
 }
 
@@ -598,7 +598,7 @@
 		h.handle(Established{Call: id, Server: 2, SetUpTime: 20 * ms})
 	}
 	h.expectServer("after consecutive errors", h.establish(1, 20*ms), 2)
-	h.advance(h.controller.intervals(reportLifetime))
+	h.advance(h.controller.retransmitIntervals(reportLifetime))
 	h.expectServer("trial", h.establish(1, 20*ms), 1)
 	h.expectServer("after the trial", h.establish(1, 20*ms), 1)
 }
@@ -662,7 +662,7 @@
 		for range maxFailureWeight {
 			if id, actions := call(); firstSendTarget(actions) == 1 {
 				if c.cause == CauseTimeout {
-					h.advance(h.controller.intervals(assumeLossAfter))
+					h.advance(h.controller.retransmitIntervals(assumeLossAfter))
 					h.handle(TimerFired{Token: uint32(id)})
 				}
 				actions = h.handle(Outcome{Call: id, Server: 1, Cause: c.cause, Refusal: RefusalProcessor})
@@ -694,9 +694,9 @@
 	h.controller.now = h.now
 	h.controller.recordFailure(s, maxFailureWeight)
 	s.blockedForErrors = true
-	h.advance(h.controller.intervals(minBlockTime))
+	h.advance(h.controller.retransmitIntervals(minBlockTime))
 	h.reportLoad(1, 900, 1000, 900) // lifts the block and asks for a share whose expiry needs a trial
-	h.advance(h.controller.intervals(reportLifetime))
+	h.advance(h.controller.retransmitIntervals(reportLifetime))
 	if h.arrive(1); !s.blocked || s.blockedForErrors {
 		t.Errorf("an expired share: blocked %v, for errors %v; want true, false", s.blocked, s.blockedForErrors)
 	}
@@ -735,7 +735,7 @@
 	id, actions = dial(8)
 	h.expectServer("call to another number", firstSendTarget(actions), 1)
 	h.handle(Established{Call: id, Server: 1, SetUpTime: 20 * ms})
-	h.advance(h.controller.intervals(busyNumberHold))
+	h.advance(h.controller.retransmitIntervals(busyNumberHold))
 	_, actions = dial(7)
 	h.expectServer("after the hold", firstSendTarget(actions), 1)
 }
@@ -751,7 +751,7 @@
 	h.expectServer("after the attempt has ended", h.establish(1, 20*ms), 1)
 }
 
-// Ordinary calls do not count as late because the last try of a patient caller has more time left.
+// Ordinary calls do not count as late after one call with more time left, the last try of a patient caller.
 func TestLateTries(t *testing.T) {
 	h := newHarness(t, testSettings(), 1)
 	tests := []struct {
@@ -897,12 +897,12 @@
 	if n := len(h.controller.servers); n != 1 {
 		t.Errorf("%d servers kept after the end of the attempt, want 1", n)
 	}
-	if n := len(h.controller.removed); n > maxRemovedServers {
+	if n := len(h.controller.removedServers); n > maxRemovedServers {
 		t.Errorf("%d removed servers remembered", n)
 	}
 	h.advance(removedServerTTL + time.Second)
-	if h.handle(ListDelta{}); len(h.controller.removed) != 0 {
-		t.Errorf("%d servers remembered that were removed long ago", len(h.controller.removed))
+	if h.handle(ListDelta{}); len(h.controller.removedServers) != 0 {
+		t.Errorf("%d servers remembered that were removed long ago", len(h.controller.removedServers))
 	}
 }
 
@@ -913,9 +913,9 @@
 	settings := testSettings()
 	h := newHarness(t, settings, 2)
 	const perSecond = 40
-	run := func(duration time.Duration, each func()) {
+	run := func(duration time.Duration, playCall func()) {
 		for until := h.now + duration; h.now < until; h.advance(time.Second / perSecond) {
-			each()
+			playCall()
 		}
 	}
 	h.reportLoad(1, 900, 1000, 0)
@@ -1175,13 +1175,13 @@
 }
 
 // newSoftswitchGroup makes a softswitchGroup with servers 1 to 4.
-func newSoftswitchGroup(t *testing.T, softswitches int) *softswitchGroup {
+func newSoftswitchGroup(t *testing.T, softswitchCount int) *softswitchGroup {
 	t.Helper()
-	g := &softswitchGroup{now: time.Second}
-	for i := range softswitches {
-		g.softswitches = append(g.softswitches, newSeededHarness(t, testSettings(), 4, uint64(i)))
+	group := &softswitchGroup{now: time.Second}
+	for i := range softswitchCount {
+		group.softswitches = append(group.softswitches, newSeededHarness(t, testSettings(), 4, uint64(i)))
 	}
-	return g
+	return group
 }
 
 // broadcast hands an event to every softswitch.
@@ -1192,9 +1192,9 @@
 	}
 }
 
-// run plays calls for a duration, for the given number of cells in turn from firstCell on, and returns the
-// times of the set-ups to the watched server; 0 watches none. answer handles these set-ups.
-func (g *softswitchGroup) run(duration time.Duration, firstCell, cells int, watchedServer ServerID, answer func(*harness, CallID, ServerID)) []Time {
+// run plays calls for a duration, for cellCount cells in turn from firstCell on, and returns the times of the
+// set-ups to the watched server; 0 watches none. answer handles these set-ups in place of the server.
+func (g *softswitchGroup) run(duration time.Duration, firstCell, cellCount int, watchedServer ServerID, answer func(*harness, CallID, ServerID)) []Time {
 	var sent []Time
 	const step = 5 * ms
 	for end := g.now + duration; g.now < end; g.now += step {
@@ -1203,7 +1203,7 @@
 				continue
 			}
 			h.now = g.now
-			id, actions := h.arrive(firstCell + (int(h.lastCall)+i)%cells)
+			id, actions := h.arrive(firstCell + (int(h.lastCall)+i)%cellCount)
 			switch s := firstSendTarget(actions); s {
 			case 0:
 			case watchedServer:
@@ -1225,32 +1225,33 @@
 // Any number of softswitches together stay below the overload limit of a cold server in every window, the
 // first included.
 func TestRuleColdServerNotOverloadedByManySoftswitches(t *testing.T) {
-	for _, softswitches := range []int{100, 400} {
-		g := newSoftswitchGroup(t, softswitches)
-		g.run(60*time.Second, 1, 4, 0, establishCall)
+	for _, softswitchCount := range []int{100, 400} {
+		group := newSoftswitchGroup(t, softswitchCount)
+		group.run(60*time.Second, 1, 4, 0, establishCall)
 		settings := testSettings()
-		startedAt := g.now
-		g.broadcast(ListDelta{Entries: []ListEntry{{Server: 5, Cell: 5, Phase: PhaseReady, Started: startedAt}}})
-		sent := g.run(settings.ColdRamp, 5, 1, 5, establishCall)
-		if len(sent) < softswitches/2 {
-			t.Errorf("%d softswitches: %d set-ups in the ramp: the cold server stays idle", softswitches, len(sent))
+		startedAt := group.now
+		group.broadcast(ListDelta{Entries: []ListEntry{{Server: 5, Cell: 5, Phase: PhaseReady, Started: startedAt}}})
+		sent := group.run(settings.ColdRamp, 5, 1, 5, establishCall)
+		if len(sent) < softswitchCount/2 {
+			t.Errorf("%d softswitches: %d set-ups in the ramp: the cold server stays idle", softswitchCount, len(sent))
 		}
-		checkColdLimit(t, settings, startedAt, sent, float64(softswitches)/1.6/4, 0)
+		checkColdLimit(t, settings, startedAt, sent, float64(softswitchCount)/1.6/4, 0)
 	}
 }
 
-// The trials of many softswitches at a blocked server are together a share of its former rate.
+// The trials of many softswitches at a blocked server together keep to trialFactor of the rate of set-ups
+// that it took before.
 func TestTrialRateOfManySoftswitches(t *testing.T) {
-	g := newSoftswitchGroup(t, 200)
-	g.run(60*time.Second, 1, 4, 0, establishCall)
+	group := newSoftswitchGroup(t, 200)
+	group.run(60*time.Second, 1, 4, 0, establishCall)
 	refuseFull := func(h *harness, id CallID, s ServerID) {
 		actions := h.handle(Outcome{Call: id, Server: s, Cause: CauseFull, Refusal: RefusalProcessor})
 		if next := firstSendTarget(actions); next != 0 {
 			establishCall(h, id, next)
 		}
 	}
-	g.run(10*time.Second, 1, 4, 1, refuseFull)
-	trials := g.run(20*time.Second, 1, 4, 1, refuseFull)
+	group.run(10*time.Second, 1, 4, 1, refuseFull)
+	trials := group.run(20*time.Second, 1, 4, 1, refuseFull)
 	formerSetUps := 200 / 1.6 / 4 * 20.0
 	if n := float64(len(trials)); n > trialFactor*formerSetUps*1.2 || n == 0 {
 		t.Errorf("%v trials within 20 s at a server that took %v set-ups in that time", n, formerSetUps)
@@ -1260,21 +1261,21 @@
 // The calls that many softswitches divert to a small server are together at most one and a half times its
 // share by lines.
 func TestDivertedRateOfManySoftswitches(t *testing.T) {
-	g := newSoftswitchGroup(t, 200)
+	group := newSoftswitchGroup(t, 200)
 	for s := ServerID(1); s <= 4; s++ {
 		lines := 1000.0
 		if s == 4 {
 			lines = 100
 		}
-		g.broadcast(Health{Server: s, Report: Report{lines, lines, -1}})
+		group.broadcast(Health{Server: s, Report: Report{lines, lines, -1}})
 	}
-	g.run(60*time.Second, 1, 3, 0, establishCall)
+	group.run(60*time.Second, 1, 3, 0, establishCall)
 	var sent []Time
 	for range 20 { // the large servers are loaded, so the calls that they do not take are for the small one
 		for s := ServerID(1); s <= 3; s++ {
-			g.broadcast(Health{Server: s, Report: Report{500, 1000, 1000}})
+			group.broadcast(Health{Server: s, Report: Report{500, 1000, 1000}})
 		}
-		sent = append(sent, g.run(time.Second, 1, 3, 4, establishCall)...)
+		sent = append(sent, group.run(time.Second, 1, 3, 4, establishCall)...)
 	}
 	expected := 200 / 1.6 * 100 / 3100 * 20.0
 	if n := float64(len(sent)); n > 1.5*expected || n == 0 {
@@ -1291,7 +1292,7 @@
 		h := newHarness(t, testSettings(), 2)
 		h.warmUp(2)
 		h.reportLoad(1, 50, 100, tt.wait)
-		h.advance(h.controller.intervals(reportLifetime))
+		h.advance(h.controller.retransmitIntervals(reportLifetime))
 		h.establish(1, 20*ms) // this call makes the controller find that the share has expired
 		h.advance(3 * time.Second)
 		_, actions := h.arrive(1)
@@ -1389,7 +1390,7 @@
 		h.establish(1, 40*ms)
 	}
 	h.reportLoad(1, 138, 260, 0.12)
-	h.controller.now, h.controller.byID[1].credit = h.now, maxCredit
+	h.controller.now, h.controller.byID[1].thinningCredit = h.now, maxCredit
 	sent := 0
 	for range 5 {
 		h.advance(2 * ms)
@@ -1467,20 +1468,20 @@
 
 // The time to decide on an arrival grows linearly with the number of servers.
 func BenchmarkArrival(b *testing.B) {
-	for _, servers := range []int{3, 12, 48} {
-		b.Run(fmt.Sprint(servers), func(b *testing.B) {
+	for _, serverCount := range []int{3, 12, 48} {
+		b.Run(fmt.Sprint(serverCount), func(b *testing.B) {
 			c, err := New(testSettings(), 1)
 			if err != nil {
 				b.Fatal(err)
 			}
 			now := time.Second
 			var actions []Action
-			actions = c.Handle(now, ListFull{Entries: readyServers(servers)}, actions[:0])
+			actions = c.Handle(now, ListFull{Entries: readyServers(serverCount)}, actions[:0])
 			b.ReportAllocs()
 			for i := range b.N {
 				now += ms
 				id := CallID(i + 1)
-				actions = c.Handle(now, Arrival{Call: id, Cell: 1 + i%servers, TimeLeft: 3 * time.Second}, actions[:0])
+				actions = c.Handle(now, Arrival{Call: id, Cell: 1 + i%serverCount, TimeLeft: 3 * time.Second}, actions[:0])
 				if s := firstSendTarget(actions); s != 0 {
 					actions = c.Handle(now, Established{Call: id, Server: s, SetUpTime: 20 * ms}, actions[:0])
 				}
--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -46,22 +46,22 @@
 	case decision.Timeout > 0:
 		c.setTimer(c.now+decision.Timeout, Token{kind: tokenAttemptTimeout, call: call.ID, controllerID: call.controllerID, number: uint32(newAttempt.number)})
 	}
-	c.offer(call)
+	c.sendOffer(call)
 }
 
-// offer sends the offer of an attempt, or has the attempt wait for the release guard or for a connection. Without a connection, and
+// sendOffer sends the offer of an attempt, or has the attempt wait for the release guard or for a connection. Without a connection, and
 // with no room to dial one, the attempt ends as not sent.
-func (c *Core) offer(call *call) {
+func (c *Core) sendOffer(call *call) {
 	s := call.attempt.server
-	conn := c.connFor(s)
+	conn := c.connForSetUp(s)
 	switch {
 	case c.now < call.resendAfter && c.guardEnabled(GuardResendWait):
 		c.setTimer(call.resendAfter, Token{kind: tokenReleaseGuard, call: call.ID, controllerID: call.controllerID, number: uint32(call.attempt.number)})
-	case conn == nil && !c.dial(s):
+	case conn == nil && !c.dialServer(s):
 		c.endAttempt(call, elmseam.Outcome{Cause: elmseam.CauseNotSent})
 	case conn == nil:
 	default:
-		call.attempt.phase, call.attempt.conn, call.attempt.startedAt, conn.lastSetUp = attemptSent, conn, c.now, c.now
+		call.attempt.phase, call.attempt.conn, call.attempt.startedAt, conn.lastOfferAt = attemptSent, conn, c.now, c.now
 		s.coldSetUps++
 		if conn.unansweredSince == 0 {
 			conn.unansweredSince = c.now
@@ -77,7 +77,7 @@
 		c.endAttempt(call, elmseam.Outcome{Cause: elmseam.CauseNotSent})
 		return
 	}
-	c.offer(call)
+	c.sendOffer(call)
 }
 
 // giveUpAttempt gives an attempt up. If its offer went out, the attempt stays outstanding until its End has been written. An attempt
@@ -102,7 +102,7 @@
 		call.earlierConns = append(call.earlierConns, ended.conn.id)
 	}
 	delete(ended.server.outstanding, call.ID)
-	defer c.closeMalformedConns(ended.server)
+	defer c.closeUnusableConns(ended.server)
 	switch outcome.Cause {
 	case elmseam.CauseTimeout, elmseam.CauseReset, elmseam.CauseCancelled:
 		call.resendAfter = c.now + call.releaseGuard
@@ -114,15 +114,15 @@
 	c.notifyController(outcome)
 }
 
-// endWritten ends the attempt whose End has been written.
-func (c *Core) endWritten(ev EndWritten) {
+// handleEndWritten ends the attempt whose End has been written.
+func (c *Core) handleEndWritten(ev EndWritten) {
 	if call := c.outstandingCall(ev.Server, ev.Conn, ev.ID); call != nil && call.attempt.phase == attemptEnding {
 		c.endAttempt(call, elmseam.Outcome{Cause: call.attempt.endCause})
 	}
 }
 
-// notSent ends the attempt whose offer was withdrawn before its first byte was written.
-func (c *Core) notSent(ev NotSent) {
+// handleNotSent ends the attempt whose offer was withdrawn before its first byte was written.
+func (c *Core) handleNotSent(ev NotSent) {
 	if call := c.outstandingCall(ev.Server, ev.Conn, ev.ID); call != nil {
 		c.endAttempt(call, elmseam.Outcome{Cause: elmseam.CauseNotSent})
 	}
--- a/internal/core/callers.go
+++ b/internal/core/callers.go
@@ -25,11 +25,11 @@
 	protocol Protocol
 	id       ID
 	reason   Reason
-	at       Time // when the release was last put on the list; each flushReleases that finds no connection for it sets it again
+	queuedAt Time // when the release was last put on the list; each flushReleases that finds no connection for it sets it again
 }
 
-// callerUp handles a new connection of a caller.
-func (c *Core) callerUp(ev CallerUp) {
+// handleCallerUp handles a new connection of a caller.
+func (c *Core) handleCallerUp(ev CallerUp) {
 	conn := &callerConn{id: ev.Conn, protocol: ev.Protocol, lastActive: c.now}
 	c.callers[ev.Conn] = conn
 	c.callerOrder = append(c.callerOrder, conn)
@@ -43,9 +43,9 @@
 	}
 }
 
-// callerDown handles the end of the connection of a caller. The caller may send its open set-ups again on another connection within
+// handleCallerDown handles the end of the connection of a caller. The caller may send its open set-ups again on another connection within
 // RebindTimeout.
-func (c *Core) callerDown(id ConnID) {
+func (c *Core) handleCallerDown(id ConnID) {
 	c.forgetCaller(id)
 	c.forgetPredecessorCalls(id)
 	for _, call := range inArrivalOrder(c.calls) {
@@ -56,15 +56,15 @@
 	}
 }
 
-// callerEnd handles a caller that gives a set-up up or releases an established call, perhaps one from before a restart.
-func (c *Core) callerEnd(ev CallerEnd) {
+// handleCallerEnd handles a caller that gives a set-up up or releases an established call, perhaps one from before a restart.
+func (c *Core) handleCallerEnd(ev CallerEnd) {
 	call := c.calls[ev.ID]
 	if conn := c.callers[ev.From]; conn != nil {
 		c.markUsed(conn)
 	}
 	switch {
 	case call == nil:
-		_, known := c.ended[ev.ID]
+		_, known := c.endedCalls[ev.ID]
 		switch {
 		case known, ev.SetUpDiscarded: // the call has ended already, or was never offered to a server
 		case c.hasPredecessor:
@@ -101,26 +101,28 @@
 	return conn.used || !c.limits.Transient[conn.protocol]
 }
 
-// sendRelease tells a caller that an established call has ended, on the connection of the call or, if that is gone, on another of
-// the same protocol: preferably one that has had established calls, then the one active last. If there is none, the release goes to the
-// successor during a hand-over of transient connections, and otherwise waits for the next connection.
+// sendRelease tells a caller that an established call has ended, on the connection of the call or, if that is gone, on another of the same
+// protocol: preferably one that has had established calls, then the one active last.
+//
+// If there is none, the release goes to the successor during a hand-over of transient connections, and otherwise waits for the next
+// connection.
 func (c *Core) sendRelease(protocol Protocol, to ConnID, id ID, reason Reason) {
 	if c.callers[to] == nil {
-		var best *callerConn
+		var bestConn *callerConn
 		for _, conn := range c.callerOrder {
-			if conn.protocol == protocol && c.acceptsReleases(conn) && (best == nil || conn.hadEstablished && !best.hadEstablished || conn.hadEstablished == best.hadEstablished && conn.lastActive >= best.lastActive) {
-				best = conn
+			if conn.protocol == protocol && c.acceptsReleases(conn) && (bestConn == nil || conn.hadEstablished && !bestConn.hadEstablished || conn.hadEstablished == bestConn.hadEstablished && conn.lastActive >= bestConn.lastActive) {
+				bestConn = conn
 			}
 		}
-		if best == nil && c.handingOver && c.limits.Transient[protocol] {
+		if bestConn == nil && c.handingOver && c.limits.Transient[protocol] {
 			c.emit(ToSuccessor{Protocol: protocol, Effect: Released{ID: id, Reason: reason}})
 			return
 		}
-		if best == nil {
+		if bestConn == nil {
 			c.pendingReleases = append(c.pendingReleases, &pendingRelease{protocol, id, reason, c.now})
 			return
 		}
-		to = best.id
+		to = bestConn.id
 	}
 	c.emit(Released{To: to, ID: id, Reason: reason})
 }
@@ -130,7 +132,7 @@
 	releases := c.pendingReleases
 	c.pendingReleases = nil
 	for _, release := range releases {
-		if release.at > c.now-c.limits.EndedCallTTL {
+		if release.queuedAt > c.now-c.limits.EndedCallTTL {
 			c.sendRelease(release.protocol, 0, release.id, release.reason)
 		} else {
 			c.emit(ForgetCall{Protocol: release.protocol, ID: release.id})
@@ -162,14 +164,14 @@
 	if len(c.callerOrder) <= target && !slices.ContainsFunc(c.callerOrder, func(conn *callerConn) bool { return conn.malformed }) {
 		return
 	}
-	busy := c.busyConns()
+	busyConns := c.busyConns()
 	for _, conn := range slices.Clone(c.callerOrder) {
-		if conn.malformed && !busy[conn.id] {
+		if conn.malformed && !busyConns[conn.id] {
 			c.closeCaller(conn)
 		}
 	}
 	for len(c.callerOrder) > target {
-		victim := c.evictionCandidate(busy)
+		victim := c.evictionCandidate(busyConns)
 		if victim == nil {
 			if !c.pruneTimerSet && c.limits.NewConnGrace > 0 {
 				c.pruneTimerSet = true
@@ -184,10 +186,10 @@
 // evictionCandidate returns the connection to close first: the oldest of the unused ones, or else the one that has been idle
 // longest. Connections in busy, transferred ones and the newest one are no candidates, nor is an unused one that is younger than
 // NewConnGrace, as its first set-up may be on its way. The result is nil if there is no candidate.
-func (c *Core) evictionCandidate(busy map[ConnID]bool) (victim *callerConn) {
+func (c *Core) evictionCandidate(busyConns map[ConnID]bool) (victim *callerConn) {
 	for _, conn := range c.callerOrder[:max(len(c.callerOrder)-1, 0)] {
 		switch {
-		case busy[conn.id], conn.transferred, !conn.used && c.now < conn.lastActive+c.limits.NewConnGrace:
+		case busyConns[conn.id], conn.transferred, !conn.used && c.now < conn.lastActive+c.limits.NewConnGrace:
 		case victim == nil, victim.used && !conn.used, victim.used == conn.used && conn.lastActive < victim.lastActive:
 			victim = conn
 		}
--- a/internal/core/calls.go
+++ b/internal/core/calls.go
@@ -13,7 +13,7 @@
 	SetUp
 	controllerID elmseam.CallID // the controller's id of the call
 	fingerprint  uint64         // hash of what the set-up asks for; a set-up sent again has the same
-	size         int            // size of the number and the description that the call keeps, in bytes
+	keptBytes    int            // size of the number and the description that the call keeps, in bytes
 	releaseGuard time.Duration  // release guard of the settings that the call arrived under
 	protocol     Protocol       // signalling protocol of the caller
 	deadline     Time           // latest time of the final answer
@@ -31,13 +31,13 @@
 
 // endedCall remembers the id of a call that has ended.
 type endedCall struct {
-	id ID
-	at Time // when the id was recorded
+	id         ID
+	recordedAt Time // when the id was recorded
 }
 
-// setUp handles a set-up from a caller. A set-up with the id of a call that has ended is refused, as ids are never used twice: the
+// handleSetUp handles a set-up from a caller. A set-up with the id of a call that has ended is refused, as ids are never used twice: the
 // caller may have sent the set-up again because its answer was lost with a closing connection.
-func (c *Core) setUp(ev SetUp) {
+func (c *Core) handleSetUp(ev SetUp) {
 	from := c.callers[ev.From]
 	if from == nil { // the connection has been closed: the caller may send the set-up again on another
 		if c.calls[ev.ID] == nil {
@@ -47,14 +47,14 @@
 	}
 	c.markUsed(from)
 	if call := c.calls[ev.ID]; call != nil {
-		c.repeatedSetUp(call, ev)
+		c.handleRepeatedSetUp(call, ev)
 		return
 	}
 	if _, foreign := c.predecessorSetUps[ev.ID]; foreign { // open on the predecessor
 		c.emit(Rejected{To: ev.From, ID: ev.ID, Reason: ReasonUnsupported})
 		return
 	}
-	if _, known := c.ended[ev.ID]; known {
+	if _, known := c.endedCalls[ev.ID]; known {
 		c.emit(Rejected{To: ev.From, ID: ev.ID, Reason: ReasonCongested, RetryAfter: c.limits.RetryAfterHint})
 		return
 	}
@@ -73,7 +73,7 @@
 		return
 	}
 	c.lastControllerID++
-	call := &call{SetUp: ev, size: size, controllerID: c.lastControllerID, fingerprint: fingerprintOf(ev), protocol: from.protocol, deadline: c.now + timeLeft, maxAttempts: c.maxAttempts, releaseGuard: c.releaseGuard}
+	call := &call{SetUp: ev, keptBytes: size, controllerID: c.lastControllerID, fingerprint: fingerprintOf(ev), protocol: from.protocol, deadline: c.now + timeLeft, maxAttempts: c.maxAttempts, releaseGuard: c.releaseGuard}
 	c.calls[call.ID], c.callsByControllerID[call.controllerID] = call, call
 	c.openSetUps++
 	c.callBytes += size
@@ -86,11 +86,13 @@
 	call.Tenant = ""
 }
 
-// repeatedSetUp handles a set-up with the id of a call that has not ended. The same set-up on another connection is taken to be sent
-// again because its first connection closed: the call goes on for the new connection, which is given the answer that its caller
-// may have missed. Any other set-up is refused, as the answer to the existing call is no answer to it. When both came on one
-// connection and the first has no final answer yet, both are refused, as the caller could not tell which of them an answer is for.
-func (c *Core) repeatedSetUp(call *call, ev SetUp) {
+// handleRepeatedSetUp handles a set-up with the id of a call that has not ended. The same set-up on another connection is taken to be sent
+// again because its first connection closed: the call goes on for the new connection, which is given the answer that its caller may have
+// missed.
+//
+// Any other set-up is refused, as the answer to the existing call is no answer to it. When both came on one connection and the first has no
+// final answer yet, both are refused, as the caller could not tell which of them an answer is for.
+func (c *Core) handleRepeatedSetUp(call *call, ev SetUp) {
 	resent := ev.From != call.From && fingerprintOf(ev) == call.fingerprint
 	switch {
 	case resent && call.server != nil:
@@ -204,7 +206,7 @@
 	if c.calls[call.ID] != call || !c.guardEnabled(GuardForgetEnded) {
 		return
 	}
-	c.callBytes -= call.size
+	c.callBytes -= call.keptBytes
 	delete(c.calls, call.ID)
 	delete(c.callsByControllerID, call.controllerID)
 	c.rememberEnded(call.ID)
@@ -213,12 +215,12 @@
 // rememberEnded records the id of a call that has ended, for EndedCallTTL and for at most MaxEndedCalls ids: calls that arrive at
 // full speed and are refused would otherwise fill the memory.
 func (c *Core) rememberEnded(id ID) {
-	c.ended[id] = c.now
-	c.endedOrder = append(c.endedOrder, endedCall{id, c.now})
-	for len(c.endedOrder) > 0 && (c.endedOrder[0].at < c.now-c.limits.EndedCallTTL || c.limits.MaxEndedCalls > 0 && len(c.endedOrder) > c.limits.MaxEndedCalls) {
-		if c.ended[c.endedOrder[0].id] == c.endedOrder[0].at {
-			delete(c.ended, c.endedOrder[0].id)
+	c.endedCalls[id] = c.now
+	c.endedCallOrder = append(c.endedCallOrder, endedCall{id, c.now})
+	for len(c.endedCallOrder) > 0 && (c.endedCallOrder[0].recordedAt < c.now-c.limits.EndedCallTTL || c.limits.MaxEndedCalls > 0 && len(c.endedCallOrder) > c.limits.MaxEndedCalls) {
+		if c.endedCalls[c.endedCallOrder[0].id] == c.endedCallOrder[0].recordedAt {
+			delete(c.endedCalls, c.endedCallOrder[0].id)
 		}
-		c.endedOrder = c.endedOrder[1:]
+		c.endedCallOrder = c.endedCallOrder[1:]
 	}
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -36,22 +36,22 @@
 	serversByID         map[elmseam.ServerID]*server
 	serverOrder         []*server        // in the order in which they came into the list
 	lastServerID        elmseam.ServerID // id last given to a server
-	removed             []removedServer  // servers that have left the list, oldest first
+	removedServers      []removedServer  // servers that have left the list, oldest first
 	withdrawnRoutes     map[string]Route // by the name of the route
 	callers             map[ConnID]*callerConn
 	callerOrder         []*callerConn     // oldest first
 	pruneTimerSet       bool              // a timer is set for the next pruneCallers
 	pendingReleases     []*pendingRelease // releases to callers that wait for a connection
-	ended               map[ID]Time       // ids of calls that ended recently, with the time when each id was last recorded
-	endedOrder          []endedCall       // the same ids, oldest first
+	endedCalls          map[ID]Time       // ids of calls that ended recently, with the time when each id was last recorded
+	endedCallOrder      []endedCall       // the same ids, oldest first
 	stopping            bool              // a Stop or a HandOver has begun
 	stopGraceOver       bool              // the grace period of a Stop or HandOver, in which new callers may still connect, has ended
 	closing             bool              // the process is about to end: set-ups are refused until the connections are closed
 	stopped             bool              // the Stopped effect has been given
 	serving             bool              // new calls are welcome, as the last Serving effect said
-	draining            bool
-	drainChangedAt      Time   // when the drain began or ended
-	drainChanges        uint32 // how often a drain began or ended
+	draining            bool              // callers are sent away while the process goes on, on request of an operator or for maintenance
+	drainChangedAt      Time              // when the drain began or ended
+	drainChanges        uint32            // how often a drain began or ended
 	stats               Stats
 	hook                Hook
 	handingOver         bool                 // the connections of callers are being transferred to a successor
@@ -90,11 +90,11 @@
 		serversByID:         make(map[elmseam.ServerID]*server),
 		withdrawnRoutes:     make(map[string]Route),
 		callers:             make(map[ConnID]*callerConn),
-		ended:               make(map[ID]Time),
+		endedCalls:          make(map[ID]Time),
 		predecessorSetUps:   make(map[ID]ConnID),
 		predecessorCalls:    make(map[ID]ConnID),
 	}
-	c.stats.growClasses(len(settings.Classes))
+	c.stats.growClassStats(len(settings.Classes))
 	return c, nil
 }
 
@@ -108,9 +108,9 @@
 	}
 	switch ev := ev.(type) {
 	case CallerUp:
-		c.callerUp(ev)
+		c.handleCallerUp(ev)
 	case CallerDown:
-		c.callerDown(ev.Conn)
+		c.handleCallerDown(ev.Conn)
 	case CallerIdle:
 		if conn := c.callers[ev.Conn]; conn != nil && !c.busyConns()[ev.Conn] {
 			c.closeCaller(conn)
@@ -121,41 +121,41 @@
 			c.pruneCallers()
 		}
 	case SetUp:
-		c.setUp(ev)
+		c.handleSetUp(ev)
 	case CallerEnd:
-		c.callerEnd(ev)
+		c.handleCallerEnd(ev)
 	case ServerUp:
-		c.serverUp(ev)
+		c.handleServerUp(ev)
 	case ServerDown:
-		c.serverDown(ev)
+		c.handleServerDown(ev)
 	case ServerAnswer:
-		c.serverAnswer(ev)
+		c.handleServerAnswer(ev)
 	case ServerEnd:
-		c.serverEnd(ev)
+		c.handleServerEnd(ev)
 	case ServerReport:
 		if s := c.servers[ev.Server]; s != nil {
-			s.markReceived(ev.Conn)
-			c.reportHealth(s, ev.Report)
+			s.recordConnInput(ev.Conn)
+			c.forwardLoadReport(s, ev.Report)
 		}
 	case ServerMalformed:
-		c.serverMalformed(ev)
+		c.handleServerMalformed(ev)
 	case ServerSilent:
-		c.serverSilent(ev)
+		c.handleServerSilent(ev)
 	case ServerProbeAnswer:
-		c.probeAnswered(ev)
+		c.handleProbeAnswer(ev)
 	case ServerPaused:
 		if s := c.servers[ev.Server]; s != nil {
 			s.paused = ev.Paused
 			c.updatePhases([]*server{s}, false, false)
 		}
 	case Route:
-		c.routeChanged(ev)
+		c.handleRoute(ev)
 	case EndWritten:
-		c.endWritten(ev)
+		c.handleEndWritten(ev)
 	case NotSent:
-		c.notSent(ev)
+		c.handleNotSent(ev)
 	case ServerList:
-		c.serverList(ev)
+		c.handleServerList(ev)
 	case Configured:
 		if err := c.controller.Configure(ev.Settings); err != nil {
 			c.emit(Violation{Rule: err.Error()})
@@ -163,7 +163,7 @@
 			break
 		}
 		c.stats.ConfigsLoaded++
-		c.stats.growClasses(len(ev.Settings.Classes))
+		c.stats.growClassStats(len(ev.Settings.Classes))
 		c.limits, c.releaseGuard, c.maxAttempts = ev.Limits, ev.Settings.ReleaseGuard, ev.Settings.MaxAttempts
 		c.prober.Configure(ev.Limits.Probe)
 		c.reportMetrics, c.tenants = ev.Settings.ReportMetrics, ev.Settings.Tenants
@@ -182,11 +182,11 @@
 	case StartMembership:
 		c.startMembership(ev)
 	case MemberDatagram:
-		c.memberDatagram(ev)
+		c.handleMemberDatagram(ev)
 	case HandOver:
-		c.handOver()
+		c.beginHandOver()
 	case ReadingStopped:
-		c.transfer(ev.Conn)
+		c.transferCaller(ev.Conn)
 	case Transferred:
 		if conn := c.callers[ev.Conn]; conn != nil {
 			conn.transferUnconfirmed = false
@@ -196,7 +196,7 @@
 			conn.transferred, conn.transferUnconfirmed, conn.transferFailed = false, false, true
 		}
 	case Predecessor:
-		c.predecessorChanged(ev)
+		c.handlePredecessor(ev)
 	case Relayed:
 		c.relayFromPredecessor(ev)
 	case EndedCalls:
@@ -206,7 +206,7 @@
 	case OfferWritten:
 		c.stats.Sends++
 	case TimerFired:
-		c.timerFired(ev.Token)
+		c.handleTimer(ev.Token)
 	case Stop:
 		if !c.stopping {
 			c.stopping = true
@@ -223,8 +223,8 @@
 // emit adds an effect to those of this Step.
 func (c *Core) emit(e Effect) { c.effects = append(c.effects, e) }
 
-// setTimer asks for a TimerFired with the token. A timer is never cancelled: timerFired checks whether it still applies.
-func (c *Core) setTimer(at Time, t Token) { c.emit(Timer{At: at, Token: t}) }
+// setTimer asks for a TimerFired with the token. A timer is never cancelled: handleTimer checks whether it still applies.
+func (c *Core) setTimer(at Time, token Token) { c.emit(Timer{At: at, Token: token}) }
 
 // notifyController hands the controller an event and carries out the actions that it decides on.
 func (c *Core) notifyController(ev elmseam.Event) {
@@ -259,15 +259,15 @@
 	}
 }
 
-// timerFired handles a timer that fires. As no timer is ever cancelled, each case checks whether it still applies.
-func (c *Core) timerFired(t Token) {
-	call := c.calls[t.call]
-	if t.controllerID != 0 && (call == nil || call.controllerID != t.controllerID) { // the call has ended
+// handleTimer handles a timer that fires. As no timer is ever cancelled, each case checks whether its timer still applies.
+func (c *Core) handleTimer(token Token) {
+	call := c.calls[token.call]
+	if token.controllerID != 0 && (call == nil || call.controllerID != token.controllerID) { // the call has ended
 		return
 	}
-	switch t.kind {
+	switch token.kind {
 	case tokenController:
-		c.notifyController(elmseam.TimerFired{Token: t.number})
+		c.notifyController(elmseam.TimerFired{Token: token.number})
 	case tokenDeadline:
 		if !call.answered {
 			c.deadlineReached(call)
@@ -277,26 +277,26 @@
 			c.abandonSetUp(call)
 		}
 	case tokenAttemptTimeout:
-		if call.attempt != nil && uint32(call.attempt.number) == t.number {
+		if call.attempt != nil && uint32(call.attempt.number) == token.number {
 			c.giveUpAttempt(call, elmseam.CauseTimeout)
 		}
 	case tokenReleaseGuard:
-		if call.attempt != nil && uint32(call.attempt.number) == t.number && call.attempt.phase == attemptWaiting {
+		if call.attempt != nil && uint32(call.attempt.number) == token.number && call.attempt.phase == attemptWaiting {
 			c.retryAttempt(call)
 		}
 	case tokenRedial:
-		if s := c.servers[t.server]; s != nil {
+		if s := c.servers[token.server]; s != nil {
 			s.redialPending = false
-			if s.usableConns() < c.wantedConns(s) {
+			if s.usableConnCount() < c.wantedConnCount(s) {
 				c.dialAhead(s)
 			}
 		}
 	case tokenServerLost:
-		if s := c.servers[t.server]; s != nil && s.unreachableSince != 0 && c.now >= s.unreachableSince+c.limits.ServerLostAfter {
-			c.resetEstablished(s)
+		if s := c.servers[token.server]; s != nil && s.unreachableSince != 0 && c.now >= s.unreachableSince+c.limits.ServerLostAfter {
+			c.resetEstablishedCalls(s)
 		}
 	case tokenDrainCheck:
-		c.closeIdleCallers(t.number)
+		c.closeIdleCallers(token.number)
 	case tokenStopGrace:
 		c.stopGraceOver = true
 	case tokenMaxStopWait:
@@ -310,20 +310,20 @@
 	case tokenStopLinger:
 		c.finishStop()
 	case tokenProbeTimeout:
-		c.probeExpired(t)
+		c.handleProbeTimeout(token)
 	case tokenMembership:
-		c.stepMembership(membership.TimerFired{Token: t.membership})
+		c.stepMembership(membership.TimerFired{Token: token.membership})
 	case tokenKnowledge:
 		c.reportObservations()
-		c.stepKnowledge(knowledge.TimerFired{Token: t.knowledge})
+		c.stepKnowledge(knowledge.TimerFired{Token: token.knowledge})
 	case tokenDrainReport:
-		c.expireDrainReport(t.server)
+		c.expireDrainReport(token.server)
 	case tokenBudget:
 		c.stepBudget(budget.Demand{Quotas: c.coldDemand()})
 		c.reportColdServers()
-		c.stepBudget(budget.TimerFired{Token: t.budget})
+		c.stepBudget(budget.TimerFired{Token: token.budget})
 		c.applyColdRates()
 	case tokenMaintenance:
-		c.stepMaintenance(maintenance.TimerFired{Token: t.maintenance})
+		c.stepMaintenance(maintenance.TimerFired{Token: token.maintenance})
 	}
 }
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -68,15 +68,15 @@
 	return h
 }
 
-// list gives the core a full server list in which "a" and "b" have the phases.
-func (h *harness) list(a, b elmseam.Phase) string {
+// list gives the core a full server list in which "a" is in phaseA and "b" in phaseB.
+func (h *harness) list(phaseA, phaseB elmseam.Phase) string {
 	return h.step(ServerList{Full: true, Servers: []Server{
-		{Name: "a", Address: "a:1", Cell: 0, Phase: a}, {Name: "b", Address: "b:1", Cell: 1, Phase: b},
+		{Name: "a", Address: "a:1", Cell: 0, Phase: phaseA}, {Name: "b", Address: "b:1", Cell: 1, Phase: phaseB},
 	}})
 }
 
-// step gives the core an event and returns the effects as text, each as its name, the id of its call and the connection. Timers
-// are kept for advance. A violation fails the test.
+// step gives the core an event and returns the effects as text: each as its name, the id of its call if any, an @ and the connection, as in
+// "offer7@10 ", or a dash and the server that is dialled, as in "dial-a ". Timers are kept for advance. A violation fails the test.
 func (h *harness) step(ev Event) string {
 	effects := ""
 	for _, e := range h.core.Step(h.now, ev) {
@@ -100,7 +100,7 @@
 		case StopReading:
 			effects += fmt.Sprintf("stopreading@%d ", e.To)
 		case Transfer:
-			effects += fmt.Sprintf("transfer@%d%v%v ", e.To, e.Open, e.Established)
+			effects += fmt.Sprintf("transfer@%d%v%v ", e.To, e.Open, e.Established) // with the ids of both kinds of calls, as in "transfer@1[2][1] "
 		case ToPredecessor:
 			effects += "to-predecessor "
 		case ToSuccessor:
@@ -146,10 +146,10 @@
 	}
 }
 
-// countOf counts an effect in a text of step.
+// countOf counts an effect in a text that step returned.
 func countOf(effects, part string) int { return strings.Count(effects, part) }
 
-// want checks a text of effects.
+// want checks a text of effects that step returned.
 func (h *harness) want(got, want string) {
 	h.t.Helper()
 	if got != want {
@@ -435,8 +435,8 @@
 		h.step(ServerEnd{Server: "a", ID: id, Reason: ReasonFull})
 		h.step(ServerEnd{Server: "b", ID: id, Reason: ReasonFull})
 	}
-	if len(h.core.ended) != 3 || len(h.core.endedOrder) != 3 || len(h.core.calls) != 0 {
-		t.Errorf("%d and %d ids of ended calls, and %d calls, are kept, want 3, 3 and 0", len(h.core.ended), len(h.core.endedOrder), len(h.core.calls))
+	if len(h.core.endedCalls) != 3 || len(h.core.endedCallOrder) != 3 || len(h.core.calls) != 0 {
+		t.Errorf("%d and %d ids of ended calls, and %d calls, are kept, want 3, 3 and 0", len(h.core.endedCalls), len(h.core.endedCallOrder), len(h.core.calls))
 	}
 	h.want(h.setUp(10, 5*time.Second), "rejected10@1 ") // the last ids are kept
 	for i := range 10 {
@@ -464,7 +464,7 @@
 		h.step(ServerList{Servers: []Server{{Name: name, Address: "x:1", Phase: elmseam.PhaseReady}}})
 		h.step(ServerList{Servers: []Server{{Name: name, Address: "x:1", Phase: elmseam.PhaseGone}}})
 	}
-	if len(h.core.removed) != 2 || len(h.core.servers) != 2 || len(h.core.serversByID) != 2 || len(h.core.serverOrder) != 2 {
-		t.Errorf("%d removed servers remembered, and %d servers, %d ids and %d entries of serverOrder kept, want 2 of each", len(h.core.removed), len(h.core.servers), len(h.core.serversByID), len(h.core.serverOrder))
+	if len(h.core.removedServers) != 2 || len(h.core.servers) != 2 || len(h.core.serversByID) != 2 || len(h.core.serverOrder) != 2 {
+		t.Errorf("%d removed servers remembered, and %d servers, %d ids and %d entries of serverOrder kept, want 2 of each", len(h.core.removedServers), len(h.core.servers), len(h.core.serversByID), len(h.core.serverOrder))
 	}
 }
--- a/internal/core/crossings_test.go
+++ b/internal/core/crossings_test.go
@@ -12,7 +12,7 @@
 // Two events cross each other when each side sends one before it has received the other's. docs/CROSSINGS.md lists the crossings.
 // The tests here force the order of the events one by one; the tests of the protocol handlers force the same crossings over sockets.
 
-// resendTo replaces the controller's decisions: each attempt that ends is followed by an attempt at the server.
+// resendTo replaces the controller's decisions: each attempt that ends is followed by one at the named server.
 func (h *harness) resendTo(server string) {
 	h.core.hook.Decide = func(ev elmseam.Event, actions []elmseam.Action) []elmseam.Action {
 		if o, ended := ev.(elmseam.Outcome); ended && !o.Final {
@@ -93,7 +93,7 @@
 	h.step(ServerUp{Server: "a", Address: "a:1", Conn: 12})
 	h.list(elmseam.PhaseReady, elmseam.PhaseGone)
 	h.want(h.setUp(7, 5*time.Second), "offer7@10 ")
-	h.core.servers["a"].conns[0].lastSetUp, h.core.servers["a"].conns[1].lastSetUp = h.now+2, h.now+1
+	h.core.servers["a"].conns[0].lastOfferAt, h.core.servers["a"].conns[1].lastOfferAt = h.now+2, h.now+1
 	h.resendTo("a")
 	h.want(h.step(ServerEnd{Server: "a", Conn: 10, ID: 7, Reason: ReasonFull}), "offer7@12 ")
 	for _, late := range []Event{
@@ -262,8 +262,8 @@
 }
 
 // A call keeps the name of its class, its release guard and its number of attempts while the settings change. A report that was
-// decoded before the order of the metrics changes keeps its meaning. Guards against a share read as a number of lines, and the
-// other way round.
+// decoded before the order of the metrics changes keeps its meaning. Guards against a hold-back share read as a number of
+// lines, and the other way round.
 func TestSettingsChangeDuringCall(t *testing.T) {
 	h := newHarness(t)
 	configure := func(releaseGuard time.Duration, attempts int, metrics ...elmseam.LoadMetric) {
--- a/internal/core/drain.go
+++ b/internal/core/drain.go
@@ -28,17 +28,17 @@
 	if !c.draining || drainChange != c.drainChanges || c.handingOver {
 		return
 	}
-	busy := c.busyConns()
+	busyConns := c.busyConns()
 	for _, call := range c.calls {
-		busy[call.From] = true
+		busyConns[call.From] = true
 	}
-	var idle []*callerConn
+	var idleConns []*callerConn
 	for _, conn := range c.callerOrder {
-		if !busy[conn.id] && c.limits.Transient[conn.protocol] && c.now >= conn.lastActive+c.limits.DrainIdle {
-			idle = append(idle, conn)
+		if !busyConns[conn.id] && c.limits.Transient[conn.protocol] && c.now >= conn.lastActive+c.limits.DrainIdle {
+			idleConns = append(idleConns, conn)
 		}
 	}
-	for _, conn := range idle {
+	for _, conn := range idleConns {
 		c.closeCaller(conn)
 	}
 	c.setTimer(c.now+c.limits.DrainCheckInterval, Token{kind: tokenDrainCheck, number: drainChange})
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -10,8 +10,9 @@
 // for their callers go through the successor. The successor records the set-ups that the predecessor has not answered yet, and
 // rejects them if the predecessor ends first.
 
-// handOver begins to transfer the connections of callers. The input of those that are transferred is read by the successor from then on.
-func (c *Core) handOver() {
+// beginHandOver begins to transfer the connections of callers. The input of those that are transferred is read by the successor from then
+// on.
+func (c *Core) beginHandOver() {
 	if c.handingOver || c.closing { // while closing, the connections are about to be closed, and a connection in transfer would be lost
 		return
 	}
@@ -31,9 +32,9 @@
 	}
 }
 
-// transfer passes a connection that is read no further to the successor, with the ids of its open set-ups and, up to
+// transferCaller passes a connection that is read no further to the successor, with the ids of its open set-ups and, up to
 // MaxTransferredCalls in all, of its established calls.
-func (c *Core) transfer(id ConnID) {
+func (c *Core) transferCaller(id ConnID) {
 	conn := c.callers[id]
 	if conn == nil {
 		return
@@ -75,9 +76,9 @@
 	}
 }
 
-// predecessorChanged handles news that a predecessor owns calls whose callers are connected here, or that the predecessor has
-// ended. The set-ups that it left unanswered may have run at a server and are rejected as ReasonFailed.
-func (c *Core) predecessorChanged(ev Predecessor) {
+// handlePredecessor handles news that a predecessor owns calls whose callers are connected here, or that the predecessor has ended. The
+// set-ups that an ended predecessor left unanswered may have run at a server and are rejected as ReasonFailed.
+func (c *Core) handlePredecessor(ev Predecessor) {
 	c.hasPredecessor, c.sharesCallerLimit = ev.Present, ev.Present && !ev.Transferring
 	if ev.Present {
 		return
@@ -108,7 +109,7 @@
 			c.rememberEnded(effect.ID)
 		}
 	case Released:
-		if _, known := c.ended[effect.ID]; !known {
+		if _, known := c.endedCalls[effect.ID]; !known {
 			c.rememberEnded(effect.ID)
 			delete(c.predecessorCalls, effect.ID)
 			c.sendRelease(ev.Protocol, ev.Conn, effect.ID, effect.Reason)
@@ -125,7 +126,7 @@
 
 // RecentlyEnded returns the ids of ended calls that this process recorded last, oldest first and at most limit, for a successor.
 func (c *Core) RecentlyEnded(limit int) []ID {
-	latest := c.endedOrder[max(len(c.endedOrder)-limit, 0):]
+	latest := c.endedCallOrder[max(len(c.endedCallOrder)-limit, 0):]
 	ids := make([]ID, 0, len(latest))
 	for _, endedCall := range latest {
 		ids = append(ids, endedCall.id)
--- a/internal/core/hook.go
+++ b/internal/core/hook.go
@@ -33,12 +33,12 @@
 
 // TimerObsolete says whether a timer can have no effect any more, because its call has ended. The controller's ids of calls are
 // never used twice.
-func (c *Core) TimerObsolete(t Token) bool {
-	switch t.kind {
+func (c *Core) TimerObsolete(token Token) bool {
+	switch token.kind {
 	case tokenController:
-		return !c.controller.HasCall(elmseam.CallID(t.number))
+		return !c.controller.HasCall(elmseam.CallID(token.number))
 	case tokenDeadline, tokenRebind, tokenAttemptTimeout, tokenReleaseGuard:
-		return c.calls[t.call] == nil || c.calls[t.call].controllerID != t.controllerID
+		return c.calls[token.call] == nil || c.calls[token.call].controllerID != token.controllerID
 	}
 	return false
 }
--- a/internal/core/knowledge.go
+++ b/internal/core/knowledge.go
@@ -133,11 +133,12 @@
 	return c.knowledge.AppendPiggyback(c.now, data)
 }
 
-// updateKnowledgeAvailability tells the knowledge reducer whether a member is available and adapts the controller's rates. The callers
-// of a member that dies move to the other members, whose measured rates would follow only slowly: the rates are raised at once by
-// the takeover factor, and lowered by the same factor when the member is back. A suspected member already counts as unavailable:
-// callers leave a member that does not respond long before it is declared dead, and rates that are too high for a while cost
-// little.
+// updateKnowledgeAvailability tells the knowledge reducer whether a member is available and adapts the controller's rates. The callers of a
+// member that dies move to the other members, whose measured rates of calls would follow only slowly: the rates are raised at once by the
+// takeover factor, and lowered by the same factor when the member is back.
+//
+// A suspected member already counts as unavailable: callers leave a member that does not respond long before it is declared dead, and rates
+// that are too high for a while cost little.
 func (c *Core) updateKnowledgeAvailability(member int, oldState, newState membership.State) {
 	c.stepKnowledge(knowledge.MemberAvailability{Member: member, Available: newState.Available()})
 	if c.knowledge == nil {
--- a/internal/core/membership.go
+++ b/internal/core/membership.go
@@ -67,9 +67,9 @@
 	}
 }
 
-// memberDatagram gives a datagram to the reducer whose version its first byte names. Any other datagram goes to membership, which
-// counts the malformed ones, except for its piggybacked data, which goes to the knowledge reducer.
-func (c *Core) memberDatagram(ev MemberDatagram) {
+// handleMemberDatagram gives a datagram to the reducer whose version its first byte names. Any other datagram goes to the membership
+// reducer, which counts the malformed ones. The data piggybacked on a membership datagram goes to the knowledge reducer.
+func (c *Core) handleMemberDatagram(ev MemberDatagram) {
 	version := byte(membership.Version)
 	if len(ev.Data) > 0 {
 		version = ev.Data[0]
--- a/internal/core/probe.go
+++ b/internal/core/probe.go
@@ -37,13 +37,16 @@
 func (ServerProbeAnswer) event() {}
 func (Probe) effect()            {}
 
-// serverSilent handles a connection on which nothing has come for the duration SilentFor. If an unanswered set-up or probe went out on
-// the connection at least SilentFor/2 ago, the connection counts as dead and is replaced, whether that set-up is still outstanding or
-// was given up meanwhile. If the first unanswered one was sent later, the connection is judged at the next ServerSilent. Without any
-// the silence is normal, except at a server with established calls, whose releases may come on any connection: the connection to such
-// a server is probed, or replaced where the settings permit no probe or the server is not ready. It is left alone while it has an outstanding
-// probe or the rate of probes is used up.
-func (c *Core) serverSilent(ev ServerSilent) {
+// handleServerSilent handles a connection on which nothing has come for the duration SilentFor.
+//
+// If an unanswered set-up or probe went out on the connection at least SilentFor/2 ago, the connection counts as dead and is replaced,
+// whether that set-up is still outstanding or was given up meanwhile. If the first unanswered one was sent later, the connection is judged
+// at the next ServerSilent.
+//
+// Without any the silence is normal, except at a server with established calls, whose releases may come on any connection: the connection
+// to such a server is probed, or replaced where the settings permit no probe or the server is not ready. It is left alone while it has an
+// outstanding probe or the rate of probes is used up.
+func (c *Core) handleServerSilent(ev ServerSilent) {
 	s := c.servers[ev.Server]
 	if s == nil {
 		return
@@ -80,22 +83,22 @@
 	}
 }
 
-// probeAnswered handles the answer to a probe.
-func (c *Core) probeAnswered(ev ServerProbeAnswer) {
+// handleProbeAnswer handles the answer to a probe.
+func (c *Core) handleProbeAnswer(ev ServerProbeAnswer) {
 	s := c.servers[ev.Server]
 	if s == nil {
 		return
 	}
-	s.markReceived(ev.Conn)
+	s.recordConnInput(ev.Conn)
 	if c.prober.Answered(ev.ID, uint64(ev.Conn)) {
-		c.reportHealth(s, ev.Report)
+		c.forwardLoadReport(s, ev.Report)
 	}
 }
 
-// probeExpired handles the time-out of a probe. The connection is replaced if the probe has not been answered.
-func (c *Core) probeExpired(t Token) {
-	if s := c.servers[t.server]; c.prober.Expire(t.probe) && s != nil {
-		if conn := s.connByID(t.conn); conn != nil {
+// handleProbeTimeout handles the time-out of a probe. The connection is replaced if the probe has not been answered.
+func (c *Core) handleProbeTimeout(token Token) {
+	if s := c.servers[token.server]; c.prober.Expire(token.probe) && s != nil {
+		if conn := s.connByID(token.conn); conn != nil {
 			c.replaceConn(s, conn)
 		}
 	}
@@ -105,13 +108,13 @@
 func (c *Core) replaceConn(s *server, conn *serverConn) {
 	c.prober.ConnClosed(uint64(conn.id))
 	if slices.ContainsFunc(inArrivalOrder(s.outstanding), func(call *call) bool { return call.attempt.conn == conn }) {
-		conn.malformed = true
+		conn.unusable = true
 		c.emit(CloseConn{To: conn.id}) // the ServerDown that follows ends the outstanding attempts
 	} else {
 		s.conns = slices.DeleteFunc(s.conns, func(other *serverConn) bool { return other == conn })
 		c.emit(GracefulClose{To: conn.id})
 	}
-	if c.wantedConns(s) > 0 {
+	if c.wantedConnCount(s) > 0 {
 		c.dialAhead(s)
 	}
 }
--- a/internal/core/servermsgs.go
+++ b/internal/core/servermsgs.go
@@ -12,10 +12,10 @@
 	id               elmseam.ServerID // the controller's id of the server
 	conns            []*serverConn
 	dialing          bool          // a Dial effect was given and its result has not come
-	backoff          time.Duration // wait before the last redial
+	redialDelay      time.Duration // wait before the last redial
 	unreachableSince Time          // when the last connection ended or could not be made; 0: not known to be unreachable
 	paused           bool          // its own signalling takes no new work
-	source           string        // source of the list entry
+	listSource       string        // source of the list entry
 	effectivePhase   elmseam.Phase // phase reported to the controller: that of the list, lowered by routes, pauses and drain reports
 	established      map[ID]*call  // calls established on the server
 	outstanding      map[ID]*call  // calls with an attempt here, attempts that are ending included
@@ -37,19 +37,19 @@
 // serverConn is a connection to a server.
 type serverConn struct {
 	id              ConnID
-	lastSetUp       Time // when the last offer went out on the connection
-	malformed       bool // a message on the connection could not be decoded, or the connection counts as dead: no new offer goes there
+	lastOfferAt     Time // when the last offer went out on the connection
+	unusable        bool // a message on the connection could not be decoded, or the connection counts as dead: no new offer goes there
 	unansweredSince Time // time of the first set-up or probe sent since the connection last brought something; 0: none
 }
 
-// serverAnswer handles the answer of a server to a set-up. An answer to an attempt that has ended is released at the server and
+// handleServerAnswer handles the answer of a server to a set-up. An answer to an attempt that has ended is released at the server and
 // never passed on to the caller, and so is one that comes too late, or whose caller has gone or lost its connection.
-func (c *Core) serverAnswer(ev ServerAnswer) {
+func (c *Core) handleServerAnswer(ev ServerAnswer) {
 	s := c.servers[ev.Server]
 	if s == nil {
 		return
 	}
-	s.markReceived(ev.Conn)
+	s.recordConnInput(ev.Conn)
 	call := s.outstanding[ev.ID]
 	switch {
 	case call == nil && s.established[ev.ID] != nil:
@@ -70,7 +70,7 @@
 	delete(s.outstanding, call.ID)
 	call.server, call.answerDesc, call.answered = s, ev.Desc, true
 	c.callBytes += len(ev.Desc) - len(call.SetUp.Desc)
-	call.size += len(ev.Desc) - len(call.SetUp.Desc)
+	call.keptBytes += len(ev.Desc) - len(call.SetUp.Desc)
 	call.SetUp.Desc = nil
 	s.established[call.ID] = call
 	c.openSetUps--
@@ -80,22 +80,22 @@
 	c.emit(Answered{To: call.From, ID: call.ID, Desc: ev.Desc})
 	c.countAnswer(call.Class, true, ReasonNormal)
 	c.notifyController(elmseam.Established{Call: call.controllerID, Server: s.id, SetUpTime: setUpTime})
-	c.reportHealth(s, ev.Report)
-	c.closeMalformedConns(s)
+	c.forwardLoadReport(s, ev.Report)
+	c.closeUnusableConns(s)
 	c.pruneCallers()
 }
 
-// serverEnd handles a server's refusal of a set-up or its release of an established call.
-func (c *Core) serverEnd(ev ServerEnd) {
+// handleServerEnd handles a server's refusal of a set-up or its release of an established call.
+func (c *Core) handleServerEnd(ev ServerEnd) {
 	s := c.servers[ev.Server]
 	if s == nil {
 		return
 	}
-	s.markReceived(ev.Conn)
-	outcome := elmseam.Outcome{Refusal: ev.Refusal, Report: c.orderReport(ev.Report)}
+	s.recordConnInput(ev.Conn)
+	outcome := elmseam.Outcome{Refusal: ev.Refusal, Report: c.reportForController(ev.Report)}
 	if call := s.established[ev.ID]; call != nil {
 		if ev.RefusalOnly { // a second answer to the set-up
-			c.reportHealth(s, ev.Report)
+			c.forwardLoadReport(s, ev.Report)
 			return
 		}
 		if outcome.Cause = elmseam.CauseReset; ev.Reason == ReasonNormal {
@@ -106,7 +106,7 @@
 	}
 	call := s.outstanding[ev.ID]
 	if call == nil || call.attempt.phase != attemptSent || call.concernsEarlierAttempt(ev.Conn) {
-		c.reportHealth(s, ev.Report)
+		c.forwardLoadReport(s, ev.Report)
 		if call == nil {
 			c.releaseUnknown(ev)
 		}
@@ -125,21 +125,21 @@
 	c.endAttempt(call, outcome)
 }
 
-// serverMalformed gives up the attempt that an undecodable message was for, as the set-up may have run. No new offer goes out on
-// that connection, and the connection is closed once no attempt is outstanding on it, so that no other call is lost.
-func (c *Core) serverMalformed(ev ServerMalformed) {
+// handleServerMalformed gives up the attempt that an undecodable message was for, as the set-up may have run. No new offer goes out on that
+// connection, and the connection is closed once no attempt is outstanding on it, so that no other call is lost.
+func (c *Core) handleServerMalformed(ev ServerMalformed) {
 	s := c.servers[ev.Server]
 	if s == nil {
 		return
 	}
 	for _, conn := range s.conns {
-		conn.malformed = conn.malformed || conn.id == ev.Conn
+		conn.unusable = conn.unusable || conn.id == ev.Conn
 	}
 	if call := c.outstandingCall(ev.Server, ev.Conn, ev.ID); call != nil && call.attempt.phase == attemptSent {
 		c.giveUpAttempt(call, elmseam.CauseReset)
 	}
-	c.closeMalformedConns(s)
-	if c.wantedConns(s) > 0 { // on a new connection the server can also repeat lost releases of established calls
+	c.closeUnusableConns(s)
+	if c.wantedConnCount(s) > 0 { // on a new connection the server can also repeat lost releases of established calls
 		c.dialAhead(s)
 	}
 }
@@ -147,7 +147,7 @@
 // releaseUnknown passes on the release of a call that was established before this process started, or that this process never
 // saw. The release can't be a second answer, as the ids of calls that ended here are remembered.
 func (c *Core) releaseUnknown(ev ServerEnd) {
-	if _, known := c.ended[ev.ID]; known && c.guardEnabled(GuardSingleRelease) || c.calls[ev.ID] != nil || ev.Reason == ReasonFull || ev.Reason == ReasonBusy || ev.Reason == ReasonUnsent {
+	if _, known := c.endedCalls[ev.ID]; known && c.guardEnabled(GuardSingleRelease) || c.calls[ev.ID] != nil || ev.Reason == ReasonFull || ev.Reason == ReasonBusy || ev.Reason == ReasonUnsent {
 		return
 	}
 	if c.hasPredecessor { // the predecessor knows whether the call has ended
@@ -169,9 +169,9 @@
 	}
 }
 
-// orderReport puts the values of a report into the order in which the controller reads them. A value that the server did not
-// report is -1. The result is nil if the report has none of the values.
-func (c *Core) orderReport(report Report) elmseam.Report {
+// reportForController puts the values of a server's load report into the order in which the controller reads them. A value that the server
+// did not report is -1. The result is nil if the report has none of the values.
+func (c *Core) reportForController(report Report) elmseam.Report {
 	var values elmseam.Report
 	for i, metric := range c.reportMetrics {
 		for _, loadValue := range report {
@@ -187,10 +187,10 @@
 	return values
 }
 
-// reportHealth tells the controller of a load report that comes with no outcome: a server sent it by itself, or with an answer or a late
-// message. A report without any value that the controller reads is dropped.
-func (c *Core) reportHealth(s *server, report Report) {
-	if values := c.orderReport(report); values != nil {
+// forwardLoadReport tells the controller of a load report that comes with no outcome: a server sent it by itself, or with an answer or a
+// late message. A report without any value that the controller reads is dropped.
+func (c *Core) forwardLoadReport(s *server, report Report) {
+	if values := c.reportForController(report); values != nil {
 		c.notifyController(elmseam.Health{Server: s.id, OK: true, Report: values})
 	}
 }
--- a/internal/core/servers.go
+++ b/internal/core/servers.go
@@ -7,46 +7,46 @@
 	"elmseam"
 )
 
-// serverList handles news of the servers from one source.
-func (c *Core) serverList(ev ServerList) {
-	listed := make(map[string]bool)
-	var changed []*server
+// handleServerList handles news of the servers from one source.
+func (c *Core) handleServerList(ev ServerList) {
+	listedNames := make(map[string]bool)
+	var changedServers []*server
 	for _, entry := range ev.Servers {
-		listed[entry.Name] = true
+		listedNames[entry.Name] = true
 		s := c.servers[entry.Name]
 		switch {
 		case s == nil:
-			s = &server{id: c.serverID(entry.Name), established: make(map[ID]*call), outstanding: make(map[ID]*call)}
+			s = &server{id: c.controllerServerID(entry.Name), established: make(map[ID]*call), outstanding: make(map[ID]*call)}
 			c.servers[entry.Name], c.serversByID[s.id] = s, s
 			c.serverOrder = append(c.serverOrder, s)
 		case s.Started != entry.Started || s.Address != entry.Address:
 			// Another process: the calls established on the former one are lost, and its connections are useless.
-			c.resetEstablished(s)
+			c.resetEstablishedCalls(s)
 			c.closeServerConns(s)
 			s.pendingReleases = nil // they were for the former process
 		}
-		s.Server, s.source, s.drainReport = entry, ev.Source, drainReport{listedAt: c.now}
-		changed = append(changed, s)
+		s.Server, s.listSource, s.drainReport = entry, ev.Source, drainReport{listedAt: c.now}
+		changedServers = append(changedServers, s)
 	}
 	if ev.Full {
 		for _, s := range c.serverOrder {
-			if s.source == ev.Source && !listed[s.Name] {
+			if s.listSource == ev.Source && !listedNames[s.Name] {
 				s.Phase = elmseam.PhaseGone
 			}
 		}
 	}
 	if ev.Full { // the controller takes a full list to name all servers
-		changed = slices.Clone(c.serverOrder)
+		changedServers = slices.Clone(c.serverOrder)
 	}
-	c.updatePhases(changed, ev.Full, ev.Cached)
+	c.updatePhases(changedServers, ev.Full, ev.Cached)
 }
 
 // updatePhases recomputes the effective phases of servers and reports them to the controller. Servers that are ready are dialled.
 // Servers that are not lose their waiting attempts and unwritten offers. A server that is gone from the list also loses its
 // established calls and its connections.
-func (c *Core) updatePhases(changed []*server, full, cached bool) {
+func (c *Core) updatePhases(changedServers []*server, fullList, cachedList bool) {
 	var entries []elmseam.ListEntry
-	for _, s := range changed {
+	for _, s := range changedServers {
 		s.effectivePhase = s.Phase
 		switch {
 		case s.effectivePhase == elmseam.PhaseReady && c.routeWithdrawn(s):
@@ -56,13 +56,13 @@
 		}
 		entries = append(entries, elmseam.ListEntry{Server: s.id, Cell: s.Cell, Phase: s.effectivePhase, Started: s.Started})
 	}
-	if full {
-		c.notifyController(elmseam.ListFull{Entries: entries, Cached: cached})
+	if fullList {
+		c.notifyController(elmseam.ListFull{Entries: entries, Cached: cachedList})
 	} else {
 		c.notifyController(elmseam.ListDelta{Entries: entries})
 	}
 	c.reportColdServers()
-	for _, s := range changed {
+	for _, s := range changedServers {
 		if s.effectivePhase == elmseam.PhaseReady {
 			c.dialAhead(s)
 			continue
@@ -76,7 +76,7 @@
 			}
 		}
 		if s.Phase == elmseam.PhaseGone { // closing the connections ends the outstanding attempts
-			c.resetEstablished(s)
+			c.resetEstablishedCalls(s)
 			c.closeServerConns(s)
 			c.removeIfUnused(s)
 		}
@@ -91,8 +91,8 @@
 	c.closeServerConns(s)
 	delete(c.servers, s.Name)
 	delete(c.serversByID, s.id)
-	c.removed = append(c.removed, removedServer{s.Name, s.id})
-	c.removed = c.removed[max(len(c.removed)-c.limits.MaxRemovedServers, 0):]
+	c.removedServers = append(c.removedServers, removedServer{s.Name, s.id})
+	c.removedServers = c.removedServers[max(len(c.removedServers)-c.limits.MaxRemovedServers, 0):]
 	for i, other := range c.serverOrder {
 		if other == s {
 			c.serverOrder = append(c.serverOrder[:i], c.serverOrder[i+1:]...)
@@ -101,11 +101,11 @@
 	}
 }
 
-// serverID returns the controller's id for a server that comes into the list: the former id of a server that comes back.
-func (c *Core) serverID(name string) elmseam.ServerID {
-	for i, removed := range c.removed {
+// controllerServerID returns the controller's id for a server that comes into the list: the former id of a server that comes back.
+func (c *Core) controllerServerID(name string) elmseam.ServerID {
+	for i, removed := range c.removedServers {
 		if removed.name == name {
-			c.removed = slices.Delete(c.removed, i, i+1)
+			c.removedServers = slices.Delete(c.removedServers, i, i+1)
 			return removed.id
 		}
 	}
@@ -113,22 +113,22 @@
 	return c.lastServerID
 }
 
-// routeChanged handles a route that is withdrawn or announced again.
-func (c *Core) routeChanged(ev Route) {
-	var changed []*server
+// handleRoute handles a route that is withdrawn or announced again.
+func (c *Core) handleRoute(ev Route) {
+	var changedServers []*server
 	for _, s := range c.serverOrder {
 		if ev.Covers(s.Address) {
-			changed = append(changed, s)
+			changedServers = append(changedServers, s)
 		}
 	}
 	switch {
 	case ev.Up:
 		delete(c.withdrawnRoutes, ev.Name)
-	case len(changed) > 0 || len(c.withdrawnRoutes) < c.limits.MaxRoutes:
+	case len(changedServers) > 0 || len(c.withdrawnRoutes) < c.limits.MaxRoutes:
 		c.withdrawnRoutes[ev.Name] = ev
 	}
-	if len(changed) > 0 {
-		c.updatePhases(changed, false, false)
+	if len(changedServers) > 0 {
+		c.updatePhases(changedServers, false, false)
 	}
 }
 
@@ -142,9 +142,9 @@
 	return false
 }
 
-// wantedConns returns how many connections to a server are useful. With several connections, a failure of one does not affect all
+// wantedConnCount returns how many connections to a server are useful. With several connections, a failure of one does not affect all
 // outstanding attempts at the server, and it is noticed, as the other connections still bring answers.
-func (c *Core) wantedConns(s *server) int {
+func (c *Core) wantedConnCount(s *server) int {
 	switch {
 	case s.Phase == elmseam.PhaseReady && !c.routeWithdrawn(s):
 		wanted := max(c.limits.ConnsPerServer[s.Protocol], 1)
@@ -158,27 +158,27 @@
 	return 0
 }
 
-// usableConns returns how many connections to a server can carry new set-ups.
-func (s *server) usableConns() (n int) {
+// usableConnCount returns how many connections to a server can carry new set-ups: those that are not marked unusable.
+func (s *server) usableConnCount() (n int) {
 	for _, conn := range s.conns {
-		if !conn.malformed {
+		if !conn.unusable {
 			n++
 		}
 	}
 	return n
 }
 
-// closeMalformedConns closes the malformed connections to a server that have no outstanding attempt any more.
-func (c *Core) closeMalformedConns(s *server) {
-	if s.usableConns() == len(s.conns) {
+// closeUnusableConns closes the connections to a server that carry no new set-ups and have no outstanding attempt any more.
+func (c *Core) closeUnusableConns(s *server) {
+	if s.usableConnCount() == len(s.conns) {
 		return
 	}
-	used := make(map[*serverConn]bool)
+	usedConns := make(map[*serverConn]bool)
 	for _, call := range s.outstanding {
-		used[call.attempt.conn] = true
+		usedConns[call.attempt.conn] = true
 	}
 	s.conns = slices.DeleteFunc(s.conns, func(conn *serverConn) bool {
-		if conn.malformed && !used[conn] {
+		if conn.unusable && !usedConns[conn] {
 			c.emit(GracefulClose{To: conn.id})
 			return true
 		}
@@ -186,10 +186,10 @@
 	})
 }
 
-// dial asks for a connection to a server, unless a dial is under way, the server has connections enough, or MaxServerConns is reached and
-// no other connection can be closed. It returns whether a dial is under way.
-func (c *Core) dial(s *server) bool {
-	if s.dialing || s.usableConns() >= max(c.wantedConns(s), 1) {
+// dialServer asks for a connection to a server, unless a dial is under way, the server has connections enough, or MaxServerConns is reached
+// and no other connection can be closed. It returns whether a dial is under way.
+func (c *Core) dialServer(s *server) bool {
+	if s.dialing || s.usableConnCount() >= max(c.wantedConnCount(s), 1) {
 		return s.dialing
 	}
 	if c.limits.MaxServerConns > 0 && c.serverConnCount() >= c.limits.MaxServerConns && !c.evictServerConn(s) {
@@ -203,8 +203,8 @@
 // dialAhead asks for a connection before a set-up needs it, if no connection to another server has to be closed for it. A server
 // with established calls and no usable connection is dialled even if another connection has to be closed.
 func (c *Core) dialAhead(s *server) {
-	if c.limits.MaxServerConns == 0 || c.serverConnCount() < c.limits.MaxServerConns || len(s.established) > 0 && s.usableConns() == 0 {
-		c.dial(s)
+	if c.limits.MaxServerConns == 0 || c.serverConnCount() < c.limits.MaxServerConns || len(s.established) > 0 && s.usableConnCount() == 0 {
+		c.dialServer(s)
 	}
 }
 
@@ -228,12 +228,12 @@
 		if s == requester || len(s.conns) == 1 && len(s.established) > 0 {
 			continue
 		}
-		used := make(map[*serverConn]bool)
+		usedConns := make(map[*serverConn]bool)
 		for _, call := range s.outstanding {
-			used[call.attempt.conn] = true
+			usedConns[call.attempt.conn] = true
 		}
 		for _, conn := range s.conns {
-			if !used[conn] && (victim == nil || conn.lastSetUp < victim.lastSetUp) {
+			if !usedConns[conn] && (victim == nil || conn.lastOfferAt < victim.lastOfferAt) {
 				owner, victim = s, conn
 			}
 		}
@@ -246,26 +246,26 @@
 	return true
 }
 
-// connFor returns the connection for the next set-up to a server: the one whose last offer is the oldest, among those that are not
-// unresponsive. An unresponsive connection is used only if there is no other, a malformed one never. The result is nil if there is
-// no usable connection.
-func (c *Core) connFor(s *server) (best *serverConn) {
+// connForSetUp returns the connection for the next set-up to a server: the one whose last offer is the oldest, among those that are not
+// unresponsive (see UnresponsiveAfter). An unresponsive connection is used only if there is no other, one marked unusable never. The result
+// is nil if there is no usable connection.
+func (c *Core) connForSetUp(s *server) (best *serverConn) {
 	unresponsive := func(conn *serverConn) bool {
 		return conn.unansweredSince != 0 && c.now-conn.unansweredSince > c.limits.UnresponsiveAfter
 	}
 	for _, conn := range s.conns {
-		if conn.malformed {
+		if conn.unusable {
 			continue
 		}
-		if best == nil || unresponsive(best) && !unresponsive(conn) || unresponsive(best) == unresponsive(conn) && conn.lastSetUp < best.lastSetUp {
+		if best == nil || unresponsive(best) && !unresponsive(conn) || unresponsive(best) == unresponsive(conn) && conn.lastOfferAt < best.lastOfferAt {
 			best = conn
 		}
 	}
 	return best
 }
 
-// markReceived records that something has come on a connection.
-func (s *server) markReceived(id ConnID) {
+// recordConnInput records that something has come on a connection: what went out before counts as answered.
+func (s *server) recordConnInput(id ConnID) {
 	if conn := s.connByID(id); conn != nil {
 		conn.unansweredSince = 0
 	}
@@ -273,7 +273,7 @@
 
 // sendEnd sends a server the End of a call on any usable connection; without one it sends nothing.
 func (c *Core) sendEnd(s *server, id ID) {
-	if conn := c.connFor(s); conn != nil {
+	if conn := c.connForSetUp(s); conn != nil {
 		c.emit(End{To: conn.id, ID: id})
 	}
 }
@@ -281,7 +281,7 @@
 // releaseAtServer releases a call that is established on a server. Without a usable connection the release waits for the next one:
 // the server would otherwise keep a line occupied for a caller who has left. A server that is gone and has none gets no release.
 func (c *Core) releaseAtServer(s *server, id ID) {
-	if s.usableConns() > 0 {
+	if s.usableConnCount() > 0 {
 		c.sendEnd(s, id)
 		return
 	}
@@ -291,7 +291,7 @@
 	s.pendingReleases = append(s.pendingReleases, id)
 	s.pendingReleases = s.pendingReleases[max(len(s.pendingReleases)-c.limits.MaxPendingReleases, 0):]
 	if !s.redialPending {
-		c.dial(s)
+		c.dialServer(s)
 	}
 }
 
@@ -306,9 +306,9 @@
 	}
 }
 
-// serverUp handles a new connection to a server: the releases and attempts that waited for a connection go out. A connection that
+// handleServerUp handles a new connection to a server: the releases and attempts that waited for a connection go out. A connection that
 // is not wanted any more is closed. Attempts within their release guard wait on.
-func (c *Core) serverUp(ev ServerUp) {
+func (c *Core) handleServerUp(ev ServerUp) {
 	s := c.servers[ev.Server]
 	if s == nil {
 		c.emit(CloseConn{To: ev.Conn})
@@ -318,16 +318,16 @@
 	switch {
 	case s.Address != ev.Address: // the server has another address by now
 		c.emit(CloseConn{To: ev.Conn})
-		if c.wantedConns(s) > 0 {
+		if c.wantedConnCount(s) > 0 {
 			c.dialAhead(s)
 		}
 		return
-	case s.usableConns() >= c.wantedConns(s): // the connection comes late and is not needed any more
+	case s.usableConnCount() >= c.wantedConnCount(s): // the connection comes late and is not needed any more
 		c.emit(CloseConn{To: ev.Conn})
 		return
 	}
 	s.conns = append(s.conns, &serverConn{id: ev.Conn})
-	s.backoff, s.unreachableSince = 0, 0
+	s.redialDelay, s.unreachableSince = 0, 0
 	for _, id := range s.pendingReleases {
 		c.sendEnd(s, id)
 	}
@@ -340,10 +340,10 @@
 	c.dialAhead(s)
 }
 
-// serverDown handles the end of a connection to a server, or a dial that failed. The attempts outstanding on the connection end as
+// handleServerDown handles the end of a connection to a server, or a dial that failed. The attempts outstanding on the connection end as
 // reset. If the server has no connection left, its waiting attempts end too: as never sent, or after a failed dial as unreachable.
 // Established calls go on: their releases can come on a new connection.
-func (c *Core) serverDown(ev ServerDown) {
+func (c *Core) handleServerDown(ev ServerDown) {
 	s := c.servers[ev.Server]
 	if s == nil {
 		return
@@ -361,7 +361,7 @@
 	} else {
 		s.dialing = false
 		if ev.Address != "" && ev.Address != s.Address { // a dial to a former address says nothing about the present one
-			if c.wantedConns(s) > 0 {
+			if c.wantedConnCount(s) > 0 {
 				c.dialAhead(s)
 			}
 			return
@@ -372,14 +372,14 @@
 		c.setTimer(c.now+c.limits.ServerLostAfter, Token{kind: tokenServerLost, server: s.Name})
 	}
 	c.failAttempts(s, endedConn, cause)
-	if !s.dialing && !s.redialPending && s.usableConns() < c.wantedConns(s) {
-		at := c.now
+	if !s.dialing && !s.redialPending && s.usableConnCount() < c.wantedConnCount(s) {
+		redialAt := c.now
 		if cause == elmseam.CauseUnreachable {
-			s.backoff = min(max(2*s.backoff, c.limits.InitialRedialDelay), c.limits.MaxRedialDelay)
-			at += s.backoff
+			s.redialDelay = min(max(2*s.redialDelay, c.limits.InitialRedialDelay), c.limits.MaxRedialDelay)
+			redialAt += s.redialDelay
 		}
 		s.redialPending = true
-		c.setTimer(at, Token{kind: tokenRedial, server: s.Name})
+		c.setTimer(redialAt, Token{kind: tokenRedial, server: s.Name})
 	}
 	c.removeIfUnused(s)
 }
@@ -404,8 +404,8 @@
 	}
 }
 
-// resetEstablished ends the calls established on a server whose process is gone, as reset.
-func (c *Core) resetEstablished(s *server) {
+// resetEstablishedCalls ends the calls established on a server whose process is gone, as reset.
+func (c *Core) resetEstablishedCalls(s *server) {
 	for _, call := range inArrivalOrder(s.established) {
 		c.endEstablished(call, ReasonReset, elmseam.Outcome{Cause: elmseam.CauseReset})
 	}
--- a/internal/core/servers_test.go
+++ b/internal/core/servers_test.go
@@ -59,7 +59,7 @@
 	answer := func(server string, conn ConnID, id probe.ID) string {
 		return h.step(ServerProbeAnswer{Server: server, Conn: conn, ID: id, Report: Report{{elmseam.LoadMetricWait, 5}}})
 	}
-	wantCounters := func(want string) {
+	wantCounters := func(want string) { // probes sent, answered, failed, held back by the rate limit, and unexpected answers
 		t.Helper()
 		if got := fmt.Sprint(*h.core.Stats(h.now).Probes); got != want {
 			t.Errorf("probe counters %s, want %s", got, want)
--- a/internal/core/stats.go
+++ b/internal/core/stats.go
@@ -47,7 +47,7 @@
 			continue
 		}
 		stats.ClusterSize++
-		if s.usableConns() == 0 || c.controller.Blocked(s.id, max(now, c.now)) {
+		if s.usableConnCount() == 0 || c.controller.Blocked(s.id, max(now, c.now)) {
 			stats.ClusterUnhealthy++
 		} else {
 			stats.Ready = c.serving
@@ -71,9 +71,9 @@
 	}
 }
 
-// growClasses extends the counters to the number of classes.
-func (s *Stats) growClasses(classes int) {
-	for len(s.Classes) < classes {
+// growClassStats extends the counters to the number of classes.
+func (s *Stats) growClassStats(classCount int) {
+	for len(s.Classes) < classCount {
 		s.Classes = append(s.Classes, ClassStats{})
 	}
 }
--- a/rates.go
+++ b/rates.go
@@ -22,7 +22,7 @@
 }
 
 // refillCapped is refill for a budget that may earn less than one set-up within saveTime. Such a budget drops
-// an allowed set-up that is not used within saveTime, so that the saved set-ups of many softswitches do not
+// a saved set-up that is not used within saveTime, so that the saved set-ups of many softswitches do not
 // come at once.
 func (b *bucket) refillCapped(now Time, rate, burst float64, saveTime time.Duration) bool {
 	saved := rate * saveTime.Seconds()
--- a/routing.go
+++ b/routing.go
@@ -12,17 +12,17 @@
 	if call.transit && s.cell != call.cell {
 		return false
 	}
-	if slices.Contains(call.tried, s) {
+	if slices.Contains(call.triedServers, s) {
 		return false
 	}
 	return len(call.class.Cells) == 0 || c.settings.OwnCell >= 0 || slices.Contains(call.class.Cells, s.cell)
 }
 
-// route sends a call to a server or refuses the call. A call whose time is nearly up, as after a stall of
+// routeCall sends a call to a server or refuses the call. A call whose time is nearly up, as after a stall of
 // this softswitch, is refused: each set-up would end as not sent, until the final answer comes too late.
-func (c *Controller) route(call *callState) {
+func (c *Controller) routeCall(call *callState) {
 	if c.now >= call.answerBy {
-		c.refuse(call, c.retryAfterHint)
+		c.refuseCall(call, c.retryAfterHint)
 		return
 	}
 	c.updateRatePerLine()
@@ -31,10 +31,10 @@
 		s = c.pickLastResort(call)
 	}
 	if s == nil {
-		c.refuse(call, c.retryAfterHint)
+		c.refuseCall(call, c.retryAfterHint)
 		return
 	}
-	c.send(call, s)
+	c.sendSetUp(call, s)
 }
 
 // pickLastResort returns a server that is blocked for errors, for a call that would be refused otherwise,
@@ -58,23 +58,23 @@
 // a loaded first choice counts as one of the other servers: admitting the call to a queue that loses callers
 // would not help it.
 func (c *Controller) pickServer(call *callState) *server {
-	var primary, best *server
+	var firstChoice, leastLoaded *server
 	for _, s := range c.servers {
 		switch {
 		case !c.eligible(s, call) || !c.coldBudgetAllows(s) || !c.lineAvailable(s, call):
-		case s.cell == call.cell && primary == nil &&
-			!(c.highWorth(call) && c.requestedShare(s) > windowMinShare):
-			primary = s
-		case c.divertBudgetAllows(s, call) && (best == nil || c.lessLoaded(s, best)):
-			best = s
+		case s.cell == call.cell && firstChoice == nil &&
+			!(c.isHighWorth(call) && c.requestedHoldBack(s) > windowMinShare):
+			firstChoice = s
+		case c.divertBudgetAllows(s, call) && (leastLoaded == nil || c.lessLoaded(s, leastLoaded)):
+			leastLoaded = s
 		}
 	}
 	switch {
-	case primary != nil && c.passesThinning(primary, call):
-		return primary
-	case best != nil && c.passesThinning(best, call):
-		best.divertBudget.tokens = max(best.divertBudget.tokens-1, -divertBurst)
-		return best
+	case firstChoice != nil && c.passesThinning(firstChoice, call):
+		return firstChoice
+	case leastLoaded != nil && c.passesThinning(leastLoaded, call):
+		leastLoaded.divertBudget.tokens = max(leastLoaded.divertBudget.tokens-1, -divertBurst)
+		return leastLoaded
 	}
 	return nil
 }
@@ -85,20 +85,21 @@
 	if shareA, shareB := c.holdBackShare(a), c.holdBackShare(b); shareA != shareB {
 		return shareA < shareB
 	}
-	return float64(len(a.pending)+1)*c.linesOrMean(b) < float64(len(b.pending)+1)*c.linesOrMean(a)
+	return float64(len(a.pending)+1)*c.maxLinesOrMean(b) < float64(len(b.pending)+1)*c.maxLinesOrMean(a)
 }
 
-// passesThinning returns whether a server's hold-back share lets a call pass, by a credit that earns the
-// admitted share for each call. Calls of low worth are held back first and those of high worth last: these
-// overdraw the credit and have a wider window, and ordinary calls make up for them.
+// passesThinning returns whether a server's hold-back share lets a call pass. Where that share is between
+// 0 and 1, each call adds the admitted share, which is 1 less the hold-back share, to the server's
+// thinningCredit, and a call that passes uses 1. Calls of low worth are held back first and those of high
+// worth last: these overdraw the credit and have a wider window, and ordinary calls make up for them.
 func (c *Controller) passesThinning(s *server, call *callState) bool {
 	share, needed := c.holdBackShare(s), 1.0
 	switch {
 	case call.lowWorth:
 		needed = lowWorthCredit
-	case c.highWorth(call):
+	case c.isHighWorth(call):
 		needed = highWorthCredit
-		if share = c.requestedShare(s); share < 1 &&
+		if share = c.requestedHoldBack(s); share < 1 &&
 			c.windowFull(s, c.hasWindow(s, share), highWorthWindowFactor) {
 			return false
 		}
@@ -109,15 +110,15 @@
 	if share >= 1 {
 		return false
 	}
-	if s.credit = min(s.credit+1-share, maxCredit); s.credit < needed {
+	if s.thinningCredit = min(s.thinningCredit+1-share, maxCredit); s.thinningCredit < needed {
 		return false
 	}
-	s.credit--
+	s.thinningCredit--
 	return true
 }
 
-// highWorth returns whether a call is worth far more than a call of the class of least worth, or was
+// isHighWorth returns whether a call is worth far more than a call of the class of least worth, or was
 // established before and cut. A call of low worth is neither.
-func (c *Controller) highWorth(call *callState) bool {
+func (c *Controller) isHighWorth(call *callState) bool {
 	return !call.lowWorth && (call.interrupted || call.class.Worth > highWorthFactor*c.minWorth)
 }
--- a/servers.go
+++ b/servers.go
@@ -14,29 +14,29 @@
 	phase   Phase // state from the server list
 	started Time  // start of the server's process; 0: long ago
 
-	reportedShare  float64 // hold-back share of the last report, from the server or the tier; 1 after a block
-	ownShare       float64 // hold-back share of the last report to this softswitch
-	ownShareAt     Time    // time of that report
-	shareExpiry    Time    // time at which reportedShare expires
-	blocked        bool    // no set-ups until shareExpiry, then trials
-	blockedAt      Time    // time of the last block, not of one that only an expired report caused
-	trialPending   bool    // a trial is unanswered
-	lineShare      float64 // hold-back share that the free lines ask for
-	freeLines      float64 // free lines last reported, less the set-ups sent since
-	lineShortUntil Time    // a refusal for want of a line makes the server short of lines until then
-	reusableLines  float64 // lines that calls of this softswitch have freed and no call has taken again
-	lineTryBudget  bucket  // budget of set-ups for other free lines
-	credit         float64 // credit of the thinning; a set-up that passes uses 1
+	reportedHoldBack float64 // hold-back share last reported, by the server or the tier; 1 after a block
+	ownHoldBack      float64 // hold-back share of the last report to this softswitch
+	ownHoldBackAt    Time    // time of that report
+	holdBackExpiry   Time    // time at which reportedHoldBack expires
+	blocked          bool    // no set-ups until holdBackExpiry, then trials
+	blockedAt        Time    // time of the last block, not of one that only an expired report caused
+	trialPending     bool    // a trial is unanswered
+	lineHoldBack     float64 // hold-back share that the free lines ask for
+	freeLines        float64 // free lines last reported, less the set-ups sent since
+	lineShortUntil   Time    // a refusal for want of a line makes the server short of lines until then
+	reusableLines    float64 // lines that calls of this softswitch have freed and no call has taken again
+	lineTryBudget    bucket  // budget of set-ups for free lines that no own call has freed
+	thinningCredit   float64 // credit earned by set-ups at the admitted share; one that passes uses 1
 
 	minSetUpTime  time.Duration // shortest set-up time seen or told by the tier, taken for the round trip
 	answerDelay   time.Duration // set-up time of the last call beyond maxRoundTrip
 	answerDelayAt Time          // time of that call's answer
 	pending       []*attempt    // unanswered attempts, oldest first
 
-	established       decayingCounter // calls of this softswitch that the server established
-	rateBeforeRestart float64         // highest known rate of such calls before the last restart, per second
-	failureWeight     int             // weight of consecutive failures
-	blockedForErrors  bool            // the block is for errors: the server answers, and not every call fails
+	establishedCounter decayingCounter // calls of this softswitch that the server established
+	rateBeforeRestart  float64         // highest known rate of such calls before the last restart, per second
+	failureWeight      int             // weight of consecutive failures
+	blockedForErrors   bool            // blocked for errors: the server answers, and not every call fails
 
 	maxReportedRate float64 // highest rate reported, in set-ups per second
 	totalLines      float64 // lines last reported in all; 0: not reported
@@ -55,8 +55,8 @@
 	removedAt      Time          // time at which the server was dropped
 }
 
-// subscribe asks for the server list where the list comes only on request.
-func (c *Controller) subscribe() {
+// requestServerList asks for the server list where the list comes only on request.
+func (c *Controller) requestServerList() {
 	if c.settings.ListOnRequest && !c.subscribed && c.now >= c.subscribeAt {
 		c.subscribed = true
 		c.emit(Subscribe{})
@@ -81,30 +81,30 @@
 		drop := s.phase == PhaseGone && len(s.pending) == 0
 		if drop {
 			delete(c.byID, s.id)
-			c.removed = append(c.removed, removedServer{
+			c.removedServers = append(c.removedServers, removedServer{
 				s.id, s.maxLines, c.lastKnownRate(s), s.minSetUpTime, c.now,
 			})
 		}
 		return drop
 	})
-	c.removed = slices.DeleteFunc(c.removed, func(old removedServer) bool {
+	c.removedServers = slices.DeleteFunc(c.removedServers, func(old removedServer) bool {
 		return c.now > old.removedAt+removedServerTTL
 	})
-	c.removed = c.removed[max(len(c.removed)-maxRemovedServers, 0):]
+	c.removedServers = c.removedServers[max(len(c.removedServers)-maxRemovedServers, 0):]
 }
 
 // lastKnownRate returns the rate of calls that a server establishes for this softswitch, in calls per
 // second, or the rate before its restart if that is higher. The rate is computed at the server's last answer,
 // as a server that restarts has been down for a while.
 func (c *Controller) lastKnownRate(s *server) float64 {
-	return max(s.rateBeforeRestart, c.rateAt(s.established, s.established.updatedAt))
+	return max(s.rateBeforeRestart, c.rateAt(s.establishedCounter, s.establishedCounter.updatedAt))
 }
 
 // newServer makes the state of a server that is new in the list. A server that comes back while it is
 // remembered as removed keeps its most lines, rate and set-up time.
 func (c *Controller) newServer(id ServerID) *server {
 	s := &server{id: id, allottedRate: -1}
-	for _, old := range c.removed {
+	for _, old := range c.removedServers {
 		if old.id == id {
 			s.maxLines, s.rateBeforeRestart, s.minSetUpTime = old.maxLines, old.rate, old.minSetUpTime
 		}
--- a/tier.go
+++ b/tier.go
@@ -39,15 +39,15 @@
 		return observation, false
 	}
 	observation = Observation{
-		HoldBackShare: s.ownShare, HoldBackShareAt: s.ownShareAt, TotalLines: s.maxLines,
+		HoldBackShare: s.ownHoldBack, HoldBackShareAt: s.ownHoldBackAt, TotalLines: s.maxLines,
 		FailureWeight: s.failureWeight, MinSetUpTime: s.minSetUpTime,
 	}
 	switch {
 	case s.started > 0 && now < s.started+c.settings.ColdRamp:
 		observation.Rate = s.rateBeforeRestart
-	case !c.newlyStarted(now) && c.currentImportedShare(now) < 0.5:
-		// Rates of which members have reported half or more are not passed on.
-		observation.Rate = c.rateAt(s.established, now)
+	case !c.newlyStarted(now) && c.currentImportedRateShare(now) < 0.5:
+		// A rate of which half or more comes from members, not from own calls, is not passed on.
+		observation.Rate = c.rateAt(s.establishedCounter, now)
 	}
 	return observation, true
 }
@@ -63,24 +63,24 @@
 
 // ScaleRates multiplies the rates that this softswitch has counted by factor, after callers of other members
 // of the tier have moved here or back. Counting alone would show the change only after about
-// rateTimeConstant. Budgets of cold servers are not scaled (see coldQuota). A factor that is not positive
-// changes nothing.
+// rateTimeConstant. The quotas of cold servers' budgets are not scaled: coldQuota leaves out the
+// importedRateShare, which is adapted here. A factor that is not positive changes nothing.
 func (c *Controller) ScaleRates(now Time, factor float64) {
 	if !(factor > 0) || c.startedAt == 0 {
 		return
 	}
 	for _, s := range c.servers {
-		s.established.count *= factor
+		s.establishedCounter.count *= factor
 	}
-	c.established.count *= factor
-	c.offered.count *= factor
-	c.importedShare, c.importedShareAt = max(1-(1-c.currentImportedShare(now))/factor, 0), now
+	c.establishedCounter.count *= factor
+	c.offeredCounter.count *= factor
+	c.importedRateShare, c.importedRateShareAt = max(1-(1-c.currentImportedRateShare(now))/factor, 0), now
 }
 
-// currentImportedShare returns the share of the rates that does not come from calls of this softswitch. The
-// share decays like the counters behind the rates.
-func (c *Controller) currentImportedShare(now Time) float64 {
-	return c.importedShare * decayFactor((now - c.importedShareAt).Seconds())
+// currentImportedRateShare returns the share of the rates that does not come from calls of this softswitch.
+// The share decays like the counters behind the rates.
+func (c *Controller) currentImportedRateShare(now Time) float64 {
+	return c.importedRateShare * decayFactor((now - c.importedRateShareAt).Seconds())
 }
 
 // ColdBudget is this softswitch's budget of set-ups to a cold server.
@@ -105,7 +105,7 @@
 func (c *Controller) Blocked(id ServerID, now Time) bool {
 	s := c.byID[id]
 	return s == nil || s.phase != PhaseReady || s.blocked ||
-		s.reportedShare >= 1 && now < s.shareExpiry || s.lineShare >= 1
+		s.reportedHoldBack >= 1 && now < s.holdBackExpiry || s.lineHoldBack >= 1
 }
 
 // HasCall returns whether a call still needs an answer or has an attempt pending.
