--- a/budgets.go
+++ b/budgets.go
@@ -5,7 +5,7 @@
 
 // isCold returns whether a server has started so recently that it may not be warm.
 func (c *Controller) isCold(s *server) bool {
-	return s.started > 0 && c.now < s.started+c.settings.ColdRamp
+	return s.startedAt > 0 && c.now < s.startedAt+c.settings.ColdRamp
 }
 
 // coldBudgetAllows returns whether this softswitch's budget for a server allows another set-up; a warm
@@ -32,7 +32,7 @@
 // that it takes when warm.
 func (c *Controller) coldRateMultiple(s *server, now Time) float64 {
 	warmShare := c.settings.ColdInitialShare + (1-c.settings.ColdInitialShare)*
-		float64(now-s.started)/float64(c.settings.ColdRamp)
+		float64(now-s.startedAt)/float64(c.settings.ColdRamp)
 	return coldSafetyFactor * c.settings.OverloadMultiple * warmShare
 }
 
--- a/calls.go
+++ b/calls.go
@@ -9,21 +9,21 @@
 
 // callState is a call that needs a final answer, or whose caller has left while an attempt is pending.
 type callState struct {
-	id           CallID
-	class        *Class
-	number       uint64 // called number; 0: none
-	cell         int    // cell of the first choice; -1: none
-	transit      bool   // the call may be sent to cell only
-	lowWorth     bool   // late, or beyond its tenant's share
-	answerBy     Time   // latest time of the final answer
-	notBefore    Time   // the call is not sent again before this time
-	attempts     int    // attempts made
-	maxAttempts  int    // maximum number of attempts, by the settings at the arrival
-	mayHaveRun   bool   // an attempt may have run at a server
-	callerLeft   bool   // the caller has left
-	interrupted  bool   // the call was established before, was cut and is set up again
-	triedServers []*server
-	pending      *attempt // the unanswered attempt; nil: none
+	id              CallID
+	class           *Class
+	number          uint64 // called number; 0: none
+	firstChoiceCell int    // cell of the first choice; -1: none
+	transit         bool   // the call may be sent to firstChoiceCell only
+	lowWorth        bool   // late, or beyond its tenant's share
+	answerBy        Time   // latest time of the final answer
+	notBefore       Time   // the call is not sent again before this time
+	attemptCount    int    // attempts made
+	maxAttempts     int    // maximum number of attempts, by the settings at the arrival
+	mayHaveRun      bool   // an attempt may have run at a server
+	callerLeft      bool   // the caller has left
+	interrupted     bool   // the call was established before, was cut and is set up again
+	triedServers    []*server
+	pendingAttempt  *attempt // the unanswered attempt; nil: none
 }
 
 // attempt is a set-up that a server has not answered.
@@ -55,7 +55,7 @@
 	}
 	call := &callState{
 		id: ev.Call, class: &c.settings.Classes[ev.Class], number: ev.Number,
-		cell: ev.Cell, transit: ev.Transit,
+		firstChoiceCell: ev.Cell, transit: ev.Transit,
 		maxAttempts: c.settings.MaxAttempts, answerBy: c.now + ev.TimeLeft - answerMargin,
 	}
 	c.offeredCounter.add(c.now)
@@ -103,7 +103,7 @@
 // time left that callers usually have, which is found by majority vote; any other time left is the rest of
 // the deadline.
 func (c *Controller) isLateTry(ev Arrival) bool {
-	usualTime, class := &c.usualTimes[ev.Class], &c.settings.Classes[ev.Class]
+	usualTime, class := &c.usualTimesLeft[ev.Class], &c.settings.Classes[ev.Class]
 	isUsual := ev.TimeLeft <= usualTime.timeLeft+answerMargin &&
 		ev.TimeLeft >= usualTime.timeLeft-answerMargin
 	switch {
@@ -132,9 +132,9 @@
 	} else {
 		s.lineTryBudget.tokens--
 	}
-	call.pending, call.attempts = newAttempt, call.attempts+1
+	call.pendingAttempt, call.attemptCount = newAttempt, call.attemptCount+1
 	call.triedServers = append(call.triedServers, s)
-	s.pending = append(s.pending, newAttempt)
+	s.pendingAttempts = append(s.pendingAttempts, newAttempt)
 	c.emit(Send{Call: call.id, Server: s.id})
 	c.emit(SetTimer{Token: uint32(call.id), At: c.now + c.retransmitIntervals(suspectLossAfter)})
 }
@@ -156,7 +156,7 @@
 	reserve := min(
 		c.retransmitIntervals(stallReserve), time.Duration(maxStallReserve*float64(call.class.Aim)),
 	)
-	if call.attempts >= call.maxAttempts || call.mayHaveRun && call.class.Retry != RetryAlways ||
+	if call.attemptCount >= call.maxAttempts || call.mayHaveRun && call.class.Retry != RetryAlways ||
 		call.notBefore > c.now && call.notBefore > call.answerBy-reserve {
 		c.refuseCall(call, c.retryAfterHint)
 		return
@@ -194,7 +194,7 @@
 	if s.blocked && answered.trial {
 		s.blocked, s.trialPending, s.reportedHoldBack = false, false, 0
 	}
-	for _, other := range s.pending {
+	for _, other := range s.pendingAttempts {
 		if other.sentAt+c.retransmitIntervals(overtakeMargin) < answered.sentAt {
 			c.presumeLost(other)
 		}
@@ -207,7 +207,7 @@
 	if call == nil {
 		return
 	}
-	if call.callerLeft = true; call.pending == nil {
+	if call.callerLeft = true; call.pendingAttempt == nil {
 		delete(c.calls, id)
 	}
 }
@@ -216,7 +216,7 @@
 // an attempt, the retry or final answer of the call.
 func (c *Controller) handleOutcome(ev Outcome) {
 	call := c.calls[ev.Call]
-	if s := c.byID[ev.Server]; s != nil {
+	if s := c.serversByID[ev.Server]; s != nil {
 		c.applyReport(s, ev.Report)
 		switch {
 		case ev.Cause == CauseFull && ev.Refusal == RefusalProcessor, ev.Cause == CauseUnreachable:
@@ -230,7 +230,7 @@
 	}
 	if call == nil {
 		// With any other cause than CauseFull an established call has ended.
-		if s := c.byID[ev.Server]; s != nil && ev.Cause != CauseFull {
+		if s := c.serversByID[ev.Server]; s != nil && ev.Cause != CauseFull {
 			s.reusableLines = min(s.reusableLines+1, max(lowLineShare*s.totalLines, 1+reservedLines))
 		}
 		return
@@ -274,19 +274,19 @@
 	call := c.calls[id]
 	switch {
 	case call == nil:
-	case call.pending == nil:
+	case call.pendingAttempt == nil:
 		if c.now >= call.notBefore {
 			c.retryCall(call)
 		}
-	case c.now >= call.pending.sentAt+c.retransmitIntervals(assumeLossAfter):
+	case c.now >= call.pendingAttempt.sentAt+c.retransmitIntervals(assumeLossAfter):
 		// Where the server reports a low load, the connection is at fault.
-		if call.pending.presumedLost = true; !c.reportedIdle(call.pending.server) {
-			c.recordFailure(call.pending.server, unansweredWeight)
+		if call.pendingAttempt.presumedLost = true; !c.reportedIdle(call.pendingAttempt.server) {
+			c.recordFailure(call.pendingAttempt.server, unansweredWeight)
 		}
-	case c.now >= call.pending.sentAt+c.retransmitIntervals(suspectLossAfter):
-		call.pending.presumedLost = c.reportedIdle(call.pending.server)
+	case c.now >= call.pendingAttempt.sentAt+c.retransmitIntervals(suspectLossAfter):
+		call.pendingAttempt.presumedLost = c.reportedIdle(call.pendingAttempt.server)
 		c.emit(SetTimer{
-			Token: uint32(call.id), At: call.pending.sentAt + c.retransmitIntervals(assumeLossAfter),
+			Token: uint32(call.id), At: call.pendingAttempt.sentAt + c.retransmitIntervals(assumeLossAfter),
 		})
 	}
 }
@@ -294,12 +294,14 @@
 // detachAttempt removes the pending attempt from its call and server and returns it, or nil if there is
 // none.
 func (c *Controller) detachAttempt(call *callState) *attempt {
-	a := call.pending
+	a := call.pendingAttempt
 	if a == nil {
 		return nil
 	}
-	call.pending = nil
-	a.server.pending = slices.DeleteFunc(a.server.pending, func(other *attempt) bool { return other == a })
+	call.pendingAttempt = nil
+	a.server.pendingAttempts = slices.DeleteFunc(
+		a.server.pendingAttempts, func(other *attempt) bool { return other == a },
+	)
 	return a
 }
 
@@ -311,7 +313,7 @@
 	if lostAttempt.presumedLost = true; !lostAttempt.cancelled && c.settings.CanCancel &&
 		call.class.Retry == RetryAlways && !call.callerLeft {
 		lostAttempt.cancelled = true
-		c.emit(Cancel{Call: call.id, Attempt: call.attempts - 1})
+		c.emit(Cancel{Call: call.id, Attempt: call.attemptCount - 1})
 	}
 }
 
--- a/constants.go
+++ b/constants.go
@@ -72,7 +72,7 @@
 	trialMinShare    = 0.5  // reported hold-back share above which a trial follows its expiry
 	trialFactor      = 0.25 // rate of trials at a blocked server, as a share of its expected rate
 	divertSaveTime   = 4.0  // retransmit intervals, save time of a divert budget (see refillCapped)
-	coldSaveTime     = 3.0  // retransmit intervals, save time of a cold budget
+	coldSaveTime     = 3.0  // retransmit intervals, save time of a cold server's budget
 	divertBurst      = 3.0  // diverted calls that may go to a server at once, and limit of the overdraft
 
 	// Thinning, which holds back a share of the set-ups to a server, and worth. Each set-up earns the server
--- a/controller.go
+++ b/controller.go
@@ -15,14 +15,14 @@
 type Controller struct {
 	settings            Settings
 	servers             []*server // in the order in which the list first named them
-	byID                map[ServerID]*server
+	serversByID         map[ServerID]*server
 	removedServers      []removedServer // servers removed last, oldest first
 	calls               map[CallID]*callState
 	actions             []Action        // actions of the event in progress
 	now                 Time            // time of the event in progress
-	minWorth            float64         // least worth of a class
+	minClassWorth       float64         // least worth of a class
 	retryAfterHint      time.Duration   // hint for the callers of refused calls
-	usualTimes          []usualTimeLeft // by class
+	usualTimesLeft      []usualTimeLeft // by class
 	busyNumbers         [maxBusyNumbers]busyNumber
 	nextBusyNumber      int             // index of the busy number to replace next
 	tenantTracker       *shares.Tracker // finds the calls beyond their tenant's share
@@ -46,7 +46,7 @@
 func New(settings Settings, seed uint64) (*Controller, error) {
 	c := &Controller{
 		rng: rand.New(rand.NewPCG(seed, 0)), coldQuotaFraction: 1,
-		byID:          make(map[ServerID]*server),
+		serversByID:   make(map[ServerID]*server),
 		calls:         make(map[CallID]*callState),
 		tenantTracker: shares.New(rateTimeConstant * Time(time.Second)),
 	}
@@ -65,11 +65,11 @@
 	}
 	c.settings = settings
 	c.tenantTracker.Configure(settings.Tenants)
-	c.usualTimes = make([]usualTimeLeft, len(settings.Classes))
-	c.minWorth = settings.Classes[0].Worth
+	c.usualTimesLeft = make([]usualTimeLeft, len(settings.Classes))
+	c.minClassWorth = settings.Classes[0].Worth
 	leastAim := settings.Classes[0].Aim
 	for _, class := range settings.Classes {
-		c.minWorth, leastAim = min(c.minWorth, class.Worth), min(leastAim, class.Aim)
+		c.minClassWorth, leastAim = min(c.minClassWorth, class.Worth), min(leastAim, class.Aim)
 	}
 	c.retryAfterHint = time.Duration(retryAfterShare * float64(leastAim))
 	return nil
@@ -103,7 +103,7 @@
 	case TimerFired:
 		c.handleTimer(CallID(ev.Token))
 	case Health:
-		if s := c.byID[ev.Server]; s != nil {
+		if s := c.serversByID[ev.Server]; s != nil {
 			c.applyReport(s, ev.Report)
 		}
 	}
--- a/controller_test.go
+++ b/controller_test.go
@@ -153,7 +153,7 @@
 		settings := testSettings()
 		settings.ReportMetrics = []LoadMetric{LoadMetricUnknown, tt.metric}
 		h := newHarness(t, settings, 1)
-		got, known := h.controller.holdBackFromReport(h.controller.byID[1], Report{0, tt.value})
+		got, known := h.controller.holdBackFromReport(h.controller.serversByID[1], Report{0, tt.value})
 		if !known || math.Abs(got-tt.want) > 1e-9 {
 			t.Errorf("%s: share %v, known %v; want %v", tt.name, got, known, tt.want)
 		}
@@ -162,12 +162,12 @@
 	settings.ReportMetrics = []LoadMetric{LoadMetricRate}
 	h := newHarness(t, settings, 1)
 	for _, tt := range []struct{ rate, want float64 }{{40, 0}, {30, 0}, {10, 0.5}, {0, 1}, {39, 0}} {
-		if got, _ := h.controller.holdBackFromReport(h.controller.byID[1], Report{tt.rate}); math.Abs(got-tt.want) > 1e-9 {
+		if got, _ := h.controller.holdBackFromReport(h.controller.serversByID[1], Report{tt.rate}); math.Abs(got-tt.want) > 1e-9 {
 			t.Errorf("rate %v of a highest rate of 40: share %v, want %v", tt.rate, got, tt.want)
 		}
 	}
 	h = newHarness(t, testSettings(), 1)
-	if _, known := h.controller.holdBackFromReport(h.controller.byID[1], Report{10, 10, -1}); known {
+	if _, known := h.controller.holdBackFromReport(h.controller.serversByID[1], Report{10, 10, -1}); known {
 		t.Error("a value of -1 counts as reported")
 	}
 	last := -1.0
@@ -282,7 +282,7 @@
 	settings := testSettings()
 	settings.ReportMetrics = []LoadMetric{LoadMetricHoldBackShare}
 	h := newHarness(t, settings, 2)
-	s := h.controller.byID[1]
+	s := h.controller.serversByID[1]
 	report := func(share float64) { h.handle(Health{Server: 1, OK: true, Report: Report{share}}) }
 	report(0.9)
 	report(0.5)
@@ -455,7 +455,7 @@
 			h.establish(1+i%2, 20*ms)
 		}
 		h.arrive(1)
-		return c.expectedRate(c.byID[1])
+		return c.expectedRate(c.serversByID[1])
 	}
 	if atZero, atUnixTime := rateSince(time.Millisecond), rateSince(1_700_000_000*time.Second); math.Abs(atZero-atUnixTime) > 0.1 || atUnixTime < 4 {
 		t.Errorf("rate of %.1f per second with a clock that starts at 0, %.1f with one that starts in 1970; want 5", atZero, atUnixTime)
@@ -472,7 +472,7 @@
 		h := newHarness(t, settings, 2)
 		h.warmUp(2)
 		h.handle(Health{Server: 2, OK: true, Report: Report{share}})
-		s := h.controller.byID[2]
+		s := h.controller.serversByID[2]
 		s.divertBudget = bucket{updatedAt: h.now}
 		h.advance(400 * ms)
 		h.controller.now = h.now
@@ -622,7 +622,7 @@
 			}
 			h.handle(TimerFired{Token: uint32(id)})
 		}
-		if blocked := h.controller.byID[1].blocked; blocked == reports {
+		if blocked := h.controller.serversByID[1].blocked; blocked == reports {
 			t.Errorf("reports %v: blocked %v", reports, blocked)
 		}
 	}
@@ -685,12 +685,12 @@
 		id, actions = call()
 		h.expectServer("next call", firstSendTarget(actions), 1)
 		h.handle(Outcome{Call: id, Server: 1, Cause: CauseFull, Refusal: RefusalProcessor})
-		h.controller.recordFailure(h.controller.byID[1], 1) // an error that was already in transit
+		h.controller.recordFailure(h.controller.serversByID[1], 1) // an error that was already in transit
 		_, actions = call()
 		h.expectServer("after its processor was full", firstSendTarget(actions), 0)
 	}
 	h := newHarness(t, testSettings(), 1)
-	s := h.controller.byID[1]
+	s := h.controller.serversByID[1]
 	h.controller.now = h.now
 	h.controller.recordFailure(s, maxFailureWeight)
 	s.blockedForErrors = true
@@ -889,7 +889,7 @@
 	for i := ServerID(1); i < 100; i++ {
 		h.handle(ListDelta{Entries: []ListEntry{{Server: i, Phase: PhaseGone}, {Server: i + 1, Cell: 1, Phase: PhaseReady}}})
 	}
-	if n := len(h.controller.servers); n != 2 || len(h.controller.byID) != n {
+	if n := len(h.controller.servers); n != 2 || len(h.controller.serversByID) != n {
 		t.Errorf("%d servers kept, want the listed one and the one with a pending attempt", n)
 	}
 	h.handle(Outcome{Call: heldCall, Server: 1, Cause: CauseTimeout, Final: true})
@@ -1343,10 +1343,10 @@
 	h.warmUp(2)
 	h.advance(6 * time.Second)
 	h.handle(ListDelta{Entries: []ListEntry{{Server: 2, Cell: 2, Phase: PhaseReady, Started: h.now}}})
-	if rate := h.controller.byID[2].rateBeforeRestart; rate < 4.5 || rate > 5.5 {
+	if rate := h.controller.serversByID[2].rateBeforeRestart; rate < 4.5 || rate > 5.5 {
 		t.Errorf("rate before restart of %.1f per second, want 5", rate)
 	}
-	s := h.controller.byID[2]
+	s := h.controller.serversByID[2]
 	h.controller.now = h.now
 	h.controller.coldBudgetAllows(s)
 	s.coldBudget.tokens = 0
@@ -1369,7 +1369,7 @@
 	h.establish(1, 40*ms)
 	h.establish(1, 60*ms)
 	h.controller.now = h.now
-	if share := h.controller.holdBackShare(h.controller.byID[1]); share != 0 {
+	if share := h.controller.holdBackShare(h.controller.serversByID[1]); share != 0 {
 		t.Errorf("hold-back share of %.2f, want 0", share)
 	}
 	h.arrive(1)
@@ -1390,7 +1390,7 @@
 		h.establish(1, 40*ms)
 	}
 	h.reportLoad(1, 138, 260, 0.12)
-	h.controller.now, h.controller.byID[1].thinningCredit = h.now, maxCredit
+	h.controller.now, h.controller.serversByID[1].thinningCredit = h.now, maxCredit
 	sent := 0
 	for range 5 {
 		h.advance(2 * ms)
@@ -1449,7 +1449,7 @@
 			break
 		}
 	}
-	if s := h.controller.byID[1]; s.blocked {
+	if s := h.controller.serversByID[1]; s.blocked {
 		t.Error("the block holds for more than ten retransmit intervals")
 	}
 	// With a retransmit interval longer than the call, no call with a reset connection was ever sent again.
@@ -1558,17 +1558,17 @@
 		h.reportLoad(s, 900, 1000, 0)
 		c.ApplyTierReport(h.now, s, TierReport{Rate: 5, MinSetUpTime: 15 * ms})
 	}
-	if minSetUpTime := c.byID[1].minSetUpTime; minSetUpTime != 15*ms {
+	if minSetUpTime := c.serversByID[1].minSetUpTime; minSetUpTime != 15*ms {
 		t.Errorf("minimum set-up time of %v, want the reported 15ms", minSetUpTime)
 	}
 	check := func(when string, minQuota, maxQuota float64) {
 		t.Helper()
 		c.now = h.now
 		c.updateRatePerLine()
-		if rate := c.expectedRate(c.byID[1]); rate < 4 || rate > 6 {
+		if rate := c.expectedRate(c.serversByID[1]); rate < 4 || rate > 6 {
 			t.Errorf("%s: expected rate of %.1f per second, the reported rate is 5", when, rate)
 		}
-		if quota := c.coldQuota(c.byID[2]); quota < minQuota || quota > maxQuota {
+		if quota := c.coldQuota(c.serversByID[2]); quota < minQuota || quota > maxQuota {
 			t.Errorf("%s: quota of a cold server of %.1f per second, want %v to %v", when, quota, minQuota, maxQuota)
 		}
 	}
@@ -1592,7 +1592,7 @@
 	settings := testSettings()
 	settings.ReportMetrics = []LoadMetric{LoadMetricHoldBackShare}
 	h := newHarness(t, settings, 2)
-	s := h.controller.byID[1]
+	s := h.controller.serversByID[1]
 	h.handle(Health{Server: 1, OK: true, Report: Report{0.2}})
 	h.controller.ApplyTierReport(h.now, 1, TierReport{HoldBackShare: 0.9, HoldBackShareAt: h.now - ms})
 	if h.controller.holdBackShare(s) > 0.3 {
@@ -1631,7 +1631,7 @@
 	h.reportLoad(1, 900, 1000, 0)
 	h.reportLoad(2, 900, 1000, 0)
 	h.warmUp(2)
-	s := h.controller.byID[2]
+	s := h.controller.serversByID[2]
 	rate, quota := h.controller.expectedRate(s), h.controller.coldQuota(s)
 	h.controller.ScaleRates(h.now, 5.0/3)
 	h.arrive(1)
--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -36,11 +36,11 @@
 		c.emit(Violation{ID: call.ID, Rule: "attempt for a call that is answered, abandoned or has an outstanding attempt, or to an unknown server"})
 		return
 	}
-	newAttempt := &attempt{number: call.attempts, server: s, startedAt: c.now}
-	call.attempts++
+	newAttempt := &attempt{number: call.attemptCount, server: s, startedAt: c.now}
+	call.attemptCount++
 	call.attempt, s.outstanding[call.ID] = newAttempt, call
 	switch {
-	case c.now >= call.deadline || call.maxAttempts > 0 && call.attempts > call.maxAttempts && c.guardEnabled(GuardMaxAttempts), s.effectivePhase != elmseam.PhaseReady && c.guardEnabled(GuardPhase):
+	case c.now >= call.deadline || call.maxAttempts > 0 && call.attemptCount > call.maxAttempts && c.guardEnabled(GuardMaxAttempts), s.effectivePhase != elmseam.PhaseReady && c.guardEnabled(GuardPhase):
 		c.endAttempt(call, elmseam.Outcome{Cause: elmseam.CauseNotSent})
 		return
 	case decision.Timeout > 0:
--- a/internal/core/budget.go
+++ b/internal/core/budget.go
@@ -12,8 +12,9 @@
 
 // The budget reducer (internal/budget) moves units of the quotas of cold servers' budgets between the members of the tier;
 // membership tells it which members are available. A cold server has just started and ramps up (slow start). Until it is warm, its
-// budget limits the set-ups that all members together may send to it, and each member has a quota of that budget. The controller's
-// cold rates are set again before each event, as a lease may have expired while this process was stalled.
+// budget limits the set-ups that all members together may send to it, and each member has a quota of that budget. The
+// controller's rates of set-ups to cold servers are set again before each event, as a lease of units may have expired while this process
+// was stalled.
 
 // StartBudget begins to share the quotas of cold servers' budgets with the tier. It has no effect without a StartMembership before
 // it.
--- a/internal/core/callers.go
+++ b/internal/core/callers.go
@@ -31,26 +31,26 @@
 // handleCallerUp handles a new connection of a caller.
 func (c *Core) handleCallerUp(ev CallerUp) {
 	conn := &callerConn{id: ev.Conn, protocol: ev.Protocol, lastActive: c.now}
-	c.callers[ev.Conn] = conn
-	c.callerOrder = append(c.callerOrder, conn)
+	c.callerConns[ev.Conn] = conn
+	c.callerConnOrder = append(c.callerConnOrder, conn)
 	c.adoptTransferred(conn, ev)
-	c.pruneCallers()
+	c.pruneCallerConns()
 	if c.acceptsReleases(conn) {
 		c.flushReleases()
 	}
 	if c.handingOver {
-		c.stopReading(conn)
+		c.stopReadingConn(conn)
 	}
 }
 
 // handleCallerDown handles the end of the connection of a caller. The caller may send its open set-ups again on another connection within
 // RebindTimeout.
 func (c *Core) handleCallerDown(id ConnID) {
-	c.forgetCaller(id)
+	c.forgetCallerConn(id)
 	c.forgetPredecessorCalls(id)
 	for _, call := range inArrivalOrder(c.calls) {
 		if call.From == id && call.server == nil && !call.answered {
-			call.orphaned = true
+			call.callerConnLost = true
 			c.setTimer(c.now+c.limits.RebindTimeout, Token{kind: tokenRebind, call: call.ID, controllerID: call.controllerID})
 		}
 	}
@@ -59,8 +59,8 @@
 // handleCallerEnd handles a caller that gives a set-up up or releases an established call, perhaps one from before a restart.
 func (c *Core) handleCallerEnd(ev CallerEnd) {
 	call := c.calls[ev.ID]
-	if conn := c.callers[ev.From]; conn != nil {
-		c.markUsed(conn)
+	if conn := c.callerConns[ev.From]; conn != nil {
+		c.markCallerConnUsed(conn)
 	}
 	switch {
 	case call == nil:
@@ -81,13 +81,13 @@
 		call.callerGone = true
 		c.releaseAtServer(call.server, call.ID)
 		c.endEstablished(call, ReasonNormal, elmseam.Outcome{Cause: elmseam.CauseCancelled})
-	case ev.From == call.From || call.orphaned:
+	case ev.From == call.From || call.callerConnLost:
 		c.abandonSetUp(call)
 	} // any other end is ignored: its sender guessed the id of a set-up that is open on a different connection
 }
 
-// markUsed records that a caller uses its connection. At the first use, releases that waited for a connection go out.
-func (c *Core) markUsed(conn *callerConn) {
+// markCallerConnUsed records that a caller uses its connection. At the first use, releases that waited for a connection go out.
+func (c *Core) markCallerConnUsed(conn *callerConn) {
 	conn.lastActive = c.now
 	if !conn.used {
 		conn.used = true
@@ -107,9 +107,9 @@
 // If there is none, the release goes to the successor during a hand-over of transient connections, and otherwise waits for the next
 // connection.
 func (c *Core) sendRelease(protocol Protocol, to ConnID, id ID, reason Reason) {
-	if c.callers[to] == nil {
+	if c.callerConns[to] == nil {
 		var bestConn *callerConn
-		for _, conn := range c.callerOrder {
+		for _, conn := range c.callerConnOrder {
 			if conn.protocol == protocol && c.acceptsReleases(conn) && (bestConn == nil || conn.hadEstablished && !bestConn.hadEstablished || conn.hadEstablished == bestConn.hadEstablished && conn.lastActive >= bestConn.lastActive) {
 				bestConn = conn
 			}
@@ -144,7 +144,7 @@
 func (c *Core) busyConns() map[ConnID]bool {
 	busy := make(map[ConnID]bool)
 	for _, call := range c.calls {
-		if !call.answered && !call.callerGone && !call.orphaned {
+		if !call.answered && !call.callerGone && !call.callerConnLost {
 			busy[call.From] = true
 		}
 	}
@@ -154,32 +154,32 @@
 	return busy
 }
 
-// pruneCallers closes connections of callers that have no open set-up: those from which nothing more can be read and, while there
+// pruneCallerConns closes connections of callers that have no open set-up: those from which nothing more can be read and, while there
 // are more than CallerConnsTarget, the best candidates for eviction. Where there is no candidate, the target is exceeded for a while.
-func (c *Core) pruneCallers() {
+func (c *Core) pruneCallerConns() {
 	target := c.limits.CallerConnsTarget
 	if c.sharesCallerLimit { // file descriptors are shared between both processes
 		target /= 2
 	}
-	if len(c.callerOrder) <= target && !slices.ContainsFunc(c.callerOrder, func(conn *callerConn) bool { return conn.malformed }) {
+	if len(c.callerConnOrder) <= target && !slices.ContainsFunc(c.callerConnOrder, func(conn *callerConn) bool { return conn.malformed }) {
 		return
 	}
 	busyConns := c.busyConns()
-	for _, conn := range slices.Clone(c.callerOrder) {
+	for _, conn := range slices.Clone(c.callerConnOrder) {
 		if conn.malformed && !busyConns[conn.id] {
-			c.closeCaller(conn)
+			c.closeCallerConn(conn)
 		}
 	}
-	for len(c.callerOrder) > target {
+	for len(c.callerConnOrder) > target {
 		victim := c.evictionCandidate(busyConns)
 		if victim == nil {
 			if !c.pruneTimerSet && c.limits.NewConnGrace > 0 {
 				c.pruneTimerSet = true
-				c.setTimer(c.now+c.limits.NewConnGrace, Token{kind: tokenPruneCallers})
+				c.setTimer(c.now+c.limits.NewConnGrace, Token{kind: tokenPruneCallerConns})
 			}
 			return
 		}
-		c.closeCaller(victim)
+		c.closeCallerConn(victim)
 	}
 }
 
@@ -187,7 +187,7 @@
 // longest. Connections in busy, transferred ones and the newest one are no candidates, nor is an unused one that is younger than
 // NewConnGrace, as its first set-up may be on its way. The result is nil if there is no candidate.
 func (c *Core) evictionCandidate(busyConns map[ConnID]bool) (victim *callerConn) {
-	for _, conn := range c.callerOrder[:max(len(c.callerOrder)-1, 0)] {
+	for _, conn := range c.callerConnOrder[:max(len(c.callerConnOrder)-1, 0)] {
 		switch {
 		case busyConns[conn.id], conn.transferred, !conn.used && c.now < conn.lastActive+c.limits.NewConnGrace:
 		case victim == nil, victim.used && !conn.used, victim.used == conn.used && conn.lastActive < victim.lastActive:
@@ -197,14 +197,14 @@
 	return victim
 }
 
-// closeCaller closes the connection of a caller gracefully: what was written last can still be read.
-func (c *Core) closeCaller(conn *callerConn) {
-	c.forgetCaller(conn.id)
+// closeCallerConn closes the connection of a caller gracefully: what was written last can still be read.
+func (c *Core) closeCallerConn(conn *callerConn) {
+	c.forgetCallerConn(conn.id)
 	c.emit(GracefulClose{To: conn.id})
 }
 
-// forgetCaller removes a connection from the list of callers.
-func (c *Core) forgetCaller(id ConnID) {
-	delete(c.callers, id)
-	c.callerOrder = slices.DeleteFunc(c.callerOrder, func(conn *callerConn) bool { return conn.id == id })
+// forgetCallerConn removes a connection from the list of callers.
+func (c *Core) forgetCallerConn(id ConnID) {
+	delete(c.callerConns, id)
+	c.callerConnOrder = slices.DeleteFunc(c.callerConnOrder, func(conn *callerConn) bool { return conn.id == id })
 }
--- a/internal/core/calls.go
+++ b/internal/core/calls.go
@@ -11,22 +11,22 @@
 // call is a call of a caller, from its set-up to its release.
 type call struct {
 	SetUp
-	controllerID elmseam.CallID // the controller's id of the call
-	fingerprint  uint64         // hash of what the set-up asks for; a set-up sent again has the same
-	keptBytes    int            // size of the number and the description that the call keeps, in bytes
-	releaseGuard time.Duration  // release guard of the settings that the call arrived under
-	protocol     Protocol       // signalling protocol of the caller
-	deadline     Time           // latest time of the final answer
-	orphaned     bool           // the connection of the caller ended while the set-up was open
-	answered     bool           // the final answer has been given, or none is due any more as the caller has gone
-	callerGone   bool           // the caller has given the set-up up or released the call
-	attempts     int            // attempts made so far
-	maxAttempts  int            // attempts that the core permits by the settings that the call arrived under; 0: any number
-	attempt      *attempt       // outstanding attempt; nil: none
-	earlierConns []ConnID       // connections of the attempts that have ended
-	resendAfter  Time           // no offer goes out before this time, by the release guard
-	server       *server        // server on which the call is established; nil: not established
-	answerDesc   []byte         // description in the answer of that server
+	controllerID   elmseam.CallID // the controller's id of the call
+	fingerprint    uint64         // hash of what the set-up asks for; a set-up sent again has the same
+	keptBytes      int            // size of the number and the description that the call keeps, in bytes
+	releaseGuard   time.Duration  // release guard of the settings that the call arrived under
+	protocol       Protocol       // signalling protocol of the caller
+	deadline       Time           // latest time of the final answer
+	callerConnLost bool           // the connection of the caller ended while the set-up was open
+	answered       bool           // the final answer has been given, or none is due any more as the caller has gone
+	callerGone     bool           // the caller has given the set-up up or released the call
+	attemptCount   int            // attempts made so far
+	maxAttempts    int            // attempts that the core permits by the settings that the call arrived under; 0: any number
+	attempt        *attempt       // outstanding attempt; nil: none
+	earlierConns   []ConnID       // connections of the attempts that have ended
+	resendAfter    Time           // no offer goes out before this time, by the release guard
+	server         *server        // server on which the call is established; nil: not established
+	answerDesc     []byte         // description in the answer of that server
 }
 
 // endedCall remembers the id of a call that has ended.
@@ -38,14 +38,14 @@
 // handleSetUp handles a set-up from a caller. A set-up with the id of a call that has ended is refused, as ids are never used twice: the
 // caller may have sent the set-up again because its answer was lost with a closing connection.
 func (c *Core) handleSetUp(ev SetUp) {
-	from := c.callers[ev.From]
+	from := c.callerConns[ev.From]
 	if from == nil { // the connection has been closed: the caller may send the set-up again on another
 		if c.calls[ev.ID] == nil {
 			c.emit(ForgetCall{ID: ev.ID})
 		}
 		return
 	}
-	c.markUsed(from)
+	c.markCallerConnUsed(from)
 	if call := c.calls[ev.ID]; call != nil {
 		c.handleRepeatedSetUp(call, ev)
 		return
@@ -99,7 +99,7 @@
 		call.From = ev.From
 		c.emit(Answered{To: call.From, ID: call.ID, Desc: call.answerDesc})
 	case resent && !call.answered && !call.callerGone:
-		call.From, call.orphaned = ev.From, false
+		call.From, call.callerConnLost = ev.From, false
 	default:
 		if ev.From == call.From && !call.answered {
 			c.reject(call, Rejected{Reason: ReasonUnsupported})
@@ -125,7 +125,7 @@
 	}
 	switch {
 	case call.callerGone:
-	case call.orphaned:
+	case call.callerConnLost:
 		c.emit(ForgetCall{Protocol: call.protocol, ID: call.ID})
 	default:
 		rejection.To, rejection.ID = call.From, call.ID
@@ -141,7 +141,7 @@
 	if !call.answered {
 		call.answered = true
 		c.openSetUps--
-		defer c.pruneCallers()
+		defer c.pruneCallerConns()
 	}
 	if call.attempt != nil && call.attempt.phase != attemptEnding {
 		c.giveUpAttempt(call, elmseam.CauseCancelled)
@@ -160,7 +160,7 @@
 	if call.answered {
 		return
 	}
-	if call.orphaned {
+	if call.callerConnLost {
 		c.emit(ForgetCall{Protocol: call.protocol, ID: call.ID})
 	}
 	c.notifyController(elmseam.CallerGone{Call: call.controllerID})
@@ -196,9 +196,9 @@
 		c.sendRelease(call.protocol, call.From, call.ID, reason)
 	}
 	outcome.Call, outcome.Server, outcome.Final = call.controllerID, call.server.id, true
-	outcome.Attempt = max(call.attempts-1, 0)
+	outcome.Attempt = max(call.attemptCount-1, 0)
 	c.notifyController(outcome)
-	c.removeIfUnused(call.server)
+	c.removeServerIfUnused(call.server)
 }
 
 // forgetCall forgets a call except for its id.
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -38,9 +38,9 @@
 	lastServerID        elmseam.ServerID // id last given to a server
 	removedServers      []removedServer  // servers that have left the list, oldest first
 	withdrawnRoutes     map[string]Route // by the name of the route
-	callers             map[ConnID]*callerConn
-	callerOrder         []*callerConn     // oldest first
-	pruneTimerSet       bool              // a timer is set for the next pruneCallers
+	callerConns         map[ConnID]*callerConn
+	callerConnOrder     []*callerConn     // oldest first
+	pruneTimerSet       bool              // a timer is set for the next pruneCallerConns
 	pendingReleases     []*pendingRelease // releases to callers that wait for a connection
 	endedCalls          map[ID]Time       // ids of calls that ended recently, with the time when each id was last recorded
 	endedCallOrder      []endedCall       // the same ids, oldest first
@@ -53,7 +53,7 @@
 	drainChangedAt      Time              // when the drain began or ended
 	drainChanges        uint32            // how often a drain began or ended
 	stats               Stats
-	hook                Hook
+	hook                Hook                 // empty outside tests
 	handingOver         bool                 // the connections of callers are being transferred to a successor
 	hasPredecessor      bool                 // a predecessor owns calls whose callers are connected here
 	sharesCallerLimit   bool                 // the predecessor has not begun to transfer: both processes hold connections of callers
@@ -89,7 +89,7 @@
 		servers:             make(map[string]*server),
 		serversByID:         make(map[elmseam.ServerID]*server),
 		withdrawnRoutes:     make(map[string]Route),
-		callers:             make(map[ConnID]*callerConn),
+		callerConns:         make(map[ConnID]*callerConn),
 		endedCalls:          make(map[ID]Time),
 		predecessorSetUps:   make(map[ID]ConnID),
 		predecessorCalls:    make(map[ID]ConnID),
@@ -112,13 +112,13 @@
 	case CallerDown:
 		c.handleCallerDown(ev.Conn)
 	case CallerIdle:
-		if conn := c.callers[ev.Conn]; conn != nil && !c.busyConns()[ev.Conn] {
-			c.closeCaller(conn)
+		if conn := c.callerConns[ev.Conn]; conn != nil && !c.busyConns()[ev.Conn] {
+			c.closeCallerConn(conn)
 		}
 	case CallerMalformed:
-		if conn := c.callers[ev.Conn]; conn != nil {
+		if conn := c.callerConns[ev.Conn]; conn != nil {
 			conn.malformed = true
-			c.pruneCallers()
+			c.pruneCallerConns()
 		}
 	case SetUp:
 		c.handleSetUp(ev)
@@ -145,7 +145,7 @@
 		c.handleProbeAnswer(ev)
 	case ServerPaused:
 		if s := c.servers[ev.Server]; s != nil {
-			s.paused = ev.Paused
+			s.signallingPaused = ev.Paused
 			c.updatePhases([]*server{s}, false, false)
 		}
 	case Route:
@@ -186,13 +186,13 @@
 	case HandOver:
 		c.beginHandOver()
 	case ReadingStopped:
-		c.transferCaller(ev.Conn)
+		c.transferCallerConn(ev.Conn)
 	case Transferred:
-		if conn := c.callers[ev.Conn]; conn != nil {
+		if conn := c.callerConns[ev.Conn]; conn != nil {
 			conn.transferUnconfirmed = false
 		}
 	case TransferFailed:
-		if conn := c.callers[ev.Conn]; conn != nil {
+		if conn := c.callerConns[ev.Conn]; conn != nil {
 			conn.transferred, conn.transferUnconfirmed, conn.transferFailed = false, false, true
 		}
 	case Predecessor:
@@ -273,7 +273,7 @@
 			c.deadlineReached(call)
 		}
 	case tokenRebind:
-		if call.orphaned {
+		if call.callerConnLost {
 			c.abandonSetUp(call)
 		}
 	case tokenAttemptTimeout:
@@ -288,7 +288,7 @@
 		if s := c.servers[token.server]; s != nil {
 			s.redialPending = false
 			if s.usableConnCount() < c.wantedConnCount(s) {
-				c.dialAhead(s)
+				c.dialServerAhead(s)
 			}
 		}
 	case tokenServerLost:
@@ -296,7 +296,7 @@
 			c.resetEstablishedCalls(s)
 		}
 	case tokenDrainCheck:
-		c.closeIdleCallers(token.number)
+		c.closeIdleCallerConns(token.number)
 	case tokenStopGrace:
 		c.stopGraceOver = true
 	case tokenMaxStopWait:
@@ -304,9 +304,9 @@
 			c.failOpenSetUps()
 			c.beginClosing()
 		}
-	case tokenPruneCallers:
+	case tokenPruneCallerConns:
 		c.pruneTimerSet = false
-		c.pruneCallers()
+		c.pruneCallerConns()
 	case tokenStopLinger:
 		c.finishStop()
 	case tokenProbeTimeout:
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -62,14 +62,14 @@
 	}
 	h := &harness{t: t, core: c, now: time.Hour}
 	h.step(CallerUp{Conn: 1, Protocol: "f"})
-	h.list(elmseam.PhaseReady, elmseam.PhaseReady)
+	h.sendServerList(elmseam.PhaseReady, elmseam.PhaseReady)
 	h.step(ServerUp{Server: "a", Address: "a:1", Conn: 10})
 	h.step(ServerUp{Server: "b", Address: "b:1", Conn: 11})
 	return h
 }
 
-// list gives the core a full server list in which "a" is in phaseA and "b" in phaseB.
-func (h *harness) list(phaseA, phaseB elmseam.Phase) string {
+// sendServerList gives the core a full server list in which "a" is in phaseA and "b" in phaseB.
+func (h *harness) sendServerList(phaseA, phaseB elmseam.Phase) string {
 	return h.step(ServerList{Full: true, Servers: []Server{
 		{Name: "a", Address: "a:1", Cell: 0, Phase: phaseA}, {Name: "b", Address: "b:1", Cell: 1, Phase: phaseB},
 	}})
@@ -146,11 +146,11 @@
 	}
 }
 
-// countOf counts an effect in a text that step returned.
-func countOf(effects, part string) int { return strings.Count(effects, part) }
+// countEffects counts an effect in a text that step returned.
+func countEffects(effects, part string) int { return strings.Count(effects, part) }
 
-// want checks a text of effects that step returned.
-func (h *harness) want(got, want string) {
+// wantEffects checks a text of effects that step returned.
+func (h *harness) wantEffects(got, want string) {
 	h.t.Helper()
 	if got != want {
 		h.t.Errorf("effects %q, want %q", got, want)
@@ -166,15 +166,15 @@
 // guard. The answer is passed on once, and a late answer from the first server is followed by a release of the call at that server.
 func TestResetAttemptIsRetriedElsewhereAfterReleaseGuard(t *testing.T) {
 	h := newHarness(t)
-	h.want(h.setUp(7, 5*time.Second), "offer7@10 ")
-	h.want(h.step(ServerDown{Server: "a", Conn: 10}), "")
-	h.want(h.advance(199*ms), "")
-	h.want(h.advance(2*ms), "offer7@11 ")
+	h.wantEffects(h.setUp(7, 5*time.Second), "offer7@10 ")
+	h.wantEffects(h.step(ServerDown{Server: "a", Conn: 10}), "")
+	h.wantEffects(h.advance(199*ms), "")
+	h.wantEffects(h.advance(2*ms), "offer7@11 ")
 	h.step(ServerUp{Server: "a", Address: "a:1", Conn: 12})
-	h.want(h.step(ServerAnswer{Server: "a", ID: 7}), "end7@12 ")
-	h.want(h.step(ServerAnswer{Server: "b", ID: 7}), "answered7@1 ")
-	h.want(h.step(ServerAnswer{Server: "b", ID: 7}), "")
-	h.want(h.step(ServerEnd{Server: "b", ID: 7, Reason: ReasonNormal}), "released7@1 ")
+	h.wantEffects(h.step(ServerAnswer{Server: "a", ID: 7}), "end7@12 ")
+	h.wantEffects(h.step(ServerAnswer{Server: "b", ID: 7}), "answered7@1 ")
+	h.wantEffects(h.step(ServerAnswer{Server: "b", ID: 7}), "")
+	h.wantEffects(h.step(ServerEnd{Server: "b", ID: 7, Reason: ReasonNormal}), "released7@1 ")
 }
 
 // An attempt that was given up stays outstanding until its End is written, however long a stalled connection takes. Only then
@@ -185,13 +185,13 @@
 	call := h.core.calls[7]
 	h.core.effects = nil
 	h.core.giveUpAttempt(call, elmseam.CauseCancelled) // as the controller does when a set-up has been overtaken
-	h.want(h.advance(time.Second), "")
+	h.wantEffects(h.advance(time.Second), "")
 	if call.attempt == nil {
 		t.Fatal("the attempt ended before its End was written")
 	}
-	h.want(h.step(ServerAnswer{Server: "a", ID: 7}), "")
-	h.want(h.step(EndWritten{Server: "a", ID: 7}), "")
-	h.want(h.advance(201*ms), "offer7@11 ")
+	h.wantEffects(h.step(ServerAnswer{Server: "a", ID: 7}), "")
+	h.wantEffects(h.step(EndWritten{Server: "a", ID: 7}), "")
+	h.wantEffects(h.advance(201*ms), "offer7@11 ")
 }
 
 // The final answer is given before the caller's time is up. An answer that the server sends later is never passed on, and the call is
@@ -199,10 +199,10 @@
 func TestFinalAnswerBeforeDeadline(t *testing.T) {
 	h := newHarness(t)
 	h.setUp(7, 400*ms)
-	h.want(h.advance(384*ms), "")
-	h.want(h.advance(2*ms), "end7@10 rejected7@1 ")
-	h.want(h.step(ServerAnswer{Server: "a", ID: 7}), "end7@10 ")
-	h.want(h.advance(10*time.Second), "")
+	h.wantEffects(h.advance(384*ms), "")
+	h.wantEffects(h.advance(2*ms), "end7@10 rejected7@1 ")
+	h.wantEffects(h.step(ServerAnswer{Server: "a", ID: 7}), "end7@10 ")
+	h.wantEffects(h.advance(10*time.Second), "")
 }
 
 // A draining server gets no new set-ups: attempts that wait for its connection go elsewhere, and offers that are queued on its
@@ -210,11 +210,11 @@
 func TestServerDrainStopsWaitingAttempts(t *testing.T) {
 	h := newHarness(t)
 	h.step(ServerDown{Server: "a", Conn: 10})
-	h.want(h.setUp(7, 5*time.Second), "") // waits for the connection
-	h.want(h.list(elmseam.PhaseDraining, elmseam.PhaseReady), "offer7@11 ")
-	h.want(h.step(ServerUp{Server: "a", Address: "a:1", Conn: 12}), "closeconn@12 ") // no longer wanted
-	h.want(h.list(elmseam.PhaseReady, elmseam.PhaseDraining), "withdraw@11 ")
-	h.want(h.step(NotSent{Server: "b", ID: 7}), "rejected7@1 ")
+	h.wantEffects(h.setUp(7, 5*time.Second), "") // waits for the connection
+	h.wantEffects(h.sendServerList(elmseam.PhaseDraining, elmseam.PhaseReady), "offer7@11 ")
+	h.wantEffects(h.step(ServerUp{Server: "a", Address: "a:1", Conn: 12}), "closeconn@12 ") // no longer wanted
+	h.wantEffects(h.sendServerList(elmseam.PhaseReady, elmseam.PhaseDraining), "withdraw@11 ")
+	h.wantEffects(h.step(NotSent{Server: "b", ID: 7}), "rejected7@1 ")
 }
 
 // An established call outlives the connections that it was set up on: its release goes out on another connection, or on the next
@@ -226,42 +226,42 @@
 		h.setUp(id, 5*time.Second)
 		h.step(ServerAnswer{Server: "a", ID: id})
 	}
-	h.want(h.step(ServerDown{Server: "a", Conn: 10}), "")
-	h.want(h.step(CallerDown{Conn: 1}), "")
+	h.wantEffects(h.step(ServerDown{Server: "a", Conn: 10}), "")
+	h.wantEffects(h.step(CallerDown{Conn: 1}), "")
 	h.step(ServerUp{Server: "a", Address: "a:1", Conn: 12})
-	h.want(h.step(ServerEnd{Server: "a", ID: 1, Reason: ReasonNormal}), "")
-	h.want(h.step(CallerUp{Conn: 2, Protocol: "f"}), "released1@2 ")
-	h.want(h.step(CallerEnd{ID: 2, From: 2}), "end2@12 ")
-	h.want(h.list(elmseam.PhaseGone, elmseam.PhaseReady), "withdraw@12 released3@2 closeconn@12 ")
+	h.wantEffects(h.step(ServerEnd{Server: "a", ID: 1, Reason: ReasonNormal}), "")
+	h.wantEffects(h.step(CallerUp{Conn: 2, Protocol: "f"}), "released1@2 ")
+	h.wantEffects(h.step(CallerEnd{ID: 2, From: 2}), "end2@12 ")
+	h.wantEffects(h.sendServerList(elmseam.PhaseGone, elmseam.PhaseReady), "withdraw@12 released3@2 closeconn@12 ")
 	h.step(SetUp{ID: 4, From: 2, TimeLeft: 5 * time.Second, At: h.now})
 	h.step(ServerAnswer{Server: "b", ID: 4})
 	h.step(ServerDown{Server: "b", Conn: 11})
-	h.want(h.advance(5900*ms), "")
-	h.want(h.advance(200*ms), "released4@2 ")
+	h.wantEffects(h.advance(5900*ms), "")
+	h.wantEffects(h.advance(200*ms), "released4@2 ")
 }
 
 // A set-up may be sent just as its connection is closed. The caller sends it again on another connection: it stays one call with one
 // answer. A set-up that the caller does not send again within RebindTimeout is given up.
 func TestSetUpResentOnAnotherConnection(t *testing.T) {
 	h := newHarness(t)
-	h.want(h.setUp(7, 5*time.Second)+h.setUp(8, 5*time.Second), "offer7@10 offer8@10 ")
+	h.wantEffects(h.setUp(7, 5*time.Second)+h.setUp(8, 5*time.Second), "offer7@10 offer8@10 ")
 	h.step(CallerDown{Conn: 1})
 	h.step(CallerUp{Conn: 2, Protocol: "f"})
-	h.want(h.step(SetUp{ID: 7, From: 2, TimeLeft: 5 * time.Second, At: h.now}), "")
-	h.want(h.advance(101*ms), "forget8 end8@10 ")
-	h.want(h.step(EndWritten{Server: "a", ID: 8}), "")
-	h.want(h.step(ServerAnswer{Server: "a", ID: 7}), "answered7@2 ")
+	h.wantEffects(h.step(SetUp{ID: 7, From: 2, TimeLeft: 5 * time.Second, At: h.now}), "")
+	h.wantEffects(h.advance(101*ms), "forget8 end8@10 ")
+	h.wantEffects(h.step(EndWritten{Server: "a", ID: 8}), "")
+	h.wantEffects(h.step(ServerAnswer{Server: "a", ID: 7}), "answered7@2 ")
 }
 
 // A server whose route is withdrawn counts as gone until the route is back, a paused server as draining.
 func TestRouteAndPause(t *testing.T) {
 	h := newHarness(t)
 	covers := func(address string) bool { return address == "a:1" }
-	h.want(h.step(Route{Name: "a/32", Covers: covers}), "withdraw@10 ")
-	h.want(h.setUp(7, 5*time.Second), "offer7@11 ")
+	h.wantEffects(h.step(Route{Name: "a/32", Covers: covers}), "withdraw@10 ")
+	h.wantEffects(h.setUp(7, 5*time.Second), "offer7@11 ")
 	h.step(Route{Name: "a/32", Covers: covers, Up: true})
-	h.want(h.step(ServerPaused{Server: "b", Paused: true}), "withdraw@11 ")
-	h.want(h.setUp(8, 5*time.Second), "offer8@10 ")
+	h.wantEffects(h.step(ServerPaused{Server: "b", Paused: true}), "withdraw@11 ")
+	h.wantEffects(h.setUp(8, 5*time.Second), "offer8@10 ")
 }
 
 // New calls are accepted for StopGrace after a stop. The process ends when the calls have ended.
@@ -269,34 +269,34 @@
 	h := newHarness(t)
 	h.step(Stop{})
 	h.advance(600 * ms)
-	h.want(h.setUp(7, 5*time.Second), "offer7@10 ")
-	h.want(h.advance(200*ms), "")
+	h.wantEffects(h.setUp(7, 5*time.Second), "offer7@10 ")
+	h.wantEffects(h.advance(200*ms), "")
 	h.step(ServerAnswer{Server: "a", ID: 7})
-	h.want(h.step(ServerEnd{Server: "a", ID: 7, Reason: ReasonNormal}), "released7@1 stopped ")
+	h.wantEffects(h.step(ServerEnd{Server: "a", ID: 7, Reason: ReasonNormal}), "released7@1 stopped ")
 }
 
 // The release of a call that this process has never seen is passed on. The release of a call that ended here is not, as it
 // would be a second answer.
 func TestReleaseOfUnknownCall(t *testing.T) {
 	h := newHarness(t)
-	h.want(h.step(ServerEnd{Server: "a", ID: 99, Reason: ReasonNormal}), "released99@1 ")
-	h.want(h.step(ServerEnd{Server: "a", ID: 99, Reason: ReasonNormal}), "")
+	h.wantEffects(h.step(ServerEnd{Server: "a", ID: 99, Reason: ReasonNormal}), "released99@1 ")
+	h.wantEffects(h.step(ServerEnd{Server: "a", ID: 99, Reason: ReasonNormal}), "")
 	h.setUp(7, 5*time.Second)
 	h.step(CallerEnd{ID: 7, From: 1})
 	h.step(EndWritten{Server: "a", ID: 7})
-	h.want(h.step(ServerEnd{Server: "a", ID: 7, Reason: ReasonReset}), "")
+	h.wantEffects(h.step(ServerEnd{Server: "a", ID: 7, Reason: ReasonReset}), "")
 }
 
 // A set-up is refused when the descriptions of the calls would take more memory than MaxCallBytes.
 func TestCallBytesAreLimited(t *testing.T) {
 	h := newHarness(t)
 	big := SetUp{ID: 1, From: 1, TimeLeft: 5 * time.Second, At: h.now, Desc: make([]byte, 80)}
-	h.want(h.step(big), "offer1@10 ")
+	h.wantEffects(h.step(big), "offer1@10 ")
 	big.ID = 2
-	h.want(h.step(big), "rejected2@1 ")
+	h.wantEffects(h.step(big), "rejected2@1 ")
 	h.step(ServerAnswer{Server: "a", ID: 1, Desc: make([]byte, 10)}) // the description of the caller is freed
 	big.ID = 3
-	h.want(h.step(big), "offer3@10 ")
+	h.wantEffects(h.step(big), "offer3@10 ")
 	h.step(ServerEnd{Server: "a", ID: 1})
 	h.step(ServerEnd{Server: "a", ID: 3, Reason: ReasonReset})
 	if h.advance(10 * time.Second); h.core.callBytes != 0 {
@@ -328,30 +328,30 @@
 		return effects
 	}
 	call := addCall(1)
-	h.want(send(call, "a"), "offer ")
-	h.want(send(call, "b"), "violation ") // another attempt is outstanding
+	h.wantEffects(send(call, "a"), "offer ")
+	h.wantEffects(send(call, "b"), "violation ") // another attempt is outstanding
 	h.step(ServerDown{Server: "a", Conn: 10})
-	h.want(send(call, "b"), "") // waits for the release guard
-	h.want(h.advance(199*ms), "")
-	h.want(h.advance(2*ms), "offer1@11 ")
+	h.wantEffects(send(call, "b"), "") // waits for the release guard
+	h.wantEffects(h.advance(199*ms), "")
+	h.wantEffects(h.advance(2*ms), "offer1@11 ")
 	h.step(ServerUp{Server: "a", Address: "a:1", Conn: 12})
 	h.core.servers["a"].effectivePhase = elmseam.PhaseDraining
 	call = addCall(2)
-	if h.want(send(call, "a"), ""); call.attempt != nil {
+	if h.wantEffects(send(call, "a"), ""); call.attempt != nil {
 		t.Error("an attempt to a draining server is outstanding")
 	}
 	call = addCall(3)
 	call.maxAttempts = 4
-	call.attempts = call.maxAttempts
-	if h.want(send(call, "b"), ""); call.attempt != nil {
+	call.attemptCount = call.maxAttempts
+	if h.wantEffects(send(call, "b"), ""); call.attempt != nil {
 		t.Error("an attempt beyond the limit is outstanding")
 	}
 	call = addCall(4)
 	call.answered = true
-	h.want(send(call, "b"), "violation ")
+	h.wantEffects(send(call, "b"), "violation ")
 	call = addCall(5)
 	h.core.now = call.deadline
-	h.want(send(call, "b"), "")
+	h.wantEffects(send(call, "b"), "")
 }
 
 // A different set-up with the id of an open call is refused and does not affect that call. Guards against the second set-up taking the
@@ -360,21 +360,21 @@
 func TestRepeatedIDs(t *testing.T) {
 	h := newHarness(t)
 	h.step(CallerUp{Conn: 2, Protocol: "f"})
-	h.want(h.setUp(7, 5*time.Second), "offer7@10 ")
-	h.want(h.step(SetUp{ID: 7, From: 2, Cell: 0, TimeLeft: 5 * time.Second, At: h.now, Desc: []byte("another")}), "rejected7@2 ")
-	h.want(h.step(CallerEnd{ID: 7, From: 2}), "")
-	h.want(h.step(ServerAnswer{Server: "a", ID: 7}), "answered7@1 ")
-	h.want(h.step(SetUp{ID: 7, From: 2, Cell: 0, TimeLeft: 5 * time.Second, At: h.now, Desc: []byte("another")}), "rejected7@2 ")
-	h.want(h.step(CallerDown{Conn: 1}), "")
-	h.want(h.setUp(7, 5*time.Second), "") // sent before the connection was closed: no answer can reach it
-	h.want(h.step(SetUp{ID: 7, From: 2, Cell: 0, TimeLeft: 5 * time.Second, At: h.now}), "answered7@2 ")
-	h.want(h.step(ServerEnd{Server: "a", ID: 7}), "released7@2 ")
+	h.wantEffects(h.setUp(7, 5*time.Second), "offer7@10 ")
+	h.wantEffects(h.step(SetUp{ID: 7, From: 2, Cell: 0, TimeLeft: 5 * time.Second, At: h.now, Desc: []byte("another")}), "rejected7@2 ")
+	h.wantEffects(h.step(CallerEnd{ID: 7, From: 2}), "")
+	h.wantEffects(h.step(ServerAnswer{Server: "a", ID: 7}), "answered7@1 ")
+	h.wantEffects(h.step(SetUp{ID: 7, From: 2, Cell: 0, TimeLeft: 5 * time.Second, At: h.now, Desc: []byte("another")}), "rejected7@2 ")
+	h.wantEffects(h.step(CallerDown{Conn: 1}), "")
+	h.wantEffects(h.setUp(7, 5*time.Second), "") // sent before the connection was closed: no answer can reach it
+	h.wantEffects(h.step(SetUp{ID: 7, From: 2, Cell: 0, TimeLeft: 5 * time.Second, At: h.now}), "answered7@2 ")
+	h.wantEffects(h.step(ServerEnd{Server: "a", ID: 7}), "released7@2 ")
 
-	h.want(h.step(SetUp{ID: 8, From: 2, Cell: 0, TimeLeft: 5 * time.Second, At: h.now}), "offer8@10 ")
-	h.want(h.step(SetUp{ID: 8, From: 2, Cell: 0, TimeLeft: 5 * time.Second, At: h.now}), "rejected8@2 end8@10 rejected8@2 ")
-	h.want(h.step(SetUp{ID: 8, From: 2, Cell: 0, TimeLeft: 5 * time.Second, At: h.now}), "rejected8@2 ")
+	h.wantEffects(h.step(SetUp{ID: 8, From: 2, Cell: 0, TimeLeft: 5 * time.Second, At: h.now}), "offer8@10 ")
+	h.wantEffects(h.step(SetUp{ID: 8, From: 2, Cell: 0, TimeLeft: 5 * time.Second, At: h.now}), "rejected8@2 end8@10 rejected8@2 ")
+	h.wantEffects(h.step(SetUp{ID: 8, From: 2, Cell: 0, TimeLeft: 5 * time.Second, At: h.now}), "rejected8@2 ")
 	h.step(EndWritten{Server: "a", ID: 8})
-	h.want(h.step(SetUp{ID: 8, From: 2, Cell: 0, TimeLeft: 5 * time.Second, At: h.now}), "rejected8@2 ")
+	h.wantEffects(h.step(SetUp{ID: 8, From: 2, Cell: 0, TimeLeft: 5 * time.Second, At: h.now}), "rejected8@2 ")
 }
 
 // When callers hold more than CallerConnsTarget connections, those without a set-up are closed first, then those idle longest.
@@ -386,7 +386,7 @@
 	h.core.limits.CallerConnsTarget = 4
 	for conn := ConnID(2); conn <= 4; conn++ {
 		h.now += ms
-		h.want(h.step(CallerUp{Conn: conn, Protocol: "f"}), "")
+		h.wantEffects(h.step(CallerUp{Conn: conn, Protocol: "f"}), "")
 	}
 	sendSetUp := func(conn ConnID) {
 		h.now += ms
@@ -397,33 +397,33 @@
 	sendSetUp(3)
 	h.step(ServerAnswer{Server: "a", ID: 1})
 	h.step(ServerAnswer{Server: "a", ID: 2})
-	h.want(h.step(CallerUp{Conn: 5, Protocol: "f"}), "close@4 ") // has brought no set-up
+	h.wantEffects(h.step(CallerUp{Conn: 5, Protocol: "f"}), "close@4 ") // has brought no set-up
 	sendSetUp(5)
-	h.want(h.step(CallerUp{Conn: 6, Protocol: "f"}), "close@1 ") // idle longest, as the calls on 1 and 2 are established
+	h.wantEffects(h.step(CallerUp{Conn: 6, Protocol: "f"}), "close@1 ") // idle longest, as the calls on 1 and 2 are established
 	sendSetUp(6)
-	h.want(h.step(CallerUp{Conn: 7, Protocol: "f"}), "close@2 ")
+	h.wantEffects(h.step(CallerUp{Conn: 7, Protocol: "f"}), "close@2 ")
 	sendSetUp(7)
-	h.want(h.step(CallerUp{Conn: 8, Protocol: "f"}), "")
-	h.want(h.step(SetUp{ID: 8, From: 8, Cell: 0, TimeLeft: time.Minute, At: h.now}), "offer8@10 ")
-	h.want(h.step(ServerAnswer{Server: "a", ID: 3}), "answered3@3 close@3 ")
+	h.wantEffects(h.step(CallerUp{Conn: 8, Protocol: "f"}), "")
+	h.wantEffects(h.step(SetUp{ID: 8, From: 8, Cell: 0, TimeLeft: time.Minute, At: h.now}), "offer8@10 ")
+	h.wantEffects(h.step(ServerAnswer{Server: "a", ID: 3}), "answered3@3 close@3 ")
 	// A protocol handler that keeps state for the call, a circuit for instance, has to forget it.
-	h.want(h.step(SetUp{ID: 9, From: 3, Cell: 0, TimeLeft: time.Minute, At: h.now}), "forget9 ")
+	h.wantEffects(h.step(SetUp{ID: 9, From: 3, Cell: 0, TimeLeft: time.Minute, At: h.now}), "forget9 ")
 }
 
 // New settings and limits apply to new calls. A call that exists keeps the number of attempts of its own settings.
 func TestReconfiguration(t *testing.T) {
 	h := newHarness(t)
-	h.want(h.setUp(7, 5*time.Second), "offer7@10 ")
+	h.wantEffects(h.setUp(7, 5*time.Second), "offer7@10 ")
 	settings := elmseam.Settings{Classes: []elmseam.Class{{Deadline: 9 * time.Second, Worth: 1}}, MaxAttempts: 1, OwnCell: -1}
 	limits := h.core.limits
 	limits.MaxOpen = 1
-	h.want(h.step(Configured{Settings: settings, Limits: limits}), "")
-	h.want(h.setUp(8, 5*time.Second), "rejected8@1 ")
-	h.want(h.step(ServerEnd{Server: "a", ID: 7, Reason: ReasonFull}), "offer7@11 ")
+	h.wantEffects(h.step(Configured{Settings: settings, Limits: limits}), "")
+	h.wantEffects(h.setUp(8, 5*time.Second), "rejected8@1 ")
+	h.wantEffects(h.step(ServerEnd{Server: "a", ID: 7, Reason: ReasonFull}), "offer7@11 ")
 	h.step(ServerEnd{Server: "b", ID: 7, Reason: ReasonFull})
 	h.advance(5 * time.Second) // the servers are no longer blocked
-	h.want(h.setUp(9, 5*time.Second), "offer9@10 ")
-	h.want(h.step(ServerEnd{Server: "a", ID: 9, Reason: ReasonFull}), "rejected9@1 ") // one attempt, by the new settings
+	h.wantEffects(h.setUp(9, 5*time.Second), "offer9@10 ")
+	h.wantEffects(h.step(ServerEnd{Server: "a", ID: 9, Reason: ReasonFull}), "rejected9@1 ") // one attempt, by the new settings
 }
 
 // Calls that are refused at full speed, and routes to addresses that no server has, take a bounded amount of memory.
@@ -438,11 +438,11 @@
 	if len(h.core.endedCalls) != 3 || len(h.core.endedCallOrder) != 3 || len(h.core.calls) != 0 {
 		t.Errorf("%d and %d ids of ended calls, and %d calls, are kept, want 3, 3 and 0", len(h.core.endedCalls), len(h.core.endedCallOrder), len(h.core.calls))
 	}
-	h.want(h.setUp(10, 5*time.Second), "rejected10@1 ") // the last ids are kept
+	h.wantEffects(h.setUp(10, 5*time.Second), "rejected10@1 ") // the last ids are kept
 	for i := range 10 {
 		h.step(Route{Name: fmt.Sprint(i), Covers: func(string) bool { return false }})
 	}
-	h.want(h.step(Route{Name: "a/32", Covers: func(address string) bool { return address == "a:1" }}), "withdraw@10 ")
+	h.wantEffects(h.step(Route{Name: "a/32", Covers: func(address string) bool { return address == "a:1" }}), "withdraw@10 ")
 	if len(h.core.withdrawnRoutes) != 3 || h.core.servers["a"].effectivePhase != elmseam.PhaseGone {
 		t.Errorf("%d routes kept, a server whose route is withdrawn is in phase %v", len(h.core.withdrawnRoutes), h.core.servers["a"].effectivePhase)
 	}
@@ -454,8 +454,8 @@
 	h := newHarness(t)
 	h.core.limits.MaxRemovedServers = 2
 	id := h.core.servers["a"].id
-	h.list(elmseam.PhaseGone, elmseam.PhaseReady)
-	h.list(elmseam.PhaseReady, elmseam.PhaseReady)
+	h.sendServerList(elmseam.PhaseGone, elmseam.PhaseReady)
+	h.sendServerList(elmseam.PhaseReady, elmseam.PhaseReady)
 	if got := h.core.servers["a"].id; got != id {
 		t.Errorf("the id of the server is %d, was %d", got, id)
 	}
--- a/internal/core/drain.go
+++ b/internal/core/drain.go
@@ -21,10 +21,10 @@
 	}
 }
 
-// closeIdleCallers closes the idle connections of callers without a call, and does so again after DrainCheckInterval until the drain
+// closeIdleCallerConns closes the idle connections of callers without a call, and does so again after DrainCheckInterval until the drain
 // ends or a hand-over begins. Only connections of transient protocols are closed. drainChange is the value of drainChanges at the
 // beginning of the drain that the timer was set for: a timer of an earlier drain does nothing.
-func (c *Core) closeIdleCallers(drainChange uint32) {
+func (c *Core) closeIdleCallerConns(drainChange uint32) {
 	if !c.draining || drainChange != c.drainChanges || c.handingOver {
 		return
 	}
@@ -33,13 +33,13 @@
 		busyConns[call.From] = true
 	}
 	var idleConns []*callerConn
-	for _, conn := range c.callerOrder {
+	for _, conn := range c.callerConnOrder {
 		if !busyConns[conn.id] && c.limits.Transient[conn.protocol] && c.now >= conn.lastActive+c.limits.DrainIdle {
 			idleConns = append(idleConns, conn)
 		}
 	}
 	for _, conn := range idleConns {
-		c.closeCaller(conn)
+		c.closeCallerConn(conn)
 	}
 	c.setTimer(c.now+c.limits.DrainCheckInterval, Token{kind: tokenDrainCheck, number: drainChange})
 }
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -17,25 +17,25 @@
 		return
 	}
 	c.handingOver, c.stopping = true, true
-	for _, conn := range c.callerOrder {
-		c.stopReading(conn)
+	for _, conn := range c.callerConnOrder {
+		c.stopReadingConn(conn)
 	}
 	c.setTimer(c.now+c.limits.HandOverGrace, Token{kind: tokenStopGrace})
 	c.setTimer(c.now+c.limits.MaxStopWait, Token{kind: tokenMaxStopWait})
 }
 
-// stopReading begins the transfer of a connection: the connection is read no further. Only transient connections whose input is
+// stopReadingConn begins the transfer of a connection: the connection is read no further. Only transient connections whose input is
 // not malformed are transferred.
-func (c *Core) stopReading(conn *callerConn) {
+func (c *Core) stopReadingConn(conn *callerConn) {
 	if c.limits.Transient[conn.protocol] && !conn.malformed {
 		c.emit(StopReading{To: conn.id})
 	}
 }
 
-// transferCaller passes a connection that is read no further to the successor, with the ids of its open set-ups and, up to
+// transferCallerConn passes a connection that is read no further to the successor, with the ids of its open set-ups and, up to
 // MaxTransferredCalls in all, of its established calls.
-func (c *Core) transferCaller(id ConnID) {
-	conn := c.callers[id]
+func (c *Core) transferCallerConn(id ConnID) {
+	conn := c.callerConns[id]
 	if conn == nil {
 		return
 	}
@@ -58,7 +58,7 @@
 
 // transfersPending says whether a connection of a caller still has to be transferred, or its transfer is not confirmed yet.
 func (c *Core) transfersPending() bool {
-	return c.handingOver && slices.ContainsFunc(c.callerOrder, func(conn *callerConn) bool {
+	return c.handingOver && slices.ContainsFunc(c.callerConnOrder, func(conn *callerConn) bool {
 		return (!conn.transferred || conn.transferUnconfirmed) && !conn.transferFailed && !conn.malformed && c.limits.Transient[conn.protocol]
 	})
 }
--- a/internal/core/ops_test.go
+++ b/internal/core/ops_test.go
@@ -22,23 +22,23 @@
 	h.enableDrains()
 	h.step(CallerUp{Conn: 2, Protocol: "f"})
 	h.step(CallerUp{Conn: 3, Protocol: "m"}) // connections of a protocol that is not transient stay
-	h.want(h.setUp(7, 5*time.Second), "offer7@10 ")
-	h.want(h.step(ServerAnswer{Server: "a", ID: 7}), "answered7@1 ")
-	h.want(h.step(Drain{On: true}), "")
-	h.want(h.advance(300*ms), "")
-	h.want(h.setUp(8, 5*time.Second), "offer8@10 ") // until the front end notices the drain, its set-ups are served
-	h.want(h.step(Drain{On: true}), "")
-	h.want(h.step(ServerAnswer{Server: "a", ID: 8}), "answered8@1 ")
-	h.want(h.advance(210*ms), "close@2 ")
-	h.want(h.advance(time.Second), "")
-	h.want(h.setUp(9, 5*time.Second), "rejected9@1 ")
-	h.want(h.step(ServerEnd{Server: "a", ID: 8, Reason: ReasonNormal}), "released8@1 ")
-	h.want(h.advance(time.Second), "")
-	h.want(h.step(ServerEnd{Server: "a", ID: 7, Reason: ReasonNormal}), "released7@1 ")
-	h.want(h.advance(50*ms), "close@1 ")
+	h.wantEffects(h.setUp(7, 5*time.Second), "offer7@10 ")
+	h.wantEffects(h.step(ServerAnswer{Server: "a", ID: 7}), "answered7@1 ")
+	h.wantEffects(h.step(Drain{On: true}), "")
+	h.wantEffects(h.advance(300*ms), "")
+	h.wantEffects(h.setUp(8, 5*time.Second), "offer8@10 ") // until the front end notices the drain, its set-ups are served
+	h.wantEffects(h.step(Drain{On: true}), "")
+	h.wantEffects(h.step(ServerAnswer{Server: "a", ID: 8}), "answered8@1 ")
+	h.wantEffects(h.advance(210*ms), "close@2 ")
+	h.wantEffects(h.advance(time.Second), "")
+	h.wantEffects(h.setUp(9, 5*time.Second), "rejected9@1 ")
+	h.wantEffects(h.step(ServerEnd{Server: "a", ID: 8, Reason: ReasonNormal}), "released8@1 ")
+	h.wantEffects(h.advance(time.Second), "")
+	h.wantEffects(h.step(ServerEnd{Server: "a", ID: 7, Reason: ReasonNormal}), "released7@1 ")
+	h.wantEffects(h.advance(50*ms), "close@1 ")
 	h.step(Drain{})
 	h.step(CallerUp{Conn: 4, Protocol: "f"})
-	h.want(h.advance(time.Minute), "")
+	h.wantEffects(h.advance(time.Minute), "")
 	if stats := h.core.Stats(h.now); !stats.Ready || stats.Draining {
 		t.Errorf("stats after the drain: %+v", stats)
 	}
@@ -52,10 +52,10 @@
 	h.setUp(7, 5*time.Second)
 	h.step(ServerAnswer{Server: "a", ID: 7})
 	h.step(CallerDown{Conn: 1})
-	h.want(h.step(CallerUp{Conn: 2, Protocol: "f"}), "")
-	h.want(h.step(ServerEnd{Server: "a", ID: 7, Reason: ReasonNormal}), "")
-	h.want(h.step(CallerUp{Conn: 3, Protocol: "f"}), "")
-	h.want(h.step(SetUp{ID: 8, From: 3, Cell: 0, TimeLeft: 5 * time.Second, At: h.now}), "released7@3 offer8@10 ")
+	h.wantEffects(h.step(CallerUp{Conn: 2, Protocol: "f"}), "")
+	h.wantEffects(h.step(ServerEnd{Server: "a", ID: 7, Reason: ReasonNormal}), "")
+	h.wantEffects(h.step(CallerUp{Conn: 3, Protocol: "f"}), "")
+	h.wantEffects(h.step(SetUp{ID: 8, From: 3, Cell: 0, TimeLeft: 5 * time.Second, At: h.now}), "released7@3 offer8@10 ")
 }
 
 // The counters count each set-up once, by its class and final answer. The counters of a class that a new configuration drops are kept.
@@ -79,7 +79,7 @@
 	}
 	h.step(Misconfigured{})
 	h.step(Configured{Settings: elmseam.Settings{Classes: make([]elmseam.Class, 2), MaxAttempts: 1, OwnCell: -1}, Limits: h.core.limits})
-	h.list(elmseam.PhaseDraining, elmseam.PhaseGone)
+	h.sendServerList(elmseam.PhaseDraining, elmseam.PhaseGone)
 	stats = h.core.Stats(h.now)
 	if len(stats.Classes) != 2 || stats.Classes[0].Answered != 1 || stats.ConfigsLoaded != 1 || stats.ConfigsInvalid != 1 {
 		t.Errorf("stats after new settings %+v, want the counters of both classes and of both configurations", stats)
@@ -96,22 +96,22 @@
 	h := newHarness(t)
 	h.enableDrains()
 	h.step(Predecessor{Present: true})
-	h.want(h.step(CallerUp{Conn: 5, Protocol: "f", Used: true, Open: []ID{1, 2, 3}, Established: []ID{4, 5}}), "")
+	h.wantEffects(h.step(CallerUp{Conn: 5, Protocol: "f", Used: true, Open: []ID{1, 2, 3}, Established: []ID{4, 5}}), "")
 	relay := func(e Effect) string { return h.step(Relayed{Protocol: "f", Conn: 5, Effect: e}) }
-	h.want(relay(Answered{ID: 1}), "answered1@5 ")
-	h.want(relay(Answered{ID: 1}), "")
-	h.want(relay(Rejected{ID: 1}), "")
-	h.want(relay(Released{ID: 1}), "released1@5 ")
-	h.want(relay(Released{ID: 1}), "")
-	h.want(h.step(SetUp{ID: 2, From: 5, TimeLeft: time.Second, At: h.now}), "rejected2@5 ") // the id belongs to an open set-up of the predecessor
-	h.want(h.step(CallerEnd{ID: 3, From: 5}), "to-predecessor ")
-	h.want(relay(Rejected{ID: 3}), "")
-	h.want(relay(Released{ID: 3}), "") // crossed the give-up of the caller, who expects no release
-	h.want(h.step(ServerEnd{Server: "a", ID: 4, Reason: ReasonNormal}), "to-predecessor ")
-	h.want(h.step(Predecessor{}), "rejected2@5 ")
-	h.want(h.step(ServerEnd{Server: "a", ID: 5, Reason: ReasonNormal}), "released5@5 ")
+	h.wantEffects(relay(Answered{ID: 1}), "answered1@5 ")
+	h.wantEffects(relay(Answered{ID: 1}), "")
+	h.wantEffects(relay(Rejected{ID: 1}), "")
+	h.wantEffects(relay(Released{ID: 1}), "released1@5 ")
+	h.wantEffects(relay(Released{ID: 1}), "")
+	h.wantEffects(h.step(SetUp{ID: 2, From: 5, TimeLeft: time.Second, At: h.now}), "rejected2@5 ") // the id belongs to an open set-up of the predecessor
+	h.wantEffects(h.step(CallerEnd{ID: 3, From: 5}), "to-predecessor ")
+	h.wantEffects(relay(Rejected{ID: 3}), "")
+	h.wantEffects(relay(Released{ID: 3}), "") // crossed the give-up of the caller, who expects no release
+	h.wantEffects(h.step(ServerEnd{Server: "a", ID: 4, Reason: ReasonNormal}), "to-predecessor ")
+	h.wantEffects(h.step(Predecessor{}), "rejected2@5 ")
+	h.wantEffects(h.step(ServerEnd{Server: "a", ID: 5, Reason: ReasonNormal}), "released5@5 ")
 	h.step(EndedCalls{IDs: []ID{9}})
-	h.want(h.step(ServerEnd{Server: "a", ID: 9, Reason: ReasonNormal}), "")
+	h.wantEffects(h.step(ServerEnd{Server: "a", ID: 9, Reason: ReasonNormal}), "")
 }
 
 // A predecessor stops only when every connection is transferred and nothing is pending. A transfer names the open set-ups and the
@@ -124,19 +124,19 @@
 	h.step(ServerAnswer{Server: "a", ID: 1})
 	h.setUp(2, 5*time.Second)
 	h.step(CallerUp{Conn: 2, Protocol: "f"})
-	h.want(h.step(HandOver{}), "stopreading@1 stopreading@2 ")
-	h.want(h.step(HandOver{}), "")
-	h.want(h.step(CallerUp{Conn: 3, Protocol: "f"}), "stopreading@3 ") // accepted before the hand-over began
-	h.want(h.step(ReadingStopped{Conn: 1}), "transfer@1[2][1] ")
-	h.want(h.step(ReadingStopped{Conn: 2})+h.step(Transferred{Conn: 2}), "transfer@2[][] ")
-	h.want(h.step(ServerAnswer{Server: "a", ID: 2}), "answered2@1 ")
-	h.want(h.advance(time.Second), "")
-	h.want(h.step(ServerEnd{Server: "a", ID: 2, Reason: ReasonNormal}), "released2@1 ")
+	h.wantEffects(h.step(HandOver{}), "stopreading@1 stopreading@2 ")
+	h.wantEffects(h.step(HandOver{}), "")
+	h.wantEffects(h.step(CallerUp{Conn: 3, Protocol: "f"}), "stopreading@3 ") // accepted before the hand-over began
+	h.wantEffects(h.step(ReadingStopped{Conn: 1}), "transfer@1[2][1] ")
+	h.wantEffects(h.step(ReadingStopped{Conn: 2})+h.step(Transferred{Conn: 2}), "transfer@2[][] ")
+	h.wantEffects(h.step(ServerAnswer{Server: "a", ID: 2}), "answered2@1 ")
+	h.wantEffects(h.advance(time.Second), "")
+	h.wantEffects(h.step(ServerEnd{Server: "a", ID: 2, Reason: ReasonNormal}), "released2@1 ")
 	h.step(CallerDown{Conn: 1})
-	h.want(h.step(ServerEnd{Server: "a", ID: 1, Reason: ReasonNormal}), "to-successor ")
-	h.want(h.step(ReadingStopped{Conn: 3}), "transfer@3[][] ")
-	h.want(h.advance(100*ms), "") // the transfer is not confirmed yet
-	h.want(h.step(Transferred{Conn: 3}), "stopped ")
+	h.wantEffects(h.step(ServerEnd{Server: "a", ID: 1, Reason: ReasonNormal}), "to-successor ")
+	h.wantEffects(h.step(ReadingStopped{Conn: 3}), "transfer@3[][] ")
+	h.wantEffects(h.advance(100*ms), "") // the transfer is not confirmed yet
+	h.wantEffects(h.step(Transferred{Conn: 3}), "stopped ")
 }
 
 // A caller releases its call while the server has no connection. The release goes out on the next connection, which is dialled
@@ -147,12 +147,12 @@
 	h.core.limits.MaxPendingReleases = 8
 	h.setUp(7, 5*time.Second)
 	h.step(ServerAnswer{Server: "a", ID: 7})
-	h.list(elmseam.PhaseDraining, elmseam.PhaseReady)
+	h.sendServerList(elmseam.PhaseDraining, elmseam.PhaseReady)
 	h.step(ServerDown{Server: "a", Conn: 10})
-	h.want(h.step(CallerEnd{ID: 7, From: 1}), "")
+	h.wantEffects(h.step(CallerEnd{ID: 7, From: 1}), "")
 	h.advance(time.Second)
-	h.want(h.step(ServerUp{Server: "a", Address: "a:1", Conn: 12}), "end7@12 ")
-	h.want(h.step(ServerEnd{Server: "a", ID: 7, Reason: ReasonNormal}), "") // crossed the release of the caller: not passed on
+	h.wantEffects(h.step(ServerUp{Server: "a", Address: "a:1", Conn: 12}), "end7@12 ")
+	h.wantEffects(h.step(ServerEnd{Server: "a", ID: 7, Reason: ReasonNormal}), "") // crossed the release of the caller: not passed on
 	if retained := h.core.Retained(); retained != (Retained{}) {
 		t.Errorf("%+v is kept", retained)
 	}
--- a/internal/core/probe.go
+++ b/internal/core/probe.go
@@ -115,7 +115,7 @@
 		c.emit(GracefulClose{To: conn.id})
 	}
 	if c.wantedConnCount(s) > 0 {
-		c.dialAhead(s)
+		c.dialServerAhead(s)
 	}
 }
 
--- a/internal/core/random_test.go
+++ b/internal/core/random_test.go
@@ -22,7 +22,7 @@
 	rng := rand.New(rand.NewPCG(7, 7))
 	h := newHarnessWith(t, settings)
 	h.core.limits.MaxCallBytes = 1 << 20
-	type model struct {
+	type callModel struct {
 		server       string // server with an outstanding attempt; empty: none
 		ending       bool   // the End of the attempt is not written yet
 		attempts     int
@@ -32,7 +32,7 @@
 		established  string // server on which the call was established; empty: none
 		released     bool
 	}
-	calls := make(map[ID]*model)
+	calls := make(map[ID]*callModel)
 	ids := []ID{}
 	connServer := map[ConnID]string{10: "a", 11: "b"}
 	serverConnID := map[string]ConnID{"a": 10, "b": 11}
@@ -50,9 +50,9 @@
 	loseConn := func(name string) { // ends a connection to a server and the attempts on it
 		delete(connServer, serverConnID[name])
 		delete(serverConnID, name)
-		for _, m := range calls {
-			if m.server == name {
-				m.server, m.ending, m.badEndAt = "", false, h.now
+		for _, modelled := range calls {
+			if modelled.server == name {
+				modelled.server, modelled.ending, modelled.badEndAt = "", false, h.now
 			}
 		}
 	}
@@ -68,23 +68,23 @@
 					loseConn(name)
 				}
 			case Offer:
-				m, name := calls[e.ID], connServer[e.To]
+				modelled, name := calls[e.ID], connServer[e.To]
 				switch {
 				case name == "":
 					failCall(e.ID, "offered on a connection that has ended")
-				case m.server != "":
+				case modelled.server != "":
 					failCall(e.ID, "second attempt while one is outstanding")
 				case phases[name] != elmseam.PhaseReady:
 					failCall(e.ID, "sent to a server that drains or is gone")
-				case m.badEndAt != 0 && h.now < m.badEndAt+h.core.releaseGuard:
+				case modelled.badEndAt != 0 && h.now < modelled.badEndAt+h.core.releaseGuard:
 					failCall(e.ID, "sent within the release guard")
-				case m.finalAnswers > 0 || m.callerGone:
+				case modelled.finalAnswers > 0 || modelled.callerGone:
 					failCall(e.ID, "sent after its final answer or give-up")
 				}
-				if m.server = name; m.attempts == settings.MaxAttempts {
+				if modelled.server = name; modelled.attempts == settings.MaxAttempts {
 					failCall(e.ID, "more attempts than permitted")
 				}
-				m.attempts++
+				modelled.attempts++
 			case Probe:
 				name := connServer[e.To]
 				if !h.core.limits.Probe.Permitted || name == "" || phases[name] != elmseam.PhaseReady {
@@ -95,38 +95,38 @@
 				}
 			case GracefulClose:
 				if name, known := connServer[e.To]; known { // replaced, as no attempt is outstanding on it
-					for id, m := range calls {
-						if m.server == name {
+					for id, modelled := range calls {
+						if modelled.server == name {
 							failCall(id, "its connection is closed as one without an outstanding attempt")
 						}
 					}
 					loseConn(name)
 				}
 			case End:
-				if m, name := calls[e.ID], connServer[e.To]; m != nil && name != "" && m.server == name {
-					if m.ending = true; e.Notify {
+				if modelled, name := calls[e.ID], connServer[e.To]; modelled != nil && name != "" && modelled.server == name {
+					if modelled.ending = true; e.Notify {
 						unwrittenEnds = append(unwrittenEnds, serverCall{name, e.ID})
 					} else {
-						m.server, m.ending = "", false
+						modelled.server, modelled.ending = "", false
 					}
 				}
 			case Answered:
-				m := calls[e.ID]
-				if m.finalAnswers++; m.established == "" || m.finalAnswers > 1 {
+				modelled := calls[e.ID]
+				if modelled.finalAnswers++; modelled.established == "" || modelled.finalAnswers > 1 {
 					failCall(e.ID, "answered twice, or without an answer of a server")
 				}
 			case Rejected:
-				m := calls[e.ID]
-				if m.finalAnswers++; m.finalAnswers > 1 || m.callerGone {
+				modelled := calls[e.ID]
+				if modelled.finalAnswers++; modelled.finalAnswers > 1 || modelled.callerGone {
 					failCall(e.ID, "refused after its final answer or give-up")
 				}
 			case ForgetCall:
 				calls[e.ID].callerGone = true
 			case Released:
-				if m := calls[e.ID]; m != nil && (m.established == "" || m.released) {
+				if modelled := calls[e.ID]; modelled != nil && (modelled.established == "" || modelled.released) {
 					failCall(e.ID, "released twice, or without having been established")
-				} else if m != nil {
-					m.released = true
+				} else if modelled != nil {
+					modelled.released = true
 				}
 			case Violation:
 				failCall(e.ID, e.Rule)
@@ -150,7 +150,7 @@
 		if len(ids) > 0 {
 			id = ids[max(0, len(ids)-1-rng.IntN(30))]
 		}
-		m := calls[id]
+		modelled := calls[id]
 		switch rng.IntN(26) {
 		case 24:
 			step(ServerSilent{Server: name, Conn: serverConnID[name], SilentFor: time.Duration(rng.IntN(2000)) * ms})
@@ -161,31 +161,31 @@
 			}
 		case 0, 1, 2, 3, 4:
 			lastID++
-			calls[lastID] = &model{}
+			calls[lastID] = &callModel{}
 			ids = append(ids, lastID)
 			step(SetUp{ID: lastID, From: callerConnID, Class: rng.IntN(len(settings.Classes)), Tenant: []string{"", "x", "y", "z"}[rng.IntN(4)], Cell: rng.IntN(2), TimeLeft: time.Duration(50+rng.IntN(4000)) * ms, At: h.now})
 		case 5, 6, 7, 8, 9, 10, 11, 12: // a server answers an attempt
-			if m != nil && m.server != "" {
-				server := m.server
-				if !m.ending {
-					m.server, m.established = "", server
+			if modelled != nil && modelled.server != "" {
+				server := modelled.server
+				if !modelled.ending {
+					modelled.server, modelled.established = "", server
 					establishedCount++
 				}
 				step(ServerAnswer{Server: server, Conn: serverConnID[server], ID: id})
 			}
 		case 13:
-			if m != nil && m.server != "" && !m.ending {
-				server := m.server
-				m.server = ""
+			if modelled != nil && modelled.server != "" && !modelled.ending {
+				server := modelled.server
+				modelled.server = ""
 				step(ServerEnd{Server: server, Conn: serverConnID[server], ID: id, Reason: []Reason{ReasonFull, ReasonBusy, ReasonUnsent}[rng.IntN(3)]})
 			}
 		case 14, 15:
-			if m != nil && m.established != "" && !m.released && serverConnID[m.established] != 0 {
-				step(ServerEnd{Server: m.established, Conn: serverConnID[m.established], ID: id, Reason: ReasonNormal})
+			if modelled != nil && modelled.established != "" && !modelled.released && serverConnID[modelled.established] != 0 {
+				step(ServerEnd{Server: modelled.established, Conn: serverConnID[modelled.established], ID: id, Reason: ReasonNormal})
 			}
 		case 16:
-			if m != nil && !m.callerGone && !m.released {
-				m.callerGone, m.released = m.established == "", m.established != ""
+			if modelled != nil && !modelled.callerGone && !modelled.released {
+				modelled.callerGone, modelled.released = modelled.established == "", modelled.established != ""
 				step(CallerEnd{ID: id, From: callerConnID})
 			}
 		case 17:
@@ -214,8 +214,8 @@
 			if len(unwrittenEnds) > 0 {
 				end := unwrittenEnds[0]
 				unwrittenEnds = unwrittenEnds[1:]
-				if m := calls[end.id]; m.server == end.server && m.ending {
-					m.server, m.ending, m.badEndAt = "", false, h.now
+				if modelled := calls[end.id]; modelled.server == end.server && modelled.ending {
+					modelled.server, modelled.ending, modelled.badEndAt = "", false, h.now
 				}
 				step(EndWritten{Server: end.server, ID: end.id})
 			}
@@ -236,8 +236,8 @@
 		}
 		h.timers = nil
 	}
-	for id, m := range calls {
-		if m.finalAnswers == 0 && !m.callerGone && m.established == "" {
+	for id, modelled := range calls {
+		if modelled.finalAnswers == 0 && !modelled.callerGone && modelled.established == "" {
 			failCall(id, "no final answer")
 		}
 	}
--- a/internal/core/servermsgs.go
+++ b/internal/core/servermsgs.go
@@ -11,10 +11,10 @@
 	Server
 	id               elmseam.ServerID // the controller's id of the server
 	conns            []*serverConn
-	dialing          bool          // a Dial effect was given and its result has not come
+	dialPending      bool          // a Dial effect was given and its result has not come
 	redialDelay      time.Duration // wait before the last redial
 	unreachableSince Time          // when the last connection ended or could not be made; 0: not known to be unreachable
-	paused           bool          // its own signalling takes no new work
+	signallingPaused bool          // its own signalling takes no new work
 	listSource       string        // source of the list entry
 	effectivePhase   elmseam.Phase // phase reported to the controller: that of the list, lowered by routes, pauses and drain reports
 	established      map[ID]*call  // calls established on the server
@@ -61,7 +61,7 @@
 		return
 	case call.attempt.phase != attemptSent && c.guardEnabled(GuardSingleAnswer):
 		return // the attempt's End is being written
-	case (call.orphaned || call.callerGone || call.answered) && c.guardEnabled(GuardSingleAnswer) || c.now > call.deadline+c.limits.AnswerMargin:
+	case (call.callerConnLost || call.callerGone || call.answered) && c.guardEnabled(GuardSingleAnswer) || c.now > call.deadline+c.limits.AnswerMargin:
 		c.giveUpAttempt(call, elmseam.CauseCancelled)
 		return
 	}
@@ -74,7 +74,7 @@
 	call.SetUp.Desc = nil
 	s.established[call.ID] = call
 	c.openSetUps--
-	if conn := c.callers[call.From]; conn != nil {
+	if conn := c.callerConns[call.From]; conn != nil {
 		conn.hadEstablished, conn.lastActive = true, c.now
 	}
 	c.emit(Answered{To: call.From, ID: call.ID, Desc: ev.Desc})
@@ -82,7 +82,7 @@
 	c.notifyController(elmseam.Established{Call: call.controllerID, Server: s.id, SetUpTime: setUpTime})
 	c.forwardLoadReport(s, ev.Report)
 	c.closeUnusableConns(s)
-	c.pruneCallers()
+	c.pruneCallerConns()
 }
 
 // handleServerEnd handles a server's refusal of a set-up or its release of an established call.
@@ -140,7 +140,7 @@
 	}
 	c.closeUnusableConns(s)
 	if c.wantedConnCount(s) > 0 { // on a new connection the server can also repeat lost releases of established calls
-		c.dialAhead(s)
+		c.dialServerAhead(s)
 	}
 }
 
@@ -155,13 +155,13 @@
 		return
 	}
 	c.rememberEnded(ev.ID)
-	if conn := c.callers[c.predecessorCalls[ev.ID]]; conn != nil {
+	if conn := c.callerConns[c.predecessorCalls[ev.ID]]; conn != nil {
 		delete(c.predecessorCalls, ev.ID)
 		c.sendRelease(conn.protocol, conn.id, ev.ID, ev.Reason)
 		return
 	}
 	notified := make(map[Protocol]bool)
-	for _, conn := range c.callerOrder { // the protocol of the call is unknown: each one gets the release once
+	for _, conn := range c.callerConnOrder { // the protocol of the call is unknown: each one gets the release once
 		if !notified[conn.protocol] {
 			notified[conn.protocol] = true
 			c.sendRelease(conn.protocol, 0, ev.ID, ev.Reason)
--- a/internal/core/servers.go
+++ b/internal/core/servers.go
@@ -51,7 +51,7 @@
 		switch {
 		case s.effectivePhase == elmseam.PhaseReady && c.routeWithdrawn(s):
 			s.effectivePhase = elmseam.PhaseGone
-		case s.effectivePhase == elmseam.PhaseReady && (s.paused || s.drainReport.expiry > 0):
+		case s.effectivePhase == elmseam.PhaseReady && (s.signallingPaused || s.drainReport.expiry > 0):
 			s.effectivePhase = elmseam.PhaseDraining
 		}
 		entries = append(entries, elmseam.ListEntry{Server: s.id, Cell: s.Cell, Phase: s.effectivePhase, Started: s.Started})
@@ -64,7 +64,7 @@
 	c.reportColdServers()
 	for _, s := range changedServers {
 		if s.effectivePhase == elmseam.PhaseReady {
-			c.dialAhead(s)
+			c.dialServerAhead(s)
 			continue
 		}
 		for _, conn := range s.conns {
@@ -78,13 +78,13 @@
 		if s.Phase == elmseam.PhaseGone { // closing the connections ends the outstanding attempts
 			c.resetEstablishedCalls(s)
 			c.closeServerConns(s)
-			c.removeIfUnused(s)
+			c.removeServerIfUnused(s)
 		}
 	}
 }
 
-// removeIfUnused forgets a server that is gone and has neither calls nor attempts, and closes its connections.
-func (c *Core) removeIfUnused(s *server) {
+// removeServerIfUnused forgets a server that is gone and has neither calls nor attempts, and closes its connections.
+func (c *Core) removeServerIfUnused(s *server) {
 	if s.Phase != elmseam.PhaseGone || len(s.established)+len(s.outstanding) > 0 || c.servers[s.Name] != s {
 		return
 	}
@@ -189,20 +189,20 @@
 // dialServer asks for a connection to a server, unless a dial is under way, the server has connections enough, or MaxServerConns is reached
 // and no other connection can be closed. It returns whether a dial is under way.
 func (c *Core) dialServer(s *server) bool {
-	if s.dialing || s.usableConnCount() >= max(c.wantedConnCount(s), 1) {
-		return s.dialing
+	if s.dialPending || s.usableConnCount() >= max(c.wantedConnCount(s), 1) {
+		return s.dialPending
 	}
 	if c.limits.MaxServerConns > 0 && c.serverConnCount() >= c.limits.MaxServerConns && !c.evictServerConn(s) {
 		return false
 	}
-	s.dialing = true
+	s.dialPending = true
 	c.emit(Dial{Server: s.Name, Address: s.Address, Protocol: s.Protocol})
 	return true
 }
 
-// dialAhead asks for a connection before a set-up needs it, if no connection to another server has to be closed for it. A server
+// dialServerAhead asks for a connection before a set-up needs it, if no connection to another server has to be closed for it. A server
 // with established calls and no usable connection is dialled even if another connection has to be closed.
-func (c *Core) dialAhead(s *server) {
+func (c *Core) dialServerAhead(s *server) {
 	if c.limits.MaxServerConns == 0 || c.serverConnCount() < c.limits.MaxServerConns || len(s.established) > 0 && s.usableConnCount() == 0 {
 		c.dialServer(s)
 	}
@@ -211,7 +211,7 @@
 // serverConnCount returns the number of connections to all servers, dials under way included.
 func (c *Core) serverConnCount() (n int) {
 	for _, s := range c.serverOrder {
-		if n += len(s.conns); s.dialing {
+		if n += len(s.conns); s.dialPending {
 			n++
 		}
 	}
@@ -302,7 +302,7 @@
 	s.conns = nil
 	for _, conn := range conns {
 		c.emit(CloseConn{To: conn.id})
-		c.failAttempts(s, conn, elmseam.CauseReset)
+		c.endAttemptsOnConn(s, conn, elmseam.CauseReset)
 	}
 }
 
@@ -314,12 +314,12 @@
 		c.emit(CloseConn{To: ev.Conn})
 		return
 	}
-	s.dialing = false
+	s.dialPending = false
 	switch {
 	case s.Address != ev.Address: // the server has another address by now
 		c.emit(CloseConn{To: ev.Conn})
 		if c.wantedConnCount(s) > 0 {
-			c.dialAhead(s)
+			c.dialServerAhead(s)
 		}
 		return
 	case s.usableConnCount() >= c.wantedConnCount(s): // the connection comes late and is not needed any more
@@ -337,7 +337,7 @@
 			c.retryAttempt(call)
 		}
 	}
-	c.dialAhead(s)
+	c.dialServerAhead(s)
 }
 
 // handleServerDown handles the end of a connection to a server, or a dial that failed. The attempts outstanding on the connection end as
@@ -359,10 +359,10 @@
 		c.prober.ConnClosed(uint64(ev.Conn))
 		s.conns = slices.Delete(s.conns, i, i+1)
 	} else {
-		s.dialing = false
+		s.dialPending = false
 		if ev.Address != "" && ev.Address != s.Address { // a dial to a former address says nothing about the present one
 			if c.wantedConnCount(s) > 0 {
-				c.dialAhead(s)
+				c.dialServerAhead(s)
 			}
 			return
 		}
@@ -371,8 +371,8 @@
 		s.unreachableSince = c.now
 		c.setTimer(c.now+c.limits.ServerLostAfter, Token{kind: tokenServerLost, server: s.Name})
 	}
-	c.failAttempts(s, endedConn, cause)
-	if !s.dialing && !s.redialPending && s.usableConnCount() < c.wantedConnCount(s) {
+	c.endAttemptsOnConn(s, endedConn, cause)
+	if !s.dialPending && !s.redialPending && s.usableConnCount() < c.wantedConnCount(s) {
 		redialAt := c.now
 		if cause == elmseam.CauseUnreachable {
 			s.redialDelay = min(max(2*s.redialDelay, c.limits.InitialRedialDelay), c.limits.MaxRedialDelay)
@@ -381,12 +381,12 @@
 		s.redialPending = true
 		c.setTimer(redialAt, Token{kind: tokenRedial, server: s.Name})
 	}
-	c.removeIfUnused(s)
+	c.removeServerIfUnused(s)
 }
 
-// failAttempts ends the attempts at a server that are outstanding on a connection that has ended. If the server has no connection
+// endAttemptsOnConn ends the attempts at a server that are outstanding on a connection that has ended. If the server has no connection
 // left, the attempts that wait end too. An attempt that was given up keeps its cause; one that waits ends as not sent, not as reset.
-func (c *Core) failAttempts(s *server, endedConn *serverConn, cause elmseam.Cause) {
+func (c *Core) endAttemptsOnConn(s *server, endedConn *serverConn, cause elmseam.Cause) {
 	for _, call := range inArrivalOrder(s.outstanding) {
 		if call.attempt == nil || call.attempt.server != s {
 			continue
--- a/internal/core/servers_test.go
+++ b/internal/core/servers_test.go
@@ -16,31 +16,31 @@
 	h := newHarness(t)
 	h.recordDials = true
 	silent := ServerSilent{Server: "a", Conn: 10, SilentFor: time.Second}
-	h.want(h.step(silent), "")
-	h.want(h.setUp(1, 5*time.Second), "offer1@10 ")
+	h.wantEffects(h.step(silent), "")
+	h.wantEffects(h.setUp(1, 5*time.Second), "offer1@10 ")
 	h.advance(400 * ms)
-	h.want(h.step(silent), "")
-	h.want(h.step(ServerSilent{Server: "a", Conn: 99, SilentFor: time.Second}), "")
+	h.wantEffects(h.step(silent), "")
+	h.wantEffects(h.step(ServerSilent{Server: "a", Conn: 99, SilentFor: time.Second}), "")
 	h.advance(200 * ms)
-	h.want(h.step(silent), "closeconn@10 dial-a ")
-	h.want(h.step(ServerDown{Server: "a", Conn: 10}), "")
-	h.want(h.advance(201*ms), "offer1@11 ") // after the release guard
+	h.wantEffects(h.step(silent), "closeconn@10 dial-a ")
+	h.wantEffects(h.step(ServerDown{Server: "a", Conn: 10}), "")
+	h.wantEffects(h.advance(201*ms), "offer1@11 ") // after the release guard
 	h.step(ServerAnswer{Server: "b", Conn: 11, ID: 1})
-	h.want(h.step(ServerSilent{Server: "b", Conn: 11, SilentFor: time.Second}), "close@11 dial-b ")
-	h.want(h.step(ServerSilent{Server: "b", Conn: 11, SilentFor: time.Second}), "")
+	h.wantEffects(h.step(ServerSilent{Server: "b", Conn: 11, SilentFor: time.Second}), "close@11 dial-b ")
+	h.wantEffects(h.step(ServerSilent{Server: "b", Conn: 11, SilentFor: time.Second}), "")
 	h.step(ServerUp{Server: "b", Address: "b:1", Conn: 12})
-	h.want(h.step(ServerEnd{Server: "b", Conn: 12, ID: 1, Reason: ReasonNormal}), "released1@1 ")
-	h.want(h.step(ServerSilent{Server: "b", Conn: 12, SilentFor: time.Second}), "")
+	h.wantEffects(h.step(ServerEnd{Server: "b", Conn: 12, ID: 1, Reason: ReasonNormal}), "released1@1 ")
+	h.wantEffects(h.step(ServerSilent{Server: "b", Conn: 12, SilentFor: time.Second}), "")
 
 	// A set-up that the controller has given up counts as unanswered too. Otherwise each further set-up on a dead connection was
 	// lost too, and a tenth of all calls was refused: a simulation of silent connections and leaving servers gave 0.82 to 0.92
 	// instead of 0.996.
-	h.want(h.step(SetUp{ID: 2, From: 1, Cell: 1, TimeLeft: 5 * time.Second, At: h.now}), "offer2@12 ")
+	h.wantEffects(h.step(SetUp{ID: 2, From: 1, Cell: 1, TimeLeft: 5 * time.Second, At: h.now}), "offer2@12 ")
 	h.core.effects = nil
 	h.core.giveUpAttempt(h.core.calls[2], elmseam.CauseCancelled)
-	h.want(h.step(EndWritten{Server: "b", Conn: 12, ID: 2}), "")
-	h.want(h.advance(400*ms)+h.step(ServerSilent{Server: "b", Conn: 12, SilentFor: time.Second}), "")
-	h.want(h.advance(100*ms)+h.step(ServerSilent{Server: "b", Conn: 12, SilentFor: time.Second}), "close@12 dial-b ")
+	h.wantEffects(h.step(EndWritten{Server: "b", Conn: 12, ID: 2}), "")
+	h.wantEffects(h.advance(400*ms)+h.step(ServerSilent{Server: "b", Conn: 12, SilentFor: time.Second}), "")
+	h.wantEffects(h.advance(100*ms)+h.step(ServerSilent{Server: "b", Conn: 12, SilentFor: time.Second}), "close@12 dial-b ")
 }
 
 // Where the settings permit probes, a silent connection is probed before it is replaced, with one probe at a time and at a limited
@@ -65,33 +65,33 @@
 			t.Errorf("probe counters %s, want %s", got, want)
 		}
 	}
-	h.want(reportSilence("a", 10), "") // nothing is pending
+	h.wantEffects(reportSilence("a", 10), "") // nothing is pending
 	h.setUp(1, 9*time.Second)
-	h.want(reportSilence("a", 10), "") // an outstanding attempt makes the probe superfluous
+	h.wantEffects(reportSilence("a", 10), "") // an outstanding attempt makes the probe superfluous
 	h.step(ServerAnswer{Server: "a", Conn: 10, ID: 1})
-	h.want(reportSilence("a", 10)+reportSilence("a", 10), "probe1@10 ") // one at a time
-	h.want(answer("b", 11, 1)+answer("a", 10, 1)+answer("a", 10, 1)+h.advance(time.Second), "")
+	h.wantEffects(reportSilence("a", 10)+reportSilence("a", 10), "probe1@10 ") // one at a time
+	h.wantEffects(answer("b", 11, 1)+answer("a", 10, 1)+answer("a", 10, 1)+h.advance(time.Second), "")
 	wantCounters("{1 1 0 0 2}")
-	h.want(reportSilence("a", 10), "probe2@10 ")
-	h.want(h.advance(500*ms)+h.setUp(2, 9*time.Second), "offer2@10 ")
-	h.want(h.advance(500*ms), "closeconn@10 dial-a ") // the probe has failed
-	h.want(h.step(ServerDown{Server: "a", Conn: 10})+h.advance(201*ms), "offer2@11 ")
-	h.want(answer("a", 10, 2), "")
+	h.wantEffects(reportSilence("a", 10), "probe2@10 ")
+	h.wantEffects(h.advance(500*ms)+h.setUp(2, 9*time.Second), "offer2@10 ")
+	h.wantEffects(h.advance(500*ms), "closeconn@10 dial-a ") // the probe has failed
+	h.wantEffects(h.step(ServerDown{Server: "a", Conn: 10})+h.advance(201*ms), "offer2@11 ")
+	h.wantEffects(answer("a", 10, 2), "")
 	wantCounters("{2 1 1 0 3}")
 	h.step(ServerAnswer{Server: "b", Conn: 11, ID: 2})
-	h.want(reportSilence("b", 11)+h.advance(time.Second), "probe3@11 close@11 dial-b ")
+	h.wantEffects(reportSilence("b", 11)+h.advance(time.Second), "probe3@11 close@11 dial-b ")
 	h.step(ServerUp{Server: "b", Address: "b:1", Conn: 12})
 	h.core.prober = probe.New(probe.Limits{Permitted: true, Rate: 0.01, Burst: 1, Timeout: time.Second})
-	h.want(reportSilence("b", 12), "probe1@12 ")
+	h.wantEffects(reportSilence("b", 12), "probe1@12 ")
 	h.step(ServerProbeAnswer{Server: "b", Conn: 12, ID: 1})
-	h.want(reportSilence("b", 12)+reportSilence("b", 12), "") // the rate limit permits no probe, and the connection stays
+	h.wantEffects(reportSilence("b", 12)+reportSilence("b", 12), "") // the rate limit permits no probe, and the connection stays
 	wantCounters("{1 1 0 2 0}")
 	h.advance(100 * time.Second)
-	h.list(elmseam.PhaseReady, elmseam.PhaseDraining)
-	h.want(reportSilence("b", 12), "close@12 dial-b ")
+	h.sendServerList(elmseam.PhaseReady, elmseam.PhaseDraining)
+	h.wantEffects(reportSilence("b", 12), "close@12 dial-b ")
 	h.step(ServerUp{Server: "b", Address: "b:1", Conn: 13})
-	h.list(elmseam.PhaseReady, elmseam.PhaseGone)
-	h.want(reportSilence("b", 13), "")
+	h.sendServerList(elmseam.PhaseReady, elmseam.PhaseGone)
+	h.wantEffects(reportSilence("b", 13), "")
 	wantCounters("{1 1 0 2 0}")
 }
 
@@ -102,14 +102,14 @@
 	h.core.limits.ConnsPerServer, h.core.limits.UnresponsiveAfter = map[Protocol]int{"": 2}, 100*ms
 	h.core.prober = probe.New(probe.Limits{Permitted: true, Rate: 1, Burst: 2, Timeout: 9 * time.Second})
 	h.step(ServerUp{Server: "a", Address: "a:1", Conn: 20})
-	h.want(h.setUp(1, 9*time.Second), "offer1@10 ")
+	h.wantEffects(h.setUp(1, 9*time.Second), "offer1@10 ")
 	h.step(ServerAnswer{Server: "a", Conn: 10, ID: 1})
 	h.advance(time.Second)
 	silent := ServerSilent{Server: "a", Conn: 20, SilentFor: time.Second}
-	h.want(h.step(silent), "probe1@20 ")
-	h.want(h.advance(101*ms)+h.setUp(2, 9*time.Second), "offer2@10 ") // without the probe: connection 20, which was used least recently
+	h.wantEffects(h.step(silent), "probe1@20 ")
+	h.wantEffects(h.advance(101*ms)+h.setUp(2, 9*time.Second), "offer2@10 ") // without the probe: connection 20, which was used least recently
 	h.step(ServerAnswer{Server: "a", Conn: 10, ID: 2})
-	h.want(h.advance(400*ms)+h.step(silent), "close@20 ")
+	h.wantEffects(h.advance(400*ms)+h.step(silent), "close@20 ")
 }
 
 // The tenant of a call is looked up by name when the call arrives, under the settings in force. An index from a protocol handler
--- a/internal/core/stop.go
+++ b/internal/core/stop.go
@@ -39,7 +39,7 @@
 func (c *Core) beginClosing() {
 	c.closing = true
 	c.stepMembership(membership.Leave{})
-	if !slices.ContainsFunc(c.callerOrder, func(conn *callerConn) bool { return !conn.transferred }) && c.handingOver || c.limits.StopLinger == 0 {
+	if !slices.ContainsFunc(c.callerConnOrder, func(conn *callerConn) bool { return !conn.transferred }) && c.handingOver || c.limits.StopLinger == 0 {
 		c.finishStop()
 		return
 	}
@@ -49,9 +49,9 @@
 
 // finishStop closes the connections of transient protocols that were not transferred, gracefully, and reports that the process can end.
 func (c *Core) finishStop() {
-	for _, conn := range slices.Clone(c.callerOrder) {
+	for _, conn := range slices.Clone(c.callerConnOrder) {
 		if c.limits.Transient[conn.protocol] && !conn.transferred {
-			c.closeCaller(conn)
+			c.closeCallerConn(conn)
 		}
 	}
 	for _, s := range c.serverOrder {
--- a/internal/core/tier_test.go
+++ b/internal/core/tier_test.go
@@ -76,7 +76,7 @@
 	if stage() != maintenance.StageDraining { // a call is established
 		t.Errorf("stage %v with an established call", stage())
 	}
-	h.want(h.step(ServerEnd{Server: "a", ID: 7, Reason: ReasonNormal}), "released7@1 ")
+	h.wantEffects(h.step(ServerEnd{Server: "a", ID: 7, Reason: ReasonNormal}), "released7@1 ")
 	if stage() != maintenance.StageReady {
 		t.Errorf("stage %v after the last call", stage())
 	}
@@ -130,9 +130,9 @@
 	h.advance(time.Second)
 	h.receiveObservation(sender, knowledge.Observation{DrainingSince: h.now})
 	h.advance(10 * ms)
-	h.list(elmseam.PhaseReady, elmseam.PhaseReady)
+	h.sendServerList(elmseam.PhaseReady, elmseam.PhaseReady)
 	wantOffered("own list newer than the report", true)
-	h.list(elmseam.PhaseDraining, elmseam.PhaseReady)
+	h.sendServerList(elmseam.PhaseDraining, elmseam.PhaseReady)
 	h.advance(time.Second)
 	h.receiveObservation(sender, knowledge.Observation{Rate: 100, HoldBackShare: 0, HoldBackShareAt: h.now})
 	wantOffered("reported hold-back share of 0, and a drain in the own list", false)
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -193,11 +193,11 @@
 	// HandOver begins to transfer the connections of callers to a successor that serves. The process ends when nothing is
 	// pending any more, or after MaxStopWait. A HandOver has no effect once the process has begun to close its connections.
 	HandOver struct{}
-	// ReadingStopped reports that a connection is no longer read, after a StopReading.
+	// ReadingStopped reports that the connection of a caller is no longer read, after a StopReading.
 	ReadingStopped struct{ Conn ConnID }
-	// Transferred reports that the successor has a connection.
+	// Transferred reports that the successor has the connection of a caller.
 	Transferred struct{ Conn ConnID }
-	// TransferFailed reports that a connection could not be transferred and is read again here.
+	// TransferFailed reports that the connection of a caller could not be transferred and is read again here.
 	TransferFailed struct{ Conn ConnID }
 	// Predecessor reports whether there is another process that owns calls whose callers are connected here. Transferring means
 	// that the predecessor has begun to transfer its connections of callers.
@@ -287,7 +287,7 @@
 		ID     ID
 		Notify bool // an EndWritten or a NotSent has to follow
 	}
-	// Withdraw takes back the offers of a connection of which no byte has been written.
+	// Withdraw takes back the offers on a connection to a server of which no byte has been written.
 	Withdraw struct{ To ConnID }
 	// Dial asks for a connection to a server. A ServerUp or a ServerDown follows.
 	Dial struct {
@@ -323,7 +323,7 @@
 		At    Time
 		Token Token
 	}
-	// Serving says whether new calls are welcome.
+	// Serving says whether new calls are welcome at this softswitch.
 	Serving struct{ On bool }
 	// ForgetCall says that a caller's call has ended, or never began, and that the caller gets no message about it.
 	ForgetCall struct {
@@ -382,24 +382,24 @@
 
 // The purposes of timers, each with what has happened when the timer fires.
 const (
-	tokenController     tokenKind = iota // a timer of the controller
-	tokenDeadline                        // the final answer of a call is due
-	tokenRebind                          // the caller has not sent a set-up again within RebindTimeout after its connection ended
-	tokenAttemptTimeout                  // an attempt has had no answer
-	tokenReleaseGuard                    // the release guard of a waiting attempt has ended
-	tokenRedial                          // a server may be dialled again
-	tokenServerLost                      // a server has been unreachable for ServerLostAfter
-	tokenStopGrace                       // the grace of a stop or a hand-over has ended
-	tokenDrainCheck                      // idle connections are closed during a drain
-	tokenMaxStopWait                     // a stop or a hand-over waits no longer for calls to end
-	tokenPruneCallers                    // pruneCallers runs again, as connections may have become older than NewConnGrace
-	tokenStopLinger                      // set-ups have been refused for StopLinger since the process began to close
-	tokenMembership                      // a timer of the membership reducer
-	tokenMaintenance                     // a timer of the maintenance reducer
-	tokenBudget                          // a timer of the budget reducer
-	tokenKnowledge                       // a timer of the knowledge reducer
-	tokenProbeTimeout                    // a probe has had no answer
-	tokenDrainReport                     // a drain reported by members expires
+	tokenController       tokenKind = iota // a timer of the controller
+	tokenDeadline                          // the final answer of a call is due
+	tokenRebind                            // the caller has not sent a set-up again within RebindTimeout after its connection ended
+	tokenAttemptTimeout                    // an attempt has had no answer
+	tokenReleaseGuard                      // the release guard of a waiting attempt has ended
+	tokenRedial                            // a server may be dialled again
+	tokenServerLost                        // a server has been unreachable for ServerLostAfter
+	tokenStopGrace                         // the grace of a stop or a hand-over has ended
+	tokenDrainCheck                        // idle connections are closed during a drain
+	tokenMaxStopWait                       // a stop or a hand-over waits no longer for calls to end
+	tokenPruneCallerConns                  // pruneCallerConns runs again, as connections may have become older than NewConnGrace
+	tokenStopLinger                        // set-ups have been refused for StopLinger since the process began to close
+	tokenMembership                        // a timer of the membership reducer
+	tokenMaintenance                       // a timer of the maintenance reducer
+	tokenBudget                            // a timer of the budget reducer
+	tokenKnowledge                         // a timer of the knowledge reducer
+	tokenProbeTimeout                      // a probe has had no answer
+	tokenDrainReport                       // a drain reported by members expires
 )
 
 // Limits are the times and sizes that the core keeps to.
--- a/load.go
+++ b/load.go
@@ -28,7 +28,7 @@
 // A newly started softswitch adopts the members' rates. Only minOfferedShare of an adopted rate counts in
 // its quotas of cold servers' budgets, as coldQuota leaves out the importedRateShare.
 func (c *Controller) ApplyTierReport(now Time, id ServerID, report TierReport) {
-	s := c.byID[id]
+	s := c.serversByID[id]
 	if s == nil {
 		return
 	}
@@ -150,7 +150,7 @@
 	if now < s.answerDelayAt+lifetime+answerDelayLifetimeFactor*s.answerDelay {
 		delay = s.answerDelay
 	}
-	for _, a := range s.pending {
+	for _, a := range s.pendingAttempts {
 		if !a.presumedLost {
 			return max(delay, now-a.sentAt-s.maxRoundTrip())
 		}
@@ -210,7 +210,7 @@
 func (c *Controller) windowFull(s *server, hasWindow bool, limitFactor float64) bool {
 	limit := c.retransmitIntervals(maxUnanswered * limitFactor)
 	count := 0
-	for _, a := range s.pending {
+	for _, a := range s.pendingAttempts {
 		if a.presumedLost {
 			continue
 		}
--- a/routing.go
+++ b/routing.go
@@ -9,7 +9,7 @@
 	if s.phase != PhaseReady || s.cell == c.settings.OwnCell && c.settings.OwnCell >= 0 {
 		return false
 	}
-	if call.transit && s.cell != call.cell {
+	if call.transit && s.cell != call.firstChoiceCell {
 		return false
 	}
 	if slices.Contains(call.triedServers, s) {
@@ -62,7 +62,7 @@
 	for _, s := range c.servers {
 		switch {
 		case !c.eligible(s, call) || !c.coldBudgetAllows(s) || !c.lineAvailable(s, call):
-		case s.cell == call.cell && firstChoice == nil &&
+		case s.cell == call.firstChoiceCell && firstChoice == nil &&
 			!(c.isHighWorth(call) && c.requestedHoldBack(s) > windowMinShare):
 			firstChoice = s
 		case c.divertBudgetAllows(s, call) && (leastLoaded == nil || c.lessLoaded(s, leastLoaded)):
@@ -85,7 +85,8 @@
 	if shareA, shareB := c.holdBackShare(a), c.holdBackShare(b); shareA != shareB {
 		return shareA < shareB
 	}
-	return float64(len(a.pending)+1)*c.maxLinesOrMean(b) < float64(len(b.pending)+1)*c.maxLinesOrMean(a)
+	return float64(len(a.pendingAttempts)+1)*c.maxLinesOrMean(b) <
+		float64(len(b.pendingAttempts)+1)*c.maxLinesOrMean(a)
 }
 
 // passesThinning returns whether a server's hold-back share lets a call pass. Where that share is between
@@ -120,5 +121,5 @@
 // isHighWorth returns whether a call is worth far more than a call of the class of least worth, or was
 // established before and cut. A call of low worth is neither.
 func (c *Controller) isHighWorth(call *callState) bool {
-	return !call.lowWorth && (call.interrupted || call.class.Worth > highWorthFactor*c.minWorth)
+	return !call.lowWorth && (call.interrupted || call.class.Worth > highWorthFactor*c.minClassWorth)
 }
--- a/servers.go
+++ b/servers.go
@@ -9,10 +9,10 @@
 
 // server is what this softswitch knows of a server.
 type server struct {
-	id      ServerID
-	cell    int   // cell number from the server list
-	phase   Phase // state from the server list
-	started Time  // start of the server's process; 0: long ago
+	id        ServerID
+	cell      int   // cell number from the server list
+	phase     Phase // state from the server list
+	startedAt Time  // start of the server's process; 0: long ago
 
 	reportedHoldBack float64 // hold-back share last reported, by the server or the tier; 1 after a block
 	ownHoldBack      float64 // hold-back share of the last report to this softswitch
@@ -28,10 +28,10 @@
 	lineTryBudget    bucket  // budget of set-ups for free lines that no own call has freed
 	thinningCredit   float64 // credit earned by set-ups at the admitted share; one that passes uses 1
 
-	minSetUpTime  time.Duration // shortest set-up time seen or told by the tier, taken for the round trip
-	answerDelay   time.Duration // set-up time of the last call beyond maxRoundTrip
-	answerDelayAt Time          // time of that call's answer
-	pending       []*attempt    // unanswered attempts, oldest first
+	minSetUpTime    time.Duration // shortest set-up time seen or told by the tier, taken for the round trip
+	answerDelay     time.Duration // set-up time of the last call beyond maxRoundTrip
+	answerDelayAt   Time          // time of that call's answer
+	pendingAttempts []*attempt    // unanswered attempts, oldest first
 
 	establishedCounter decayingCounter // calls of this softswitch that the server established
 	rateBeforeRestart  float64         // highest known rate of such calls before the last restart, per second
@@ -49,10 +49,10 @@
 
 // removedServer is what is remembered of a server that has left the list, as the server may come back.
 type removedServer struct {
-	id             ServerID
-	maxLines, rate float64       // server.maxLines and the last known rate in set-ups per second
-	minSetUpTime   time.Duration // server.minSetUpTime
-	removedAt      Time          // time at which the server was dropped
+	id                      ServerID
+	maxLines, lastKnownRate float64       // server.maxLines and the last known rate in set-ups per second
+	minSetUpTime            time.Duration // server.minSetUpTime
+	removedAt               Time          // time at which the server was dropped
 }
 
 // requestServerList asks for the server list where the list comes only on request.
@@ -78,9 +78,9 @@
 // do not accumulate, and remembers the last of them for a while.
 func (c *Controller) dropGoneServers() {
 	c.servers = slices.DeleteFunc(c.servers, func(s *server) bool {
-		drop := s.phase == PhaseGone && len(s.pending) == 0
+		drop := s.phase == PhaseGone && len(s.pendingAttempts) == 0
 		if drop {
-			delete(c.byID, s.id)
+			delete(c.serversByID, s.id)
 			c.removedServers = append(c.removedServers, removedServer{
 				s.id, s.maxLines, c.lastKnownRate(s), s.minSetUpTime, c.now,
 			})
@@ -106,7 +106,8 @@
 	s := &server{id: id, allottedRate: -1}
 	for _, old := range c.removedServers {
 		if old.id == id {
-			s.maxLines, s.rateBeforeRestart, s.minSetUpTime = old.maxLines, old.rate, old.minSetUpTime
+			s.maxLines, s.rateBeforeRestart, s.minSetUpTime =
+				old.maxLines, old.lastKnownRate, old.minSetUpTime
 		}
 	}
 	return s
@@ -114,18 +115,18 @@
 
 // applyListEntry updates a server from its list entry. A restarted server loses its reports and failures.
 func (c *Controller) applyListEntry(entry ListEntry) {
-	s := c.byID[entry.Server]
+	s := c.serversByID[entry.Server]
 	if s == nil {
 		s = c.newServer(entry.Server)
-		c.byID[entry.Server] = s
+		c.serversByID[entry.Server] = s
 		c.servers = append(c.servers, s)
-	} else if s.started != entry.Started {
+	} else if s.startedAt != entry.Started {
 		*s = server{
-			id: s.id, allottedRate: -1, pending: s.pending, minSetUpTime: s.minSetUpTime,
+			id: s.id, allottedRate: -1, pendingAttempts: s.pendingAttempts, minSetUpTime: s.minSetUpTime,
 			maxLines: s.maxLines, rateBeforeRestart: c.lastKnownRate(s),
 		}
 	}
-	s.cell, s.phase, s.started = entry.Cell, entry.Phase, entry.Started
+	s.cell, s.phase, s.startedAt = entry.Cell, entry.Phase, entry.Started
 	// Budgets accrue from now on: set-ups saved up since the server started would be sent at once.
 	if s.coldBudget.updatedAt == 0 {
 		s.coldBudget, s.divertBudget = bucket{c.rng.Float64(), c.now}, bucket{c.rng.Float64(), c.now}
--- a/tier.go
+++ b/tier.go
@@ -15,7 +15,7 @@
 // per second of a warm server. With a negative rate the softswitch uses the fraction of its own quota that
 // SetColdQuotaFraction has set.
 func (c *Controller) SetColdRate(id ServerID, rate float64) {
-	if s := c.byID[id]; s != nil {
+	if s := c.serversByID[id]; s != nil {
 		s.allottedRate = rate
 	}
 }
@@ -34,7 +34,7 @@
 // Observed returns what this softswitch has observed of a server itself until now, and whether the server is
 // known: it is listed or still has a pending attempt.
 func (c *Controller) Observed(id ServerID, now Time) (observation Observation, known bool) {
-	s := c.byID[id]
+	s := c.serversByID[id]
 	if s == nil {
 		return observation, false
 	}
@@ -43,7 +43,7 @@
 		FailureWeight: s.failureWeight, MinSetUpTime: s.minSetUpTime,
 	}
 	switch {
-	case s.started > 0 && now < s.started+c.settings.ColdRamp:
+	case s.startedAt > 0 && now < s.startedAt+c.settings.ColdRamp:
 		observation.Rate = s.rateBeforeRestart
 	case !c.newlyStarted(now) && c.currentImportedRateShare(now) < 0.5:
 		// A rate of which half or more comes from members, not from own calls, is not passed on.
@@ -93,17 +93,17 @@
 // ColdBudget returns the budget of a cold server, or false if the server is not listed, not ready or not cold
 // at the given time.
 func (c *Controller) ColdBudget(id ServerID, now Time) (ColdBudget, bool) {
-	s := c.byID[id]
-	if s == nil || s.phase != PhaseReady || s.started <= 0 || now >= s.started+c.settings.ColdRamp {
+	s := c.serversByID[id]
+	if s == nil || s.phase != PhaseReady || s.startedAt <= 0 || now >= s.startedAt+c.settings.ColdRamp {
 		return ColdBudget{}, false
 	}
-	return ColdBudget{s.started + c.settings.ColdRamp, c.coldQuota(s), c.coldRateMultiple(s, now)}, true
+	return ColdBudget{s.startedAt + c.settings.ColdRamp, c.coldQuota(s), c.coldRateMultiple(s, now)}, true
 }
 
 // Blocked returns whether a server gets no new set-ups now, except for trials and last resorts: it is not
 // listed or not ready, it is blocked, its load reports ask to hold back everything, or it has no free line.
 func (c *Controller) Blocked(id ServerID, now Time) bool {
-	s := c.byID[id]
+	s := c.serversByID[id]
 	return s == nil || s.phase != PhaseReady || s.blocked ||
 		s.reportedHoldBack >= 1 && now < s.holdBackExpiry || s.lineHoldBack >= 1
 }
