--- a/api.go
+++ b/api.go
@@ -51,8 +51,8 @@
 // RetryPolicy says when an attempt that may have run at a server can be retried.
 type RetryPolicy uint8
 
-// The retry policies, by when a retry is safe. The controller treats RetryGuarded like RetryNever, because
-// the settings do not say which server groups drop duplicates.
+// The retry policies, by when a retry is safe. As no setting says which groups drop duplicates,
+// the controller treats RetryGuarded like RetryNever.
 const (
 	RetryAlways  RetryPolicy = iota // always
 	RetryGuarded                    // only where the server group drops duplicates, within a window
--- a/constants.go
+++ b/constants.go
@@ -75,8 +75,8 @@
 	coldSaveTime     = 3.0  // retransmit intervals, save time of a cold server's budget
 	divertBurst      = 3.0  // diverted calls that may go to a server at once, and limit of the overdraft
 
-	// Thinning, which holds back a share of the set-ups to a server, and worth. Each set-up earns the server
-	// credit, and each one that passes uses 1 (see passesThinning).
+	// Worth, and thinning, which holds back a share of the set-ups to a server: each set-up earns credit, and
+	// one that passes uses 1 (see passesThinning).
 
 	maxCredit             = 3.0  // thinning credit, in set-ups, that a server may save up
 	lowWorthCredit        = 2.0  // thinning credit that a call of low worth needs to pass
--- a/internal/core/servers.go
+++ b/internal/core/servers.go
@@ -264,7 +264,7 @@
 	return best
 }
 
-// recordConnInput records that something has come on a connection: what went out before counts as answered.
+// recordConnInput records that something has come on a connection, which thus responds.
 func (s *server) recordConnInput(id ConnID) {
 	if conn := s.connByID(id); conn != nil {
 		conn.unansweredSince = 0
--- a/load.go
+++ b/load.go
@@ -224,8 +224,7 @@
 		)
 }
 
-// reportedIdle returns whether the last report on a server, at most answerDelayLifetime old, shows a low
-// load.
+// reportedIdle returns whether a report no older than answerDelayLifetime shows a low load of a server.
 func (c *Controller) reportedIdle(s *server) bool {
 	return s.reportedHoldBack < windowMinShare &&
 		c.now < s.holdBackExpiry-c.retransmitIntervals(reportLifetime-answerDelayLifetime)
