--- a/internal/core/callers.go
+++ b/internal/core/callers.go
@@ -25,46 +25,46 @@
 	protocol Protocol
 	id       ID
 	reason   Reason
-	at       Time // when the release was last put on the list; each flushReleases that finds no connection for it sets it again
+	queuedAt Time // when the release was last put on the list; each flushReleases that finds no connection for it sets it again
 }
 
-// callerUp handles a new connection of a caller.
-func (c *Core) callerUp(ev CallerUp) {
+// handleCallerUp handles a new connection of a caller.
+func (c *Core) handleCallerUp(ev CallerUp) {
 	conn := &callerConn{id: ev.Conn, protocol: ev.Protocol, lastActive: c.now}
-	c.callers[ev.Conn] = conn
-	c.callerOrder = append(c.callerOrder, conn)
+	c.callerConns[ev.Conn] = conn
+	c.callerConnOrder = append(c.callerConnOrder, conn)
 	c.adoptTransferred(conn, ev)
-	c.pruneCallers()
+	c.pruneCallerConns()
 	if c.acceptsReleases(conn) {
 		c.flushReleases()
 	}
 	if c.handingOver {
-		c.stopReading(conn)
+		c.stopReadingConn(conn)
 	}
 }
 
-// callerDown handles the end of the connection of a caller. The caller may send its open set-ups again on another connection within
+// handleCallerDown handles the end of the connection of a caller. The caller may send its open set-ups again on another connection within
 // RebindTimeout.
-func (c *Core) callerDown(id ConnID) {
-	c.forgetCaller(id)
+func (c *Core) handleCallerDown(id ConnID) {
+	c.forgetCallerConn(id)
 	c.forgetPredecessorCalls(id)
 	for _, call := range inArrivalOrder(c.calls) {
 		if call.From == id && call.server == nil && !call.answered {
-			call.orphaned = true
+			call.callerConnLost = true
 			c.setTimer(c.now+c.limits.RebindTimeout, Token{kind: tokenRebind, call: call.ID, controllerID: call.controllerID})
 		}
 	}
 }
 
-// callerEnd handles a caller that gives a set-up up or releases an established call, perhaps one from before a restart.
-func (c *Core) callerEnd(ev CallerEnd) {
+// handleCallerEnd handles a caller that gives a set-up up or releases an established call, perhaps one from before a restart.
+func (c *Core) handleCallerEnd(ev CallerEnd) {
 	call := c.calls[ev.ID]
-	if conn := c.callers[ev.From]; conn != nil {
-		c.markUsed(conn)
+	if conn := c.callerConns[ev.From]; conn != nil {
+		c.markCallerConnUsed(conn)
 	}
 	switch {
 	case call == nil:
-		_, known := c.ended[ev.ID]
+		_, known := c.endedCalls[ev.ID]
 		switch {
 		case known, ev.SetUpDiscarded: // the call has ended already, or was never offered to a server
 		case c.hasPredecessor:
@@ -81,13 +81,13 @@
 		call.callerGone = true
 		c.releaseAtServer(call.server, call.ID)
 		c.endEstablished(call, ReasonNormal, elmseam.Outcome{Cause: elmseam.CauseCancelled})
-	case ev.From == call.From || call.orphaned:
+	case ev.From == call.From || call.callerConnLost:
 		c.abandonSetUp(call)
 	} // any other end is ignored: its sender guessed the id of a set-up that is open on a different connection
 }
 
-// markUsed records that a caller uses its connection. At the first use, releases that waited for a connection go out.
-func (c *Core) markUsed(conn *callerConn) {
+// markCallerConnUsed records that a caller uses its connection. At the first use, releases that waited for a connection go out.
+func (c *Core) markCallerConnUsed(conn *callerConn) {
 	conn.lastActive = c.now
 	if !conn.used {
 		conn.used = true
@@ -101,26 +101,28 @@
 	return conn.used || !c.limits.Transient[conn.protocol]
 }
 
-// sendRelease tells a caller that an established call has ended, on the connection of the call or, if that is gone, on another of
-// the same protocol: preferably one that has had established calls, then the one active last. If there is none, the release goes to the
-// successor during a hand-over of transient connections, and otherwise waits for the next connection.
+// sendRelease tells a caller that an established call has ended, on the connection of the call or, if that is gone, on another of the same
+// protocol: preferably one that has had established calls, then the one active last.
+//
+// If there is none, the release goes to the successor during a hand-over of transient connections, and otherwise waits for the next
+// connection.
 func (c *Core) sendRelease(protocol Protocol, to ConnID, id ID, reason Reason) {
-	if c.callers[to] == nil {
-		var best *callerConn
-		for _, conn := range c.callerOrder {
-			if conn.protocol == protocol && c.acceptsReleases(conn) && (best == nil || conn.hadEstablished && !best.hadEstablished || conn.hadEstablished == best.hadEstablished && conn.lastActive >= best.lastActive) {
-				best = conn
+	if c.callerConns[to] == nil {
+		var bestConn *callerConn
+		for _, conn := range c.callerConnOrder {
+			if conn.protocol == protocol && c.acceptsReleases(conn) && (bestConn == nil || conn.hadEstablished && !bestConn.hadEstablished || conn.hadEstablished == bestConn.hadEstablished && conn.lastActive >= bestConn.lastActive) {
+				bestConn = conn
 			}
 		}
-		if best == nil && c.handingOver && c.limits.Transient[protocol] {
+		if bestConn == nil && c.handingOver && c.limits.Transient[protocol] {
 			c.emit(ToSuccessor{Protocol: protocol, Effect: Released{ID: id, Reason: reason}})
 			return
 		}
-		if best == nil {
+		if bestConn == nil {
 			c.pendingReleases = append(c.pendingReleases, &pendingRelease{protocol, id, reason, c.now})
 			return
 		}
-		to = best.id
+		to = bestConn.id
 	}
 	c.emit(Released{To: to, ID: id, Reason: reason})
 }
@@ -130,7 +132,7 @@
 	releases := c.pendingReleases
 	c.pendingReleases = nil
 	for _, release := range releases {
-		if release.at > c.now-c.limits.EndedCallTTL {
+		if release.queuedAt > c.now-c.limits.EndedCallTTL {
 			c.sendRelease(release.protocol, 0, release.id, release.reason)
 		} else {
 			c.emit(ForgetCall{Protocol: release.protocol, ID: release.id})
@@ -142,7 +144,7 @@
 func (c *Core) busyConns() map[ConnID]bool {
 	busy := make(map[ConnID]bool)
 	for _, call := range c.calls {
-		if !call.answered && !call.callerGone && !call.orphaned {
+		if !call.answered && !call.callerGone && !call.callerConnLost {
 			busy[call.From] = true
 		}
 	}
@@ -152,42 +154,42 @@
 	return busy
 }
 
-// pruneCallers closes connections of callers that have no open set-up: those from which nothing more can be read and, while there
+// pruneCallerConns closes connections of callers that have no open set-up: those from which nothing more can be read and, while there
 // are more than CallerConnsTarget, the best candidates for eviction. Where there is no candidate, the target is exceeded for a while.
-func (c *Core) pruneCallers() {
+func (c *Core) pruneCallerConns() {
 	target := c.limits.CallerConnsTarget
 	if c.sharesCallerLimit { // file descriptors are shared between both processes
 		target /= 2
 	}
-	if len(c.callerOrder) <= target && !slices.ContainsFunc(c.callerOrder, func(conn *callerConn) bool { return conn.malformed }) {
+	if len(c.callerConnOrder) <= target && !slices.ContainsFunc(c.callerConnOrder, func(conn *callerConn) bool { return conn.malformed }) {
 		return
 	}
-	busy := c.busyConns()
-	for _, conn := range slices.Clone(c.callerOrder) {
-		if conn.malformed && !busy[conn.id] {
-			c.closeCaller(conn)
+	busyConns := c.busyConns()
+	for _, conn := range slices.Clone(c.callerConnOrder) {
+		if conn.malformed && !busyConns[conn.id] {
+			c.closeCallerConn(conn)
 		}
 	}
-	for len(c.callerOrder) > target {
-		victim := c.evictionCandidate(busy)
+	for len(c.callerConnOrder) > target {
+		victim := c.evictionCandidate(busyConns)
 		if victim == nil {
 			if !c.pruneTimerSet && c.limits.NewConnGrace > 0 {
 				c.pruneTimerSet = true
-				c.setTimer(c.now+c.limits.NewConnGrace, Token{kind: tokenPruneCallers})
+				c.setTimer(c.now+c.limits.NewConnGrace, Token{kind: tokenPruneCallerConns})
 			}
 			return
 		}
-		c.closeCaller(victim)
+		c.closeCallerConn(victim)
 	}
 }
 
 // evictionCandidate returns the connection to close first: the oldest of the unused ones, or else the one that has been idle
 // longest. Connections in busy, transferred ones and the newest one are no candidates, nor is an unused one that is younger than
 // NewConnGrace, as its first set-up may be on its way. The result is nil if there is no candidate.
-func (c *Core) evictionCandidate(busy map[ConnID]bool) (victim *callerConn) {
-	for _, conn := range c.callerOrder[:max(len(c.callerOrder)-1, 0)] {
+func (c *Core) evictionCandidate(busyConns map[ConnID]bool) (victim *callerConn) {
+	for _, conn := range c.callerConnOrder[:max(len(c.callerConnOrder)-1, 0)] {
 		switch {
-		case busy[conn.id], conn.transferred, !conn.used && c.now < conn.lastActive+c.limits.NewConnGrace:
+		case busyConns[conn.id], conn.transferred, !conn.used && c.now < conn.lastActive+c.limits.NewConnGrace:
 		case victim == nil, victim.used && !conn.used, victim.used == conn.used && conn.lastActive < victim.lastActive:
 			victim = conn
 		}
@@ -195,14 +197,14 @@
 	return victim
 }
 
-// closeCaller closes the connection of a caller gracefully: what was written last can still be read.
-func (c *Core) closeCaller(conn *callerConn) {
-	c.forgetCaller(conn.id)
+// closeCallerConn closes the connection of a caller gracefully: what was written last can still be read.
+func (c *Core) closeCallerConn(conn *callerConn) {
+	c.forgetCallerConn(conn.id)
 	c.emit(GracefulClose{To: conn.id})
 }
 
-// forgetCaller removes a connection from the list of callers.
-func (c *Core) forgetCaller(id ConnID) {
-	delete(c.callers, id)
-	c.callerOrder = slices.DeleteFunc(c.callerOrder, func(conn *callerConn) bool { return conn.id == id })
+// forgetCallerConn removes a connection from the list of callers.
+func (c *Core) forgetCallerConn(id ConnID) {
+	delete(c.callerConns, id)
+	c.callerConnOrder = slices.DeleteFunc(c.callerConnOrder, func(conn *callerConn) bool { return conn.id == id })
 }
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -10,31 +10,32 @@
 // for their callers go through the successor. The successor records the set-ups that the predecessor has not answered yet, and
 // rejects them if the predecessor ends first.
 
-// handOver begins to transfer the connections of callers. The input of those that are transferred is read by the successor from then on.
-func (c *Core) handOver() {
+// beginHandOver begins to transfer the connections of callers. The input of those that are transferred is read by the successor from then
+// on.
+func (c *Core) beginHandOver() {
 	if c.handingOver || c.closing { // while closing, the connections are about to be closed, and a connection in transfer would be lost
 		return
 	}
 	c.handingOver, c.stopping = true, true
-	for _, conn := range c.callerOrder {
-		c.stopReading(conn)
+	for _, conn := range c.callerConnOrder {
+		c.stopReadingConn(conn)
 	}
 	c.setTimer(c.now+c.limits.HandOverGrace, Token{kind: tokenStopGrace})
 	c.setTimer(c.now+c.limits.MaxStopWait, Token{kind: tokenMaxStopWait})
 }
 
-// stopReading begins the transfer of a connection: the connection is read no further. Only transient connections whose input is
+// stopReadingConn begins the transfer of a connection: the connection is read no further. Only transient connections whose input is
 // not malformed are transferred.
-func (c *Core) stopReading(conn *callerConn) {
+func (c *Core) stopReadingConn(conn *callerConn) {
 	if c.limits.Transient[conn.protocol] && !conn.malformed {
 		c.emit(StopReading{To: conn.id})
 	}
 }
 
-// transfer passes a connection that is read no further to the successor, with the ids of its open set-ups and, up to
+// transferCallerConn passes a connection that is read no further to the successor, with the ids of its open set-ups and, up to
 // MaxTransferredCalls in all, of its established calls.
-func (c *Core) transfer(id ConnID) {
-	conn := c.callers[id]
+func (c *Core) transferCallerConn(id ConnID) {
+	conn := c.callerConns[id]
 	if conn == nil {
 		return
 	}
@@ -57,7 +58,7 @@
 
 // transfersPending says whether a connection of a caller still has to be transferred, or its transfer is not confirmed yet.
 func (c *Core) transfersPending() bool {
-	return c.handingOver && slices.ContainsFunc(c.callerOrder, func(conn *callerConn) bool {
+	return c.handingOver && slices.ContainsFunc(c.callerConnOrder, func(conn *callerConn) bool {
 		return (!conn.transferred || conn.transferUnconfirmed) && !conn.transferFailed && !conn.malformed && c.limits.Transient[conn.protocol]
 	})
 }
@@ -75,9 +76,9 @@
 	}
 }
 
-// predecessorChanged handles news that a predecessor owns calls whose callers are connected here, or that the predecessor has
-// ended. The set-ups that it left unanswered may have run at a server and are rejected as ReasonFailed.
-func (c *Core) predecessorChanged(ev Predecessor) {
+// handlePredecessor handles news that a predecessor owns calls whose callers are connected here, or that the predecessor has ended. The
+// set-ups that an ended predecessor left unanswered may have run at a server and are rejected as ReasonFailed.
+func (c *Core) handlePredecessor(ev Predecessor) {
 	c.hasPredecessor, c.sharesCallerLimit = ev.Present, ev.Present && !ev.Transferring
 	if ev.Present {
 		return
@@ -108,7 +109,7 @@
 			c.rememberEnded(effect.ID)
 		}
 	case Released:
-		if _, known := c.ended[effect.ID]; !known {
+		if _, known := c.endedCalls[effect.ID]; !known {
 			c.rememberEnded(effect.ID)
 			delete(c.predecessorCalls, effect.ID)
 			c.sendRelease(ev.Protocol, ev.Conn, effect.ID, effect.Reason)
@@ -125,7 +126,7 @@
 
 // RecentlyEnded returns the ids of ended calls that this process recorded last, oldest first and at most limit, for a successor.
 func (c *Core) RecentlyEnded(limit int) []ID {
-	latest := c.endedOrder[max(len(c.endedOrder)-limit, 0):]
+	latest := c.endedCallOrder[max(len(c.endedCallOrder)-limit, 0):]
 	ids := make([]ID, 0, len(latest))
 	for _, endedCall := range latest {
 		ids = append(ids, endedCall.id)
--- a/tier.go
+++ b/tier.go
@@ -15,7 +15,7 @@
 // per second of a warm server. With a negative rate the softswitch uses the fraction of its own quota that
 // SetColdQuotaFraction has set.
 func (c *Controller) SetColdRate(id ServerID, rate float64) {
-	if s := c.byID[id]; s != nil {
+	if s := c.serversByID[id]; s != nil {
 		s.allottedRate = rate
 	}
 }
@@ -34,20 +34,20 @@
 // Observed returns what this softswitch has observed of a server itself until now, and whether the server is
 // known: it is listed or still has a pending attempt.
 func (c *Controller) Observed(id ServerID, now Time) (observation Observation, known bool) {
-	s := c.byID[id]
+	s := c.serversByID[id]
 	if s == nil {
 		return observation, false
 	}
 	observation = Observation{
-		HoldBackShare: s.ownShare, HoldBackShareAt: s.ownShareAt, TotalLines: s.maxLines,
+		HoldBackShare: s.ownHoldBack, HoldBackShareAt: s.ownHoldBackAt, TotalLines: s.maxLines,
 		FailureWeight: s.failureWeight, MinSetUpTime: s.minSetUpTime,
 	}
 	switch {
-	case s.started > 0 && now < s.started+c.settings.ColdRamp:
+	case s.startedAt > 0 && now < s.startedAt+c.settings.ColdRamp:
 		observation.Rate = s.rateBeforeRestart
-	case !c.newlyStarted(now) && c.currentImportedShare(now) < 0.5:
-		// Rates of which members have reported half or more are not passed on.
-		observation.Rate = c.rateAt(s.established, now)
+	case !c.newlyStarted(now) && c.currentImportedRateShare(now) < 0.5:
+		// A rate of which half or more comes from members, not from own calls, is not passed on.
+		observation.Rate = c.rateAt(s.establishedCounter, now)
 	}
 	return observation, true
 }
@@ -63,24 +63,24 @@
 
 // ScaleRates multiplies the rates that this softswitch has counted by factor, after callers of other members
 // of the tier have moved here or back. Counting alone would show the change only after about
-// rateTimeConstant. Budgets of cold servers are not scaled (see coldQuota). A factor that is not positive
-// changes nothing.
+// rateTimeConstant. The quotas of cold servers' budgets are not scaled: coldQuota leaves out the
+// importedRateShare, which is adapted here. A factor that is not positive changes nothing.
 func (c *Controller) ScaleRates(now Time, factor float64) {
 	if !(factor > 0) || c.startedAt == 0 {
 		return
 	}
 	for _, s := range c.servers {
-		s.established.count *= factor
+		s.establishedCounter.count *= factor
 	}
-	c.established.count *= factor
-	c.offered.count *= factor
-	c.importedShare, c.importedShareAt = max(1-(1-c.currentImportedShare(now))/factor, 0), now
+	c.establishedCounter.count *= factor
+	c.offeredCounter.count *= factor
+	c.importedRateShare, c.importedRateShareAt = max(1-(1-c.currentImportedRateShare(now))/factor, 0), now
 }
 
-// currentImportedShare returns the share of the rates that does not come from calls of this softswitch. The
-// share decays like the counters behind the rates.
-func (c *Controller) currentImportedShare(now Time) float64 {
-	return c.importedShare * decayFactor((now - c.importedShareAt).Seconds())
+// currentImportedRateShare returns the share of the rates that does not come from calls of this softswitch.
+// The share decays like the counters behind the rates.
+func (c *Controller) currentImportedRateShare(now Time) float64 {
+	return c.importedRateShare * decayFactor((now - c.importedRateShareAt).Seconds())
 }
 
 // ColdBudget is this softswitch's budget of set-ups to a cold server.
@@ -93,19 +93,19 @@
 // ColdBudget returns the budget of a cold server, or false if the server is not listed, not ready or not cold
 // at the given time.
 func (c *Controller) ColdBudget(id ServerID, now Time) (ColdBudget, bool) {
-	s := c.byID[id]
-	if s == nil || s.phase != PhaseReady || s.started <= 0 || now >= s.started+c.settings.ColdRamp {
+	s := c.serversByID[id]
+	if s == nil || s.phase != PhaseReady || s.startedAt <= 0 || now >= s.startedAt+c.settings.ColdRamp {
 		return ColdBudget{}, false
 	}
-	return ColdBudget{s.started + c.settings.ColdRamp, c.coldQuota(s), c.coldRateMultiple(s, now)}, true
+	return ColdBudget{s.startedAt + c.settings.ColdRamp, c.coldQuota(s), c.coldRateMultiple(s, now)}, true
 }
 
 // Blocked returns whether a server gets no new set-ups now, except for trials and last resorts: it is not
 // listed or not ready, it is blocked, its load reports ask to hold back everything, or it has no free line.
 func (c *Controller) Blocked(id ServerID, now Time) bool {
-	s := c.byID[id]
+	s := c.serversByID[id]
 	return s == nil || s.phase != PhaseReady || s.blocked ||
-		s.reportedShare >= 1 && now < s.shareExpiry || s.lineShare >= 1
+		s.reportedHoldBack >= 1 && now < s.holdBackExpiry || s.lineHoldBack >= 1
 }
 
 // HasCall returns whether a call still needs an answer or has an attempt pending.
