--- a/internal/bgp/bgp_test.go
+++ b/internal/bgp/bgp_test.go
@@ -26,9 +26,9 @@
 	buf *transport.Buffer
 }
 
-// next returns the body of the next message of the given type. It skips KEEPALIVEs, unless they are asked for, and fails on any
-// other type.
-func (p *scriptedPeer) next(kind byte) []byte {
+// nextMessage returns the body of the next message of the given type. It skips KEEPALIVEs, unless they are asked for, and fails
+// on any other type.
+func (p *scriptedPeer) nextMessage(kind byte) []byte {
 	p.Helper()
 	for {
 		gotKind, body, size, err := parseMessage(p.buf.Bytes())
@@ -52,7 +52,8 @@
 	}
 }
 
-// acceptSession accepts a connection from the speaker and opens a session with a hold time of holdTime seconds.
+// acceptSession accepts a connection from the speaker under test and opens a session on it. It proposes a hold time of holdTime
+// seconds.
 func acceptSession(t *testing.T, listener net.Listener, holdTime uint16) *scriptedPeer {
 	t.Helper()
 	conn, err := listener.Accept()
@@ -62,13 +63,13 @@
 	t.Cleanup(func() { conn.Close() })
 	conn.SetDeadline(time.Now().Add(testTimeout))
 	peer := &scriptedPeer{t, conn, transport.NewBuffer(64, maxMessageSize)}
-	open, fourByteAS, err := parseOpen(peer.next(msgOpen))
+	open, fourByteAS, err := parseOpen(peer.nextMessage(msgOpen))
 	if err != nil || open.as != 64512 || !fourByteAS {
 		t.Fatalf("OPEN %+v, %v", open, err)
 	}
 	peer.Write(openMessage{64513, holdTime, netip.MustParseAddr("127.0.0.2")}.encode())
 	peer.Write(buildMessage(msgKeepalive, nil))
-	peer.next(msgKeepalive)
+	peer.nextMessage(msgKeepalive)
 	return peer
 }
 
@@ -104,16 +105,16 @@
 	s.SetServing(true)
 	// Encoded by hand from RFC 4271: no withdrawn routes, ORIGIN IGP, AS_PATH of one four-byte AS, NEXT_HOP, the prefix.
 	want := "0000" + "0014" + "40010100" + "400206" + "0201" + "0000fc00" + "400304" + "7f000001" + "20" + "7f000901"
-	if got := hex.EncodeToString(peer.next(msgUpdate)); got != want {
+	if got := hex.EncodeToString(peer.nextMessage(msgUpdate)); got != want {
 		t.Errorf("announcement %s, want %s", got, want)
 	}
 	peer.Close()
 	peer = acceptSession(t, listener, 90)
-	if update, err := parseUpdate(peer.next(msgUpdate)); err != nil || len(update.announced) != 1 {
+	if update, err := parseUpdate(peer.nextMessage(msgUpdate)); err != nil || len(update.announced) != 1 {
 		t.Errorf("UPDATE in the new session: %+v, %v, want one announced prefix", update, err)
 	}
 	s.SetServing(false)
-	if got, want := hex.EncodeToString(peer.next(msgUpdate)), "0005207f0009010000"; got != want {
+	if got, want := hex.EncodeToString(peer.nextMessage(msgUpdate)), "0005207f0009010000"; got != want {
 		t.Errorf("withdrawal %s, want %s", got, want)
 	}
 }
@@ -172,8 +173,8 @@
 	}
 	s.routesMu.Lock()
 	defer s.routesMu.Unlock()
-	if len(s.routes) != 0 {
-		t.Errorf("%d routes kept after their withdrawal", len(s.routes))
+	if len(s.announcersByPrefix) != 0 {
+		t.Errorf("%d routes kept after their withdrawal", len(s.announcersByPrefix))
 	}
 }
 
@@ -183,8 +184,8 @@
 func TestSessionErrors(t *testing.T) {
 	_, listener, _ := startSpeaker(t, 3)
 	peer := acceptSession(t, listener, 3)
-	peer.next(msgKeepalive)
-	if b := peer.next(msgNotification); b[0] != codeHoldTimerExpired>>8 {
+	peer.nextMessage(msgKeepalive)
+	if b := peer.nextMessage(msgNotification); b[0] != codeHoldTimerExpired>>8 {
 		t.Errorf("NOTIFICATION %x, want hold timer expired", b)
 	}
 	for name, tt := range map[string]struct {
@@ -201,7 +202,7 @@
 	} {
 		peer := acceptSession(t, listener, 90)
 		peer.Write(tt.b)
-		if b := peer.next(msgNotification); b[0] != byte(tt.code>>8) || b[1] != byte(tt.code) {
+		if b := peer.nextMessage(msgNotification); b[0] != byte(tt.code>>8) || b[1] != byte(tt.code) {
 			t.Errorf("%s: NOTIFICATION %x, want %04x", name, b, tt.code)
 		}
 	}
--- a/internal/bgp/message.go
+++ b/internal/bgp/message.go
@@ -52,10 +52,10 @@
 	attrLocalPref = 5
 )
 
-// messageError is a protocol error of the peer.
+// messageError describes a violation of the protocol by the peer.
 type messageError struct {
 	code uint16 // for the NOTIFICATION, one of the code constants
-	text string
+	text string // for the log
 }
 
 // Error returns the description of the error.
@@ -126,10 +126,10 @@
 	b = binary.BigEndian.AppendUint16(b, o.holdTime)
 	b = append(b, o.routerID.AsSlice()...)
 	// One optional parameter holds the capabilities: multiprotocol with IPv4 unicast, and four-byte AS numbers.
-	caps := []byte{1, 4, 0, 1, 0, 1, 65, 4}
-	caps = binary.BigEndian.AppendUint32(caps, o.as)
-	b = append(b, byte(2+len(caps)), 2, byte(len(caps)))
-	return buildMessage(msgOpen, append(b, caps...))
+	capabilities := []byte{1, 4, 0, 1, 0, 1, 65, 4}
+	capabilities = binary.BigEndian.AppendUint32(capabilities, o.as)
+	b = append(b, byte(2+len(capabilities)), 2, byte(len(capabilities)))
+	return buildMessage(msgOpen, append(b, capabilities...))
 }
 
 // parseOpen parses the body of an OPEN message, which has at least minOpenBody bytes. fourByteAS reports whether the peer
@@ -151,19 +151,19 @@
 		if len(params) < 2 || len(params) < 2+int(params[1]) {
 			return msg, false, truncated
 		}
-		caps := params[2 : 2+int(params[1])]
+		capabilities := params[2 : 2+int(params[1])]
 		if params[0] != 2 {
-			caps = nil
+			capabilities = nil
 		}
 		params = params[2+int(params[1]):]
-		for len(caps) > 0 {
-			if len(caps) < 2 || len(caps) < 2+int(caps[1]) {
+		for len(capabilities) > 0 {
+			if len(capabilities) < 2 || len(capabilities) < 2+int(capabilities[1]) {
 				return msg, false, truncated
 			}
-			if caps[0] == 65 && caps[1] == 4 {
-				msg.as, fourByteAS = binary.BigEndian.Uint32(caps[2:]), true
+			if capabilities[0] == 65 && capabilities[1] == 4 {
+				msg.as, fourByteAS = binary.BigEndian.Uint32(capabilities[2:]), true
 			}
-			caps = caps[2+int(caps[1]):]
+			capabilities = capabilities[2+int(capabilities[1]):]
 		}
 	}
 	return msg, fourByteAS, nil
@@ -242,12 +242,12 @@
 	return buildMessage(msgUpdate, append(append(b, withdrawn...), 0, 0))
 }
 
-// buildAnnouncement returns an UPDATE message that announces a prefix. external says that the peer is in another AS,
+// buildAnnouncement returns an UPDATE message that announces a prefix. externalPeer says that the peer is in another AS,
 // fourByteAS that it supports four-byte AS numbers.
-func buildAnnouncement(prefix netip.Prefix, nextHop netip.Addr, as uint32, external, fourByteAS bool) []byte {
+func buildAnnouncement(prefix netip.Prefix, nextHop netip.Addr, as uint32, externalPeer, fourByteAS bool) []byte {
 	attrs := []byte{0x40, attrOrigin, 1, 0}
 	switch {
-	case !external:
+	case !externalPeer:
 		attrs = append(attrs, 0x40, attrASPath, 0)
 	case fourByteAS:
 		attrs = append(attrs, 0x40, attrASPath, 6, 2, 1)
@@ -257,7 +257,7 @@
 		attrs = binary.BigEndian.AppendUint16(attrs, uint16(min(as, asTrans)))
 	}
 	attrs = append(append(attrs, 0x40, attrNextHop, 4), nextHop.AsSlice()...)
-	if !external {
+	if !externalPeer {
 		attrs = append(attrs, 0x40, attrLocalPref, 4, 0, 0, 0, 100)
 	}
 	b := binary.BigEndian.AppendUint16([]byte{0, 0}, uint16(len(attrs)))
--- a/internal/bgp/speaker.go
+++ b/internal/bgp/speaker.go
@@ -50,25 +50,26 @@
 	holdTime          uint16       // proposed hold time in seconds
 	peers             []Peer
 	limits            Limits
-	post              func(core.Event) // delivers events to the core; may block
+	postEvent         func(core.Event) // delivers events to the core; may block
 	log               zerolog.Logger
 	sampledLog        zerolog.Logger // for events that a peer can cause at any rate
 
-	// routesMu guards routes and keeps the posted route events in order. It is held while post waits for the event loop, so
-	// the loop must never lock it.
-	routesMu sync.Mutex
-	routes   map[netip.Prefix]map[string]bool // prefix -> addresses of the peers that announce it
+	// routesMu guards announcersByPrefix and keeps the posted route events in order. It is held while postEvent waits for the
+	// event loop, so the loop must never lock it.
+	routesMu           sync.Mutex
+	announcersByPrefix map[netip.Prefix]map[string]bool // prefix -> addresses of the peers that announce it
 
 	mu       sync.Mutex        // guards the fields below
-	serving  bool              // the service prefix is to be announced
+	serving  bool              // calls are accepted: the prefix is to be announced
 	sessions map[*session]bool // the established sessions
 }
 
 // New checks the configuration and returns a speaker. An error names the invalid field.
-func New(cfg Config, limits Limits, post func(core.Event), log zerolog.Logger) (*Speaker, error) {
+func New(cfg Config, limits Limits, postEvent func(core.Event), log zerolog.Logger) (*Speaker, error) {
 	s := &Speaker{
-		as: cfg.AS, holdTime: uint16(cfg.HoldS), peers: cfg.Peers, limits: limits, post: post, log: log, sampledLog: transport.SampledLogger(log),
-		sessions: make(map[*session]bool), routes: make(map[netip.Prefix]map[string]bool),
+		as: cfg.AS, holdTime: uint16(cfg.HoldS), peers: cfg.Peers, limits: limits, postEvent: postEvent,
+		log: log, sampledLog: transport.SampledLogger(log), sessions: make(map[*session]bool),
+		announcersByPrefix: make(map[netip.Prefix]map[string]bool),
 	}
 	var err error
 	if s.routerID, err = netip.ParseAddr(cfg.RouterID); err != nil || !s.routerID.Is4() {
@@ -138,13 +139,13 @@
 
 // session is one BGP session with a peer.
 type session struct {
-	speaker    *Speaker
-	peer       Peer
-	conn       net.Conn
-	outbox     *transport.Outbox
-	external   bool                  // the peer is in another AS
-	fourByteAS bool                  // the peer supports four-byte AS numbers
-	announced  map[netip.Prefix]bool // prefixes that the peer has announced in this session and not withdrawn
+	speaker         *Speaker
+	peer            Peer
+	conn            net.Conn
+	outbox          *transport.Outbox
+	externalPeer    bool                  // the peer is in another AS
+	fourByteAS      bool                  // the peer supports four-byte AS numbers
+	announcedByPeer map[netip.Prefix]bool // prefixes that the peer has announced in this session and not withdrawn
 }
 
 // announce announces the service prefix to the peer, or withdraws it. The caller holds speaker.mu.
@@ -152,7 +153,7 @@
 	speaker := ses.speaker
 	msg := buildWithdrawal(speaker.service)
 	if serving {
-		msg = buildAnnouncement(speaker.service, speaker.nextHop, speaker.as, ses.external, ses.fourByteAS)
+		msg = buildAnnouncement(speaker.service, speaker.nextHop, speaker.as, ses.externalPeer, ses.fourByteAS)
 	}
 	ses.outbox.Send(transport.Message{Data: msg})
 }
@@ -167,39 +168,39 @@
 	}
 	defer conn.Close()
 	ses := &session{
-		speaker: s, peer: peer, conn: conn, outbox: transport.NewOutbox(conn, s.limits.Conn), external: peer.AS != s.as,
-		announced: make(map[netip.Prefix]bool)}
-	defer context.AfterFunc(ctx, func() { ses.notify(codeAdminShutdown) })()
+		speaker: s, peer: peer, conn: conn, outbox: transport.NewOutbox(conn, s.limits.Conn), externalPeer: peer.AS != s.as,
+		announcedByPeer: make(map[netip.Prefix]bool)}
+	defer context.AfterFunc(ctx, func() { ses.closeWithNotification(codeAdminShutdown) })()
 	ses.outbox.Send(transport.Message{Data: openMessage{s.as, s.holdTime, s.routerID}.encode()})
-	established, err = ses.run()
+	established, err = ses.handleMessages()
 	s.mu.Lock()
 	delete(s.sessions, ses)
 	s.mu.Unlock()
 	var msgErr *messageError
 	if errors.As(err, &msgErr) {
-		ses.notify(msgErr.code)
+		ses.closeWithNotification(msgErr.code)
 	}
 	return established, err
 }
 
-// notify sends a NOTIFICATION with the given error code and closes the connection.
-func (ses *session) notify(code uint16) {
+// closeWithNotification sends a NOTIFICATION with the given error code and closes the connection.
+func (ses *session) closeWithNotification(code uint16) {
 	ses.outbox.Send(transport.Message{Data: buildMessage(msgNotification, binary.BigEndian.AppendUint16(nil, code))})
 	ses.outbox.Flush()
 	ses.conn.Close()
 }
 
-// run reads and handles the peer's messages: OPEN, KEEPALIVE, then UPDATEs. After the OPEN it sends a KEEPALIVE when a third of
-// the hold time has passed since the last one. It ends the session when no complete message was received for the whole hold
-// time. With a hold time of 0 from the peer it does neither.
-func (ses *session) run() (established bool, err error) {
+// handleMessages reads and handles the peer's messages: OPEN, KEEPALIVE, then UPDATEs. After the OPEN it sends a KEEPALIVE when
+// a third of the hold time has passed since the last one. It ends the session when no complete message was received for the
+// whole hold time. If the peer's OPEN proposes a hold time of 0, it does neither.
+func (ses *session) handleMessages() (established bool, err error) {
 	buf := transport.NewBuffer(headerSize, maxMessageSize)
 	holdTime := time.Duration(ses.speaker.holdTime) * time.Second
-	opened := false
+	openReceived := false
 	lastReceived, lastKeepalive := time.Now(), time.Now()
 	for {
 		now := time.Now()
-		if opened && holdTime > 0 && now.Sub(lastKeepalive) >= holdTime/3 {
+		if openReceived && holdTime > 0 && now.Sub(lastKeepalive) >= holdTime/3 {
 			ses.outbox.Send(transport.Message{Data: buildMessage(msgKeepalive, nil)})
 			lastKeepalive = now
 		}
@@ -213,7 +214,7 @@
 			if time.Since(lastReceived) >= holdTime {
 				return established, &messageError{codeHoldTimerExpired, "hold timer expired"}
 			}
-			if !opened {
+			if !openReceived {
 				lastKeepalive = time.Now()
 			}
 			continue
@@ -232,7 +233,7 @@
 			switch {
 			case kind == msgNotification:
 				return established, fmt.Errorf("NOTIFICATION from peer: code %d, subcode %d", body[0], body[1])
-			case kind == msgOpen && !opened:
+			case kind == msgOpen && !openReceived:
 				open, fourByteAS, err := parseOpen(body)
 				if err != nil {
 					return established, err
@@ -240,14 +241,14 @@
 				if open.as != ses.peer.AS {
 					return established, &messageError{codeBadPeerAS, fmt.Sprintf("peer sent AS %d, which is not the configured one", open.as)}
 				}
-				opened, ses.fourByteAS = true, fourByteAS
+				openReceived, ses.fourByteAS = true, fourByteAS
 				holdTime = min(holdTime, time.Duration(open.holdTime)*time.Second)
 				ses.outbox.Send(transport.Message{Data: buildMessage(msgKeepalive, nil)})
 				lastKeepalive = lastReceived
-			case kind == msgKeepalive && opened:
+			case kind == msgKeepalive && openReceived:
 				if !established {
 					established = true
-					ses.established()
+					ses.register()
 				}
 			case kind == msgUpdate && established:
 				update, err := parseUpdate(body)
@@ -265,8 +266,8 @@
 	}
 }
 
-// established registers the session and announces the service prefix if the program accepts calls.
-func (ses *session) established() {
+// register registers the session and announces the service prefix if the program accepts calls.
+func (ses *session) register() {
 	speaker := ses.speaker
 	speaker.mu.Lock()
 	defer speaker.mu.Unlock()
@@ -287,41 +288,41 @@
 	speaker.routesMu.Lock()
 	defer speaker.routesMu.Unlock()
 	if update.endOfRIB {
-		for prefix := range speaker.routes {
-			if !ses.announced[prefix] {
+		for prefix := range speaker.announcersByPrefix {
+			if !ses.announcedByPeer[prefix] {
 				update.withdrawn = append(update.withdrawn, prefix)
 			}
 		}
 	}
 	for _, prefix := range update.withdrawn {
-		delete(ses.announced, prefix)
-		if speaker.updateRoute(prefix, ses.peer.Address, false) {
+		delete(ses.announcedByPeer, prefix)
+		if speaker.updateAnnouncer(prefix, ses.peer.Address, false) {
 			speaker.postRoute(prefix, false)
 		}
 	}
 	for _, prefix := range update.announced {
-		ses.announced[prefix] = true
-		if speaker.updateRoute(prefix, ses.peer.Address, true) {
+		ses.announcedByPeer[prefix] = true
+		if speaker.updateAnnouncer(prefix, ses.peer.Address, true) {
 			speaker.postRoute(prefix, true)
 		}
-		if len(speaker.routes) > speaker.limits.MaxRoutes {
+		if len(speaker.announcersByPrefix) > speaker.limits.MaxRoutes {
 			return &messageError{codeTooManyPrefixes, fmt.Sprintf("peers announce more than %d routes", speaker.limits.MaxRoutes)}
 		}
 	}
 	return nil
 }
 
-// updateRoute records that a peer announces or withdraws a prefix. It reports whether the prefix thereby became reachable
-// or unreachable. The caller holds routesMu.
-func (s *Speaker) updateRoute(prefix netip.Prefix, peer string, reachable bool) bool {
-	announcers := s.routes[prefix]
+// updateAnnouncer records that the peer with the given address announces a prefix (reachable) or withdraws it. It reports whether
+// the prefix has thereby become reachable, or unreachable, through all peers together. The caller holds routesMu.
+func (s *Speaker) updateAnnouncer(prefix netip.Prefix, peer string, reachable bool) bool {
+	announcers := s.announcersByPrefix[prefix]
 	switch {
 	case reachable == announcers[peer]:
 		return false
 	case reachable:
 		if announcers == nil {
 			announcers = make(map[string]bool)
-			s.routes[prefix] = announcers
+			s.announcersByPrefix[prefix] = announcers
 		}
 		announcers[peer] = true
 		return len(announcers) == 1
@@ -329,14 +330,14 @@
 	if delete(announcers, peer); len(announcers) > 0 {
 		return false
 	}
-	delete(s.routes, prefix)
+	delete(s.announcersByPrefix, prefix)
 	return true
 }
 
 // postRoute logs that a route came up or went down, and posts the event to the core. The caller holds routesMu.
 func (s *Speaker) postRoute(prefix netip.Prefix, reachable bool) {
 	s.sampledLog.Info().Stringer("prefix", prefix).Bool("up", reachable).Msg("route")
-	s.post(core.Route{Name: prefix.String(), Up: reachable, Covers: func(address string) bool {
+	s.postEvent(core.Route{Name: prefix.String(), Up: reachable, Covers: func(address string) bool {
 		addrPort, err := netip.ParseAddrPort(address)
 		return err == nil && prefix.Contains(addrPort.Addr())
 	}})
--- a/internal/circuits/circuits.go
+++ b/internal/circuits/circuits.go
@@ -10,23 +10,23 @@
 	"elmseam/internal/core"
 )
 
-// state is the state of a circuit.
-type state uint8
+// circuitState is the state of a circuit.
+type circuitState uint8
 
 // The states of a circuit.
 const (
-	stateFree             state = iota // carries no call and may be allocated
-	stateSettingUp                     // an IAM was sent or is about to be, and no ANM has arrived
-	stateEstablished                   // the server has answered the call
-	stateReleasing                     // a REL was sent, or has to be sent on the next connection; waits for the RLC
-	stateAwaitingExtraRLC              // an RLC has arrived, but the REL was sent more than once: another RLC may be on its way
+	stateFree             circuitState = iota // carries no call and may be allocated
+	stateSettingUp                            // an IAM was sent or is about to be, and no ANM has arrived
+	stateEstablished                          // the server has answered the call
+	stateReleasing                            // a REL was sent, or has to be sent on the next connection; waits for the RLC
+	stateAwaitingExtraRLC                     // an RLC has arrived, but the REL was sent more than once: another RLC may be on its way
 )
 
 // circuit is one circuit and the call on it.
 type circuit struct {
 	call              core.ID
-	state             state
-	pendingRLCs       int       // RLCs that may still arrive: one for each REL, unless the server has lost it
+	state             circuitState
+	pendingRLCs       int       // RLCs that may still arrive: one for each REL sent, unless the server has lost that REL
 	ownRLCUnconfirmed bool      // the circuit was freed by an RLC sent here, and no message has shown that the server received it
 	stateSince        time.Time // time of the last REL, of the last RLC that left others pending, or of the ConnLost that ended a set-up
 }
@@ -34,18 +34,18 @@
 // Circuits holds all circuits to one server. They outlive the server's connections: an established call keeps its
 // circuit, and the circuit of a call released here is not used again before the server has confirmed the release.
 type Circuits struct {
-	circuits       []circuit          // by circuit identification code (CIC)
-	byCall         map[core.ID]uint16 // CIC of each call
-	nextIndex      int                // where the search for a free circuit begins
-	lastSweep      time.Time          // when Overdue last searched
-	disabledGuards Guard
+	circuits          []circuit          // indexed by circuit identification code (CIC)
+	cicByCall         map[core.ID]uint16 // CIC of each call
+	searchStart       int                // where the search for a free circuit begins
+	lastOverdueSearch time.Time          // when Overdue last searched
+	disabledGuards    Guard
 }
 
-// Guard is a set of the rules that keep calls on circuits apart. A test can switch guards off, to see that the
-// violation shows.
+// Guard is a set of the rules that keep the messages of successive calls on a circuit apart, and regain circuits whose
+// release stays unconfirmed. A test can switch guards off, to see that the violation then shows.
 type Guard uint8
 
-// The guards, each with the behaviour when the guard is on.
+// The guards. Each comment says what Circuits does when the guard is on.
 const (
 	GuardConfirm      Guard = 1 << iota // a circuit that was released here waits for the server's RLC
 	GuardReleaseCount                   // the circuit waits for as many RLCs as RELs were sent
@@ -60,19 +60,19 @@
 
 // New returns n circuits, all free.
 func New(n int) *Circuits {
-	return &Circuits{circuits: make([]circuit, n), byCall: make(map[core.ID]uint16)}
+	return &Circuits{circuits: make([]circuit, n), cicByCall: make(map[core.ID]uint16)}
 }
 
 // Allocate assigns a free circuit to a call whose IAM is about to be sent. Circuits that still await an RLC are not
 // used, even if no other circuit is free; ok is then false.
 func (c *Circuits) Allocate(call core.ID) (cic uint16, ok bool) {
 	for range c.circuits {
-		i := c.nextIndex
-		if c.nextIndex++; c.nextIndex == len(c.circuits) {
-			c.nextIndex = 0
+		i := c.searchStart
+		if c.searchStart++; c.searchStart == len(c.circuits) {
+			c.searchStart = 0
 		}
 		if c.circuits[i].state == stateFree {
-			c.circuits[i].state, c.circuits[i].call, c.byCall[call] = stateSettingUp, call, uint16(i)
+			c.circuits[i].state, c.circuits[i].call, c.cicByCall[call] = stateSettingUp, call, uint16(i)
 			return uint16(i), true
 		}
 	}
@@ -81,15 +81,15 @@
 
 // NotSent frees the circuit of a call whose IAM was not sent. It does nothing if the call is not being set up.
 func (c *Circuits) NotSent(call core.ID) {
-	if cic, found := c.byCall[call]; found && c.circuits[cic].state == stateSettingUp {
-		c.detach(cic, stateFree)
+	if cic, found := c.cicByCall[call]; found && c.circuits[cic].state == stateSettingUp {
+		c.removeCall(cic, stateFree)
 	}
 }
 
 // Release handles the release of a call by this side. It returns the circuit on which a REL has to be sent; ok is false
 // if the call is on no circuit.
 func (c *Circuits) Release(call core.ID, now time.Time) (cic uint16, ok bool) {
-	cic, found := c.byCall[call]
+	cic, found := c.cicByCall[call]
 	if !found || c.circuits[cic].state != stateSettingUp && c.circuits[cic].state != stateEstablished {
 		return 0, false
 	}
@@ -117,7 +117,7 @@
 		return 0, false
 	}
 	call := c.circuits[cic].call
-	c.detach(cic, stateFree)
+	c.removeCall(cic, stateFree)
 	c.circuits[cic].pendingRLCs, c.circuits[cic].ownRLCUnconfirmed = 0, true
 	return call, true
 }
@@ -149,7 +149,7 @@
 		case circuit.state == stateFree && circuit.ownRLCUnconfirmed:
 			circuit.state, circuit.pendingRLCs = stateReleasing, 0
 		case circuit.state == stateSettingUp:
-			c.detach(uint16(i), stateReleasing)
+			c.removeCall(uint16(i), stateReleasing)
 			circuit.stateSince, circuit.pendingRLCs = now, 0
 		case circuit.state == stateReleasing || circuit.state == stateAwaitingExtraRLC:
 			circuit.state, circuit.pendingRLCs = stateReleasing, 0
@@ -174,10 +174,10 @@
 // to be sent again on each of them; Overdue records that. A circuit that has awaited an extra RLC for the timeout
 // becomes free. Overdue returns nil if less than the timeout has passed since its last search.
 func (c *Circuits) Overdue(now time.Time, timeout time.Duration) (cics []uint16) {
-	if now.Sub(c.lastSweep) < timeout || !c.guardEnabled(GuardOverdue) {
+	if now.Sub(c.lastOverdueSearch) < timeout || !c.guardEnabled(GuardOverdue) {
 		return nil
 	}
-	c.lastSweep = now
+	c.lastOverdueSearch = now
 	for i := range c.circuits {
 		switch circuit := &c.circuits[i]; {
 		case now.Sub(circuit.stateSince) < timeout:
@@ -204,8 +204,8 @@
 
 // Calls returns the calls that are on a circuit, in ascending order.
 func (c *Circuits) Calls() []core.ID {
-	ids := make([]core.ID, 0, len(c.byCall))
-	for id := range c.byCall {
+	ids := make([]core.ID, 0, len(c.cicByCall))
+	for id := range c.cicByCall {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
@@ -214,7 +214,7 @@
 
 // markReleasing removes the call, if any, from a circuit and records that a REL is sent on it.
 func (c *Circuits) markReleasing(cic uint16, now time.Time) {
-	c.detach(cic, stateReleasing)
+	c.removeCall(cic, stateReleasing)
 	c.circuits[cic].stateSince = now
 	c.circuits[cic].pendingRLCs++
 	if !c.guardEnabled(GuardConfirm) {
@@ -222,11 +222,11 @@
 	}
 }
 
-// detach removes the call from a circuit and sets the circuit's next state.
-func (c *Circuits) detach(cic uint16, next state) {
+// removeCall removes the call, if any, from a circuit and sets the circuit's state to nextState.
+func (c *Circuits) removeCall(cic uint16, nextState circuitState) {
 	circuit := &c.circuits[cic]
 	if circuit.state == stateSettingUp || circuit.state == stateEstablished {
-		delete(c.byCall, circuit.call)
+		delete(c.cicByCall, circuit.call)
 	}
-	circuit.state = next
+	circuit.state = nextState
 }
--- a/internal/circuits/circuits_test.go
+++ b/internal/circuits/circuits_test.go
@@ -5,6 +5,7 @@
 	"time"
 )
 
+// confirmTimeout is the time after which Overdue repeats an unconfirmed REL.
 const confirmTimeout = 15 * time.Second
 
 // The server's release crosses the one sent here: the circuit becomes free when the server confirms, not before, and
--- a/internal/handover/effect.go
+++ b/internal/handover/effect.go
@@ -2,21 +2,21 @@
 
 import "elmseam/internal/core"
 
-// FromEffect converts an effect for a caller to a message. A conn of 0 stands for any of the successor's connections. ok is
-// false for an effect that is not relayed.
-func FromEffect(protocol core.Protocol, conn core.ConnID, e core.Effect) (m Message, ok bool) {
-	m = Message{Kind: KindEffect, Protocol: protocol, Conn: conn}
+// FromEffect converts an effect for a caller to a message to the successor. A conn of 0 names no particular connection of the
+// successor. ok is false for an effect that is not sent to the successor.
+func FromEffect(protocol core.Protocol, conn core.ConnID, e core.Effect) (msg Message, ok bool) {
+	msg = Message{Kind: KindEffect, Protocol: protocol, Conn: conn}
 	switch e := e.(type) {
 	case core.Answered:
-		m.Effect, m.ID, m.Desc = "answered", e.ID, e.Desc
+		msg.Effect, msg.ID, msg.Desc = "answered", e.ID, e.Desc
 	case core.Rejected:
-		m.Effect, m.ID, m.Reason, m.RetryAfter = "rejected", e.ID, e.Reason, e.RetryAfter
+		msg.Effect, msg.ID, msg.Reason, msg.RetryAfter = "rejected", e.ID, e.Reason, e.RetryAfter
 	case core.Released:
-		m.Effect, m.ID, m.Reason = "released", e.ID, e.Reason
+		msg.Effect, msg.ID, msg.Reason = "released", e.ID, e.Reason
 	default:
-		return m, false
+		return msg, false
 	}
-	return m, true
+	return msg, true
 }
 
 // ToEffect converts a message that FromEffect built back to its effect, with To left 0. It returns nil if the effect is unknown.
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -91,7 +91,7 @@
 
 	mu          sync.Mutex // guards the fields below
 	queue       [][]byte   // encoded messages
-	queuedBytes int        // total size of queue
+	queuedBytes int        // total size of the messages in queue
 	writing     bool       // writeLoop is running
 	closed      bool
 }
@@ -111,8 +111,8 @@
 
 // Send queues a message. It never blocks. The connection is closed if the message is too large or cannot be encoded, or if the
 // queue is full. After Close the message is dropped.
-func (p *Peer) Send(m Message) {
-	payload, err := json.Marshal(m)
+func (p *Peer) Send(msg Message) {
+	payload, err := json.Marshal(msg)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
@@ -149,32 +149,32 @@
 	}
 }
 
-// writeMessage writes one encoded message, with the control data in rights if there is any.
-func (p *Peer) writeMessage(payload, rights []byte) error {
+// writeMessage writes one encoded message, with socket control data if there is any.
+func (p *Peer) writeMessage(payload, controlData []byte) error {
 	p.writeMu.Lock()
 	defer p.writeMu.Unlock()
 	p.conn.SetWriteDeadline(time.Now().Add(p.limits.WriteTimeout))
-	_, _, err := p.conn.WriteMsgUnix(payload, rights, nil)
+	_, _, err := p.conn.WriteMsgUnix(payload, controlData, nil)
 	return err
 }
 
 // SendFile sends a message with the file descriptor of source attached. It blocks until the message is in the socket's
 // buffer, and may overtake queued messages. After an error the connection stays open.
-func (p *Peer) SendFile(m Message, source syscall.Conn) error {
-	payload, err := json.Marshal(m)
+func (p *Peer) SendFile(msg Message, source syscall.Conn) error {
+	payload, err := json.Marshal(msg)
 	if err != nil {
 		return err
 	}
 	if len(payload) > p.limits.MaxMessageSize {
 		return fmt.Errorf("message of %d bytes exceeds the size limit", len(payload))
 	}
-	raw, err := source.SyscallConn()
+	rawConn, err := source.SyscallConn()
 	if err != nil {
 		return err
 	}
 	var writeErr error
 	// File().Fd() is not used here: it would put the file into blocking mode for both processes.
-	if err := raw.Control(func(fd uintptr) { writeErr = p.writeMessage(payload, syscall.UnixRights(int(fd))) }); err != nil {
+	if err := rawConn.Control(func(fd uintptr) { writeErr = p.writeMessage(payload, syscall.UnixRights(int(fd))) }); err != nil {
 		return err
 	}
 	return writeErr
@@ -198,36 +198,37 @@
 
 // Receive waits for the next message and returns it with the file attached to it, or nil if there is none. It returns an
 // error once either side has closed the connection. It must not be called concurrently.
-func (p *Peer) Receive() (m Message, file *os.File, err error) {
-	oob := make([]byte, syscall.CmsgSpace(4))
-	n, oobn, flags, _, err := p.conn.ReadMsgUnix(p.readBuf, oob)
+func (p *Peer) Receive() (msg Message, file *os.File, err error) {
+	controlData := make([]byte, syscall.CmsgSpace(4))
+	n, controlSize, flags, _, err := p.conn.ReadMsgUnix(p.readBuf, controlData)
 	if err != nil {
-		return m, nil, err
+		return msg, nil, err
 	}
-	if file, err = parseFile(oob[:oobn]); err != nil {
-		return m, nil, err
+	if file, err = fileFromControlData(controlData[:controlSize]); err != nil {
+		return msg, nil, err
 	}
 	switch {
-	case n == 0 && oobn == 0:
+	case n == 0 && controlSize == 0:
 		err = net.ErrClosed
 	case flags&(syscall.MSG_TRUNC|syscall.MSG_CTRUNC) != 0:
 		err = errTruncated
 	default:
-		err = json.Unmarshal(p.readBuf[:n], &m)
+		err = json.Unmarshal(p.readBuf[:n], &msg)
 	}
 	if err != nil && file != nil {
 		file.Close()
 		file = nil
 	}
-	return m, file, err
+	return msg, file, err
 }
 
-// parseFile extracts the file from a message's control data. It returns nil if oob is empty.
-func parseFile(oob []byte) (*os.File, error) {
-	if len(oob) == 0 {
+// fileFromControlData returns the file that is attached to a message, given the message's socket control data. It returns nil if
+// controlData is empty.
+func fileFromControlData(controlData []byte) (*os.File, error) {
+	if len(controlData) == 0 {
 		return nil, nil
 	}
-	messages, err := syscall.ParseSocketControlMessage(oob)
+	messages, err := syscall.ParseSocketControlMessage(controlData)
 	if err != nil || len(messages) != 1 {
 		return nil, fmt.Errorf("%d control messages, want 1: %w", len(messages), errTruncated)
 	}
@@ -253,13 +254,13 @@
 	p := newPeer(conn.(*net.UnixConn), limits)
 	conn.SetReadDeadline(time.Now().Add(limits.HelloTimeout))
 	p.Send(Message{Kind: KindHello, Version: Version, Listen: listen})
-	m, file, err := p.Receive()
-	if err == nil && m.Kind == KindRefused && m.RefusalReason == ReasonExiting {
+	msg, file, err := p.Receive()
+	if err == nil && msg.Kind == KindRefused && msg.RefusalReason == ReasonExiting {
 		conn.SetReadDeadline(time.Now().Add(limits.ExitTimeout))
 		p.Receive()
 	}
-	if err == nil && (m.Kind != KindListener || file == nil) {
-		err = fmt.Errorf("%s: %s", m.Kind, m.RefusalReason)
+	if err == nil && (msg.Kind != KindListener || file == nil) {
+		err = fmt.Errorf("%s: %s", msg.Kind, msg.RefusalReason)
 	}
 	var listener net.Listener
 	if file != nil {
@@ -302,15 +303,15 @@
 func AcceptSuccessor(conn *net.UnixConn, listen, refusal string, listener syscall.Conn, limits Limits) (*Peer, error) {
 	p := newPeer(conn, limits)
 	conn.SetReadDeadline(time.Now().Add(limits.HelloTimeout))
-	m, file, err := p.Receive()
+	msg, file, err := p.Receive()
 	if file != nil {
 		file.Close()
 	}
 	if err == nil {
 		switch {
-		case m.Kind != KindHello || m.Version != Version:
+		case msg.Kind != KindHello || msg.Version != Version:
 			refusal = fmt.Sprintf("version %d is spoken here", Version)
-		case m.Listen != listen:
+		case msg.Listen != listen:
 			refusal = fmt.Sprintf("%s is served here", listen)
 		}
 		if refusal != "" {
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -33,19 +33,19 @@
 
 // Loop owns a core and runs it. Its methods may be called from any goroutine, except for those that must be called before Run.
 type Loop struct {
-	core            *core.Core
-	inbox           chan inboxItem
-	done            chan struct{} // closed when Run returns
-	lastConn        atomic.Uint64 // connection id that was given out last
-	start           time.Time
-	epoch           time.Duration // wall-clock time of start, since the Unix epoch
-	handlers        map[core.ConnID]EffectHandler
-	dialers         map[core.Protocol]Dialer
-	timers          timerHeap         // pending timers
-	notify          func(core.Effect) // receives the effects that are for no single connection
-	log             zerolog.Logger
-	publishInterval time.Duration // between snapshots of the counters; 0: no snapshots
-	snapshot        atomic.Pointer[Snapshot]
+	core              *core.Core
+	inbox             chan inboxItem
+	done              chan struct{} // closed when Run returns
+	lastConnID        atomic.Uint64 // connection id that NewConnID returned last
+	startedAt         time.Time
+	startSinceEpoch   time.Duration // wall-clock time of startedAt, since the Unix epoch
+	handlers          map[core.ConnID]EffectHandler
+	dialers           map[core.Protocol]Dialer
+	timers            timerHeap         // pending timers
+	handleOtherEffect func(core.Effect) // receives the effects that are for no single connection
+	log               zerolog.Logger
+	publishInterval   time.Duration // between snapshots of the counters; 0: no snapshots
+	snapshot          atomic.Pointer[Snapshot]
 }
 
 // Snapshot holds the core's counters and state for operators at one moment.
@@ -57,35 +57,35 @@
 // inboxItem is an event in the inbox, with the time at which it was posted. If the event begins a connection, conn and
 // handler name the connection and its effect handler; otherwise they are zero.
 type inboxItem struct {
-	at      core.Time
-	ev      core.Event
-	conn    core.ConnID
-	handler EffectHandler
+	postedAt core.Time
+	ev       core.Event
+	conn     core.ConnID
+	handler  EffectHandler
 }
 
-// New returns a loop for c whose inbox holds inboxSize events. notify receives the effects that are for no single connection,
-// such as core.Serving, core.ForgetCall and core.SendToMember; it must not block.
-func New(c *core.Core, inboxSize int, notify func(core.Effect), log zerolog.Logger) *Loop {
-	start := time.Now()
+// New returns a loop for c whose inbox holds inboxSize events. handleOtherEffect receives the effects that are for no single
+// connection, such as core.Serving, core.ForgetCall and core.SendToMember; it must not block.
+func New(c *core.Core, inboxSize int, handleOtherEffect func(core.Effect), log zerolog.Logger) *Loop {
+	startedAt := time.Now()
 	return &Loop{
 		core: c, inbox: make(chan inboxItem, inboxSize), done: make(chan struct{}),
-		start: start, epoch: time.Duration(start.UnixNano()),
+		startedAt: startedAt, startSinceEpoch: time.Duration(startedAt.UnixNano()),
 		handlers: make(map[core.ConnID]EffectHandler), dialers: make(map[core.Protocol]Dialer),
-		notify: notify, log: log,
+		handleOtherEffect: handleOtherEffect, log: log,
 	}
 }
 
 // Now returns the time since the Unix epoch. The value never decreases, even if the wall clock is set back.
-func (l *Loop) Now() core.Time { return l.epoch + time.Since(l.start) }
+func (l *Loop) Now() core.Time { return l.startSinceEpoch + time.Since(l.startedAt) }
 
 // WallTime converts a time of the core into a time.Time.
-func (l *Loop) WallTime(t core.Time) time.Time { return l.start.Add(t - l.epoch) }
+func (l *Loop) WallTime(t core.Time) time.Time { return l.startedAt.Add(t - l.startSinceEpoch) }
 
 // Done returns a channel that is closed when the loop has ended.
 func (l *Loop) Done() <-chan struct{} { return l.done }
 
 // NewConnID returns an unused connection id, unique in this process.
-func (l *Loop) NewConnID() core.ConnID { return core.ConnID(l.lastConn.Add(1)) }
+func (l *Loop) NewConnID() core.ConnID { return core.ConnID(l.lastConnID.Add(1)) }
 
 // SetDialer sets the function that connects to servers of the given protocol. It must be called before Run.
 func (l *Loop) SetDialer(protocol core.Protocol, dial Dialer) { l.dialers[protocol] = dial }
@@ -102,12 +102,12 @@
 }
 
 // Post puts an event into the inbox. It waits while the inbox is full; after the loop has ended, it drops the event.
-func (l *Loop) Post(ev core.Event) { l.post(inboxItem{at: l.Now(), ev: ev}) }
+func (l *Loop) Post(ev core.Event) { l.post(inboxItem{postedAt: l.Now(), ev: ev}) }
 
 // Attach puts the event that begins a connection into the inbox, together with the handler of the connection's effects. It
 // waits while the inbox is full; after the loop has ended, it makes the handler close the connection gracefully.
 func (l *Loop) Attach(conn core.ConnID, handler EffectHandler, ev core.Event) {
-	l.post(inboxItem{at: l.Now(), ev: ev, conn: conn, handler: handler})
+	l.post(inboxItem{postedAt: l.Now(), ev: ev, conn: conn, handler: handler})
 }
 
 // post puts an item into the inbox, or rejects the item if the loop has ended.
@@ -125,14 +125,15 @@
 	}
 }
 
-// reject gracefully closes the connection that an item begins, for an item that arrives after the loop has ended.
+// reject handles an item that the loop can no longer take because it has ended. If the item begins a connection, reject closes
+// the connection gracefully.
 func (item inboxItem) reject() {
 	if item.handler != nil {
 		item.handler.HandleEffect(core.GracefulClose{To: item.conn})
 	}
 }
 
-// rejectQueued rejects all items left in the inbox after the loop has ended.
+// rejectQueued takes all items that are left in the inbox after the loop has ended, and rejects them.
 func (l *Loop) rejectQueued() {
 	for {
 		select {
@@ -176,9 +177,9 @@
 				continue
 			}
 			fired := heap.Pop(&l.timers).(core.Timer)
-			item = inboxItem{at: l.Now(), ev: core.TimerFired{Token: fired.Token}}
+			item = inboxItem{postedAt: l.Now(), ev: core.TimerFired{Token: fired.Token}}
 		}
-		if l.process(item) {
+		if l.processItem(item) {
 			var flushes sync.WaitGroup // in parallel: a stalled connection must not delay the others
 			for _, handler := range l.handlers {
 				flushes.Go(handler.Flush)
@@ -189,9 +190,9 @@
 	}
 }
 
-// process steps the core with an item's event and with the events that effect handlers return for the resulting effects. A dial
-// for which there is no dialer results in a core.ServerDown. process reports whether the core has stopped.
-func (l *Loop) process(item inboxItem) (stopped bool) {
+// processItem steps the core with an item's event and with the events that effect handlers return for the resulting effects. A
+// dial for which there is no dialer results in a core.ServerDown. processItem reports whether the core has stopped.
+func (l *Loop) processItem(item inboxItem) (stopped bool) {
 	if item.handler != nil {
 		l.handlers[item.conn] = item.handler
 	}
@@ -205,7 +206,7 @@
 		case core.ServerDown:
 			delete(l.handlers, ev.Conn)
 		}
-		for _, e := range l.core.Step(item.at, ev) {
+		for _, e := range l.core.Step(item.postedAt, ev) {
 			switch e := e.(type) {
 			case core.Timer:
 				heap.Push(&l.timers, e)
@@ -228,16 +229,16 @@
 				}
 			case core.Serving:
 				l.log.Info().Bool("serving", e.On).Msg("service")
-				l.notify(e)
+				l.handleOtherEffect(e)
 			case core.ForgetCall, core.ReadyToServe, core.ToPredecessor, core.ToSuccessor, core.SendToMember, core.MemberChanged,
 				core.DrainChanged, core.MaintenanceProgress, core.CloseListener:
-				l.notify(e)
+				l.handleOtherEffect(e)
 			case core.Stopped:
 				stopped = true
 			case core.Violation:
 				l.log.Error().Uint64("call", uint64(e.ID)).Str("rule", e.Rule).Msg("guard prevented a rule violation, or a configuration is invalid")
 			default:
-				if handler := l.handlers[target(e)]; handler != nil {
+				if handler := l.handlers[effectTarget(e)]; handler != nil {
 					events = append(events, handler.HandleEffect(e)...)
 				}
 			}
@@ -246,8 +247,9 @@
 	return stopped
 }
 
-// target returns the connection whose handler has to execute an effect, or 0 for the effects that process executes itself.
-func target(e core.Effect) core.ConnID {
+// effectTarget returns the connection whose handler has to execute an effect, or 0 for the effects that processItem executes
+// itself.
+func effectTarget(e core.Effect) core.ConnID {
 	switch e := e.(type) {
 	case core.Answered:
 		return e.To
--- a/internal/m3ua/caller.go
+++ b/internal/m3ua/caller.go
@@ -14,7 +14,7 @@
 type callerConn struct {
 	session
 	aspUpTimer *time.Timer // closes the connection if no ASP Up arrives in time
-	connID     core.ConnID // valid while active
+	connID     core.ConnID // valid while the ASP is active
 	aspUp      bool        // whether the ASP has sent ASP Up, and no ASP Down since
 	active     bool        // whether the ASP is active, as it requested with ASP Active: only then its calls are accepted
 }
@@ -23,7 +23,7 @@
 func (m *M3UA) Serve(l net.Listener) {
 	transport.NewAcceptor(func() int { return m.config.Load().MaxCallerConns }, func(conn net.Conn) {
 		c := &callerConn{session: m.newSession(conn, m.config.Load().CallerConn)}
-		c.handler = c.handleMessage
+		c.handleOther = c.handleMessage
 		c.aspUpTimer = time.AfterFunc(c.limits.MessageTimeout, func() { conn.Close() })
 		defer c.aspUpTimer.Stop()
 		err := c.read()
@@ -40,7 +40,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if circ, ok := m.circuitByCall[id]; ok {
-		m.freeLocked(circ)
+		m.freeCircuitLocked(circ)
 	}
 }
 
@@ -82,8 +82,8 @@
 		if !c.aspUp {
 			return unexpectedMessage(msg.kind)
 		}
-		if rc, ok := msg.getUint32(tagRoutingContext); ok && rc != c.m3ua.RoutingContext {
-			return &protocolError{errContext, "ASP Active for another routing context", false}
+		if rc, ok := msg.uint32Value(tagRoutingContext); ok && rc != c.m3ua.RoutingContext {
+			return &protocolError{errCodeInvalidRoutingContext, "ASP Active for another routing context", false}
 		}
 		c.send(msgASPACACK, routingContext)
 		c.send(msgNTFY, uint32Param(tagStatus, statusASActive), routingContext)
@@ -157,7 +157,7 @@
 		c.handleSetUp(circ, isupMsg, receivedAt)
 	case isupREL, isupRSC: // a client resets its circuits after a restart
 		c.m3ua.mu.Lock()
-		id, ok := c.m3ua.freeLocked(circ)
+		id, ok := c.m3ua.freeCircuitLocked(circ)
 		c.sendISUP(circ.reverse(), isupMessage{kind: isupRLC})
 		c.m3ua.mu.Unlock()
 		if ok {
@@ -165,14 +165,14 @@
 		}
 	case isupRLC: // the circuit was freed when the REL was sent
 	default:
-		return &protocolError{errUnexpected, "ISUP message not expected from a caller", false}
+		return &protocolError{errCodeUnexpectedMessage, "ISUP message not expected from a caller", false}
 	}
 	return nil
 }
 
 // handleSetUp assigns the circuit to a new call and posts the call's set-up to the core. A set-up on a circuit that is
 // in use repeats the same call after its association was lost, and keeps the call's id.
-func (c *callerConn) handleSetUp(circ circuit, iam isupMessage, receivedAt core.Time) {
+func (c *callerConn) handleSetUp(circ circuitID, iam isupMessage, receivedAt core.Time) {
 	setUp := core.SetUp{
 		From: c.connID, Class: c.m3ua.classOfCategory(iam.category), Number: hashNumber(iam.digits), NumberText: iam.digits, Desc: iam.desc,
 		Cell: -1, At: receivedAt,
@@ -187,7 +187,7 @@
 	c.m3ua.mu.Lock()
 	id, ok := c.m3ua.callByCircuit[circ]
 	if !ok {
-		id = c.m3ua.newID()
+		id = c.m3ua.newCallID()
 		c.m3ua.callByCircuit[circ], c.m3ua.circuitByCall[id] = id, circ
 	}
 	c.m3ua.mu.Unlock()
@@ -196,10 +196,10 @@
 	c.m3ua.loop.Post(setUp)
 }
 
-// freeLocked frees a circuit towards a caller and returns the call that was on it. The caller of the method holds m.mu
+// freeCircuitLocked frees a circuit towards a caller and returns the call that was on it. The caller of the method holds m.mu
 // until the next message on the circuit is queued: otherwise the answer to an abandoned call could be queued after the
 // RLC, and the client would take this answer for that of the circuit's next call.
-func (m *M3UA) freeLocked(circ circuit) (core.ID, bool) {
+func (m *M3UA) freeCircuitLocked(circ circuitID) (core.ID, bool) {
 	id, ok := m.callByCircuit[circ]
 	if ok {
 		delete(m.callByCircuit, circ)
@@ -209,7 +209,7 @@
 }
 
 // sendISUP queues an ISUP message on a circuit.
-func (c *callerConn) sendISUP(circ circuit, isupMsg isupMessage) {
+func (c *callerConn) sendISUP(circ circuitID, isupMsg isupMessage) {
 	isup, err := buildISUP(circ.cic, isupMsg)
 	if err != nil {
 		c.m3ua.log.Error().Err(err).Msg("ISUP message not sent")
@@ -239,22 +239,22 @@
 			c.caller.sendISUP(circ.reverse(), isupMessage{kind: isupANM, desc: e.Desc})
 		}
 	case core.Rejected:
-		c.release(e.ID, isupMessage{kind: isupREL, cause: int(q850.CauseFromReason(e.Reason)), retryAfter: e.RetryAfter})
+		c.sendRelease(e.ID, isupMessage{kind: isupREL, cause: int(q850.CauseFromReason(e.Reason)), retryAfter: e.RetryAfter})
 	case core.Released:
-		c.release(e.ID, isupMessage{kind: isupREL, cause: int(q850.CauseFromReason(e.Reason))})
+		c.sendRelease(e.ID, isupMessage{kind: isupREL, cause: int(q850.CauseFromReason(e.Reason))})
 	case core.GracefulClose:
 		c.caller.outbox.Finish(c.caller.outbox.Close)
 	}
 	return nil
 }
 
-// release frees the circuit of a call and sends the REL on it, if the call still has a circuit.
-func (c *callerEffects) release(id core.ID, isupMsg isupMessage) {
+// sendRelease frees the circuit of a call and sends the REL on it, if the call still has a circuit.
+func (c *callerEffects) sendRelease(id core.ID, isupMsg isupMessage) {
 	m := c.caller.m3ua
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if circ, ok := m.circuitByCall[id]; ok {
-		m.freeLocked(circ)
+		m.freeCircuitLocked(circ)
 		c.caller.sendISUP(circ.reverse(), isupMsg)
 	}
 }
--- a/internal/m3ua/isup.go
+++ b/internal/m3ua/isup.go
@@ -10,18 +10,18 @@
 
 // ISUP message types (ITU-T Q.763, table 4).
 const (
-	isupIAM = 0x01
-	isupACM = 0x06
-	isupANM = 0x09
-	isupREL = 0x0c
-	isupRLC = 0x10
-	isupRSC = 0x12
+	isupIAM = 0x01 // initial address: a set-up
+	isupACM = 0x06 // address complete: the set-up has arrived
+	isupANM = 0x09 // answer
+	isupREL = 0x0c // release, give-up or refusal
+	isupRLC = 0x10 // release complete: confirms a REL or RSC
+	isupRSC = 0x12 // reset circuit: ends the call on the circuit
 )
 
 // Optional parameters (ITU-T Q.763).
 const (
-	optEnd      = 0x00
-	optUserUser = 0x20 // part of the call's description; a description of over 255 bytes takes several of these parameters, in order
+	optionEnd      = 0x00
+	optionUserUser = 0x20 // part of the call's description; a description of over 255 bytes takes several of these parameters, in order
 )
 
 // Sizes of parts of an ISUP message, in bytes, and the maximum length of a called number.
@@ -46,35 +46,35 @@
 // without one.
 func parseISUP(b []byte) (msg isupMessage, err error) {
 	malformed := func(detail string) (isupMessage, error) {
-		return msg, &protocolError{errParamValue, fmt.Sprintf("ISUP message %#02x: %s", b[2], detail), false}
+		return msg, &protocolError{errCodeInvalidParamValue, fmt.Sprintf("ISUP message %#02x: %s", b[2], detail), false}
 	}
 	if len(b) < isupHeaderSize {
-		return msg, &protocolError{errParamField, "truncated ISUP message", false}
+		return msg, &protocolError{errCodeParamFieldError, "truncated ISUP message", false}
 	}
 	msg.kind, msg.cause = b[2], -1
 	rest := b[isupHeaderSize:]
-	variable := false
+	hasMandatoryPart := false
 	switch msg.kind {
 	case isupIAM:
 		if len(rest) < iamFixedSize {
 			return malformed("truncated")
 		}
 		msg.category = rest[3]
-		rest, variable = rest[iamFixedSize:], true
+		rest, hasMandatoryPart = rest[iamFixedSize:], true
 	case isupACM:
 		if len(rest) < 2 {
 			return malformed("truncated")
 		}
 		rest = rest[2:]
 	case isupREL:
-		variable = true
+		hasMandatoryPart = true
 	case isupRSC:
 		return msg, nil
 	case isupANM, isupRLC:
 	default:
 		return malformed("unknown message type")
 	}
-	if variable {
+	if hasMandatoryPart {
 		if len(rest) < 2 || int(rest[0]) >= len(rest) || int(rest[0])+1+int(rest[rest[0]]) > len(rest) || rest[0] == 0 {
 			return malformed("truncated mandatory parameter")
 		}
@@ -102,11 +102,11 @@
 	}
 	for rest = rest[rest[0]:]; ; {
 		switch {
-		case len(rest) > 0 && rest[0] == optEnd:
+		case len(rest) > 0 && rest[0] == optionEnd:
 			return msg, nil
 		case len(rest) < 2 || 2+int(rest[1]) > len(rest):
 			return malformed("truncated optional parameter")
-		case rest[0] == optUserUser:
+		case rest[0] == optionUserUser:
 			msg.desc = append(msg.desc, rest[2:2+int(rest[1])]...)
 		}
 		rest = rest[2+int(rest[1]):]
@@ -188,11 +188,11 @@
 	}
 	for desc := msg.desc; len(desc) > 0; {
 		n := min(len(desc), maxOptionSize)
-		b = append(append(b, optUserUser, byte(n)), desc[:n]...)
+		b = append(append(b, optionUserUser, byte(n)), desc[:n]...)
 		desc = desc[n:]
 	}
 	if len(msg.desc) > 0 {
-		b = append(b, optEnd)
+		b = append(b, optionEnd)
 	}
 	return b, nil
 }
--- a/internal/m3ua/m3ua.go
+++ b/internal/m3ua/m3ua.go
@@ -83,7 +83,7 @@
 	FileConfig
 	Deployment     settings.Deployment
 	CallerConn     transport.Limits // limits of a caller's connection
-	ConnectTimeout time.Duration    // limit for connecting to a server, and again for becoming active there
+	ConnectTimeout time.Duration    // max time to connect to a server, and again to become active there
 
 	ServerConn     transport.Limits // limits of a connection to a server
 	MaxCallerConns int              // maximum number of open connections of callers
@@ -93,26 +93,26 @@
 // M3UA serves callers and reaches servers over M3UA-style signalling.
 type M3UA struct {
 	FileConfig
-	config     atomic.Pointer[Config] // as of the last Configure
-	loop       *loop.Loop
-	log        zerolog.Logger
-	sampledLog zerolog.Logger    // for lines that a peer can cause at any rate
-	trunks     map[string]*trunk // by server name
-	lastSerial atomic.Uint64     // serial number in the id that newID returned last
-	idPrefix   uint64            // random high half of the ids that newID returns
-
-	mu            sync.Mutex           // guards the fields below
-	callByCircuit map[circuit]core.ID  // calls on callers' circuits
-	circuitByCall map[core.ID]circuit  // the inverse of callByCircuit
-	activeCallers map[*callerConn]bool // callers' connections whose ASP is active
-	serving       bool                 // whether new calls are accepted
+	config         atomic.Pointer[Config] // as of the last Configure
+	loop           *loop.Loop
+	log            zerolog.Logger
+	sampledLog     zerolog.Logger    // for lines that a peer can cause at any rate
+	trunks         map[string]*trunk // by server name
+	lastCallSerial atomic.Uint64     // serial number in the id that newCallID returned last
+	callIDPrefix   uint64            // random high half of the ids that newCallID returns
+
+	mu            sync.Mutex            // guards the fields below
+	callByCircuit map[circuitID]core.ID // calls on callers' circuits
+	circuitByCall map[core.ID]circuitID // the inverse of callByCircuit
+	activeCallers map[*callerConn]bool  // callers' connections whose ASP is active
+	serving       bool                  // whether new calls are accepted
 }
 
 // New returns an M3UA that posts its events to the loop. It fails if a category is configured for an unknown class.
 func New(cfg Config, l *loop.Loop, log zerolog.Logger) (*M3UA, error) {
 	m := &M3UA{
 		FileConfig: cfg.FileConfig, loop: l, log: log, sampledLog: transport.SampledLogger(log), trunks: make(map[string]*trunk),
-		callByCircuit: make(map[circuit]core.ID), circuitByCall: make(map[core.ID]circuit), activeCallers: make(map[*callerConn]bool),
+		callByCircuit: make(map[circuitID]core.ID), circuitByCall: make(map[core.ID]circuitID), activeCallers: make(map[*callerConn]bool),
 	}
 	m.Configure(cfg)
 	for name := range cfg.Categories {
@@ -121,11 +121,11 @@
 		}
 	}
 	for _, s := range cfg.Servers {
-		m.trunks[s.Name] = newTrunk(circuit{cfg.PointCode, s.PointCode, 0}, cfg.Circuits)
+		m.trunks[s.Name] = newTrunk(circuitID{cfg.PointCode, s.PointCode, 0}, cfg.Circuits)
 	}
 	var seed [8]byte
 	rand.Read(seed[:])
-	m.idPrefix = binary.BigEndian.Uint64(seed[:]) &^ 0xffffffff
+	m.callIDPrefix = binary.BigEndian.Uint64(seed[:]) &^ 0xffffffff
 	return m, nil
 }
 
@@ -172,8 +172,10 @@
 	return -1
 }
 
-// newID returns an id for a new call from a caller.
-func (m *M3UA) newID() core.ID { return core.ID(m.idPrefix | m.lastSerial.Add(1)&0xffffffff) }
+// newCallID returns an id for a new call from a caller.
+func (m *M3UA) newCallID() core.ID {
+	return core.ID(m.callIDPrefix | m.lastCallSerial.Add(1)&0xffffffff)
+}
 
 // hashNumber returns the value by which the core compares called numbers, 0 for an empty number.
 func hashNumber(digits string) uint64 {
--- a/internal/m3ua/m3ua_test.go
+++ b/internal/m3ua/m3ua_test.go
@@ -61,7 +61,7 @@
 }
 
 // sendISUP writes a DATA message with an ISUP message.
-func (p *testPeer) sendISUP(circ circuit, msg isupMessage) {
+func (p *testPeer) sendISUP(circ circuitID, msg isupMessage) {
 	b, err := buildISUP(circ.cic, msg)
 	if err != nil {
 		panic(err)
@@ -69,7 +69,7 @@
 	p.send(buildData(circ, 2, 1, b))
 }
 
-// nextMessage reads the next message and copies its parameters out of the buffer.
+// nextMessage reads the next message. It copies the parameters, as parseMessage returns them as parts of the read buffer.
 func (p *testPeer) nextMessage() (msg message, err error) {
 	for {
 		msg, size, err := parseMessage(p.buf.Bytes(), 16<<10)
@@ -90,18 +90,18 @@
 func (p *testPeer) wantMessage(t *testing.T, kind uint16) message {
 	t.Helper()
 	for {
-		m, err := p.nextMessage()
+		msg, err := p.nextMessage()
 		if err != nil {
 			t.Fatalf("no %#04x: %v", kind, err)
 		}
-		if m.kind == kind {
-			return m
+		if msg.kind == kind {
+			return msg
 		}
 	}
 }
 
 // wantISUP reads until an ISUP message of the given kind and returns this message and its circuit.
-func (p *testPeer) wantISUP(t *testing.T, kind byte) (circuit, isupMessage) {
+func (p *testPeer) wantISUP(t *testing.T, kind byte) (circuitID, isupMessage) {
 	t.Helper()
 	for {
 		circ, b, err := parseData(p.wantMessage(t, msgDATA), 1)
@@ -135,13 +135,14 @@
 		MaxAttempts: 4, OwnCell: -1, ReleaseGuard: releaseGuard, MaxRetryAfter: 2 * time.Second, RetransmitInterval: 10 * time.Second,
 		ReportMetrics: []elmseam.LoadMetric{elmseam.LoadMetricHoldBackShare},
 	}
-	reducer, err := core.New(controllerSettings, 1, core.Limits{AnswerMargin: 15 * time.Millisecond, RebindTimeout: 100 * time.Millisecond,
+	stateMachine, err := core.New(controllerSettings, 1, core.Limits{AnswerMargin: 15 * time.Millisecond,
+		RebindTimeout:      100 * time.Millisecond,
 		InitialRedialDelay: time.Millisecond, MaxRedialDelay: time.Millisecond, ServerLostAfter: time.Minute, CallerConnsTarget: 100, MaxOpen: 10000, MaxCallBytes: 1 << 20, EndedCallTTL: time.Minute})
 	if err != nil {
 		t.Fatal(err)
 	}
 	var m3uaProtocol *M3UA
-	eventLoop := loop.New(reducer, 1024, func(e core.Effect) {
+	eventLoop := loop.New(stateMachine, 1024, func(e core.Effect) {
 		switch e := e.(type) {
 		case core.Serving:
 			m3uaProtocol.SetServing(e.On)
@@ -233,15 +234,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got := hex.EncodeToString(buildData(circuit{0x64, 0xc9, 0x123}, 2, 1, iam))
+	got := hex.EncodeToString(buildData(circuitID{0x64, 0xc9, 0x123}, 2, 1, iam))
 	want := "01000101" + "00000038" + "0006000800000001" + "02100025" + "00000064" + "000000c9" + "05020003" +
 		"230101" + "0060010a00" + "0207" + "05" + "8310214305" + "20026869" + "00" + "000000"
 	if got != want {
 		t.Errorf("IAM\n%s, want\n%s", got, want)
 	}
 	rel, _ := hex.DecodeString("2301" + "0c" + "0200" + "02" + "80aa")
-	if k, err := parseISUP(rel); err != nil || k.cause != 42 {
-		t.Errorf("REL %+v, %v, want cause 42", k, err)
+	if release, err := parseISUP(rel); err != nil || release.cause != 42 {
+		t.Errorf("REL %+v, %v, want cause 42", release, err)
 	}
 }
 
@@ -252,28 +253,29 @@
 	_, address := startSoftswitch(t, testReleaseGuard, serverFileConfig("hlr", 201, serverListener))
 	server := mustAcceptASP(t, serverListener)
 	client := connectCaller(t, address)
-	circ := circuit{clientPC, ownPC, 7}
-	long := bytes.Repeat([]byte("0123456789"), 70)
-	client.sendISUP(circ, isupMessage{kind: isupIAM, category: 10, digits: "38591", desc: long})
-	out, msg := server.wantISUP(t, isupIAM)
-	if out.opc != ownPC || out.dpc != 201 || msg.digits != "38591" || msg.category != 10 || !bytes.Equal(msg.desc, long) {
-		t.Errorf("IAM %+v on %+v", msg, out)
-	}
-	server.sendISUP(out.reverse(), isupMessage{kind: isupANM, desc: long[1:]})
-	if back, msg := client.wantISUP(t, isupANM); back != circ.reverse() || !bytes.Equal(msg.desc, long[1:]) {
-		t.Errorf("ANM on %+v with %d bytes", back, len(msg.desc))
-	}
-	server.sendISUP(out.reverse(), isupMessage{kind: isupREL, cause: 41})
+	circ := circuitID{clientPC, ownPC, 7}
+	longDesc := bytes.Repeat([]byte("0123456789"), 70)
+	client.sendISUP(circ, isupMessage{kind: isupIAM, category: 10, digits: "38591", desc: longDesc})
+	outgoingCircuit, msg := server.wantISUP(t, isupIAM)
+	if outgoingCircuit.opc != ownPC || outgoingCircuit.dpc != 201 || msg.digits != "38591" || msg.category != 10 ||
+		!bytes.Equal(msg.desc, longDesc) {
+		t.Errorf("IAM %+v on %+v", msg, outgoingCircuit)
+	}
+	server.sendISUP(outgoingCircuit.reverse(), isupMessage{kind: isupANM, desc: longDesc[1:]})
+	if answerCircuit, msg := client.wantISUP(t, isupANM); answerCircuit != circ.reverse() || !bytes.Equal(msg.desc, longDesc[1:]) {
+		t.Errorf("ANM on %+v with %d bytes", answerCircuit, len(msg.desc))
+	}
+	server.sendISUP(outgoingCircuit.reverse(), isupMessage{kind: isupREL, cause: 41})
 	server.wantISUP(t, isupRLC)
 	if _, msg := client.wantISUP(t, isupREL); msg.cause != 41 {
 		t.Errorf("released with cause %d, want 41", msg.cause)
 	}
 	client.sendISUP(circ, isupMessage{kind: isupRLC})
 	client.sendISUP(circ, isupMessage{kind: isupIAM, category: 10, digits: "38593"}) // a server resets its circuits after a restart, and so does a client below
-	out, _ = server.wantISUP(t, isupIAM)
-	server.sendISUP(out.reverse(), isupMessage{kind: isupANM})
+	outgoingCircuit, _ = server.wantISUP(t, isupIAM)
+	server.sendISUP(outgoingCircuit.reverse(), isupMessage{kind: isupANM})
 	client.wantISUP(t, isupANM)
-	server.sendISUP(out.reverse(), isupMessage{kind: isupRSC})
+	server.sendISUP(outgoingCircuit.reverse(), isupMessage{kind: isupRSC})
 	if _, msg := client.wantISUP(t, isupREL); msg.cause != 41 {
 		t.Errorf("cut by a circuit reset with cause %d, want 41", msg.cause)
 	}
@@ -285,8 +287,8 @@
 		t.Errorf("set-up given up with cause %d, want 16", msg.cause)
 	}
 	client.sendISUP(circ, isupMessage{kind: isupIAM, category: 10, digits: "38592"}) // the only server refuses as full
-	out, _ = server.wantISUP(t, isupIAM)
-	server.sendISUP(out.reverse(), isupMessage{kind: isupREL, cause: 34})
+	outgoingCircuit, _ = server.wantISUP(t, isupIAM)
+	server.sendISUP(outgoingCircuit.reverse(), isupMessage{kind: isupREL, cause: 34})
 	if _, msg := client.wantISUP(t, isupREL); msg.cause != 42 || msg.retryAfter <= 0 {
 		t.Errorf("refused with cause %d, retry after %v", msg.cause, msg.retryAfter)
 	}
@@ -329,14 +331,14 @@
 	server := mustAcceptASP(t, serverListener)
 	client := connectCaller(t, address)
 	iam := isupMessage{kind: isupIAM, category: 10, digits: "1"}
-	pc := uint32Param(tagAffectedPC, 201)
-	for i, p := range []struct{ stop, start []byte }{
-		{buildMessage(msgDUNA, pc), buildMessage(msgDAVA, pc)},
+	affectedPC := uint32Param(tagAffectedPC, 201)
+	for i, change := range []struct{ stop, start []byte }{
+		{buildMessage(msgDUNA, affectedPC), buildMessage(msgDAVA, affectedPC)},
 		{buildMessage(msgNTFY, uint32Param(tagStatus, statusASInactive)), buildMessage(msgNTFY, uint32Param(tagStatus, statusASActive))},
 		{buildMessage(msgASPIAACK), buildMessage(msgNTFY, uint32Param(tagStatus, statusASActive))},
 	} {
-		circ := circuit{clientPC, ownPC, uint16(i)}
-		server.send(p.stop)
+		circ := circuitID{clientPC, ownPC, uint16(i)}
+		server.send(change.stop)
 		if m := client.wantMessage(t, msgDUNA); len(m.params) == 0 { // without its only server the softswitch is unavailable too
 			t.Error("DUNA without a point code")
 		}
@@ -344,27 +346,27 @@
 		if _, msg := client.wantISUP(t, isupREL); msg.cause != 42 {
 			t.Errorf("%d: refused with cause %d", i, msg.cause)
 		}
-		server.send(p.start)
+		server.send(change.start)
 		client.wantMessage(t, msgDAVA)
 		client.sendISUP(circ, iam)
-		out, _ := server.wantISUP(t, isupIAM)
-		server.sendISUP(out.reverse(), isupMessage{kind: isupANM})
+		outgoingCircuit, _ := server.wantISUP(t, isupIAM)
+		server.sendISUP(outgoingCircuit.reverse(), isupMessage{kind: isupANM})
 		client.wantISUP(t, isupANM)
 	}
 	client.send(buildMessage(msgDAUD, uint32Param(tagAffectedPC, ownPC)))
 	client.wantMessage(t, msgDAVA)
 	client.send(buildMessage(msgASPIA))
 	client.wantMessage(t, msgASPIAACK)
-	client.sendISUP(circuit{clientPC, ownPC, 9}, iam)
-	if m := client.wantMessage(t, msgERR); !hasError(m, errUnexpected) {
+	client.sendISUP(circuitID{clientPC, ownPC, 9}, iam)
+	if m := client.wantMessage(t, msgERR); !hasErrorCode(m, errCodeUnexpectedMessage) {
 		t.Errorf("ERR %+v, want unexpected message", m)
 	}
 }
 
-// hasError reports whether an ERR has the given error code.
-func hasError(m message, code uint32) bool {
-	n, ok := m.getUint32(tagErrorCode)
-	return ok && n == code
+// hasErrorCode reports whether an ERR has the given error code.
+func hasErrorCode(msg message, code uint32) bool {
+	got, ok := msg.uint32Value(tagErrorCode)
+	return ok && got == code
 }
 
 // TestMalformedMessages checks that a malformed message is answered with an ERR, and that the connection ends only if
@@ -373,33 +375,33 @@
 	serverListener := listen(t)
 	_, address := startSoftswitch(t, testReleaseGuard, serverFileConfig("hlr", 201, serverListener))
 	mustAcceptASP(t, serverListener)
-	circ := circuit{clientPC, ownPC, 1}
+	circ := circuitID{clientPC, ownPC, 1}
 	for name, tt := range map[string]struct {
-		b    []byte
-		code uint32
-		ends bool
+		b        []byte
+		code     uint32
+		endsConn bool
 	}{
-		"version":         {[]byte{9, 0, 3, 1, 0, 0, 0, 8}, errVersion, true},
-		"length":          {[]byte{1, 0, 3, 1, 0xff, 0, 0, 8}, errProtocol, true},
-		"class":           {buildMessage(0x0701), errClass, false},
-		"type":            {buildMessage(0x0309), errType, false},
-		"unexpected":      {buildMessage(msgASPACACK), errUnexpected, false},
-		"parameter":       {[]byte{1, 0, 1, 1, 0, 0, 0, 12, 2, 0x10, 0, 99}, errParamField, false},
-		"missing":         {buildMessage(msgDATA), errMissingParam, false},
-		"routing context": {buildData(circ, 2, 9, []byte{1, 0, isupRLC, 0}), errContext, false},
-		"ISUP type":       {buildData(circ, 2, 1, []byte{1, 0, 0x99, 0}), errParamValue, false},
-		"ISUP cut short":  {buildData(circ, 2, 1, []byte{1, 0, isupIAM, 0, 0, 0, 10, 0, 2, 0, 99}), errParamValue, false},
+		"version":         {[]byte{9, 0, 3, 1, 0, 0, 0, 8}, errCodeInvalidVersion, true},
+		"length":          {[]byte{1, 0, 3, 1, 0xff, 0, 0, 8}, errCodeProtocolError, true},
+		"class":           {buildMessage(0x0701), errCodeUnsupportedClass, false},
+		"type":            {buildMessage(0x0309), errCodeUnsupportedType, false},
+		"unexpected":      {buildMessage(msgASPACACK), errCodeUnexpectedMessage, false},
+		"parameter":       {[]byte{1, 0, 1, 1, 0, 0, 0, 12, 2, 0x10, 0, 99}, errCodeParamFieldError, false},
+		"missing":         {buildMessage(msgDATA), errCodeMissingParam, false},
+		"routing context": {buildData(circ, 2, 9, []byte{1, 0, isupRLC, 0}), errCodeInvalidRoutingContext, false},
+		"ISUP type":       {buildData(circ, 2, 1, []byte{1, 0, 0x99, 0}), errCodeInvalidParamValue, false},
+		"ISUP cut short":  {buildData(circ, 2, 1, []byte{1, 0, isupIAM, 0, 0, 0, 10, 0, 2, 0, 99}), errCodeInvalidParamValue, false},
 	} {
 		client := connectCaller(t, address)
 		client.send(tt.b)
-		if m := client.wantMessage(t, msgERR); !hasError(m, tt.code) {
+		if m := client.wantMessage(t, msgERR); !hasErrorCode(m, tt.code) {
 			t.Errorf("%s: ERR %+v, want code %d", name, m, tt.code)
 		}
 		client.send(buildMessage(msgBEAT, param{tagHeartbeat, []byte("x")}))
 		for {
 			m, err := client.nextMessage()
 			if err != nil || m.kind == msgBEATACK {
-				if (err != nil) != tt.ends {
+				if (err != nil) != tt.endsConn {
 					t.Errorf("%s: connection ended: %v", name, err)
 				}
 				break
@@ -481,18 +483,18 @@
 	m.trunks["hlr"].mu.Unlock()
 	client := connectCaller(t, address)
 	iam := isupMessage{kind: isupIAM, category: 10, digits: "1"}
-	client.sendISUP(circuit{clientPC, ownPC, 1}, iam)
+	client.sendISUP(circuitID{clientPC, ownPC, 1}, iam)
 	server.wantISUP(t, isupIAM)
-	client.sendISUP(circuit{clientPC, ownPC, 1}, isupMessage{kind: isupREL, cause: 16})
+	client.sendISUP(circuitID{clientPC, ownPC, 1}, isupMessage{kind: isupREL, cause: 16})
 	server.wantISUP(t, isupREL) // not confirmed
-	client.sendISUP(circuit{clientPC, ownPC, 2}, iam)
+	client.sendISUP(circuitID{clientPC, ownPC, 2}, iam)
 	client.wantISUP(t, isupREL)
 	time.Sleep(2 * m.config.Load().ConfirmTimeout)
-	client.sendISUP(circuit{clientPC, ownPC, 3}, iam)
+	client.sendISUP(circuitID{clientPC, ownPC, 3}, iam)
 	circ, _ := server.wantISUP(t, isupREL)
 	server.sendISUP(circ.reverse(), isupMessage{kind: isupRLC})
 	for n := uint16(4); ; n++ {
-		client.sendISUP(circuit{clientPC, ownPC, n}, iam)
+		client.sendISUP(circuitID{clientPC, ownPC, n}, iam)
 		time.Sleep(time.Millisecond)
 		server.SetDeadline(time.Now().Add(20 * time.Millisecond))
 		if msg, err := server.nextMessage(); err == nil && msg.kind == msgDATA {
@@ -503,19 +505,20 @@
 	}
 }
 
-// attemptLog records, over all stand-in servers, the outstanding attempts of each call and the rules they violate.
+// attemptLog records the outstanding attempts of each call at all stand-in servers, and counts violations of the rules for
+// attempts. A call is identified by its tag, the text of its description.
 type attemptLog struct {
 	mu          sync.Mutex
-	outstanding map[string]string    // server by call
-	counts      map[string]int       // number of attempts by call
+	outstanding map[string]string    // name of the server by tag
+	counts      map[string]int       // number of attempts by tag
 	resetAt     map[string]time.Time // time of the reset that interrupted the call's set-up
 	overlaps    int                  // attempts sent while another attempt of the call was outstanding
 	tooEarly    int                  // attempts sent within the release guard
 	resets      int                  // set-ups interrupted by a reset
 }
 
-// start records that a server received an attempt of a call.
-func (l *attemptLog) start(tag, server string) {
+// recordAttempt records that a server received an attempt of a call.
+func (l *attemptLog) recordAttempt(tag, server string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.outstanding[tag] != "" {
@@ -528,8 +531,8 @@
 	l.counts[tag]++
 }
 
-// end records that a call's outstanding attempt ended.
-func (l *attemptLog) end(tag string) {
+// recordEnd records that the outstanding attempt of a call has ended.
+func (l *attemptLog) recordEnd(tag string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.outstanding, tag)
@@ -543,18 +546,18 @@
 		if err != nil {
 			return
 		}
-		open := make(map[circuit]string)
-		for remaining := 20 + rng.IntN(100); ; {
+		openSetUps := make(map[circuitID]string)
+		for messagesUntilReset := 20 + rng.IntN(100); ; {
 			peer.SetReadDeadline(time.Now().Add(5 * time.Millisecond))
 			msg, err := peer.nextMessage()
 			if ctx.Err() != nil {
 				peer.Close()
 				return
 			}
-			if errors.Is(err, os.ErrDeadlineExceeded) { // no new set-ups: answer all open ones
-				for circ, tag := range open {
-					delete(open, circ)
-					attempts.end(tag)
+			if errors.Is(err, os.ErrDeadlineExceeded) { // no new set-ups: answer all outstanding ones
+				for circ, tag := range openSetUps {
+					delete(openSetUps, circ)
+					attempts.recordEnd(tag)
 					peer.sendISUP(circ.reverse(), isupMessage{kind: isupANM, desc: []byte(tag)})
 				}
 				continue
@@ -569,39 +572,39 @@
 			}
 			switch isup.kind {
 			case isupREL:
-				if tag, ok := open[circ]; ok {
-					delete(open, circ)
-					attempts.end(tag)
+				if tag, ok := openSetUps[circ]; ok {
+					delete(openSetUps, circ)
+					attempts.recordEnd(tag)
 				}
 				peer.sendISUP(circ.reverse(), isupMessage{kind: isupRLC})
 			case isupIAM:
-				open[circ] = string(isup.desc)
-				attempts.start(string(isup.desc), name)
+				openSetUps[circ] = string(isup.desc)
+				attempts.recordAttempt(string(isup.desc), name)
 			}
-			if remaining--; remaining < 0 {
+			if messagesUntilReset--; messagesUntilReset < 0 {
 				peer.send(buildMessage(msgDUNA, uint32Param(tagAffectedPC, circ.dpc)))
-				time.Sleep(time.Duration(rng.IntN(4)) * time.Millisecond) // the server is drained while set-ups are open
+				time.Sleep(time.Duration(rng.IntN(4)) * time.Millisecond) // the server is drained while set-ups are outstanding
 				answer, _ := buildISUP(circ.cic, isupMessage{kind: isupANM, desc: isup.desc})
 				peer.send(buildData(circ.reverse(), 2, 1, answer)[:10+rng.IntN(20)])
 				break
 			}
-			for circ, tag := range open {
+			for circ, tag := range openSetUps {
 				if rng.IntN(3) == 0 { // the others stay open, so that a reset interrupts some
-					delete(open, circ)
-					attempts.end(tag)
+					delete(openSetUps, circ)
+					attempts.recordEnd(tag)
 					peer.sendISUP(circ.reverse(), isupMessage{kind: isupANM, desc: []byte(tag)})
 				}
 			}
-			if len(open) > 8 {
-				for circ, tag := range open {
-					delete(open, circ)
-					attempts.end(tag)
+			if len(openSetUps) > 8 {
+				for circ, tag := range openSetUps {
+					delete(openSetUps, circ)
+					attempts.recordEnd(tag)
 					peer.sendISUP(circ.reverse(), isupMessage{kind: isupREL, cause: 34})
 				}
 			}
 		}
-		for _, tag := range open {
-			attempts.end(tag)
+		for _, tag := range openSetUps {
+			attempts.recordEnd(tag)
 			attempts.mu.Lock()
 			attempts.resetAt[tag] = time.Now()
 			attempts.resets++
@@ -648,8 +651,8 @@
 	for i := range circuits {
 		wg.Go(func() {
 			rng := rand.New(rand.NewPCG(uint64(i), 2))
-			circ := circuit{clientPC, ownPC, uint16(i)}
-			wait := func() (isupMessage, bool) {
+			circ := circuitID{clientPC, ownPC, uint16(i)}
+			nextReply := func() (isupMessage, bool) {
 				select {
 				case isup := <-received[i]:
 					return isup, true
@@ -664,15 +667,15 @@
 				if rng.IntN(8) == 0 { // the caller gives up, and an answer may cross its REL
 					time.Sleep(time.Duration(rng.IntN(2000)) * time.Microsecond)
 					client.sendISUP(circ, isupMessage{kind: isupREL, cause: 16})
-					for finals := 0; ; {
-						isup, ok := wait()
+					for finalAnswers := 0; ; {
+						isup, ok := nextReply()
 						if !ok {
 							return
 						}
 						if isup.kind == isupRLC {
 							break
 						}
-						if finals++; finals > 1 || isup.kind == isupANM && string(isup.desc) != tag {
+						if finalAnswers++; finalAnswers > 1 || isup.kind == isupANM && string(isup.desc) != tag {
 							t.Errorf("call %s, given up: second answer or answer of another call %+v", tag, isup)
 						}
 					}
@@ -681,7 +684,7 @@
 					mu.Unlock()
 					continue
 				}
-				isup, ok := wait()
+				isup, ok := nextReply()
 				switch {
 				case !ok:
 					return
@@ -689,7 +692,7 @@
 					client.sendISUP(circ, isupMessage{kind: isupRLC})
 				case isup.kind == isupANM && string(isup.desc) == tag:
 					client.sendISUP(circ, isupMessage{kind: isupREL, cause: 16})
-					if end, ok := wait(); !ok || end.kind != isupRLC {
+					if end, ok := nextReply(); !ok || end.kind != isupRLC {
 						t.Errorf("call %s: %+v after the final answer", tag, end)
 					}
 				default:
@@ -734,7 +737,7 @@
 // FuzzParse checks that the parsers accept any input without a panic and report a valid length.
 func FuzzParse(f *testing.F) {
 	iam, _ := buildISUP(1, isupMessage{kind: isupIAM, digits: "12", desc: []byte("x")})
-	f.Add(buildData(circuit{1, 2, 3}, 2, 1, iam))
+	f.Add(buildData(circuitID{1, 2, 3}, 2, 1, iam))
 	f.Add(buildMessage(msgNTFY, uint32Param(tagStatus, statusASActive)))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		m, n, err := parseMessage(b, 1<<10)
--- a/internal/m3ua/message.go
+++ b/internal/m3ua/message.go
@@ -15,10 +15,10 @@
 	msgERR      = 0x0000
 	msgNTFY     = 0x0001
 	msgDATA     = 0x0101
-	msgDUNA     = 0x0201
-	msgDAVA     = 0x0202
-	msgDAUD     = 0x0203
-	msgSCON     = 0x0204
+	msgDUNA     = 0x0201 // destination unavailable
+	msgDAVA     = 0x0202 // destination available
+	msgDAUD     = 0x0203 // destination state audit: asks for a DUNA or DAVA
+	msgSCON     = 0x0204 // signalling congestion
 	msgDUPU     = 0x0205
 	msgDRST     = 0x0206
 	msgASPUP    = 0x0301
@@ -44,20 +44,21 @@
 	tagProtocolData   = 0x0210
 )
 
-// Error codes (RFC 4666, 3.8.1).
+// Error codes of an ERR message (RFC 4666, 3.8.1).
 const (
-	errVersion      = 0x01
-	errClass        = 0x03
-	errType         = 0x04
-	errUnexpected   = 0x06
-	errProtocol     = 0x07
-	errParamValue   = 0x11
-	errParamField   = 0x12
-	errMissingParam = 0x16
-	errContext      = 0x19
+	errCodeInvalidVersion        = 0x01
+	errCodeUnsupportedClass      = 0x03
+	errCodeUnsupportedType       = 0x04
+	errCodeUnexpectedMessage     = 0x06
+	errCodeProtocolError         = 0x07
+	errCodeInvalidParamValue     = 0x11
+	errCodeParamFieldError       = 0x12
+	errCodeMissingParam          = 0x16
+	errCodeInvalidRoutingContext = 0x19
 )
 
-// Values of the Status parameter of NTFY (RFC 4666, 3.8.2): type in the high half, information in the low half.
+// Values of the Status parameter of NTFY (RFC 4666, 3.8.2): type in the high half, information in the low half. AS stands for
+// application server.
 const (
 	statusASInactive = 1<<16 | 2
 	statusASActive   = 1<<16 | 3
@@ -70,14 +71,14 @@
 	headerSize             = 8
 	paramHeaderSize        = 4
 	protocolDataHeaderSize = 12 // point codes, service and network indicator, priority and link selection
-	siISUP                 = 5  // service indicator of ISUP
+	serviceIndicatorISUP   = 5  // service indicator of ISUP
 )
 
-// protocolError describes a malformed or unexpected message and the error code of the ERR that answers it.
+// protocolError describes a malformed or unexpected message. code is the error code of the ERR message that answers it.
 type protocolError struct {
 	code   uint32
 	detail string
-	fatal  bool // the framing is lost: nothing after this message can be read
+	fatal  bool // where the next message begins is unknown: nothing after this message can be read
 }
 
 // Error returns the description of the error.
@@ -98,8 +99,8 @@
 	value []byte
 }
 
-// get returns the value of the first parameter with the given tag.
-func (m message) get(tag uint16) ([]byte, bool) {
+// paramValue returns the value of the first parameter with the given tag.
+func (m message) paramValue(tag uint16) ([]byte, bool) {
 	for _, p := range m.params {
 		if p.tag == tag {
 			return p.value, true
@@ -108,10 +109,10 @@
 	return nil, false
 }
 
-// getUint32 returns the value of a four-byte parameter. It reports false if the parameter is missing or has another
+// uint32Value returns the value of a four-byte parameter. It reports false if the parameter is missing or has another
 // size.
-func (m message) getUint32(tag uint16) (uint32, bool) {
-	v, ok := m.get(tag)
+func (m message) uint32Value(tag uint16) (uint32, bool) {
+	v, ok := m.paramValue(tag)
 	if !ok || len(v) != 4 {
 		return 0, false
 	}
@@ -127,9 +128,9 @@
 	length := binary.BigEndian.Uint32(b[4:])
 	switch {
 	case b[0] != version:
-		return msg, 0, &protocolError{errVersion, fmt.Sprintf("unsupported version %d", b[0]), true}
+		return msg, 0, &protocolError{errCodeInvalidVersion, fmt.Sprintf("unsupported version %d", b[0]), true}
 	case length < headerSize || length > uint32(maxSize):
-		return msg, 0, &protocolError{errProtocol, fmt.Sprintf("invalid message length %d", length), true}
+		return msg, 0, &protocolError{errCodeProtocolError, fmt.Sprintf("invalid message length %d", length), true}
 	case len(b) < int(length):
 		return msg, 0, errIncomplete
 	}
@@ -137,11 +138,11 @@
 	msg.kind = binary.BigEndian.Uint16(b[2:])
 	for p := b[headerSize:size]; len(p) > 0; {
 		if len(p) < paramHeaderSize {
-			return msg, size, &protocolError{errParamField, "truncated parameter header", false}
+			return msg, size, &protocolError{errCodeParamFieldError, "truncated parameter header", false}
 		}
 		paramSize := int(binary.BigEndian.Uint16(p[2:]))
 		if paramSize < paramHeaderSize || paramSize > len(p) {
-			return msg, size, &protocolError{errParamField, fmt.Sprintf("invalid parameter length %d", paramSize), false}
+			return msg, size, &protocolError{errCodeParamFieldError, fmt.Sprintf("invalid parameter length %d", paramSize), false}
 		}
 		msg.params = append(msg.params, param{binary.BigEndian.Uint16(p), p[paramHeaderSize:paramSize]})
 		p = p[min((paramSize+3)&^3, len(p)):]
@@ -167,51 +168,53 @@
 	return param{tag, binary.BigEndian.AppendUint32(nil, n)}
 }
 
-// circuit identifies a circuit between two signalling points. A call occupies one circuit from its set-up to its end.
-type circuit struct {
-	opc, dpc uint32 // origin and destination, as in the message that seizes the circuit
-	cic      uint16
+// circuitID identifies a circuit between two signalling points. A call occupies one circuit from its set-up to its end.
+type circuitID struct {
+	opc, dpc uint32 // origin and destination point code, as in the message that seizes the circuit
+	cic      uint16 // circuit identification code
 }
 
 // reverse returns the circuit as the other side's messages identify it, with the point codes swapped.
-func (c circuit) reverse() circuit { return circuit{c.dpc, c.opc, c.cic} }
+func (c circuitID) reverse() circuitID { return circuitID{c.dpc, c.opc, c.cic} }
 
 // buildData encodes a DATA message that carries an ISUP message on a circuit.
-func buildData(circ circuit, networkIndicator byte, routingContext uint32, isup []byte) []byte {
+func buildData(circ circuitID, networkIndicator byte, routingContext uint32, isup []byte) []byte {
 	protocolData := binary.BigEndian.AppendUint32(nil, circ.opc)
 	protocolData = binary.BigEndian.AppendUint32(protocolData, circ.dpc)
-	protocolData = append(protocolData, siISUP, networkIndicator, 0, byte(circ.cic&15))
+	protocolData = append(protocolData, serviceIndicatorISUP, networkIndicator, 0, byte(circ.cic&15))
 	protocolData = append(protocolData, isup...)
 	return buildMessage(msgDATA, uint32Param(tagRoutingContext, routingContext), param{tagProtocolData, protocolData})
 }
 
 // parseData returns the circuit and the ISUP message that a DATA message carries. The ISUP message begins with its circuit
 // identification code. A DATA without a routing context is accepted.
-func parseData(msg message, routingContext uint32) (circ circuit, isup []byte, err error) {
-	if rc, ok := msg.getUint32(tagRoutingContext); ok && rc != routingContext {
-		return circ, nil, &protocolError{errContext, fmt.Sprintf("unknown routing context %d", rc), false}
+func parseData(msg message, routingContext uint32) (circ circuitID, isup []byte, err error) {
+	if rc, ok := msg.uint32Value(tagRoutingContext); ok && rc != routingContext {
+		return circ, nil, &protocolError{errCodeInvalidRoutingContext, fmt.Sprintf("unknown routing context %d", rc), false}
 	}
-	data, ok := msg.get(tagProtocolData)
+	data, ok := msg.paramValue(tagProtocolData)
 	switch {
 	case !ok:
-		return circ, nil, &protocolError{errMissingParam, "DATA without protocol data parameter", false}
+		return circ, nil, &protocolError{errCodeMissingParam, "DATA without protocol data parameter", false}
 	case len(data) < protocolDataHeaderSize+isupHeaderSize:
-		return circ, nil, &protocolError{errParamField, "truncated protocol data", false}
-	case data[8] != siISUP:
-		return circ, nil, &protocolError{errParamValue, fmt.Sprintf("unsupported service indicator %d", data[8]), false}
+		return circ, nil, &protocolError{errCodeParamFieldError, "truncated protocol data", false}
+	case data[8] != serviceIndicatorISUP:
+		return circ, nil, &protocolError{errCodeInvalidParamValue, fmt.Sprintf("unsupported service indicator %d", data[8]), false}
+	}
+	circ = circuitID{
+		binary.BigEndian.Uint32(data), binary.BigEndian.Uint32(data[4:]), binary.LittleEndian.Uint16(data[protocolDataHeaderSize:]),
 	}
-	circ = circuit{binary.BigEndian.Uint32(data), binary.BigEndian.Uint32(data[4:]), binary.LittleEndian.Uint16(data[protocolDataHeaderSize:])}
 	return circ, data[protocolDataHeaderSize:], nil
 }
 
 // affectedPointCodes returns the point codes that a DUNA, DAVA or SCON reports on.
 func affectedPointCodes(msg message) ([]uint32, error) {
-	v, ok := msg.get(tagAffectedPC)
+	v, ok := msg.paramValue(tagAffectedPC)
 	if !ok {
-		return nil, &protocolError{errMissingParam, "no affected point code parameter", false}
+		return nil, &protocolError{errCodeMissingParam, "no affected point code parameter", false}
 	}
 	if len(v) == 0 || len(v)%4 != 0 {
-		return nil, &protocolError{errParamField, "truncated affected point code parameter", false}
+		return nil, &protocolError{errCodeParamFieldError, "truncated affected point code parameter", false}
 	}
 	var pointCodes []uint32
 	for ; len(v) > 0; v = v[4:] {
--- a/internal/m3ua/server.go
+++ b/internal/m3ua/server.go
@@ -16,17 +16,17 @@
 // trunk holds the circuits to one server. The mutex guards them, as the loop, the reading side and the writing side of the
 // connection all change them.
 type trunk struct {
-	route circuit // the two point codes; the circuit identification code is 0
-	mu    sync.Mutex
+	pointCodes circuitID // point codes of this program and the server; the cic in it is 0
+	mu         sync.Mutex
 	*circuits.Circuits
 }
 
 // newTrunk returns a trunk with the given number of circuits, all free.
-func newTrunk(route circuit, circuitCount int) *trunk {
-	return &trunk{route: route, Circuits: circuits.New(circuitCount)}
+func newTrunk(pointCodes circuitID, circuitCount int) *trunk {
+	return &trunk{pointCodes: pointCodes, Circuits: circuits.New(circuitCount)}
 }
 
-// withLock calls change with the current time while it holds the trunk's mutex.
+// withLock holds the trunk's mutex and calls change with the current time.
 func (t *trunk) withLock(change func(now time.Time)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -38,12 +38,12 @@
 	session
 	name      string // the server's name
 	trunk     *trunk
-	connID    core.ConnID   // valid once active
+	connID    core.ConnID   // valid once the association is active
 	activated chan struct{} // closed when the association becomes active
 	active    bool          // whether the association has become active
 }
 
-// errActivationTimeout is for an association that ended without another error before it became active.
+// errActivationTimeout is the error for an association that ended without another error before it became active.
 var errActivationTimeout = errors.New("association did not become active in time")
 
 // Dial connects to a server, activates the association and reads the connection until it ends. Dial is a loop.Dialer.
@@ -61,7 +61,7 @@
 	}
 	defer conn.Close()
 	s := &serverConn{session: m.newSession(conn, cfg.ServerConn), name: e.Server, trunk: trunk, activated: make(chan struct{})}
-	s.handler = func(msg message, at core.Time) error { return s.handleMessage(msg, e.Address) }
+	s.handleOther = func(msg message, at core.Time) error { return s.handleMessage(msg, e.Address) }
 	s.send(msgASPUP)
 	activationTimer := time.AfterFunc(cfg.ConnectTimeout, func() {
 		select {
@@ -93,9 +93,9 @@
 	case msgASPIAACK, msgASPDNACK: // not requested: the server accepts no more set-ups
 		s.setPaused(true)
 	case msgNTFY:
-		status, ok := msg.getUint32(tagStatus)
+		status, ok := msg.uint32Value(tagStatus)
 		if !ok {
-			return &protocolError{errMissingParam, "NTFY without status", false}
+			return &protocolError{errCodeMissingParam, "NTFY without status", false}
 		}
 		switch status {
 		case statusASActive:
@@ -109,8 +109,8 @@
 			return err
 		}
 		for _, pointCode := range pointCodes {
-			if pointCode == s.trunk.route.dpc {
-				s.handleState(msg)
+			if pointCode == s.trunk.pointCodes.dpc {
+				s.handlePointCodeState(msg)
 			}
 		}
 	case msgDATA:
@@ -149,16 +149,16 @@
 	}
 }
 
-// handleState handles a DUNA, DAVA or SCON about the server's point code.
-func (s *serverConn) handleState(msg message) {
+// handlePointCodeState handles a DUNA (unavailable), DAVA (available) or SCON (congested) about the server's point code.
+func (s *serverConn) handlePointCodeState(msg message) {
 	switch msg.kind {
 	case msgDUNA:
 		s.setPaused(true)
 	case msgDAVA:
 		s.setPaused(false)
 	case msgSCON:
-		level, _ := msg.getUint32(tagCongestion) // 0 to 3; without the parameter the point is congested and uses no levels
-		if _, ok := msg.get(tagCongestion); !ok {
+		level, _ := msg.uint32Value(tagCongestion) // 0 to 3; without the parameter the point is congested and uses no levels
+		if _, ok := msg.paramValue(tagCongestion); !ok {
 			level = maxCongestionLevel
 		}
 		holdBackShare := float64(min(level&0xff, maxCongestionLevel)) / maxCongestionLevel
@@ -176,8 +176,8 @@
 	if err != nil {
 		return err
 	}
-	if circ.opc != s.trunk.route.dpc || circ.dpc != s.trunk.route.opc {
-		return &protocolError{errParamValue, "point codes do not belong to this route", false}
+	if circ.opc != s.trunk.pointCodes.dpc || circ.dpc != s.trunk.pointCodes.opc {
+		return &protocolError{errCodeInvalidParamValue, "point codes do not belong to this route", false}
 	}
 	isupMsg, err := parseISUP(isup)
 	if err != nil {
@@ -207,7 +207,7 @@
 	case isupRLC:
 		s.trunk.withLock(func(now time.Time) { s.trunk.Confirmed(circ.cic, now) })
 	default:
-		return &protocolError{errUnexpected, "ISUP message not expected from a server", false}
+		return &protocolError{errCodeUnexpectedMessage, "ISUP message not expected from a server", false}
 	}
 	return nil
 }
@@ -219,7 +219,7 @@
 		s.m3ua.log.Error().Err(err).Msg("ISUP message not sent")
 		return
 	}
-	circ := s.trunk.route
+	circ := s.trunk.pointCodes
 	circ.cic = cic
 	s.outbox.Send(transport.Message{Data: buildData(circ, s.m3ua.NetworkIndicator, s.m3ua.RoutingContext, isup), OnWritten: onWritten})
 }
@@ -238,12 +238,12 @@
 		return s.sendSetUp(e)
 	case core.End:
 		if s.outbox.Withdraw(uint64(e.ID)) {
-			return s.notSent(e.ID)
+			return s.freeUnsent(e.ID)
 		}
-		written := core.EndWritten{Server: s.name, Conn: s.connID, ID: e.ID}
+		endWritten := core.EndWritten{Server: s.name, Conn: s.connID, ID: e.ID}
 		var onWritten func()
 		if e.Notify {
-			onWritten = func() { s.m3ua.loop.Post(written) }
+			onWritten = func() { s.m3ua.loop.Post(endWritten) }
 		}
 		found := false
 		s.trunk.withLock(func(now time.Time) {
@@ -253,14 +253,14 @@
 			}
 		})
 		if !found && e.Notify { // the call has no circuit any more, for example as the server has released it
-			return []core.Event{written}
+			return []core.Event{endWritten}
 		}
 	case core.GracefulClose:
 		s.outbox.Finish(s.outbox.Close)
 	case core.Withdraw:
 		var events []core.Event
 		for _, id := range s.outbox.WithdrawAll() {
-			events = append(events, s.notSent(core.ID(id))...)
+			events = append(events, s.freeUnsent(core.ID(id))...)
 		}
 		return events
 	}
@@ -285,20 +285,20 @@
 		return []core.Event{core.NotSent{Server: s.name, Conn: s.connID, ID: e.ID}}
 	}
 	isup, err := buildISUP(cic, isupMessage{kind: isupIAM, category: category, digits: e.NumberText, desc: e.Desc})
-	circ := s.trunk.route
+	circ := s.trunk.pointCodes
 	circ.cic = cic
 	var data []byte
 	if err == nil {
 		data = buildData(circ, s.m3ua.NetworkIndicator, s.m3ua.RoutingContext, isup)
 	}
 	if err != nil || len(data) > s.limits.MaxMessageSize {
-		return s.notSent(e.ID)
+		return s.freeUnsent(e.ID)
 	}
 	s.outbox.Send(transport.Message{
 		Data: data, ID: uint64(e.ID), Withdrawable: true, Deadline: s.m3ua.loop.WallTime(e.Until),
 		OnWritten: func() { s.m3ua.loop.Post(core.OfferWritten{Server: s.name, ID: e.ID}) },
 		OnExpired: func() {
-			for _, ev := range s.notSent(e.ID) {
+			for _, ev := range s.freeUnsent(e.ID) {
 				s.m3ua.loop.Post(ev)
 			}
 		},
@@ -306,8 +306,8 @@
 	return nil
 }
 
-// notSent frees the circuit of a set-up that was never written, and returns the event for the core.
-func (s *serverConn) notSent(id core.ID) []core.Event {
+// freeUnsent frees the circuit of a set-up that was never written, and returns the event for the core.
+func (s *serverConn) freeUnsent(id core.ID) []core.Event {
 	s.trunk.withLock(func(time.Time) { s.trunk.NotSent(id) })
 	return []core.Event{core.NotSent{Server: s.name, Conn: s.connID, ID: id}}
 }
--- a/internal/m3ua/session.go
+++ b/internal/m3ua/session.go
@@ -11,13 +11,13 @@
 	"elmseam/internal/transport"
 )
 
-// session is the part that connections of callers and to servers share: reading, heartbeats and error reports.
+// session is the part that callerConn and serverConn share: reading, heartbeats and error reports.
 type session struct {
-	m3ua    *M3UA
-	conn    net.Conn
-	limits  transport.Limits
-	outbox  *transport.Outbox
-	handler func(msg message, at core.Time) error // handles the messages that dispatch does not
+	m3ua        *M3UA
+	conn        net.Conn
+	limits      transport.Limits
+	outbox      *transport.Outbox
+	handleOther func(msg message, at core.Time) error // handles the messages that dispatch does not
 }
 
 // newSession returns a session on an open connection.
@@ -40,11 +40,11 @@
 // The error is never nil.
 func (s *session) read() error {
 	buf := transport.NewBuffer(s.limits.InitialBufferSize, s.limits.MaxMessageSize)
-	heartbeat := time.Duration(s.m3ua.HeartbeatMS) * time.Millisecond
-	malformedCount, unanswered := 0, 0
+	heartbeatInterval := time.Duration(s.m3ua.HeartbeatMS) * time.Millisecond
+	malformedCount, unansweredHeartbeats := 0, 0
 	var messageDeadline time.Time // by when the message being read must be complete; zero between messages
 	for {
-		readDeadline := time.Now().Add(heartbeat)
+		readDeadline := time.Now().Add(heartbeatInterval)
 		if !messageDeadline.IsZero() && messageDeadline.Before(readDeadline) {
 			readDeadline = messageDeadline
 		}
@@ -53,15 +53,15 @@
 		if !messageDeadline.IsZero() && !time.Now().Before(messageDeadline) {
 			return errMessageTimeout
 		}
-		if errors.Is(err, os.ErrDeadlineExceeded) && unanswered < maxUnansweredHeartbeats {
-			unanswered++
+		if errors.Is(err, os.ErrDeadlineExceeded) && unansweredHeartbeats < maxUnansweredHeartbeats {
+			unansweredHeartbeats++
 			s.send(msgBEAT, param{tagHeartbeat, []byte("elmseam")})
 			continue
 		}
 		if err != nil {
 			return err
 		}
-		unanswered = 0
+		unansweredHeartbeats = 0
 		receivedAt := s.m3ua.loop.Now()
 		for {
 			msg, size, err := parseMessage(buf.Bytes(), s.limits.MaxMessageSize)
@@ -98,12 +98,12 @@
 // maxMalformedMessages is the number of malformed or unexpected messages after which a connection is closed.
 const maxMalformedMessages = 8
 
-// dispatch handles the messages that both callers and servers may send, and passes all others to the handler.
+// dispatch handles the messages that both callers and servers may send, and passes all others to handleOther.
 func (s *session) dispatch(msg message, receivedAt core.Time) error {
 	switch msg.kind {
 	case msgBEAT:
 		var reply []param
-		if v, ok := msg.get(tagHeartbeat); ok {
+		if v, ok := msg.paramValue(tagHeartbeat); ok {
 			reply = append(reply, param{tagHeartbeat, append([]byte(nil), v...)})
 		}
 		s.send(msgBEATACK, reply...)
@@ -111,11 +111,11 @@
 	case msgBEATACK, msgDUPU, msgDRST:
 		return nil
 	case msgERR:
-		code, _ := msg.getUint32(tagErrorCode)
+		code, _ := msg.uint32Value(tagErrorCode)
 		s.m3ua.sampledLog.Warn().Uint32("code", code).Stringer("peer", s.conn.RemoteAddr()).Msg("peer reports an error")
 		return nil
 	}
-	return s.handler(msg, receivedAt)
+	return s.handleOther(msg, receivedAt)
 }
 
 // unexpectedMessage returns the error for a message of unknown class or type, or that the peer may not send, at all or in
@@ -123,10 +123,10 @@
 func unexpectedMessage(kind uint16) error {
 	switch {
 	case kind>>8 > 4:
-		return &protocolError{errClass, fmt.Sprintf("unsupported message class %d", kind>>8), false}
+		return &protocolError{errCodeUnsupportedClass, fmt.Sprintf("unsupported message class %d", kind>>8), false}
 	case kind == msgNTFY || kind == msgDATA || kind>>8 == 2 && kind&0xff <= 6 && kind&0xff > 0 ||
 		kind>>8 == 3 && kind&0xff <= 6 && kind&0xff > 0 || kind>>8 == 4 && kind&0xff <= 4 && kind&0xff > 0:
-		return &protocolError{errUnexpected, fmt.Sprintf("unexpected message %#04x", kind), false}
+		return &protocolError{errCodeUnexpectedMessage, fmt.Sprintf("unexpected message %#04x", kind), false}
 	}
-	return &protocolError{errType, fmt.Sprintf("unknown message type %#04x", kind), false}
+	return &protocolError{errCodeUnsupportedType, fmt.Sprintf("unknown message type %#04x", kind), false}
 }
--- a/internal/platform/caller.go
+++ b/internal/platform/caller.go
@@ -17,25 +17,26 @@
 	"elmseam/internal/transport"
 )
 
-// callerConn is a connection of a caller. It is the loop.EffectHandler of that connection; readCaller is its receiving side.
+// callerConn is a connection of a caller. Its methods Close, Flush and HandleEffect make it the loop.EffectHandler of that
+// connection; Platform.readCaller receives the caller's messages.
 type callerConn struct {
-	platform      *Platform
-	connID        core.ConnID
-	conn          net.Conn
-	outbox        *transport.Outbox
-	lingerTimeout time.Duration      // longest time between the half-close and the end of the connection
-	writeTimeout  time.Duration      // longest time that one write may take
-	closing       atomic.Bool        // the connection is being closed gracefully
-	transferring  atomic.Bool        // the connection is to be read no further, so that it can be transferred
-	transfer      chan core.Transfer // receives the core's order to transfer the connection
-	done          chan struct{}      // closed when the core closes the connection, at once or gracefully
+	platform          *Platform
+	connID            core.ConnID
+	conn              net.Conn
+	outbox            *transport.Outbox
+	lingerTimeout     time.Duration      // longest time between the half-close and the end of the connection
+	writeTimeout      time.Duration      // longest time that one write may take
+	closingGracefully atomic.Bool        // the connection is being closed gracefully
+	transferring      atomic.Bool        // the connection is to be read no further, so that it can be transferred to the successor
+	transferOrders    chan core.Transfer // receives the core's order to transfer the connection
+	coreClosed        chan struct{}      // closed when the core closes the connection, at once or gracefully
 
-	mu            sync.Mutex    // guards the fields below
-	closeDeadline time.Time     // when the connection ends at the latest; zero: it is not being closed
-	redirected    bool          // effects are kept in heldEffects or forwarded to the successor, not executed here
-	transferred   bool          // the successor has the connection
-	heldEffects   []core.Effect // effects held while redirected is true and transferred is not
-	doneClosed    bool          // done is closed
+	mu                  sync.Mutex    // guards the fields below
+	closeDeadline       time.Time     // when the connection ends at the latest; zero: it is not being closed
+	effectsRedirected   bool          // effects are kept in heldEffects or forwarded to the successor, not executed here
+	transferred         bool          // the successor has received the connection
+	heldEffects         []core.Effect // effects held while effectsRedirected is true and transferred is not
+	coreClosedSignalled bool          // the channel coreClosed is closed
 }
 
 // newCallerConn returns the callerConn for an open connection.
@@ -43,23 +44,23 @@
 	return &callerConn{
 		platform: p, connID: id, conn: conn, outbox: transport.NewOutbox(conn, limits),
 		lingerTimeout: limits.LingerTimeout, writeTimeout: limits.WriteTimeout,
-		transfer: make(chan core.Transfer, 1), done: make(chan struct{}),
+		transferOrders: make(chan core.Transfer, 1), coreClosed: make(chan struct{}),
 	}
 }
 
 // Close closes the connection immediately.
 func (c *callerConn) Close() {
-	c.signalDone()
+	c.signalCoreClosed()
 	c.outbox.Close()
 }
 
-// signalDone closes the done channel, so that transferToSuccessor stops waiting.
-func (c *callerConn) signalDone() {
+// signalCoreClosed closes the channel coreClosed, so that transferToSuccessor stops waiting.
+func (c *callerConn) signalCoreClosed() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.doneClosed {
-		c.doneClosed = true
-		close(c.done)
+	if !c.coreClosedSignalled {
+		c.coreClosedSignalled = true
+		close(c.coreClosed)
 	}
 }
 
@@ -67,19 +68,20 @@
 // connection to the successor is under way.
 func (c *callerConn) Flush() {
 	c.mu.Lock()
-	awaitingTransfer := c.redirected && !c.transferred && !c.doneClosed
+	awaitingTransfer := c.effectsRedirected && !c.transferred && !c.coreClosedSignalled
 	c.mu.Unlock()
 	if !awaitingTransfer {
 		c.outbox.Flush()
 	}
 }
 
-// closeGracefully begins to write all queued messages and to half-close the connection, and lets the reading side drop what the
-// caller still sends until the caller closes its side. It does not wait. Closing with unread data would reset the connection, and
-// the reset would discard messages that the caller has not read yet. Both the writing and the reading have a time limit.
+// closeGracefully starts to write all queued messages and then half-closes the connection. It does not wait. Meanwhile readCaller
+// reads and drops what the caller still sends, until the caller closes its side: closing with unread data would reset the
+// connection, and the reset would discard messages that the caller has not read yet. Both the writing and the reading have a
+// time limit.
 func (c *callerConn) closeGracefully() {
 	c.closeWithin(c.writeTimeout + c.lingerTimeout)
-	c.signalDone()
+	c.signalCoreClosed()
 	c.outbox.Finish(func() { c.closeWithin(c.lingerTimeout) })
 }
 
@@ -88,11 +90,12 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closeDeadline = time.Now().Add(timeout)
-	c.closing.Store(true)
+	c.closingGracefully.Store(true)
 	c.conn.SetReadDeadline(c.closeDeadline)
 }
 
-// setReadDeadline sets when the next bytes must have arrived. The close deadline and a transfer take precedence.
+// setReadDeadline sets when the next bytes must have arrived. If closeDeadline is set, it applies instead; otherwise, if the
+// connection is to be transferred, reading ends at once.
 func (c *callerConn) setReadDeadline(deadline time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -105,8 +108,8 @@
 	c.conn.SetReadDeadline(deadline)
 }
 
-// discard reads and drops all data until the connection ends or its close deadline has passed.
-func (c *callerConn) discard(buf *transport.Buffer) {
+// discardIncoming reads and drops all data until the connection ends or its close deadline has passed.
+func (c *callerConn) discardIncoming(buf *transport.Buffer) {
 	for {
 		buf.Skip(len(buf.Bytes()))
 		c.mu.Lock()
@@ -122,12 +125,12 @@
 // transferToSuccessor transfers a connection that is read no further to the successor, with the bytes that were read and not yet
 // parsed. It reports whether the successor has the connection and, if not, whether this process keeps serving the connection:
 // a successor that dies during the transfer must not cost callers their connections.
-func (c *callerConn) transferToSuccessor(unparsed []byte) (transferred, kept bool) {
+func (c *callerConn) transferToSuccessor(unparsed []byte) (transferred, keptHere bool) {
 	c.platform.loop.Post(core.ReadingStopped{Conn: c.connID})
 	var transfer core.Transfer
 	select {
-	case transfer = <-c.transfer:
-	case <-c.done:
+	case transfer = <-c.transferOrders:
+	case <-c.coreClosed:
 		return false, false
 	case <-c.platform.loop.Done():
 		return false, false
@@ -148,8 +151,8 @@
 	for {
 		c.mu.Lock()
 		effects := c.heldEffects
-		if c.heldEffects = nil; len(effects) == 0 { // later effects need not be held
-			c.transferred, c.redirected = err == nil, err == nil
+		if c.heldEffects = nil; len(effects) == 0 { // later effects are executed or forwarded at once
+			c.transferred, c.effectsRedirected = err == nil, err == nil
 			c.mu.Unlock()
 			return err == nil, err != nil
 		}
@@ -164,29 +167,29 @@
 	}
 }
 
-// redirect forwards an effect to the successor, or holds the effect while the transfer is under way. It reports false if this
-// process has to execute the effect.
-func (c *callerConn) redirect(e core.Effect) bool {
+// redirectEffect forwards an effect to the successor, or holds the effect while the transfer is under way. It reports false if
+// this process has to execute the effect.
+func (c *callerConn) redirectEffect(e core.Effect) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if successor := c.platform.successor.Load(); c.transferred && successor != nil {
 		(*successor).ForwardEffect(c.connID, e)
-	} else if c.redirected {
+	} else if c.effectsRedirected {
 		c.heldEffects = append(c.heldEffects, e)
 	}
-	return c.redirected
+	return c.effectsRedirected
 }
 
 // HandleEffect executes an effect on the connection, holds it during a transfer, or forwards it to the successor that has the
 // connection. It returns no events.
 func (c *callerConn) HandleEffect(e core.Effect) []core.Event {
-	if !c.redirect(e) {
+	if !c.redirectEffect(e) {
 		c.writeEffect(e)
 	}
 	return nil
 }
 
-// writeEffect executes an effect on the connection in this process.
+// writeEffect executes an effect in this process: a message to the caller, a close, or a step of the transfer.
 func (c *callerConn) writeEffect(e core.Effect) {
 	switch e := e.(type) {
 	case core.Answered:
@@ -202,9 +205,9 @@
 		c.setReadDeadline(time.Now())
 	case core.Transfer:
 		c.mu.Lock()
-		c.redirected = true
+		c.effectsRedirected = true
 		c.mu.Unlock()
-		c.transfer <- e
+		c.transferOrders <- e
 	}
 }
 
@@ -216,19 +219,19 @@
 	p.readCaller(c, limits, nil, false)
 }
 
-// Adopt serves a connection that the predecessor has transferred, with the bytes that the predecessor has read and not yet
-// parsed. It posts up before it returns, and calls onClosed when this process has closed its descriptor: the connection has ended,
-// or the successor has it.
-func (p *Platform) Adopt(conn net.Conn, unparsed []byte, up core.CallerUp, onClosed func()) {
+// Adopt serves a connection that the predecessor, the older process of a hand-over, has transferred. unparsed holds the bytes
+// that the predecessor has read and not yet parsed. Adopt posts callerUp before it returns. It calls onClosed when this process
+// has closed its descriptor: the connection has ended, or the successor has it.
+func (p *Platform) Adopt(conn net.Conn, unparsed []byte, callerUp core.CallerUp, onClosed func()) {
 	limits := p.config.Load().CallerConn
-	c := p.newCallerConn(up.Conn, conn, limits)
-	p.loop.Attach(c.connID, c, up)
-	p.openConns.Add(1)
+	c := p.newCallerConn(callerUp.Conn, conn, limits)
+	p.loop.Attach(c.connID, c, callerUp)
+	p.connsOutsideAcceptor.Add(1)
 	go func() {
-		defer p.openConns.Add(-1)
+		defer p.connsOutsideAcceptor.Add(-1)
 		defer onClosed()
 		defer conn.Close()
-		p.readCaller(c, limits, unparsed, up.Used)
+		p.readCaller(c, limits, unparsed, callerUp.Used)
 	}()
 }
 
@@ -261,7 +264,7 @@
 	firstRead, peerClosed := true, false
 	closeMalformed := func() {
 		p.loop.Post(core.CallerMalformed{Conn: c.connID})
-		c.discard(buf)
+		c.discardIncoming(buf)
 	}
 	for {
 		if messageDeadline.IsZero() {
@@ -271,22 +274,22 @@
 		}
 		err := buf.Fill(c.conn)
 		switch timedOut := errors.Is(err, os.ErrDeadlineExceeded); {
-		case c.closing.Load():
+		case c.closingGracefully.Load():
 			if err == nil {
-				c.discard(buf)
+				c.discardIncoming(buf)
 			}
 			return
 		case timedOut && c.transferring.Load():
-			kept := false
-			transferred, kept = c.transferToSuccessor(buf.Bytes())
+			keptHere := false
+			transferred, keptHere = c.transferToSuccessor(buf.Bytes())
 			switch {
 			case transferred:
 				p.loop.Post(core.Transferred{Conn: c.connID})
-			case kept:
+			case keptHere:
 				p.loop.Post(core.TransferFailed{Conn: c.connID})
 				continue
-			case c.closing.Load():
-				c.discard(buf)
+			case c.closingGracefully.Load():
+				c.discardIncoming(buf)
 			}
 			return
 		case timedOut && !messageDeadline.IsZero(), err == transport.ErrTooLong:
@@ -303,25 +306,26 @@
 		}
 		receivedAt := p.loop.Now()
 		for {
-			f, size, err := parseFrame(buf.Bytes(), limits.MaxMessageSize)
+			msg, size, err := parseFrame(buf.Bytes(), limits.MaxMessageSize)
 			if err == errIncomplete {
 				break
 			}
 			switch {
 			case err != nil:
-			case f.msgType == typeSetUp && (peerClosed || containsGiveUp(buf.Bytes()[size:], f.callID)): // the caller no longer waits for an answer
+			case msg.msgType == typeSetUp && (peerClosed || containsGiveUp(buf.Bytes()[size:], msg.callID)):
+				// the caller no longer waits for an answer
 				if discardedSetUps == nil {
 					discardedSetUps = make(map[core.ID]bool)
 				}
-				discardedSetUps[f.callID] = true
+				discardedSetUps[msg.callID] = true
 			default:
-				err = p.handleFrame(c.connID, c.outbox, f, receivedAt, discardedSetUps[f.callID])
-				delete(discardedSetUps, f.callID)
+				err = p.handleFrame(c.connID, c.outbox, msg, receivedAt, discardedSetUps[msg.callID])
+				delete(discardedSetUps, msg.callID)
 			}
 			if err != nil {
 				p.sampledLog.Warn().Err(err).Stringer("caller", c.conn.RemoteAddr()).Msg("malformed message from a caller")
-				if f.msgType == typeSetUp { // the core refuses a set-up of class -1
-					p.loop.Post(core.SetUp{ID: f.callID, From: c.connID, Class: -1, At: receivedAt})
+				if msg.msgType == typeSetUp { // the core refuses a set-up of class -1
+					p.loop.Post(core.SetUp{ID: msg.callID, From: c.connID, Class: -1, At: receivedAt})
 				}
 				closeMalformed()
 				return
@@ -335,7 +339,8 @@
 	}
 }
 
-// containsGiveUp reports whether b, the bytes read after a set-up, contains the release message that gives the set-up up.
+// containsGiveUp reports whether b, the bytes read after the set-up of call id, contains the release message by which the
+// caller gives up that set-up.
 func containsGiveUp(b []byte, id core.ID) bool {
 	for len(b) >= lengthSize+headerSize {
 		if b[lengthSize] == typeRelease && binary.BigEndian.Uint64(b[lengthSize+1:]) == uint64(id) {
@@ -348,22 +353,22 @@
 
 // handleFrame posts the event for a caller's message and answers the message if the protocol requires that. setUpDiscarded
 // means that the set-up which a release message ends was never posted.
-func (p *Platform) handleFrame(conn core.ConnID, outbox *transport.Outbox, f frame, receivedAt core.Time, setUpDiscarded bool) error {
-	switch f.msgType {
+func (p *Platform) handleFrame(conn core.ConnID, outbox *transport.Outbox, msg frame, receivedAt core.Time, setUpDiscarded bool) error {
+	switch msg.msgType {
 	case typeSetUp:
-		p.loop.Post(p.setUpEvent(conn, f, receivedAt))
+		p.loop.Post(p.setUpEvent(conn, msg, receivedAt))
 	case typeRelease:
-		p.loop.Post(core.CallerEnd{ID: f.callID, From: conn, SetUpDiscarded: setUpDiscarded})
-		outbox.Send(transport.Message{Data: appendFrame(nil, typeReleaseAck, f.callID, nil)})
+		p.loop.Post(core.CallerEnd{ID: msg.callID, From: conn, SetUpDiscarded: setUpDiscarded})
+		outbox.Send(transport.Message{Data: appendFrame(nil, typeReleaseAck, msg.callID, nil)})
 	case typeTest:
 		passed := byte(1)
 		if p.stopping.Load() || p.draining.Load() {
 			passed = 0
 		}
-		outbox.Send(transport.Message{Data: appendFrame(nil, typeTested, f.callID, appendParam(nil, paramCause, passed))})
+		outbox.Send(transport.Message{Data: appendFrame(nil, typeTested, msg.callID, appendParam(nil, paramCause, passed))})
 	case typeProgress, typeReleaseAck, typeGroup, typeTested:
 	default:
-		return fmt.Errorf("unknown message type %d", f.msgType)
+		return fmt.Errorf("unknown message type %d", msg.msgType)
 	}
 	return nil
 }
--- a/internal/platform/crossings_test.go
+++ b/internal/platform/crossings_test.go
@@ -25,7 +25,7 @@
 // TestMain fails the run if the tests leave a goroutine or a file descriptor behind.
 func TestMain(m *testing.M) { leak.Main(m) }
 
-// extraCaller is a scenario seen from an additional caller: callerConn and conn are that caller's connection.
+// extraCaller is a scenario seen from an additional caller: its fields callerConn and conn are both that caller's connection.
 type extraCaller struct {
 	*scenario
 	conn net.Conn
@@ -38,8 +38,8 @@
 	return &extraCaller{clone, clone.callerConn}
 }
 
-// wantEOF fails the test unless the caller's connection ends without another message and without a reset.
-func (s *scenario) wantEOF() {
+// wantCallerEOF fails the test unless the caller's connection ends without another message and without a reset.
+func (s *scenario) wantCallerEOF() {
 	s.Helper()
 	if rest, err := io.ReadAll(s.callerConn); err != nil || len(rest) > 0 {
 		s.Fatalf("read %x and %v, want the end of the connection", rest, err)
@@ -79,13 +79,13 @@
 				idle.conn.Write(partial)
 			}
 			idle.wantFrame(typeTested, 5, 1)
-			idle.wantEOF()
+			idle.wantCallerEOF()
 			if name == "a set-up cut short" {
 				pending.wantFrame(typeRelease, 3, 100)
 			}
-			s.send(acceptLine, 1)
+			s.sendLine(acceptLine, 1)
 			pending.wantFrame(typeAnswer, 1, -1)
-			pending.wantEOF()
+			pending.wantCallerEOF()
 		})
 	}
 }
@@ -108,7 +108,7 @@
 		for s.serverLines.Scan() {
 			var id core.ID
 			if n, _ := fmt.Sscanf(s.serverLines.Text(), `{"op":"offer","call":"%x"`, &id); n == 1 {
-				s.send(acceptLine, id)
+				s.sendLine(acceptLine, id)
 			}
 		}
 	}()
@@ -117,11 +117,12 @@
 			t.Errorf("final answer for call %x, error %v, want call %x", id, err, i+2)
 		}
 	}
-	s.send(acceptLine, 1)
+	s.sendLine(acceptLine, 1)
 	s.wantFrame(typeAnswer, 1, -1)
 }
 
-// readFinalAnswer reads the caller's next message, which must be a final answer, and returns its call id.
+// readFinalAnswer reads the caller's next message, which must be a final answer (an answer or a refusal), and returns its call
+// id.
 func (s *scenario) readFinalAnswer() (core.ID, error) {
 	var header [lengthSize]byte
 	_, err := io.ReadFull(s.callerConn, header[:])
@@ -149,7 +150,7 @@
 			s.callerConn.Write(append(setUpFrame(1, "voice", "9000", ""), setUpFrame(2, "voice", "9000", "")...))
 			s.wantLine(`"offer"`, `0001"`)
 			s.wantLine(`"offer"`, `0002"`)
-			s.send("%s", line)
+			s.sendLine("%s", line)
 			s.wantLine(`"end"`, `0001"`)
 			firstConn, firstLines := s.serverConn, s.serverLines
 			s.acceptServerConn()
@@ -159,7 +160,7 @@
 			if firstLines.Scan() || firstLines.Err() != nil {
 				t.Errorf("read %q, error %v, want the end of the connection", firstLines.Text(), firstLines.Err())
 			}
-			s.send(`{"op":"end","call":"0000000000000002","with":{},"why":16}`)
+			s.sendLine(`{"op":"end","call":"0000000000000002","with":{},"why":16}`)
 			s.wantFrame(typeRelease, 2, 16)
 		})
 	}
@@ -171,20 +172,20 @@
 	s := newScenario(t)
 	s.callerConn.Write(setUpFrame(1, "voice", "9000", ""))
 	s.wantLine(`"offer"`)
-	s.send(acceptLine, 1)
+	s.sendLine(acceptLine, 1)
 	s.wantFrame(typeAnswer, 1, -1)
 	for _, why := range []int{34, 17, 47, 102} {
-		s.send(`{"op":"end","call":"0000000000000001","with":{},"why":%d}`, why)
+		s.sendLine(`{"op":"end","call":"0000000000000001","with":{},"why":%d}`, why)
 	}
-	s.send(acceptLine, 1)
-	s.send(`{"op":"end","call":"0000000000000001","with":{},"why":41}`)
+	s.sendLine(acceptLine, 1)
+	s.sendLine(`{"op":"end","call":"0000000000000001","with":{},"why":41}`)
 	s.wantFrame(typeRelease, 1, 41)
-	s.send(`{"op":"end","call":"0000000000000001","with":{},"why":16}`)
+	s.sendLine(`{"op":"end","call":"0000000000000001","with":{},"why":16}`)
 	s.callerConn.Write(appendFrame(nil, typeTest, 5, appendParam(nil, paramCause, 0)))
 	s.wantFrame(typeTested, 5, 1) // and no message before it
 }
 
-// addServer adds a second server, t, to the list of servers and returns its listener.
+// addServer adds a second server, named t, to the softswitch's list of servers and returns the server's listener.
 func (s *scenario) addServer() net.Listener {
 	listener := listen(s.T)
 	s.loop.Post(core.ServerList{Servers: []core.Server{{Name: "t", Address: listener.Addr().String(), Protocol: Protocol, Cell: 1, Phase: elmseam.PhaseReady}}})
@@ -200,7 +201,7 @@
 	return clone
 }
 
-// clone returns a scenario with the same softswitch, caller and server.
+// clone returns a scenario with the same softswitch, caller and server, which can then be replaced.
 func (s *scenario) clone() *scenario {
 	return &scenario{T: s.T, loop: s.loop, platform: s.platform, callerListener: s.callerListener, serverListener: s.serverListener, callerConn: s.callerConn,
 		serverLines: s.serverLines, serverConn: s.serverConn, effects: s.effects}
@@ -235,7 +236,7 @@
 			s.wantLine(`"offer"`, `0001"`)
 			staying.conn.Write(setUpFrame(2, "voice", "9000", ""))
 			s.wantLine(`"offer"`, `0002"`)
-			s.send(`{"op":"end","call":"0000000000000002","with":{},"why":41}`)
+			s.sendLine(`{"op":"end","call":"0000000000000002","with":{},"why":41}`)
 			leave(leaving, 1)
 			s.wantLine(`"end"`, `0001"`)
 			other.wantLine(`"offer"`, `0002"`) // after the release guard
@@ -292,7 +293,7 @@
 			t.Errorf("the server got %s", s.serverLines.Text())
 		}
 	}
-	s.send(acceptLine, 3)
+	s.sendLine(acceptLine, 3)
 	stays.wantFrame(typeAnswer, 3, -1)
 	stays.conn.Write(setUpFrame(4, "voice", "9000", ""))
 	s.wantLine(`"offer"`, `0004"`)
@@ -321,7 +322,7 @@
 		c.Deployment.Classes = append(c.Deployment.Classes[:0:0], c.Deployment.Classes...)
 		c.Deployment.Classes[0].Name = "video"
 	})
-	s.send(`{"op":"end","call":"0000000000000001","with":{"note":"swamped"},"why":34}`)
+	s.sendLine(`{"op":"end","call":"0000000000000001","with":{"note":"swamped"},"why":34}`)
 	other.wantLine(`"offer"`, `"class":"voice"`)
 }
 
@@ -343,7 +344,7 @@
 // has the connection, the older process must send the held messages and keep serving the caller. The caller used to lose its
 // connection and its answers.
 func TestSuccessorDiesDuringTransfer(t *testing.T) {
-	for _, dies := range []bool{true, false} {
+	for _, successorDies := range []bool{true, false} {
 		s := newScenario(t, func(s *scenario) { s.limits.MaxStopWait = time.Minute })
 		successor := &stubSuccessor{make(chan core.Transfer, 1), make(chan error), make(chan core.Effect, 9)}
 		s.platform.SetSuccessor(successor)
@@ -354,11 +355,11 @@
 		if transfer := <-successor.transfers; len(transfer.Open) != 2 {
 			t.Errorf("%d open set-ups in the transfer, want 2", len(transfer.Open))
 		}
-		s.send(acceptLine, 1) // while effects are held
-		s.send(`{"op":"end","call":"0000000000000001","with":{},"why":16}`)
-		s.send(`{"op":"test","call":"0000000000000009","with":{},"why":0}`)
+		s.sendLine(acceptLine, 1) // while effects are held
+		s.sendLine(`{"op":"end","call":"0000000000000001","with":{},"why":16}`)
+		s.sendLine(`{"op":"test","call":"0000000000000009","with":{},"why":0}`)
 		s.wantLine(`"tested"`) // all earlier messages have been processed
-		if !dies {
+		if !successorDies {
 			successor.results <- nil
 			for _, want := range []core.Effect{core.Answered{}, core.Released{}} {
 				if e := <-successor.effects; fmt.Sprintf("%T", e) != fmt.Sprintf("%T", want) {
@@ -370,7 +371,7 @@
 		successor.results <- io.ErrClosedPipe
 		s.wantFrame(typeAnswer, 1, -1)
 		s.wantFrame(typeRelease, 1, 16)
-		s.send(acceptLine, 2)
+		s.sendLine(acceptLine, 2)
 		s.wantFrame(typeAnswer, 2, -1)
 		s.callerConn.Write(setUpFrame(3, "voice", "9000", ""))
 		s.wantLine(`"offer"`, `0003"`)
@@ -384,8 +385,12 @@
 func TestEventsDuringTransfer(t *testing.T) {
 	for name, causeEvent := range map[string]func(s *scenario){
 		"reset": func(s *scenario) { s.serverConn.(*net.TCPConn).SetLinger(0); s.serverConn.Close() },
-		"drain": func(s *scenario) { s.loop.Post(core.Drain{On: true}); s.loop.Post(core.Drain{}); s.send(acceptLine, 1) },
-		"stop":  func(s *scenario) { s.loop.Post(core.Stop{}); s.loop.Post(core.HandOver{}); s.send(acceptLine, 1) },
+		"drain": func(s *scenario) {
+			s.loop.Post(core.Drain{On: true})
+			s.loop.Post(core.Drain{})
+			s.sendLine(acceptLine, 1)
+		},
+		"stop": func(s *scenario) { s.loop.Post(core.Stop{}); s.loop.Post(core.HandOver{}); s.sendLine(acceptLine, 1) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newScenario(t, func(s *scenario) { s.limits.MaxStopWait, s.limits.DrainCheckInterval = time.Minute, time.Millisecond })
@@ -400,9 +405,9 @@
 				s.loop.Post(core.ServerList{Servers: []core.Server{{Name: "s", Address: s.serverListener.Addr().String(), Protocol: Protocol, Phase: elmseam.PhaseGone}}})
 				other := s.acceptFrom(s.addServer())
 				other.wantLine(`"offer"`, `0001"`)
-				other.send(acceptLine, 1)
+				other.sendLine(acceptLine, 1)
 			} else {
-				s.send(`{"op":"test","call":"0000000000000009","with":{},"why":0}`)
+				s.sendLine(`{"op":"test","call":"0000000000000009","with":{},"why":0}`)
 				s.wantLine(`"tested"`)
 			}
 			successor.results <- nil
@@ -450,7 +455,7 @@
 	for c.transferring.Load() {
 		time.Sleep(time.Millisecond)
 	}
-	s.send(acceptLine, 1)
+	s.sendLine(acceptLine, 1)
 	if _, err := io.CopyN(io.Discard, client.callerConn, queuedBytes); err != nil {
 		t.Fatal(err)
 	}
@@ -493,11 +498,11 @@
 		s.limits.StopGrace, s.limits.StopLinger, s.limits.MaxStopWait = 20*time.Millisecond, 20*time.Millisecond, 300*time.Millisecond
 	})
 	stalled, _, queuedBytes := s.addStalledCaller(1)
-	s.send(acceptLine, 1)
+	s.sendLine(acceptLine, 1)
 	s.callerConn.Write(append(setUpFrame(2, "voice", "9000", ""), setUpFrame(3, "voice", "9000", "")...))
 	s.wantLine(`"offer"`, `0002"`)
 	s.wantLine(`"offer"`, `0003"`)
-	s.send(`{"op":"end","call":"0000000000000002","with":{},"why":41}`) // the set-up waits out the release guard
+	s.sendLine(`{"op":"end","call":"0000000000000002","with":{},"why":41}`) // the set-up waits out the release guard
 	gate := make(chan struct{})
 	s.dialGate.Store(&gate)
 	s.loop.Post(core.ServerList{Full: true, Servers: []core.Server{
@@ -515,12 +520,12 @@
 		}
 		delete(pending, id)
 	}
-	s.wantEOF()
+	s.wantCallerEOF()
 	if _, err := io.CopyN(io.Discard, stalled.callerConn, queuedBytes); err != nil {
 		t.Fatal(err)
 	}
 	stalled.wantFrame(typeAnswer, 1, -1)
-	stalled.wantEOF()
+	stalled.wantCallerEOF()
 	<-s.loop.Done()
 	close(gate)
 }
@@ -543,28 +548,28 @@
 	for tcpInfo(t, unresponsive).Unacked == 0 { // the handshake may complete after the connect returns
 		time.Sleep(time.Millisecond)
 	}
-	serve := func(id core.ID) {
+	completeSetUp := func(id core.ID) {
 		t.Helper()
 		s.callerConn.Write(setUpFrame(id, "voice", "9000", ""))
 		s.wantLine(`"offer"`, fmt.Sprintf(`%x"`, uint64(id)))
-		s.send(acceptLine, id)
+		s.sendLine(acceptLine, id)
 		s.wantFrame(typeAnswer, id, -1)
 	}
-	serve(1) // the answer shows that the caller's connection has been accepted
-	before := leak.OpenDescriptors()
+	completeSetUp(1) // the answer shows that the caller's connection has been accepted
+	descriptorsBefore := leak.OpenDescriptors()
 	s.loop.Post(core.ServerList{Servers: []core.Server{{Name: "t", Address: unresponsive.Addr().String(), Protocol: Protocol, Cell: 1, Phase: elmseam.PhaseReady}}})
 	for id := core.ID(2); s.dialCount.Load() < 50; id++ {
-		serve(id)
+		completeSetUp(id)
 	}
-	if n := leak.OpenDescriptors(); n > before+1 {
-		t.Errorf("%d descriptors, %d before", n, before)
+	if n := leak.OpenDescriptors(); n > descriptorsBefore+1 {
+		t.Errorf("%d descriptors, %d before", n, descriptorsBefore)
 	}
 	gate := make(chan struct{}) // keeps the next dial from opening a socket
 	defer close(gate)
 	s.dialGate.Store(&gate)
-	for deadline := time.Now().Add(testTimeout); leak.OpenDescriptors() != before; time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(testTimeout); leak.OpenDescriptors() != descriptorsBefore; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("%d descriptors with no dial in progress, %d before", leak.OpenDescriptors(), before)
+			t.Fatalf("%d descriptors with no dial in progress, %d before", leak.OpenDescriptors(), descriptorsBefore)
 		}
 	}
 }
@@ -581,7 +586,7 @@
 		err     error
 	}
 	ends := make(chan connEnd)
-	sendSetUps := func(c net.Conn, id core.ID) {
+	sendSetUpsUntilClosed := func(c net.Conn, id core.ID) {
 		r := bufio.NewReader(c)
 		pending := 0
 		for {
@@ -602,13 +607,13 @@
 		for s.serverLines.Scan() {
 			var id core.ID
 			if n, _ := fmt.Sscanf(s.serverLines.Text(), `{"op":"offer","call":"%x"`, &id); n == 1 {
-				s.send(`{"op":"end","call":"%016x","with":{},"why":47}`, id)
+				s.sendLine(`{"op":"end","call":"%016x","with":{},"why":47}`, id)
 			}
 		}
 	}()
 	const callers = 4
 	for n := range callers {
-		go sendSetUps(s.dial(s.callerListener), core.ID(n+1)<<32)
+		go sendSetUpsUntilClosed(s.dial(s.callerListener), core.ID(n+1)<<32)
 	}
 	s.loop.Post(core.Stop{})
 	newConns := 0
@@ -627,7 +632,7 @@
 		}
 		c.SetDeadline(time.Now().Add(testTimeout))
 		newConns++
-		go sendSetUps(c, core.ID(100+newConns)<<32)
+		go sendSetUpsUntilClosed(c, core.ID(100+newConns)<<32)
 		time.Sleep(time.Millisecond)
 	}
 	for range callers + newConns {
@@ -674,7 +679,7 @@
 	s := newScenario(t)
 	s.callerConn.Write(setUpFrame(1, "voice", "9000", ""))
 	s.wantLine(`"offer"`, `0001"`)
-	s.send(acceptLine, 1)
+	s.sendLine(acceptLine, 1)
 	s.wantFrame(typeAnswer, 1, -1)
 	address := s.serverListener.Addr().String()
 	s.loop.Post(core.ServerList{Servers: []core.Server{
@@ -689,21 +694,22 @@
 	s.wantLine(`"offer"`, `0002"`)
 }
 
-// A caller reuses the id of a call that has ended and been forgotten. The first call's deadline must not affect the second call.
+// A caller reuses the id of a call that has ended and been forgotten. The first call's deadline must not affect the second call
+// with that id.
 func TestReusedCallID(t *testing.T) {
 	s := newScenario(t, func(s *scenario) { s.limits.MaxEndedCalls = 1 })
 	for _, id := range []core.ID{1, 2} { // MaxEndedCalls is 1: the first call is forgotten, the second remembered
 		s.callerConn.Write(setUpFrame(id, "voice", "2000", ""))
 		s.wantLine(`"offer"`)
-		s.send(acceptLine, id)
+		s.sendLine(acceptLine, id)
 		s.wantFrame(typeAnswer, id, -1)
-		s.send(`{"op":"end","call":"%016x","with":{},"why":16}`, id)
+		s.sendLine(`{"op":"end","call":"%016x","with":{},"why":16}`, id)
 		s.wantFrame(typeRelease, id, 16) // the call has ended
 	}
 	s.callerConn.Write(setUpFrame(1, "voice", "9000", ""))
 	s.wantLine(`"offer"`, `0001"`)
 	time.Sleep(2100 * time.Millisecond) // until after the first call's deadline
-	s.send(acceptLine, 1)
+	s.sendLine(acceptLine, 1)
 	s.wantFrame(typeAnswer, 1, -1)
 }
 
@@ -712,9 +718,9 @@
 	s := newScenario(t, func(s *scenario) { s.limits.MaxServerConns = 1 })
 	s.callerConn.Write(setUpFrame(9, "voice", "9000", ""))
 	s.wantLine(`"offer"`) // the connection to the first server is up
-	s.send(acceptLine, 9)
+	s.sendLine(acceptLine, 9)
 	s.wantFrame(typeAnswer, 9, -1)
-	s.send(`{"op":"end","call":"%016x","with":{},"why":16}`, 9)
+	s.sendLine(`{"op":"end","call":"%016x","with":{},"why":16}`, 9)
 	s.wantFrame(typeRelease, 9, 16)
 	listener := s.addServer()
 	s.loop.Post(core.ServerList{Servers: []core.Server{{Name: "s", Address: s.serverListener.Addr().String(), Protocol: Protocol, Phase: elmseam.PhaseDraining}}})
@@ -748,7 +754,7 @@
 		}})
 		s.callerConn.Write(appendFrame(nil, typeTest, 5, appendParam(nil, paramCause, 0)))
 		s.wantFrame(typeTested, 5, 1)
-		s.send(`{"op":"group","call":"","with":{"load":"spare:8;cut_by:0.5"},"why":0}`)
+		s.sendLine(`{"op":"group","call":"","with":{"load":"spare:8;cut_by:0.5"},"why":0}`)
 		got := <-reports
 		for i, metric := range tt.columns {
 			if want := map[elmseam.LoadMetric]float64{elmseam.LoadMetricFreeLines: 8, elmseam.LoadMetricHoldBackShare: 0.5}[metric]; got[i] != want {
--- a/internal/platform/json.go
+++ b/internal/platform/json.go
@@ -231,7 +231,7 @@
 	return nil
 }
 
-// hexDigits are the digits of \u escapes that appendString writes.
+// hexDigits are the hexadecimal digits, by value, of the \u escapes that appendString writes.
 const hexDigits = "0123456789abcdef"
 
 // appendString appends text to b as a JSON string.
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -30,7 +30,7 @@
 	MaxCallerConns int              // maximum number of open connections that Serve has accepted; adopted ones do not count
 }
 
-// activeConfig is a Config with the index of each class by its name, without removed classes.
+// activeConfig is a Config together with the class indexes by class name. Removed classes have no entry.
 type activeConfig struct {
 	Config
 	classIndexes map[string]int
@@ -38,16 +38,16 @@
 
 // Platform serves callers and servers that use the platform's protocol.
 type Platform struct {
-	config     atomic.Pointer[activeConfig]
-	loop       *loop.Loop
-	log        zerolog.Logger
-	sampledLog zerolog.Logger // for messages that callers or servers can provoke without limit
-	stopping   atomic.Bool
-	draining   atomic.Bool
-	successor  atomic.Pointer[Successor]
-	silence    silenceDetector // shared by all connections to servers
-	openConns  atomic.Int64    // open connections to servers and of adopted callers, which acceptor doesn't count
-	acceptor   *transport.Acceptor
+	config               atomic.Pointer[activeConfig]
+	loop                 *loop.Loop
+	log                  zerolog.Logger
+	sampledLog           zerolog.Logger // for log lines that callers or servers can provoke without limit
+	stopping             atomic.Bool
+	draining             atomic.Bool
+	successor            atomic.Pointer[Successor]
+	serverSilence        silenceDetector // shared by all connections to servers
+	connsOutsideAcceptor atomic.Int64    // open connections to servers and of adopted callers, which acceptor doesn't count
+	acceptor             *transport.Acceptor
 }
 
 // New returns a Platform that exchanges events and effects with l.
@@ -93,7 +93,7 @@
 	case <-timeout:
 		return
 	}
-	for p.openConns.Load() > 0 { // a connection made late may not have reached the loop yet; the ended loop closes it gracefully
+	for p.connsOutsideAcceptor.Load() > 0 { // a connection made late may not have reached the loop yet; the ended loop closes it gracefully
 		select {
 		case <-timeout:
 			return
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -48,8 +48,8 @@
 }
 
 // newScenario returns a scenario whose server and caller are connected. options change it before the softswitch starts. The
-// controller may refuse set-ups when a server's answers are delayed by more than a tenth of the retransmit interval. The interval
-// is long, so that a stall of the test machine does not count as such a delay.
+// controller (package elmseam) may refuse set-ups when a server's answers are delayed by more than a tenth of the retransmit
+// interval. The interval is long, so that a stall of the test machine does not count as such a delay.
 func newScenario(t *testing.T, options ...func(*scenario)) *scenario {
 	t.Helper()
 	s := &scenario{T: t, effects: make(chan core.Effect, 100), limits: core.Limits{RebindTimeout: 100 * time.Millisecond, InitialRedialDelay: time.Millisecond,
@@ -58,7 +58,7 @@
 	for _, option := range options {
 		option(s)
 	}
-	c, err := core.New(elmseam.Settings{
+	stateMachine, err := core.New(elmseam.Settings{
 		Classes: []elmseam.Class{{Deadline: 9 * time.Second, Worth: 1}}, MaxAttempts: 4, OwnCell: -1,
 		RetransmitInterval: testTimeout, ReleaseGuard: 50 * time.Millisecond, MaxRetryAfter: 2 * time.Second, Tenants: s.tenants, OverShareWorth: 0.1,
 		ReportMetrics: []elmseam.LoadMetric{elmseam.LoadMetricWait},
@@ -66,8 +66,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.SetHook(s.hook)
-	eventLoop := loop.New(c, 64, func(e core.Effect) {
+	stateMachine.SetHook(s.hook)
+	eventLoop := loop.New(stateMachine, 64, func(e core.Effect) {
 		select {
 		case s.effects <- e:
 		default:
@@ -87,17 +87,17 @@
 		}
 		platform.Dial(d)
 	})
-	callers := listen(t)
-	s.core, s.loop, s.platform, s.callerListener, s.serverListener = c, eventLoop, platform, callers, listen(t)
+	callerListener := listen(t)
+	s.core, s.loop, s.platform, s.callerListener, s.serverListener = stateMachine, eventLoop, platform, callerListener, listen(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go eventLoop.Run(ctx)
-	go platform.Serve(callers)
+	go platform.Serve(callerListener)
 	eventLoop.Post(core.ServerList{Full: true, Servers: []core.Server{
 		{Name: "s", Address: s.serverListener.Addr().String(), Protocol: Protocol, Phase: elmseam.PhaseReady},
 	}})
 	s.acceptServerConn()
-	s.callerConn = s.dial(callers)
+	s.callerConn = s.dial(callerListener)
 	return s
 }
 
@@ -133,7 +133,7 @@
 	s.serverConn, s.serverLines = c, bufio.NewScanner(c)
 }
 
-// wantLine reads the server's next line, which must contain all substrings.
+// wantLine reads the server's next line, which must contain all substrings. `0001"` is the end of a call id.
 func (s *scenario) wantLine(substrings ...string) {
 	s.Helper()
 	if !s.serverLines.Scan() {
@@ -146,8 +146,8 @@
 	}
 }
 
-// send writes a line to the softswitch as the server.
-func (s *scenario) send(format string, args ...any) {
+// sendLine writes a message, which is one line of JSON, to the softswitch as the server.
+func (s *scenario) sendLine(format string, args ...any) {
 	fmt.Fprintf(s.serverConn, format+"\n", args...)
 }
 
@@ -189,12 +189,12 @@
 	}
 	s.wantLine(`"op":"offer"`, `"call":"0000000000009b1f"`, `"class":"voice"`, `"key":"7f3a9c21e0b4d655"`, `"left":"1`,
 		`"desc":"line\r\n\"q\\\" é\u0001"`)
-	s.send(`{"op":"ringing","call":"0000000000009b1f","with":{}}`)
-	s.send(`{"op":"accept","call":"0000000000009b1f","with":{"load":"spare:3;new:1"},"x":[1,{"y":null}],"desc":"\u00e9\ud83d\ude00\n"}`)
+	s.sendLine(`{"op":"ringing","call":"0000000000009b1f","with":{}}`)
+	s.sendLine(`{"op":"accept","call":"0000000000009b1f","with":{"load":"spare:3;new:1"},"x":[1,{"y":null}],"desc":"\u00e9\ud83d\ude00\n"}`)
 	if f := s.wantFrame(typeAnswer, 0x9b1f, -1); string(f.desc) != "é😀\n" {
 		t.Errorf("description %q", f.desc)
 	}
-	s.send(`{"op":"end","call":"0000000000009b1f","with":{},"why":41}`)
+	s.sendLine(`{"op":"end","call":"0000000000009b1f","with":{},"why":41}`)
 	s.wantFrame(typeRelease, 0x9b1f, 41)
 	s.callerConn.Write(appendFrame(nil, typeTest, 5, appendParam(nil, paramCause, 0)))
 	s.wantFrame(typeTested, 5, 1)
@@ -207,13 +207,13 @@
 	s.callerConn.Write(append(setUpFrame(1, "voice", "5000", ""), setUpFrame(2, "voice", "5000", "")...))
 	s.wantLine(`"offer"`, `0001"`)
 	s.wantLine(`"offer"`, `0002"`)
-	s.send(`{"op":"accept","call":"0000000000000001","with":{},"desc":""}`)
+	s.sendLine(`{"op":"accept","call":"0000000000000001","with":{},"desc":""}`)
 	s.wantFrame(typeAnswer, 1, -1)
 	s.serverConn.(*net.TCPConn).SetLinger(0)
 	s.serverConn.Close()
 	s.acceptServerConn()
 	s.wantFrame(typeRelease, 2, 42)
-	s.send(`{"op":"end","call":"0000000000000001","with":{},"why":16}`)
+	s.sendLine(`{"op":"end","call":"0000000000000001","with":{},"why":16}`)
 	s.wantFrame(typeRelease, 1, 16)
 }
 
@@ -224,21 +224,21 @@
 	s := newScenario(t)
 	s.callerConn.Write(setUpFrame(1, "voice", "5000", ""))
 	s.wantLine(`"offer"`)
-	s.send(`{"op":"accept","call":"0000000000000001","with":{},"desc":""}`)
+	s.sendLine(`{"op":"accept","call":"0000000000000001","with":{},"desc":""}`)
 	s.wantFrame(typeAnswer, 1, -1)
 	fmt.Fprint(s.serverConn, `{"op":"end","ca`)
 	s.acceptServerConn()
-	s.send(`{"op":"end","call":"0000000000000001","with":{},"why":16}`) // the server repeats the release on the new connection
+	s.sendLine(`{"op":"end","call":"0000000000000001","with":{},"why":16}`) // the server repeats the release on the new connection
 	s.wantFrame(typeRelease, 1, 16)
-	for range minIntervals + 1 {
-		s.send(`{"op":"group","with":{"load":"spare:3"}}`)
+	for range minObservedIntervals + 1 {
+		s.sendLine(`{"op":"group","with":{"load":"spare:3"}}`)
 		time.Sleep(20 * time.Millisecond)
 	}
 	s.callerConn.Write(setUpFrame(2, "voice", "5000", ""))
 	s.wantLine(`"offer"`, `0002"`)
 	s.acceptServerConn()
 	s.wantFrame(typeRelease, 2, 42) // refused, as there is no other server
-	s.send(`{"op":"group","with":{"load":"spare:3"}}`)
+	s.sendLine(`{"op":"group","with":{"load":"spare:3"}}`)
 	s.callerConn.Write(setUpFrame(3, "voice", "5000", ""))
 	s.wantLine(`"offer"`, `0003"`)
 	s.acceptServerConn() // the report intervals seen on the first connection apply to the new one
@@ -249,8 +249,8 @@
 // connections closed again and again, along with set-ups sent a moment before. A test message shows that the connection works.
 func TestQuietServerKeepsConnection(t *testing.T) {
 	s := newScenario(t)
-	for range minIntervals + 1 {
-		s.send(`{"op":"group","with":{"load":"spare:3"}}`)
+	for range minObservedIntervals + 1 {
+		s.sendLine(`{"op":"group","with":{"load":"spare:3"}}`)
 		time.Sleep(5 * time.Millisecond)
 	}
 	s.serverConn.SetReadDeadline(time.Now().Add(200 * time.Millisecond)) // many times the silence timeout of this scenario
@@ -258,11 +258,11 @@
 		t.Fatalf("silent connection without pending calls: %v, want a read timeout", err)
 	}
 	s.serverConn.SetReadDeadline(time.Now().Add(testTimeout))
-	s.send(`{"op":"test","call":"0000000000000009","with":{},"why":0}`)
+	s.sendLine(`{"op":"test","call":"0000000000000009","with":{},"why":0}`)
 	s.wantLine(`"tested"`)
 	s.callerConn.Write(setUpFrame(1, "voice", "5000", ""))
 	s.wantLine(`"offer"`, `0001"`)
-	s.send(`{"op":"accept","call":"0000000000000001","with":{},"desc":""}`)
+	s.sendLine(`{"op":"accept","call":"0000000000000001","with":{},"desc":""}`)
 	s.wantFrame(typeAnswer, 1, -1)
 }
 
@@ -283,10 +283,10 @@
 		})
 		s.callerConn.Write(setUpFrame(1, "voice", "5000", ""))
 		s.wantLine(`"offer"`)
-		s.send(`{"op":"accept","call":"0000000000000001","with":{},"desc":""}`)
+		s.sendLine(`{"op":"accept","call":"0000000000000001","with":{},"desc":""}`)
 		s.wantFrame(typeAnswer, 1, -1)
-		for range minIntervals + 1 {
-			s.send(`{"op":"group","with":{"load":"recent_ms:1"}}`)
+		for range minObservedIntervals + 1 {
+			s.sendLine(`{"op":"group","with":{"load":"recent_ms:1"}}`)
 			time.Sleep(5 * time.Millisecond)
 		}
 		if permitted {
@@ -294,14 +294,14 @@
 			var probeMsg struct{ Call string }
 			json.Unmarshal(s.serverLines.Bytes(), &probeMsg)
 			for range 2 {
-				s.send(`{"op":"tested","call":%q,"with":{"load":"recent_ms:7"},"why":1}`, probeMsg.Call)
+				s.sendLine(`{"op":"tested","call":%q,"with":{"load":"recent_ms:7"},"why":1}`, probeMsg.Call)
 			}
 			s.wantLine(`"test"`) // the server is silent again and doesn't answer this probe
 			for load := 0.0; load != 7; load = <-reports {
 			}
 		}
 		s.acceptServerConn()
-		s.send(`{"op":"end","call":"0000000000000001","with":{},"why":16}`)
+		s.sendLine(`{"op":"end","call":"0000000000000001","with":{},"why":16}`)
 		s.wantFrame(typeRelease, 1, 16)
 		for len(reports) > 0 {
 			if <-reports == 7 {
@@ -319,8 +319,8 @@
 	s.callerConn.Write(releaseFrame(1, 16))
 	s.wantFrame(typeReleaseAck, 1, -1)
 	s.wantLine(`"end"`, `"why":16`)
-	s.send(`{"op":"accept","call":"0000000000000001","with":{},"desc":""}`)
-	s.send(`{"op":"test","call":"0000000000000009","with":{},"why":0}`)
+	s.sendLine(`{"op":"accept","call":"0000000000000001","with":{},"desc":""}`)
+	s.sendLine(`{"op":"test","call":"0000000000000009","with":{},"why":0}`)
 	for s.serverLines.Scan() && !strings.Contains(s.serverLines.Text(), `"tested"`) { // until all earlier messages have been processed
 	}
 	s.callerConn.Write(setUpFrame(2, "video", "5000", "")) // an unknown class: only that set-up is refused
@@ -349,7 +349,7 @@
 		}
 		c.Close()
 	}
-	s.send(`{"op":"group","with":{"load":`) // a line of truncated JSON: the connection to the server ends, and a new one is made
+	s.sendLine(`{"op":"group","with":{"load":`) // a line of truncated JSON: the connection to the server ends, and a new one is made
 	s.acceptServerConn()
 	s.callerConn.Write(setUpFrame(1, "voice", "5000", ""))
 	s.wantLine(`"offer"`)
@@ -418,7 +418,7 @@
 	}
 }
 
-// isTimeout reports whether an error is the time-out of a network operation.
+// isTimeout reports whether err means that a network operation has timed out.
 func isTimeout(err error) bool {
 	ne, ok := err.(net.Error)
 	return ok && ne.Timeout()
--- a/internal/platform/server.go
+++ b/internal/platform/server.go
@@ -19,7 +19,8 @@
 	"elmseam/internal/transport"
 )
 
-// serverConn is a connection to a server. It is the loop.EffectHandler of that connection; readLines is its receiving side.
+// serverConn is a connection to a server. Its methods Close, Flush and HandleEffect make it the loop.EffectHandler of that
+// connection; readLines receives the server's messages.
 type serverConn struct {
 	platform *Platform
 	name     string // name of the server
@@ -54,7 +55,7 @@
 		}
 		s.outbox.Send(message)
 	case core.Probe:
-		s.outbox.Send(transport.Message{Data: fmt.Appendf(nil, `{"op":"test","call":"%016x","with":{},"why":%d}`+"\n", uint64(e.ID), testCauseReport)})
+		s.outbox.Send(transport.Message{Data: fmt.Appendf(nil, `{"op":"test","call":"%016x","with":{},"why":%d}`+"\n", uint64(e.ID), testCauseLoadReport)})
 	case core.GracefulClose: // the server gets lingerTimeout to read the last messages
 		s.outbox.Finish(func() { time.AfterFunc(s.lingerTimeout, s.outbox.Close) })
 	case core.Withdraw:
@@ -67,8 +68,8 @@
 	return nil
 }
 
-// testCauseReport is the cause of a test message that asks the server for a load report in its answer.
-const testCauseReport = 1
+// testCauseLoadReport is the value of the key "why" in a test message that asks the server for a load report in its answer.
+const testCauseLoadReport = 1
 
 // appendOffer appends the message that offers a set-up to a server. The time left in it is at least 1 ms.
 func appendOffer(b []byte, e core.Offer, now core.Time) []byte {
@@ -96,8 +97,8 @@
 		p.loop.Post(core.ServerDown{Server: e.Server, Address: e.Address})
 		return
 	}
-	p.openConns.Add(1)
-	defer p.openConns.Add(-1)
+	p.connsOutsideAcceptor.Add(1)
+	defer p.connsOutsideAcceptor.Add(-1)
 	defer conn.Close()
 	s := &serverConn{platform: p, name: e.Server, connID: p.loop.NewConnID(), outbox: transport.NewOutbox(conn, cfg.ServerConn),
 		lingerTimeout: cfg.ServerConn.LingerTimeout}
@@ -111,28 +112,28 @@
 func (s *serverConn) readLines(conn net.Conn, limits transport.Limits) error {
 	buf := transport.NewBuffer(limits.InitialBufferSize, limits.MaxMessageSize)
 	var lastReport time.Time // when the server's last state report arrived; zero: none yet
-	partial := false         // a line has begun, and its read deadline is set
-	silent := false          // reported as silent, and nothing has come since
+	lineBegun := false       // a line has arrived in part, and the read deadline for its rest is set
+	reportedSilent := false  // the core was told that the server is silent, and nothing has come since
 	for {
-		silenceTimeout := s.platform.silence.timeout(limits.MaxSilence)
+		silenceTimeout := s.platform.serverSilence.silenceTimeout(limits.MaxSilence)
 		switch now := time.Now(); {
-		case len(buf.Bytes()) > 0 && !partial: // the rest of the line must arrive within the line timeout
-			partial = true
+		case len(buf.Bytes()) > 0 && !lineBegun: // the rest of the line must arrive within the line timeout
+			lineBegun = true
 			conn.SetReadDeadline(now.Add(limits.LineTimeout))
-		case partial:
+		case lineBegun:
 		case lastReport.IsZero() || silenceTimeout == 0:
 			conn.SetReadDeadline(time.Time{})
-		case silent: // reported as silent: check again at most one report interval later
-			conn.SetReadDeadline(now.Add(silenceTimeout / silenceIntervals))
+		case reportedSilent: // reported as silent: check again at most one report interval later
+			conn.SetReadDeadline(now.Add(silenceTimeout / intervalsUntilSilent))
 		default:
 			conn.SetReadDeadline(now.Add(silenceTimeout))
 		}
 		err := buf.Fill(conn)
 		switch {
 		case err == nil:
-			silent = false
-		case errors.Is(err, os.ErrDeadlineExceeded) && !partial && silenceTimeout > 0:
-			silent = true
+			reportedSilent = false
+		case errors.Is(err, os.ErrDeadlineExceeded) && !lineBegun && silenceTimeout > 0:
+			reportedSilent = true
 			s.platform.loop.Post(core.ServerSilent{Server: s.name, Conn: s.connID, SilentFor: silenceTimeout})
 			continue
 		default:
@@ -148,27 +149,28 @@
 			if err == nil {
 				err = s.handleMessage(msg)
 			}
-			if err != nil { // ends only the attempt that the message was for
+			if err != nil { // the core ends only the attempt that the message was for
 				s.platform.sampledLog.Warn().Err(err).Str("server", s.name).Int("bytes", lineEnd).Msg("malformed message from a server")
-				s.platform.loop.Post(core.ServerMalformed{Server: s.name, Conn: s.connID, ID: callIDIn(b[:lineEnd])})
+				s.platform.loop.Post(core.ServerMalformed{Server: s.name, Conn: s.connID, ID: callIDOfMalformedLine(b[:lineEnd])})
 			} else if now := time.Now(); msg.op == "group" {
 				if !lastReport.IsZero() {
-					s.platform.silence.observe(now.Sub(lastReport))
+					s.platform.serverSilence.observeInterval(now.Sub(lastReport))
 				}
 				lastReport = now
 			}
-			partial = false
+			lineBegun = false
 			buf.Skip(lineEnd + 1)
 		}
 	}
 }
 
-// callField matches the field of a line that names the line's call.
-var callField = regexp.MustCompile(`"call"\s*:\s*"([0-9a-fA-F]{16})"`)
+// callIDField matches the field of a line that names the line's call.
+var callIDField = regexp.MustCompile(`"call"\s*:\s*"([0-9a-fA-F]{16})"`)
 
-// callIDIn returns the id of the call that a malformed line names, or 0 if the line has no callField or more than one.
-func callIDIn(b []byte) core.ID {
-	matches := callField.FindAllSubmatch(b, 2)
+// callIDOfMalformedLine returns the id of the call that a malformed line names, or 0 if the line has no callIDField or more
+// than one.
+func callIDOfMalformedLine(b []byte) core.ID {
+	matches := callIDField.FindAllSubmatch(b, 2)
 	if len(matches) != 1 {
 		return 0
 	}
@@ -181,35 +183,35 @@
 // will not be answered either. One detector serves all connections, so a new connection uses the intervals seen before it, once
 // its first report has arrived.
 type silenceDetector struct {
-	mu          sync.Mutex    // guards the fields below
-	maxInterval time.Duration // recent maximum of the time between two reports
-	intervals   int           // number of intervals observed
+	mu            sync.Mutex    // guards the fields below
+	maxInterval   time.Duration // recent maximum of the time between two reports
+	intervalCount int           // number of intervals observed
 }
 
 // Parameters of silenceDetector.
 const (
-	minIntervals     = 3  // intervals that must be observed before any connection counts as silent
-	silenceIntervals = 3  // number of maximum intervals without a line after which a connection counts as silent
-	maxIntervalDecay = 32 // an interval shorter than the maximum lowers the maximum by 1/32 of their difference
+	minObservedIntervals = 3  // intervals that must be observed before any connection counts as silent
+	intervalsUntilSilent = 3  // number of maximum intervals without a line after which a connection counts as silent
+	maxIntervalDecay     = 32 // an interval shorter than the maximum lowers the maximum by 1/32 of their difference
 )
 
-// observe records the time between two state reports on one connection.
-func (d *silenceDetector) observe(interval time.Duration) {
+// observeInterval records the time between two state reports on one connection.
+func (d *silenceDetector) observeInterval(interval time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.intervals++
+	d.intervalCount++
 	d.maxInterval = max(interval, d.maxInterval+(interval-d.maxInterval)/maxIntervalDecay)
 }
 
-// timeout returns how long a connection may stay without a line, at most maxSilence. 0 means without limit, as long as too few
-// intervals have been observed.
-func (d *silenceDetector) timeout(maxSilence time.Duration) time.Duration {
+// silenceTimeout returns how long a connection may stay without a line, at most maxSilence. 0 means without limit, as long as
+// too few intervals have been observed.
+func (d *silenceDetector) silenceTimeout(maxSilence time.Duration) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.intervals < minIntervals {
+	if d.intervalCount < minObservedIntervals {
 		return 0
 	}
-	return min(silenceIntervals*d.maxInterval, maxSilence)
+	return min(intervalsUntilSilent*d.maxInterval, maxSilence)
 }
 
 // handleMessage posts the event for a server's message and answers the message if the protocol requires that.
--- a/internal/platform/setup.go
+++ b/internal/platform/setup.go
@@ -15,18 +15,18 @@
 // setUpEvent translates a set-up message. An invalid set-up gets class -1, and the core refuses it. It must not reach a server:
 // on a call without an id, servers close the connection with all other calls on it, and they would answer any other invalid
 // set-up with an error, which costs them work.
-func (p *Platform) setUpEvent(conn core.ConnID, f frame, receivedAt core.Time) core.SetUp {
-	ev := core.SetUp{ID: f.callID, From: conn, ClassName: f.class, Tenant: f.tenant, NumberText: f.numberText, Number: numberValue(f.numberText),
-		Desc: f.desc, Cell: -1, At: receivedAt}
-	timeLeft, err := strconv.ParseFloat(f.timeLeft, 64)
+func (p *Platform) setUpEvent(conn core.ConnID, setUp frame, receivedAt core.Time) core.SetUp {
+	ev := core.SetUp{ID: setUp.callID, From: conn, ClassName: setUp.class, Tenant: setUp.tenant,
+		NumberText: setUp.numberText, Number: numberValue(setUp.numberText), Desc: setUp.desc, Cell: -1, At: receivedAt}
+	timeLeft, err := strconv.ParseFloat(setUp.timeLeft, 64)
 	cfg := p.config.Load()
-	index, known := cfg.classIndexes[f.class]
+	classIndex, classKnown := cfg.classIndexes[setUp.class]
 	var class settings.Class
-	if known {
-		class = cfg.Deployment.Classes[index]
+	if classKnown {
+		class = cfg.Deployment.Classes[classIndex]
 	}
-	valid := f.callID != 0 && known && err == nil && timeLeft >= 0 && timeLeft < maxTimeLeft
-	for pair := range strings.SplitSeq(f.extras, ";") {
+	valid := setUp.callID != 0 && classKnown && err == nil && timeLeft >= 0 && timeLeft < maxTimeLeft
+	for pair := range strings.SplitSeq(setUp.extras, ";") {
 		if pair == "" {
 			continue
 		}
@@ -44,8 +44,8 @@
 			ev.Interrupted = value == 1
 		}
 	}
-	if ev.Class = index; !valid {
-		p.sampledLog.Warn().Str("class", f.class).Str("left", f.timeLeft).Str("extras", f.extras).Msg("invalid set-up refused")
+	if ev.Class = classIndex; !valid {
+		p.sampledLog.Warn().Str("class", setUp.class).Str("left", setUp.timeLeft).Str("extras", setUp.extras).Msg("invalid set-up refused")
 		ev.Class = -1
 		return ev
 	}
@@ -62,8 +62,8 @@
 	maxCells    = 1 << 16 // cell index
 )
 
-// numberValue converts a called number to the value that the controller compares: hexadecimal digits to their value if it fits
-// into 64 bits, other text to a hash. 0 means no number to the controller.
+// numberValue converts a called number to the value by which the controller (package elmseam) compares numbers: hexadecimal
+// digits to their value if it fits into 64 bits, other text to a hash. 0 stands for a set-up without a number.
 func numberValue(text string) uint64 {
 	if text == "" {
 		return 0
--- a/internal/q850/q850.go
+++ b/internal/q850/q850.go
@@ -19,10 +19,10 @@
 	TimerExpiry         = 102
 )
 
-// CauseFromReason returns the cause value sent to a caller for a reason. A reason without an entry gives
+// CauseFromReason returns the cause value that is sent to a caller for an end reason. A reason without an entry gives
 // TemporaryFailure.
-func CauseFromReason(r core.Reason) byte {
-	switch r {
+func CauseFromReason(reason core.Reason) byte {
+	switch reason {
 	case core.ReasonNormal:
 		return NormalClearing
 	case core.ReasonCongested, core.ReasonFull, core.ReasonUnsent:
@@ -35,8 +35,8 @@
 	return TemporaryFailure
 }
 
-// ReasonFromCause returns the reason for a cause value received from a server. A cause value without an entry
-// counts as core.ReasonReset.
+// ReasonFromCause returns the end reason for a cause value received from a server. A cause value without an entry
+// gives core.ReasonReset.
 func ReasonFromCause(cause int) core.Reason {
 	switch cause {
 	case NormalClearing:
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -14,15 +14,15 @@
 	if !ok {
 		return false
 	}
-	raw, err := sysConn.SyscallConn()
+	rawConn, err := sysConn.SyscallConn()
 	if err != nil {
 		return true
 	}
-	closed := false
-	raw.Control(func(fd uintptr) {
+	peerClosed := false
+	rawConn.Control(func(fd uintptr) {
 		if info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
-			closed = info.State == unix.BPF_TCP_CLOSE_WAIT || info.State == unix.BPF_TCP_CLOSE
+			peerClosed = info.State == unix.BPF_TCP_CLOSE_WAIT || info.State == unix.BPF_TCP_CLOSE
 		}
 	})
-	return closed
+	return peerClosed
 }
--- a/internal/transport/listen.go
+++ b/internal/transport/listen.go
@@ -17,17 +17,17 @@
 const (
 	// backlogDrainDuration is how long Accept goes on after DrainBacklog. TCP handshakes in progress complete within it.
 	backlogDrainDuration = 20 * time.Millisecond
-	// acceptRetry is the wait before the next accept after one that failed, for example for lack of file descriptors.
-	acceptRetry = 10 * time.Millisecond
+	// acceptRetryDelay is the wait before the next accept after one that failed, for example for lack of file descriptors.
+	acceptRetryDelay = 10 * time.Millisecond
 )
 
 // Acceptor accepts connections up to a maximum number of open ones and serves each in a goroutine. Connections beyond the
 // maximum wait in the listener's backlog, where no data is lost.
 type Acceptor struct {
 	maxConns    func() int     // the current maximum of open connections
-	handle      func(net.Conn) // serves a connection; the acceptor closes it afterwards
+	serveConn   func(net.Conn) // serves a connection; the acceptor closes it afterwards
 	activeConns atomic.Int64
-	slotFreed   chan struct{}  // receives a value when a connection has ended
+	slotFreed   chan struct{}  // receives a value when a connection has ended, for waitForSlot
 	wg          sync.WaitGroup // counts Serve and each connection's goroutine
 
 	mu                  sync.Mutex // guards the fields below
@@ -36,10 +36,10 @@
 	drainingBacklog     bool
 }
 
-// NewAcceptor returns an acceptor that calls handle for each connection. maxConns returns the max number of open connections;
+// NewAcceptor returns an acceptor that calls serveConn for each connection. maxConns returns the max number of open connections;
 // it is called before each accept, and while Serve waits at the maximum, each time a connection has ended.
-func NewAcceptor(maxConns func() int, handle func(net.Conn)) *Acceptor {
-	return &Acceptor{maxConns: maxConns, handle: handle, slotFreed: make(chan struct{}, 1), backlogDrainStarted: make(chan struct{})}
+func NewAcceptor(maxConns func() int, serveConn func(net.Conn)) *Acceptor {
+	return &Acceptor{maxConns: maxConns, serveConn: serveConn, slotFreed: make(chan struct{}, 1), backlogDrainStarted: make(chan struct{})}
 }
 
 // Serve accepts connections until the listener is closed, by DrainBacklog or otherwise. It does not wait for the connections to
@@ -62,7 +62,7 @@
 			a.acceptBacklog(listener)
 			return
 		case err != nil: // for example out of file descriptors; open connections are not affected
-			time.Sleep(acceptRetry)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
 		a.startHandler(conn)
@@ -81,15 +81,15 @@
 			}
 		}()
 		defer conn.Close()
-		a.handle(conn)
+		a.serveConn(conn)
 	})
 }
 
 // Wait waits until Serve has returned and all connections it accepted have ended.
 func (a *Acceptor) Wait() { a.wg.Wait() }
 
-// waitForSlot waits until one more connection may be opened. It does not wait while the acceptor drains: the connections in
-// the backlog must be accepted, so that their callers can be sent a refusal.
+// waitForSlot waits until fewer than the maximum number of connections are open. It does not wait after DrainBacklog: all
+// connections in the backlog must be accepted, so that their callers can be sent a refusal.
 func (a *Acceptor) waitForSlot() {
 	for a.activeConns.Load() >= int64(a.maxConns()) {
 		select {
@@ -131,8 +131,8 @@
 // The backlog is not affected. If the kernel does not support this, connections that are made between the last accept and the
 // close are reset.
 func refuseNewConns(listener *net.TCPListener) {
-	if raw, err := listener.SyscallConn(); err == nil {
-		raw.Control(func(fd uintptr) {
+	if rawConn, err := listener.SyscallConn(); err == nil {
+		rawConn.Control(func(fd uintptr) {
 			unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_BINDTOIFINDEX, math.MaxInt32)
 		})
 	}
@@ -147,18 +147,18 @@
 	if !ok {
 		return
 	}
-	raw, err := tcpListener.SyscallConn()
+	rawConn, err := tcpListener.SyscallConn()
 	if err != nil {
 		return
 	}
 	for {
 		var conn net.Conn
-		controlErr := raw.Control(func(fd uintptr) { conn, err = acceptNonblocking(fd) })
+		controlErr := rawConn.Control(func(fd uintptr) { conn, err = acceptNonblocking(fd) })
 		switch {
 		case controlErr != nil, errors.Is(err, syscall.EAGAIN):
 			return
 		case err != nil:
-			time.Sleep(acceptRetry)
+			time.Sleep(acceptRetryDelay)
 		default:
 			a.startHandler(conn)
 		}
@@ -171,7 +171,7 @@
 	if err != nil {
 		return nil, err
 	}
-	f := os.NewFile(uintptr(fd), "caller")
-	defer f.Close()
-	return net.FileConn(f)
+	file := os.NewFile(uintptr(fd), "caller")
+	defer file.Close()
+	return net.FileConn(file)
 }
--- a/internal/transport/outbox.go
+++ b/internal/transport/outbox.go
@@ -26,7 +26,7 @@
 // Message is a message that an Outbox writes.
 type Message struct {
 	Data         []byte
-	ID           uint64    // identifies a withdrawable message
+	ID           uint64    // identifies a withdrawable message to Withdraw and WithdrawAll
 	Withdrawable bool      // Data starts a set-up: the message can be withdrawn while queued, and expires at Deadline
 	Deadline     time.Time // the write of a withdrawable message does not begin after this time
 	OnWritten    func()    // called when the message has been written; may be nil
@@ -45,9 +45,9 @@
 	queue        []Message
 	queuedBytes  int       // total size of the messages in queue
 	writing      bool      // writeLoop is running
-	writeStarted time.Time // start of the write in progress; zero if there is none
-	closed       bool
-	onFinished   func() // the function passed to Finish, called after the last write; nil until Finish is called
+	writeStarted time.Time // when the write in progress was started; zero if there is none
+	closed       bool      // this side has closed the connection
+	onFinished   func()    // the function passed to Finish, called after the last write; nil until Finish is called
 }
 
 // NewOutbox returns the outbox of a connection.
