--- a/internal/explore/actions.go
+++ b/internal/explore/actions.go
@@ -92,44 +92,44 @@
 }
 
 // ParseAction parses the text that Action.String returns.
-func ParseAction(text string) (a Action, err error) {
+func ParseAction(text string) (action Action, err error) {
 	var kind string
-	if n, err := fmt.Sscanf(text, "%s %d %d", &kind, &a.Target, &a.Arg); err != nil || n != 3 {
-		return a, fmt.Errorf("action %q: %w", text, err)
+	if n, err := fmt.Sscanf(text, "%s %d %d", &kind, &action.Target, &action.Arg); err != nil || n != 3 {
+		return action, fmt.Errorf("action %q: %w", text, err)
 	}
 	index := slices.Index(actionKindNames[:], kind)
 	if index < 0 {
-		return a, fmt.Errorf("action %q: unknown kind", text)
+		return action, fmt.Errorf("action %q: unknown kind", text)
 	}
-	a.Kind = ActionKind(index)
-	return a, nil
+	action.Kind = ActionKind(index)
+	return action, nil
 }
 
 // earliestTimers returns the indexes in m.Timers of the timers with the earliest time.
-func (m *CallModel) earliestTimers() (first []int) {
-	for i, t := range m.Timers {
+func (m *CallModel) earliestTimers() (earliest []int) {
+	for i, timer := range m.Timers {
 		switch {
-		case len(first) == 0 || t.At < m.Timers[first[0]].At:
-			first = append(first[:0], i)
-		case t.At == m.Timers[first[0]].At:
-			first = append(first, i)
+		case len(earliest) == 0 || timer.At < m.Timers[earliest[0]].At:
+			earliest = append(earliest[:0], i)
+		case timer.At == m.Timers[earliest[0]].At:
+			earliest = append(earliest, i)
 		}
 	}
-	return first
+	return earliest
 }
 
 // EnabledActions returns the actions possible in the current state, always in the same order. To reduce symmetric states,
 // calls are set up in the order of their indexes, and the first choice of the first call is always server 0: other orders
 // and choices differ only in the names of calls and servers.
 func (m *CallModel) EnabledActions() (actions []Action) {
-	add := func(kind ActionKind, target, arg int) {
+	addAction := func(kind ActionKind, target, arg int) {
 		if kind < firstFaultKind || m.FaultsLeft > 0 {
 			actions = append(actions, Action{kind, uint8(target), uint8(arg)})
 		}
 	}
 	if m.allCallsEnded() { // only late answers and repeated releases of servers remain
 		for index := range m.Calls {
-			m.lateServerMessages(index, &m.Calls[index], add)
+			m.addLateServerMessages(index, &m.Calls[index], addAction)
 		}
 		return actions
 	}
@@ -139,121 +139,121 @@
 		}
 		for server := range m.Servers {
 			if len(m.CallerConns) > 0 && (index > 0 || server == 0) {
-				add(actSetUp, index, server)
+				addAction(actSetUp, index, server)
 			}
 		}
 		break
 	}
 	for index := range m.Calls {
-		m.callActions(index, &m.Calls[index], add)
+		m.addCallActions(index, &m.Calls[index], addAction)
 	}
 	for index := range m.Servers {
 		server := &m.Servers[index]
 		if server.Dials > 0 {
-			add(actDialCompleted, index, 0)
-			add(actDialRefused, index, 0)
+			addAction(actDialCompleted, index, 0)
+			addAction(actDialRefused, index, 0)
 		}
-		if m.connTo(index) != 0 {
-			add(actConnLost, index, 0)
+		if m.openConnTo(index) != 0 {
+			addAction(actConnLost, index, 0)
 		}
 		switch server.Phase {
 		case phaseReady:
-			add(actServerDraining, index, 0)
-			add(actServerGone, index, 0)
-			add(actServerRestart, index, 0)
+			addAction(actServerDraining, index, 0)
+			addAction(actServerGone, index, 0)
+			addAction(actServerRestart, index, 0)
 		case phaseDraining:
-			add(actServerGone, index, 0)
-			add(actServerReady, index, 0)
+			addAction(actServerGone, index, 0)
+			addAction(actServerReady, index, 0)
 		}
 	}
 	if len(m.CallerConns) == 0 {
-		add(actCallerConnects, 0, 0)
+		addAction(actCallerConnects, 0, 0)
 	} else {
-		add(actCallerLost, 0, 0)
+		addAction(actCallerLost, 0, 0)
 	}
 	if !m.Reloaded && m.Config.Attempts > 1 {
-		add(actReload, 0, 0)
+		addAction(actReload, 0, 0)
 	}
 	if m.Draining {
-		add(actDrainStop, 0, 0)
+		addAction(actDrainStop, 0, 0)
 	} else {
-		add(actDrainStart, 0, 0)
+		addAction(actDrainStart, 0, 0)
 	}
 	timers := m.earliestTimers()
 	for i := range timers {
-		add(actTimer, 0, i)
+		addAction(actTimer, 0, i)
 	}
 	if m.PausesLeft > 0 && (len(timers) == 0 || m.Timers[timers[0]].At > m.Now+pauseDuration) {
-		add(actPause, 0, 0)
+		addAction(actPause, 0, 0)
 	}
 	return actions
 }
 
-// callActions adds the actions that are possible for one started call.
-func (m *CallModel) callActions(index int, call *Call, add func(kind ActionKind, target, arg int)) {
+// addCallActions adds the actions that are possible for one started call.
+func (m *CallModel) addCallActions(index int, call *Call, addAction func(kind ActionKind, target, arg int)) {
 	if !call.Started {
 		return
 	}
 	switch call.State {
 	case attemptQueued:
-		add(actOfferWritten, index, 0)
+		addAction(actOfferWritten, index, 0)
 	case attemptOutstanding:
-		add(actAnswer, index, 0)
-		add(actRefuseFull, index, 0)
-		add(actRefuseBusy, index, 0)
-		add(actAttemptReset, index, 0)
+		addAction(actAnswer, index, 0)
+		addAction(actRefuseFull, index, 0)
+		addAction(actRefuseBusy, index, 0)
+		addAction(actAttemptReset, index, 0)
 	case attemptEnding:
-		add(actEndWritten, index, 0)
-		add(actCrossingAnswer, index, 0)
+		addAction(actEndWritten, index, 0)
+		addAction(actCrossingAnswer, index, 0)
 	}
-	if call.Established && m.connTo(call.Server) != 0 {
-		add(actRelease, index, 0)
-		add(actCallReset, index, 0)
+	if call.Established && m.openConnTo(call.Server) != 0 {
+		addAction(actRelease, index, 0)
+		addAction(actCallReset, index, 0)
 	}
-	m.lateServerMessages(index, call, add)
+	m.addLateServerMessages(index, call, addAction)
 	switch account := &call.Account; {
 	case account.CallerGone:
 	case account.FinalAnswers == 0:
 		if m.callerConnected(call.CallerConn) {
-			add(actGiveUp, index, 0)
+			addAction(actGiveUp, index, 0)
 		}
 		if !call.Repeated {
-			add(actRepeatedSetUp, index, 0)
+			addAction(actRepeatedSetUp, index, 0)
 		}
 	case account.WasEstablished && account.Releases == 0 && len(m.CallerConns) > 0:
-		add(actHangUp, index, 0)
+		addAction(actHangUp, index, 0)
 	}
 }
 
-// lateServerMessages adds the late answer and the repeated release that a server may still send for a call that has ended
-// at that server.
-func (m *CallModel) lateServerMessages(index int, call *Call, add func(kind ActionKind, target, arg int)) {
-	if call.LateAnswerFrom != 0 && m.connTo(call.LateAnswerFrom-1) != 0 {
-		add(actLateAnswer, index, 0)
+// addLateServerMessages adds the late answer and the repeated release that a server may still send for a call that has
+// ended at that server.
+func (m *CallModel) addLateServerMessages(index int, call *Call, addAction func(kind ActionKind, target, arg int)) {
+	if call.LateAnswerFrom != 0 && m.openConnTo(call.LateAnswerFrom-1) != 0 {
+		addAction(actLateAnswer, index, 0)
 	}
-	if call.RepeatedReleaseFrom != 0 && m.connTo(call.RepeatedReleaseFrom-1) != 0 {
-		add(actRepeatedRelease, index, 0)
+	if call.RepeatedReleaseFrom != 0 && m.openConnTo(call.RepeatedReleaseFrom-1) != 0 {
+		addAction(actRepeatedRelease, index, 0)
 	}
 }
 
 // TryApply applies an action if it is enabled in the current state, and reports whether it was.
-func (m *CallModel) TryApply(a Action) bool {
-	if !slices.Contains(m.EnabledActions(), a) {
+func (m *CallModel) TryApply(action Action) bool {
+	if !slices.Contains(m.EnabledActions(), action) {
 		return false
 	}
-	m.apply(a)
+	m.apply(action)
 	return true
 }
 
 // apply applies an enabled action.
-func (m *CallModel) apply(a Action) {
-	if a.Kind >= firstFaultKind {
+func (m *CallModel) apply(action Action) {
+	if action.Kind >= firstFaultKind {
 		m.FaultsLeft--
 	}
-	target := int(a.Target)
-	switch a.Kind {
+	target := int(action.Target)
+	switch action.Kind {
 	case actTimer:
-		m.fireTimer(m.earliestTimers()[a.Arg])
+		m.fireTimer(m.earliestTimers()[action.Arg])
 	case actPause:
 		m.PausesLeft--
 		m.Now += pauseDuration
@@ -262,27 +262,27 @@
 		m.connectServer(target)
 	case actDialRefused:
 		m.Servers[target].Dials--
-		m.step(core.ServerDown{Server: serverName(target)})
+		m.stepCore(core.ServerDown{Server: serverName(target)})
 	case actConnLost:
-		connID := m.connTo(target)
+		connID := m.openConnTo(target)
 		m.closeConn(connID)
-		m.step(core.ServerDown{Server: serverName(target), Conn: connID})
+		m.stepCore(core.ServerDown{Server: serverName(target), Conn: connID})
 	case actServerDraining, actServerGone, actServerRestart, actServerReady:
-		m.changeServer(a.Kind, target)
+		m.changeServer(action.Kind, target)
 	case actCallerConnects:
 		m.connectCaller()
 	case actCallerLost:
 		connID := m.CallerConns[0]
 		m.closeConn(connID)
-		m.step(core.CallerDown{Conn: connID})
+		m.stepCore(core.CallerDown{Conn: connID})
 	case actReload:
 		m.Reloaded = true
-		m.step(core.Configured{Settings: m.Config.settings(m.Config.Attempts - 1), Limits: m.Config.limits()})
+		m.stepCore(core.Configured{Settings: m.Config.settings(m.Config.Attempts - 1), Limits: m.Config.limits()})
 	case actDrainStart, actDrainStop:
-		m.Draining = a.Kind == actDrainStart
-		m.step(core.Drain{On: m.Draining})
+		m.Draining = action.Kind == actDrainStart
+		m.stepCore(core.Drain{On: m.Draining})
 	default:
-		m.applyToCall(a.Kind, target, int(a.Arg))
+		m.applyToCall(action.Kind, target, int(action.Arg))
 	}
 }
 
@@ -292,7 +292,7 @@
 	m.Timers = slices.Delete(m.Timers, index, index+1)
 	m.Now = max(m.Now, fired.At)
 	m.checkDeadlines(m.Now)
-	m.step(core.TimerFired{Token: fired.Token})
+	m.stepCore(core.TimerFired{Token: fired.Token})
 }
 
 // changeServer changes the phase or the incarnation of a server and sends the core the server's changed list entry.
@@ -313,10 +313,10 @@
 		server.Phase = phaseReady
 	}
 	dials := server.Dials
-	m.step(core.ServerList{Servers: []core.Server{m.listEntry(index)}})
+	m.stepCore(core.ServerList{Servers: []core.Server{m.serverListEntry(index)}})
 	if kind == actServerRestart && server.Dials == dials {
 		// The core has not dialled again: its connection attempt to the old address, if any, fails.
-		m.step(core.ServerDown{Server: serverName(index)})
+		m.stepCore(core.ServerDown{Server: serverName(index)})
 	}
 }
 
@@ -331,50 +331,50 @@
 		if m.Reloaded {
 			call.Account.MaxAttempts--
 		}
-		m.step(m.setUpEvent(index))
+		m.stepCore(m.setUpEvent(index))
 	case actRepeatedSetUp:
 		call.Repeated, call.CallerConn = true, m.connectCaller()
-		m.step(m.setUpEvent(index))
+		m.stepCore(m.setUpEvent(index))
 	case actOfferWritten:
 		call.State = attemptOutstanding
-		m.step(core.OfferWritten{Server: server, ID: callID(index)})
+		m.stepCore(core.OfferWritten{Server: server, ID: callID(index)})
 	case actAnswer:
 		call.State, call.Established = attemptNone, true
 		m.recordAttemptEnd(index, false)
-		m.step(core.ServerAnswer{Server: server, Conn: call.Conn, ID: callID(index)})
+		m.stepCore(core.ServerAnswer{Server: server, Conn: call.Conn, ID: callID(index)})
 	case actRefuseFull, actRefuseBusy, actAttemptReset:
 		call.State = attemptNone
 		m.recordAttemptEnd(index, kind == actAttemptReset)
 		reason := map[ActionKind]core.Reason{actRefuseFull: core.ReasonFull, actRefuseBusy: core.ReasonBusy, actAttemptReset: core.ReasonReset}[kind]
-		m.step(core.ServerEnd{Server: server, Conn: call.Conn, ID: callID(index), Reason: reason})
+		m.stepCore(core.ServerEnd{Server: server, Conn: call.Conn, ID: callID(index), Reason: reason})
 	case actEndWritten:
 		call.State, call.LateAnswerFrom = attemptNone, call.Server+1
 		m.recordAttemptEnd(index, true)
-		m.step(core.EndWritten{Server: server, ID: callID(index)})
+		m.stepCore(core.EndWritten{Server: server, ID: callID(index)})
 	case actCrossingAnswer:
-		m.step(core.ServerAnswer{Server: server, Conn: call.Conn, ID: callID(index)})
+		m.stepCore(core.ServerAnswer{Server: server, Conn: call.Conn, ID: callID(index)})
 	case actLateAnswer:
 		server := call.LateAnswerFrom - 1
 		call.LateAnswerFrom = 0
-		m.step(core.ServerAnswer{Server: serverName(server), Conn: m.connTo(server), ID: callID(index)})
+		m.stepCore(core.ServerAnswer{Server: serverName(server), Conn: m.openConnTo(server), ID: callID(index)})
 	case actRelease, actCallReset:
 		call.Established, call.RepeatedReleaseFrom = false, call.Server+1
 		reason := core.ReasonNormal
 		if kind == actCallReset {
 			reason = core.ReasonReset
 		}
-		m.step(core.ServerEnd{Server: server, Conn: m.connTo(call.Server), ID: callID(index), Reason: reason})
+		m.stepCore(core.ServerEnd{Server: server, Conn: m.openConnTo(call.Server), ID: callID(index), Reason: reason})
 	case actRepeatedRelease:
 		server := call.RepeatedReleaseFrom - 1
 		call.RepeatedReleaseFrom = 0
-		m.step(core.ServerEnd{Server: serverName(server), Conn: m.connTo(server), ID: callID(index), Reason: core.ReasonNormal})
+		m.stepCore(core.ServerEnd{Server: serverName(server), Conn: m.openConnTo(server), ID: callID(index), Reason: core.ReasonNormal})
 	case actHangUp, actGiveUp:
 		call.Account.CallerGone = true
 		callerConn := call.CallerConn
 		if kind == actHangUp && !m.callerConnected(callerConn) {
 			callerConn = callerConns[0]
 		}
-		m.step(core.CallerEnd{ID: callID(index), From: callerConn})
+		m.stepCore(core.CallerEnd{ID: callID(index), From: callerConn})
 	}
 }
 
--- a/internal/explore/budget.go
+++ b/internal/explore/budget.go
@@ -30,14 +30,14 @@
 // budgetProcess is the running process of a member: its budget reducer.
 type budgetProcess struct{ Reducer *budget.Reducer }
 
-// step passes an event to the reducer and converts the effects.
-func (p *budgetProcess) step(now time.Duration, ev budget.Event) (result stepEffects) {
-	for _, e := range p.Reducer.Step(now, ev) {
-		switch e := e.(type) {
+// stepReducer passes an event to the reducer and converts the effects.
+func (p *budgetProcess) stepReducer(now time.Duration, event budget.Event) (result stepEffects) {
+	for _, effect := range p.Reducer.Step(now, event) {
+		switch effect := effect.(type) {
 		case budget.Send:
-			result.Sends = append(result.Sends, sentDatagram{To: e.To, Data: e.Data})
+			result.Sends = append(result.Sends, sentDatagram{To: effect.To, Data: effect.Data})
 		case budget.Timer:
-			result.Timers = append(result.Timers, memberTimer{e.At, e.Token})
+			result.Timers = append(result.Timers, memberTimer{effect.At, effect.Token})
 		}
 	}
 	return result
@@ -45,68 +45,68 @@
 
 // receive passes a datagram to the reducer.
 func (p *budgetProcess) receive(now time.Duration, from int, data []byte) stepEffects {
-	return p.step(now, budget.Datagram{From: from, Data: data})
+	return p.stepReducer(now, budget.Datagram{From: from, Data: data})
 }
 
 // timerFired passes a timer to the reducer.
 func (p *budgetProcess) timerFired(now time.Duration, token any) stepEffects {
-	return p.step(now, budget.TimerFired{Token: token.(budget.Token)})
+	return p.stepReducer(now, budget.TimerFired{Token: token.(budget.Token)})
 }
 
 // startMember starts a member's reducer, informs it and the running, unpaused members of each other, and
 // declares a server cold. All members start together, so at its first start the reducer considers every member available.
-func (p *budgetProtocol) startMember(m *tierModel, index int, incarnation uint8) (memberProcess, stepEffects) {
-	reducer, _, err := budget.New(budget.Config{Self: index, TierSize: len(m.Members), Limits: p.Limits,
-		Seed: m.Config.Seed + uint64(index) + 100*uint64(incarnation), DisabledGuards: m.Config.DisabledBudgetGuards}, m.Now)
+func (p *budgetProtocol) startMember(tier *tierModel, index int, incarnation uint8) (memberProcess, stepEffects) {
+	reducer, _, err := budget.New(budget.Config{Self: index, TierSize: len(tier.Members), Limits: p.Limits,
+		Seed: tier.Config.Seed + uint64(index) + 100*uint64(incarnation), DisabledGuards: tier.Config.DisabledBudgetGuards}, tier.Now)
 	if err != nil {
 		panic(err)
 	}
 	process := &budgetProcess{reducer}
 	var result stepEffects
-	add := func(ev budget.Event) {
-		effects := process.step(m.Now, ev)
+	addStep := func(event budget.Event) {
+		effects := process.stepReducer(tier.Now, event)
 		result.Sends, result.Timers = append(result.Sends, effects.Sends...), append(result.Timers, effects.Timers...)
 	}
-	for other, member := range m.Members {
-		add(budget.MemberAvailability{Member: other, Available: member.Process != nil || incarnation == 0})
+	for other, member := range tier.Members {
+		addStep(budget.MemberAvailability{Member: other, Available: member.Process != nil || incarnation == 0})
 		if member.Process != nil && !member.Paused && other != index {
-			m.applyEffects(other, member.Process.(*budgetProcess).step(m.Now, budget.MemberAvailability{Member: index, Available: true}))
+			tier.applyEffects(other, member.Process.(*budgetProcess).stepReducer(tier.Now, budget.MemberAvailability{Member: index, Available: true}))
 		}
 	}
 	demand := 0.0
 	if index == 0 {
 		demand = 3
 	}
-	add(budget.Demand{Quotas: demand})
-	add(budget.ColdServer{Server: 1, Rate: 1, ColdUntil: m.Now + time.Hour})
+	addStep(budget.Demand{Quotas: demand})
+	addStep(budget.ColdServer{Server: 1, Rate: 1, ColdUntil: tier.Now + time.Hour})
 	return process, result
 }
 
-// converged does nothing: startMember has already declared a server cold.
-func (p *budgetProtocol) converged(*tierModel) {}
+// tierConverged does nothing: startMember has already declared a server cold.
+func (p *budgetProtocol) tierConverged(*tierModel) {}
 
 // memberKilled informs the running, unpaused members at once that a member is dead.
-func (p *budgetProtocol) memberKilled(m *tierModel, index int) {
-	for other, member := range m.Members {
+func (p *budgetProtocol) memberKilled(tier *tierModel, index int) {
+	for other, member := range tier.Members {
 		if member.Process != nil && !member.Paused {
-			m.applyEffects(other, member.Process.(*budgetProcess).step(m.Now, budget.MemberAvailability{Member: index}))
+			tier.applyEffects(other, member.Process.(*budgetProcess).stepReducer(tier.Now, budget.MemberAvailability{Member: index}))
 		}
 	}
 }
 
 // checkStep checks ExclusiveUnits.
-func (p *budgetProtocol) checkStep(m *tierModel, _ int) { p.checkTimePassed(m) }
+func (p *budgetProtocol) checkStep(tier *tierModel, _ int) { p.checkTimePassed(tier) }
 
 // usedUnits returns the units of a member's quota that running, unpaused members use, and how many of them use any. It
 // checks ExclusiveUnits. owner is the member's index.
-func (p *budgetProtocol) usedUnits(m *tierModel, owner int) (units budget.Mask, users int) {
-	for index, member := range m.Members {
+func (p *budgetProtocol) usedUnits(tier *tierModel, owner int) (units budget.Mask, users int) {
+	for index, member := range tier.Members {
 		if member.Process == nil || member.Paused {
 			continue
 		}
-		usable := member.Process.(*budgetProcess).Reducer.Usable(m.Now, owner)
+		usable := member.Process.(*budgetProcess).Reducer.Usable(tier.Now, owner)
 		if units&usable != 0 {
-			m.recordViolation(ExclusiveUnits, "units %08b of member %d's quota are used by member %d and another member", units&usable, owner, index)
+			tier.recordViolation(ExclusiveUnits, "units %08b of member %d's quota are used by member %d and another member", units&usable, owner, index)
 		}
 		units |= usable
 		if usable != 0 {
@@ -117,31 +117,31 @@
 }
 
 // checkTimePassed checks ExclusiveUnits for the quota of every member.
-func (p *budgetProtocol) checkTimePassed(m *tierModel) {
-	for owner := range m.Members {
-		p.usedUnits(m, owner)
+func (p *budgetProtocol) checkTimePassed(tier *tierModel) {
+	for owner := range tier.Members {
+		p.usedUnits(tier, owner)
 	}
 }
 
 // checkSettled checks AllUnitsUsed, if a majority of the members is running.
-func (p *budgetProtocol) checkSettled(m *tierModel) {
+func (p *budgetProtocol) checkSettled(tier *tierModel) {
 	available := 0
-	for _, member := range m.Members {
+	for _, member := range tier.Members {
 		if member.Process != nil {
 			available++
 		}
 	}
-	if 2*available <= len(m.Members) {
+	if 2*available <= len(tier.Members) {
 		return
 	}
 	allUnits := budget.Mask(1<<budget.Units - 1)
-	for owner, member := range m.Members {
+	for owner, member := range tier.Members {
 		want := allUnits
 		if member.Process == nil {
 			want &^= 1 // only the owner itself uses the first unit of its quota
 		}
-		if units, _ := p.usedUnits(m, owner); units != want {
-			m.recordViolation(AllUnitsUsed, "after %v without faults units %08b of member %d's quota are used", settleTime, units, owner)
+		if units, _ := p.usedUnits(tier, owner); units != want {
+			tier.recordViolation(AllUnitsUsed, "after %v without faults units %08b of member %d's quota are used", settleTime, units, owner)
 		}
 	}
 }
--- a/internal/explore/callmodel.go
+++ b/internal/explore/callmodel.go
@@ -12,9 +12,9 @@
 // Protocol and times of the call model.
 const (
 	releaseGuardTime = 200 * time.Millisecond // release guard of the core
-	modelProtocol    = core.Protocol("f")
-	pauseDuration    = 120 * time.Millisecond // two exceed the release guard, one the 100 ms in which a lost caller may reconnect
-	timerHorizon     = 2 * time.Second        // timers later than this after the deadline of a set-up sent at the start are ignored
+	modelProtocol    = core.Protocol("f")     // protocol of all simulated connections
+	pauseDuration    = 120 * time.Millisecond // two pauses exceed the release guard, one the 100 ms in which a lost caller may reconnect
+	timerHorizon     = 2 * time.Second        // timers later than this after the give-up time of a set-up sent at the start are ignored
 )
 
 // attemptState is the state of a call's attempt outside the core.
@@ -28,7 +28,7 @@
 	attemptEnding                   // the end is queued for a connection
 )
 
-// Short names of the phases.
+// Short names for the phases of a server.
 const (
 	phaseReady    = elmseam.PhaseReady
 	phaseDraining = elmseam.PhaseDraining
@@ -48,7 +48,7 @@
 	LateAnswerFrom      int         // 1 + index of a server that may still answer an attempt that has ended; 0: none
 	RepeatedReleaseFrom int         // 1 + index of a server that may repeat its release, or whose release may cross that of the core; 0: none
 	Repeated            bool        // the caller has sent the set-up again
-	Account             account
+	Account             callAccount
 }
 
 // Server is the state of a server outside the core.
@@ -59,14 +59,14 @@
 	Dials       int // connection attempts of the core in progress
 }
 
-// conn is an open connection to a server.
-type conn struct {
+// serverConn is an open connection to a server.
+type serverConn struct {
 	ID     core.ConnID
-	Server int
+	Server int // index of the server
 }
 
-// timer is a timer that the core has requested.
-type timer struct {
+// coreTimer is a timer that the core has requested.
+type coreTimer struct {
 	At    core.Time
 	Token core.Token
 }
@@ -78,14 +78,14 @@
 	Now, TimerLimit core.Time // timers after TimerLimit are ignored
 	Calls           []Call
 	Servers         []Server
-	ServerConns     []conn
+	ServerConns     []serverConn
 	CallerConns     []core.ConnID // open connections of callers
-	NextConn        core.ConnID
-	Timers          []timer // in the order of their requests
-	FaultsLeft      int     // faults that may still be injected
-	PausesLeft      int     // pauses that may still be applied
-	Reloaded        bool    // a configuration with one attempt fewer has been loaded
-	Draining        bool    // the operator drains the softswitch
+	NextConn        core.ConnID   // id of the next connection
+	Timers          []coreTimer   // in the order of their requests
+	FaultsLeft      int           // faults that may still be injected
+	PausesLeft      int           // pauses that may still be applied
+	Reloaded        bool          // a configuration with one attempt fewer has been loaded
+	Draining        bool          // the operator drains the softswitch
 	Violation       *Violation
 }
 
@@ -128,35 +128,35 @@
 	list := core.ServerList{Full: true}
 	for s := range model.Servers {
 		model.Servers[s].Phase = phaseReady
-		list.Servers = append(list.Servers, model.listEntry(s))
+		list.Servers = append(list.Servers, model.serverListEntry(s))
 	}
-	model.step(list)
+	model.stepCore(list)
 	for s := range model.Servers {
 		model.connectServer(s)
 	}
-	return model, model.err()
+	return model, model.violationError()
 }
 
-// err returns the recorded violation as an error, or nil.
-func (m *CallModel) err() error {
+// violationError returns the recorded violation as an error, or nil.
+func (m *CallModel) violationError() error {
 	if m.Violation != nil {
 		return m.Violation
 	}
 	return nil
 }
 
-// serverName returns the name of a server: a letter from a.
-func serverName(s int) string { return string(rune('a' + s)) }
+// serverName returns the name of the server with the given index: a, b and so on.
+func serverName(server int) string { return string(rune('a' + server)) }
 
-// address returns the address of a server's current incarnation.
-func (m *CallModel) address(s int) string {
-	return fmt.Sprintf("%s%d:1", serverName(s), m.Servers[s].Incarnation)
+// currentServerAddress returns the address of a server's current incarnation.
+func (m *CallModel) currentServerAddress(server int) string {
+	return fmt.Sprintf("%s%d:1", serverName(server), m.Servers[server].Incarnation)
 }
 
-// listEntry returns a server's entry in the list of servers.
-func (m *CallModel) listEntry(index int) core.Server {
+// serverListEntry returns a server's entry in the list of servers.
+func (m *CallModel) serverListEntry(index int) core.Server {
 	server := &m.Servers[index]
-	return core.Server{Name: serverName(index), Address: m.address(index), Protocol: modelProtocol, Cell: index, Phase: server.Phase, Started: server.StartedAt}
+	return core.Server{Name: serverName(index), Address: m.currentServerAddress(index), Protocol: modelProtocol, Cell: index, Phase: server.Phase, Started: server.StartedAt}
 }
 
 // newConnID returns an unused connection id.
@@ -169,7 +169,7 @@
 func (m *CallModel) connectCaller() core.ConnID {
 	connID := m.newConnID()
 	m.CallerConns = append(m.CallerConns, connID)
-	m.step(core.CallerUp{Conn: connID, Protocol: modelProtocol})
+	m.stepCore(core.CallerUp{Conn: connID, Protocol: modelProtocol})
 	return connID
 }
 
@@ -179,8 +179,8 @@
 		m.Servers[server].Dials--
 	}
 	connID := m.newConnID()
-	m.ServerConns = append(m.ServerConns, conn{connID, server})
-	m.step(core.ServerUp{Server: serverName(server), Address: m.address(server), Conn: connID})
+	m.ServerConns = append(m.ServerConns, serverConn{connID, server})
+	m.stepCore(core.ServerUp{Server: serverName(server), Address: m.currentServerAddress(server), Conn: connID})
 }
 
 // callerConnected reports whether a caller's connection is open.
@@ -189,7 +189,7 @@
 }
 
 // findConn returns the open connection to a server with the given id, or nil.
-func (m *CallModel) findConn(connID core.ConnID) *conn {
+func (m *CallModel) findConn(connID core.ConnID) *serverConn {
 	for i := range m.ServerConns {
 		if m.ServerConns[i].ID == connID {
 			return &m.ServerConns[i]
@@ -198,8 +198,8 @@
 	return nil
 }
 
-// connTo returns the id of an open connection to a server, or 0.
-func (m *CallModel) connTo(server int) core.ConnID {
+// openConnTo returns the id of an open connection to a server, or 0.
+func (m *CallModel) openConnTo(server int) core.ConnID {
 	for _, c := range m.ServerConns {
 		if c.Server == server {
 			return c.ID
@@ -208,8 +208,8 @@
 	return 0
 }
 
-// callID returns the id of the call with index i.
-func callID(i int) core.ID { return core.ID(i + 1) }
+// callID returns the id of the call with the given index.
+func callID(index int) core.ID { return core.ID(index + 1) }
 
 // callIndex returns the index of the call with the given id, or -1.
 func (m *CallModel) callIndex(id core.ID) int {
@@ -219,60 +219,60 @@
 	return -1
 }
 
-// step passes an event to the core and applies the effects that the core requests, then does the same with the events that
-// result immediately from these effects. In the end it removes the timers that can have no effect any more.
-func (m *CallModel) step(ev core.Event) {
-	events := []core.Event{ev}
+// stepCore passes an event to the core and applies the effects that the core requests, then does the same with the
+// events that result immediately from these effects. In the end it removes the timers that can have no effect any more.
+func (m *CallModel) stepCore(event core.Event) {
+	events := []core.Event{event}
 	for len(events) > 0 {
-		ev := events[0]
+		event := events[0]
 		events = events[1:]
-		for _, e := range m.Core.Step(m.Now, ev) {
-			events = append(events, m.applyEffect(e)...)
+		for _, effect := range m.Core.Step(m.Now, event) {
+			events = append(events, m.applyEffect(effect)...)
 		}
 	}
-	m.Timers = slices.DeleteFunc(m.Timers, func(t timer) bool { return m.Core.TimerObsolete(t.Token) })
+	m.Timers = slices.DeleteFunc(m.Timers, func(t coreTimer) bool { return m.Core.TimerObsolete(t.Token) })
 }
 
 // applyEffect applies an effect to the environment of the core. It returns the events that result immediately, as the effect
 // handlers of the softswitch do.
-func (m *CallModel) applyEffect(e core.Effect) (events []core.Event) {
-	switch e := e.(type) {
+func (m *CallModel) applyEffect(effect core.Effect) (events []core.Event) {
+	switch effect := effect.(type) {
 	case core.Timer:
-		if e.At <= m.TimerLimit {
-			m.Timers = append(m.Timers, timer{e.At, e.Token})
+		if effect.At <= m.TimerLimit {
+			m.Timers = append(m.Timers, coreTimer{effect.At, effect.Token})
 		}
 	case core.Dial:
-		m.Servers[e.Server[0]-'a'].Dials++
+		m.Servers[effect.Server[0]-'a'].Dials++
 	case core.CloseConn:
-		m.closeConn(e.To)
+		m.closeConn(effect.To)
 	case core.GracefulClose:
-		m.closeConn(e.To)
+		m.closeConn(effect.To)
 	case core.Offer:
-		index, conn := m.callIndex(e.ID), m.findConn(e.To)
+		index, conn := m.callIndex(effect.ID), m.findConn(effect.To)
 		m.checkOffer(index, conn)
 		if call := &m.Calls[index]; conn != nil {
-			call.State, call.Conn, call.Server = attemptQueued, e.To, conn.Server
+			call.State, call.Conn, call.Server = attemptQueued, effect.To, conn.Server
 		}
 	case core.End:
-		events = m.applyEnd(e)
+		events = m.applyEnd(effect)
 	case core.Withdraw:
 		for index := range m.Calls {
-			if call := &m.Calls[index]; call.State == attemptQueued && call.Conn == e.To {
+			if call := &m.Calls[index]; call.State == attemptQueued && call.Conn == effect.To {
 				events = append(events, m.withdrawOffer(index))
 			}
 		}
 	case core.Answered:
-		m.checkFinalAnswer(m.callIndex(e.ID), e.To, true)
+		m.checkFinalAnswer(m.callIndex(effect.ID), effect.To, true)
 	case core.Rejected:
-		m.checkFinalAnswer(m.callIndex(e.ID), e.To, false)
+		m.checkFinalAnswer(m.callIndex(effect.ID), effect.To, false)
 	case core.Released:
-		m.checkRelease(m.callIndex(e.ID), e.To)
+		m.checkRelease(m.callIndex(effect.ID), effect.To)
 	case core.ForgetCall:
-		m.Calls[m.callIndex(e.ID)].Account.CallerGone = true
+		m.Calls[m.callIndex(effect.ID)].Account.CallerGone = true
 	case core.Violation:
 		// If a hook changes decisions or events, guards have to stop actions: that is no violation of NoGuardTripped.
 		if m.Config.CoreHook.Decide == nil && m.Config.CoreHook.SuppressEvent == nil {
-			m.recordViolation(NoGuardTripped, "call %d: %s", m.callIndex(e.ID), e.Rule)
+			m.recordViolation(NoGuardTripped, "call %d: %s", m.callIndex(effect.ID), effect.Rule)
 		}
 	}
 	return events
@@ -287,8 +287,8 @@
 }
 
 // applyEnd applies the end of an attempt, or the release of an established call, towards a server.
-func (m *CallModel) applyEnd(e core.End) []core.Event {
-	index, conn := m.callIndex(e.ID), m.findConn(e.To)
+func (m *CallModel) applyEnd(end core.End) []core.Event {
+	index, conn := m.callIndex(end.ID), m.findConn(end.To)
 	if conn == nil {
 		m.recordViolation(SendOnOpenConn, "call %d is ended on a closed connection", index)
 		return nil
@@ -297,16 +297,16 @@
 	switch {
 	case call.State == attemptQueued && call.Server == conn.Server:
 		return []core.Event{m.withdrawOffer(index)}
-	case call.State == attemptOutstanding && call.Server == conn.Server && e.Notify:
+	case call.State == attemptOutstanding && call.Server == conn.Server && end.Notify:
 		call.State = attemptEnding
 	case call.State == attemptOutstanding && call.Server == conn.Server:
 		call.State, call.LateAnswerFrom = attemptNone, call.Server+1
 		m.recordAttemptEnd(index, true)
 	case call.Established && call.Server == conn.Server:
 		call.Established, call.RepeatedReleaseFrom = false, call.Server+1 // the server's own release may cross this one
-		if e.Notify {
+		if end.Notify {
 			// The answer arrived too late for the caller: the end is still written.
-			call.State, call.Conn = attemptEnding, e.To
+			call.State, call.Conn = attemptEnding, end.To
 		}
 	}
 	return nil
@@ -318,7 +318,7 @@
 	if m.findConn(connID) == nil {
 		return
 	}
-	m.ServerConns = slices.DeleteFunc(m.ServerConns, func(c conn) bool { return c.ID == connID })
+	m.ServerConns = slices.DeleteFunc(m.ServerConns, func(c serverConn) bool { return c.ID == connID })
 	for i := range m.Calls {
 		if call := &m.Calls[i]; call.State != attemptNone && call.Conn == connID {
 			call.State = attemptNone
--- a/internal/explore/circuits.go
+++ b/internal/explore/circuits.go
@@ -30,10 +30,10 @@
 
 // The message types.
 const (
-	msgIAM messageType = iota
-	msgANM
-	msgREL
-	msgRLC
+	msgIAM messageType = iota // initial address: sets up a call
+	msgANM                    // answer
+	msgREL                    // release
+	msgRLC                    // release complete: confirms a REL
 )
 
 // messageTypeNames are the names of the types in the details of violations.
@@ -82,12 +82,12 @@
 }
 
 // Digest returns the digest of the whole model.
-func (c *circuitModel) Digest() xxh3.Uint128  { return digestOf(c) }
-func (c *circuitModel) violation() *Violation { return c.Violation }
-func (c *circuitModel) clock() time.Duration  { return time.Duration(c.Now.UnixNano()) }
+func (c *circuitModel) Digest() xxh3.Uint128     { return digestOf(c) }
+func (c *circuitModel) violation() *Violation    { return c.Violation }
+func (c *circuitModel) modelTime() time.Duration { return time.Duration(c.Now.UnixNano()) }
 
-// send appends a message to a queue. Without a connection the message is lost.
-func (c *circuitModel) send(queue *[]message, msg message) {
+// enqueueMessage appends a message to a queue. Without a connection the message is lost.
+func (c *circuitModel) enqueueMessage(queue *[]message, msg message) {
 	if c.Connected {
 		*queue = append(*queue, msg)
 	}
@@ -102,7 +102,7 @@
 
 // EnabledActions returns the actions possible in the current state, always in the same order.
 func (c *circuitModel) EnabledActions() (actions []Action) {
-	add := func(kind ActionKind, target int, fault bool) {
+	addAction := func(kind ActionKind, target int, fault bool) {
 		if !fault || c.FaultsLeft > 0 {
 			actions = append(actions, Action{Kind: kind, Target: uint8(target)})
 		}
@@ -111,76 +111,76 @@
 		return nil
 	}
 	if c.Connected && c.Started < c.Config.Calls && c.Circuits.Free() > 0 {
-		add(actSeizeCircuit, 0, false)
+		addAction(actSeizeCircuit, 0, false)
 	}
 	if c.Connected { // without a connection the core releases no call on a circuit
 		for _, id := range c.Circuits.Calls() {
-			add(actClearCall, int(id), false)
+			addAction(actClearCall, int(id), false)
 		}
 	}
 	if len(c.ToServer) > 0 {
-		add(actDeliverToServer, 0, false)
+		addAction(actDeliverToServer, 0, false)
 		if c.ToServer[0].Type == msgREL {
-			add(actLoseREL, 0, true)
-			add(actLoseRLC, 0, true)
+			addAction(actLoseREL, 0, true)
+			addAction(actLoseRLC, 0, true)
 		}
 	}
 	if len(c.FromServer) > 0 {
-		add(actDeliverFromServer, 0, false)
+		addAction(actDeliverFromServer, 0, false)
 	}
 	for i, circuit := range c.ServerCircuits {
 		if c.Connected && circuit.Call != 0 && !circuit.AwaitsRLC {
 			if !circuit.Answered {
-				add(actServerAnswer, i, false)
+				addAction(actServerAnswer, i, false)
 			}
-			add(actServerRelease, i, false)
+			addAction(actServerRelease, i, false)
 		}
 	}
 	if c.Connected {
-		add(actConnDown, 0, true)
+		addAction(actConnDown, 0, true)
 	} else {
-		add(actConnUp, 0, false)
+		addAction(actConnUp, 0, false)
 	}
 	idle := len(c.ToServer)+len(c.FromServer) == 0
 	if c.Connected && c.Circuits.Free()+len(c.Circuits.Calls()) < len(c.ServerCircuits) && (idle || c.PausesLeft > 0) && c.OverdueLeft > 0 {
 		// If messages are in transit, the server has stalled for that time, which counts as a pause.
-		add(actReleaseOverdue, 0, false)
+		addAction(actReleaseOverdue, 0, false)
 	}
 	return actions
 }
 
 // TryApply applies an action if it is enabled in the current state, and reports whether it was.
-func (c *circuitModel) TryApply(a Action) bool {
-	if !slices.Contains(c.EnabledActions(), a) {
+func (c *circuitModel) TryApply(action Action) bool {
+	if !slices.Contains(c.EnabledActions(), action) {
 		return false
 	}
-	c.apply(a)
+	c.apply(action)
 	return true
 }
 
 // apply applies an enabled action.
-func (c *circuitModel) apply(a Action) {
-	target := int(a.Target)
-	switch a.Kind {
+func (c *circuitModel) apply(action Action) {
+	target := int(action.Target)
+	switch action.Kind {
 	case actSeizeCircuit:
 		c.Started++
 		id := core.ID(c.Started)
-		if cic, ok := c.Circuits.Allocate(id); ok {
-			c.send(&c.ToServer, message{msgIAM, cic, id})
+		if circuit, ok := c.Circuits.Allocate(id); ok {
+			c.enqueueMessage(&c.ToServer, message{msgIAM, circuit, id})
 		}
 	case actClearCall:
 		id := core.ID(target)
-		if cic, ok := c.Circuits.Release(id, c.Now); ok {
-			c.send(&c.ToServer, message{msgREL, cic, id})
+		if circuit, ok := c.Circuits.Release(id, c.Now); ok {
+			c.enqueueMessage(&c.ToServer, message{msgREL, circuit, id})
 		}
 	case actDeliverToServer, actLoseREL, actLoseRLC:
 		msg := c.ToServer[0]
 		c.ToServer = c.ToServer[1:]
-		if a.Kind != actDeliverToServer {
+		if action.Kind != actDeliverToServer {
 			c.FaultsLeft--
 		}
-		if a.Kind != actLoseREL {
-			c.receiveAtServer(msg, a.Kind == actLoseRLC)
+		if action.Kind != actLoseREL {
+			c.receiveAtServer(msg, action.Kind == actLoseRLC)
 		}
 	case actDeliverFromServer:
 		msg := c.FromServer[0]
@@ -188,10 +188,10 @@
 		c.receiveFromServer(msg)
 	case actServerAnswer:
 		c.ServerCircuits[target].Answered = true
-		c.send(&c.FromServer, message{msgANM, uint16(target), c.ServerCircuits[target].Call})
+		c.enqueueMessage(&c.FromServer, message{msgANM, uint16(target), c.ServerCircuits[target].Call})
 	case actServerRelease:
 		c.ServerCircuits[target].AwaitsRLC = true
-		c.send(&c.FromServer, message{msgREL, uint16(target), c.ServerCircuits[target].Call})
+		c.enqueueMessage(&c.FromServer, message{msgREL, uint16(target), c.ServerCircuits[target].Call})
 	case actConnDown:
 		c.FaultsLeft--
 		c.Connected, c.ToServer, c.FromServer = false, nil, nil
@@ -201,11 +201,11 @@
 		// The server repeats each REL without RLC: the REL may have been lost with the old connection.
 		for i := range c.ServerCircuits {
 			if c.ServerCircuits[i].AwaitsRLC {
-				c.send(&c.FromServer, message{msgREL, uint16(i), c.ServerCircuits[i].Call})
+				c.enqueueMessage(&c.FromServer, message{msgREL, uint16(i), c.ServerCircuits[i].Call})
 			}
 		}
-		for _, cic := range c.Circuits.Unconfirmed(c.Now) {
-			c.send(&c.ToServer, message{msgREL, cic, 0})
+		for _, circuit := range c.Circuits.Unconfirmed(c.Now) {
+			c.enqueueMessage(&c.ToServer, message{msgREL, circuit, 0})
 		}
 	case actReleaseOverdue:
 		if len(c.ToServer)+len(c.FromServer) > 0 {
@@ -213,8 +213,8 @@
 		}
 		c.OverdueLeft--
 		c.Now = c.Now.Add(releaseConfirmTimeout)
-		for _, cic := range c.Circuits.Overdue(c.Now, releaseConfirmTimeout) {
-			c.send(&c.ToServer, message{msgREL, cic, 0})
+		for _, circuit := range c.Circuits.Overdue(c.Now, releaseConfirmTimeout) {
+			c.enqueueMessage(&c.ToServer, message{msgREL, circuit, 0})
 		}
 	}
 }
@@ -234,7 +234,7 @@
 		}
 		*circuit = serverCircuit{}
 		if !loseRLC {
-			c.send(&c.FromServer, message{msgRLC, msg.Circuit, msg.Call})
+			c.enqueueMessage(&c.FromServer, message{msgRLC, msg.Circuit, msg.Call})
 		}
 	case msgRLC:
 		if circuit.AwaitsRLC {
@@ -252,7 +252,7 @@
 		id, found = c.Circuits.Answered(msg.Circuit)
 	case msgREL:
 		id, found = c.Circuits.Released(msg.Circuit)
-		c.send(&c.ToServer, message{msgRLC, msg.Circuit, msg.Call})
+		c.enqueueMessage(&c.ToServer, message{msgRLC, msg.Circuit, msg.Call})
 	case msgRLC:
 		c.Circuits.Confirmed(msg.Circuit, c.Now)
 	}
--- a/internal/explore/digest.go
+++ b/internal/explore/digest.go
@@ -33,53 +33,53 @@
 func (d *encoder) appendUint64(n uint64) { d.buf = binary.LittleEndian.AppendUint64(d.buf, n) }
 
 // appendValue appends the encoding of a value. Hooks and configurations, which no action changes, are left out.
-func (d *encoder) appendValue(v reflect.Value) {
-	switch v.Kind() {
+func (d *encoder) appendValue(value reflect.Value) {
+	switch value.Kind() {
 	case reflect.Bool:
 		n := byte(0)
-		if v.Bool() {
+		if value.Bool() {
 			n = 1
 		}
 		d.buf = append(d.buf, n)
 	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
-		d.appendUint64(uint64(v.Int()))
+		d.appendUint64(uint64(value.Int()))
 	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64, reflect.Uintptr:
-		d.appendUint64(v.Uint())
+		d.appendUint64(value.Uint())
 	case reflect.Float32, reflect.Float64:
-		d.appendUint64(math.Float64bits(v.Float()))
+		d.appendUint64(math.Float64bits(value.Float()))
 	case reflect.String:
-		d.appendUint64(uint64(v.Len()))
-		d.buf = append(d.buf, v.String()...)
+		d.appendUint64(uint64(value.Len()))
+		d.buf = append(d.buf, value.String()...)
 	case reflect.Pointer:
-		d.appendPointer(v)
+		d.appendPointer(value)
 	case reflect.Interface:
-		if v.IsNil() {
+		if value.IsNil() {
 			d.buf = append(d.buf, 0)
 			return
 		}
 		d.buf = append(d.buf, 1)
-		d.buf = append(d.buf, v.Elem().Type().String()...)
-		d.appendValue(v.Elem())
+		d.buf = append(d.buf, value.Elem().Type().String()...)
+		d.appendValue(value.Elem())
 	case reflect.Slice, reflect.Array:
-		d.appendUint64(uint64(v.Len()))
-		for i := range v.Len() {
-			d.appendValue(v.Index(i))
+		d.appendUint64(uint64(value.Len()))
+		for i := range value.Len() {
+			d.appendValue(value.Index(i))
 		}
 	case reflect.Map:
-		d.appendMap(v)
+		d.appendMap(value)
 	case reflect.Struct:
-		t := v.Type()
-		if t == hookType || t == configType {
+		structType := value.Type()
+		if structType == hookType || structType == configType {
 			return
 		}
-		for i := range v.NumField() {
-			if t == coreType && t.Field(i).Name == "effects" { // buffer of the last step's effects, which is not part of the state
+		for i := range value.NumField() {
+			if structType == coreType && structType.Field(i).Name == "effects" { // buffer of the last step's effects, which is not part of the state
 				continue
 			}
-			d.appendValue(v.Field(i))
+			d.appendValue(value.Field(i))
 		}
 	case reflect.Func, reflect.Chan, reflect.UnsafePointer:
-		if v.IsNil() {
+		if value.IsNil() {
 			d.buf = append(d.buf, 0)
 		} else {
 			d.buf = append(d.buf, 1)
@@ -87,33 +87,33 @@
 	}
 }
 
-// appendPointer appends the value that v points to when the pointer is first encountered, and its position in d.visited after
-// that.
-func (d *encoder) appendPointer(v reflect.Value) {
-	if v.IsNil() {
+// appendPointer appends the value that a pointer points to when the pointer is first encountered, and its position in
+// d.visited after that.
+func (d *encoder) appendPointer(pointer reflect.Value) {
+	if pointer.IsNil() {
 		d.buf = append(d.buf, 0)
 		return
 	}
-	p := v.UnsafePointer()
-	if index := slices.Index(d.visited, p); index >= 0 {
+	target := pointer.UnsafePointer()
+	if index := slices.Index(d.visited, target); index >= 0 {
 		d.buf = append(d.buf, 1)
 		d.appendUint64(uint64(index))
 		return
 	}
-	d.visited = append(d.visited, p)
+	d.visited = append(d.visited, target)
 	d.buf = append(d.buf, 2)
-	d.appendValue(v.Elem())
+	d.appendValue(pointer.Elem())
 }
 
 // appendMap appends a map sorted by the encoding of its keys.
-func (d *encoder) appendMap(v reflect.Value) {
+func (d *encoder) appendMap(value reflect.Value) {
 	type pair struct {
 		key   []byte
 		value reflect.Value
 	}
-	pairs := make([]pair, 0, v.Len())
+	pairs := make([]pair, 0, value.Len())
 	start := len(d.buf)
-	for it := v.MapRange(); it.Next(); {
+	for it := value.MapRange(); it.Next(); {
 		d.appendValue(it.Key())
 		pairs = append(pairs, pair{slices.Clone(d.buf[start:]), it.Value()})
 		d.buf = d.buf[:start]
--- a/internal/explore/explore_test.go
+++ b/internal/explore/explore_test.go
@@ -32,8 +32,8 @@
 // workers. Guards against violations where failures overlap, and against a digest that depends on the order of a map.
 func TestInvariantsHoldInSmallModels(t *testing.T) {
 	for _, test := range []struct {
-		cfg    Config
-		states int
+		cfg       Config
+		minStates int
 	}{
 		{Config{Servers: 1, Calls: 1, Attempts: 2, Faults: 2}, 1000},
 		{Config{Servers: 2, Calls: 1, Attempts: 4, Faults: 1}, 1000},
@@ -43,7 +43,7 @@
 		if report.Counterexample != nil {
 			t.Fatalf("%+v: %v after %v", test.cfg, &report.Counterexample.Violation, report.Counterexample.Actions)
 		}
-		if !report.Complete || report.States < test.states || report.TerminalStates == 0 {
+		if !report.Complete || report.States < test.minStates || report.TerminalStates == 0 {
 			t.Errorf("%+v: %+v, want a complete search", test.cfg, report)
 		}
 		repeated := runSearch(t, test.cfg, Bounds{Workers: 1})
@@ -173,10 +173,10 @@
 
 // A search that a bound stops reports which bound, and makes the requested random walks.
 func TestIncompleteSearchReportsReason(t *testing.T) {
-	big := Config{Servers: 2, Calls: 3, Attempts: 4, Faults: 3}
+	largeModel := Config{Servers: 2, Calls: 3, Attempts: 4, Faults: 3}
 	for reason, bounds := range map[string]Bounds{"depth": {Depth: 3}, "memory": {Memory: 1 << 12}, "time": {Time: time.Millisecond}} {
 		bounds.Walks = 20
-		if report := runSearch(t, big, bounds); report.Complete || report.StopReason != reason || report.Walks != 20 || report.Counterexample != nil {
+		if report := runSearch(t, largeModel, bounds); report.Complete || report.StopReason != reason || report.Walks != 20 || report.Counterexample != nil {
 			t.Errorf("%s: %+v", reason, report)
 		}
 	}
@@ -189,26 +189,26 @@
 	if err := trace.Write(&text); err != nil {
 		t.Fatal(err)
 	}
-	valid := text.String()
+	validText := text.String()
 	for name, test := range map[string]struct {
 		text string
 		want error
 	}{
 		"empty":     {"", ErrNotTrace},
 		"other":     {"{}\n", ErrNotTrace},
-		"newer":     {strings.Replace(valid, `"version":1`, `"version":2`, 1), ErrNewerVersion},
-		"cut short": {valid[:len(valid)-40], ErrDamaged},
-		"a line":    {strings.Replace(valid, "written 0 0\n", "", 1), ErrDamaged},
-		"changed":   {strings.Replace(valid, "written", "answer", 1), ErrDamaged},
-		"unknown":   {strings.Replace(valid, "written", "eaten", 1), ErrDamaged},
-		"too large": {strings.Replace(valid, `"servers":1`, `"servers":1000`, 1), ErrDamaged},
-		"more":      {valid + "x", ErrDamaged},
+		"newer":     {strings.Replace(validText, `"version":1`, `"version":2`, 1), ErrNewerVersion},
+		"cut short": {validText[:len(validText)-40], ErrDamaged},
+		"a line":    {strings.Replace(validText, "written 0 0\n", "", 1), ErrDamaged},
+		"changed":   {strings.Replace(validText, "written", "answer", 1), ErrDamaged},
+		"unknown":   {strings.Replace(validText, "written", "eaten", 1), ErrDamaged},
+		"too large": {strings.Replace(validText, `"servers":1`, `"servers":1000`, 1), ErrDamaged},
+		"more":      {validText + "x", ErrDamaged},
 	} {
 		if _, err := ReadTrace(strings.NewReader(test.text)); !errors.Is(err, test.want) {
 			t.Errorf("%s: %v, want %v", name, err, test.want)
 		}
 	}
-	if _, err := ReadTrace(strings.NewReader(valid)); err != nil {
+	if _, err := ReadTrace(strings.NewReader(validText)); err != nil {
 		t.Error(err)
 	}
 }
@@ -221,18 +221,18 @@
 		t.Fatal(err)
 	}
 	for _, path := range files {
-		f, err := os.Open(path)
+		file, err := os.Open(path)
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer f.Close()
-		trace, err := ReadTrace(f)
+		defer file.Close()
+		trace, err := ReadTrace(file)
 		if err != nil {
 			t.Fatalf("%s: %v", path, err)
 		}
-		v, err := trace.Replay(trace.Config, nil)
-		if v != nil {
-			t.Errorf("%s: %v", path, v)
+		violation, err := trace.Replay(trace.Config, nil)
+		if violation != nil {
+			t.Errorf("%s: %v", path, violation)
 		}
 		if err != nil {
 			t.Logf("%s: no longer replays to the end: %v", path, err)
@@ -316,8 +316,7 @@
 
 // The invariants of quotas hold for three members, one of which borrows from the others, under one fault: a lost or delayed
 // datagram, or a killed member that may start again. No unit is used by two members, and in the end no unit that may be
-// used is unused. With
-// any one of the guards listed below disabled, two members use the same unit.
+// used is unused. With any one of the guards listed below disabled, two members use the same unit.
 func TestBudgetInvariants(t *testing.T) {
 	cfg := Config{Model: ModelBudget, Servers: 3, Calls: 1, Attempts: 1, Faults: 1, GiveUp: time.Second}
 	if report, err := Run(context.Background(), cfg, Bounds{}); err != nil || !report.Complete || report.Counterexample != nil || report.TerminalStates < 20 {
--- a/internal/explore/invariants.go
+++ b/internal/explore/invariants.go
@@ -36,18 +36,18 @@
 // Error returns the name of the invariant and the detail.
 func (v *Violation) Error() string { return fmt.Sprintf("%s: %s", v.Invariant, v.Detail) }
 
-// account is the record of a call that the invariants are checked against. The core's own records are not used, except
-// for NoLeak.
-type account struct {
+// callAccount is the record of a call that the invariants are checked against. The core's own records are not used,
+// except for NoLeak.
+type callAccount struct {
 	Attempts       int       // attempts sent
 	MaxAttempts    int       // attempts allowed by the settings at the set-up
 	Outstanding    int       // attempts that have not ended
-	LastEndAt      core.Time // end of the last attempt, whether bad or not
+	LastEndAt      core.Time // end of the last attempt, however it ended
 	EndedBadly     bool      // the last attempt ended by a time-out, a reset or a cancel
 	FinalAnswers   int       // final answers sent to the caller
 	WasEstablished bool      // a final answer said that the call is established
-	Releases       int
-	CallerGone     bool // the caller no longer expects an answer or a release
+	Releases       int       // releases sent to the caller
+	CallerGone     bool      // the caller no longer expects an answer or a release
 }
 
 // recordViolation records the violation of an invariant, unless an earlier one is recorded.
@@ -58,7 +58,7 @@
 }
 
 // checkOffer checks an attempt that the core sends, and counts it. conn is nil if the connection is closed.
-func (m *CallModel) checkOffer(index int, conn *conn) {
+func (m *CallModel) checkOffer(index int, conn *serverConn) {
 	account := &m.Calls[index].Account
 	switch {
 	case conn == nil:
@@ -79,13 +79,13 @@
 	account.Outstanding++
 }
 
-// recordAttemptEnd records the end of an attempt. bad says that the attempt ended by a time-out, a reset or a cancel.
-func (m *CallModel) recordAttemptEnd(index int, bad bool) {
+// recordAttemptEnd records the end of an attempt. endedBadly says that the attempt ended by a time-out, a reset or a cancel.
+func (m *CallModel) recordAttemptEnd(index int, endedBadly bool) {
 	account := &m.Calls[index].Account
 	if account.Outstanding > 0 {
 		account.Outstanding--
 	}
-	account.EndedBadly, account.LastEndAt = bad, m.Now
+	account.EndedBadly, account.LastEndAt = endedBadly, m.Now
 }
 
 // checkFinalAnswer checks a final answer that the core sends to a caller, and counts it.
@@ -131,8 +131,8 @@
 	}
 }
 
-// ended reports whether the call has ended at its server and its caller has received all messages that are due.
-func (c *Call) ended() bool {
+// hasEnded reports whether the call has ended at its server and its caller has received all messages that are due.
+func (c *Call) hasEnded() bool {
 	account := &c.Account
 	return c.Started && c.State == attemptNone && !c.Established && (account.CallerGone || account.FinalAnswers > 0 && (!account.WasEstablished || account.Releases > 0))
 }
@@ -140,7 +140,7 @@
 // allCallsEnded reports whether every call has ended.
 func (m *CallModel) allCallsEnded() bool {
 	for i := range m.Calls {
-		if !m.Calls[i].ended() {
+		if !m.Calls[i].hasEnded() {
 			return false
 		}
 	}
@@ -163,7 +163,7 @@
 	for i := range m.Calls {
 		call := &m.Calls[i]
 		switch account := &call.Account; {
-		case call.ended() || !call.Started:
+		case call.hasEnded() || !call.Started:
 		case call.Established && account.CallerGone:
 			m.recordViolation(OneRelease, "the caller of call %d has hung up, but the call is still established at its server", i)
 		case account.WasEstablished:
--- a/internal/explore/membership.go
+++ b/internal/explore/membership.go
@@ -46,70 +46,70 @@
 
 // membershipEffects converts the effects of a reducer's step.
 func membershipEffects(effects []membership.Effect) (result stepEffects) {
-	for _, e := range effects {
-		switch e := e.(type) {
+	for _, effect := range effects {
+		switch effect := effect.(type) {
 		case membership.Send:
-			result.Sends = append(result.Sends, sentDatagram{To: e.To, Data: e.Data})
+			result.Sends = append(result.Sends, sentDatagram{To: effect.To, Data: effect.Data})
 		case membership.Timer:
-			result.Timers = append(result.Timers, memberTimer{e.At, e.Token})
+			result.Timers = append(result.Timers, memberTimer{effect.At, effect.Token})
 		}
 	}
 	return result
 }
 
 // startMember starts a member's reducer, with a seed that differs between members and incarnations.
-func (p *membershipProtocol) startMember(m *tierModel, index int, incarnation uint8) (memberProcess, stepEffects) {
-	reducer, effects, err := membership.New(membership.Config{Self: index, TierSize: len(m.Members), Limits: p.Limits,
-		Seed: m.Config.Seed + uint64(index) + 100*uint64(incarnation), DisabledGuards: m.Config.DisabledMembershipGuards}, m.Now)
+func (p *membershipProtocol) startMember(tier *tierModel, index int, incarnation uint8) (memberProcess, stepEffects) {
+	reducer, effects, err := membership.New(membership.Config{Self: index, TierSize: len(tier.Members), Limits: p.Limits,
+		Seed: tier.Config.Seed + uint64(index) + 100*uint64(incarnation), DisabledGuards: tier.Config.DisabledMembershipGuards}, tier.Now)
 	if err != nil {
 		panic(err)
 	}
 	return &membershipProcess{reducer}, membershipEffects(effects)
 }
 
-// converged and memberKilled do nothing: membership needs no request, and detects a killed member by itself.
-func (p *membershipProtocol) converged(*tierModel)         {}
+// tierConverged and memberKilled do nothing: membership needs no request, and detects a killed member by itself.
+func (p *membershipProtocol) tierConverged(*tierModel)     {}
 func (p *membershipProtocol) memberKilled(*tierModel, int) {}
 
 // checkStep checks MinorityColdLimit.
-func (p *membershipProtocol) checkStep(m *tierModel, index int) {
-	if view := m.Members[index].Process.(*membershipProcess).Reducer.View(); !view.Majority() && view.ColdQuotaFraction() > float64(max(view.Available, 1))/float64(view.TierSize) {
-		m.recordViolation(MinorityColdLimit, "member %d sees %d of %d members and uses %v of its quota", index, view.Available, view.TierSize, view.ColdQuotaFraction())
+func (p *membershipProtocol) checkStep(tier *tierModel, index int) {
+	if view := tier.Members[index].Process.(*membershipProcess).Reducer.View(); !view.Majority() && view.ColdQuotaFraction() > float64(max(view.Available, 1))/float64(view.TierSize) {
+		tier.recordViolation(MinorityColdLimit, "member %d sees %d of %d members and uses %v of its quota", index, view.Available, view.TierSize, view.ColdQuotaFraction())
 	}
 }
 
-// checkTimePassed checks TimelySuspicion. The time limit: every running member probes each other member within two rounds,
-// and a probe takes one period, which a member's health may stretch by a factor of MaxHealth+1. The
-// time counts from the latest of the member's death, the observer's start, the end of its last pause and LastFault.
-func (p *membershipProtocol) checkTimePassed(m *tierModel) {
-	bound := time.Duration(2*len(m.Members)) * p.Limits.Period * time.Duration(p.Limits.MaxHealth+1)
-	for deadIndex, dead := range m.Members {
+// checkTimePassed checks TimelySuspicion. The limit covers two rounds, in which every running member probes each other
+// member. A probe takes one period, which a member's health may stretch by a factor of MaxHealth+1.
+// The time counts from the latest of the member's death, the observer's start, the end of its last pause and LastFault.
+func (p *membershipProtocol) checkTimePassed(tier *tierModel) {
+	suspicionLimit := time.Duration(2*len(tier.Members)) * p.Limits.Period * time.Duration(p.Limits.MaxHealth+1)
+	for deadIndex, dead := range tier.Members {
 		if dead.Process != nil {
 			continue
 		}
-		for observerIndex, observer := range m.Members {
-			if observer.Process == nil || observer.Paused || m.Now < max(dead.DiedAt, observer.UndisturbedSince, m.LastFault)+bound {
+		for observerIndex, observer := range tier.Members {
+			if observer.Process == nil || observer.Paused || tier.Now < max(dead.DiedAt, observer.UndisturbedSince, tier.LastFault)+suspicionLimit {
 				continue
 			}
 			if state := observer.Process.(*membershipProcess).Reducer.Members()[deadIndex].State; state.Available() {
-				m.recordViolation(TimelySuspicion, "member %d considers member %d %v, %v after its death", observerIndex, deadIndex, state, m.Now-dead.DiedAt)
+				tier.recordViolation(TimelySuspicion, "member %d considers member %d %v, %v after its death", observerIndex, deadIndex, state, tier.Now-dead.DiedAt)
 			}
 		}
 	}
 }
 
 // checkSettled checks NoPermanentFalseDeath and StaysDead.
-func (p *membershipProtocol) checkSettled(m *tierModel) {
-	for observerIndex, observer := range m.Members {
+func (p *membershipProtocol) checkSettled(tier *tierModel) {
+	for observerIndex, observer := range tier.Members {
 		if observer.Process == nil {
 			continue
 		}
-		for index, member := range m.Members {
+		for index, member := range tier.Members {
 			switch state := observer.Process.(*membershipProcess).Reducer.Members()[index].State; {
 			case member.Process != nil && !state.Available():
-				m.recordViolation(NoPermanentFalseDeath, "after %v without faults member %d considers the running member %d %v", settleTime, observerIndex, index, state)
+				tier.recordViolation(NoPermanentFalseDeath, "after %v without faults member %d considers the running member %d %v", settleTime, observerIndex, index, state)
 			case member.Process == nil && state != membership.StateDead:
-				m.recordViolation(StaysDead, "after %v without faults member %d considers the dead member %d %v", settleTime, observerIndex, index, state)
+				tier.recordViolation(StaysDead, "after %v without faults member %d considers the dead member %d %v", settleTime, observerIndex, index, state)
 			}
 		}
 	}
--- a/internal/explore/model.go
+++ b/internal/explore/model.go
@@ -22,7 +22,7 @@
 	apply(Action)             // applies an action that EnabledActions has returned
 	checkDeadlock()           // checks a state without enabled actions that is not terminal
 	violation() *Violation    // returns the first violation, or nil
-	clock() time.Duration     // returns the time of the model
+	modelTime() time.Duration // returns the time of the model
 }
 
 // The names of the models, values of Config.Model.
@@ -54,9 +54,9 @@
 }
 
 // Digest returns the digest of the core, the controller and their simulated environment.
-func (m *CallModel) Digest() xxh3.Uint128  { return digestOf(m) }
-func (m *CallModel) violation() *Violation { return m.Violation }
-func (m *CallModel) clock() time.Duration  { return m.Now }
+func (m *CallModel) Digest() xxh3.Uint128     { return digestOf(m) }
+func (m *CallModel) violation() *Violation    { return m.Violation }
+func (m *CallModel) modelTime() time.Duration { return m.Now }
 
 // digestOf returns the canonical digest of a model. The digest covers every field, also fields added later, except the
 // configuration, hooks and the core's buffer of effects; of a function or channel it covers only whether it is nil. Each
--- a/internal/explore/search.go
+++ b/internal/explore/search.go
@@ -34,7 +34,7 @@
 	Counterexample *Trace // shrunk trace to a violation; nil: no violation was found
 }
 
-// bytesPerState is the approximate memory per visited state: its searchNode and its entry in search.seen.
+// bytesPerState is the approximate memory per visited state: its searchNode and its entry in search.visitedDigests.
 const bytesPerState = 8 + 16 + 24
 
 // searchNode represents a state by the state before it and the action that leads to it.
@@ -54,10 +54,10 @@
 
 // search is a breadth-first search in progress.
 type search struct {
-	cfg    Config
-	nodes  []searchNode
-	seen   map[xxh3.Uint128]struct{}
-	report Report
+	cfg            Config
+	nodes          []searchNode
+	visitedDigests map[xxh3.Uint128]struct{}
+	report         Report
 }
 
 // Run searches the state space of a model breadth first. To save memory it keeps states as the actions that lead to them
@@ -80,7 +80,7 @@
 		ctx, cancel = context.WithTimeout(ctx, bounds.Time)
 		defer cancel()
 	}
-	s := &search{cfg: cfg, nodes: []searchNode{{parent: -1}}, seen: map[xxh3.Uint128]struct{}{initial.Digest(): {}}}
+	s := &search{cfg: cfg, nodes: []searchNode{{parent: -1}}, visitedDigests: map[xxh3.Uint128]struct{}{initial.Digest(): {}}}
 	s.report.States = 1
 	s.breadthFirst(ctx, bounds)
 	if !s.report.Complete && s.report.Counterexample == nil && bounds.Walks > 0 {
@@ -99,8 +99,8 @@
 
 // breadthFirst visits the states level by level, in the order of the number of actions that lead to them.
 func (s *search) breadthFirst(ctx context.Context, bounds Bounds) {
-	for lo, hi := 0, 1; ; s.report.Depth++ {
-		if lo == hi {
+	for levelStart, levelEnd := 0, 1; ; s.report.Depth++ {
+		if levelStart == levelEnd {
 			s.report.Complete = true
 			return
 		}
@@ -108,7 +108,7 @@
 			s.report.StopReason = "depth"
 			return
 		}
-		for at := lo; at < hi; at += batchSize {
+		for batchStart := levelStart; batchStart < levelEnd; batchStart += batchSize {
 			switch {
 			case ctx.Err() != nil:
 				s.report.StopReason = "time"
@@ -117,27 +117,27 @@
 				s.report.StopReason = "memory"
 				return
 			}
-			if s.merge(at, s.expand(at, min(at+batchSize, hi), bounds.Workers)) {
+			if s.mergeResults(batchStart, s.expandStates(batchStart, min(batchStart+batchSize, levelEnd), bounds.Workers)) {
 				return
 			}
 		}
-		lo, hi = hi, len(s.nodes)
+		levelStart, levelEnd = levelEnd, len(s.nodes)
 	}
 }
 
-// expand computes the successors of the states with indexes lo to hi-1 on all workers.
-func (s *search) expand(lo, hi, workers int) [][]stepResult {
-	results := make([][]stepResult, hi-lo)
-	next := make(chan int, hi-lo)
-	for i := lo; i < hi; i++ {
-		next <- i
+// expandStates computes the successors of the states with indexes first to end-1 on all workers.
+func (s *search) expandStates(first, end, workers int) [][]stepResult {
+	results := make([][]stepResult, end-first)
+	pendingIndexes := make(chan int, end-first)
+	for i := first; i < end; i++ {
+		pendingIndexes <- i
 	}
-	close(next)
+	close(pendingIndexes)
 	var wg sync.WaitGroup
 	for range workers {
 		wg.Go(func() {
-			for i := range next {
-				results[i-lo] = s.successors(i)
+			for i := range pendingIndexes {
+				results[i-first] = s.successors(i)
 			}
 		})
 	}
@@ -146,8 +146,8 @@
 }
 
 // successors checks a state and applies every enabled action to it.
-func (s *search) successors(i int) []stepResult {
-	path := s.path(i)
+func (s *search) successors(index int) []stepResult {
+	path := s.pathTo(index)
 	model, _ := Replay(s.cfg, path)
 	actions := model.EnabledActions()
 	results := make([]stepResult, 0, len(actions)+1)
@@ -161,12 +161,12 @@
 	if model.violation() != nil {
 		return results
 	}
-	for n, a := range actions {
+	for n, action := range actions {
 		if n > 0 {
 			model, _ = Replay(s.cfg, path)
 		}
-		model.apply(a)
-		result := stepResult{hasAction: true, action: a, violation: model.violation()}
+		model.apply(action)
+		result := stepResult{hasAction: true, action: action, violation: model.violation()}
 		if result.violation == nil {
 			result.digest = model.Digest()
 		}
@@ -175,13 +175,13 @@
 	return results
 }
 
-// merge adds the results of the workers in the order of the states, so that counts and counterexample do not depend on
-// the number of workers. It reports whether a violation was found. lo is the index of the first state.
-func (s *search) merge(lo int, results [][]stepResult) bool {
+// mergeResults adds the results of the workers in the order of the states, so that counts and counterexample do not
+// depend on the number of workers. It reports whether a violation was found. first is the index of the first state.
+func (s *search) mergeResults(first int, results [][]stepResult) bool {
 	for i, stateResults := range results {
 		for _, result := range stateResults {
 			if result.violation != nil {
-				path := s.path(lo + i)
+				path := s.pathTo(first + i)
 				if result.hasAction {
 					path = append(path, result.action)
 				}
@@ -195,27 +195,27 @@
 				continue
 			}
 			s.report.Steps++
-			if _, known := s.seen[result.digest]; known {
+			if _, known := s.visitedDigests[result.digest]; known {
 				continue
 			}
-			s.seen[result.digest] = struct{}{}
-			s.nodes = append(s.nodes, searchNode{int32(lo + i), result.action})
+			s.visitedDigests[result.digest] = struct{}{}
+			s.nodes = append(s.nodes, searchNode{int32(first + i), result.action})
 			s.report.States++
 		}
 	}
 	return false
 }
 
-// path returns the actions that lead to a state.
-func (s *search) path(i int) []Action {
-	n := 0
-	for at := i; s.nodes[at].parent >= 0; at = int(s.nodes[at].parent) {
-		n++
+// pathTo returns the actions that lead to the state with the given index in s.nodes.
+func (s *search) pathTo(index int) []Action {
+	length := 0
+	for at := index; s.nodes[at].parent >= 0; at = int(s.nodes[at].parent) {
+		length++
 	}
-	path := make([]Action, n)
-	for at := i; s.nodes[at].parent >= 0; at = int(s.nodes[at].parent) {
-		n--
-		path[n] = s.nodes[at].action
+	path := make([]Action, length)
+	for at := index; s.nodes[at].parent >= 0; at = int(s.nodes[at].parent) {
+		length--
+		path[length] = s.nodes[at].action
 	}
 	return path
 }
@@ -235,14 +235,14 @@
 				}
 				break
 			}
-			a := actions[rng.IntN(len(actions))]
-			path = append(path, a)
-			model.apply(a)
+			action := actions[rng.IntN(len(actions))]
+			path = append(path, action)
+			model.apply(action)
 			s.report.Steps++
 		}
 		s.report.Walks++
-		if v := model.violation(); v != nil {
-			s.report.Counterexample = &Trace{Config: s.cfg, Violation: *v, Actions: path}
+		if violation := model.violation(); violation != nil {
+			s.report.Counterexample = &Trace{Config: s.cfg, Violation: *violation, Actions: path}
 			return
 		}
 	}
@@ -255,8 +255,8 @@
 	if err != nil {
 		panic(err) // the configuration was checked when the search began
 	}
-	for i, a := range path {
-		model.apply(a)
+	for i, action := range path {
+		model.apply(action)
 		if model.violation() != nil {
 			return model, i + 1
 		}
--- a/internal/explore/tier.go
+++ b/internal/explore/tier.go
@@ -14,9 +14,9 @@
 const (
 	// maxBurst is the maximum number of datagrams that one event at one member may cause in a tier of at most four members.
 	maxBurst      = 48
-	datagramDelay = 200 * time.Millisecond
-	settleTime    = 25 * time.Second // how long the tier runs without faults before its final state is checked
-	tierStartTime = 1_000_000 * time.Second
+	datagramDelay = 200 * time.Millisecond  // of a datagram that a fault delays
+	settleTime    = 25 * time.Second        // how long the tier runs without faults before its final state is checked
+	tierStartTime = 1_000_000 * time.Second // model time at which all members start
 )
 
 // DatagramLimits is the invariant that no member sends a datagram of more than datagram.MaxSize (256) bytes, or more than
@@ -40,17 +40,17 @@
 // tierProtocol is a protocol between the members of a tier, with its invariants. The int parameters are member indexes.
 type tierProtocol interface {
 	// startMember starts a process of a member.
-	startMember(t *tierModel, index int, incarnation uint8) (memberProcess, stepEffects)
-	// converged is called once, when all members have started and found each other, before the first fault.
-	converged(t *tierModel)
+	startMember(tier *tierModel, index int, incarnation uint8) (memberProcess, stepEffects)
+	// tierConverged is called once, when all members have started and found each other, before the first fault.
+	tierConverged(tier *tierModel)
 	// memberKilled informs the other members, where the protocol needs it, that a member has been killed.
-	memberKilled(t *tierModel, index int)
+	memberKilled(tier *tierModel, index int)
 	// checkStep checks the invariants after a step of a member.
-	checkStep(t *tierModel, index int)
+	checkStep(tier *tierModel, index int)
 	// checkTimePassed checks the invariants after time has passed.
-	checkTimePassed(t *tierModel)
+	checkTimePassed(tier *tierModel)
 	// checkSettled checks the invariants of the final state.
-	checkSettled(t *tierModel)
+	checkSettled(tier *tierModel)
 }
 
 // memberTimer is a timer that a member has requested.
@@ -102,15 +102,15 @@
 		m.startMember(index)
 	}
 	m.runUndisturbed(tierStartTime + convergeTime)
-	protocol.converged(m)
+	protocol.tierConverged(m)
 	m.FaultsUntil = m.Now + time.Duration(cfg.Calls)*500*time.Millisecond
 	return m
 }
 
 // Digest returns the digest of the whole model.
-func (m *tierModel) Digest() xxh3.Uint128  { return digestOf(m) }
-func (m *tierModel) violation() *Violation { return m.Violation }
-func (m *tierModel) clock() time.Duration  { return m.Now }
+func (m *tierModel) Digest() xxh3.Uint128     { return digestOf(m) }
+func (m *tierModel) violation() *Violation    { return m.Violation }
+func (m *tierModel) modelTime() time.Duration { return m.Now }
 
 // Terminal reports whether the tier has settled.
 func (m *tierModel) Terminal() bool { return m.Settled }
@@ -147,8 +147,8 @@
 	m.Protocol.checkStep(m, index)
 }
 
-// deliver hands a datagram to its receiver. A killed member loses the datagram; a paused member handles it later.
-func (m *tierModel) deliver(sent sentDatagram) {
+// deliverDatagram hands a datagram to its receiver. A killed member loses the datagram; a paused member handles it later.
+func (m *tierModel) deliverDatagram(sent sentDatagram) {
 	switch member := &m.Members[sent.To]; {
 	case member.Process == nil:
 	case member.Paused:
@@ -158,10 +158,10 @@
 	}
 }
 
-// nextDue returns the earliest timer of a running, unpaused member, or the delayed datagram if one is due earlier. For a
-// timer, owner is the index of its member and position its index in Timers; for a datagram, owner is -1 and position its
+// nextDueEvent returns the earliest timer of a running, unpaused member, or the delayed datagram if one is due earlier. For
+// a timer, owner is the index of its member and position its index in Timers; for a datagram, owner is -1 and position its
 // index in m.Delayed. If there is neither, owner is -2.
-func (m *tierModel) nextDue() (owner, position int, at time.Duration) {
+func (m *tierModel) nextDueEvent() (owner, position int, at time.Duration) {
 	owner, position = -2, -1
 	for index, member := range m.Members {
 		if member.Process == nil || member.Paused {
@@ -181,15 +181,15 @@
 	return owner, position, at
 }
 
-// advance moves the time to that of the next timer or delayed datagram and handles it.
-func (m *tierModel) advance() {
-	owner, position, at := m.nextDue()
+// handleNextDue moves the time to that of the next timer or delayed datagram and handles it.
+func (m *tierModel) handleNextDue() {
+	owner, position, at := m.nextDueEvent()
 	m.Now = max(m.Now, at)
 	switch {
 	case owner == -1:
 		sent := m.Delayed[position]
 		m.Delayed = slices.Delete(m.Delayed, position, position+1)
-		m.deliver(sent)
+		m.deliverDatagram(sent)
 	case owner >= 0:
 		member := &m.Members[owner]
 		timer := member.Timers[position]
@@ -205,20 +205,20 @@
 		if len(m.InFlight) > 0 {
 			sent := m.InFlight[0]
 			m.InFlight = m.InFlight[1:]
-			m.deliver(sent)
+			m.deliverDatagram(sent)
 			continue
 		}
-		if owner, _, at := m.nextDue(); owner == -2 || at > until {
+		if owner, _, at := m.nextDueEvent(); owner == -2 || at > until {
 			m.Now = max(m.Now, until)
 			return
 		}
-		m.advance()
+		m.handleNextDue()
 	}
 }
 
 // EnabledActions returns the actions possible in the current state, always in the same order.
 func (m *tierModel) EnabledActions() (actions []Action) {
-	add := func(kind ActionKind, target int, fault bool) {
+	addAction := func(kind ActionKind, target int, fault bool) {
 		if !fault || m.FaultsLeft > 0 {
 			actions = append(actions, Action{Kind: kind, Target: uint8(target)})
 		}
@@ -227,25 +227,25 @@
 	case m.Settled:
 		return nil
 	case m.Now >= m.FaultsUntil && len(m.InFlight) == 0:
-		add(actSettle, 0, false)
+		addAction(actSettle, 0, false)
 		return actions
 	case len(m.InFlight) > 0:
-		add(actDeliverDatagram, 0, false)
-		add(actLoseDatagram, 0, true)
-		add(actDelayDatagram, 0, true)
+		addAction(actDeliverDatagram, 0, false)
+		addAction(actLoseDatagram, 0, true)
+		addAction(actDelayDatagram, 0, true)
 		return actions
 	}
-	add(actTick, 0, false)
+	addAction(actTick, 0, false)
 	for index, member := range m.Members {
 		switch {
 		case member.Process == nil:
-			add(actStartMember, index, false)
+			addAction(actStartMember, index, false)
 		case member.Paused:
-			add(actResumeMember, index, false)
+			addAction(actResumeMember, index, false)
 		default:
-			add(actKillMember, index, true)
+			addAction(actKillMember, index, true)
 			if m.PausesLeft > 0 {
-				add(actPauseMember, index, false)
+				addAction(actPauseMember, index, false)
 			}
 		}
 	}
@@ -253,33 +253,33 @@
 }
 
 // TryApply applies an action if it is enabled in the current state, and reports whether it was.
-func (m *tierModel) TryApply(a Action) bool {
-	if !slices.Contains(m.EnabledActions(), a) {
+func (m *tierModel) TryApply(action Action) bool {
+	if !slices.Contains(m.EnabledActions(), action) {
 		return false
 	}
-	m.apply(a)
+	m.apply(action)
 	return true
 }
 
 // apply applies an enabled action.
-func (m *tierModel) apply(a Action) {
-	index := int(a.Target)
-	if a.Kind != actDeliverDatagram && a.Kind != actTick && a.Kind != actSettle {
+func (m *tierModel) apply(action Action) {
+	index := int(action.Target)
+	if action.Kind != actDeliverDatagram && action.Kind != actTick && action.Kind != actSettle {
 		m.LastFault = m.Now
 	}
-	switch a.Kind {
+	switch action.Kind {
 	case actDeliverDatagram, actLoseDatagram, actDelayDatagram:
 		sent := m.InFlight[0]
 		m.InFlight = m.InFlight[1:]
-		switch a.Kind {
+		switch action.Kind {
 		case actDeliverDatagram:
-			m.deliver(sent)
+			m.deliverDatagram(sent)
 		case actDelayDatagram:
 			sent.DeliverAt = m.Now + datagramDelay
 			m.Delayed = append(m.Delayed, sent)
 		}
 	case actTick:
-		m.advance()
+		m.handleNextDue()
 	case actKillMember:
 		m.Members[index] = tierMember{DiedAt: m.Now, Incarnations: m.Members[index].Incarnations}
 		m.Protocol.memberKilled(m, index)
@@ -289,26 +289,26 @@
 		m.PausesLeft--
 		m.Members[index].Paused = true
 	case actResumeMember:
-		m.resume(index)
+		m.resumeMember(index)
 	case actSettle:
 		m.settle()
 	}
-	if a.Kind == actLoseDatagram || a.Kind == actDelayDatagram || a.Kind == actKillMember {
+	if action.Kind == actLoseDatagram || action.Kind == actDelayDatagram || action.Kind == actKillMember {
 		m.FaultsLeft--
 	}
 }
 
-// resume ends the pause of a member: its overdue timers fire first, in their order, then the held datagrams
+// resumeMember ends the pause of a member: its overdue timers fire first, in their order, then the held datagrams
 // join those in flight.
-func (m *tierModel) resume(index int) {
+func (m *tierModel) resumeMember(index int) {
 	member := &m.Members[index]
 	held := member.HeldDatagrams
 	member.Paused, member.HeldDatagrams, member.UndisturbedSince = false, nil, m.Now
 	for {
-		if owner, _, at := m.nextDue(); owner != index || at >= m.Now {
+		if owner, _, at := m.nextDueEvent(); owner != index || at >= m.Now {
 			break
 		}
-		m.advance()
+		m.handleNextDue()
 	}
 	m.InFlight = append(m.InFlight, held...)
 }
@@ -317,7 +317,7 @@
 func (m *tierModel) settle() {
 	for index, member := range m.Members {
 		if member.Paused {
-			m.resume(index)
+			m.resumeMember(index)
 		}
 	}
 	m.runUndisturbed(m.Now + settleTime)
--- a/internal/explore/trace.go
+++ b/internal/explore/trace.go
@@ -49,8 +49,8 @@
 	}
 	var body strings.Builder
 	fmt.Fprintf(&body, "%s\n", header)
-	for _, a := range t.Actions {
-		fmt.Fprintf(&body, "%s\n", a)
+	for _, action := range t.Actions {
+		fmt.Fprintf(&body, "%s\n", action)
 	}
 	trailer, err := json.Marshal(traceTrailer{len(t.Actions), fmt.Sprintf("%016x", xxh3.HashString(body.String()))})
 	if err != nil {
@@ -95,11 +95,11 @@
 			}
 			return trace, nil
 		}
-		a, err := ParseAction(lines.Text())
+		action, err := ParseAction(lines.Text())
 		if err != nil {
 			return nil, fmt.Errorf("%w: %w", ErrDamaged, err)
 		}
-		trace.Actions = append(trace.Actions, a)
+		trace.Actions = append(trace.Actions, action)
 		fmt.Fprintf(&body, "%s\n", lines.Text())
 	}
 	return nil, ErrDamaged
@@ -108,18 +108,18 @@
 // Replay applies the actions of the trace to the model of cfg, which may have guards disabled, and returns the violation, or
 // nil if there is none. Unless nil, observe is called after each action with the time since the initial state. Replay
 // returns an error if an action is not enabled.
-func (t *Trace) Replay(cfg Config, observe func(a Action, at time.Duration)) (*Violation, error) {
+func (t *Trace) Replay(cfg Config, observe func(action Action, at time.Duration)) (*Violation, error) {
 	model, err := New(cfg)
 	if err != nil {
 		return nil, err
 	}
-	start := model.clock()
-	for i, a := range t.Actions {
-		if !model.TryApply(a) {
-			return nil, fmt.Errorf("action %d, %s, is not enabled in this state", i+1, a)
+	start := model.modelTime()
+	for i, action := range t.Actions {
+		if !model.TryApply(action) {
+			return nil, fmt.Errorf("action %d, %s, is not enabled in this state", i+1, action)
 		}
 		if observe != nil {
-			observe(a, model.clock()-start)
+			observe(action, model.modelTime()-start)
 		}
 		if model.Terminal(); model.violation() != nil {
 			return model.violation(), nil
--- a/internal/lab/caller.go
+++ b/internal/lab/caller.go
@@ -29,10 +29,10 @@
 // callerObserver receives what happens on callers' connections. The runner implements it.
 type callerObserver interface {
 	now() time.Duration
-	setUpSent(id uint64, memberIndex int, giveUp time.Duration)
+	setUpSent(id uint64, memberIndex int, giveUpAt time.Duration)
 	finalAnswer(id uint64, served bool, desc string)
 	setUpUnanswered(id uint64, memberIndex int)
-	// setUpNotWritten withdraws an earlier setUpSent: the set-up could not be written to the connection whole.
+	// setUpNotWritten takes back an earlier setUpSent: the set-up could not be written to the connection whole.
 	setUpNotWritten(id uint64)
 }
 
@@ -56,7 +56,7 @@
 	}
 	caller := &callerConn{memberIndex: memberIndex, observer: observer, conn: conn,
 		pending: make(map[uint64]time.Duration), done: make(chan struct{})}
-	go caller.read()
+	go caller.readMessages()
 	return caller, nil
 }
 
@@ -84,21 +84,21 @@
 	return message
 }
 
-// write sends a message, and fails if the message is not written whole within 200 ms.
-func (c *callerConn) write(message []byte) error {
+// writeMessage sends a message, and fails if the message is not written whole within 200 ms.
+func (c *callerConn) writeMessage(message []byte) error {
 	c.conn.SetWriteDeadline(time.Now().Add(200 * time.Millisecond))
 	_, err := c.conn.Write(message)
 	return err
 }
 
-// setUp sends a set-up, and releases it with Q.850 cause 16 (normal clearing) if it has no final answer after
+// sendSetUp sends a set-up, and releases it with Q.850 cause 16 (normal clearing) if it has no final answer after
 // giveUpAfter.
-func (c *callerConn) setUp(id uint64, class string, giveUpAfter time.Duration) error {
-	giveUp := c.observer.now() + giveUpAfter
-	c.observer.setUpSent(id, c.memberIndex, giveUp) // before the write, because the answer may arrive at once
+func (c *callerConn) sendSetUp(id uint64, class string, giveUpAfter time.Duration) error {
+	giveUpAt := c.observer.now() + giveUpAfter
+	c.observer.setUpSent(id, c.memberIndex, giveUpAt) // before the write, because the answer may arrive at once
 	c.mu.Lock()
-	c.pending[id] = giveUp
-	err := c.write(setUpMessage(id, class, giveUpAfter))
+	c.pending[id] = giveUpAt
+	err := c.writeMessage(setUpMessage(id, class, giveUpAfter))
 	if err != nil {
 		delete(c.pending, id)
 	}
@@ -112,7 +112,7 @@
 		_, stillPending := c.pending[id]
 		delete(c.pending, id)
 		if stillPending {
-			c.write(releaseMessage(id, 16))
+			c.writeMessage(releaseMessage(id, 16))
 		}
 		c.mu.Unlock()
 		if stillPending {
@@ -122,18 +122,18 @@
 	return nil
 }
 
-// read handles answers and releases until the connection ends; set-ups still pending then are reported as unanswered.
-// A release of a call that is no longer pending is acknowledged.
-func (c *callerConn) read() {
+// readMessages handles answers and releases until the connection ends; set-ups still pending then are reported as
+// unanswered. A release of a call that is no longer pending is acknowledged.
+func (c *callerConn) readMessages() {
 	defer close(c.done)
-	r := bufio.NewReaderSize(c.conn, 16<<10)
+	reader := bufio.NewReaderSize(c.conn, 16<<10)
 	header := make([]byte, 2)
 	for {
-		if _, err := io.ReadFull(r, header); err != nil {
+		if _, err := io.ReadFull(reader, header); err != nil {
 			break
 		}
 		body := make([]byte, binary.BigEndian.Uint16(header))
-		if _, err := io.ReadFull(r, body); err != nil || len(body) < 9 {
+		if _, err := io.ReadFull(reader, body); err != nil || len(body) < 9 {
 			break
 		}
 		id := binary.BigEndian.Uint64(body[1:9])
@@ -148,7 +148,7 @@
 			if wasPending {
 				c.observer.finalAnswer(id, false, "")
 			} else {
-				c.write(append([]byte{0, 9, msgReleaseAck}, body[1:9]...))
+				c.writeMessage(append([]byte{0, 9, msgReleaseAck}, body[1:9]...))
 			}
 		}
 	}
@@ -178,9 +178,9 @@
 	return ""
 }
 
-// isStandInDescription reports whether an answer's description was made by a stand-in server for the call with this
-// id.
-func isStandInDescription(description string, id uint64) bool {
+// descriptionIsFromStandIn reports whether an answer's description was made by a stand-in server for
+// the call with this id.
+func descriptionIsFromStandIn(description string, id uint64) bool {
 	return strings.HasPrefix(description, "lab:") && strings.HasSuffix(description, fmt.Sprintf(":%016x", id))
 }
 
--- a/internal/lab/checker.go
+++ b/internal/lab/checker.go
@@ -21,9 +21,9 @@
 // Violation is a rule that was broken: when it was first seen, how often, and the detail of the first time.
 type Violation struct {
 	Rule   string        // the rule, in the words of the verdict
-	First  time.Duration // since the start of the run
+	First  time.Duration // when the violation was first seen, since the start of the run
 	Count  int           // how often the violation was seen
-	Detail string        // of the first time
+	Detail string        // what happened the first time
 }
 
 // SecondStats is one row of the per-second table.
@@ -32,7 +32,7 @@
 	// set-ups stayed unanswered because of a fault that the lab injected.
 	Offered, Served, Refused, Lost, Excused int
 	Arrivals                                map[string]int // attempts that reached each server
-	Lagged                                  bool           // the lab itself lagged, see RecordLag
+	Lagged                                  bool           // the lab itself lagged in this second (RecordLag)
 }
 
 // Checker checks what the lab sees of the fleet from outside against the rules. It does no I/O and reads no clock:
@@ -44,24 +44,24 @@
 	calls      map[uint64]*callState  // by the id that servers see, which is the set-up's id
 	servers    map[string]*serverState
 	violations map[string]*Violation // by rule
-	seconds    []SecondStats         // index: second of the run
+	seconds    []SecondStats         // one row for each second of the run
 	lagSpans   [][2]time.Duration    // start and end of each span in which the lab itself lagged
 }
 
 // setUpState is what the checker knows of a caller's set-up.
 type setUpState struct {
-	sent, giveUp time.Duration // times; giveUp is when the caller stops waiting
-	memberIndex  int           // the softswitch that the set-up was sent to
-	finalAnswers int           // final answers received so far
-	resolved     bool          // answered, or recorded as unanswered
-	served       bool          // the call was established
+	sentAt, giveUpAt time.Duration // times; giveUpAt is when the caller stops waiting
+	memberIndex      int           // the softswitch that the set-up was sent to
+	finalAnswers     int           // final answers received so far
+	resolved         bool          // answered, or recorded as unanswered
+	served           bool          // the call was established
 }
 
 // callState is what the checker knows of a call's attempts at servers.
 type callState struct {
-	outstandingAt string        // server with an outstanding attempt; "" if there is none
-	attempts      int           // attempts so far
-	guardFrom     time.Duration // end of the last attempt to which the release guard applies; -1 if none
+	outstandingAt    string        // server with an outstanding attempt; "" if there is none
+	attempts         int           // attempts so far
+	releaseGuardFrom time.Duration // end of the last attempt to which the release guard applies; -1 if none
 }
 
 // serverState is what the checker knows of a server.
@@ -69,7 +69,7 @@
 	retiredAt      time.Duration   // when the command channel first said that the server drains or is gone; -1: not retired
 	startedAt      time.Duration   // time of a cold start; -1 for a server that is warm from the beginning
 	capacity       float64         // set-ups a second when warm
-	recentAttempts []time.Duration // times of the attempts in the cold budget's last window
+	recentAttempts []time.Duration // times of the attempts in the last window of a cold server's budget
 }
 
 // NewChecker makes a checker for these rules.
@@ -78,8 +78,8 @@
 		servers: make(map[string]*serverState), violations: make(map[string]*Violation)}
 }
 
-// secondAt returns the row of the second that contains a time, and makes the rows up to it.
-func (c *Checker) secondAt(at time.Duration) *SecondStats {
+// secondStatsAt returns the row of the second that contains a time, and makes the rows up to it.
+func (c *Checker) secondStatsAt(at time.Duration) *SecondStats {
 	i := max(0, int(at/time.Second))
 	for len(c.seconds) <= i {
 		c.seconds = append(c.seconds, SecondStats{Arrivals: make(map[string]int)})
@@ -106,7 +106,7 @@
 func (c *Checker) RecordLag(from, to time.Duration) {
 	c.lagSpans = append(c.lagSpans, [2]time.Duration{from, to})
 	for second := from / time.Second; second <= to/time.Second; second++ {
-		c.secondAt(second * time.Second).Lagged = true
+		c.secondStatsAt(second * time.Second).Lagged = true
 	}
 }
 
@@ -129,48 +129,48 @@
 // RecordRetirement records that the command channel informs the softswitches, from the time at, that a server is draining
 // or gone. Only the first call for a server counts.
 func (c *Checker) RecordRetirement(name string, at time.Duration) {
-	if s := c.servers[name]; s != nil && s.retiredAt < 0 {
-		s.retiredAt = at
+	if state := c.servers[name]; state != nil && state.retiredAt < 0 {
+		state.retiredAt = at
 	}
 }
 
 // RecordSetUp records a caller's set-up that is about to be written to a softswitch; the caller waits for the answer
-// until giveUp. RecordNotWritten takes the set-up back.
-func (c *Checker) RecordSetUp(at time.Duration, id uint64, memberIndex int, giveUp time.Duration) {
-	c.setUps[id] = &setUpState{sent: at, giveUp: giveUp, memberIndex: memberIndex}
-	c.secondAt(at).Offered++
+// until giveUpAt. RecordNotWritten takes the set-up back.
+func (c *Checker) RecordSetUp(at time.Duration, id uint64, memberIndex int, giveUpAt time.Duration) {
+	c.setUps[id] = &setUpState{sentAt: at, giveUpAt: giveUpAt, memberIndex: memberIndex}
+	c.secondStatsAt(at).Offered++
 }
 
 // RecordNotWritten takes back a set-up that could not be written whole: no answer is expected for it.
 func (c *Checker) RecordNotWritten(id uint64) {
-	if s := c.setUps[id]; s != nil {
-		c.secondAt(s.sent).Offered--
+	if setUp := c.setUps[id]; setUp != nil {
+		c.secondStatsAt(setUp.sentAt).Offered--
 		delete(c.setUps, id)
 	}
 }
 
 // RecordFinalAnswer records a final answer to a set-up: served says that the call is established, otherwise the
-// set-up was refused. After RecordUnanswered a refusal is not counted, but a served call is, in addition to the set-up
-// that was lost or excused.
+// set-up was refused. After RecordUnanswered a refusal is not counted. An established call is counted as served even then,
+// in addition to the set-up that was lost or excused.
 func (c *Checker) RecordFinalAnswer(at time.Duration, id uint64, served bool) {
-	s := c.setUps[id]
-	if s == nil {
+	setUp := c.setUps[id]
+	if setUp == nil {
 		c.recordViolation("answer to no set-up", at, "call %016x", id)
 		return
 	}
-	s.finalAnswers++
-	if s.finalAnswers == 2 {
+	setUp.finalAnswers++
+	if setUp.finalAnswers == 2 {
 		c.recordViolation("two final answers", at, "call %016x", id)
 		return
 	}
-	if s.resolved && !served {
+	if setUp.resolved && !served {
 		return // a refusal that crossed the caller's give-up
 	}
-	s.resolved = true
-	if s.served = served; served {
-		c.secondAt(at).Served++
+	setUp.resolved = true
+	if setUp.served = served; served {
+		c.secondStatsAt(at).Served++
 	} else {
-		c.secondAt(at).Refused++
+		c.secondStatsAt(at).Refused++
 	}
 }
 
@@ -181,16 +181,16 @@
 	Name  string        // of the restarted softswitch
 	First time.Duration // time of the first call after the restart
 	Share []float64     // index: second since First; -1 for a second without calls
-	Peers []float64     // as Share, for all other softswitches together
+	Peers []float64     // the same share for all other softswitches together
 }
 
 // Recovery compares a softswitch with the others for the given number of seconds, counted from the first set-up that
 // was sent to the softswitch at the time after or later. It returns nil if there was no such set-up.
 func (c *Checker) Recovery(index int, after time.Duration, seconds int) *RecoveryStats {
 	first := time.Duration(-1)
-	for _, s := range c.setUps {
-		if s.memberIndex == index && s.sent >= after && (first < 0 || s.sent < first) {
-			first = s.sent
+	for _, setUp := range c.setUps {
+		if setUp.memberIndex == index && setUp.sentAt >= after && (first < 0 || setUp.sentAt < first) {
+			first = setUp.sentAt
 		}
 	}
 	if first < 0 {
@@ -198,17 +198,17 @@
 	}
 	stats := &RecoveryStats{Name: MemberName(index), First: first, Share: make([]float64, seconds),
 		Peers: make([]float64, seconds)}
-	offered, served := make([][2]float64, seconds), make([][2]float64, seconds)
-	for _, s := range c.setUps {
-		i := int((s.sent - first) / time.Second)
-		if s.sent < first || i >= seconds {
+	offered, served := make([][2]float64, seconds), make([][2]float64, seconds) // [second][0: the softswitch, 1: the others]
+	for _, setUp := range c.setUps {
+		i := int((setUp.sentAt - first) / time.Second)
+		if setUp.sentAt < first || i >= seconds {
 			continue
 		}
 		group := 0
-		if s.memberIndex != index {
+		if setUp.memberIndex != index {
 			group = 1
 		}
-		if offered[i][group]++; s.served {
+		if offered[i][group]++; setUp.served {
 			served[i][group]++
 		}
 	}
@@ -226,20 +226,20 @@
 // says that a fault that the lab injected (a kill, a pause, a stop) prevented the answer; such a set-up is counted,
 // but is no violation. An unknown set-up, or one that is resolved already, is left as it is.
 func (c *Checker) RecordUnanswered(at time.Duration, id uint64, excused bool) {
-	s := c.setUps[id]
-	if s == nil || s.resolved {
+	setUp := c.setUps[id]
+	if setUp == nil || setUp.resolved {
 		return
 	}
-	s.resolved = true
+	setUp.resolved = true
 	if excused {
-		c.secondAt(at).Excused++
+		c.secondStatsAt(at).Excused++
 		return
 	}
-	c.secondAt(at).Lost++
-	if at+c.rules.Slack < s.giveUp {
+	c.secondStatsAt(at).Lost++
+	if at+c.rules.Slack < setUp.giveUpAt {
 		c.recordViolation("set-up lost", at, "call %016x: the caller's connection ended without an answer", id)
 	} else {
-		c.recordViolation("no final answer before give-up", at, "call %016x sent at %v", id, s.sent)
+		c.recordViolation("no final answer before give-up", at, "call %016x sent at %v", id, setUp.sentAt)
 	}
 }
 
@@ -247,7 +247,7 @@
 func (c *Checker) RecordAttempt(at time.Duration, server string, id uint64) {
 	call := c.calls[id]
 	if call == nil {
-		call = &callState{guardFrom: -1}
+		call = &callState{releaseGuardFrom: -1}
 		c.calls[id] = call
 	}
 	if call.outstandingAt != "" {
@@ -257,36 +257,36 @@
 	if call.attempts == c.rules.MaxAttempts+1 {
 		c.recordViolation("too many attempts", at, "call %016x: %d attempts", id, call.attempts)
 	}
-	if call.guardFrom >= 0 && at+c.rules.Slack < call.guardFrom+c.rules.ReleaseGuard {
-		c.recordViolation("release gap", at, "call %016x sent again after %v", id, at-call.guardFrom)
+	if call.releaseGuardFrom >= 0 && at+c.rules.Slack < call.releaseGuardFrom+c.rules.ReleaseGuard {
+		c.recordViolation("release gap", at, "call %016x sent again after %v", id, at-call.releaseGuardFrom)
 	}
 	call.outstandingAt = server
-	c.secondAt(at).Arrivals[server]++
-	s := c.servers[server]
-	if s == nil {
+	c.secondStatsAt(at).Arrivals[server]++
+	state := c.servers[server]
+	if state == nil {
 		c.recordViolation("unknown server", at, "%s", server)
 		return
 	}
-	if s.retiredAt >= 0 && at > s.retiredAt+c.rules.DrainGrace+c.rules.Slack {
+	if state.retiredAt >= 0 && at > state.retiredAt+c.rules.DrainGrace+c.rules.Slack {
 		c.recordViolation("new attempt at a retired server", at,
-			"call %016x at %s, %v after the softswitches were informed", id, server, at-s.retiredAt)
+			"call %016x at %s, %v after the softswitches were informed", id, server, at-state.retiredAt)
 	}
-	c.checkColdBudget(at, server, s)
+	c.checkColdBudget(at, server, state)
 }
 
-// checkColdBudget checks that a server that has just started gets at most tip-multiple x present capacity x window
-// attempts in every window, plus ColdSlack.
-func (c *Checker) checkColdBudget(at time.Duration, name string, s *serverState) {
-	if s.startedAt < 0 || at-s.startedAt > c.rules.ColdRamp+c.rules.OverloadAfter {
-		s.recentAttempts = nil
+// checkColdBudget checks the budget of a server that has just started: in every window of OverloadAfter it may get
+// OverloadMultiple x its present capacity x OverloadAfter attempts, plus ColdSlack.
+func (c *Checker) checkColdBudget(at time.Duration, name string, state *serverState) {
+	if state.startedAt < 0 || at-state.startedAt > c.rules.ColdRamp+c.rules.OverloadAfter {
+		state.recentAttempts = nil
 		return
 	}
-	s.recentAttempts = append(s.recentAttempts, at)
+	state.recentAttempts = append(state.recentAttempts, at)
 	windowStart := at - c.rules.OverloadAfter
-	i := sort.Search(len(s.recentAttempts), func(i int) bool { return s.recentAttempts[i] > windowStart })
-	s.recentAttempts = slices.Delete(s.recentAttempts, 0, i)
+	i := sort.Search(len(state.recentAttempts), func(i int) bool { return state.recentAttempts[i] > windowStart })
+	state.recentAttempts = slices.Delete(state.recentAttempts, 0, i)
 	budget := c.rules.OverloadMultiple * c.Capacity(name, at) * c.rules.OverloadAfter.Seconds()
-	if attempts := len(s.recentAttempts); float64(attempts) > budget+float64(c.rules.ColdSlack) {
+	if attempts := len(state.recentAttempts); float64(attempts) > budget+float64(c.rules.ColdSlack) {
 		c.recordViolation("cold server pushed over", at, "%s: %d attempts in %v, budget %.1f", name, attempts,
 			c.rules.OverloadAfter, budget)
 	}
@@ -294,11 +294,11 @@
 
 // Capacity returns the capacity that the checker assumes for a server at a time, in set-ups a second.
 func (c *Checker) Capacity(name string, at time.Duration) float64 {
-	s := c.servers[name]
-	if s == nil {
+	state := c.servers[name]
+	if state == nil {
 		return 0
 	}
-	return c.rules.RampedCapacity(s.capacity, s.startedAt, at)
+	return c.rules.RampedCapacity(state.capacity, state.startedAt, at)
 }
 
 // RecordAttemptEnd records that an attempt ended at its server, and how. It is ignored if the call has no outstanding
@@ -310,16 +310,16 @@
 	}
 	call.outstandingAt = ""
 	if outcome == OutcomeCancelled || outcome == OutcomeConnectionReset {
-		call.guardFrom = at
+		call.releaseGuardFrom = at
 	}
 }
 
 // CheckOpen checks the set-ups that are still unanswered at the end of a run: a set-up whose give-up time has passed by
 // more than the slack is a violation.
 func (c *Checker) CheckOpen(at time.Duration) {
-	for id, s := range c.setUps {
-		if !s.resolved && at > s.giveUp+c.rules.Slack {
-			c.RecordUnanswered(s.giveUp, id, false)
+	for id, setUp := range c.setUps {
+		if !setUp.resolved && at > setUp.giveUpAt+c.rules.Slack {
+			c.RecordUnanswered(setUp.giveUpAt, id, false)
 		}
 	}
 }
--- a/internal/lab/checker_test.go
+++ b/internal/lab/checker_test.go
@@ -24,8 +24,8 @@
 // Each rule in the table is reported, and no other rule, for a sequence of events that violates it.
 func TestCheckerReportsEachViolation(t *testing.T) {
 	for _, test := range []struct {
-		name, want string
-		events     func(checker *Checker)
+		name, want   string
+		recordEvents func(checker *Checker)
 	}{
 		{"two final answers", "two final answers", func(checker *Checker) {
 			checker.RecordSetUp(0, 1, 0, 1500*ms)
@@ -74,7 +74,7 @@
 		checker := NewChecker(testRules)
 		checker.AddServer("a", 100, -1)
 		checker.AddServer("b", 100, -1)
-		test.events(checker)
+		test.recordEvents(checker)
 		if got := violatedRules(checker); len(got) != 1 || got[0] != test.want {
 			t.Errorf("%s: violated %v, want %q", test.name, got, test.want)
 		}
--- a/internal/lab/command_channel.go
+++ b/internal/lab/command_channel.go
@@ -41,7 +41,7 @@
 func newCommandChannel(hosts []string, serverAddress func(string, int) string) (*commandChannel, error) {
 	ch := &commandChannel{changed: make(chan struct{}), serverAddress: serverAddress, done: make(chan struct{})}
 	var err error
-	if ch.listeners, err = listenEach(hosts); err != nil {
+	if ch.listeners, err = listenOnEachHost(hosts); err != nil {
 		return nil, err
 	}
 	for i, listener := range ch.listeners {
--- a/internal/lab/environment.go
+++ b/internal/lab/environment.go
@@ -15,45 +15,45 @@
 // softswitches, 2 stand-in servers, 3 command channel, 4 relay.
 func loopbackAddress(network, index int) string { return fmt.Sprintf("127.0.%d.%d", network, index+1) }
 
-// startAll starts the stand-in servers, the command channel, the relay and the softswitches, and waits until every
-// softswitch is ready.
-func (r *runner) startAll() error {
+// startFleetAndEnvironment starts the stand-in servers, the command channel, the relay and the
+// softswitches, and waits until every softswitch is ready.
+func (r *runner) startFleetAndEnvironment() error {
 	tierSize := r.scenario.Softswitches
-	var hosts [4][]string
+	var hosts [4][]string // by network (0 softswitches, 1 stand-in servers, 2 command channel, 3 relay), by softswitch
 	for i := range tierSize {
 		for network := range hosts {
 			hosts[network] = append(hosts[network], loopbackAddress(network+1, i))
 		}
 	}
-	for _, config := range r.scenario.Servers {
+	for _, serverConfig := range r.scenario.Servers {
 		startedAt := time.Duration(-1)
-		if config.StartAt.Duration > 0 {
-			startedAt = config.StartAt.Duration
+		if serverConfig.StartAt.Duration > 0 {
+			startedAt = serverConfig.StartAt.Duration
 		}
-		checkedCapacity := config.Capacity
+		checkedCapacity := serverConfig.Capacity
 		if r.options.SelfTestFault == "weak cold servers" {
-			startedAt, checkedCapacity = 0, config.Capacity/10
+			startedAt, checkedCapacity = 0, serverConfig.Capacity/10
 		}
-		r.checker.AddServer(config.Name, checkedCapacity, startedAt)
-		server, err := newStandInServer(config, r, hosts[1])
+		r.checker.AddServer(serverConfig.Name, checkedCapacity, startedAt)
+		server, err := newStandInServer(serverConfig, r, hosts[1])
 		if err != nil {
 			return err
 		}
-		r.servers[config.Name] = server
-		r.serverOrder = append(r.serverOrder, config.Name)
+		r.servers[serverConfig.Name] = server
+		r.serverOrder = append(r.serverOrder, serverConfig.Name)
 	}
 	var err error
-	if r.channel, err = newCommandChannel(hosts[2],
-		func(name string, memberIndex int) string { return r.servers[name].addressFor(memberIndex) }); err != nil {
+	if r.commandChannel, err = newCommandChannel(hosts[2],
+		func(name string, memberIndex int) string { return r.servers[name].addressForMember(memberIndex) }); err != nil {
 		return err
 	}
-	var initial []serverChange
-	for _, config := range r.scenario.Servers {
-		if config.StartAt.Duration == 0 || r.options.SelfTestFault == "weak cold servers" {
-			initial = append(initial, serverChange{name: config.Name, status: "in_service"})
+	var initialServers []serverChange
+	for _, serverConfig := range r.scenario.Servers {
+		if serverConfig.StartAt.Duration == 0 || r.options.SelfTestFault == "weak cold servers" {
+			initialServers = append(initialServers, serverChange{name: serverConfig.Name, status: "in_service"})
 		}
 	}
-	r.channel.publish(true, initial...)
+	r.commandChannel.publish(true, initialServers...)
 	text, err := r.scenario.membersFileText()
 	if err != nil {
 		return err
@@ -136,8 +136,8 @@
 	if err != nil {
 		return err
 	}
-	return m.start(r.options.Binary,
-		memberConfig(m, seed, r.channel.listeners[m.index].Addr().String(), r.channel.initialState(m.index),
+	return m.startProcess(r.options.Binary,
+		memberConfig(m, seed, r.commandChannel.listeners[m.index].Addr().String(), r.commandChannel.initialState(m.index),
 			peers, allPeersAddr, settings), r.membersFile)
 }
 
@@ -146,7 +146,7 @@
 func (r *runner) waitReady(members []*member) error {
 	deadline := time.Now().Add(r.scenario.StartTimeout.Duration)
 	for _, m := range members {
-		for m.sample(); !m.isReady(); m.sample() {
+		for m.pollAdminEndpoint(); !m.isReady(); m.pollAdminEndpoint() {
 			if !m.running() {
 				return &exitedAtStart{m}
 			}
@@ -174,14 +174,14 @@
 	var wg sync.WaitGroup
 	for _, m := range r.members {
 		wg.Add(1)
-		go func() { defer wg.Done(); m.stop(syscall.SIGKILL, time.Second) }()
+		go func() { defer wg.Done(); m.stopProcess(syscall.SIGKILL, time.Second) }()
 	}
 	wg.Wait()
 	for _, server := range r.servers {
 		server.close()
 	}
-	if r.channel != nil {
-		r.channel.close()
+	if r.commandChannel != nil {
+		r.commandChannel.close()
 	}
 	if r.relay != nil {
 		r.relay.Close()
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// runFaults executes the plan's actions at their times. Work that waits for softswitches to become ready runs in the
-// background, so that it delays no later action. runFaults returns when that work is done, after the last action or
+// executePlan executes the plan's actions at their times. Work that waits for softswitches to become ready runs in the
+// background, so that it delays no later action. executePlan returns when that work is done, after the last action or
 // once stop is closed.
-func (r *runner) runFaults(stop chan struct{}) {
+func (r *runner) executePlan(stop chan struct{}) {
 	var background sync.WaitGroup
 	defer background.Wait()
 	for _, action := range Plan(r.scenario, r.options.SelfTestFault != "weak cold servers") {
@@ -19,7 +19,7 @@
 			return
 		case <-time.After(action.At - r.now()):
 		}
-		r.perform(action, &background)
+		r.performAction(action, &background)
 	}
 }
 
@@ -32,8 +32,8 @@
 	return members
 }
 
-// perform executes one action of the plan. Tasks that wait run in goroutines counted by background.
-func (r *runner) perform(action Action, background *sync.WaitGroup) {
+// performAction executes one action of the plan. Tasks that wait run in goroutines counted by background.
+func (r *runner) performAction(action Action, background *sync.WaitGroup) {
 	now := r.now()
 	if action.Fault >= 0 {
 		fault := r.scenario.Faults[action.Fault]
@@ -57,12 +57,12 @@
 		}
 		for _, m := range members {
 			r.recordFault(m, map[bool]string{true: "term", false: "kill"}[action.Term], true)
-			inBackground(func() { m.stop(signal, 5*time.Second) })
+			inBackground(func() { m.stopProcess(signal, 5*time.Second) })
 		}
 	case ActLaunch:
 		inBackground(func() {
 			for _, m := range members {
-				m.stop(syscall.SIGKILL, time.Second)
+				m.stopProcess(syscall.SIGKILL, time.Second)
 				if err := r.launch(m); err != nil {
 					r.options.Log.Error().Err(err).Str("softswitch", m.name).Msg("restart failed")
 				}
@@ -75,11 +75,11 @@
 	case ActPause:
 		for _, m := range members {
 			r.recordFault(m, "pause", true)
-			m.signal(syscall.SIGSTOP)
+			m.signalProcess(syscall.SIGSTOP)
 		}
 	case ActResume:
 		for _, m := range members {
-			m.signal(syscall.SIGCONT)
+			m.signalProcess(syscall.SIGCONT)
 		}
 		inBackground(func() {
 			r.waitReady(members)
@@ -93,11 +93,11 @@
 		r.tierChecker.SetConditions(now, action.Conditions)
 		r.mu.Unlock()
 	case ActReset:
-		indexes := map[int]bool{}
+		memberSet := map[int]bool{}
 		for _, index := range action.Members {
-			indexes[index] = true
+			memberSet[index] = true
 		}
-		r.servers[action.Server].resetConns(indexes, false)
+		r.servers[action.Server].resetConns(memberSet, false)
 	case ActStall:
 		r.servers[action.Server].setStalled(action.Members, action.Stall)
 	case ActSlow:
@@ -111,11 +111,11 @@
 			r.mu.Unlock()
 		}
 		if !action.Withdraw || r.options.SelfTestFault != "unheard drains" {
-			var since int64
+			var startedAtMS int64
 			if action.Status == "in_service" {
-				since = time.Now().UnixMilli()
+				startedAtMS = time.Now().UnixMilli()
 			}
-			r.channel.publish(false, serverChange{name: action.Server, status: action.Status, sinceMS: since})
+			r.commandChannel.publish(false, serverChange{name: action.Server, status: action.Status, sinceMS: startedAtMS})
 		}
 		if action.Status == "terminated" {
 			r.servers[action.Server].resetConns(nil, true)
--- a/internal/lab/listeners.go
+++ b/internal/lab/listeners.go
@@ -22,9 +22,9 @@
 	return listener.Addr().String(), nil
 }
 
-// listenEach opens a TCP listener on a free port of each host, one host for each softswitch. If one fails, none stays
-// open.
-func listenEach(hosts []string) ([]net.Listener, error) {
+// listenOnEachHost opens a TCP listener on a free port of each host, one host for each softswitch. If one
+// fails, none stays open.
+func listenOnEachHost(hosts []string) ([]net.Listener, error) {
 	var listeners []net.Listener
 	for _, host := range hosts {
 		listener, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -6,8 +6,8 @@
 // end of the load or a stop. It measures its own lag and reports a tick's lag above MaxLag to the checker (RecordLag).
 func (r *runner) generateLoad() {
 	const tick = 5 * time.Millisecond
-	due, next, setUpCount := 0.0, 0, 0
-	credit := make([]float64, len(r.members))
+	dueSetUps, nextMember, setUpCount := 0.0, 0, 0
+	accumulatedShares := make([]float64, len(r.members))
 	tickAt := time.Duration(0)
 	for tickAt < r.scenario.Duration.Duration {
 		select {
@@ -25,12 +25,12 @@
 		if lag := now - tickAt; lag > r.maxLag {
 			r.maxLag = lag
 		}
-		due += r.scenario.RateAt(tickAt) * tick.Seconds()
-		for ; due >= 1; due-- {
+		dueSetUps += r.scenario.RateAt(tickAt) * tick.Seconds()
+		for ; dueSetUps >= 1; dueSetUps-- {
 			if shares := r.scenario.SharesAt(tickAt); shares != nil {
-				next = nextByShare(credit, shares)
+				nextMember = nextByShare(accumulatedShares, shares)
 			}
-			if !r.sendSetUp(&next, r.scenario.Classes[setUpCount%len(r.scenario.Classes)]) {
+			if !r.sendSetUpToNextReady(&nextMember, r.scenario.Classes[setUpCount%len(r.scenario.Classes)]) {
 				r.mu.Lock()
 				r.unsent++
 				r.mu.Unlock()
@@ -44,44 +44,45 @@
 	}
 }
 
-// nextByShare picks the next softswitch by smooth weighted round robin: each softswitch's credit grows by its share, and
-// the softswitch with the highest credit is picked. Its credit is reduced by the sum of all shares.
-func nextByShare(credit, shares []float64) (best int) {
+// nextByShare picks the next softswitch by smooth weighted round robin: each softswitch's entry in
+// accumulatedShares grows by its share, and the softswitch with the highest entry is picked. Its entry is then reduced by
+// the sum of all shares.
+func nextByShare(accumulatedShares, shares []float64) (best int) {
 	total := 0.0
 	for i, share := range shares {
-		credit[i] += share
-		if total += share; credit[i] > credit[best] {
+		accumulatedShares[i] += share
+		if total += share; accumulatedShares[i] > accumulatedShares[best] {
 			best = i
 		}
 	}
-	credit[best] -= total
+	accumulatedShares[best] -= total
 	return best
 }
 
-// sendSetUp sends one set-up to the next ready softswitch, on one of the callers' connections to it. It reports
-// whether a softswitch could be reached.
-func (r *runner) sendSetUp(next *int, class string) bool {
+// sendSetUpToNextReady sends one set-up to the next ready softswitch, on one of the callers' connections to it. It
+// reports whether a softswitch could be reached.
+func (r *runner) sendSetUpToNextReady(nextMember *int, class string) bool {
 	for range len(r.members) {
-		index := *next % len(r.members)
-		*next++
+		index := *nextMember % len(r.members)
+		*nextMember++
 		m := r.members[index]
 		if !m.isReady() {
 			continue
 		}
-		conn := r.connTo(index, *next%r.scenario.CallerConns)
+		conn := r.callerConnTo(index, *nextMember%r.scenario.CallerConns)
 		if conn == nil {
 			continue
 		}
-		if conn.setUp(r.rng.Uint64()|1, class, r.scenario.GiveUp.Duration) == nil {
+		if conn.sendSetUp(r.rng.Uint64()|1, class, r.scenario.GiveUp.Duration) == nil {
 			return true
 		}
 	}
 	return false
 }
 
-// connTo returns a callers' connection to a softswitch, dialled anew if the last one in this slot has ended; nil if
+// callerConnTo returns a callers' connection to a softswitch, dialled anew if the last one in this slot has ended; nil if
 // the dial fails.
-func (r *runner) connTo(index, slot int) *callerConn {
+func (r *runner) callerConnTo(index, slot int) *callerConn {
 	r.connMu.Lock()
 	defer r.connMu.Unlock()
 	for len(r.callerConns[index]) < r.scenario.CallerConns {
--- a/internal/lab/maintenance_checker.go
+++ b/internal/lab/maintenance_checker.go
@@ -9,30 +9,30 @@
 	OutOfServiceAt time.Duration `json:"out_ns"`   // the softswitch is granted maintenance and sends its callers away
 	ReadyAt        time.Duration `json:"ready_ns"` // no call is left on the softswitch: the work may begin
 	InServiceAt    time.Duration `json:"back_ns"`  // the softswitch no longer holds its maintenance slot
-	index          int           // of the softswitch
+	index          int           // index of the softswitch
 }
 
 // RecordMaintenance records what a softswitch reports of itself: whether it is out of service for maintenance, and ready
 // for the work.
 func (c *TierChecker) RecordMaintenance(at time.Duration, index int, outOfService, ready bool) {
-	var current *MaintenanceRun
+	var openRun *MaintenanceRun
 	for _, run := range c.maintenanceRuns {
 		if run.index == index && run.InServiceAt < 0 {
-			current = run
+			openRun = run
 		}
 	}
-	if outOfService && current == nil {
-		current = &MaintenanceRun{Softswitch: MemberName(index), OutOfServiceAt: at, ReadyAt: -1, InServiceAt: -1, index: index}
-		c.maintenanceRuns = append(c.maintenanceRuns, current)
+	if outOfService && openRun == nil {
+		openRun = &MaintenanceRun{Softswitch: MemberName(index), OutOfServiceAt: at, ReadyAt: -1, InServiceAt: -1, index: index}
+		c.maintenanceRuns = append(c.maintenanceRuns, openRun)
 	}
-	if current == nil {
+	if openRun == nil {
 		return
 	}
-	if ready && current.ReadyAt < 0 {
-		current.ReadyAt = at
+	if ready && openRun.ReadyAt < 0 {
+		openRun.ReadyAt = at
 	}
 	if !outOfService {
-		current.InServiceAt = at
+		openRun.InServiceAt = at
 	}
 }
 
@@ -72,16 +72,16 @@
 // in service.
 func (c *TierChecker) CheckMaintained(at time.Duration, indexes []int) {
 	for _, index := range indexes {
-		readyRuns, back := 0, true
+		readyRuns, backInService := 0, true
 		for _, run := range c.maintenanceRuns {
 			if run.index == index && run.ReadyAt >= 0 {
 				readyRuns++
-				back = run.InServiceAt >= 0
+				backInService = run.InServiceAt >= 0
 			}
 		}
-		if readyRuns != 1 || !back {
+		if readyRuns != 1 || !backInService {
 			c.recordViolation("not maintained once", at, "%s was ready for maintenance %d times; back in service: %t",
-				MemberName(index), readyRuns, back)
+				MemberName(index), readyRuns, backInService)
 		}
 	}
 }
--- a/internal/lab/member.go
+++ b/internal/lab/member.go
@@ -20,7 +20,7 @@
 )
 
 // member is one softswitch process of the fleet. A restarted process keeps the member's name and addresses,
-// except for the ports that startAll may change before the load begins.
+// except for the ports that startFleetAndEnvironment may change before the load begins.
 type member struct {
 	index int // index in the fleet, from 0
 	name  string
@@ -41,32 +41,32 @@
 	earlierCounters map[string]int64 // counters of earlier processes alone
 }
 
-// start runs the program with a newly written configuration, which has the present list of servers. The child is in
+// startProcess runs the program with a newly written configuration, which has the present list of servers. The child is in
 // its own process group, and the kernel kills it when the lab's thread that started it ends.
-func (m *member) start(binary string, config []byte, membersFile string) error {
-	path := filepath.Join(m.dir, "config.json")
-	if err := os.WriteFile(path, config, 0o600); err != nil {
+func (m *member) startProcess(binary string, config []byte, membersFile string) error {
+	configPath := filepath.Join(m.dir, "config.json")
+	if err := os.WriteFile(configPath, config, 0o600); err != nil {
 		return err
 	}
-	signalling := filepath.Join(m.dir, "signalling.toml") // the M3UA protocol stays off
-	if err := os.WriteFile(signalling, []byte("enabled = false\n"), 0o600); err != nil {
+	signallingPath := filepath.Join(m.dir, "signalling.toml") // the M3UA protocol stays off
+	if err := os.WriteFile(signallingPath, []byte("enabled = false\n"), 0o600); err != nil {
 		return err
 	}
-	log, err := os.OpenFile(filepath.Join(m.dir, "log.jsonl"), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
+	logFile, err := os.OpenFile(filepath.Join(m.dir, "log.jsonl"), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
 		return err
 	}
 	cmd := exec.Command(binary)
-	cmd.Env = append(os.Environ(), "ROUTER_CONFIG="+path, "ROUTER_NAME=", "ROUTER_LISTEN=", "ROUTER_MGMT=", "TMPDIR=",
-		"ELMSEAM_SIGNALLING="+signalling, "ELMSEAM_MEMBERS="+membersFile)
-	cmd.Stdout, cmd.Stderr = log, log
+	cmd.Env = append(os.Environ(), "ROUTER_CONFIG="+configPath, "ROUTER_NAME=", "ROUTER_LISTEN=", "ROUTER_MGMT=", "TMPDIR=",
+		"ELMSEAM_SIGNALLING="+signallingPath, "ELMSEAM_MEMBERS="+membersFile)
+	cmd.Stdout, cmd.Stderr = logFile, logFile
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	if err := cmd.Start(); err != nil {
-		log.Close()
+		logFile.Close()
 		return err
 	}
 	exited := make(chan struct{})
-	go func() { cmd.Wait(); log.Close(); close(exited) }()
+	go func() { cmd.Wait(); logFile.Close(); close(exited) }()
 	m.mu.Lock()
 	m.cmd, m.exited = cmd, exited
 	m.starts++
@@ -75,8 +75,8 @@
 	return nil
 }
 
-// signal sends a signal to the member's process group and reports whether a running process got it.
-func (m *member) signal(sig syscall.Signal) bool {
+// signalProcess sends a signal to the member's process group and reports whether a running process got it.
+func (m *member) signalProcess(sig syscall.Signal) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.cmd == nil || m.cmd.Process == nil {
@@ -90,11 +90,11 @@
 	return syscall.Kill(-m.cmd.Process.Pid, sig) == nil
 }
 
-// stop signals the member's process, continuing it first if it is paused, and waits for its exit. After the timeout
+// stopProcess signals the member's process, continuing it first if it is paused, and waits for its exit. After the timeout
 // the process is killed.
-func (m *member) stop(sig syscall.Signal, timeout time.Duration) {
-	m.signal(syscall.SIGCONT)
-	m.signal(sig)
+func (m *member) stopProcess(sig syscall.Signal, timeout time.Duration) {
+	m.signalProcess(syscall.SIGCONT)
+	m.signalProcess(sig)
 	m.mu.Lock()
 	exited := m.exited
 	m.mu.Unlock()
@@ -104,7 +104,7 @@
 	select {
 	case <-exited:
 	case <-time.After(timeout):
-		m.signal(syscall.SIGKILL)
+		m.signalProcess(syscall.SIGKILL)
 		<-exited
 	}
 }
@@ -153,9 +153,9 @@
 // adminClient makes the requests to the softswitches' admin endpoints.
 var adminClient = &http.Client{Timeout: 300 * time.Millisecond}
 
-// sample reads readiness and counters from the member's admin endpoint. Without an answer the member counts as not
-// ready, and its counters stay as they are.
-func (m *member) sample() {
+// pollAdminEndpoint reads readiness and counters from the member's admin endpoint. Without an answer the
+// member counts as not ready, and its counters stay as they are.
+func (m *member) pollAdminEndpoint() {
 	ready := false
 	if response, err := adminClient.Get("http://" + m.mgmtAddr + "/ops/readiness"); err == nil {
 		io.Copy(io.Discard, response.Body)
@@ -172,7 +172,7 @@
 			switch name, _ := strings.CutPrefix(key, "app."); {
 			case strings.HasPrefix(name, "transactions.") && strings.HasSuffix(name, ".answered"):
 				counters["answered"] += number
-			case slices.ContainsFunc(counterGroups, func(p string) bool { return strings.HasPrefix(name, p+".") }):
+			case slices.ContainsFunc(tierCounterGroups, func(p string) bool { return strings.HasPrefix(name, p+".") }):
 				counters[name] = number
 			}
 		}
@@ -188,8 +188,8 @@
 	m.mu.Unlock()
 }
 
-// callAdmin makes a request to the member's admin endpoint; status 0 means that the request failed.
-func (m *member) callAdmin(method, path string) (status int, text []byte) {
+// sendAdminRequest makes a request to the member's admin endpoint; status 0 means that the request failed.
+func (m *member) sendAdminRequest(method, path string) (status int, text []byte) {
 	request, err := http.NewRequest(method, "http://"+m.mgmtAddr+path, nil)
 	if err != nil {
 		return 0, nil
@@ -204,17 +204,17 @@
 }
 
 // readView reads the member's view of its tier from the admin endpoint.
-func (m *member) readView() (v View, ok bool) {
-	status, text := m.callAdmin(http.MethodGet, "/ops/members")
+func (m *member) readView() (view View, ok bool) {
+	status, text := m.sendAdminRequest(http.MethodGet, "/ops/members")
 	var tier mgmt.TierStatus
 	if status != http.StatusOK || json.Unmarshal(text, &tier) != nil {
-		return v, false
+		return view, false
 	}
-	v = View{Majority: tier.Majority, ColdQuotaFraction: tier.ColdQuotaFraction}
+	view = View{Majority: tier.Majority, ColdQuotaFraction: tier.ColdQuotaFraction}
 	for _, entry := range tier.Members {
-		v.States = append(v.States, entry.State)
+		view.States = append(view.States, entry.State)
 	}
-	return v, true
+	return view, true
 }
 
 // isReady returns the readiness at the last sample.
--- a/internal/lab/network_conditions.go
+++ b/internal/lab/network_conditions.go
@@ -33,16 +33,16 @@
 	if c.Loss > 0 && rng.Float64() < c.Loss {
 		return Delivery{Drop: true}
 	}
-	delay := func() time.Duration {
+	drawDelay := func() time.Duration {
 		d := c.Delay
 		if c.Reorder > 0 {
 			d += time.Duration(rng.Int64N(int64(c.Reorder)))
 		}
 		return d
 	}
-	delivery := Delivery{Delays: []time.Duration{delay()}}
+	delivery := Delivery{Delays: []time.Duration{drawDelay()}}
 	if c.Duplicate > 0 && rng.Float64() < c.Duplicate {
-		delivery.Delays = append(delivery.Delays, delay())
+		delivery.Delays = append(delivery.Delays, drawDelay())
 	}
 	return delivery
 }
--- a/internal/lab/observations.go
+++ b/internal/lab/observations.go
@@ -18,18 +18,18 @@
 
 // capacity returns what a stand-in server can handle at a time, in set-ups a second: it ramps up after a late start.
 func (r *runner) capacity(server string, at time.Duration) float64 {
-	config := r.servers[server]
+	standIn := r.servers[server]
 	startedAt := time.Duration(-1)
-	if config.StartAt.Duration > 0 && r.options.SelfTestFault != "weak cold servers" {
-		startedAt = config.StartAt.Duration
+	if standIn.StartAt.Duration > 0 && r.options.SelfTestFault != "weak cold servers" {
+		startedAt = standIn.StartAt.Duration
 	}
-	return r.checker.rules.RampedCapacity(config.Capacity, startedAt, at)
+	return r.checker.rules.RampedCapacity(standIn.Capacity, startedAt, at)
 }
 
 // setUpSent implements callerObserver: it passes the set-up to the checker.
-func (r *runner) setUpSent(id uint64, memberIndex int, giveUp time.Duration) {
+func (r *runner) setUpSent(id uint64, memberIndex int, giveUpAt time.Duration) {
 	r.mu.Lock()
-	r.checker.RecordSetUp(r.now(), id, memberIndex, giveUp)
+	r.checker.RecordSetUp(r.now(), id, memberIndex, giveUpAt)
 	r.mu.Unlock()
 }
 
@@ -38,13 +38,13 @@
 func (r *runner) finalAnswer(id uint64, served bool, desc string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if served && !isStandInDescription(desc, id) {
+	if served && !descriptionIsFromStandIn(desc, id) {
 		r.checker.recordViolation("answer made by no server", r.now(), "call %016x: %q", id, desc)
 	}
 	r.checker.RecordFinalAnswer(r.now(), id, served)
 }
 
-// setUpNotWritten implements callerObserver.
+// setUpNotWritten implements callerObserver: the checker takes the set-up back.
 func (r *runner) setUpNotWritten(id uint64) {
 	r.mu.Lock()
 	r.checker.RecordNotWritten(id)
--- a/internal/lab/operator.go
+++ b/internal/lab/operator.go
@@ -19,12 +19,12 @@
 	if action.Withdraw {
 		method = http.MethodDelete
 	}
-	names := url.Values{}
+	query := url.Values{}
 	for _, m := range r.membersAt(action.Members) {
-		names.Add("member", m.name)
+		query.Add("member", m.name)
 	}
 	for deadline := r.now() + 10*time.Second; r.now() < deadline; time.Sleep(100 * time.Millisecond) {
-		status, _ := r.members[action.Via].callAdmin(method, "/ops/maintenance?"+names.Encode())
+		status, _ := r.members[action.Via].sendAdminRequest(method, "/ops/maintenance?"+query.Encode())
 		if status == http.StatusAccepted {
 			return
 		}
@@ -36,21 +36,21 @@
 // ready for maintenance, the operator works on it, in the background, for the scenario's work duration, and then
 // releases it or restarts its process.
 func (r *runner) operateMaintenance(m *member) {
-	status, text := m.callAdmin(http.MethodGet, "/ops/maintenance")
+	status, text := m.sendAdminRequest(http.MethodGet, "/ops/maintenance")
 	var maintenanceStatus mgmt.MaintenanceStatus
 	if status != http.StatusOK || json.Unmarshal(text, &maintenanceStatus) != nil {
 		return
 	}
 	grantIndex := slices.IndexFunc(maintenanceStatus.Granted,
 		func(request mgmt.MaintenanceRequest) bool { return request.Index == m.index })
-	granted := grantIndex >= 0 && maintenanceStatus.HoldsSlot
-	ready := granted && maintenanceStatus.Granted[grantIndex].Stage == maintenance.StageReady.String()
+	slotGranted := grantIndex >= 0 && maintenanceStatus.HoldsSlot
+	readyForWork := slotGranted && maintenanceStatus.Granted[grantIndex].Stage == maintenance.StageReady.String()
 	r.mu.Lock()
-	r.tierChecker.RecordMaintenance(r.now(), m.index, granted, ready)
-	start := ready && !m.underMaintenance && r.scenario.WorkDuration.Duration > 0
-	m.underMaintenance = ready && (m.underMaintenance || start)
+	r.tierChecker.RecordMaintenance(r.now(), m.index, slotGranted, readyForWork)
+	beginsWork := readyForWork && !m.underMaintenance && r.scenario.WorkDuration.Duration > 0
+	m.underMaintenance = readyForWork && (m.underMaintenance || beginsWork)
 	r.mu.Unlock()
-	if !start {
+	if !beginsWork {
 		return
 	}
 	go func() {
@@ -61,7 +61,7 @@
 		}
 		if r.scenario.WorkMethod == "restart" {
 			r.recordFault(m, "work", true)
-			m.stop(syscall.SIGTERM, 5*time.Second)
+			m.stopProcess(syscall.SIGTERM, 5*time.Second)
 			if err := r.launch(m); err != nil {
 				r.options.Log.Error().Err(err).Str("softswitch", m.name).Msg("restart failed")
 			}
@@ -69,6 +69,6 @@
 			r.recordFault(m, "", false)
 			return
 		}
-		m.callAdmin(http.MethodDelete, "/ops/maintenance?member="+m.name)
+		m.sendAdminRequest(http.MethodDelete, "/ops/maintenance?member="+m.name)
 	}()
 }
--- a/internal/lab/plan.go
+++ b/internal/lab/plan.go
@@ -38,15 +38,15 @@
 type Action struct {
 	At         time.Duration // since the start of the run
 	Kind       ActionKind
-	Fault      int   // index of the scenario's fault that causes the action; -1 for a server's late start
-	Members    []int // indexes of softswitches
-	Server     string
-	Term       bool // SIGTERM instead of SIGKILL
-	Stall      bool
-	Factor     float64 // of a server's service time
-	Status     string  // as on the command channel
+	Fault      int     // index of the scenario's fault that causes the action; -1 for a server's late start
+	Members    []int   // indexes of softswitches
+	Server     string  // name
+	Term       bool    // SIGTERM instead of SIGKILL
+	Stall      bool    // whether set-ups get no answer from now on, or get one again
+	Factor     float64 // factor on a server's service time
+	Status     string  // a server's new status, as the command channel names it
 	Withdraw   bool    // withdraws a maintenance request; with ActServerStatus: the server drains or is gone
-	Via        int     // index of a softswitch
+	Via        int     // index of the softswitch whose admin endpoint gets a maintenance request
 	Conditions NetworkConditions
 }
 
--- a/internal/lab/plot.go
+++ b/internal/lab/plot.go
@@ -22,10 +22,10 @@
 // as dashed grey lines.
 func (res *Result) WritePlots(loadPath, answersPath string) error {
 	load := map[string]func(SecondStats) float64{}
-	for _, s := range res.servers {
+	for _, s := range res.serverNames {
 		load[s] = func(sec SecondStats) float64 { return float64(sec.Arrivals[s]) }
 	}
-	if err := res.plot(loadPath, "attempts reaching each server", "attempts a second", res.servers, load); err != nil {
+	if err := res.plotLines(loadPath, "attempts reaching each server", "attempts a second", res.serverNames, load); err != nil {
 		return err
 	}
 	kinds := []string{"served", "refused", "lost", "excused"}
@@ -35,15 +35,15 @@
 		"lost":    func(s SecondStats) float64 { return float64(s.Lost) },
 		"excused": func(s SecondStats) float64 { return float64(s.Excused) },
 	}
-	return res.plot(answersPath, "answers", "set-ups a second", kinds, answers)
+	return res.plotLines(answersPath, "answers", "set-ups a second", kinds, answers)
 }
 
-// plot draws a line over the seconds of the run for each name; values returns a line's value for a second.
-func (res *Result) plot(path, title, yLabel string, names []string, values map[string]func(SecondStats) float64) error {
-	p := plot.New()
-	p.Title.Text = fmt.Sprintf("%s: %s", res.Scenario, title)
-	p.X.Label.Text = "second of the run"
-	p.Y.Label.Text = yLabel
+// plotLines draws a line over the seconds of the run for each name; values returns a line's value for a second.
+func (res *Result) plotLines(path, title, yLabel string, names []string, values map[string]func(SecondStats) float64) error {
+	chart := plot.New()
+	chart.Title.Text = fmt.Sprintf("%s: %s", res.Scenario, title)
+	chart.X.Label.Text = "second of the run"
+	chart.Y.Label.Text = yLabel
 	maxY := 1.0
 	for i, name := range names {
 		points := make(plotter.XYs, len(res.seconds))
@@ -57,8 +57,8 @@
 		}
 		line.Color = plotutil.Color(i)
 		line.Width = vg.Points(1.5)
-		p.Add(line)
-		p.Legend.Add(name, line)
+		chart.Add(line)
+		chart.Legend.Add(name, line)
 	}
 	for _, fault := range res.InjectedFaults {
 		line, err := plotter.NewLine(plotter.XYs{{X: fault.At, Y: 0}, {X: fault.At, Y: maxY}})
@@ -67,22 +67,22 @@
 		}
 		line.Color = color.Gray{Y: 150}
 		line.Dashes = []vg.Length{vg.Points(3), vg.Points(3)}
-		p.Add(line)
+		chart.Add(line)
 	}
-	p.Legend.Top = true
-	return p.Save(16*vg.Centimeter, 9*vg.Centimeter, path)
+	chart.Legend.Top = true
+	return chart.Save(16*vg.Centimeter, 9*vg.Centimeter, path)
 }
 
 // PlotGrowth draws how a value grows with the size of a tier, with a line for each name. The axis of the sizes is
 // logarithmic; values has pairs of size and value.
 func PlotGrowth(path, title, yLabel string, names []string, values map[string][][2]float64) error {
-	p := plot.New()
-	p.Title.Text = title
-	p.X.Label.Text = "members"
-	p.Y.Label.Text = yLabel
-	p.Y.Min = 0
-	p.X.Scale = plot.LogScale{}
-	p.X.Tick.Marker = plot.LogTicks{Prec: -1}
+	chart := plot.New()
+	chart.Title.Text = title
+	chart.X.Label.Text = "members"
+	chart.Y.Label.Text = yLabel
+	chart.Y.Min = 0
+	chart.X.Scale = plot.LogScale{}
+	chart.X.Tick.Marker = plot.LogTicks{Prec: -1}
 	for i, name := range names {
 		var points plotter.XYs
 		for _, xy := range values[name] {
@@ -94,9 +94,9 @@
 		}
 		line.Color, dots.Color = plotutil.Color(i), plotutil.Color(i)
 		line.Width = vg.Points(1.5)
-		p.Add(line, dots)
-		p.Legend.Add(name, line, dots)
+		chart.Add(line, dots)
+		chart.Legend.Add(name, line, dots)
 	}
-	p.Legend.Top, p.Legend.Left = true, true
-	return p.Save(16*vg.Centimeter, 9*vg.Centimeter, path)
+	chart.Legend.Top, chart.Legend.Left = true, true
+	return chart.Save(16*vg.Centimeter, 9*vg.Centimeter, path)
 }
--- a/internal/lab/relay.go
+++ b/internal/lab/relay.go
@@ -43,11 +43,11 @@
 	for i, addr := range memberAddrs {
 		r.memberBySource[addr.String()] = i
 	}
-	open := func(host string) (*net.UDPConn, error) {
+	listenUDP := func(host string) (*net.UDPConn, error) {
 		return net.ListenUDP("udp", &net.UDPAddr{IP: net.ParseIP(host)})
 	}
 	for _, host := range hosts {
-		conn, err := open(host)
+		conn, err := listenUDP(host)
 		if err != nil {
 			r.Close()
 			return nil, err
@@ -55,7 +55,7 @@
 		r.peerConns = append(r.peerConns, conn)
 	}
 	var err error
-	if r.allPeersConn, err = open(allHost); err != nil {
+	if r.allPeersConn, err = listenUDP(allHost); err != nil {
 		r.Close()
 		return nil, err
 	}
@@ -105,7 +105,7 @@
 		if err != nil {
 			continue
 		}
-		src, ok := r.memberBySource[from.String()]
+		sender, ok := r.memberBySource[from.String()]
 		switch {
 		case !ok:
 			r.Counters.UnknownSenders.Add(1)
@@ -115,18 +115,18 @@
 			continue
 		}
 		data := append([]byte(nil), buffer[:n]...)
-		for _, dst := range destinations {
-			if dst != src {
-				r.forward(src, dst, data)
+		for _, receiver := range destinations {
+			if receiver != sender {
+				r.forward(sender, receiver, data)
 			}
 		}
 	}
 }
 
 // forward delivers one datagram, or drops it, as the present conditions decide.
-func (r *Relay) forward(src, dst int, data []byte) {
+func (r *Relay) forward(sender, receiver int, data []byte) {
 	r.mu.Lock()
-	delivery := r.conditions.DrawDelivery(src, dst, r.rng)
+	delivery := r.conditions.DrawDelivery(sender, receiver, r.rng)
 	r.mu.Unlock()
 	if delivery.Drop {
 		r.Counters.Dropped.Add(1)
@@ -137,7 +137,7 @@
 	}
 	for _, delay := range delivery.Delays {
 		send := func() {
-			r.peerConns[src].WriteToUDP(data, r.memberAddrs[dst])
+			r.peerConns[sender].WriteToUDP(data, r.memberAddrs[receiver])
 			r.Counters.Forwarded.Add(1)
 			r.Counters.Bytes.Add(int64(len(data)))
 		}
--- a/internal/lab/result.go
+++ b/internal/lab/result.go
@@ -28,12 +28,13 @@
 	Starts         map[string]int  `json:"starts"`    // processes started, by softswitch
 	InjectedFaults []InjectedFault `json:"faults"`
 
-	// Detections has an entry for each kill, stop and pause of a softswitch, without the others' observations if
-	// membership is off.
-	// FalseDeaths, the counters and MaintenanceRuns are filled only if membership is on.
+	// Detections has an entry for each kill, stop and pause of a softswitch. If membership is off, the entries lack the
+	// observations of the other softswitches.
+	// FalseDeaths, the maps of counters and MaintenanceRuns are filled only if membership is on.
 	Detections  []*Detection `json:"detections,omitempty"`
 	FalseDeaths []FalseDeath `json:"false_deaths,omitempty"`
-	// Those counters of the admin endpoints that only grow, summed over all softswitches and all their processes.
+	// These four maps hold those counters of the admin endpoints that only grow, summed over all softswitches and all
+	// their processes.
 	MembershipCounters  map[string]int64  `json:"members,omitempty"`
 	MaintenanceCounters map[string]int64  `json:"maintenance,omitempty"`
 	KnowledgeCounters   map[string]int64  `json:"knowledge,omitempty"`
@@ -45,23 +46,23 @@
 	MaxOutOfService int           `json:"most_out"`
 	Elapsed         time.Duration `json:"span_ns"` // from the start of the load to the end of the run
 
-	seconds  []SecondStats
-	servers  []string
-	views    [][]string  // by second, by softswitch: the states it reports, as initials
-	ready    [][]bool    // by second, by softswitch: ready at the second's last sample
-	capacity [][]float64 // by second, by server: set-ups a second at the second's start, without slowdowns
+	seconds          []SecondStats
+	serverNames      []string    // in the order of the scenario
+	viewsBySecond    [][]string  // by second, by softswitch: the states it reports, as initials
+	readyBySecond    [][]bool    // by second, by softswitch: ready at the second's last sample
+	capacityBySecond [][]float64 // by second, by server: set-ups a second at the second's start, without slowdowns
 }
 
-// result collects the run's counts and adds the violations that show only at the end: oversized datagrams, and counts
-// that differ from those of the admin endpoints.
-func (r *runner) result() *Result {
+// collectResult collects the run's counts and adds the violations that show only at the end: oversized datagrams,
+// and counts that differ from those of the admin endpoints.
+func (r *runner) collectResult() *Result {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	res := &Result{Scenario: r.scenario.Name, Violations: r.checker.Violations(), Unsent: r.unsent, MaxLag: r.maxLag,
-		LagSpans: r.lagSpans, seconds: r.checker.PerSecond(), servers: r.serverOrder, Starts: map[string]int{},
+		LagSpans: r.lagSpans, seconds: r.checker.PerSecond(), serverNames: r.serverOrder, Starts: map[string]int{},
 		InjectedFaults: r.injectedFaults, MembershipCounters: map[string]int64{},
 		MaintenanceCounters: map[string]int64{}, KnowledgeCounters: map[string]int64{},
-		BudgetCounters: map[string]int64{}, ready: r.readyBySecond, views: r.viewsBySecond,
+		BudgetCounters: map[string]int64{}, readyBySecond: r.readyBySecond, viewsBySecond: r.viewsBySecond,
 		Detections: r.tierChecker.detections, FalseDeaths: r.tierChecker.falseDeaths,
 		MaintenanceRuns: r.tierChecker.maintenanceRuns, MaxOutOfService: r.tierChecker.maxOutOfService, Elapsed: r.now()}
 	res.Violations = append(res.Violations, r.tierChecker.Violations()...)
@@ -78,7 +79,7 @@
 		for _, name := range r.serverOrder {
 			row = append(row, r.capacity(name, time.Duration(i)*time.Second))
 		}
-		res.capacity = append(res.capacity, row)
+		res.capacityBySecond = append(res.capacityBySecond, row)
 	}
 	for _, s := range res.seconds {
 		res.Offered += s.Offered
@@ -87,7 +88,7 @@
 		res.Lost += s.Lost
 		res.Excused += s.Excused
 	}
-	restarted := false
+	anyRestarted := false
 	sumsByGroup := map[string]map[string]int64{"members": res.MembershipCounters,
 		"maintenance": res.MaintenanceCounters, "knowledge": res.KnowledgeCounters, "parts": res.BudgetCounters}
 	for _, m := range r.members {
@@ -99,7 +100,7 @@
 			}
 		}
 		res.Starts[m.name] = m.starts
-		restarted = restarted || m.starts > 1
+		anyRestarted = anyRestarted || m.starts > 1
 	}
 	counters := &r.relay.Counters
 	res.Datagrams = map[string]int{"passed": int(counters.Forwarded.Load()), "dropped": int(counters.Dropped.Load()),
@@ -111,7 +112,7 @@
 	}
 	// If no softswitch was restarted, the lab's count must agree with the admin endpoints' count within the
 	// tolerance and two set-ups more.
-	if diff := float64(res.AdminServed - int64(res.Served)); !restarted &&
+	if diff := float64(res.AdminServed - int64(res.Served)); !anyRestarted &&
 		abs(diff) > r.scenario.Tolerance*float64(max(res.Served, 1))+2 {
 		res.Violations = append(res.Violations, Violation{Rule: "counts disagree with the doors", Count: 1,
 			Detail: fmt.Sprintf("the lab counted %d served set-ups, the admin endpoints %d", res.Served, res.AdminServed)})
@@ -123,8 +124,8 @@
 // recoverySeconds is the number of seconds for which a restarted softswitch is compared with the others.
 const recoverySeconds = 5
 
-// counterGroups are the prefixes of the tier protocols' counters at the admin endpoints.
-var counterGroups = []string{"members", "maintenance", "knowledge", "parts"}
+// tierCounterGroups are the prefixes of the tier protocols' counters at the admin endpoints.
+var tierCounterGroups = []string{"members", "maintenance", "knowledge", "parts"}
 
 // monotonicCounters are the counters of these groups that only grow in a process, so that the values of all processes
 // can be summed.
@@ -149,17 +150,17 @@
 func (res *Result) WriteTable(path string) error {
 	var b strings.Builder
 	b.WriteString("second,offered,served,refused,lost,excused,blind")
-	for _, s := range res.servers {
+	for _, s := range res.serverNames {
 		fmt.Fprintf(&b, ",load:%s,capacity:%s", s, s)
 	}
 	tierSize := 0
-	if len(res.ready) > 0 {
-		tierSize = len(res.ready[0])
+	if len(res.readyBySecond) > 0 {
+		tierSize = len(res.readyBySecond[0])
 	}
 	for i := range tierSize {
 		fmt.Fprintf(&b, ",ready:%s", MemberName(i))
 	}
-	hasViews := slices.ContainsFunc(res.views, func(v []string) bool { return len(v) > 0 })
+	hasViews := slices.ContainsFunc(res.viewsBySecond, func(v []string) bool { return len(v) > 0 })
 	for i := range tierSize {
 		if hasViews {
 			fmt.Fprintf(&b, ",view:%s", MemberName(i))
@@ -168,16 +169,16 @@
 	b.WriteString("\n")
 	for i, s := range res.seconds {
 		fmt.Fprintf(&b, "%d,%d,%d,%d,%d,%d,%t", i, s.Offered, s.Served, s.Refused, s.Lost, s.Excused, s.Lagged)
-		for k, name := range res.servers {
-			fmt.Fprintf(&b, ",%d,%.0f", s.Arrivals[name], res.capacity[i][k])
+		for k, name := range res.serverNames {
+			fmt.Fprintf(&b, ",%d,%.0f", s.Arrivals[name], res.capacityBySecond[i][k])
 		}
 		for k := range tierSize {
-			ready := i < len(res.ready) && res.ready[i][k]
+			ready := i < len(res.readyBySecond) && res.readyBySecond[i][k]
 			fmt.Fprintf(&b, ",%d", map[bool]int{true: 1}[ready])
 		}
 		for k := range tierSize {
-			if hasViews && i < len(res.views) && len(res.views[i]) > 0 {
-				fmt.Fprintf(&b, ",%s", res.views[i][k])
+			if hasViews && i < len(res.viewsBySecond) && len(res.viewsBySecond[i]) > 0 {
+				fmt.Fprintf(&b, ",%s", res.viewsBySecond[i][k])
 			} else if hasViews {
 				b.WriteString(",")
 			}
--- a/internal/lab/rules.go
+++ b/internal/lab/rules.go
@@ -12,15 +12,16 @@
 	// DrainGrace is the time after which a server that drains or is gone gets no new attempt
 	// (obligations.drain-grace-us).
 	DrainGrace time.Duration
-	// OverloadMultiple times the present capacity is the rate allowed to a cold server (obligations.tip-multiple).
+	// OverloadMultiple times its present capacity is the rate of attempts that a cold server may get
+	// (obligations.tip-multiple).
 	OverloadMultiple float64
-	OverloadAfter    time.Duration // window of the cold-server budget (obligations.tip-after-us)
+	OverloadAfter    time.Duration // window in which these attempts are counted (obligations.tip-after-us)
 	ColdInitialShare float64       // share of its capacity that a server starts with (obligations.cold-from)
 	ColdRamp         time.Duration // time from a server's start until it is warm (obligations.ramp-time-us)
-	// Slack is the tolerance for the release guard, the drain grace and the give-up, and the margin of a span of lag;
-	// 50 ms on sockets.
+	// Slack is the tolerance for the release guard, the drain grace and the give-up, and the margin on both sides of a span in
+	// which the lab itself lagged; 50 ms on sockets.
 	Slack     time.Duration
-	ColdSlack int // attempts above the cold-server budget of a window that chance may cause
+	ColdSlack int // attempts in a window above a cold server's budget that chance may cause
 }
 
 // RampedCapacity returns what a server can handle at a time, in set-ups a second. startedAt is the time of its cold
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -47,17 +47,17 @@
 	members        []*member                 // by index
 	servers        map[string]*standInServer // by name
 	serverOrder    []string                  // names, in the order of the scenario
-	channel        *commandChannel
+	commandChannel *commandChannel
 	membersFile    string // path of the members file that all softswitches read
 	relay          *Relay
-	settings       json.RawMessage
-	unsent         int // set-ups for which no softswitch could be reached
+	baseSettings   json.RawMessage // the settings object that memberSettings completes for each softswitch
+	unsent         int             // set-ups for which no softswitch could be reached
 	injectedFaults []InjectedFault
-	readyBySecond  [][]bool      // by second, by softswitch
-	viewsBySecond  [][]string    // by second, by softswitch: state initials of its view at the second's last sample
-	maxLag         time.Duration // of the load generator
-	lagSpans       int           // number of lag spans
-	rng            *rand.Rand
+	readyBySecond  [][]bool                                   // by second, by softswitch
+	viewsBySecond  [][]string                                 // by second, by softswitch: its view at the second's last sample, as initials
+	maxLag         time.Duration                              // greatest lag of the load generator
+	lagSpans       int                                        // ticks of the load generator whose lag was above the scenario's MaxLag
+	rng            *rand.Rand                                 // draws the calls' ids and the softswitches' seeds
 	pickPort       func(network, host string) (string, error) // returns an address with a free port; tests replace it
 	// callerConns has up to Scenario.CallerConns connections for each softswitch; an entry may be nil.
 	callerConns [][]*callerConn
@@ -84,7 +84,7 @@
 // newRunner makes a runner without starting anything.
 func newRunner(scenario *Scenario, options Options, rules Rules, settings string) *runner {
 	return &runner{scenario: scenario, options: options, checker: NewChecker(rules),
-		servers: make(map[string]*standInServer), settings: json.RawMessage(settings),
+		servers: make(map[string]*standInServer), baseSettings: json.RawMessage(settings),
 		tierChecker: NewTierChecker(scenario.Softswitches), finished: make(chan struct{}),
 		pickPort: freePort, rng: rand.New(rand.NewPCG(scenario.Seed, 0x63616c6c))}
 }
@@ -96,17 +96,17 @@
 	}
 	r.startedAt = time.Now()
 	defer r.teardown()
-	if err := r.startAll(); err != nil {
+	if err := r.startFleetAndEnvironment(); err != nil {
 		return nil, fmt.Errorf("%w: %v", ErrLab, err)
 	}
-	if err := r.execute(); err != nil {
+	if err := r.executeScenario(); err != nil {
 		return nil, fmt.Errorf("%w: %v", ErrLab, err)
 	}
-	return r.result(), nil
+	return r.collectResult(), nil
 }
 
-// execute runs the load, the faults and the samples until the end of the run, and then the checks of the final state.
-func (r *runner) execute() error {
+// executeScenario runs the load, the faults and the samples until the end of the run, and then the checks of the final state.
+func (r *runner) executeScenario() error {
 	r.mu.Lock()
 	r.startedAt = time.Now()
 	r.mu.Unlock()
@@ -114,8 +114,8 @@
 	stop := make(chan struct{})
 	var wg sync.WaitGroup
 	wg.Add(2)
-	go func() { defer wg.Done(); r.sampleLoop(stop) }()
-	go func() { defer wg.Done(); r.runFaults(stop) }()
+	go func() { defer wg.Done(); r.sampleMembers(stop) }()
+	go func() { defer wg.Done(); r.executePlan(stop) }()
 	r.generateLoad()
 	select {
 	case <-time.After(max(r.scenario.QuietPeriod.Duration+r.scenario.GiveUp.Duration,
@@ -131,7 +131,7 @@
 	default:
 	}
 	for _, m := range r.members {
-		m.sample()
+		m.pollAdminEndpoint()
 	}
 	r.mu.Lock()
 	r.checker.CheckOpen(r.now())
--- a/internal/lab/run_test.go
+++ b/internal/lab/run_test.go
@@ -100,7 +100,7 @@
 	bin := buildSoftswitch(t)
 	for _, test := range []struct {
 		fault, wantRule string
-		s               *Scenario
+		scenario        *Scenario
 	}{
 		{"unheard drains", "new attempt at a retired server",
 			shortScenario("unheard", Fault{At: Duration{time.Second}, Kind: "drain", Server: "s1"},
@@ -112,10 +112,10 @@
 			return scenario
 		}()},
 	} {
-		if err := test.s.Check(); err != nil {
+		if err := test.scenario.Check(); err != nil {
 			t.Fatal(err)
 		}
-		res, err := Run(test.s, Options{Binary: bin, OutDir: t.TempDir(), SelfTestFault: test.fault})
+		res, err := Run(test.scenario, Options{Binary: bin, OutDir: t.TempDir(), SelfTestFault: test.fault})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/lab/sampling.go
+++ b/internal/lab/sampling.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// sampleLoop samples every admin endpoint at the scenario's interval and records, for each second, which softswitches
+// sampleMembers samples every admin endpoint at the scenario's interval and records, for each second, which softswitches
 // were ready and the states that they reported. It also checks the maintenance budget, if the scenario has one.
-func (r *runner) sampleLoop(stop chan struct{}) {
+func (r *runner) sampleMembers(stop chan struct{}) {
 	ticker := time.NewTicker(r.scenario.SampleInterval.Duration)
 	defer ticker.Stop()
 	for {
@@ -19,7 +19,7 @@
 		var wg sync.WaitGroup
 		for _, m := range r.members {
 			wg.Add(1)
-			go func() { defer wg.Done(); m.sample() }()
+			go func() { defer wg.Done(); m.pollAdminEndpoint() }()
 		}
 		wg.Wait()
 		second := int(r.now() / time.Second)
--- a/internal/lab/scenario.go
+++ b/internal/lab/scenario.go
@@ -16,8 +16,8 @@
 // second.
 type Scenario struct {
 	Name           string        `toml:"name"`
-	Duration       Duration      `toml:"duration"`     // of the load; for the end of the run, see QuietPeriod and ConvergenceTime
-	Seed           uint64        `toml:"seed"`         // of every random choice that the lab makes
+	Duration       Duration      `toml:"duration"`     // how long the load lasts; for the run's end, see QuietPeriod and ConvergenceTime
+	Seed           uint64        `toml:"seed"`         // seed of every random choice that the lab makes
 	Softswitches   int           `toml:"softswitches"` // number of softswitches; they are named n1..nN
 	GiveUp         Duration      `toml:"give_up"`      // how long a caller waits for its answer; 1500ms by default
 	Classes        []string      `toml:"classes"`      // classes of the set-ups, used in turn; by default "voice"
@@ -27,7 +27,7 @@
 	Faults         []Fault       `toml:"fault"`        // the faults at fixed times; Check adds the random ones
 	SampleInterval Duration      `toml:"sample"`       // interval of the samples of the admin endpoints; 250ms by default
 	MaxLag         Duration      `toml:"lag"`          // load generator's lag above which violations are ignored; 20ms by default
-	CallerConns    int           `toml:"callers"`      // callers' connections to each softswitch; 2 by default
+	CallerConns    int           `toml:"callers"`      // number of callers' connections to each softswitch; 2 by default
 	StartTimeout   Duration      `toml:"start"`        // how long softswitches started together may take to be ready; 10s by default
 	QuietPeriod    Duration      `toml:"quiet"`        // from the last give-up to the run's end, at least; GiveUp by default
 	PeersEnabled   bool          `toml:"peers"`        // whether the softswitches know their peers
@@ -62,19 +62,19 @@
 type Server struct {
 	Name     string   `toml:"name"`
 	Capacity float64  `toml:"capacity"` // set-ups a second when warm
-	Lines    int      `toml:"lines"`    // established calls from which set-ups are refused as blocked; 256 by default
+	Lines    int      `toml:"lines"`    // established calls at which further set-ups are refused as blocked; 256 by default
 	HoldTime Duration `toml:"hold"`     // how long an answered call stays established; 1s by default
 	// MaxQueueDelay is the longest wait for the server's processor; a set-up that would wait longer is refused as
 	// swamped. 300ms by default.
 	MaxQueueDelay Duration `toml:"queue"`
-	StartAt       Duration `toml:"start"` // a late, cold start; 0: running and warm from the beginning
+	StartAt       Duration `toml:"start"` // time of a late, cold start; 0: running and warm from the beginning
 }
 
 // LoadStep is the callers' rate from a time on.
 type LoadStep struct {
 	At     Duration  `toml:"at"`
 	Rate   float64   `toml:"rate"`   // set-ups a second
-	Shares []float64 `toml:"shares"` // of each softswitch, in any unit; none: equal shares
+	Shares []float64 `toml:"shares"` // each softswitch's share of the load, in any unit; none: equal shares
 }
 
 // Duration is a time.Duration that is written as text in a scenario.
--- a/internal/lab/scenario_faults.go
+++ b/internal/lab/scenario_faults.go
@@ -168,9 +168,9 @@
 }
 
 // lastFaultEnd returns the time at which the last fault has ended. A fault without a duration ends at its start.
-func (s *Scenario) lastFaultEnd() (at time.Duration) {
-	for _, f := range s.Faults {
-		at = max(at, f.At.Duration+f.Duration.Duration)
+func (s *Scenario) lastFaultEnd() (end time.Duration) {
+	for _, fault := range s.Faults {
+		end = max(end, fault.At.Duration+fault.Duration.Duration)
 	}
-	return at
+	return end
 }
--- a/internal/lab/scenario_test.go
+++ b/internal/lab/scenario_test.go
@@ -37,9 +37,9 @@
 	if len(shipped) < 40 {
 		t.Errorf("%d scenarios in lab/scenarios, want at least 40", len(shipped))
 	}
-	credit, got := make([]float64, 3), [3]int{}
+	accumulatedShares, got := make([]float64, 3), [3]int{}
 	for range 120 {
-		got[nextByShare(credit, []float64{10, 1, 1})]++
+		got[nextByShare(accumulatedShares, []float64{10, 1, 1})]++
 	}
 	if got != [3]int{100, 10, 10} {
 		t.Errorf("120 set-ups by shares of 10, 1 and 1 are distributed as %v", got)
--- a/internal/lab/settings.go
+++ b/internal/lab/settings.go
@@ -54,7 +54,7 @@
 // ("me"), the size of the tier and whether datagrams between softswitches are on.
 func (r *runner) memberSettings(index int) (json.RawMessage, error) {
 	var settings map[string]any
-	if err := json.Unmarshal(r.settings, &settings); err != nil {
+	if err := json.Unmarshal(r.baseSettings, &settings); err != nil {
 		return nil, err
 	}
 	settings["me"], settings["peers-total"] = index, r.scenario.Softswitches
--- a/internal/lab/standin_server.go
+++ b/internal/lab/standin_server.go
@@ -32,7 +32,7 @@
 	establishedCalls int
 	slowdown         float64      // factor on the service time; 1: normal speed
 	stalledMembers   map[int]bool // softswitches whose set-ups get no answer
-	removed          bool         // closes new connections at once
+	removed          bool         // the server is gone: it closes new connections at once
 	wg               sync.WaitGroup
 }
 
@@ -44,8 +44,8 @@
 	pending     map[uint64]bool // set-ups not yet answered
 }
 
-// send writes one line.
-func (c *serverConn) send(format string, args ...any) {
+// sendLine writes one line to the softswitch.
+func (c *serverConn) sendLine(format string, args ...any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.SetWriteDeadline(time.Now().Add(time.Second))
@@ -57,7 +57,7 @@
 	server := &standInServer{Server: config, observer: observer, conns: make(map[*serverConn]bool), slowdown: 1,
 		stalledMembers: make(map[int]bool)}
 	var err error
-	if server.listeners, err = listenEach(hosts); err != nil {
+	if server.listeners, err = listenOnEachHost(hosts); err != nil {
 		return nil, err
 	}
 	for i, listener := range server.listeners {
@@ -67,8 +67,8 @@
 	return server, nil
 }
 
-// addressFor returns the address at which a softswitch reaches this server.
-func (s *standInServer) addressFor(memberIndex int) string {
+// addressForMember returns the address at which a softswitch reaches this server.
+func (s *standInServer) addressForMember(memberIndex int) string {
 	return s.listeners[memberIndex].Addr().String()
 }
 
@@ -89,7 +89,7 @@
 		}
 		s.conns[accepted] = true
 		s.mu.Unlock()
-		accepted.send(`{"op":"group","call":"0000000000000000","with":{"load":%q}}`, s.loadReport())
+		accepted.sendLine(`{"op":"group","call":"0000000000000000","with":{"load":%q}}`, s.loadReport())
 		s.wg.Add(1)
 		go s.serve(accepted)
 	}
@@ -111,9 +111,9 @@
 
 // serve handles a connection's lines until the connection ends. It reports the attempts that are still pending then as
 // ended by a reset.
-func (s *standInServer) serve(c *serverConn) {
+func (s *standInServer) serve(conn *serverConn) {
 	defer s.wg.Done()
-	reader := bufio.NewReaderSize(c, 16<<10)
+	reader := bufio.NewReaderSize(conn, 16<<10)
 	for {
 		text, err := reader.ReadSlice('\n')
 		if err != nil {
@@ -129,25 +129,25 @@
 		}
 		switch message.Op {
 		case "test":
-			c.send(`{"op":"tested","call":%q,"with":{},"why":1}`, message.Call)
+			conn.sendLine(`{"op":"tested","call":%q,"with":{},"why":1}`, message.Call)
 		case "offer":
-			s.handleOffer(c, id)
+			s.handleOffer(conn, id)
 		case "end":
 			s.mu.Lock()
-			wasPending := c.pending[id]
-			delete(c.pending, id)
+			wasPending := conn.pending[id]
+			delete(conn.pending, id)
 			s.mu.Unlock()
 			if wasPending {
 				s.observer.attemptEnded(s.Name, id, OutcomeCancelled)
 			}
-			c.send(`{"op":"ended","call":%q,"with":{}}`, message.Call)
+			conn.sendLine(`{"op":"ended","call":%q,"with":{}}`, message.Call)
 		}
 	}
-	c.Close()
+	conn.Close()
 	s.mu.Lock()
-	delete(s.conns, c)
-	interrupted := c.pending
-	c.pending = map[uint64]bool{}
+	delete(s.conns, conn)
+	interrupted := conn.pending
+	conn.pending = map[uint64]bool{}
 	s.mu.Unlock()
 	for id := range interrupted {
 		s.observer.attemptEnded(s.Name, id, OutcomeConnectionReset)
@@ -156,12 +156,12 @@
 
 // handleOffer queues a set-up for the processor, or refuses it: as blocked if no line is free, as swamped if the wait
 // would be too long. A set-up that arrives, or would be answered, while its connection is stalled never gets an answer.
-func (s *standInServer) handleOffer(c *serverConn, id uint64) {
+func (s *standInServer) handleOffer(conn *serverConn, id uint64) {
 	s.observer.attemptReceived(s.Name, id)
 	now := s.observer.now()
 	s.mu.Lock()
-	c.pending[id] = true
-	if s.stalledMembers[c.memberIndex] {
+	conn.pending[id] = true
+	if s.stalledMembers[conn.memberIndex] {
 		s.mu.Unlock()
 		return
 	}
@@ -175,26 +175,26 @@
 	s.mu.Unlock()
 	if full || swamped {
 		note := map[bool]string{true: "blocked", false: "swamped"}[full]
-		s.endAttempt(c, id, OutcomeRefused, fmt.Sprintf(`{"op":"end","call":"%016x","with":{"note":%q,"load":%q},"why":34}`,
+		s.endAttempt(conn, id, OutcomeRefused, fmt.Sprintf(`{"op":"end","call":"%016x","with":{"note":%q,"load":%q},"why":34}`,
 			id, note, s.loadReport()))
 		return
 	}
 	time.AfterFunc(startAt+serviceTime-now, func() {
 		s.mu.Lock()
-		if !c.pending[id] || s.stalledMembers[c.memberIndex] {
+		if !conn.pending[id] || s.stalledMembers[conn.memberIndex] {
 			s.mu.Unlock()
 			return
 		}
 		s.establishedCalls++
 		s.mu.Unlock()
-		if !s.endAttempt(c, id, OutcomeAnswered, fmt.Sprintf(`{"op":"accept","call":"%016x","with":{"load":%q},"desc":"lab:%s:%016x"}`,
+		if !s.endAttempt(conn, id, OutcomeAnswered, fmt.Sprintf(`{"op":"accept","call":"%016x","with":{"load":%q},"desc":"lab:%s:%016x"}`,
 			id, s.loadReport(), s.Name, id)) {
 			s.releaseLine()
 			return
 		}
 		time.AfterFunc(s.HoldTime.Duration, func() {
 			s.releaseLine()
-			c.send(`{"op":"end","call":"%016x","with":{"load":%q},"why":16}`, id, s.loadReport())
+			conn.sendLine(`{"op":"end","call":"%016x","with":{"load":%q},"why":16}`, id, s.loadReport())
 		})
 	})
 }
@@ -213,23 +213,23 @@
 	if wasFull {
 		report := s.loadReport()
 		for _, c := range conns {
-			c.send(`{"op":"group","call":"0000000000000000","with":{"load":%q}}`, report)
+			c.sendLine(`{"op":"group","call":"0000000000000000","with":{"load":%q}}`, report)
 		}
 	}
 }
 
 // endAttempt sends the reply that ends a pending set-up. It reports false, and sends nothing, if the set-up is no
 // longer pending.
-func (s *standInServer) endAttempt(c *serverConn, id uint64, outcome AttemptOutcome, reply string) bool {
+func (s *standInServer) endAttempt(conn *serverConn, id uint64, outcome AttemptOutcome, reply string) bool {
 	s.mu.Lock()
-	wasPending := c.pending[id]
-	delete(c.pending, id)
+	wasPending := conn.pending[id]
+	delete(conn.pending, id)
 	s.mu.Unlock()
 	if !wasPending {
 		return false
 	}
 	s.observer.attemptEnded(s.Name, id, outcome)
-	c.send("%s", reply)
+	conn.sendLine("%s", reply)
 	return true
 }
 
--- a/internal/lab/tier_checker.go
+++ b/internal/lab/tier_checker.go
@@ -31,7 +31,7 @@
 	AllDead      time.Duration `json:"all_dead_ns"`  // all other running members report it dead or left
 	Ended        time.Duration `json:"ended_ns"`     // end of the fault, since the start of the run
 	AllAvailable time.Duration `json:"back_ns"`      // all other running members report it available; time since Ended
-	index        int           // of the softswitch
+	index        int           // index of the softswitch
 }
 
 // FalseDeath is a softswitch that another member reported dead although it was running and could be reached.
@@ -109,8 +109,8 @@
 
 // maybeSeparated reports whether two softswitches may have been unable to reach each other, because a partition
 // separates them, or because any partition has ended within recoveryGrace.
-func (c *TierChecker) maybeSeparated(a, b int, at time.Duration) bool {
-	return c.conditions.Groups != nil && c.conditions.Groups[a] != c.conditions.Groups[b] ||
+func (c *TierChecker) maybeSeparated(observer, subject int, at time.Duration) bool {
+	return c.conditions.Groups != nil && c.conditions.Groups[observer] != c.conditions.Groups[subject] ||
 		c.partitionEndedAt >= 0 && at < c.partitionEndedAt+recoveryGrace
 }
 
--- a/internal/lab/tier_checker_test.go
+++ b/internal/lab/tier_checker_test.go
@@ -8,12 +8,12 @@
 // Each rule on the views is reported for a sequence of events that violates it, and not for a similar one that keeps
 // it. A death is false only if the member reported dead was running and could be reached.
 func TestTierCheckerViolations(t *testing.T) {
-	view := func(share float64, states ...string) View { return View{States: states, ColdQuotaFraction: share} }
+	view := func(quota float64, states ...string) View { return View{States: states, ColdQuotaFraction: quota} }
 	allRunning := func(int) bool { return true }
 	for _, test := range []struct {
-		name, want string
-		deaths     int
-		events     func(checker *TierChecker)
+		name, want   string
+		falseDeaths  int
+		recordEvents func(checker *TierChecker)
 	}{
 		{"agreement", "", 0, func(checker *TierChecker) {
 			for observer := range 3 {
@@ -49,14 +49,14 @@
 		}},
 	} {
 		checker := NewTierChecker(3)
-		test.events(checker)
+		test.recordEvents(checker)
 		got := ""
 		for _, violation := range checker.Violations() {
 			got += violation.Rule
 		}
-		if got != test.want || len(checker.falseDeaths) != test.deaths {
+		if got != test.want || len(checker.falseDeaths) != test.falseDeaths {
 			t.Errorf("%s: violated %q, want %q; false deaths %v, want %d", test.name, got, test.want,
-				checker.falseDeaths, test.deaths)
+				checker.falseDeaths, test.falseDeaths)
 		}
 	}
 }
