--- a/internal/explore/budget.go
+++ b/internal/explore/budget.go
@@ -30,7 +30,7 @@
 // budgetProcess is the running process of a member: its budget reducer.
 type budgetProcess struct{ Reducer *budget.Reducer }
 
-// stepReducer passes an event to the reducer and converts the effects.
+// stepReducer passes an event to the reducer and converts the reducer's effects to stepEffects.
 func (p *budgetProcess) stepReducer(now time.Duration, event budget.Event) (result stepEffects) {
 	for _, effect := range p.Reducer.Step(now, event) {
 		switch effect := effect.(type) {
@@ -94,7 +94,7 @@
 	}
 }
 
-// checkStep checks ExclusiveUnits.
+// checkStep checks the invariant ExclusiveUnits.
 func (p *budgetProtocol) checkStep(tier *tierModel, _ int) { p.checkTimePassed(tier) }
 
 // usedUnits returns the units of a member's quota that running, unpaused members use, and how many of them use any. It
@@ -116,14 +116,14 @@
 	return units, users
 }
 
-// checkTimePassed checks ExclusiveUnits for the quota of every member.
+// checkTimePassed checks the invariant ExclusiveUnits for the quota of every member.
 func (p *budgetProtocol) checkTimePassed(tier *tierModel) {
 	for owner := range tier.Members {
 		p.usedUnits(tier, owner)
 	}
 }
 
-// checkSettled checks AllUnitsUsed, if a majority of the members is running.
+// checkSettled checks the invariant AllUnitsUsed, if a majority of the members is running.
 func (p *budgetProtocol) checkSettled(tier *tierModel) {
 	available := 0
 	for _, member := range tier.Members {
--- a/internal/explore/callmodel.go
+++ b/internal/explore/callmodel.go
@@ -11,7 +11,7 @@
 
 // Protocol and times of the call model.
 const (
-	releaseGuardTime = 200 * time.Millisecond // release guard of the core
+	releaseGuardTime = 200 * time.Millisecond // wait of the core before it resends a call after a time-out, a reset or a cancel
 	modelProtocol    = core.Protocol("f")     // protocol of all simulated connections
 	pauseDuration    = 120 * time.Millisecond // two pauses exceed the release guard, one the 100 ms in which a lost caller may reconnect
 	timerHorizon     = 2 * time.Second        // timers later than this after the give-up time of a set-up sent at the start are ignored
@@ -126,13 +126,13 @@
 	model.Calls, model.Servers = make([]Call, cfg.Calls), make([]Server, cfg.Servers)
 	model.connectCaller()
 	list := core.ServerList{Full: true}
-	for s := range model.Servers {
-		model.Servers[s].Phase = phaseReady
-		list.Servers = append(list.Servers, model.serverListEntry(s))
+	for server := range model.Servers {
+		model.Servers[server].Phase = phaseReady
+		list.Servers = append(list.Servers, model.serverListEntry(server))
 	}
 	model.stepCore(list)
-	for s := range model.Servers {
-		model.connectServer(s)
+	for server := range model.Servers {
+		model.connectServer(server)
 	}
 	return model, model.violationError()
 }
--- a/internal/explore/config.go
+++ b/internal/explore/config.go
@@ -35,12 +35,12 @@
 // Check returns an error that names the first value that is out of range, or nil. All values must be in range, also those
 // that the model does not use.
 func (c Config) Check() error {
-	for _, f := range []struct {
+	for _, field := range []struct {
 		name            string
 		value, min, max int
 	}{{"servers", c.Servers, 1, 4}, {"calls", c.Calls, 1, 8}, {"attempts", c.Attempts, 1, 8}, {"faults", c.Faults, 0, 16}, {"pauses", c.Pauses, 0, 16}} {
-		if f.value < f.min || f.value > f.max {
-			return fmt.Errorf("%s: %d is not between %d and %d", f.name, f.value, f.min, f.max)
+		if field.value < field.min || field.value > field.max {
+			return fmt.Errorf("%s: %d is not between %d and %d", field.name, field.value, field.min, field.max)
 		}
 	}
 	if models := []string{"", ModelCalls, ModelCircuits, ModelMembership, ModelMaintenance, ModelBudget}; !slices.Contains(models, c.Model) {
--- a/internal/explore/invariants.go
+++ b/internal/explore/invariants.go
@@ -147,7 +147,7 @@
 	return true
 }
 
-// Terminal reports whether every call has ended, and if so checks NoLeak.
+// Terminal reports whether every call has ended, and if so checks the invariant NoLeak.
 func (m *CallModel) Terminal() bool {
 	if !m.allCallsEnded() {
 		return false
--- a/internal/explore/maintenance.go
+++ b/internal/explore/maintenance.go
@@ -48,10 +48,10 @@
 	Self        int
 	Incarnation uint8
 	Draining    bool
-	Stage       maintenance.Stage // stage of the request for this member
+	Stage       maintenance.Stage // stage of the maintenance request for this member
 }
 
-// stepReducer passes an event to the reducer and converts the effects.
+// stepReducer passes an event to the reducer and converts the reducer's effects to stepEffects.
 func (p *maintenanceProcess) stepReducer(now time.Duration, event maintenance.Event) stepEffects {
 	return p.collectEffects(now, p.Reducer.Step(now, event))
 }
@@ -152,7 +152,7 @@
 	}
 }
 
-// checkStep checks OnlyRequested and WithinMaintenanceBudget for the running, unpaused members.
+// checkStep checks the invariants OnlyRequested and WithinMaintenanceBudget for the running, unpaused members.
 func (p *maintenanceProtocol) checkStep(tier *tierModel, index int) {
 	drainingCount := 0
 	for other, member := range tier.Members {
@@ -174,8 +174,8 @@
 // checkTimePassed does nothing: all invariants are checked after steps or in the settled state.
 func (p *maintenanceProtocol) checkTimePassed(*tierModel) {}
 
-// checkSettled checks NoStuckDrain and MaintainedOnce. Members 0 and 1 have requests; one of them that was restarted and
-// has lost its records may not have been maintained at all.
+// checkSettled checks the invariants NoStuckDrain and MaintainedOnce. Members 0 and 1 have requests; one of them that was
+// restarted and has lost its records may not have been maintained at all.
 func (p *maintenanceProtocol) checkSettled(tier *tierModel) {
 	for index, member := range tier.Members {
 		if member.Process == nil {
--- a/internal/explore/membership.go
+++ b/internal/explore/membership.go
@@ -44,7 +44,7 @@
 	return membershipEffects(p.Reducer.Step(now, membership.TimerFired{Token: token.(membership.Token)}))
 }
 
-// membershipEffects converts the effects of a reducer's step.
+// membershipEffects converts the effects of a reducer's step to stepEffects.
 func membershipEffects(effects []membership.Effect) (result stepEffects) {
 	for _, effect := range effects {
 		switch effect := effect.(type) {
@@ -71,14 +71,14 @@
 func (p *membershipProtocol) tierConverged(*tierModel)     {}
 func (p *membershipProtocol) memberKilled(*tierModel, int) {}
 
-// checkStep checks MinorityColdLimit.
+// checkStep checks the invariant MinorityColdLimit.
 func (p *membershipProtocol) checkStep(tier *tierModel, index int) {
 	if view := tier.Members[index].Process.(*membershipProcess).Reducer.View(); !view.Majority() && view.ColdQuotaFraction() > float64(max(view.Available, 1))/float64(view.TierSize) {
 		tier.recordViolation(MinorityColdLimit, "member %d sees %d of %d members and uses %v of its quota", index, view.Available, view.TierSize, view.ColdQuotaFraction())
 	}
 }
 
-// checkTimePassed checks TimelySuspicion. The limit covers two rounds, in which every running member probes each other
+// checkTimePassed checks the invariant TimelySuspicion. Its limit covers two rounds, in which every running member probes each other
 // member. A probe takes one period, which a member's health may stretch by a factor of MaxHealth+1.
 // The time counts from the latest of the member's death, the observer's start, the end of its last pause and LastFault.
 func (p *membershipProtocol) checkTimePassed(tier *tierModel) {
@@ -98,7 +98,7 @@
 	}
 }
 
-// checkSettled checks NoPermanentFalseDeath and StaysDead.
+// checkSettled checks the invariants NoPermanentFalseDeath and StaysDead.
 func (p *membershipProtocol) checkSettled(tier *tierModel) {
 	for observerIndex, observer := range tier.Members {
 		if observer.Process == nil {
--- a/internal/explore/search.go
+++ b/internal/explore/search.go
@@ -145,7 +145,7 @@
 	return results
 }
 
-// successors checks a state and applies every enabled action to it.
+// successors returns the results of checking a state and of applying every enabled action to it.
 func (s *search) successors(index int) []stepResult {
 	path := s.pathTo(index)
 	model, _ := Replay(s.cfg, path)
--- a/internal/explore/tier.go
+++ b/internal/explore/tier.go
@@ -31,7 +31,7 @@
 	timerFired(now time.Duration, token any) stepEffects
 }
 
-// stepEffects are the effects that a step of a process requests.
+// stepEffects are what a step of a process requests: datagrams to send and timers to set.
 type stepEffects struct {
 	Sends  []sentDatagram
 	Timers []memberTimer
--- a/internal/lab/checker.go
+++ b/internal/lab/checker.go
@@ -26,7 +26,7 @@
 	Detail string        // what happened the first time
 }
 
-// SecondStats is one row of the per-second table.
+// SecondStats counts the events of one second of the run: a row of the per-second table (Result.WriteTable).
 type SecondStats struct {
 	// Set-ups: Offered by the second in which they were sent, the other counts by the second of their end. Excused
 	// set-ups stayed unanswered because of a fault that the lab injected.
@@ -334,5 +334,5 @@
 	return violations
 }
 
-// PerSecond returns the rows of the per-second table.
+// PerSecond returns the rows of the per-second table, one for each second of the run.
 func (c *Checker) PerSecond() []SecondStats { return c.seconds }
--- a/internal/lab/environment.go
+++ b/internal/lab/environment.go
@@ -63,23 +63,23 @@
 		return err
 	}
 	for i := range tierSize {
-		m := &member{index: i, name: MemberName(i), dir: filepath.Join(r.options.OutDir, MemberName(i))}
-		if err := os.MkdirAll(m.dir, 0o755); err != nil {
+		softswitch := &member{index: i, name: MemberName(i), dir: filepath.Join(r.options.OutDir, MemberName(i))}
+		if err := os.MkdirAll(softswitch.dir, 0o755); err != nil {
 			return err
 		}
 		for _, port := range []struct {
 			to      *string
 			network string
-		}{{&m.listenAddr, "tcp"}, {&m.mgmtAddr, "tcp"}, {&m.peerAddr, "udp"}} {
+		}{{&softswitch.listenAddr, "tcp"}, {&softswitch.mgmtAddr, "tcp"}, {&softswitch.peerAddr, "udp"}} {
 			if *port.to, err = r.pickPort(port.network, hosts[0][i]); err != nil {
 				return err
 			}
 		}
-		r.members = append(r.members, m)
+		r.members = append(r.members, softswitch)
 	}
 	var memberAddrs []*net.UDPAddr
-	for _, m := range r.members {
-		addr, err := net.ResolveUDPAddr("udp", m.peerAddr)
+	for _, softswitch := range r.members {
+		addr, err := net.ResolveUDPAddr("udp", softswitch.peerAddr)
 		if err != nil {
 			return err
 		}
@@ -88,8 +88,8 @@
 	if r.relay, err = NewRelay(hosts[3], "127.0.4.250", memberAddrs, r.scenario.Seed); err != nil {
 		return err
 	}
-	for _, m := range r.members {
-		if err := r.launch(m); err != nil {
+	for _, softswitch := range r.members {
+		if err := r.launch(softswitch); err != nil {
 			return err
 		}
 	}
@@ -102,15 +102,15 @@
 		if !errors.As(err, &exited) || attempt == 3 {
 			return err
 		}
-		m := exited.member
-		if m.listenAddr, err = r.pickPort("tcp", hosts[0][m.index]); err != nil {
+		softswitch := exited.member
+		if softswitch.listenAddr, err = r.pickPort("tcp", hosts[0][softswitch.index]); err != nil {
 			return err
 		}
-		if m.mgmtAddr, err = r.pickPort("tcp", hosts[0][m.index]); err != nil {
+		if softswitch.mgmtAddr, err = r.pickPort("tcp", hosts[0][softswitch.index]); err != nil {
 			return err
 		}
-		r.options.Log.Warn().Str("softswitch", m.name).Msg("process exited before it was ready; starting with new ports")
-		if err := r.launch(m); err != nil {
+		r.options.Log.Warn().Str("softswitch", softswitch.name).Msg("process exited before it was ready; starting with new ports")
+		if err := r.launch(softswitch); err != nil {
 			return err
 		}
 	}
@@ -125,33 +125,33 @@
 }
 
 // launch starts a member's process with a configuration that contains the present list of servers.
-func (r *runner) launch(m *member) error {
+func (r *runner) launch(softswitch *member) error {
 	var peers []string
 	allPeersAddr := ""
 	if r.scenario.PeersEnabled {
 		peers, allPeersAddr = r.relay.PeerAddresses(), r.relay.AllPeersAddress()
 	}
 	seed := r.rng.Uint64()
-	settings, err := r.memberSettings(m.index)
+	settings, err := r.memberSettings(softswitch.index)
 	if err != nil {
 		return err
 	}
-	return m.startProcess(r.options.Binary,
-		memberConfig(m, seed, r.commandChannel.listeners[m.index].Addr().String(), r.commandChannel.initialState(m.index),
-			peers, allPeersAddr, settings), r.membersFile)
+	return softswitch.startProcess(r.options.Binary,
+		memberConfig(softswitch, seed, r.commandChannel.listeners[softswitch.index].Addr().String(),
+			r.commandChannel.initialState(softswitch.index), peers, allPeersAddr, settings), r.membersFile)
 }
 
 // waitReady waits until all the given members are ready, at most for the scenario's start timeout. The error is an
 // exitedAtStart if the process of a member that is not ready has exited.
 func (r *runner) waitReady(members []*member) error {
 	deadline := time.Now().Add(r.scenario.StartTimeout.Duration)
-	for _, m := range members {
-		for m.pollAdminEndpoint(); !m.isReady(); m.pollAdminEndpoint() {
-			if !m.running() {
-				return &exitedAtStart{m}
+	for _, softswitch := range members {
+		for softswitch.pollAdminEndpoint(); !softswitch.isReady(); softswitch.pollAdminEndpoint() {
+			if !softswitch.running() {
+				return &exitedAtStart{softswitch}
 			}
 			if time.Now().After(deadline) {
-				return fmt.Errorf("%s not ready within %v", m.name, r.scenario.StartTimeout)
+				return fmt.Errorf("%s not ready within %v", softswitch.name, r.scenario.StartTimeout)
 			}
 			time.Sleep(20 * time.Millisecond)
 		}
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -125,10 +125,10 @@
 
 // recordFault records that the lab begins (begins true) to disturb a softswitch by a fault of this kind, or ceases to
 // disturb it; then kind is not used.
-func (r *runner) recordFault(m *member, kind string, begins bool) {
+func (r *runner) recordFault(softswitch *member, kind string, begins bool) {
 	now := r.now()
-	m.markFaultSpan(now, begins)
+	softswitch.markFaultSpan(now, begins)
 	r.mu.Lock()
-	r.tierChecker.RecordFault(now, m.index, kind, begins)
+	r.tierChecker.RecordFault(now, softswitch.index, kind, begins)
 	r.mu.Unlock()
 }
--- a/internal/lab/member.go
+++ b/internal/lab/member.go
@@ -225,13 +225,14 @@
 }
 
 // memberConfig returns the JSON configuration that a member is started with (DEPLOY, "What a softswitch is told").
-func memberConfig(m *member, seed uint64, channelAddr string, initialState map[string]any, peers []string,
+func memberConfig(softswitch *member, seed uint64, channelAddr string, initialState map[string]any, peers []string,
 	allPeersAddr string, settings json.RawMessage) []byte {
-	config := map[string]any{"name": m.name, "listen": m.listenAddr, "mgmt": m.mgmtAddr, "seed": fmt.Sprintf("%016x", seed),
+	config := map[string]any{"name": softswitch.name, "listen": softswitch.listenAddr, "mgmt": softswitch.mgmtAddr,
+		"seed":    fmt.Sprintf("%016x", seed),
 		"limits":  map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 1024},
 		"channel": channelAddr, "known": initialState, "settings": settings}
 	if peers != nil {
-		config["peer_listen"], config["peers"], config["peers_all"] = m.peerAddr, peers, allPeersAddr
+		config["peer_listen"], config["peers"], config["peers_all"] = softswitch.peerAddr, peers, allPeersAddr
 	}
 	text, _ := json.Marshal(config)
 	return text
--- a/internal/lab/network_conditions.go
+++ b/internal/lab/network_conditions.go
@@ -12,7 +12,7 @@
 	OneWay    bool          // only datagrams from group 0 to the other groups are dropped
 	Loss      float64       // probability that a datagram is dropped
 	Duplicate float64       // probability that a datagram is sent twice
-	Delay     time.Duration // added to every datagram
+	Delay     time.Duration // delay added to every datagram
 	Reorder   time.Duration // each datagram is delayed by a further random time below this
 }
 
--- a/internal/lab/operator.go
+++ b/internal/lab/operator.go
@@ -35,20 +35,20 @@
 // operateMaintenance records what a softswitch reports of its maintenance and plays the operator: when the softswitch is
 // ready for maintenance, the operator works on it, in the background, for the scenario's work duration, and then
 // releases it or restarts its process.
-func (r *runner) operateMaintenance(m *member) {
-	status, text := m.sendAdminRequest(http.MethodGet, "/ops/maintenance")
+func (r *runner) operateMaintenance(softswitch *member) {
+	status, text := softswitch.sendAdminRequest(http.MethodGet, "/ops/maintenance")
 	var maintenanceStatus mgmt.MaintenanceStatus
 	if status != http.StatusOK || json.Unmarshal(text, &maintenanceStatus) != nil {
 		return
 	}
 	grantIndex := slices.IndexFunc(maintenanceStatus.Granted,
-		func(request mgmt.MaintenanceRequest) bool { return request.Index == m.index })
+		func(request mgmt.MaintenanceRequest) bool { return request.Index == softswitch.index })
 	slotGranted := grantIndex >= 0 && maintenanceStatus.HoldsSlot
 	readyForWork := slotGranted && maintenanceStatus.Granted[grantIndex].Stage == maintenance.StageReady.String()
 	r.mu.Lock()
-	r.tierChecker.RecordMaintenance(r.now(), m.index, slotGranted, readyForWork)
-	beginsWork := readyForWork && !m.underMaintenance && r.scenario.WorkDuration.Duration > 0
-	m.underMaintenance = readyForWork && (m.underMaintenance || beginsWork)
+	r.tierChecker.RecordMaintenance(r.now(), softswitch.index, slotGranted, readyForWork)
+	beginsWork := readyForWork && !softswitch.underMaintenance && r.scenario.WorkDuration.Duration > 0
+	softswitch.underMaintenance = readyForWork && (softswitch.underMaintenance || beginsWork)
 	r.mu.Unlock()
 	if !beginsWork {
 		return
@@ -60,15 +60,15 @@
 			return
 		}
 		if r.scenario.WorkMethod == "restart" {
-			r.recordFault(m, "work", true)
-			m.stopProcess(syscall.SIGTERM, 5*time.Second)
-			if err := r.launch(m); err != nil {
-				r.options.Log.Error().Err(err).Str("softswitch", m.name).Msg("restart failed")
+			r.recordFault(softswitch, "work", true)
+			softswitch.stopProcess(syscall.SIGTERM, 5*time.Second)
+			if err := r.launch(softswitch); err != nil {
+				r.options.Log.Error().Err(err).Str("softswitch", softswitch.name).Msg("restart failed")
 			}
-			r.waitReady([]*member{m})
-			r.recordFault(m, "", false)
+			r.waitReady([]*member{softswitch})
+			r.recordFault(softswitch, "", false)
 			return
 		}
-		m.sendAdminRequest(http.MethodDelete, "/ops/maintenance?member="+m.name)
+		softswitch.sendAdminRequest(http.MethodDelete, "/ops/maintenance?member="+softswitch.name)
 	}()
 }
--- a/internal/lab/run_test.go
+++ b/internal/lab/run_test.go
@@ -18,11 +18,11 @@
 	if testing.Short() {
 		t.Skip("starts processes")
 	}
-	bin := filepath.Join(t.TempDir(), "elmseam")
-	if out, err := exec.Command("go", "build", "-o", bin, "elmseam/cmd/elmseam").CombinedOutput(); err != nil {
+	binary := filepath.Join(t.TempDir(), "elmseam")
+	if out, err := exec.Command("go", "build", "-o", binary, "elmseam/cmd/elmseam").CombinedOutput(); err != nil {
 		t.Fatalf("build: %v\n%s", err, out)
 	}
-	return bin
+	return binary
 }
 
 // shortScenario returns a scenario of 4 s with three softswitches and two servers.
@@ -37,7 +37,7 @@
 // faults cost, retries when another program takes a port, and leaves no process behind. The lab's counts are not compared
 // with the softswitches' own, because softswitches restart.
 func TestTierUnderFaults(t *testing.T) {
-	bin := buildSoftswitch(t)
+	binary := buildSoftswitch(t)
 	scenario := shortScenario("faults",
 		Fault{At: Duration{time.Second}, Kind: "kill", Target: []string{"n2"}, Duration: Duration{time.Second}},
 		Fault{At: Duration{time.Second}, Kind: "partition", Groups: [][]string{{"n1"}, {"n2", "n3"}},
@@ -52,7 +52,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	run := newRunner(scenario, Options{Binary: bin, OutDir: outDir}, rules, DefaultSettings)
+	run := newRunner(scenario, Options{Binary: binary, OutDir: outDir}, rules, DefaultSettings)
 	// Another program takes the first port chosen for n1 before n1 listens there; n1 gets new ports.
 	taken, err := net.Listen("tcp", "127.0.1.1:0")
 	if err != nil {
@@ -97,7 +97,7 @@
 // The checker reports the violations of a fleet that the lab misleads on purpose: drains that the command channel
 // does not publish, and servers that are weaker and colder than the command channel says.
 func TestTierWithSelfTestFaults(t *testing.T) {
-	bin := buildSoftswitch(t)
+	binary := buildSoftswitch(t)
 	for _, test := range []struct {
 		fault, wantRule string
 		scenario        *Scenario
@@ -115,7 +115,7 @@
 		if err := test.scenario.Check(); err != nil {
 			t.Fatal(err)
 		}
-		res, err := Run(test.scenario, Options{Binary: bin, OutDir: t.TempDir(), SelfTestFault: test.fault})
+		res, err := Run(test.scenario, Options{Binary: binary, OutDir: t.TempDir(), SelfTestFault: test.fault})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -134,7 +134,7 @@
 // end. All three members are maintained, one at a time, each once, although the member that received the requests is killed
 // shortly afterwards and another member is partitioned; no call is lost because of the maintenance.
 func TestTierWithMembership(t *testing.T) {
-	bin := buildSoftswitch(t)
+	binary := buildSoftswitch(t)
 	scenario := shortScenario("members",
 		Fault{At: Duration{time.Second}, Kind: "loss", Probability: 0.3, Duration: Duration{6 * time.Second}},
 		Fault{At: Duration{time.Second}, Kind: "duplicate", Probability: 0.2, Duration: Duration{6 * time.Second}},
@@ -154,7 +154,7 @@
 		t.Fatal(err)
 	}
 	outDir := t.TempDir()
-	res, err := Run(scenario, Options{Binary: bin, OutDir: outDir})
+	res, err := Run(scenario, Options{Binary: binary, OutDir: outDir})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/sampling.go
+++ b/internal/lab/sampling.go
@@ -52,16 +52,16 @@
 		return
 	}
 	var wg sync.WaitGroup
-	for i, m := range r.members {
+	for i, softswitch := range r.members {
 		wg.Go(func() {
-			view, ok := m.readView()
+			view, ok := softswitch.readView()
 			r.mu.Lock()
 			if ok {
 				r.tierChecker.RecordView(r.now(), i, view)
 			}
 			r.mu.Unlock()
 			if r.scenario.MaintenanceBudget > 0 {
-				r.operateMaintenance(m)
+				r.operateMaintenance(softswitch)
 			}
 		})
 	}
--- a/internal/lab/scenario.go
+++ b/internal/lab/scenario.go
@@ -55,7 +55,7 @@
 	Membership map[string]any `toml:"membership"`
 
 	TotalCapacity float64        `toml:"-"` // sum of the servers' capacities; filled by Check
-	indexByName   map[string]int // softswitches; filled by Check
+	indexByName   map[string]int // index of each softswitch; filled by Check
 }
 
 // Server is a stand-in server.
--- a/internal/lab/tier_checker.go
+++ b/internal/lab/tier_checker.go
@@ -13,10 +13,10 @@
 	ColdQuotaFraction float64  // factor on its quota of a cold server's budget, 0 to 1
 }
 
-// isDown reports whether a state means that the member takes no part.
+// isDown reports whether a state means that the member takes no part in the tier.
 func isDown(state string) bool { return state == "dead" || state == "left" }
 
-// isAvailable reports whether a state means that the member takes part.
+// isAvailable reports whether a state means that the member takes part in the tier.
 func isAvailable(state string) bool { return state == "alive" || state == "draining" }
 
 // Detection records when the other softswitches noticed that the lab had killed, stopped or paused a softswitch. Unless
