--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -18,8 +18,8 @@
 	disabledGuards Guard // guards that are switched off at all members
 	members        []*testMember
 	queue          []scheduledEvent        // events to be delivered
-	cut            func(from, to int) bool // whether the network loses a datagram that is sent now
-	delay          func() time.Duration    // delay of a datagram that is sent now
+	isCutOff       func(from, to int) bool // whether the network loses a datagram that is sent now
+	datagramDelay  func() time.Duration    // delay of a datagram that is sent now
 	demand         []float64               // by member: demand that it reports when it starts
 }
 
@@ -43,9 +43,9 @@
 const epoch = 1_700_000_000 * time.Second
 
 // newTestTier starts a tier of the given size with a fault-free network.
-func newTestTier(t *testing.T, size int, disabled Guard, seed uint64) *testTier {
-	tier := &testTier{t: t, rng: rand.New(rand.NewPCG(seed, 1)), limits: Defaults(), disabledGuards: disabled, demand: make([]float64, size),
-		cut: func(int, int) bool { return false }, delay: func() time.Duration { return 5 * time.Millisecond }}
+func newTestTier(t *testing.T, size int, disabledGuards Guard, seed uint64) *testTier {
+	tier := &testTier{t: t, rng: rand.New(rand.NewPCG(seed, 1)), limits: Defaults(), disabledGuards: disabledGuards, demand: make([]float64, size),
+		isCutOff: func(int, int) bool { return false }, datagramDelay: func() time.Duration { return 5 * time.Millisecond }}
 	for range size {
 		tier.members = append(tier.members, &testMember{clockRate: 1})
 	}
@@ -73,7 +73,7 @@
 	tier.step(member, ColdServer{Server: 7, Rate: 10, ColdUntil: tier.memberClock(member) + time.Hour})
 }
 
-// killMember kills a member and tells the others.
+// killMember kills a member and tells the others that it is not available.
 func (tier *testTier) killMember(member int) {
 	tier.members[member].reducer, tier.members[member].paused, tier.members[member].heldEvents = nil, false, nil
 	tier.setAvailable(member, false)
@@ -86,7 +86,7 @@
 	}
 }
 
-// step gives an event to a member, unless it is dead or paused, carries out the effects, and checks the invariant.
+// step gives an event to a member, unless it is dead or paused, carries out the effects, and calls checkExclusive.
 func (tier *testTier) step(member int, ev Event) {
 	state := tier.members[member]
 	if state.reducer == nil || state.paused {
@@ -98,8 +98,8 @@
 			if len(effect.Data) > datagram.MaxSize {
 				tier.t.Fatalf("a datagram of %d bytes is too long", len(effect.Data))
 			}
-			if !tier.cut(member, effect.To) {
-				tier.queue = append(tier.queue, scheduledEvent{tier.now + tier.delay(), effect.To, 0, Datagram{member, effect.Data}})
+			if !tier.isCutOff(member, effect.To) {
+				tier.queue = append(tier.queue, scheduledEvent{tier.now + tier.datagramDelay(), effect.To, 0, Datagram{member, effect.Data}})
 			}
 		case Timer:
 			tier.queue = append(tier.queue, scheduledEvent{time.Duration(float64(effect.At-epoch) / state.clockRate), member, state.incarnation, TimerFired{effect.Token}})
@@ -173,7 +173,7 @@
 	return n
 }
 
-// Units of two members that are considered dead go to the available members once their leases have expired, and not
+// Units of the quotas of two members that are considered dead go to the available members once their leases have expired, and not
 // before; no other member uses their reserved units. The one that was only paused resumes with its reserved unit alone,
 // and has the other units back within 5 s.
 func TestSuccessorsUseUnitsOfDeadMembers(t *testing.T) {
@@ -214,15 +214,15 @@
 // A busy member borrows from an idle one within 2 s, and the owner does not use units that it has lent. After the death of the
 // borrower the owner, in a tier of two, has no majority that renews its leases, and uses its reserved unit alone.
 func TestLoan(t *testing.T) {
-	for _, disabled := range []Guard{0, GuardLoan} {
-		tier := newTestTier(t, 2, disabled, 1)
+	for _, disabledGuards := range []Guard{0, GuardLoan} {
+		tier := newTestTier(t, 2, disabledGuards, 1)
 		usedByBoth := func() (units Mask) {
 			return tier.members[0].reducer.Usable(tier.memberClock(0), 1) & tier.members[1].reducer.Usable(tier.memberClock(1), 1)
 		}
 		tier.run(4 * time.Second)
 		tier.demand[0] = 3
-		if disabled != 0 { // without the guard the violation shows
-			tier.cut = func(from, _ int) bool { return false }
+		if disabledGuards != 0 { // without GuardLoan the lender uses a lent unit
+			tier.isCutOff = func(from, _ int) bool { return false }
 			tier.members[1].reducer.loans[3] = loan{0, tier.memberClock(1) + time.Second}
 			if usable := tier.members[1].reducer.Usable(tier.memberClock(1), 1); usable&(1<<3) == 0 {
 				t.Error("without GuardLoan a member does not use the units that it has lent")
@@ -277,8 +277,8 @@
 			state.clockRate = 1 + 0.01*float64(member-2)/2
 		}
 		isolated := [5]bool{}
-		tier.cut = func(from, to int) bool { return isolated[from] != isolated[to] || tier.rng.IntN(5) == 0 }
-		tier.delay = func() time.Duration {
+		tier.isCutOff = func(from, to int) bool { return isolated[from] != isolated[to] || tier.rng.IntN(5) == 0 }
+		tier.datagramDelay = func() time.Duration {
 			if tier.rng.IntN(10) == 0 {
 				return time.Duration(tier.rng.IntN(3000)) * time.Millisecond
 			}
@@ -314,7 +314,7 @@
 			}
 			tier.run(tier.now + time.Duration(tier.rng.IntN(700))*time.Millisecond)
 		}
-		tier.cut, tier.delay = func(int, int) bool { return false }, func() time.Duration { return 5 * time.Millisecond }
+		tier.isCutOff, tier.datagramDelay = func(int, int) bool { return false }, func() time.Duration { return 5 * time.Millisecond }
 		for member, state := range tier.members {
 			if state.paused {
 				tier.resumeMember(member)
@@ -349,12 +349,12 @@
 	r, _, _ = New(Config{TierSize: 5, Limits: Defaults()}, epoch)
 	rng := rand.New(rand.NewPCG(1, 1))
 	for range 2000 {
-		msg := message{Kind: messageKind(rng.IntN(7)), Tier: 5, Seq: rng.Uint32(), Incarnation: rng.Uint64N(3), Items: []int64{}, Rates: []int64{}}
+		msg := message{Kind: messageKind(rng.IntN(7)), TierSize: 5, Seq: rng.Uint32(), Incarnation: rng.Uint64N(3), Items: []int64{}, QuotaRates: []int64{}}
 		for range rng.IntN(4) {
 			msg.Items = append(msg.Items, rng.Int64N(1<<12)-5)
 		}
 		for range rng.IntN(4) {
-			msg.Rates = append(msg.Rates, rng.Int64N(1<<34)-5)
+			msg.QuotaRates = append(msg.QuotaRates, rng.Int64N(1<<34)-5)
 		}
 		data := datagram.Encode(Version, msg)
 		if rng.IntN(4) == 0 {
--- a/internal/budget/loans.go
+++ b/internal/budget/loans.go
@@ -36,7 +36,7 @@
 	return units
 }
 
-// lentUnits returns the units of its own quota that this member has lent.
+// lentUnits returns the units of its own quota that this member has lent and that are still lent at the given time.
 func (r *Reducer) lentUnits(now Time) (units Mask) {
 	for unit, loan := range r.loans {
 		if now < loan.Expiry {
@@ -49,7 +49,7 @@
 // requestLoans requests loans if this member uses nearly all units that it holds: first the renewal of existing
 // loans, as far as they are needed, then additional units from the member with the most lendable units.
 func (r *Reducer) requestLoans() {
-	missing := int(math.Ceil(r.demand / borrowThreshold * Units))
+	missingUnits := int(math.Ceil(r.demand / borrowThreshold * Units))
 	renewals := make([]Mask, r.cfg.TierSize)
 	lender := -1
 	for owner := range r.heldExpiry {
@@ -59,25 +59,25 @@
 				renewals[owner] |= 1 << unit
 			}
 		}
-		missing -= (usable &^ renewals[owner]).Count()
-		if lendable := r.lendable[owner]; owner != r.cfg.Self && r.available[owner] && lendable > 0 && (lender < 0 || lendable > r.lendable[lender]) {
+		missingUnits -= (usable &^ renewals[owner]).Count()
+		if lendable := r.lendableCounts[owner]; owner != r.cfg.Self && r.available[owner] && lendable > 0 && (lender < 0 || lendable > r.lendableCounts[lender]) {
 			lender = owner
 		}
 	}
-	r.loanSeq++
+	r.lastLoanSeq++
 	r.loanRequestedAt = r.now
 	for owner, units := range renewals {
-		for ; units.Count() > max(missing, 0); units &= units - 1 {
+		for ; units.Count() > max(missingUnits, 0); units &= units - 1 {
 		}
-		missing -= units.Count()
+		missingUnits -= units.Count()
 		renewals[owner] = units
 	}
 	for owner, units := range renewals {
-		switch additional := min(max(missing, 0), Units); {
+		switch additional := min(max(missingUnits, 0), Units); {
 		case owner == lender && additional > 0:
-			r.send(owner, message{Kind: kindBorrow, Seq: r.loanSeq, Items: []int64{int64(additional), int64(units)}})
+			r.send(owner, message{Kind: kindBorrow, Seq: r.lastLoanSeq, Items: []int64{int64(additional), int64(units)}})
 		case units != 0:
-			r.send(owner, message{Kind: kindBorrow, Seq: r.loanSeq, Items: []int64{0, int64(units)}})
+			r.send(owner, message{Kind: kindBorrow, Seq: r.lastLoanSeq, Items: []int64{0, int64(units)}})
 		}
 	}
 }
@@ -85,14 +85,14 @@
 // handleBorrow answers a loan request: it renews existing loans while this member can spare the units, and lends
 // additional units. Without any units to lend it sends no answer.
 func (r *Reducer) handleBorrow(borrower int, msg message) {
-	additional, renewals := int(msg.Items[0]), Mask(msg.Items[1])
+	additionalUnits, renewals := int(msg.Items[0]), Mask(msg.Items[1])
 	var units Mask
 	for unit, loan := range r.loans {
 		if loan.Borrower == borrower && r.now < loan.Expiry && r.demand >= 0 && r.demand <= borrowThreshold {
 			units |= renewals & (1 << unit)
 		}
 	}
-	for lendable := r.lendableUnits(); additional > 0 && lendable != 0; additional-- {
+	for lendable := r.lendableUnits(); additionalUnits > 0 && lendable != 0; additionalUnits-- {
 		highest := Mask(1) << (bits.Len8(uint8(lendable)) - 1)
 		units, lendable = units|highest, lendable&^highest
 	}
@@ -112,16 +112,16 @@
 		}
 	}
 	r.counters.Lent += uint64(units.Count())
-	r.send(borrower, message{Kind: kindLend, Seq: msg.Seq, Items: []int64{int64(units), int64(duration / time.Millisecond)}, Rates: r.encodeRates()})
+	r.send(borrower, message{Kind: kindLend, Seq: msg.Seq, Items: []int64{int64(units), int64(duration / time.Millisecond)}, QuotaRates: r.encodeOwnQuotaRates()})
 }
 
 // handleLoan records the units of a loan received from a lender. The loan counts from when it was requested; the answer
 // to an earlier request is ignored.
 func (r *Reducer) handleLoan(from int, msg message) {
-	if msg.Seq != r.loanSeq || msg.Items[0] == 0 {
+	if msg.Seq != r.lastLoanSeq || msg.Items[0] == 0 {
 		return
 	}
-	expiry := r.loanRequestedAt + r.cfg.Limits.safeDuration(time.Duration(msg.Items[1])*time.Millisecond)
+	expiry := r.loanRequestedAt + r.cfg.Limits.holderLeaseDuration(time.Duration(msg.Items[1])*time.Millisecond)
 	if !r.guardEnabled(GuardExpiry) {
 		expiry = r.now + 2*r.cfg.Limits.Lease
 	}
@@ -156,11 +156,11 @@
 // Rate returns the rate that this member may send to a cold server at the given time, in set-ups a second of a warm server.
 // It returns false for a server that is not known to be cold, or if units do not move.
 func (r *Reducer) Rate(now Time, server uint32) (rate float64, known bool) {
-	cold := r.findServer(server)
+	cold := r.findColdServer(server)
 	if cold == nil || max(now, r.now) >= cold.ColdUntil || !r.Transferable() {
 		return 0, false
 	}
-	for owner, quotaRate := range cold.Rates {
+	for owner, quotaRate := range cold.QuotaRates {
 		if quotaRate > 0 {
 			rate += quotaRate * float64(r.Usable(now, owner).Count()) / Units
 		}
@@ -186,7 +186,7 @@
 }
 
 // AnyCold reports whether a server was cold at the last round or has become cold since; false if units do not move.
-func (r *Reducer) AnyCold() bool { return r.active }
+func (r *Reducer) AnyCold() bool { return r.roundsActive }
 
 // Counters returns the current counters.
 func (r *Reducer) Counters() Counters { return r.counters }
--- a/internal/budget/reducer.go
+++ b/internal/budget/reducer.go
@@ -14,11 +14,11 @@
 
 // claimRound is one round of claims: the units requested, when, and the votes so far.
 type claimRound struct {
-	Seq       uint32       // number of the claims
-	StartedAt Time         // when the claims were sent
-	Units     []Mask       // units claimed, by owner
-	Votes     [][Units]int // number of members that granted the unit, by owner and unit
-	Voters    []int        // this member, and the members that have answered
+	Seq          uint32       // number of the claims
+	StartedAt    Time         // when the claims were sent
+	ClaimedUnits []Mask       // units claimed, by owner
+	Votes        [][Units]int // number of members that granted the unit, by owner and unit
+	Voters       []int        // this member, and the members that have answered
 }
 
 // loan is a loan of one of this member's own units.
@@ -27,11 +27,11 @@
 	Expiry   Time // from then on the lender may use the unit again
 }
 
-// coldServer is a cold server with the members' quotas of its budget.
+// coldServer is a cold server with each member's quota of its budget.
 type coldServer struct {
-	Server    uint32    // hash of the server's name and start
-	ColdUntil Time      // when the server is warm
-	Rates     []float64 // whole quota in set-ups a second, by member; negative: not reported
+	ServerHash uint32    // hash of the server's name and start
+	ColdUntil  Time      // when the server is warm
+	QuotaRates []float64 // whole quota in set-ups a second, by member; negative: not reported
 }
 
 // Reducer is one member's state of the protocol. It is not safe for concurrent use.
@@ -43,20 +43,20 @@
 	rng             *rand.Rand
 	effects         []Effect
 	available       []bool         // by member, as membership reports it
-	lendable        []uint8        // units that each member last reported as lendable
+	lendableCounts  []uint8        // units that each member last reported as lendable
 	grants          [][Units]Grant // by owner and unit: granted by this member
 	ownerRefusedAt  []Time         // by owner: when the owner last claimed a unit of its quota in vain
 	heldExpiry      [][Units]Time  // by owner and unit: expiry of the lease that this member holds; 0: none
-	claimSeq        uint32         // number of the last claim
-	rounds          []claimRound   // last rounds of claims
+	lastClaimSeq    uint32         // number of the last claim
+	recentRounds    []claimRound   // the last four rounds of claims, the newest last
 	loans           [Units]loan    // own units lent, by unit
 	borrowedExpiry  [][Units]Time  // by lender and unit: expiry of the loan to this member
-	loanSeq         uint32         // number of the last loan request
+	lastLoanSeq     uint32         // number of the last loan request
 	loanRequestedAt Time           // when that request was sent
 	coldServers     []coldServer
 	demand          float64 // last Demand event, in multiples of this member's quota; negative: none has come
-	timerSeq        uint32  // token of the only valid timer
-	active          bool    // a server is cold and rounds run
+	validTimerSeq   uint32  // number in the token of the only valid timer
+	roundsActive    bool    // rounds of claims run, because a server is cold
 	counters        Counters
 }
 
@@ -76,12 +76,12 @@
 		cfg: cfg, now: now, incarnation: max(uint64(now/time.Millisecond), 1), recoveredAt: now + cfg.Limits.recoveryTime(), demand: -1,
 		rng: rand.New(rand.NewPCG(cfg.Seed, 0x62756467)),
 	}
-	r.claimSeq, r.loanSeq = uint32(r.incarnation), uint32(r.incarnation) // start at the incarnation, so that answers to requests of an earlier incarnation do not match
+	r.lastClaimSeq, r.lastLoanSeq = uint32(r.incarnation), uint32(r.incarnation) // start at the incarnation, so that answers to requests of an earlier incarnation do not match
 	if !r.guardEnabled(GuardRecover) || cfg.TierSize == 1 {
 		r.recoveredAt = 0
 	}
 	if r.Transferable() {
-		r.available, r.lendable, r.ownerRefusedAt = make([]bool, cfg.TierSize), make([]uint8, cfg.TierSize), make([]Time, cfg.TierSize)
+		r.available, r.lendableCounts, r.ownerRefusedAt = make([]bool, cfg.TierSize), make([]uint8, cfg.TierSize), make([]Time, cfg.TierSize)
 		r.grants, r.heldExpiry, r.borrowedExpiry = make([][Units]Grant, cfg.TierSize), make([][Units]Time, cfg.TierSize), make([][Units]Time, cfg.TierSize)
 		r.available[cfg.Self] = true
 		for owner := range r.grants {
@@ -107,12 +107,12 @@
 		}
 		return nil
 	}
-	r.expire()
+	r.dropExpired()
 	switch ev := ev.(type) {
 	case Datagram:
 		r.handleDatagram(ev)
 	case TimerFired:
-		if ev.Token.seq == r.timerSeq {
+		if ev.Token.seq == r.validTimerSeq {
 			r.runRound()
 		}
 	case MemberAvailability:
@@ -132,11 +132,11 @@
 // emit adds an effect to the result of the current Step.
 func (r *Reducer) emit(e Effect) { r.effects = append(r.effects, e) }
 
-// guardEnabled reports whether the guard is on.
+// guardEnabled reports whether a guard is on, that is, not switched off by a test.
 func (r *Reducer) guardEnabled(g Guard) bool { return r.cfg.DisabledGuards&g == 0 }
 
-// quorum is the number of members in a majority of the tier.
-func (r *Reducer) quorum() int { return r.cfg.TierSize/2 + 1 }
+// majoritySize returns the number of members in a majority of the tier.
+func (r *Reducer) majoritySize() int { return r.cfg.TierSize/2 + 1 }
 
 // markCold handles a ColdServer event. This member's own rate for a server never falls while the server is cold.
 // Units of other members' quotas that are used here count at their owners' rates, so no rate should grow with the
@@ -145,32 +145,32 @@
 	if ev.ColdUntil <= r.now || !(ev.Rate >= 0) {
 		return
 	}
-	cold := r.findOrAddServer(ev.Server)
+	cold := r.findOrAddColdServer(ev.Server)
 	if cold == nil {
 		return
 	}
 	cold.ColdUntil = max(cold.ColdUntil, ev.ColdUntil)
-	cold.Rates[r.cfg.Self] = max(cold.Rates[r.cfg.Self], ev.Rate)
-	if r.Transferable() && !r.active {
-		r.active = true
+	cold.QuotaRates[r.cfg.Self] = max(cold.QuotaRates[r.cfg.Self], ev.Rate)
+	if r.Transferable() && !r.roundsActive {
+		r.roundsActive = true
 		r.runRound()
 	}
 }
 
-// findOrAddServer returns the state of a cold server; nil if too many servers are cold.
-func (r *Reducer) findOrAddServer(hash uint32) *coldServer {
+// findOrAddColdServer returns the state of a cold server; nil if too many servers are cold.
+func (r *Reducer) findOrAddColdServer(hash uint32) *coldServer {
 	r.coldServers = slices.DeleteFunc(r.coldServers, func(cold coldServer) bool { return r.now >= cold.ColdUntil })
 	for i := range r.coldServers {
-		if r.coldServers[i].Server == hash {
+		if r.coldServers[i].ServerHash == hash {
 			return &r.coldServers[i]
 		}
 	}
 	if len(r.coldServers) >= r.cfg.Limits.MaxServers {
 		return nil
 	}
-	cold := coldServer{Server: hash, Rates: make([]float64, r.cfg.TierSize)}
-	for m := range cold.Rates {
-		cold.Rates[m] = -1
+	cold := coldServer{ServerHash: hash, QuotaRates: make([]float64, r.cfg.TierSize)}
+	for m := range cold.QuotaRates {
+		cold.QuotaRates[m] = -1
 	}
 	r.coldServers = append(r.coldServers, cold)
 	return &r.coldServers[len(r.coldServers)-1]
@@ -180,43 +180,43 @@
 // repeat while a server is cold.
 func (r *Reducer) runRound() {
 	r.coldServers = slices.DeleteFunc(r.coldServers, func(cold coldServer) bool { return r.now >= cold.ColdUntil })
-	if r.active = len(r.coldServers) > 0; !r.active {
+	if r.roundsActive = len(r.coldServers) > 0; !r.roundsActive {
 		return
 	}
 	r.sendClaims()
 	r.requestLoans()
-	r.timerSeq++
+	r.validTimerSeq++
 	// Random jitter, so that two successors do not keep claiming at the same time.
 	delay := r.cfg.Limits.roundInterval()*7/8 + time.Duration(r.rng.Int64N(int64(r.cfg.Limits.roundInterval()/4)))
-	r.emit(Timer{At: r.now + delay, Token: Token{r.timerSeq}})
+	r.emit(Timer{At: r.now + delay, Token: Token{r.validTimerSeq}})
 }
 
 // sendClaims claims from all members this member's own transferable units, and the units of unavailable members whose
 // successor this member is or which it still holds.
 func (r *Reducer) sendClaims() {
-	round := claimRound{StartedAt: r.now, Units: make([]Mask, r.cfg.TierSize), Votes: make([][Units]int, r.cfg.TierSize), Voters: []int{r.cfg.Self}}
-	r.claimSeq++
-	round.Seq = r.claimSeq
+	round := claimRound{StartedAt: r.now, ClaimedUnits: make([]Mask, r.cfg.TierSize), Votes: make([][Units]int, r.cfg.TierSize), Voters: []int{r.cfg.Self}}
+	r.lastClaimSeq++
+	round.Seq = r.lastClaimSeq
 	var items []int64
-	for owner := range round.Units {
+	for owner := range round.ClaimedUnits {
 		for unit := 1; unit < Units; unit++ {
 			if owner == r.cfg.Self || !r.available[owner] && (r.successor(owner, unit) == r.cfg.Self || r.now < r.heldExpiry[owner][unit]) {
-				round.Units[owner] |= 1 << unit
+				round.ClaimedUnits[owner] |= 1 << unit
 			}
 		}
-		if round.Units[owner] != 0 {
-			items = append(items, int64(owner)<<Units|int64(round.Units[owner]))
+		if round.ClaimedUnits[owner] != 0 {
+			items = append(items, int64(owner)<<Units|int64(round.ClaimedUnits[owner]))
 		}
 	}
 	r.counters.Claims++
-	r.rounds = append(r.rounds, round)
-	r.rounds = r.rounds[max(len(r.rounds)-4, 0):] // answers to the last four rounds still count
-	for owner, units := range round.Units {
-		r.countVotes(&r.rounds[len(r.rounds)-1], owner, r.vote(r.cfg.Self, r.incarnation, round.Seq, owner, units))
+	r.recentRounds = append(r.recentRounds, round)
+	r.recentRounds = r.recentRounds[max(len(r.recentRounds)-4, 0):] // answers to the last four rounds still count
+	for owner, units := range round.ClaimedUnits {
+		r.countVotes(&r.recentRounds[len(r.recentRounds)-1], owner, r.voteOnClaim(r.cfg.Self, r.incarnation, round.Seq, owner, units))
 	}
 	for member := range r.cfg.TierSize {
 		if member != r.cfg.Self {
-			r.send(member, message{Kind: kindClaim, Seq: round.Seq, Items: items, Rates: r.encodeRates()})
+			r.send(member, message{Kind: kindClaim, Seq: round.Seq, Items: items, QuotaRates: r.encodeOwnQuotaRates()})
 		}
 	}
 }
@@ -236,19 +236,19 @@
 	return successor
 }
 
-// encodeRates returns this member's own quotas in the form of message.Rates.
-func (r *Reducer) encodeRates() (items []int64) {
+// encodeOwnQuotaRates returns this member's own quotas in the form of message.QuotaRates.
+func (r *Reducer) encodeOwnQuotaRates() (items []int64) {
 	for _, cold := range r.coldServers {
-		if rate := cold.Rates[r.cfg.Self]; rate >= 0 {
-			items = append(items, int64(cold.Server), int64(min(rate, 1e6)*1000))
+		if rate := cold.QuotaRates[r.cfg.Self]; rate >= 0 {
+			items = append(items, int64(cold.ServerHash), int64(min(rate, 1e6)*1000))
 		}
 	}
 	return items
 }
 
-// vote returns the units of an owner's quota that this member grants to a claimant, and records the grants. Before
+// voteOnClaim returns the units of an owner's quota that this member grants to a claimant, and records the grants. Before
 // recoveredAt it grants none.
-func (r *Reducer) vote(claimant int, incarnation uint64, seq uint32, owner int, units Mask) (granted Mask) {
+func (r *Reducer) voteOnClaim(claimant int, incarnation uint64, seq uint32, owner int, units Mask) (granted Mask) {
 	if r.now < r.recoveredAt {
 		return 0
 	}
@@ -278,13 +278,13 @@
 // it was claimed.
 func (r *Reducer) countVotes(round *claimRound, owner int, units Mask) {
 	for unit := 1; unit < Units; unit++ {
-		if units&round.Units[owner]&(1<<unit) == 0 {
+		if units&round.ClaimedUnits[owner]&(1<<unit) == 0 {
 			continue
 		}
-		if round.Votes[owner][unit]++; round.Votes[owner][unit] != r.quorum() {
+		if round.Votes[owner][unit]++; round.Votes[owner][unit] != r.majoritySize() {
 			continue
 		}
-		expiry := round.StartedAt + r.cfg.Limits.safeDuration(r.cfg.Limits.Lease)
+		expiry := round.StartedAt + r.cfg.Limits.holderLeaseDuration(r.cfg.Limits.Lease)
 		if !r.guardEnabled(GuardExpiry) {
 			expiry = r.now + 2*r.cfg.Limits.Lease
 		}
@@ -300,8 +300,9 @@
 	}
 }
 
-// expire drops leases and loans that have expired. Step calls it before it handles an event.
-func (r *Reducer) expire() {
+// dropExpired drops the leases that this member holds and its loans, given or received, that have expired. Step calls it
+// before it handles an event.
+func (r *Reducer) dropExpired() {
 	for owner := range r.heldExpiry {
 		for unit := range Units {
 			if expiry := r.heldExpiry[owner][unit]; expiry > 0 && r.now >= expiry {
@@ -320,45 +321,45 @@
 	}
 }
 
-// handleDatagram handles a datagram from another member.
-func (r *Reducer) handleDatagram(d Datagram) {
-	if d.From < 0 || d.From >= r.cfg.TierSize {
+// handleDatagram checks a datagram from another member, stores the quotas that it reports, and handles its message.
+func (r *Reducer) handleDatagram(received Datagram) {
+	if received.From < 0 || received.From >= r.cfg.TierSize {
 		r.counters.UnknownSenders++
 		return
 	}
-	msg, err := decode(d.Data, r.cfg.TierSize)
+	msg, err := decode(received.Data, r.cfg.TierSize)
 	switch {
 	case err != nil:
 		r.counters.Malformed++
 		return
-	case int(msg.Tier) != r.cfg.TierSize, d.From == r.cfg.Self:
+	case int(msg.TierSize) != r.cfg.TierSize, received.From == r.cfg.Self:
 		r.counters.UnknownSenders++
 		return
 	}
-	r.lendable[d.From] = msg.Lendable
-	for i := 0; i+1 < len(msg.Rates); i += 2 {
-		if cold := r.findServer(uint32(msg.Rates[i])); cold != nil { // ignore servers that no ColdServer event has reported here
-			cold.Rates[d.From] = float64(msg.Rates[i+1]) / 1000
+	r.lendableCounts[received.From] = msg.LendableCount
+	for i := 0; i+1 < len(msg.QuotaRates); i += 2 {
+		if cold := r.findColdServer(uint32(msg.QuotaRates[i])); cold != nil { // ignore servers that no ColdServer event has reported here
+			cold.QuotaRates[received.From] = float64(msg.QuotaRates[i+1]) / 1000
 		}
 	}
 	switch msg.Kind {
 	case kindClaim:
-		r.handleClaim(d.From, msg)
+		r.handleClaim(received.From, msg)
 	case kindGrant:
-		r.handleGrant(d.From, msg)
+		r.handleGrant(received.From, msg)
 	case kindReturn:
-		r.handleReturn(d.From, msg)
+		r.handleReturn(received.From, msg)
 	case kindBorrow:
-		r.handleBorrow(d.From, msg)
+		r.handleBorrow(received.From, msg)
 	case kindLend:
-		r.handleLoan(d.From, msg)
+		r.handleLoan(received.From, msg)
 	}
 }
 
-// findServer returns the state of a server that a ColdServer event has reported; nil if there is none.
-func (r *Reducer) findServer(hash uint32) *coldServer {
+// findColdServer returns the state of a server that a ColdServer event has reported; nil if there is none.
+func (r *Reducer) findColdServer(hash uint32) *coldServer {
 	for i := range r.coldServers {
-		if cold := &r.coldServers[i]; cold.Server == hash && cold.Rates[r.cfg.Self] >= 0 {
+		if cold := &r.coldServers[i]; cold.ServerHash == hash && cold.QuotaRates[r.cfg.Self] >= 0 {
 			return cold
 		}
 	}
@@ -370,7 +371,7 @@
 	var items []int64
 	for _, item := range msg.Items {
 		owner, units := int(item>>Units), Mask(item)
-		granted := r.vote(from, msg.Incarnation, msg.Seq, owner, units)
+		granted := r.voteOnClaim(from, msg.Incarnation, msg.Seq, owner, units)
 		r.counters.VotesGranted += uint64(granted.Count())
 		r.counters.VotesRefused += uint64((units &^ granted).Count())
 		if granted != 0 {
@@ -378,15 +379,15 @@
 		}
 	}
 	if len(items) > 0 {
-		r.send(from, message{Kind: kindGrant, Seq: msg.Seq, Items: items, Rates: r.encodeRates()})
+		r.send(from, message{Kind: kindGrant, Seq: msg.Seq, Items: items, QuotaRates: r.encodeOwnQuotaRates()})
 	}
 }
 
-// handleGrant counts the votes in an answer to a claim. After a majority has answered, about half of the units that were
-// not won are given back (returnUnwon), so that of two successors that split the votes one wins them in a later round.
+// handleGrant counts the votes in an answer to a claim. After a majority has answered, returnUnwon gives back about half of
+// the units of other members' quotas that were not won, so that of two successors that split the votes one wins them in a later round.
 func (r *Reducer) handleGrant(from int, msg message) {
-	for i := range r.rounds {
-		round := &r.rounds[i]
+	for i := range r.recentRounds {
+		round := &r.recentRounds[i]
 		if round.Seq != msg.Seq || slices.Contains(round.Voters, from) {
 			continue
 		}
@@ -401,31 +402,31 @@
 // returnUnwon gives back, at the answer that completes a majority of answers to the last claim, units of other members'
 // quotas that did not get a majority of votes and that this member does not hold, each with a probability of one half.
 func (r *Reducer) returnUnwon(round *claimRound) {
-	if len(round.Voters) != r.quorum() || round.Seq != r.claimSeq {
+	if len(round.Voters) != r.majoritySize() || round.Seq != r.lastClaimSeq {
 		return
 	}
 	var items []int64
-	for owner, units := range round.Units {
+	for owner, units := range round.ClaimedUnits {
 		var unwon Mask
 		for unit := 1; unit < Units; unit++ {
-			if units&(1<<unit) != 0 && r.heldExpiry[owner][unit] == 0 && round.Votes[owner][unit] < r.quorum() && owner != r.cfg.Self && r.rng.IntN(2) == 0 {
+			if units&(1<<unit) != 0 && r.heldExpiry[owner][unit] == 0 && round.Votes[owner][unit] < r.majoritySize() && owner != r.cfg.Self && r.rng.IntN(2) == 0 {
 				unwon |= 1 << unit
 			}
 		}
 		if unwon != 0 {
 			items = append(items, int64(owner)<<Units|int64(unwon))
-			round.Units[owner] &^= unwon // later votes for these units do not count
+			round.ClaimedUnits[owner] &^= unwon // later votes for the units given back do not count
 		}
 	}
 	if len(items) == 0 {
 		return
 	}
-	m := message{Kind: kindReturn, Seq: round.Seq, Incarnation: r.incarnation, Items: items}
+	returnMessage := message{Kind: kindReturn, Seq: round.Seq, Incarnation: r.incarnation, Items: items}
 	for member := range r.cfg.TierSize {
 		if member == r.cfg.Self {
-			r.handleReturn(member, m)
+			r.handleReturn(member, returnMessage)
 		} else {
-			r.send(member, m)
+			r.send(member, returnMessage)
 		}
 	}
 }
@@ -444,16 +445,16 @@
 
 // send sends a message to a member, with tier size, incarnation and lendable units filled in.
 func (r *Reducer) send(to int, msg message) {
-	msg.Tier, msg.Incarnation, msg.Lendable = uint16(r.cfg.TierSize), r.incarnation, uint8(r.lendableUnits().Count())
+	msg.TierSize, msg.Incarnation, msg.LendableCount = uint16(r.cfg.TierSize), r.incarnation, uint8(r.lendableUnits().Count())
 	if msg.Items == nil {
 		msg.Items = []int64{}
 	}
-	if msg.Rates == nil {
-		msg.Rates = []int64{}
+	if msg.QuotaRates == nil {
+		msg.QuotaRates = []int64{}
 	}
 	data := datagram.Encode(Version, msg)
 	for len(data) > datagram.MaxSize { // drop rates until the datagram fits: rates are sent with every round
-		msg.Rates = msg.Rates[:len(msg.Rates)-2]
+		msg.QuotaRates = msg.QuotaRates[:len(msg.QuotaRates)-2]
 		data = datagram.Encode(Version, msg)
 	}
 	r.counters.Sent++
--- a/internal/budget/types.go
+++ b/internal/budget/types.go
@@ -48,7 +48,7 @@
 type Limits struct {
 	// Lease is the duration of a grant of a unit. Units of a dead member become available to others after it.
 	Lease time.Duration
-	// MaxDrift is the max share by which the pace of two clocks may differ.
+	// MaxDrift is the max share by which the pace of two members' clocks may differ.
 	MaxDrift float64
 	// MaxMembers is the max size of a tier in which units move. In a larger tier a unit would be a small fraction of
 	// a set-up, so its quotas stay fixed.
@@ -81,8 +81,8 @@
 // it outlasts two lost rounds.
 func (l Limits) roundInterval() time.Duration { return l.Lease / 4 }
 
-// safeDuration is how long a holder relies on a lease, counted from its request.
-func (l Limits) safeDuration(lease time.Duration) time.Duration {
+// holderLeaseDuration returns how long a holder relies on a lease or loan, counted from its request: shortened by the drift.
+func (l Limits) holderLeaseDuration(lease time.Duration) time.Duration {
 	return time.Duration(float64(lease) * (1 - 2*l.MaxDrift))
 }
 
@@ -123,7 +123,7 @@
 		From int
 		Data []byte
 	}
-	// TimerFired says that a timer fires.
+	// TimerFired says that a timer requested by a Timer effect fires.
 	TimerFired struct{ Token Token }
 	// MemberAvailability says whether membership considers a member available.
 	MemberAvailability struct {
@@ -169,10 +169,10 @@
 func (Send) effect()  {}
 func (Timer) effect() {}
 
-// Token identifies a timer.
+// Token identifies a timer by its number.
 type Token struct{ seq uint32 }
 
-// Counters counts events since the start.
+// Counters counts what the budget protocol has done since the start of this member.
 type Counters struct {
 	Claims                     uint64 // rounds of claims sent
 	Granted                    uint64 // units that a majority granted to this member, renewals not included
@@ -198,27 +198,27 @@
 // Grant is the grant of a unit that this member, as a voter, has made.
 type Grant struct {
 	Holder      int    // index of the member; -1: none
-	Incarnation uint64 // of the holder
+	Incarnation uint64 // of the holder, when it claimed the unit
 	Seq         uint32 // number of the claim that was granted
 	Expiry      Time   // end of the grant on this member's clock
 }
 
 // message is the content of a datagram. It is sent as a CBOR array.
 type message struct {
-	_           struct{} `cbor:",toarray"`
-	Kind        messageKind
-	Tier        uint16  // number of members in the sender's tier
-	Seq         uint32  // number of the claim or loan request, repeated in answers
-	Incarnation uint64  // of the sender
-	Lendable    uint8   // number of units of its own quota that the sender could lend
-	Items       []int64 // depends on the kind
-	Rates       []int64 // sender's whole quotas, in pairs: hash of the server, rate in thousandths of a set-up a second
+	_             struct{} `cbor:",toarray"`
+	Kind          messageKind
+	TierSize      uint16  // number of members in the sender's tier
+	Seq           uint32  // number of the claim or loan request, repeated in its answers
+	Incarnation   uint64  // of the sender
+	LendableCount uint8   // number of units of its own quota that the sender could lend
+	Items         []int64 // depends on the kind
+	QuotaRates    []int64 // sender's whole quotas, in pairs: hash of the server, rate in thousandths of a set-up a second
 }
 
 // messageKind is the kind of a message. Its values are part of the format.
 type messageKind uint8
 
-// The kinds of messages, with the meaning of Items.
+// The kinds of budget messages, with the meaning of Items.
 const (
 	kindClaim  messageKind = iota // claims units; Items: owner<<Units | units, for each quota
 	kindGrant                     // answers a claim; Items: the granted units in the same form
@@ -228,8 +228,8 @@
 	numKinds                      // number of kinds
 )
 
-// loanItems is the number of items of kindBorrow and kindLend.
-const loanItems = 2
+// loanItemCount is the number of items of kindBorrow and kindLend.
+const loanItemCount = 2
 
 // decode decodes a datagram received in a tier of tierSize members. An invalid field makes the whole datagram
 // malformed. The error is datagram.ErrMalformed or datagram.ErrVersion.
@@ -237,7 +237,7 @@
 	if err := datagram.Decode(data, Version, datagram.MaxSize, &msg); err != nil {
 		return msg, err
 	}
-	malformed := msg.Kind >= numKinds || msg.Incarnation == 0 || len(msg.Rates)%2 != 0 || msg.Kind >= kindBorrow && len(msg.Items) != loanItems
+	malformed := msg.Kind >= numKinds || msg.Incarnation == 0 || len(msg.QuotaRates)%2 != 0 || msg.Kind >= kindBorrow && len(msg.Items) != loanItemCount
 	for i, item := range msg.Items {
 		switch msg.Kind {
 		case kindClaim, kindGrant, kindReturn:
@@ -246,8 +246,8 @@
 			malformed = malformed || item < 0 || item > int64(time.Hour/time.Millisecond) || msg.Kind == kindLend && i == 0 && Mask(item)&^transferableUnits != 0
 		}
 	}
-	for i := 0; i+1 < len(msg.Rates); i += 2 {
-		malformed = malformed || msg.Rates[i] < 0 || msg.Rates[i] > 1<<32-1 || msg.Rates[i+1] < 0 || msg.Rates[i+1] > 1e9
+	for i := 0; i+1 < len(msg.QuotaRates); i += 2 {
+		malformed = malformed || msg.QuotaRates[i] < 0 || msg.QuotaRates[i] > 1<<32-1 || msg.QuotaRates[i+1] < 0 || msg.QuotaRates[i+1] > 1e9
 	}
 	if malformed {
 		return msg, datagram.ErrMalformed
--- a/internal/datagram/datagram.go
+++ b/internal/datagram/datagram.go
@@ -14,30 +14,30 @@
 // MaxSize is the max size of a datagram between softswitches, in bytes (PROTOCOL, "Between softswitches").
 const MaxSize = 256
 
-// Overhead is the number of bytes that the format adds to the array.
+// Overhead is the number of bytes that the format adds to the CBOR array: the version byte and the checksum.
 const Overhead = 1 + checksumSize
 
 // checksumSize is the size of the checksum in bytes.
 const checksumSize = 4
 
-// Errors that say why a datagram is dropped.
+// Errors that say why a received datagram is dropped.
 var (
 	// ErrMalformed is returned for input that is damaged or cannot be decoded.
 	ErrMalformed = errors.New("garbled")
-	// ErrVersion is returned for another protocol or version.
+	// ErrVersion is returned for a datagram whose first byte names another protocol or version.
 	ErrVersion = errors.New("protocol version not supported")
 )
 
 // CBOR modes of all datagrams. Decoding bounds the size and nesting of the input and rejects indefinite lengths and tags.
 var (
-	encMode = func() cbor.EncMode {
+	encodingMode = func() cbor.EncMode {
 		m, err := cbor.EncOptions{}.EncMode()
 		if err != nil {
 			panic(err)
 		}
 		return m
 	}()
-	decMode = func() cbor.DecMode {
+	decodingMode = func() cbor.DecMode {
 		m, err := cbor.DecOptions{MaxArrayElements: MaxSize, MaxMapPairs: 16, MaxNestedLevels: 4,
 			IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden}.DecMode()
 		if err != nil {
@@ -47,7 +47,7 @@
 	}()
 )
 
-// checksum returns the low 32 bits of the XXH3 hash.
+// checksum returns the checksum of a datagram: the low 32 bits of the XXH3 hash of all bytes before it.
 func checksum(b []byte) uint32 { return uint32(xxh3.Hash(b)) }
 
 // Encode encodes v, a value that CBOR encodes as an array, as a datagram with the given version byte. It does not limit
@@ -92,7 +92,7 @@
 	if body[0] != version {
 		return ErrVersion
 	}
-	if decMode.Unmarshal(body[1:], v) != nil {
+	if decodingMode.Unmarshal(body[1:], v) != nil {
 		return ErrMalformed
 	}
 	return nil
@@ -118,7 +118,7 @@
 		return nil, nil, ErrMalformed
 	}
 	var array cbor.RawMessage
-	piggyback, err = decMode.UnmarshalFirst(body[1:], &array)
+	piggyback, err = decodingMode.UnmarshalFirst(body[1:], &array)
 	if err != nil {
 		return nil, nil, ErrMalformed
 	}
@@ -131,7 +131,7 @@
 
 // DecodeItem decodes a single array, such as piggybacked data, into v. The error is ErrMalformed.
 func DecodeItem(data []byte, v any) error {
-	if decMode.Unmarshal(data, v) != nil {
+	if decodingMode.Unmarshal(data, v) != nil {
 		return ErrMalformed
 	}
 	return nil
@@ -139,7 +139,7 @@
 
 // EncodeItem encodes v, a single array. It panics if v has no CBOR form.
 func EncodeItem(v any) []byte {
-	body, err := encMode.Marshal(v)
+	body, err := encodingMode.Marshal(v)
 	if err != nil {
 		panic(err) // all types encoded here have a CBOR form
 	}
--- a/internal/knowledge/knowledge_test.go
+++ b/internal/knowledge/knowledge_test.go
@@ -43,36 +43,36 @@
 // Messages that were delayed, duplicated or reordered must not make an old report look recent, whatever the clocks
 // show, and messages of an earlier incarnation must not count at all.
 func TestAgeSurvivesDelayAndReordering(t *testing.T) {
-	const clockOffset = 3 * time.Second // how far the writer's clock is behind
-	a, _ := newReducer(t, 0, 2, epoch)
-	b, _ := newReducer(t, 1, 2, epoch-clockOffset)
+	const clockOffset = 3 * time.Second // how far the writer's clock is behind the receiver's
+	receiver, _ := newReducer(t, 0, 2, epoch)
+	writer, _ := newReducer(t, 1, 2, epoch-clockOffset)
 	report := func(now Time, share float64) []byte {
-		return piggybackOf(b, now-clockOffset, 7, Observation{HoldBackShare: share, HoldBackShareAt: now - clockOffset - 100*ms})
+		return piggybackOf(writer, now-clockOffset, 7, Observation{HoldBackShare: share, HoldBackShareAt: now - clockOffset - 100*ms})
 	}
-	a.Step(epoch, LocalObservations{map[uint32]Observation{7: {}}})
+	receiver.Step(epoch, LocalObservations{map[uint32]Observation{7: {}}})
 	first, second, third := report(epoch+time.Second, 0.25), report(epoch+2*time.Second, 0.5), report(epoch+3*time.Second, 0.75)
 	now := epoch + time.Second + 10*ms
-	a.Step(now, Piggyback{1, first})
-	if v := a.View(now, 7); math.Abs(v.HoldBackShare-0.25) > 0.01 || now-v.HoldBackShareAt < 100*ms || now-v.HoldBackShareAt > 120*ms {
+	receiver.Step(now, Piggyback{1, first})
+	if v := receiver.View(now, 7); math.Abs(v.HoldBackShare-0.25) > 0.01 || now-v.HoldBackShareAt < 100*ms || now-v.HoldBackShareAt > 120*ms {
 		t.Errorf("%+v, want a share of 0.25 that is about 100 ms old", v)
 	}
 	now = epoch + 9*time.Second // the second message was under way for 7 s, the first for 10 ms
-	a.Step(now, Piggyback{1, second})
-	v := a.View(now, 7)
+	receiver.Step(now, Piggyback{1, second})
+	v := receiver.View(now, 7)
 	if age := now - v.HoldBackShareAt; age < 6900*ms || age > 7300*ms {
 		t.Errorf("a report that is 7.1 s old has the age %v", age)
 	}
-	a.Step(now, Piggyback{1, third})
-	a.Step(now, Piggyback{1, second})
-	a.Step(now, Piggyback{1, third})
-	if v := a.View(now, 7); math.Abs(v.HoldBackShare-0.75) > 0.01 || a.Counters().Stale != 2 {
-		t.Errorf("%+v, %+v: want the third report to count, duplicate and reordered messages to be stale", v, a.Counters())
+	receiver.Step(now, Piggyback{1, third})
+	receiver.Step(now, Piggyback{1, second})
+	receiver.Step(now, Piggyback{1, third})
+	if v := receiver.View(now, 7); math.Abs(v.HoldBackShare-0.75) > 0.01 || receiver.Counters().Stale != 2 {
+		t.Errorf("%+v, %+v: want the third report to count, duplicate and reordered messages to be stale", v, receiver.Counters())
 	}
 	restarted, _ := newReducer(t, 1, 2, epoch+10*time.Second-clockOffset)
-	a.Step(epoch+11*time.Second, Piggyback{1, piggybackOf(restarted, epoch+11*time.Second-clockOffset, 7, Observation{HoldBackShare: 1, HoldBackShareAt: epoch + 11*time.Second - clockOffset})})
+	receiver.Step(epoch+11*time.Second, Piggyback{1, piggybackOf(restarted, epoch+11*time.Second-clockOffset, 7, Observation{HoldBackShare: 1, HoldBackShareAt: epoch + 11*time.Second - clockOffset})})
 	late := report(epoch+12*time.Second, 0)
-	a.Step(epoch+12*time.Second, Piggyback{1, late})
-	if v := a.View(epoch+12*time.Second, 7); v.HoldBackShare < 0.99 {
+	receiver.Step(epoch+12*time.Second, Piggyback{1, late})
+	if v := receiver.View(epoch+12*time.Second, 7); v.HoldBackShare < 0.99 {
 		t.Errorf("%+v: a report of an earlier incarnation was accepted", v)
 	}
 }
@@ -80,17 +80,17 @@
 // Of two contradicting reports the newer one weighs more, by a factor of two for each half-life between them, and
 // entries of the age MaxAge or more do not count at all.
 func TestNewerEntriesWeighMore(t *testing.T) {
-	a, _ := newReducer(t, 0, 3, epoch, 7)
+	receiver, _ := newReducer(t, 0, 3, epoch, 7)
 	now := epoch + time.Minute
-	for member, obs := range map[int]Observation{1: {HoldBackShare: 1, HoldBackShareAt: now - 2*a.cfg.Limits.HalfLife, Rate: 8, FailureWeight: 15}, 2: {HoldBackShare: 0, HoldBackShareAt: now - a.cfg.Limits.HalfLife, Rate: 4}} {
-		b, _ := newReducer(t, member, 3, epoch)
-		a.Step(now, Piggyback{member, piggybackOf(b, now, 7, obs)})
+	for member, obs := range map[int]Observation{1: {HoldBackShare: 1, HoldBackShareAt: now - 2*receiver.cfg.Limits.HalfLife, Rate: 8, FailureWeight: 15}, 2: {HoldBackShare: 0, HoldBackShareAt: now - receiver.cfg.Limits.HalfLife, Rate: 4}} {
+		writer, _ := newReducer(t, member, 3, epoch)
+		receiver.Step(now, Piggyback{member, piggybackOf(writer, now, 7, obs)})
 	}
-	v := a.View(now, 7)
+	v := receiver.View(now, 7)
 	if math.Abs(v.HoldBackShare-1.0/3) > 0.01 || math.Abs(v.Rate-6) > 0.1 || math.Abs(v.FailingShare-0.5) > 0.01 || v.Observers != 2 {
 		t.Errorf("%+v, want a hold-back share of 1/3, a rate of 6, a failing share of 1/2", v)
 	}
-	if v := a.View(now+a.cfg.Limits.MaxAge, 7); v.Observers != 0 || v.Rate != 0 {
+	if v := receiver.View(now+receiver.cfg.Limits.MaxAge, 7); v.Observers != 0 || v.Rate != 0 {
 		t.Errorf("%+v from entries of the age MaxAge", v)
 	}
 }
@@ -125,7 +125,7 @@
 	for member := range queried { // the answers arrive late, after the second round of queries
 		other, _ := newReducer(t, member, tierSize, epoch)
 		other.Step(now, LocalObservations{map[uint32]Observation{7: {Rate: 5}, 8: {Rate: 9}}})
-		for _, e := range other.Step(now, Datagram{0, datagram.Encode(Version, message{Kind: kindQuery, Tier: tierSize, Items: []int64{}})}) {
+		for _, e := range other.Step(now, Datagram{0, datagram.Encode(Version, message{Kind: kindQuery, TierSize: tierSize, Items: []int64{}})}) {
 			answer = e.(Send).Data
 			r.Step(now, Datagram{member, answer})
 		}
@@ -141,7 +141,7 @@
 	}
 	// Where all members are newly started none has entries: each answers with one empty message, and the queries end.
 	other, _ := newReducer(t, 1, tierSize, epoch, 7, 8, 9)
-	answers := other.Step(now, Datagram{0, datagram.Encode(Version, message{Kind: kindQuery, Tier: tierSize, Items: []int64{}})})
+	answers := other.Step(now, Datagram{0, datagram.Encode(Version, message{Kind: kindQuery, TierSize: tierSize, Items: []int64{}})})
 	if len(answers) != 1 || len(answers[0].(Send).Data) > 40 {
 		t.Errorf("a member without observations answers %v, want one datagram of at most 40 bytes", answers)
 	}
@@ -149,7 +149,7 @@
 	for member := range r.cfg.Limits.Fanout {
 		newlyStarted.Step(now, Datagram{member + 1, answers[0].(Send).Data})
 	}
-	if !newlyStarted.answered {
+	if !newlyStarted.queriesDone {
 		t.Error("the member queries on after enough empty answers")
 	}
 }
@@ -187,7 +187,7 @@
 	}
 	rng := rand.New(rand.NewPCG(1, 1))
 	for range 3000 {
-		msg := message{Kind: kindEntries, Tier: 2, Incarnation: uint32(int64(epoch/ms) & math.MaxUint32), Stamp: rng.Uint32N(100), Items: []int64{}}
+		msg := message{Kind: kindEntries, TierSize: 2, Incarnation: uint32(int64(epoch/ms) & math.MaxUint32), Stamp: rng.Uint32N(100), Items: []int64{}}
 		for range rng.IntN(8) {
 			msg.Items = append(msg.Items, rng.Int64N(1<<rng.IntN(50)+1)-3)
 		}
@@ -210,8 +210,8 @@
 	if factor := r.TakeoverFactor([]int{1}, 4); factor != 1.25 {
 		t.Errorf("one of five members died, four remain, rates unknown: factor %v, want 1.25", factor)
 	}
-	b, _ := newReducer(t, 1, 5, epoch)
-	r.Step(epoch, Piggyback{1, piggybackOf(b, epoch, 7, Observation{Rate: 40})})
+	writer, _ := newReducer(t, 1, 5, epoch)
+	r.Step(epoch, Piggyback{1, piggybackOf(writer, epoch, 7, Observation{Rate: 40})})
 	if factor := r.TakeoverFactor([]int{1}, 4); math.Abs(factor-1.5) > 1e-9 {
 		t.Errorf("40 set-ups/s taken over by four members, this one with 20/s: factor %v, want 1.5", factor)
 	}
--- a/internal/knowledge/reducer.go
+++ b/internal/knowledge/reducer.go
@@ -24,8 +24,8 @@
 	ObservedAt Time
 }
 
-// observer is the state kept for another member as a source of entries.
-type observer struct {
+// observerState is the state kept for another member as a source of entries.
+type observerState struct {
 	// Seen says that a message of this member was received; the fields below are valid only then.
 	Seen        bool
 	Incarnation uint32
@@ -38,22 +38,22 @@
 
 // Reducer is one member's state of the protocol. It is not safe for concurrent use.
 type Reducer struct {
-	cfg       Config
-	now       Time
-	startedAt Time
-	rng       *rand.Rand
-	effects   []Effect
-	local     map[uint32]Observation // own observations, by the hash of the server's name
+	cfg               Config
+	now               Time
+	startedAt         Time
+	rng               *rand.Rand
+	effects           []Effect
+	localObservations map[uint32]Observation // own observations, by the hash of the server's name
 	// sendOrder holds the local servers, those whose entries were sent longest ago first.
-	sendOrder    []uint32
-	observers    []observer   // by member
-	available    []bool       // by member, as membership reports it
-	queried      map[int]bool // members queried since the start
-	queryRounds  int          // rounds of queries sent
-	answered     bool         // no more queries are needed
-	emptyAnswers int          // number of answers without entries; as many as Fanout end the queries
-	timerSeq     uint32       // token of the only valid timer
-	counters     Counters
+	sendOrder     []uint32
+	observers     []observerState // by member: what each has reported
+	available     []bool          // by member, as membership reports it
+	queried       map[int]bool    // members queried since the start
+	queryRounds   int             // rounds of queries sent
+	queriesDone   bool            // no more queries are needed
+	emptyAnswers  int             // number of answers without entries; as many as Fanout end the queries
+	validTimerSeq uint32          // number in the token of the only valid timer
+	counters      Counters
 }
 
 // New returns the reducer of a member and its first effects, or an error if Self, TierSize or a limit is invalid.
@@ -67,9 +67,9 @@
 	if err := cfg.Limits.Check(); err != nil {
 		return nil, nil, err
 	}
-	r := &Reducer{cfg: cfg, now: now, startedAt: now, rng: rand.New(rand.NewPCG(cfg.Seed, 0x6b6e6f77)), local: make(map[uint32]Observation),
-		observers: make([]observer, cfg.TierSize), available: make([]bool, cfg.TierSize), queried: make(map[int]bool)}
-	r.setTimer(cfg.Limits.RetryInterval / 8) // time for the server list to arrive; without it query only waits on
+	r := &Reducer{cfg: cfg, now: now, startedAt: now, rng: rand.New(rand.NewPCG(cfg.Seed, 0x6b6e6f77)), localObservations: make(map[uint32]Observation),
+		observers: make([]observerState, cfg.TierSize), available: make([]bool, cfg.TierSize), queried: make(map[int]bool)}
+	r.setTimer(cfg.Limits.RetryInterval / 8) // time for the server list to arrive; without it sendQueries only waits on
 	return r, r.takeEffects(), nil
 }
 
@@ -79,7 +79,7 @@
 	r.now = max(now, r.now)
 	switch ev := ev.(type) {
 	case LocalObservations:
-		r.setLocal(ev.Servers)
+		r.setLocalObservations(ev.Servers)
 	case Datagram:
 		var msg message
 		if err := datagram.Decode(ev.Data, Version, datagram.MaxSize, &msg); err != nil {
@@ -95,8 +95,8 @@
 		}
 		r.handleMessage(ev.From, msg)
 	case TimerFired:
-		if ev.Token.seq == r.timerSeq {
-			r.query()
+		if ev.Token.seq == r.validTimerSeq {
+			r.sendQueries()
 		}
 	case MemberAvailability:
 		if ev.Member >= 0 && ev.Member < r.cfg.TierSize && ev.Member != r.cfg.Self {
@@ -118,36 +118,36 @@
 
 // setTimer requests a timer. Earlier timers are ignored when they fire.
 func (r *Reducer) setTimer(delay time.Duration) {
-	r.timerSeq++
-	r.emit(Timer{At: r.now + delay, Token: Token{r.timerSeq}})
+	r.validTimerSeq++
+	r.emit(Timer{At: r.now + delay, Token: Token{r.validTimerSeq}})
 }
 
-// setLocal replaces this member's own observations. It drops the entries of other members for servers that are no
+// setLocalObservations replaces this member's own observations. It drops the entries of other members for servers that are no
 // longer listed, and entries older than MaxAge.
-func (r *Reducer) setLocal(servers map[uint32]Observation) {
-	r.local = maps.Clone(servers)
-	r.sendOrder = slices.DeleteFunc(r.sendOrder, func(s uint32) bool { _, listed := r.local[s]; return !listed })
-	for _, s := range slices.Sorted(maps.Keys(r.local)) {
+func (r *Reducer) setLocalObservations(servers map[uint32]Observation) {
+	r.localObservations = maps.Clone(servers)
+	r.sendOrder = slices.DeleteFunc(r.sendOrder, func(s uint32) bool { _, listed := r.localObservations[s]; return !listed })
+	for _, s := range slices.Sorted(maps.Keys(r.localObservations)) {
 		if !slices.Contains(r.sendOrder, s) {
 			r.sendOrder = append([]uint32{s}, r.sendOrder...)
 		}
 	}
 	for i := range r.observers {
 		maps.DeleteFunc(r.observers[i].Entries, func(s uint32, e entry) bool {
-			_, listed := r.local[s]
+			_, listed := r.localObservations[s]
 			return !listed || r.now > e.ObservedAt+r.cfg.Limits.MaxAge
 		})
 	}
 }
 
-// query sends queries to a few members after the start, every RetryInterval: until entries of another member have come,
+// sendQueries sends queries to a few members after the start, every RetryInterval: until entries of another member have come,
 // or Fanout messages without entries, or MaxQueryRounds is reached. While this member lists no servers it only waits.
 // Each time it prefers members that were not queried before, and among those the available ones.
-func (r *Reducer) query() {
-	if r.answered || r.queryRounds >= r.cfg.Limits.MaxQueryRounds || r.cfg.TierSize == 1 {
+func (r *Reducer) sendQueries() {
+	if r.queriesDone || r.queryRounds >= r.cfg.Limits.MaxQueryRounds || r.cfg.TierSize == 1 {
 		return
 	}
-	if len(r.local) > 0 {
+	if len(r.localObservations) > 0 {
 		r.queryRounds++
 		candidates := r.rng.Perm(r.cfg.TierSize)
 		// rank orders the candidates: available before unavailable members, members already queried last.
@@ -180,7 +180,7 @@
 		r.counters.UnknownSenders++
 		return
 	}
-	switch err := msg.check(r.cfg.TierSize); {
+	switch err := msg.validate(r.cfg.TierSize); {
 	case errors.Is(err, errIncompatible):
 		r.counters.UnknownSenders++
 		return
@@ -200,15 +200,15 @@
 	if len(msg.Items) == 0 {
 		r.emptyAnswers++
 	}
-	r.answered = r.answered || len(msg.Items) > 0 || r.emptyAnswers >= r.cfg.Limits.Fanout
+	r.queriesDone = r.queriesDone || len(msg.Items) > 0 || r.emptyAnswers >= r.cfg.Limits.Fanout
 	r.applyEntries(&r.observers[from], msg, delay)
 }
 
 // extraDelay returns how much longer a message was under way than the quickest message of its sender, as far as the
-// clocks show. It is negative if the message is of an earlier incarnation of the sender. It is 0 for the first message
+// clocks show. The result is negative if the message is of an earlier incarnation of the sender. It is 0 for the first message
 // of an incarnation and for one quicker than the minimum, whose lag it records as the new minimum. The minimum grows with
 // time, because the pace of two clocks may differ by up to two hundredths.
-func (r *Reducer) extraDelay(observer *observer, msg message) time.Duration {
+func (r *Reducer) extraDelay(observer *observerState, msg message) time.Duration {
 	const maxDrift = 0.02
 	lag := int64(r.now/time.Millisecond) - int64(msg.Stamp)
 	if observer.Seen && int32(msg.Incarnation-observer.Incarnation) < 0 {
@@ -231,14 +231,14 @@
 	}
 }
 
-// applyEntries stores the entries of an observer's message with the given extra delay (see extraDelay). It ignores
+// applyEntries stores the entries of an observer's message, which was under way longer than the quickest one by delay. It ignores
 // entries for unlisted servers, entries that are no newer than the stored ones, and new entries beyond MaxServers.
-func (r *Reducer) applyEntries(observer *observer, msg message, delay time.Duration) {
+func (r *Reducer) applyEntries(observer *observerState, msg message, delay time.Duration) {
 	var updated []uint32
 	for items := msg.Items; len(items) > 0; {
 		server, obs, n := decodeObservation(items, r.now-delay)
 		items = items[n:]
-		if _, listed := r.local[server]; !listed {
+		if _, listed := r.localObservations[server]; !listed {
 			r.counters.Unlisted++
 			continue
 		}
@@ -266,27 +266,27 @@
 func (r *Reducer) sendAnswer(member int) {
 	r.counters.QueriesAnswered++
 	remaining := 0
-	for _, obs := range r.local {
+	for _, obs := range r.localObservations {
 		if obs.hasData() {
 			remaining++
 		}
 	}
 	for first := true; first || remaining > 0; first = false { // at least one message, even if nothing has been observed
-		msg, n := r.nextEntries(datagram.MaxSize-datagram.Overhead, len(r.sendOrder))
+		msg, n := r.nextOwnEntries(datagram.MaxSize-datagram.Overhead, len(r.sendOrder))
 		r.send(member, msg)
 		remaining -= max(n, 1)
 	}
 }
 
-// nextEntries returns a message with as many own entries as fit into space bytes, and their number. Entries sent
-// longest ago come first. All fresh entries may be included, and at most maxOlder others. The included
-// entries count as sent.
-func (r *Reducer) nextEntries(space, maxOlder int) (msg message, n int) {
-	msg = r.stamped(message{Kind: kindEntries, Items: []int64{}})
-	space -= datagram.Size(msg) + 2 // two more bytes for the count of the items
+// nextOwnEntries returns a message with as many own entries as fit into remainingSpace bytes, and their number. Entries
+// sent longest ago come first. All fresh entries may be included, and at most maxNotFresh others: an entry is fresh if
+// its load report is young (see freshHalfLives) or its server drains. The included entries count as sent.
+func (r *Reducer) nextOwnEntries(remainingSpace, maxNotFresh int) (msg message, n int) {
+	msg = r.withSenderFields(message{Kind: kindEntries, Items: []int64{}})
+	remainingSpace -= datagram.Size(msg) + 2 // two bytes more for the length of the list of items
 	var sent, unsent []uint32
 	for _, server := range r.sendOrder {
-		obs := r.local[server]
+		obs := r.localObservations[server]
 		if !obs.hasData() {
 			unsent = append(unsent, server)
 			continue
@@ -296,14 +296,14 @@
 		for _, item := range items {
 			size += datagram.IntSize(item)
 		}
-		if !fresh && maxOlder <= 0 || size > space {
+		if !fresh && maxNotFresh <= 0 || size > remainingSpace {
 			unsent = append(unsent, server)
 			continue
 		}
 		if !fresh {
-			maxOlder--
+			maxNotFresh--
 		}
-		space -= size
+		remainingSpace -= size
 		msg.Items = append(msg.Items, items...)
 		sent = append(sent, server)
 	}
@@ -312,25 +312,25 @@
 	return msg, len(sent)
 }
 
-// The choice of the entries that a message carries (see nextEntries).
+// The choice of the entries that a message carries (see nextOwnEntries).
 const (
 	// freshHalfLives is the age, in half-lives, up to which a load report is worth its bytes. The entry of a draining
 	// server always is.
 	freshHalfLives = 4
-	// maxOlderPiggybacked is the max number of entries without a fresh report that are piggybacked on one datagram.
+	// maxNotFreshPiggybacked is the max number of entries without a fresh report that are piggybacked on one datagram.
 	// They carry the observations that change slowly.
-	maxOlderPiggybacked = 1
+	maxNotFreshPiggybacked = 1
 )
 
-// stamped returns the message with tier size, incarnation and stamp filled in.
-func (r *Reducer) stamped(msg message) message {
-	msg.Tier, msg.Incarnation, msg.Stamp = uint16(r.cfg.TierSize), uint32(r.startedAt/time.Millisecond), uint32((r.now-r.startedAt)/time.Millisecond)
+// withSenderFields returns the message with tier size, incarnation and stamp filled in.
+func (r *Reducer) withSenderFields(msg message) message {
+	msg.TierSize, msg.Incarnation, msg.Stamp = uint16(r.cfg.TierSize), uint32(r.startedAt/time.Millisecond), uint32((r.now-r.startedAt)/time.Millisecond)
 	return msg
 }
 
 // send sends a message to a member in a separate datagram.
 func (r *Reducer) send(to int, msg message) {
-	data := datagram.Encode(Version, r.stamped(msg))
+	data := datagram.Encode(Version, r.withSenderFields(msg))
 	r.counters.Sent++
 	r.counters.SentBytes += uint64(len(data))
 	r.emit(Send{To: to, Data: data})
@@ -340,7 +340,7 @@
 // datagram; without room or entries it returns the datagram unchanged.
 func (r *Reducer) AppendPiggyback(now Time, data []byte) []byte {
 	r.now = max(now, r.now)
-	msg, n := r.nextEntries(datagram.MaxSize-len(data), maxOlderPiggybacked)
+	msg, n := r.nextOwnEntries(datagram.MaxSize-len(data), maxNotFreshPiggybacked)
 	if n == 0 {
 		return data
 	}
--- a/internal/knowledge/types.go
+++ b/internal/knowledge/types.go
@@ -88,7 +88,7 @@
 	HoldBackShare float64
 	// HoldBackShareAt is the time of the load report that asked for that share, which may be 0; 0: no report has come.
 	HoldBackShareAt Time
-	// Rate is the rate, in set-ups a second, that the server takes from the member when warm; 0: not known.
+	// Rate is the rate, in set-ups a second, that the server takes from the observing member when warm; 0: not known.
 	Rate float64
 	// TotalLines is the server's number of lines; 0: not reported.
 	TotalLines float64
@@ -122,7 +122,7 @@
 		From int
 		Data []byte
 	}
-	// TimerFired says that a timer fires.
+	// TimerFired says that a timer requested by a Timer effect fires.
 	TimerFired struct{ Token Token }
 	// MemberAvailability says whether membership considers a member available.
 	MemberAvailability struct {
@@ -159,10 +159,10 @@
 func (Timer) effect()          {}
 func (ServersUpdated) effect() {}
 
-// Token identifies a timer.
+// Token identifies a timer by its number.
 type Token struct{ seq uint32 }
 
-// Counters counts events since the start.
+// Counters counts what the knowledge protocol has done since the start of this member.
 type Counters struct {
 	EntriesSent     uint64 // own entries sent
 	EntriesReceived uint64 // entries of other members stored
@@ -180,8 +180,8 @@
 type message struct {
 	_    struct{} `cbor:",toarray"`
 	Kind messageKind
-	// Tier is the number of members in the sender's tier.
-	Tier uint16
+	// TierSize is the number of members in the sender's tier.
+	TierSize uint16
 	// Incarnation identifies the sender's incarnation: its start time in milliseconds, the low 32 bits.
 	Incarnation uint32
 	// Stamp is the time at which the message was sent, in milliseconds since the sender's start.
@@ -193,7 +193,7 @@
 // messageKind is the kind of a message. Its values are part of the format.
 type messageKind uint8
 
-// The kinds of messages.
+// The kinds of knowledge messages.
 const (
 	kindQuery   messageKind = iota // asks for all entries of the receiver
 	kindEntries                    // carries entries of the sender
@@ -220,7 +220,7 @@
 	setUpTimeUnit     = 100 * time.Microsecond // unit of the shortest set-up time
 )
 
-// encode returns the integers of an entry for the server, with ages as of now.
+// encode returns the observation as the integers of an entry for the server, with ages as of now.
 func (o Observation) encode(server uint32, now Time) []int64 {
 	age, share := int64(0), int64(shareUnknown)
 	if o.HoldBackShareAt > 0 {
@@ -291,14 +291,14 @@
 	return server, obs, n
 }
 
-// check validates a message received in a tier of tierSize members. It returns errIncompatible for a message of an
+// validate validates a message received in a tier of tierSize members. It returns errIncompatible for a message of an
 // unknown kind or from a tier of another size, and datagram.ErrMalformed for a message with an undecodable entry.
-func (m message) check(tierSize int) error {
-	if m.Kind >= numKinds || int(m.Tier) != tierSize {
+func (m message) validate(tierSize int) error {
+	if m.Kind >= numKinds || int(m.TierSize) != tierSize {
 		return errIncompatible
 	}
 	for items := m.Items; len(items) > 0; {
-		_, _, n := decodeObservation(items, time.Hour) // any time will do: only n is used
+		_, _, n := decodeObservation(items, time.Hour) // the time does not matter, as the observation is not used
 		if n == 0 {
 			return datagram.ErrMalformed
 		}
--- a/internal/knowledge/view.go
+++ b/internal/knowledge/view.go
@@ -32,15 +32,15 @@
 // failingThreshold is the weight of failed set-ups in a row from which on a member considers a server failing.
 const failingThreshold = 8
 
-// weight returns the weight of an observation of the given age: 1 when new, halved with each half-life.
-func weight(age, halfLife time.Duration) float64 {
+// weightByAge returns the weight of an observation of the given age: 1 when new, halved with each half-life.
+func weightByAge(age, halfLife time.Duration) float64 {
 	return math.Exp2(-float64(max(age, 0)) / float64(halfLife))
 }
 
 // View combines what is known of a server. The weight of each entry halves with each half-life of its age, so a
 // member with stale reports, or two members that contradict each other, are outweighed by a member with a much newer
 // report. This member's own observations count only in HoldBackShare, beside the reports of the others.
-func (r *Reducer) View(now Time, server uint32) (v View) {
+func (r *Reducer) View(now Time, server uint32) (combined View) {
 	now = max(now, r.now)
 	shareSum, shareWeight, rateSum, rateWeight, failingWeight, totalWeight := 0.0, 0.0, 0.0, 0.0, 0.0, 0.0
 	members := 1.0
@@ -52,7 +52,7 @@
 	limits := r.cfg.Limits
 	addReport := func(obs Observation) {
 		if obs.HoldBackShareAt > 0 && now-obs.HoldBackShareAt < limits.MaxAge {
-			entryWeight := weight(now-obs.HoldBackShareAt, limits.HalfLife)
+			entryWeight := weightByAge(now-obs.HoldBackShareAt, limits.HalfLife)
 			shareSum, shareWeight = shareSum+entryWeight*obs.HoldBackShare, shareWeight+entryWeight
 		}
 	}
@@ -61,11 +61,11 @@
 		if !known || now-entry.ObservedAt >= limits.MaxAge {
 			continue
 		}
-		v.Observers++
-		v.MinSetUpTime = max(v.MinSetUpTime, entry.MinSetUpTime)
+		combined.Observers++
+		combined.MinSetUpTime = max(combined.MinSetUpTime, entry.MinSetUpTime)
 		addReport(entry.Observation)
-		v.HoldBackShareAt, v.DrainingSince = max(v.HoldBackShareAt, entry.HoldBackShareAt), max(v.DrainingSince, entry.DrainingSince)
-		entryWeight := weight(now-entry.ObservedAt, limits.SlowHalfLife)
+		combined.HoldBackShareAt, combined.DrainingSince = max(combined.HoldBackShareAt, entry.HoldBackShareAt), max(combined.DrainingSince, entry.DrainingSince)
+		entryWeight := weightByAge(now-entry.ObservedAt, limits.SlowHalfLife)
 		if entry.Rate > 0 {
 			rateSum, rateWeight = rateSum+entryWeight*entry.Rate, rateWeight+entryWeight
 		}
@@ -73,17 +73,17 @@
 			failingWeight += entryWeight
 		}
 	}
-	if addReport(r.local[server]); shareWeight > 0 {
-		v.HoldBackShare = shareSum / shareWeight
+	if addReport(r.localObservations[server]); shareWeight > 0 {
+		combined.HoldBackShare = shareSum / shareWeight
 	}
 	if rateWeight > 0 {
-		v.Rate = rateSum / rateWeight
-		v.FairRate = v.Rate * max(members-1, 1) / members
+		combined.Rate = rateSum / rateWeight
+		combined.FairRate = combined.Rate * max(members-1, 1) / members
 	}
 	if totalWeight > 0 {
-		v.FailingShare = failingWeight / totalWeight
+		combined.FailingShare = failingWeight / totalWeight
 	}
-	return v
+	return combined
 }
 
 // TakeoverFactor returns the factor by which this member's rates grow when the given members have died. Their callers
@@ -92,7 +92,7 @@
 // callers. The factor is at most one more than the number of dead members.
 func (r *Reducer) TakeoverFactor(dead []int, available int) float64 {
 	localRate, deadRate, allKnown := 0.0, 0.0, true
-	for _, obs := range r.local {
+	for _, obs := range r.localObservations {
 		localRate += obs.Rate
 	}
 	for _, member := range dead {
@@ -126,7 +126,7 @@
 			entries = append(entries, ObserverEntry{member, entry.Observation, entry.ObservedAt})
 		}
 	}
-	if obs, listed := r.local[server]; listed {
+	if obs, listed := r.localObservations[server]; listed {
 		entries = append(entries, ObserverEntry{r.cfg.Self, obs, r.now})
 	}
 	slices.SortFunc(entries, func(a, b ObserverEntry) int { return a.Observer - b.Observer })
--- a/internal/maintenance/codec.go
+++ b/internal/maintenance/codec.go
@@ -7,7 +7,7 @@
 // messageKind is the purpose of a datagram.
 type messageKind uint8
 
-// The kinds of messages.
+// The kinds of maintenance messages.
 const (
 	kindSlotRequest messageKind = iota // requests a grant of Slot, or its renewal
 	kindGrant                          // grants the request with the same sequence number
@@ -23,13 +23,13 @@
 type message struct {
 	_           struct{} `cbor:",toarray"`
 	Kind        messageKind
-	Tier        uint16 // number of members of the sender's tier
+	TierSize    uint16 // number of members of the sender's tier
 	Zone        int8   // of the sender; -1: not known
-	Seq         uint32 // of the round, or the nonce of a query; repeated in the answers
+	Seq         uint32 // number of the round, or nonce of the queries; repeated in the answers
 	Slot        uint8
 	Epoch       uint64
-	Lease       uint32 // milliseconds
-	Recovered   bool   // the sender knows what it may have granted
+	LeaseMillis uint32 // duration of the requested lease, in milliseconds
+	Recovered   bool   // the sender knows which slots it may have granted before its start
 	RecordsHash uint32 // of the records that the sender has
 	Name        string // of the sender
 	Items       []int64
@@ -46,14 +46,14 @@
 
 // encode encodes a message with the tier size, zone and name of this member.
 func (r *Reducer) encode(msg message) []byte {
-	msg.Tier, msg.Zone, msg.Name = uint16(r.cfg.TierSize), int8(r.cfg.Zone), r.cfg.Name
+	msg.TierSize, msg.Zone, msg.Name = uint16(r.cfg.TierSize), int8(r.cfg.Zone), r.cfg.Name
 	if msg.Items == nil {
 		msg.Items = []int64{}
 	}
 	return datagram.Encode(Version, msg)
 }
 
-// recordItems returns the items of a record in a kindRecords message.
+// recordItems returns the integers that stand for a member's record in a kindRecords message.
 func recordItems(member int, record Record) []int64 {
 	return []int64{int64(member), int64(record.Generation), int64(record.RequestedAt), int64(record.Restarts), int64(record.Stage), int64(record.Slot), int64(record.Epoch)}
 }
--- a/internal/maintenance/lease.go
+++ b/internal/maintenance/lease.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// round is one attempt to get the votes of the tier for a slot, or for the renewal of its lease.
-type round struct {
-	Seq       uint32 // sequence number, repeated in the answers
-	Slot      int
-	Epoch     uint64
-	StartedAt Time
-	Lease     time.Duration // duration of the requested lease
-	Voters    []int         // other members that the request is sent to
-	Granters  []int         // members that granted the request; this member too, if it did
-	Refusals  int           // number of refusals; a member that refuses the request and its repetition counts twice
+// slotRound is one attempt to get the votes of the tier for a slot, or for the renewal of its lease.
+type slotRound struct {
+	Seq           uint32 // sequence number, repeated in the answers
+	Slot          int
+	Epoch         uint64
+	StartedAt     Time
+	LeaseDuration time.Duration // duration of the requested lease
+	Voters        []int         // other members that the request is sent to
+	Granters      []int         // members that granted the request; this member too, if it did
+	Refusals      int           // number of refusals; a member that refuses the request and its repetition counts twice
 }
 
-// lease is the lease that this member holds.
-type lease struct {
+// slotLease is the lease of a slot that this member holds.
+type slotLease struct {
 	Slot     int
 	Epoch    uint64
 	Seq      uint32 // of the round that obtained the lease, or of the last round that renewed it or failed to
@@ -31,7 +31,7 @@
 type releaseNotice struct {
 	Slot      int
 	Epoch     uint64
-	Remaining int // further transmissions
+	Remaining int // transmissions still to come
 }
 
 // unknownHolder is the holder of a slot on which the answers to a query differ or whose holder the sender does not know
@@ -41,17 +41,17 @@
 // expireLease ends a lease that has expired, and returns the request to StageWaiting. Step calls it before it handles the
 // event, so that a holder that was paused beyond the expiry no longer relies on the lease when it resumes.
 func (r *Reducer) expireLease() {
-	if r.lease == nil || r.now < r.lease.Expiry || !r.guardEnabled(GuardExpiry) {
+	if r.heldLease == nil || r.now < r.heldLease.Expiry || !r.guardEnabled(GuardExpiry) {
 		return
 	}
 	r.counters.Expired++
-	r.dropSlot()
+	r.forgetSlot()
 	r.restartRequest()
 }
 
-// dropSlot forgets the lease and the current round, and stops the drain.
-func (r *Reducer) dropSlot() {
-	r.lease, r.round, r.drained = nil, nil, false
+// forgetSlot forgets this member's lease and its current round, and stops its drain.
+func (r *Reducer) forgetSlot() {
+	r.heldLease, r.currentRound, r.drained = nil, nil, false
 	if r.guardEnabled(GuardStopDrain) {
 		r.emit(Drain{})
 	}
@@ -63,10 +63,10 @@
 // same epoch.
 func (r *Reducer) advanceOwnRequest() {
 	record := r.records[r.cfg.Self]
-	if !r.recovered || r.lease != nil || r.round != nil || r.now < r.retryAt || record.Stage.Ended() {
+	if !r.recovered || r.heldLease != nil || r.currentRound != nil || r.now < r.earliestRequestAt || record.Stage.Ended() {
 		return
 	}
-	if record.Stage != StageWaiting { // left by an earlier incarnation
+	if record.Stage != StageWaiting { // the request was left by an earlier incarnation of this member
 		if !r.serving {
 			return
 		}
@@ -119,40 +119,40 @@
 }
 
 // startRound starts a round with these voters, or with all members if voters is nil. This member votes at once.
-func (r *Reducer) startRound(slot int, epoch uint64, lease time.Duration, voters []int) {
-	r.round = &round{Seq: r.nextSeq(), Slot: slot, Epoch: epoch, StartedAt: r.now, Lease: lease}
+func (r *Reducer) startRound(slot int, epoch uint64, leaseDuration time.Duration, voters []int) {
+	r.currentRound = &slotRound{Seq: r.nextRoundSeq(), Slot: slot, Epoch: epoch, StartedAt: r.now, LeaseDuration: leaseDuration}
 	r.counters.Rounds++
 	for member := range r.cfg.TierSize {
 		if member != r.cfg.Self && (voters == nil || slices.Contains(voters, member)) {
-			r.round.Voters = append(r.round.Voters, member)
+			r.currentRound.Voters = append(r.currentRound.Voters, member)
 		}
 	}
 	r.sendSlotRequests()
-	r.emit(Timer{At: r.now + r.cfg.Limits.RoundTimeout/2, Token: Token{kind: tokenResend, seq: r.round.Seq}})
-	r.emit(Timer{At: r.now + r.cfg.Limits.RoundTimeout, Token: Token{kind: tokenRoundTimeout, seq: r.round.Seq}})
-	if granted, _ := r.vote(r.cfg.Self, slot, epoch, lease); granted {
-		r.countGrant(r.cfg.Self, r.round.Seq)
+	r.emit(Timer{At: r.now + r.cfg.Limits.RoundTimeout/2, Token: Token{kind: tokenResend, seq: r.currentRound.Seq}})
+	r.emit(Timer{At: r.now + r.cfg.Limits.RoundTimeout, Token: Token{kind: tokenRoundTimeout, seq: r.currentRound.Seq}})
+	if granted, _ := r.voteOnRequest(r.cfg.Self, slot, epoch, leaseDuration); granted {
+		r.countGrantedVote(r.cfg.Self, r.currentRound.Seq)
 	} else {
-		r.countRefusal(r.round.Seq)
+		r.countRefusedVote(r.currentRound.Seq)
 	}
 }
 
 // sendSlotRequests sends the request of the current round to the voters that have not granted it yet.
 func (r *Reducer) sendSlotRequests() {
-	round := r.round
+	round := r.currentRound
 	for _, member := range round.Voters {
 		if !slices.Contains(round.Granters, member) {
-			r.send(member, message{Kind: kindSlotRequest, Seq: round.Seq, Slot: uint8(round.Slot), Epoch: round.Epoch, Lease: uint32(round.Lease / time.Millisecond)})
+			r.send(member, message{Kind: kindSlotRequest, Seq: round.Seq, Slot: uint8(round.Slot), Epoch: round.Epoch, LeaseMillis: uint32(round.LeaseDuration / time.Millisecond)})
 		}
 	}
 }
 
-// renewLease starts a round with the members that granted the lease, or with all members if they are no quorum. It
+// renewLease starts a round with the members that granted the lease, or with all members if those are no majority. It
 // requests Lease, and WorkLease, the longest absence of a machine, once this member is drained.
 func (r *Reducer) renewLease() {
-	lease := r.lease
+	lease := r.heldLease
 	voters := lease.Granters
-	if len(voters) < r.quorum() {
+	if len(voters) < r.majoritySize() {
 		voters = nil
 	}
 	duration := r.cfg.Limits.Lease
@@ -162,27 +162,27 @@
 	r.startRound(lease.Slot, lease.Epoch, duration, voters)
 }
 
-// vote returns the vote of this member on a request for a slot. A refusal has the items of a kindRefusal message: the
-// holder, the remaining time in milliseconds and the highest epoch.
-func (r *Reducer) vote(from, slot int, epoch uint64, lease time.Duration) (granted bool, refusal []int64) {
+// voteOnRequest returns the vote of this member on a member's request for a slot, and records a grant. A refusal has the items
+// of a kindRefusal message: the holder, the remaining time in milliseconds and the highest epoch.
+func (r *Reducer) voteOnRequest(requester, slot int, epoch uint64, leaseDuration time.Duration) (granted bool, refusal []int64) {
 	grant := &r.grants[slot]
-	sameGrant := grant.Holder == from && epoch == grant.Epoch
+	sameGrant := grant.Holder == requester && epoch == grant.Epoch
 	switch {
-	case !r.recovered, lease <= 0 || lease > r.cfg.Limits.WorkLease:
+	case !r.recovered, leaseDuration <= 0 || leaseDuration > r.cfg.Limits.WorkLease:
 	case r.isGranted(slot) && sameGrant:
 		granted = true
-	case r.isGranted(slot) && grant.Holder != from: // granted to another member; a holder's own request with a new epoch ends its earlier grant
+	case r.isGranted(slot) && grant.Holder != requester: // granted to another member; a holder's own request with a new epoch ends its earlier grant
 	case epoch <= r.highestEpochs[slot]:
 	case !r.isGranted(slot) && slot >= r.usableSlots():
 	default:
 		granted = true
 	}
 	if granted {
-		expiry := r.now + lease
+		expiry := r.now + leaseDuration
 		if sameGrant {
 			expiry = max(expiry, grant.Expiry)
 		}
-		*grant = Grant{Holder: from, Epoch: epoch, Expiry: expiry}
+		*grant = Grant{Holder: requester, Epoch: epoch, Expiry: expiry}
 		r.highestEpochs[slot] = max(r.highestEpochs[slot], epoch)
 		r.counters.VotesGranted++
 		return true, nil
@@ -191,45 +191,45 @@
 	return false, []int64{int64(max(grant.Holder, -1)), int64(max(grant.Expiry-r.now, 0) / time.Millisecond), int64(r.highestEpochs[slot])}
 }
 
-// countGrant counts a granted vote. With a majority this member holds the slot; its lease counts from the start of
+// countGrantedVote counts a granted vote. With a majority this member holds the slot; its lease counts from the start of
 // the round. A majority that is reached only after that lease would have expired has no effect.
-func (r *Reducer) countGrant(from int, seq uint32) {
-	if held := r.lease; held != nil && held.Seq == seq && !slices.Contains(held.Granters, from) {
+func (r *Reducer) countGrantedVote(from int, seq uint32) {
+	if held := r.heldLease; held != nil && held.Seq == seq && !slices.Contains(held.Granters, from) {
 		held.Granters = append(held.Granters, from)
 	}
-	round := r.round
+	round := r.currentRound
 	if round == nil || round.Seq != seq || slices.Contains(round.Granters, from) {
 		return
 	}
 	round.Granters = append(round.Granters, from)
-	expiry := round.StartedAt + r.cfg.Limits.safeDuration(round.Lease)
-	if len(round.Granters) < r.quorum() || r.now >= expiry {
+	expiry := round.StartedAt + r.cfg.Limits.holderLeaseDuration(round.LeaseDuration)
+	if len(round.Granters) < r.majoritySize() || r.now >= expiry {
 		return
 	}
-	r.round = nil
+	r.currentRound = nil
 	record := r.records[r.cfg.Self]
-	if r.lease == nil {
+	if r.heldLease == nil {
 		r.counters.Granted++
-		r.lease = &lease{Slot: round.Slot, Epoch: round.Epoch}
+		r.heldLease = &slotLease{Slot: round.Slot, Epoch: round.Epoch}
 		record.Stage, record.Slot, record.Epoch = StageDraining, uint8(round.Slot), round.Epoch
 		r.emit(Drain{On: true})
 	} else {
 		r.counters.Renewed++
-		if r.drained && round.Lease == r.cfg.Limits.WorkLease {
+		if r.drained && round.LeaseDuration == r.cfg.Limits.WorkLease {
 			record.Stage = StageReady
 		}
 	}
-	r.lease.Seq, r.lease.Expiry, r.lease.Granters = seq, max(r.lease.Expiry, expiry), round.Granters
-	r.emit(Timer{At: round.StartedAt + round.Lease/3, Token: Token{kind: tokenRenew, seq: seq}})
-	r.emit(Timer{At: r.lease.Expiry, Token: Token{kind: tokenExpiry}})
+	r.heldLease.Seq, r.heldLease.Expiry, r.heldLease.Granters = seq, max(r.heldLease.Expiry, expiry), round.Granters
+	r.emit(Timer{At: round.StartedAt + round.LeaseDuration/3, Token: Token{kind: tokenRenew, seq: seq}})
+	r.emit(Timer{At: r.heldLease.Expiry, Token: Token{kind: tokenExpiry}})
 	r.setRecord(r.cfg.Self, record)
 }
 
-// countRefusal counts a refused vote, and ends the round once the refusals outnumber the members that a majority can do
+// countRefusedVote counts a refused vote, and ends the round once the refusals outnumber the members that a majority can do
 // without.
-func (r *Reducer) countRefusal(seq uint32) {
-	if round := r.round; round != nil && round.Seq == seq {
-		if round.Refusals++; round.Refusals > r.cfg.TierSize-r.quorum() {
+func (r *Reducer) countRefusedVote(seq uint32) {
+	if round := r.currentRound; round != nil && round.Seq == seq {
+		if round.Refusals++; round.Refusals > r.cfg.TierSize-r.majoritySize() {
 			r.failRound()
 		}
 	}
@@ -237,22 +237,22 @@
 
 // failRound ends a round without a majority. In a round for a new slot the grants obtained so far are released, and a slot
 // is requested again no earlier than after a random wait of 1 to 3 rounds. The renewal of a lease is tried again half a
-// round later, with all members unless a quorum has granted late.
+// round later, with all members unless late answers have completed a majority.
 func (r *Reducer) failRound() {
-	round := r.round
-	r.round = nil
-	if r.lease != nil {
-		r.lease.Granters = nil
-		r.lease.Seq = round.Seq
+	round := r.currentRound
+	r.currentRound = nil
+	if r.heldLease != nil {
+		r.heldLease.Granters = nil
+		r.heldLease.Seq = round.Seq
 		r.emit(Timer{At: r.now + r.cfg.Limits.RoundTimeout/2, Token: Token{kind: tokenRenew, seq: round.Seq}})
 		return
 	}
 	r.releaseSlot(round.Slot, round.Epoch)
-	r.retryAt = r.now + r.cfg.Limits.RoundTimeout + time.Duration(r.rng.Int64N(int64(2*r.cfg.Limits.RoundTimeout)))
+	r.earliestRequestAt = r.now + r.cfg.Limits.RoundTimeout + time.Duration(r.rng.Int64N(int64(2*r.cfg.Limits.RoundTimeout)))
 }
 
-// releaseSlot announces to all members that this member no longer holds a slot by this epoch, now and at the next
-// ticks.
+// releaseSlot announces to all members, now and at the next ticks, that this member no longer holds a slot by the grant
+// with this epoch.
 func (r *Reducer) releaseSlot(slot int, epoch uint64) {
 	r.releaseNotices = append(r.releaseNotices, releaseNotice{slot, epoch, r.cfg.Limits.Transmissions})
 	r.sendRelease(slot, epoch)
@@ -268,7 +268,7 @@
 	}
 }
 
-// repeatReleases sends the pending release notices again.
+// repeatReleases sends each pending release notice once more, and removes those that were sent often enough.
 func (r *Reducer) repeatReleases() {
 	for i := range r.releaseNotices {
 		r.releaseNotices[i].Remaining--
--- a/internal/maintenance/maintenance_test.go
+++ b/internal/maintenance/maintenance_test.go
@@ -12,7 +12,7 @@
 
 const second = time.Second
 
-// testTier is a tier in simulated time. Datagrams take 1 ms; those between members for which cut returns true, and a
+// testTier is a tier in simulated time. Datagrams take 1 ms; those between members for which isCutOff returns true, and a
 // random share of the others, are lost.
 type testTier struct {
 	*testing.T
@@ -26,7 +26,7 @@
 	seq             int
 	loss            float64 // random share of the datagrams that is lost
 	rng             *rand.Rand
-	cut             func(from, to int) bool
+	isCutOff        func(from, to int) bool
 	stages          [][]Stage // by index: the stages of the member's own requests, in their order
 	lastDrainAt     []Time    // by index: when the member last started to drain
 	maxOutOfService int       // maximum number of running members that were out of service at once
@@ -54,8 +54,8 @@
 	return tier
 }
 
-// shortLimits returns limits with short leases and rounds.
-func shortLimits() Limits {
+// shortLeaseLimits returns the default limits with shorter leases and rounds.
+func shortLeaseLimits() Limits {
 	limits := Defaults()
 	limits.Lease, limits.WorkLease, limits.RoundTimeout = 2*second, 4*second, 200*time.Millisecond
 	return limits
@@ -84,7 +84,7 @@
 	}
 }
 
-// step passes an event to a member that runs.
+// step passes an event to a member and carries out the effects, unless the member is killed.
 func (tier *testTier) step(member int, ev Event) {
 	if reducer := tier.reducers[member]; reducer != nil {
 		tier.handleEffects(member, reducer.Step(tier.now, ev))
@@ -105,7 +105,7 @@
 			if len(e.Data) > datagram.MaxSize {
 				tier.Errorf("datagram of %d bytes", len(e.Data))
 			}
-			if tier.cut != nil && tier.cut(member, e.To) || tier.rng.Float64() < tier.loss {
+			if tier.isCutOff != nil && tier.isCutOff(member, e.To) || tier.rng.Float64() < tier.loss {
 				continue
 			}
 			tier.schedule(time.Millisecond, e.To, Datagram{From: member, Data: e.Data})
@@ -197,7 +197,7 @@
 // budget and the end of all requests are checked: a lease may expire then, and its request starts again.
 func TestTwoOperators(t *testing.T) {
 	for _, loss := range []float64{0, 0.3} {
-		limits := shortLimits()
+		limits := shortLeaseLimits()
 		limits.Budget = 2
 		tier := startTier(t, 5, limits)
 		tier.advance(2 * second)
@@ -231,7 +231,7 @@
 
 // Among members requested at the same time the zones take turns. Members requested earlier come first.
 func TestQueueAlternatesZones(t *testing.T) {
-	tier := startTier(t, 6, shortLimits())
+	tier := startTier(t, 6, shortLeaseLimits())
 	tier.zones = []int{0, 0, 0, 1, 1, 2}
 	for m := range tier.reducers {
 		tier.start(m)
@@ -248,19 +248,19 @@
 // A member whose turn would come while it is cut off from the majority starts no drain. After the partition all requests
 // are served.
 func TestMinorityStartsNoDrain(t *testing.T) {
-	tier := startTier(t, 5, shortLimits())
+	tier := startTier(t, 5, shortLeaseLimits())
 	tier.advance(2 * second)
 	tier.step(3, Request{Members: []int{3, 0}})
 	tier.advance(250 * time.Millisecond)
 	if got := tier.membersOutOfService(); len(got) != 1 {
 		t.Fatalf("members out: %v, want one", got)
 	}
-	tier.cut = func(from, to int) bool { return (from < 3) != (to < 3) }
+	tier.isCutOff = func(from, to int) bool { return (from < 3) != (to < 3) }
 	tier.completeWork(8 * second)
 	if tier.lastDrainAt[3] > tier.lastDrainAt[0] {
 		t.Errorf("member 3 started to drain at %v while it was cut off", tier.lastDrainAt[3])
 	}
-	tier.cut = nil
+	tier.isCutOff = nil
 	tier.completeWork(15 * second)
 	if tier.maxOutOfService != 1 {
 		t.Errorf("%d members were out at once, want 1", tier.maxOutOfService)
@@ -271,7 +271,7 @@
 // The death of a holder frees its slot within the lease and two rounds. Its own request waits until it has restarted, and
 // is served then.
 func TestHolderDeathFreesSlot(t *testing.T) {
-	tier := startTier(t, 3, shortLimits())
+	tier := startTier(t, 3, shortLeaseLimits())
 	tier.advance(2 * second)
 	tier.step(0, Request{Members: []int{0, 1}})
 	tier.advance(250 * time.Millisecond)
@@ -287,10 +287,10 @@
 }
 
 // While a member holds a slot, the two others that granted it restart and forget the grant. They grant the slot to no
-// other member before they know of that grant. Without this guard two members are out at once.
+// other member before they know of that grant. Without GuardRecover two members are out at once.
 func TestNewlyStartedMemberGrantsNothing(t *testing.T) {
 	for _, disabledGuards := range []Guard{0, GuardRecover} {
-		tier := startTier(t, 3, shortLimits())
+		tier := startTier(t, 3, shortLeaseLimits())
 		tier.disabledGuards = disabledGuards
 		tier.advance(2 * second)
 		tier.step(0, Request{Members: []int{0, 1}})
@@ -298,7 +298,7 @@
 		if got := tier.membersOutOfService(); !slices.Equal(got, []int{0}) {
 			t.Fatalf("members out: %v, want member 0", got)
 		}
-		tier.cut = func(from, _ int) bool { return from == 0 } // the requests were received before; datagrams about the lease are lost
+		tier.isCutOff = func(from, _ int) bool { return from == 0 } // the requests were received before; datagrams about the lease are lost
 		tier.kill(2)
 		tier.start(2)
 		tier.advance(100 * time.Millisecond)
@@ -316,7 +316,7 @@
 // A budget that is reduced while more members are out calls none back and starts no further one until few enough are
 // out.
 func TestLoweredBudget(t *testing.T) {
-	limits := shortLimits()
+	limits := shortLeaseLimits()
 	limits.Budget = 3
 	tier := startTier(t, 5, limits)
 	tier.advance(2 * second)
@@ -349,7 +349,7 @@
 // A member that is ready for work and stops keeps its slot while it is away, releases it when it serves again, and
 // its request is done.
 func TestSlotKeptDuringWork(t *testing.T) {
-	tier := startTier(t, 3, shortLimits())
+	tier := startTier(t, 3, shortLeaseLimits())
 	tier.advance(2 * second)
 	tier.step(1, Request{Members: []int{0, 1}})
 	tier.advance(800 * time.Millisecond)
@@ -370,7 +370,7 @@
 // A released slot is free for the next member although the first release was lost everywhere: otherwise the members
 // that granted the slot would hold it granted for the whole work lease.
 func TestLostRelease(t *testing.T) {
-	limits := shortLimits()
+	limits := shortLeaseLimits()
 	limits.WorkLease = time.Hour
 	tier := startTier(t, 3, limits)
 	tier.advance(2 * second)
@@ -379,18 +379,18 @@
 	if got := tier.membersOutOfService(); !slices.Equal(got, []int{0}) || tier.reducers[0].Status().Records[0].Stage != StageReady {
 		t.Fatalf("members out: %v, want member 0, ready for work", got)
 	}
-	tier.cut = func(from, to int) bool { return from == 0 }
+	tier.isCutOff = func(from, to int) bool { return from == 0 }
 	tier.step(0, Cancel{Members: []int{0}})
-	tier.cut = nil
+	tier.isCutOff = nil
 	tier.completeWork(5 * second)
 	tier.expectMaintainedOnce(0, 1)
 
 	// The same holds if the holder dies right after a release that was lost: the slot is free once the holder has restarted.
 	tier.step(0, Request{Members: []int{0, 1}})
 	tier.advance(1500 * time.Millisecond)
-	tier.cut = func(from, to int) bool { return from == 0 }
+	tier.isCutOff = func(from, to int) bool { return from == 0 }
 	tier.step(0, Cancel{Members: []int{0}})
-	tier.cut = nil
+	tier.isCutOff = nil
 	tier.step(1, Cancel{Members: []int{0}}) // member 1 knows that the request has ended, but not from the holder
 	tier.kill(0)
 	tier.advance(second)
@@ -406,7 +406,7 @@
 
 // A large tier whose members start together causes no storm of queries, and all members recover.
 func TestSimultaneousStartCausesNoStorm(t *testing.T) {
-	tier := startTier(t, 60, shortLimits())
+	tier := startTier(t, 60, shortLeaseLimits())
 	tier.advance(20 * second)
 	maxSent := uint64(0)
 	for m, reducer := range tier.reducers {
@@ -442,10 +442,10 @@
 // Datagrams that are damaged, truncated, of another version or tier, or from an unknown sender are counted and change no
 // grant.
 func TestInvalidDatagramsDropped(t *testing.T) {
-	tier := startTier(t, 3, shortLimits())
+	tier := startTier(t, 3, shortLeaseLimits())
 	tier.advance(second)
-	valid := tier.reducers[1].encode(message{Kind: kindSlotRequest, Slot: 0, Epoch: 1 << 62, Lease: 1000})
-	otherTier := startTier(t, 4, shortLimits()).reducers[1].encode(message{Kind: kindSlotRequest, Epoch: 1 << 62, Lease: 1000})
+	valid := tier.reducers[1].encode(message{Kind: kindSlotRequest, Slot: 0, Epoch: 1 << 62, LeaseMillis: 1000})
+	otherTier := startTier(t, 4, shortLeaseLimits()).reducers[1].encode(message{Kind: kindSlotRequest, Epoch: 1 << 62, LeaseMillis: 1000})
 	reducer := tier.reducers[0]
 	grantsBefore := reducer.Status().Grants
 	for i := range valid {
--- a/internal/maintenance/records.go
+++ b/internal/maintenance/records.go
@@ -25,7 +25,7 @@
 // receive the same records, in any order and any number of times, reach the same result. Two requests for one member
 // that were made independently count as one, made at the earlier time.
 func Merge(a, b Record) Record {
-	if less(a, b) {
+	if recordLess(a, b) {
 		a, b = b, a
 	}
 	if a.Generation == b.Generation && b.RequestedAt > 0 {
@@ -34,9 +34,9 @@
 	return a
 }
 
-// less orders records by generation. Within a generation an ended request is higher than any other, and StageDone
-// higher than StageWithdrawn; then the order is by restarts, stage, epoch and slot.
-func less(a, b Record) bool {
+// recordLess reports whether a is lower than b. Records are ordered by generation. Within a generation an ended request is
+// higher than any other, and StageDone higher than StageWithdrawn; then the order is by restarts, stage, epoch and slot.
+func recordLess(a, b Record) bool {
 	switch {
 	case a.Generation != b.Generation:
 		return a.Generation < b.Generation
@@ -108,10 +108,10 @@
 		r.sendRecords(to, []int{member})
 	}
 	if member == r.cfg.Self && record.Stage.Ended() {
-		if r.lease != nil {
-			r.releaseSlot(r.lease.Slot, r.lease.Epoch)
-			r.dropSlot()
-		} else if r.round != nil {
+		if r.heldLease != nil {
+			r.releaseSlot(r.heldLease.Slot, r.heldLease.Epoch)
+			r.forgetSlot()
+		} else if r.currentRound != nil {
 			r.failRound()
 		}
 	}
@@ -153,12 +153,12 @@
 	return queue
 }
 
-// gossip sends recently changed records, and those of requests that have not ended, as far as they fit into one datagram,
+// gossipRecords sends recently changed records, and those of requests that have not ended, as far as they fit into one datagram,
 // to one random member. Once all requests have ended and all changes were sent often enough, it sends nothing.
-func (r *Reducer) gossip() {
+func (r *Reducer) gossipRecords() {
 	var members []int
 	for i := range r.records {
-		member := (r.gossipCursor + i) % len(r.records)
+		member := (r.nextGossipIndex + i) % len(r.records)
 		if r.remainingTransmissions[member] > 0 || !r.records[member].Stage.Ended() {
 			members = append(members, member)
 		}
@@ -169,7 +169,7 @@
 			r.remainingTransmissions[member] = max(r.remainingTransmissions[member]-1, 0)
 		}
 		if count < len(members) {
-			r.gossipCursor = members[count]
+			r.nextGossipIndex = members[count]
 		}
 	}
 }
@@ -178,8 +178,8 @@
 // in StageNone count but are not sent; without others nothing is sent. The room is computed with the maximum sizes of
 // Seq, Lease and RecordsHash, so that the datagram never exceeds its maximum size.
 func (r *Reducer) sendRecords(to int, members []int) (count int) {
-	msg := message{Kind: kindRecords, Seq: math.MaxUint32, RecordsHash: math.MaxUint32, Lease: math.MaxUint32, Epoch: 0}
-	msg.Tier, msg.Zone, msg.Name = uint16(r.cfg.TierSize), int8(r.cfg.Zone), r.cfg.Name
+	msg := message{Kind: kindRecords, Seq: math.MaxUint32, RecordsHash: math.MaxUint32, LeaseMillis: math.MaxUint32, Epoch: 0}
+	msg.TierSize, msg.Zone, msg.Name = uint16(r.cfg.TierSize), int8(r.cfg.Zone), r.cfg.Name
 	remaining := datagram.MaxSize - datagram.Overhead - datagram.Size(msg) - 2
 	for _, member := range members {
 		items := recordItems(member, r.records[member])
@@ -200,7 +200,7 @@
 	return count
 }
 
-// recordsHash returns a hash that tells different sets of records apart.
+// recordsHash returns a hash of all records that this member has, which tells different sets of records apart.
 func (r *Reducer) recordsHash() uint32 {
 	var b []byte
 	for m, record := range r.records {
@@ -216,7 +216,7 @@
 // mergeRecords merges received records, and sends the sender back those records of which this member knows more, as far
 // as they fit into one datagram.
 func (r *Reducer) mergeRecords(from int, records map[int]Record) {
-	var newer []int
+	var newerHere []int
 	for member := range r.records {
 		theirs, included := records[member]
 		if !included {
@@ -225,11 +225,11 @@
 		merged := Merge(r.records[member], theirs)
 		r.setRecord(member, merged)
 		if merged != theirs {
-			newer = append(newer, member)
+			newerHere = append(newerHere, member)
 		}
 	}
-	if len(newer) > 0 {
-		r.sendRecords(from, newer)
+	if len(newerHere) > 0 {
+		r.sendRecords(from, newerHere)
 	}
 	r.advanceOwnRequest()
 }
--- a/internal/maintenance/recover.go
+++ b/internal/maintenance/recover.go
@@ -20,9 +20,9 @@
 // The member queries only a few members a round, so that a large tier whose members start together causes no storm of
 // datagrams, and one a round after the rounds in which every member could have been queried twice.
 
-// recoverGrants sends the next queries to members that have not answered as recovered members, or ends the recovery
+// continueRecovery sends the next queries to members that have not answered as recovered members, or ends the recovery
 // when all grants of earlier incarnations have expired. In the first two rounds it does nothing.
-func (r *Reducer) recoverGrants() {
+func (r *Reducer) continueRecovery() {
 	if r.now >= r.startedAt+r.cfg.Limits.maxGrantDuration() {
 		r.finishRecovery()
 		return
@@ -38,7 +38,7 @@
 	for range r.cfg.TierSize {
 		member := r.nextQueried
 		r.nextQueried = (r.nextQueried + 1) % r.cfg.TierSize
-		if answer := r.answers[member]; member == r.cfg.Self || answer.Received && answer.Recovered {
+		if answer := r.queryAnswers[member]; member == r.cfg.Self || answer.Received && answer.Recovered {
 			continue
 		}
 		r.send(member, message{Kind: kindQuery, Seq: r.queryNonce})
@@ -83,8 +83,8 @@
 		if r.isGranted(slot) {
 			holder, remaining = grant.Holder, grant.Expiry-r.now
 		}
-		if r.lease != nil && r.lease.Slot == slot {
-			holder, remaining = r.cfg.Self, max(r.lease.Expiry-r.now, remaining)
+		if r.heldLease != nil && r.heldLease.Slot == slot {
+			holder, remaining = r.cfg.Self, max(r.heldLease.Expiry-r.now, remaining)
 		}
 		if holder != -1 || r.highestEpochs[slot] > 0 {
 			items = append(items, int64(slot), int64(max(holder, -1)), int64(remaining/time.Millisecond), int64(r.highestEpochs[slot]))
@@ -121,10 +121,10 @@
 		}
 	}
 	if msg.RecordsHash == r.recordsHash() {
-		r.answers[from] = queryAnswer{true, msg.Recovered || r.answers[from].Recovered}
+		r.queryAnswers[from] = queryAnswer{true, msg.Recovered || r.queryAnswers[from].Recovered}
 	}
 	received, recovered := 0, 0
-	for _, a := range r.answers {
+	for _, a := range r.queryAnswers {
 		if a.Received {
 			received++
 		}
@@ -132,7 +132,7 @@
 			recovered++
 		}
 	}
-	if recovered >= r.quorum() || received == r.cfg.TierSize-1 {
+	if recovered >= r.majoritySize() || received == r.cfg.TierSize-1 {
 		r.finishRecovery()
 	}
 }
--- a/internal/maintenance/reducer.go
+++ b/internal/maintenance/reducer.go
@@ -30,8 +30,8 @@
 	GuardStopDrain                   // a member that loses its slot stops draining
 )
 
-// queryAnswer records, for a member, whether it has answered a query with the same records as those of this member,
-// and whether it had recovered itself.
+// queryAnswer says of another member whether it has answered a query of this member while both had the same records
+// (Received), and whether it had recovered itself by then.
 type queryAnswer struct{ Received, Recovered bool }
 
 // Reducer runs the protocol for one member. It is not safe for concurrent use.
@@ -54,15 +54,15 @@
 	queryNonce             uint32           // identifies the queries of this incarnation; answers to queries of an earlier one are ignored
 	queryRounds            uint32           // rounds of queries sent
 	nextQueried            int              // index of the member queried next
-	answers                []queryAnswer
-	round                  *round // nil: none is running
-	lease                  *lease // nil: none is held
+	queryAnswers           []queryAnswer
+	currentRound           *slotRound // round of this member; nil: none is running
+	heldLease              *slotLease // lease of this member; nil: none is held
 	releaseNotices         []releaseNotice
-	retryAt                Time // no new slot is requested before this time
+	earliestRequestAt      Time // no new slot is requested before this time
 	drained                bool // this member holds a slot and has no calls left
-	lastSeq                uint32
+	lastRoundSeq           uint32
 	tickCount              uint32
-	gossipCursor           int // index of the record that is sent next
+	nextGossipIndex        int // index of the record that is sent next
 	counters               Counters
 }
 
@@ -80,7 +80,7 @@
 	r := &Reducer{
 		cfg: cfg, now: now, startedAt: now, rng: rand.New(rand.NewPCG(cfg.Seed, 0x6d61696e)),
 		records: make([]Record, cfg.TierSize), remainingTransmissions: make([]int, cfg.TierSize), zones: make([]int8, cfg.TierSize), names: make([]string, cfg.TierSize),
-		available: make([]bool, cfg.TierSize), answers: make([]queryAnswer, cfg.TierSize), recovered: cfg.TierSize == 1,
+		available: make([]bool, cfg.TierSize), queryAnswers: make([]queryAnswer, cfg.TierSize), recovered: cfg.TierSize == 1,
 	}
 	r.cfg.Name = cfg.Name[:min(len(cfg.Name), maxNameLength)]
 	r.names[cfg.Self] = r.cfg.Name
@@ -116,7 +116,7 @@
 			r.available[ev.Member] = ev.Available
 		}
 	case Drained:
-		if r.lease != nil && !r.drained {
+		if r.heldLease != nil && !r.drained {
 			r.drained = true
 			r.renewLease()
 		}
@@ -141,16 +141,16 @@
 // emit appends an effect to those that Step returns.
 func (r *Reducer) emit(e Effect) { r.effects = append(r.effects, e) }
 
-// guardEnabled reports whether a guard is on.
+// guardEnabled reports whether a guard is on, that is, not switched off by a test.
 func (r *Reducer) guardEnabled(g Guard) bool { return r.cfg.DisabledGuards&g == 0 }
 
-// nextSeq returns a new sequence number.
-func (r *Reducer) nextSeq() uint32 { r.lastSeq++; return r.lastSeq }
+// nextRoundSeq returns the sequence number of a new round.
+func (r *Reducer) nextRoundSeq() uint32 { r.lastRoundSeq++; return r.lastRoundSeq }
 
-// quorum returns the number of members in a majority of the tier.
-func (r *Reducer) quorum() int { return r.cfg.TierSize/2 + 1 }
+// majoritySize returns the number of members in a majority of the tier.
+func (r *Reducer) majoritySize() int { return r.cfg.TierSize/2 + 1 }
 
-// scheduleTick requests the timer of the next tick.
+// scheduleTick requests the timer of the next tick, at which this member looks at the queue and gossips.
 func (r *Reducer) scheduleTick(delay time.Duration) {
 	r.tickCount++
 	r.emit(Timer{At: r.now + delay, Token: Token{kind: tokenTick, seq: r.tickCount}})
@@ -165,22 +165,22 @@
 			return
 		}
 		if !r.recovered {
-			r.recoverGrants()
+			r.continueRecovery()
 		}
 		r.advanceOwnRequest()
 		r.repeatReleases()
-		r.gossip()
+		r.gossipRecords()
 		r.scheduleTick(r.cfg.Limits.RoundTimeout)
 	case tokenResend: // half of the round has passed: requests or answers may be lost
-		if r.round != nil && r.round.Seq == token.seq {
+		if r.currentRound != nil && r.currentRound.Seq == token.seq {
 			r.sendSlotRequests()
 		}
 	case tokenRoundTimeout:
-		if r.round != nil && r.round.Seq == token.seq {
+		if r.currentRound != nil && r.currentRound.Seq == token.seq {
 			r.failRound()
 		}
 	case tokenRenew:
-		if r.lease != nil && r.round == nil && r.lease.Seq == token.seq {
+		if r.heldLease != nil && r.currentRound == nil && r.heldLease.Seq == token.seq {
 			r.renewLease()
 		}
 	}
@@ -205,7 +205,7 @@
 	return candidates[:min(count, len(candidates))]
 }
 
-// send sends a message with the recovery state and the hash of the records of this member.
+// send sends a message to a member, with the recovery state and the hash of the records of this member filled in.
 func (r *Reducer) send(to int, msg message) {
 	msg.Recovered, msg.RecordsHash = r.recovered, r.recordsHash()
 	data := r.encode(msg)
@@ -215,15 +215,15 @@
 }
 
 // handleDatagram handles a received datagram: drops and counts an invalid one, and responds to the others by their kind.
-func (r *Reducer) handleDatagram(d Datagram) {
-	if d.From < 0 || d.From >= r.cfg.TierSize {
+func (r *Reducer) handleDatagram(received Datagram) {
+	if received.From < 0 || received.From >= r.cfg.TierSize {
 		r.counters.UnknownSenders++
 		return
 	}
-	if d.From == r.cfg.Self {
+	if received.From == r.cfg.Self {
 		return
 	}
-	msg, records, err := r.decode(d.Data)
+	msg, records, err := r.decode(received.Data)
 	switch {
 	case errors.Is(err, datagram.ErrVersion):
 		r.counters.VersionMismatches++
@@ -231,36 +231,36 @@
 	case err != nil:
 		r.counters.Malformed++
 		return
-	case int(msg.Tier) != r.cfg.TierSize:
+	case int(msg.TierSize) != r.cfg.TierSize:
 		r.counters.UnknownSenders++
 		return
 	}
-	r.zones[d.From], r.names[d.From] = msg.Zone, msg.Name
+	r.zones[received.From], r.names[received.From] = msg.Zone, msg.Name
 	switch msg.Kind {
 	case kindSlotRequest:
-		granted, refusal := r.vote(d.From, int(msg.Slot), msg.Epoch, time.Duration(msg.Lease)*time.Millisecond)
+		granted, refusal := r.voteOnRequest(received.From, int(msg.Slot), msg.Epoch, time.Duration(msg.LeaseMillis)*time.Millisecond)
 		if granted {
-			r.send(d.From, message{Kind: kindGrant, Seq: msg.Seq})
+			r.send(received.From, message{Kind: kindGrant, Seq: msg.Seq})
 		} else {
-			r.send(d.From, message{Kind: kindRefusal, Seq: msg.Seq, Slot: msg.Slot, Items: refusal})
+			r.send(received.From, message{Kind: kindRefusal, Seq: msg.Seq, Slot: msg.Slot, Items: refusal})
 		}
 	case kindGrant:
-		r.countGrant(d.From, msg.Seq)
+		r.countGrantedVote(received.From, msg.Seq)
 	case kindRefusal:
 		r.highestEpochs[msg.Slot] = max(r.highestEpochs[msg.Slot], uint64(msg.Items[2]))
 		if remaining := time.Duration(msg.Items[1]) * time.Millisecond; msg.Items[0] >= 0 && int(msg.Items[0]) != r.cfg.Self && remaining > 0 {
 			r.refusedUntil[msg.Slot] = r.now + min(remaining, 4*r.cfg.Limits.RoundTimeout) // capped: the release may be lost
 		}
-		r.countRefusal(msg.Seq)
+		r.countRefusedVote(msg.Seq)
 	case kindRelease:
-		r.handleRelease(d.From, int(msg.Slot), msg.Epoch)
+		r.handleRelease(received.From, int(msg.Slot), msg.Epoch)
 		r.advanceOwnRequest()
 	case kindQuery:
-		r.answerQuery(d.From, msg)
+		r.answerQuery(received.From, msg)
 	case kindState:
-		r.handleQueryAnswer(d.From, msg)
+		r.handleQueryAnswer(received.From, msg)
 	case kindRecords:
-		r.mergeRecords(d.From, records)
+		r.mergeRecords(received.From, records)
 	}
 }
 
@@ -268,8 +268,8 @@
 func (r *Reducer) Status() Status {
 	status := Status{Recovered: r.recovered, Budget: r.cfg.Limits.Budget, Slot: -1, Queue: r.Queue(), Counters: r.counters}
 	status.Records = append(status.Records, r.records...)
-	if r.lease != nil {
-		status.Slot, status.Epoch, status.Expiry = r.lease.Slot, r.lease.Epoch, r.lease.Expiry
+	if r.heldLease != nil {
+		status.Slot, status.Epoch, status.Expiry = r.heldLease.Slot, r.heldLease.Epoch, r.heldLease.Expiry
 	}
 	for slot := range r.grants {
 		grant := r.grants[slot]
@@ -286,7 +286,7 @@
 func (r *Reducer) Names() []string { return r.names }
 
 // HoldsSlot reports whether this member relies on a lease of a slot.
-func (r *Reducer) HoldsSlot() bool { return r.lease != nil }
+func (r *Reducer) HoldsSlot() bool { return r.heldLease != nil }
 
 // AwaitsDrained reports whether this member holds a slot and waits for the Drained event.
-func (r *Reducer) AwaitsDrained() bool { return r.lease != nil && !r.drained }
+func (r *Reducer) AwaitsDrained() bool { return r.heldLease != nil && !r.drained }
--- a/internal/maintenance/types.go
+++ b/internal/maintenance/types.go
@@ -24,7 +24,7 @@
 // counted and dropped.
 const Version = 0x41
 
-// MaxSlots is the number of slots, and the maximum of the budget B.
+// MaxSlots is the number of slots, and the maximum of the budget B (members out of service at once).
 const MaxSlots = 8
 
 // Stage is the progress of a maintenance request.
@@ -59,7 +59,7 @@
 	Budget        int           // B, the maximum number of members out of service at once
 	Lease         time.Duration // lease of a draining member
 	WorkLease     time.Duration // lease of a member that is ready for work: the longest absence during which it keeps its slot
-	RoundTimeout  time.Duration // time for a majority to answer, and interval between two looks at the queue
+	RoundTimeout  time.Duration // time for a majority to answer a round, and interval of ticks
 	MaxDrift      float64       // maximum difference between the rates of two clocks, as a share
 	Transmissions int           // number of times that a changed record or a release is sent again after its first transmission
 }
@@ -94,9 +94,9 @@
 	return time.Duration(float64(l.WorkLease)*(1+2*l.MaxDrift)) + 2*l.RoundTimeout
 }
 
-// safeDuration returns how long a holder relies on a lease, counted from its first request for the lease: the
+// holderLeaseDuration returns how long a holder relies on a lease, counted from its first request for the lease: the
 // duration shortened by the clock drift.
-func (l Limits) safeDuration(duration time.Duration) time.Duration {
+func (l Limits) holderLeaseDuration(duration time.Duration) time.Duration {
 	return time.Duration(float64(duration) * (1 - 2*l.MaxDrift))
 }
 
@@ -104,7 +104,7 @@
 type Event interface{ event() }
 
 type (
-	// Datagram was received from the member with index From. The reducer does not keep Data.
+	// Datagram is a datagram of this protocol, received from the member with index From. The reducer does not keep Data.
 	Datagram struct {
 		From int
 		Data []byte
@@ -171,7 +171,7 @@
 // Token identifies the purpose of a timer.
 type Token struct {
 	kind tokenKind
-	seq  uint32 // of the tick, or of the round
+	seq  uint32 // number of the tick or the round that the timer belongs to
 }
 
 // tokenKind is the purpose of a timer.
@@ -179,14 +179,14 @@
 
 // The purposes of timers.
 const (
-	tokenTick         tokenKind = iota // look at the queue, and gossip
+	tokenTick         tokenKind = iota // a tick: look at the queue of waiting members, and send records to a member
 	tokenResend                        // half of the round has passed: repeat the unanswered requests
 	tokenRoundTimeout                  // the round has timed out
 	tokenRenew                         // the lease is due for renewal
 	tokenExpiry                        // the lease expires by the clock of this member
 )
 
-// Counters count what the protocol has done since the start.
+// Counters count what the maintenance protocol has done since the start of this member.
 type Counters struct {
 	Rounds                     uint64 // rounds started to get or renew a slot
 	Granted                    uint64 // slots obtained
--- a/internal/membership/codec.go
+++ b/internal/membership/codec.go
@@ -13,7 +13,7 @@
 // messageKind is the purpose of a datagram.
 type messageKind uint8
 
-// The kinds of messages.
+// The kinds of membership messages.
 const (
 	kindPing        messageKind = iota // request for a kindAck with the same sequence number
 	kindPingReq                        // request to probe Target and to answer on its behalf (SWIM's ping-req)
@@ -21,7 +21,7 @@
 	kindNack                           // Target did not answer the relayed probe in time; the sender of the nack is alive
 	kindSyncRequest                    // request for the states of all members
 	kindSyncPart                       // one part of the answer to a kindSyncRequest
-	kindUpdates                        // carries updates only: announces a change of the sender itself
+	kindUpdates                        // announces a change of the sender itself; carries Updates and requests nothing
 	numKinds
 )
 
@@ -30,8 +30,8 @@
 type message struct {
 	_           struct{} `cbor:",toarray"`
 	Kind        messageKind
-	Tier        uint16 // number of members of the sender's tier
-	Seq         uint32 // of the probe, chosen by the member that sent the kindPing or kindPingReq; otherwise 0
+	TierSize    uint16 // number of members of the sender's tier
+	Seq         uint32 // number of the probe, chosen by the member that sent the kindPing or kindPingReq; otherwise 0
 	Target      uint16 // of a kindPingReq, kindAck or kindNack: index of the probed member; otherwise 0
 	State       State  // of the sender: alive, draining or left
 	Incarnation uint64 // of the sender
@@ -49,8 +49,8 @@
 // stateBits is the width of the state in the first integer of an update; the index of the member is above it.
 const stateBits = 3
 
-// errOtherTier rejects a datagram of a sender whose tier has another number of members.
-var errOtherTier = errors.New("datagram from a tier of another size")
+// errOtherTierSize rejects a datagram of a sender whose tier has another number of members.
+var errOtherTierSize = errors.New("datagram from a tier of another size")
 
 // encode encodes a message with as many of the updates as fit into maxSize bytes, in their order, and returns how
 // many did.
@@ -87,8 +87,8 @@
 		return msg, nil, err
 	}
 	switch {
-	case int(msg.Tier) != tierSize:
-		return msg, nil, errOtherTier
+	case int(msg.TierSize) != tierSize:
+		return msg, nil, errOtherTierSize
 	case msg.Kind >= numKinds, int(msg.Target) >= tierSize, msg.Incarnation == 0, !msg.State.Available() && msg.State != StateLeft:
 		return msg, nil, datagram.ErrMalformed
 	}
@@ -96,18 +96,18 @@
 		if len(ints) < 2 {
 			return msg, nil, datagram.ErrMalformed
 		}
-		u := update{member: int(ints[0] >> stateBits), state: State(ints[0] & (1<<stateBits - 1)), incarnation: msg.Incarnation + uint64(ints[1]), observer: -1}
+		decoded := update{member: int(ints[0] >> stateBits), state: State(ints[0] & (1<<stateBits - 1)), incarnation: msg.Incarnation + uint64(ints[1]), observer: -1}
 		ints = ints[2:]
-		if u.state == StateSuspect {
+		if decoded.state == StateSuspect {
 			if len(ints) == 0 || ints[0] < 0 || ints[0] >= int64(tierSize) {
 				return msg, nil, datagram.ErrMalformed
 			}
-			u.observer, ints = int(ints[0]), ints[1:]
+			decoded.observer, ints = int(ints[0]), ints[1:]
 		}
-		if u.member < 0 || u.member >= tierSize || u.state == StateUnknown || u.state >= numStates {
+		if decoded.member < 0 || decoded.member >= tierSize || decoded.state == StateUnknown || decoded.state >= numStates {
 			return msg, nil, datagram.ErrMalformed
 		}
-		updates = append(updates, u)
+		updates = append(updates, decoded)
 	}
 	return msg, updates, nil
 }
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -2,14 +2,14 @@
 
 import "slices"
 
-// enqueueUpdate queues an update for the next datagrams, in place of an older update about the same member. The queue
-// is in order of transmission: the least often transmitted updates first, and of those the newest first.
+// enqueueUpdate queues an update for the next datagrams, in place of an older update about the same member. The updates
+// transmitted least often come first in the queue, and among equally often transmitted ones the newest.
 func (r *Reducer) enqueueUpdate(u update) {
 	if i := slices.IndexFunc(r.updateQueue, func(queued queuedUpdate) bool { return queued.member == u.member }); i >= 0 {
 		r.updateQueue = slices.Delete(r.updateQueue, i, i+1)
 	}
-	r.lastUpdateSeq++
-	r.updateQueue = slices.Insert(r.updateQueue, 0, queuedUpdate{update: u, Seq: r.lastUpdateSeq})
+	r.lastQueuedUpdateSeq++
+	r.updateQueue = slices.Insert(r.updateQueue, 0, queuedUpdate{update: u, Seq: r.lastQueuedUpdateSeq})
 }
 
 // markTransmitted counts one transmission of each of the first count updates of the queue, removes the updates that
@@ -31,21 +31,21 @@
 	r.updateQueue = append(append(queue, sent...), unsent...)
 }
 
-// currentUpdate returns the current state of a member as an update.
-func (r *Reducer) currentUpdate(index int) update {
-	u := update{member: index, state: r.members[index].State, incarnation: r.members[index].Incarnation, observer: -1}
+// updateOfCurrentState returns what this member knows of a member's state, as an update to be sent.
+func (r *Reducer) updateOfCurrentState(index int) update {
+	current := update{member: index, state: r.members[index].State, incarnation: r.members[index].Incarnation, observer: -1}
 	if s := r.suspicions[index]; s != nil {
-		u.observer = s.Observers[0]
+		current.observer = s.Observers[0]
 	}
-	return u
+	return current
 }
 
-// send sends a datagram with as many updates as fit, those transmitted least often first. The mandatory updates come
-// before those of the queue. If the receiver is considered suspect, dead or left, its own state is one of them, because a
+// send sends a member a datagram with as many updates as fit. The mandatory updates come first, then those of the queue,
+// the least often transmitted first. If the receiver is considered suspect, dead or left, its own state is one of them, because a
 // member can refute only what it receives (Lifeguard, Buddy System).
 func (r *Reducer) send(to int, msg message, mandatory ...update) {
 	if s := r.members[to].State; s == StateSuspect || s.Down() {
-		mandatory = append(mandatory, r.currentUpdate(to))
+		mandatory = append(mandatory, r.updateOfCurrentState(to))
 	}
 	updates := mandatory
 	for _, queued := range r.updateQueue[:min(len(r.updateQueue), r.cfg.Limits.MaxDatagramSize/2)] { // more never fit: an update takes at least 2 bytes
@@ -56,10 +56,10 @@
 	}
 }
 
-// sendUpdates sends a datagram with as many of the updates as fit, and returns how many did.
+// sendUpdates sends a member a datagram with as many of the updates as fit, and returns how many were sent.
 func (r *Reducer) sendUpdates(to int, msg message, updates []update) int {
 	self := r.self()
-	msg.Tier, msg.State, msg.Incarnation = uint16(r.cfg.TierSize), self.State, self.Incarnation
+	msg.TierSize, msg.State, msg.Incarnation = uint16(r.cfg.TierSize), self.State, self.Incarnation
 	data, count := msg.encode(updates, r.cfg.Limits.MaxDatagramSize)
 	r.counters.Sent++
 	r.counters.SentBytes += uint64(len(data))
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -13,15 +13,15 @@
 const second = time.Second
 
 // networkConditions describe a network that loses, duplicates and reorders datagrams, and drops those between members
-// for which cut returns true.
+// for which isCutOff returns true.
 type networkConditions struct {
-	loss float64
-	cut  func(from, to int) bool
+	loss     float64
+	isCutOff func(from, to int) bool
 }
 
-// delays returns the delay of each copy of a datagram that arrives.
+// delays returns the delay of each copy of a datagram that arrives; none if the datagram is lost.
 func (conditions *networkConditions) delays(_ swarm.Time, from, to int, r *rand.Rand) []time.Duration {
-	if conditions.cut != nil && conditions.cut(from, to) || r.Float64() < conditions.loss {
+	if conditions.isCutOff != nil && conditions.isCutOff(from, to) || r.Float64() < conditions.loss {
 		return nil
 	}
 	delays := []time.Duration{time.Millisecond + time.Duration(r.Int64N(int64(20*time.Millisecond)))}
@@ -31,18 +31,18 @@
 	return delays
 }
 
-// testTier is a simulated tier of n members.
+// testTier is a simulated tier of size members.
 type testTier struct {
 	*swarm.Simulation
 	networkConditions
-	t *testing.T
-	n int
+	t    *testing.T
+	size int
 }
 
 // startTier starts a simulated tier of n members whose network loses the given share of the datagrams.
 func startTier(t *testing.T, n int, loss float64) *testTier {
 	t.Helper()
-	tier := &testTier{t: t, networkConditions: networkConditions{loss: loss}, n: n}
+	tier := &testTier{t: t, networkConditions: networkConditions{loss: loss}, size: n}
 	var err error
 	if tier.Simulation, err = swarm.New(swarm.Config{Members: n, Limits: membership.Defaults(), Seed: 7, Delays: tier.delays}); err != nil {
 		t.Fatal(err)
@@ -57,11 +57,11 @@
 // members to be in stoppedState.
 func (tier *testTier) expectAgreement(phase string, stoppedState membership.State) {
 	tier.t.Helper()
-	for i := range tier.n {
+	for i := range tier.size {
 		if !tier.Running(i) {
 			continue
 		}
-		for j := range tier.n {
+		for j := range tier.size {
 			state := tier.StateOf(i, j).State
 			if tier.Running(j) && !state.Available() || !tier.Running(j) && state != stoppedState {
 				tier.t.Errorf("%s: member %d considers member %d %v; the latter runs: %t", phase, i, j, state, tier.Running(j))
@@ -120,7 +120,7 @@
 func TestPartition(t *testing.T) {
 	tier := startTier(t, 5, 0)
 	tier.advance(5 * second)
-	tier.cut = func(from, to int) bool { return (from < 3) != (to < 3) }
+	tier.isCutOff = func(from, to int) bool { return (from < 3) != (to < 3) }
 	tier.advance(15 * second)
 	for m := range 5 {
 		view := tier.Member(m).View()
@@ -129,7 +129,7 @@
 			t.Errorf("member %d: %+v, majority %t, cold quota fraction %v", m, view, view.Majority(), view.ColdQuotaFraction())
 		}
 	}
-	tier.cut = nil
+	tier.isCutOff = nil
 	tier.advance(10 * second)
 	tier.expectAgreement("healed", membership.StateDead)
 }
@@ -152,7 +152,7 @@
 func TestOneWayLoss(t *testing.T) {
 	tier := startTier(t, 6, 0)
 	tier.advance(5 * second)
-	tier.cut = func(from, to int) bool { return from == 0 }
+	tier.isCutOff = func(from, to int) bool { return from == 0 }
 	tier.advance(20 * second)
 	for i := 1; i < 6; i++ {
 		for j := range 6 {
@@ -161,7 +161,7 @@
 			}
 		}
 	}
-	tier.cut = nil
+	tier.isCutOff = nil
 	tier.advance(10 * second)
 	tier.expectAgreement("healed", membership.StateDead)
 }
@@ -177,9 +177,9 @@
 		}
 	}
 	for i := range 20 {
-		tier.cut = nil
+		tier.isCutOff = nil
 		if i%2 == 0 {
-			tier.cut = func(from, to int) bool { return from == 0 || to == 0 }
+			tier.isCutOff = func(from, to int) bool { return from == 0 || to == 0 }
 		}
 		tier.advance(second)
 	}
@@ -193,10 +193,10 @@
 func TestPauseBeyondSuspicionTimeout(t *testing.T) {
 	tier := startTier(t, 6, 0.1)
 	tier.advance(10 * second)
-	tier.cut = func(from, to int) bool { return to == 5 } // its probes and suspicions will have timed out when it resumes
+	tier.isCutOff = func(from, to int) bool { return to == 5 } // its probes and suspicions will have timed out when it resumes
 	tier.advance(1500 * time.Millisecond)
 	tier.Pause(5)
-	tier.cut = nil
+	tier.isCutOff = nil
 	tier.advance(20 * second)
 	if state := tier.StateOf(0, 5).State; state != membership.StateDead {
 		t.Errorf("the paused member is considered %v, want dead", state)
@@ -345,7 +345,7 @@
 	})
 }
 
-// Check names the invalid limit.
+// The error of Limits.Check begins with the name of the invalid limit.
 func TestLimitsCheck(t *testing.T) {
 	for field, invalidate := range map[string]func(*membership.Limits){
 		"period":        func(l *membership.Limits) { l.Period = 0 },
--- a/internal/membership/reducer.go
+++ b/internal/membership/reducer.go
@@ -28,10 +28,10 @@
 	GuardSuspect                   // a failed probe starts a suspicion
 )
 
-// guardEnabled reports whether a guard is in force.
+// guardEnabled reports whether a guard is in force, that is, not switched off by a test.
 func (r *Reducer) guardEnabled(g Guard) bool { return r.cfg.DisabledGuards&g == 0 }
 
-// probe is the current probe of this member.
+// probe is a regular probe: this member starts one in each protocol period, and waits for an answer until the next.
 type probe struct {
 	Target         int
 	Seq            uint32
@@ -62,27 +62,27 @@
 
 // Reducer runs the protocol for one member. It is not safe for concurrent use.
 type Reducer struct {
-	cfg              Config
-	now              Time
-	rng              *rand.Rand
-	effects          []Effect
-	members          []Member     // by index; the entry of this member is what it announces of itself
-	suspicions       []*suspicion // by index; nil: not suspected
-	updateQueue      []queuedUpdate
-	lastUpdateSeq    uint64
-	health           int // local health multiplier; 0 is the best
-	lastSeq          uint32
-	probeOrder       []int // members still to be probed in this round, in a random order
-	nextPeriodAt     Time
-	periodCount      uint32 // number of the period scheduled last
-	probe            *probe
-	relayedProbes    []relayedProbe
-	synced           bool   // part of another member's list came since this member's start, its last pause and the last sign of a healed partition
-	lastSyncPeriod   uint32 // period of the last kindSyncRequest; 0: none was sent
-	syncCursor       int    // index at which the next list sent begins
-	hasLeft          bool   // this member has announced that it shuts down
-	counters         Counters
-	maxTransmissions int // number of times that each update is sent
+	cfg                 Config
+	now                 Time
+	rng                 *rand.Rand
+	effects             []Effect
+	members             []Member     // by index; the entry of this member is what it announces of itself
+	suspicions          []*suspicion // by index; nil: not suspected
+	updateQueue         []queuedUpdate
+	lastQueuedUpdateSeq uint64
+	healthMultiplier    int // local health multiplier (Lifeguard): 0 is the best health, larger values are worse
+	lastProbeSeq        uint32
+	probeOrder          []int // members still to be probed in this round, in a random order
+	nextPeriodAt        Time
+	periodCount         uint32 // number of the period scheduled last
+	currentProbe        *probe
+	relayedProbes       []relayedProbe
+	syncReceived        bool   // part of a kindSyncRequest's answer came since this member's start, last pause and last sign of a healed partition
+	lastSyncPeriod      uint32 // period of the last kindSyncRequest; 0: none was sent
+	nextSyncIndex       int    // index of the member with which the next answer to a kindSyncRequest begins
+	hasLeft             bool   // this member has announced that it shuts down
+	counters            Counters
+	maxTransmissions    int // number of times that each update is sent
 }
 
 // New returns the reducer of a member and its first effects, or an error if Self, TierSize or a limit is invalid. The
@@ -124,7 +124,7 @@
 	case Drain:
 		r.setDraining(ev.On)
 	case Leave:
-		r.leave()
+		r.announceLeave()
 	}
 	return r.takeEffects()
 }
@@ -139,19 +139,21 @@
 // emit appends an effect to those that Step returns.
 func (r *Reducer) emit(e Effect) { r.effects = append(r.effects, e) }
 
-// self returns the entry of this member.
+// self returns the entry of this member in members.
 func (r *Reducer) self() *Member { return &r.members[r.cfg.Self] }
 
-// nextSeq returns a new sequence number.
-func (r *Reducer) nextSeq() uint32 { r.lastSeq++; return r.lastSeq }
+// nextProbeSeq returns the sequence number of a new probe.
+func (r *Reducer) nextProbeSeq() uint32 { r.lastProbeSeq++; return r.lastProbeSeq }
 
-// scaleByHealth multiplies a time by the local health multiplier plus one: a member in bad health gives other members
-// more time (Lifeguard, LHA-Probe).
-func (r *Reducer) scaleByHealth(d time.Duration) time.Duration { return d * time.Duration(r.health+1) }
+// scaleByHealth multiplies a time-out or period by the local health multiplier plus one, because a member in bad health
+// has to give other members more time (Lifeguard, LHA-Probe).
+func (r *Reducer) scaleByHealth(duration time.Duration) time.Duration {
+	return duration * time.Duration(r.healthMultiplier+1)
+}
 
 // adjustHealth changes the local health multiplier by delta; a positive delta means worse health.
 func (r *Reducer) adjustHealth(delta int) {
-	r.health = min(max(r.health+delta, 0), r.cfg.Limits.MaxHealth)
+	r.healthMultiplier = min(max(r.healthMultiplier+delta, 0), r.cfg.Limits.MaxHealth)
 }
 
 // schedulePeriod requests the timer of the next period.
@@ -169,7 +171,7 @@
 			r.runPeriod()
 		}
 	case tokenProbeTimeout:
-		if p := r.probe; p != nil && p.Seq == token.seq && !p.Acked {
+		if p := r.currentProbe; p != nil && p.Seq == token.seq && !p.Acked {
 			r.probeIndirectly(p)
 		}
 	case tokenSuspicion:
@@ -187,27 +189,27 @@
 // runPeriod concludes the probe of the last period and starts the next one. It also probes suspects again and, every
 // ReclaimPeriods periods, a dead member.
 func (r *Reducer) runPeriod() {
-	if p := r.probe; p != nil {
-		r.probe = nil
+	if p := r.currentProbe; p != nil {
+		r.currentProbe = nil
 		r.concludeProbe(p)
 	}
-	if target, ok := r.nextTarget(); ok {
-		r.probe = &probe{Target: target, Seq: r.nextSeq()}
+	if target, ok := r.nextProbeTarget(); ok {
+		r.currentProbe = &probe{Target: target, Seq: r.nextProbeSeq()}
 		r.counters.Probes++
-		r.send(target, message{Kind: kindPing, Seq: r.probe.Seq})
-		r.emit(Timer{At: r.now + r.scaleByHealth(r.cfg.Limits.ProbeTimeout), Token: Token{kind: tokenProbeTimeout, seq: r.probe.Seq}})
+		r.send(target, message{Kind: kindPing, Seq: r.currentProbe.Seq})
+		r.emit(Timer{At: r.now + r.scaleByHealth(r.cfg.Limits.ProbeTimeout), Token: Token{kind: tokenProbeTimeout, seq: r.currentProbe.Seq}})
 	}
 	r.reprobeSuspects()
 	if r.periodCount%uint32(r.cfg.Limits.ReclaimPeriods) == 0 {
-		r.probeDead()
+		r.probeDeadMember()
 	}
 	r.schedulePeriod(r.scaleByHealth(r.cfg.Limits.Period))
 }
 
-// nextTarget returns the member to be probed next. Each member is probed once a round, in an order that is shuffled
+// nextProbeTarget returns the member to be probed next. Each member is probed once a round, in an order that is shuffled
 // again for each round, so that some member detects a failure soon and every member does within two rounds (SWIM 4.3).
 // It returns false if all other members are dead or have left.
-func (r *Reducer) nextTarget() (int, bool) {
+func (r *Reducer) nextProbeTarget() (int, bool) {
 	for range 2 {
 		for len(r.probeOrder) > 0 {
 			m := r.probeOrder[0]
@@ -229,12 +231,12 @@
 // probeIndirectly asks other members to probe the target, as the path from this member to it may be at fault (SWIM
 // 3.1). The direct probe is repeated too: under datagram loss the repetition halves the number of probes that fail, at
 // the price of one datagram. (memberlist tries TCP at this point; softswitches have no TCP connections to each other.)
-func (r *Reducer) probeIndirectly(p *probe) {
-	r.send(p.Target, message{Kind: kindPing, Seq: p.Seq})
-	p.Intermediaries = r.randomAvailable(r.cfg.Limits.IndirectProbes, p.Target)
-	for _, m := range p.Intermediaries {
+func (r *Reducer) probeIndirectly(unanswered *probe) {
+	r.send(unanswered.Target, message{Kind: kindPing, Seq: unanswered.Seq})
+	unanswered.Intermediaries = r.randomAvailable(r.cfg.Limits.IndirectProbes, unanswered.Target)
+	for _, m := range unanswered.Intermediaries {
 		r.counters.IndirectProbes++
-		r.send(m, message{Kind: kindPingReq, Seq: p.Seq, Target: uint16(p.Target)})
+		r.send(m, message{Kind: kindPingReq, Seq: unanswered.Seq, Target: uint16(unanswered.Target)})
 	}
 }
 
@@ -250,28 +252,28 @@
 	return candidates[:min(count, len(candidates))]
 }
 
-// concludeProbe evaluates a probe at the end of its period. An answer improves this member's health; without one it
+// concludeProbe evaluates this member's probe at the end of its period. An answer improves this member's health; without one it
 // suspects the target, unless that is down. If the intermediaries did not answer either, or there were none, the fault
 // is likely on this member's side, and its health gets worse (Lifeguard, LHA-Probe).
-func (r *Reducer) concludeProbe(p *probe) {
-	if p.Acked {
+func (r *Reducer) concludeProbe(concluded *probe) {
+	if concluded.Acked {
 		r.adjustHealth(-1)
 		return
 	}
 	r.counters.FailedProbes++
-	if len(p.Intermediaries) > 0 {
-		r.adjustHealth(len(p.Intermediaries) - len(p.Nacked))
+	if len(concluded.Intermediaries) > 0 {
+		r.adjustHealth(len(concluded.Intermediaries) - len(concluded.Nacked))
 	} else {
 		r.adjustHealth(1)
 	}
-	if m := &r.members[p.Target]; !m.State.Down() && r.guardEnabled(GuardSuspect) {
-		r.startSuspicion(p.Target, m.Incarnation, r.cfg.Self)
+	if m := &r.members[concluded.Target]; !m.State.Down() && r.guardEnabled(GuardSuspect) {
+		r.startSuspicion(concluded.Target, m.Incarnation, r.cfg.Self)
 	}
 }
 
 // reprobeSuspects probes again, once a period, a few of the members that this member suspects by its own observation.
-// The probe carries the suspicion, so one answer refutes it. A member that already knew of K+1 others that suspect the
-// member does not do this.
+// The probe carries the suspicion, so that one answer refutes it. If this member already knew of K+1 others that suspect a
+// member, it is not recorded as an observer and does not probe that member again.
 func (r *Reducer) reprobeSuspects() {
 	var suspects []int
 	for index, s := range r.suspicions {
@@ -281,17 +283,17 @@
 	}
 	r.rng.Shuffle(len(suspects), func(i, j int) { suspects[i], suspects[j] = suspects[j], suspects[i] })
 	for _, index := range suspects[:min(len(suspects), maxReprobes)] {
-		r.send(index, message{Kind: kindPing, Seq: r.nextSeq()})
+		r.send(index, message{Kind: kindPing, Seq: r.nextProbeSeq()})
 	}
 }
 
 // maxReprobes is the maximum number of suspects that are probed again in one period.
 const maxReprobes = 3
 
-// probeDead probes a random one of the members considered dead: that member may be alive and not know that it was
+// probeDeadMember probes a random one of the members considered dead: that member may be alive and not know that it was
 // declared dead, as after a partition. The probe carries the state that this member holds of it, so that it refutes
 // before it answers.
-func (r *Reducer) probeDead() {
+func (r *Reducer) probeDeadMember() {
 	var dead []int
 	for m := range r.members {
 		if r.members[m].State == StateDead {
@@ -299,19 +301,19 @@
 		}
 	}
 	if len(dead) > 0 {
-		r.send(dead[r.rng.IntN(len(dead))], message{Kind: kindPing, Seq: r.nextSeq()})
+		r.send(dead[r.rng.IntN(len(dead))], message{Kind: kindPing, Seq: r.nextProbeSeq()})
 	}
 }
 
 // handleStall handles a pause of this process, which shows as a late period timer. During the pause this member could
 // not receive anything, so the current probe does not count as failed, probes on behalf of others are forgotten, the
-// time-out of every suspicion starts again, and the next member that answers is asked for its list (see requestSync).
+// time-out of every suspicion starts again, and the next member that answers is asked for the states of all members.
 // This member's health gets worse, and the next period begins at once. Lifeguard detects a pause only when the member
 // has to refute a suspicion of itself, after it has already suspected others falsely.
 func (r *Reducer) handleStall() {
 	r.counters.Stalls++
 	r.adjustHealth(1)
-	r.probe, r.relayedProbes, r.synced = nil, nil, false
+	r.currentProbe, r.relayedProbes, r.syncReceived = nil, nil, false
 	for index, s := range r.suspicions {
 		if s != nil {
 			s.StartedAt = r.now
@@ -323,10 +325,10 @@
 
 // setDraining changes the state of this member to draining or back to alive, with a new incarnation, as other members
 // accept the change only with a higher incarnation. After Leave it does nothing.
-func (r *Reducer) setDraining(on bool) {
+func (r *Reducer) setDraining(draining bool) {
 	self := r.self()
 	state := StateAlive
-	if on {
+	if draining {
 		state = StateDraining
 	}
 	if r.hasLeft || self.State == state {
@@ -337,8 +339,8 @@
 	r.emit(StateChanged{Member: r.cfg.Self, Old: StateAlive + StateDraining - state, New: state, Incarnation: self.Incarnation})
 }
 
-// leave announces to some members that this member shuts down in order.
-func (r *Reducer) leave() {
+// announceLeave announces to up to maxTransmissions members that this member shuts down in order.
+func (r *Reducer) announceLeave() {
 	if r.hasLeft {
 		return
 	}
@@ -347,7 +349,7 @@
 	r.announceSelf(r.maxTransmissions)
 }
 
-// announceSelf sends the state of this member at once to up to count available members; they send it on.
+// announceSelf sends the state of this member at once to up to count available members, which send it on to others.
 func (r *Reducer) announceSelf(count int) {
 	for _, m := range r.randomAvailable(count, r.cfg.Self) {
 		r.send(m, message{Kind: kindUpdates})
@@ -355,15 +357,15 @@
 }
 
 // handleDatagram handles a received datagram: checks it, merges the sender's state and its updates, and responds.
-func (r *Reducer) handleDatagram(d Datagram) {
-	if d.From < 0 || d.From >= r.cfg.TierSize {
+func (r *Reducer) handleDatagram(received Datagram) {
+	if received.From < 0 || received.From >= r.cfg.TierSize {
 		r.counters.UnknownSenders++
 		return
 	}
-	if d.From == r.cfg.Self { // its own datagram came back, as from an address that reaches all members
+	if received.From == r.cfg.Self { // its own datagram came back, as from an address that reaches all members
 		return
 	}
-	msg, updates, err := decode(d.Data, r.cfg.TierSize, r.cfg.Limits.MaxDatagramSize)
+	msg, updates, err := decode(received.Data, r.cfg.TierSize, r.cfg.Limits.MaxDatagramSize)
 	if err == nil && r.tooFarAhead(msg.Incarnation) {
 		err = datagram.ErrMalformed
 	}
@@ -371,7 +373,7 @@
 	case errors.Is(err, datagram.ErrVersion):
 		r.counters.VersionMismatches++
 		return
-	case errors.Is(err, errOtherTier):
+	case errors.Is(err, errOtherTierSize):
 		r.counters.UnknownSenders++
 		return
 	case err != nil:
@@ -379,16 +381,16 @@
 		return
 	}
 	r.counters.Received++
-	r.members[d.From].LastReceived = r.now
-	r.apply(update{member: d.From, state: msg.State, incarnation: msg.Incarnation, observer: -1}, true)
+	r.members[received.From].LastReceived = r.now
+	r.mergeUpdate(update{member: received.From, state: msg.State, incarnation: msg.Incarnation, observer: -1}, true)
 	for _, u := range updates {
 		if r.tooFarAhead(u.incarnation) {
 			r.counters.Malformed++
 			continue
 		}
-		r.apply(u, msg.Kind != kindSyncPart)
+		r.mergeUpdate(u, msg.Kind != kindSyncPart)
 	}
-	r.respond(d.From, msg)
+	r.respondTo(received.From, msg)
 }
 
 // tooFarAhead reports whether an incarnation is further in the future than clocks may differ. Such an incarnation,
@@ -397,8 +399,8 @@
 	return incarnation > uint64((r.now+r.cfg.Limits.MaxSkew)/time.Millisecond)
 }
 
-// respond does what a datagram requests.
-func (r *Reducer) respond(from int, msg message) {
+// respondTo does what a datagram of the member with index from requests, by the kind of its message.
+func (r *Reducer) respondTo(from int, msg message) {
 	target := int(msg.Target)
 	switch msg.Kind {
 	case kindPing:
@@ -407,7 +409,7 @@
 		if target == r.cfg.Self || target == from {
 			return
 		}
-		relayed := relayedProbe{Seq: r.nextSeq(), RequesterSeq: msg.Seq, Requester: from, Target: target}
+		relayed := relayedProbe{Seq: r.nextProbeSeq(), RequesterSeq: msg.Seq, Requester: from, Target: target}
 		r.relayedProbes = append(r.relayedProbes, relayed)
 		r.relayedProbes = r.relayedProbes[max(len(r.relayedProbes)-r.cfg.Limits.MaxRelays, 0):]
 		r.send(target, message{Kind: kindPing, Seq: relayed.Seq})
@@ -415,20 +417,20 @@
 	case kindAck:
 		r.handleAck(from, msg)
 	case kindNack:
-		if p := r.probe; p != nil && p.Seq == msg.Seq && slices.Contains(p.Intermediaries, from) && !slices.Contains(p.Nacked, from) {
+		if p := r.currentProbe; p != nil && p.Seq == msg.Seq && slices.Contains(p.Intermediaries, from) && !slices.Contains(p.Nacked, from) {
 			p.Nacked = append(p.Nacked, from)
 			r.counters.Nacks++
 		}
 	case kindSyncRequest:
 		r.sendSync(from)
 	case kindSyncPart:
-		r.synced = true
+		r.syncReceived = true
 	}
 }
 
 // handleAck handles an answer to a probe of this member, or to a probe on behalf of another member.
 func (r *Reducer) handleAck(from int, msg message) {
-	if p := r.probe; p != nil && p.Seq == msg.Seq && int(msg.Target) == p.Target && (from == p.Target || slices.Contains(p.Intermediaries, from)) {
+	if p := r.currentProbe; p != nil && p.Seq == msg.Seq && int(msg.Target) == p.Target && (from == p.Target || slices.Contains(p.Intermediaries, from)) {
 		if !p.Acked {
 			p.Acked = true
 			r.counters.Acks++
@@ -447,10 +449,10 @@
 	}
 }
 
-// requestSync asks a member that has just answered for its list, if this member is not synced and has not asked in
-// the last 2·ReclaimPeriods periods.
+// requestSync asks a member that has just answered a probe for the states of all members, if syncReceived is not set and
+// no such request was sent in the last 2·ReclaimPeriods periods.
 func (r *Reducer) requestSync(from int) {
-	if minPeriods := uint32(2 * r.cfg.Limits.ReclaimPeriods); r.synced || r.lastSyncPeriod > 0 && r.periodCount < r.lastSyncPeriod+minPeriods {
+	if minPeriods := uint32(2 * r.cfg.Limits.ReclaimPeriods); r.syncReceived || r.lastSyncPeriod > 0 && r.periodCount < r.lastSyncPeriod+minPeriods {
 		return
 	}
 	r.lastSyncPeriod = r.periodCount
@@ -466,9 +468,9 @@
 func (r *Reducer) sendSync(to int) {
 	var updates []update
 	for i := range r.members {
-		index := (r.syncCursor + i) % len(r.members)
+		index := (r.nextSyncIndex + i) % len(r.members)
 		if member := r.members[index]; index != to && index != r.cfg.Self && member.State != StateUnknown {
-			updates = append(updates, r.currentUpdate(index))
+			updates = append(updates, r.updateOfCurrentState(index))
 		}
 	}
 	for sent := 0; sent == 0 || sent < maxSyncParts && len(updates) > 0; sent++ {
@@ -476,7 +478,7 @@
 		updates = updates[n:]
 	}
 	if len(updates) > 0 {
-		r.syncCursor = updates[0].member
+		r.nextSyncIndex = updates[0].member
 	}
 }
 
@@ -487,25 +489,25 @@
 func (r *Reducer) Counters() Counters { return r.counters }
 
 // Health returns the local health multiplier; 0 is the best.
-func (r *Reducer) Health() int { return r.health }
+func (r *Reducer) Health() int { return r.healthMultiplier }
 
 // View returns a summary of the states of all members.
 func (r *Reducer) View() View {
-	v := View{TierSize: r.cfg.TierSize}
+	summary := View{TierSize: r.cfg.TierSize}
 	for _, m := range r.members {
 		switch m.State {
 		case StateUnknown:
-			v.Unknown++
+			summary.Unknown++
 		case StateSuspect:
-			v.Suspects++
+			summary.Suspects++
 		case StateDead, StateLeft:
-			v.Down++
+			summary.Down++
 		case StateDraining:
-			v.Draining++
-			v.Available++
+			summary.Draining++
+			summary.Available++
 		default:
-			v.Available++
+			summary.Available++
 		}
 	}
-	return v
+	return summary
 }
--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -15,7 +15,7 @@
 	}
 	r.counters.Suspicions++
 	r.suspicions[index] = &suspicion{StartedAt: r.now, Observers: []int{observer}}
-	r.setState(update{member: index, state: StateSuspect, incarnation: incarnation, observer: observer}, true)
+	r.setMemberState(update{member: index, state: StateSuspect, incarnation: incarnation, observer: observer}, true)
 	r.scheduleSuspicionTimer(index)
 }
 
@@ -45,22 +45,22 @@
 	case r.now < s.StartedAt+r.suspicionTimeout(s): // the suspicion was restarted, or fewer members are down than before
 		r.scheduleSuspicionTimer(index)
 	default:
-		r.setState(update{member: index, state: StateDead, incarnation: r.members[index].Incarnation, observer: r.cfg.Self}, true)
+		r.setMemberState(update{member: index, state: StateDead, incarnation: r.members[index].Incarnation, observer: r.cfg.Self}, true)
 	}
 }
 
 // suspicionTimeout returns how long a suspicion lasts: between β·min and min, decreasing with the logarithm of the
 // number of members that confirm it.
-func (r *Reducer) suspicionTimeout(s *suspicion) time.Duration {
+func (r *Reducer) suspicionTimeout(running *suspicion) time.Duration {
 	limits := r.cfg.Limits
 	view := r.View()
 	participants := float64(view.TierSize - view.Down)
 	minTimeout := limits.SuspicionMin * max(1, math.Log10(participants)) * float64(limits.Period)
 	maxTimeout := limits.SuspicionMax * minTimeout
-	required := min(limits.Confirmations, int(participants)-2)
-	if required < 1 {
+	requiredConfirmations := min(limits.Confirmations, int(participants)-2)
+	if requiredConfirmations < 1 {
 		return time.Duration(minTimeout)
 	}
-	progress := math.Log(float64(len(s.Observers))) / math.Log(float64(required+1))
+	progress := math.Log(float64(len(running.Observers))) / math.Log(float64(requiredConfirmations+1))
 	return time.Duration(max(maxTimeout-progress*(maxTimeout-minTimeout), minTimeout))
 }
--- a/internal/membership/types.go
+++ b/internal/membership/types.go
@@ -63,7 +63,7 @@
 	StallThreshold  time.Duration // a period timer overdue by more than this shows that the process was paused; 0: never
 	ReclaimPeriods  int           // periods between two probes of members considered dead
 	MaxDatagramSize int           // maximum size of a datagram, in bytes
-	MaxRelays       int           // maximum number of probes on behalf of other members that are remembered; the oldest are forgotten
+	MaxRelays       int           // maximum number of probes on behalf of other members that are remembered; older ones are forgotten
 	MaxSkew         time.Duration // an incarnation further ahead of this member's clock is rejected as malformed
 }
 
@@ -113,7 +113,7 @@
 type Event interface{ event() }
 
 type (
-	// Datagram was received from the member with index From. The reducer does not keep Data.
+	// Datagram is a datagram of this protocol, received from the member with index From. The reducer does not keep Data.
 	Datagram struct {
 		From int
 		Data []byte
@@ -161,7 +161,7 @@
 // Token identifies the purpose of a timer.
 type Token struct {
 	kind   tokenKind
-	seq    uint32 // of the period, the probe or the relayed probe
+	seq    uint32 // number of the period, the probe or the relayed probe that the timer belongs to
 	member int    // index of the suspected member
 }
 
@@ -184,10 +184,10 @@
 	Since        Time // time since which the member is in State
 }
 
-// Counters count what the protocol has done since the start.
+// Counters count what the membership protocol has done since the start of this member.
 type Counters struct {
 	Probes            uint64 // regular probes started; repetitions and the probes of suspected and dead members are not counted
-	IndirectProbes    uint64 // requests to other members to probe on this member's behalf
+	IndirectProbes    uint64 // requests to other members to probe a target on this member's behalf
 	Acks              uint64 // regular probes of this member that were answered
 	Nacks             uint64 // negative answers of members asked to probe: the target did not answer them either
 	FailedProbes      uint64 // regular probes that were not answered, except by nacks, until the next period
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -41,24 +41,24 @@
 
 // Socket is the UDP socket for the datagrams between the members of the tier.
 type Socket struct {
-	cfg         Config
-	listen      netip.AddrPort
-	addresses   []netip.AddrPort       // of the members, by index
-	indexByAddr map[netip.AddrPort]int // index of the member with an address
-	queue       chan core.SendToMember
-	post        func(core.Event)
-	log         zerolog.Logger
-	wg          sync.WaitGroup
+	cfg           Config
+	listenAddress netip.AddrPort
+	addresses     []netip.AddrPort       // addresses of the members, by index
+	indexByAddr   map[netip.AddrPort]int // index of the member with an address
+	sendQueue     chan core.SendToMember
+	postEvent     func(core.Event)
+	log           zerolog.Logger
+	wg            sync.WaitGroup
 
 	unknownSenders, rateLimited, sendDrops atomic.Uint64
 }
 
-// New checks the configuration and returns a socket that posts received datagrams with post. An error is a single line that
+// New checks the configuration and returns a socket that posts received datagrams with postEvent. An error is a single line that
 // names the invalid field.
-func New(cfg Config, post func(core.Event), log zerolog.Logger) (*Socket, error) {
-	s := &Socket{cfg: cfg, indexByAddr: make(map[netip.AddrPort]int), queue: make(chan core.SendToMember, cfg.Limits.MaxQueued), post: post, log: log}
+func New(cfg Config, postEvent func(core.Event), log zerolog.Logger) (*Socket, error) {
+	s := &Socket{cfg: cfg, indexByAddr: make(map[netip.AddrPort]int), sendQueue: make(chan core.SendToMember, cfg.Limits.MaxQueued), postEvent: postEvent, log: log}
 	var err error
-	if s.listen, err = netip.ParseAddrPort(cfg.ListenAddress); err != nil {
+	if s.listenAddress, err = netip.ParseAddrPort(cfg.ListenAddress); err != nil {
 		return nil, fmt.Errorf("peer_listen: %w", err)
 	}
 	for i, text := range cfg.Addresses {
@@ -83,10 +83,10 @@
 	return netip.AddrPortFrom(addr.Addr().Unmap(), addr.Port())
 }
 
-// Run opens the socket as soon as its address is free, posts the join events, and sends and receives until ctx is done and the
+// Run opens the socket as soon as its address is free, posts joinEvents, and sends and receives until ctx is done and the
 // queue is written. If ctx is done before the socket is open, Run posts and sends nothing.
-func (s *Socket) Run(ctx context.Context, join ...core.Event) {
-	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(s.listen))
+func (s *Socket) Run(ctx context.Context, joinEvents ...core.Event) {
+	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(s.listenAddress))
 	for first := true; err != nil; first = false {
 		if first {
 			s.log.Info().Err(err).Msg("cannot listen on the peer address yet, trying again")
@@ -96,24 +96,24 @@
 			return
 		case <-time.After(s.cfg.Limits.ListenRetryDelay):
 		}
-		conn, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(s.listen))
+		conn, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(s.listenAddress))
 	}
 	s.log.Info().Str("peers", conn.LocalAddr().String()).Int("self", s.cfg.Self).Int("tier", len(s.addresses)).Msg("membership")
 	s.wg.Go(func() { s.read(conn) })
-	for _, ev := range join {
-		s.post(ev)
+	for _, ev := range joinEvents {
+		s.postEvent(ev)
 	}
 	for {
 		select {
-		case msg := <-s.queue:
+		case msg := <-s.sendQueue:
 			s.write(conn, msg)
 			continue
 		case <-ctx.Done():
 		}
 		break
 	}
-	for len(s.queue) > 0 {
-		s.write(conn, <-s.queue)
+	for len(s.sendQueue) > 0 {
+		s.write(conn, <-s.sendQueue)
 	}
 	conn.Close()
 	s.wg.Wait()
@@ -130,7 +130,7 @@
 // which is harmless because the protocols between members tolerate lost datagrams.
 func (s *Socket) Send(msg core.SendToMember) {
 	select {
-	case s.queue <- msg:
+	case s.sendQueue <- msg:
 	default:
 		s.sendDrops.Add(1)
 	}
@@ -157,7 +157,7 @@
 		case !limiter.Allow():
 			s.rateLimited.Add(1)
 		default:
-			s.post(core.MemberDatagram{From: from, Data: append([]byte(nil), buf[:n]...)})
+			s.postEvent(core.MemberDatagram{From: from, Data: append([]byte(nil), buf[:n]...)})
 		}
 	}
 }
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -40,7 +40,7 @@
 	defer cancel()
 	done := make(chan struct{})
 	go func() { sock.Run(ctx, core.StartMembership{}); close(done) }()
-	next := func() core.Event {
+	nextEvent := func() core.Event {
 		t.Helper()
 		select {
 		case ev := <-events:
@@ -55,17 +55,17 @@
 		t.Error("the join event was posted before the socket had its address")
 	}
 	occupied.Close()
-	if _, ok := next().(core.StartMembership); !ok {
+	if _, ok := nextEvent().(core.StartMembership); !ok {
 		t.Fatal("the first event is not the join event")
 	}
-	to := net.UDPAddrFromAddrPort(sock.addresses[0])
-	outsider.WriteToUDP([]byte("who?"), to)
-	member.WriteToUDP(make([]byte, 1000), to)
-	if ev, ok := next().(core.MemberDatagram); !ok || ev.From != 1 || len(ev.Data) != datagram.MaxSize+1 {
+	socketAddress := net.UDPAddrFromAddrPort(sock.addresses[0])
+	outsider.WriteToUDP([]byte("who?"), socketAddress)
+	member.WriteToUDP(make([]byte, 1000), socketAddress)
+	if ev, ok := nextEvent().(core.MemberDatagram); !ok || ev.From != 1 || len(ev.Data) != datagram.MaxSize+1 {
 		t.Errorf("%+v, want the oversized datagram from member 1, cut to MaxSize+1 bytes", ev)
 	}
 	for range 50 {
-		member.WriteToUDP([]byte("x"), to)
+		member.WriteToUDP([]byte("x"), socketAddress)
 	}
 	for deadline := time.Now().Add(5 * time.Second); sock.Counters().RateLimited == 0 || sock.Counters().UnknownSenders == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
--- a/internal/swarm/experiment.go
+++ b/internal/swarm/experiment.go
@@ -24,7 +24,7 @@
 	Impaired       int           // number of members that are paused and slowed, the last of the tier
 	PauseDuration  time.Duration // how long the impaired members are paused together
 	PauseInterval  time.Duration // time from one pause to the next, pause included; 0: no pauses
-	SlowDelay      time.Duration // delay of every input of an impaired member
+	SlowDelay      time.Duration // delay of every datagram and timer of an impaired member
 	Servers        int           // number of servers whose load reports members share; 0: none
 	ReportInterval time.Duration // mean time between two load reports that a member receives from a server
 }
--- a/internal/swarm/swarm.go
+++ b/internal/swarm/swarm.go
@@ -35,11 +35,11 @@
 
 // event is an input to a member at a simulated instant.
 type event struct {
-	at          Time
-	seq         uint64 // order of scheduling, which decides between events of one instant
-	to          int    // index of the member that gets the event
-	incarnation int    // incarnation of the member that set the timer; unused for datagrams
-	ev          membership.Event
+	at           Time
+	scheduledSeq uint64 // order of scheduling, which decides between events of one instant
+	receiver     int    // index of the member that gets the event
+	incarnation  int    // incarnation of the member that set the timer; unused for datagrams
+	input        membership.Event
 }
 
 // eventQueue is a heap of events, ordered by time and then by order of scheduling.
@@ -47,7 +47,7 @@
 
 func (e eventQueue) Len() int { return len(e) }
 func (e eventQueue) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].seq < e[j].seq
+	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].scheduledSeq < e[j].scheduledSeq
 }
 func (e eventQueue) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 func (e *eventQueue) Push(x any)   { *e = append(*e, x.(event)) }
@@ -58,8 +58,8 @@
 	return last
 }
 
-// memberState is a member of the tier with its simulated impairments.
-type memberState struct {
+// simulatedMember is a member of the simulated tier, with its impairments.
+type simulatedMember struct {
 	reducer         *membership.Reducer // nil: the member is killed
 	incarnation     int                 // number of starts so far
 	paused          bool
@@ -74,12 +74,12 @@
 
 // Simulation is a run of a simulated tier.
 type Simulation struct {
-	cfg     Config
-	now     Time
-	seq     uint64 // sequence number of the event scheduled last
-	queue   eventQueue
-	members []memberState
-	rng     *rand.Rand
+	cfg              Config
+	now              Time
+	lastScheduledSeq uint64 // sequence number of the event scheduled last
+	queue            eventQueue
+	members          []simulatedMember
+	rng              *rand.Rand
 
 	// OnChange, unless nil, is called for every change of another member's state in the view of a member.
 	OnChange func(at Time, observer int, c membership.StateChanged)
@@ -90,7 +90,7 @@
 	if cfg.Delays == nil {
 		cfg.Delays = func(Time, int, int, *rand.Rand) []time.Duration { return []time.Duration{time.Millisecond} }
 	}
-	s := &Simulation{cfg: cfg, now: Epoch, members: make([]memberState, cfg.Members), rng: rand.New(rand.NewPCG(cfg.Seed, 0x737761))}
+	s := &Simulation{cfg: cfg, now: Epoch, members: make([]simulatedMember, cfg.Members), rng: rand.New(rand.NewPCG(cfg.Seed, 0x737761))}
 	for member := range s.members {
 		if err := s.Start(member); err != nil {
 			return nil, err
@@ -142,7 +142,7 @@
 	state.paused, state.heldEvents = false, nil
 	for _, wantTimers := range []bool{true, false} {
 		for _, heldEvent := range held {
-			if _, isTimer := heldEvent.ev.(membership.TimerFired); isTimer == wantTimers {
+			if _, isTimer := heldEvent.input.(membership.TimerFired); isTimer == wantTimers {
 				heldEvent.at = s.now
 				s.schedule(heldEvent)
 			}
@@ -195,8 +195,8 @@
 	for len(s.queue) > 0 && s.queue[0].at <= until {
 		next := heap.Pop(&s.queue).(event)
 		s.now = max(s.now, next.at)
-		target := &s.members[next.to]
-		_, isDatagram := next.ev.(membership.Datagram)
+		target := &s.members[next.receiver]
+		_, isDatagram := next.input.(membership.Datagram)
 		switch {
 		case target.reducer == nil, !isDatagram && next.incarnation != target.incarnation:
 		case target.paused:
@@ -204,7 +204,7 @@
 				target.heldEvents = append(target.heldEvents, next)
 			}
 		default:
-			s.applyEffects(next.to, target.reducer.Step(s.now+target.clockSkew, s.takePiggyback(next.to, next.ev)))
+			s.applyEffects(next.receiver, target.reducer.Step(s.now+target.clockSkew, s.takePiggyback(next.receiver, next.input)))
 		}
 	}
 	s.now = max(s.now, until)
@@ -212,8 +212,8 @@
 
 // schedule adds an event to the queue, after all queued events of the same instant.
 func (s *Simulation) schedule(e event) {
-	s.seq++
-	e.seq = s.seq
+	s.lastScheduledSeq++
+	e.scheduledSeq = s.lastScheduledSeq
 	heap.Push(&s.queue, e)
 }
 
@@ -225,10 +225,10 @@
 		case membership.Send:
 			data := s.appendPiggyback(member, e.Data)
 			for _, delay := range s.cfg.Delays(s.now, member, e.To, s.rng) {
-				s.schedule(event{at: s.now + delay + s.members[e.To].inputDelay, to: e.To, ev: membership.Datagram{From: member, Data: data}})
+				s.schedule(event{at: s.now + delay + s.members[e.To].inputDelay, receiver: e.To, input: membership.Datagram{From: member, Data: data}})
 			}
 		case membership.Timer:
-			s.schedule(event{at: e.At - s.members[member].clockSkew + s.members[member].inputDelay, to: member, incarnation: s.members[member].incarnation, ev: membership.TimerFired{Token: e.Token}})
+			s.schedule(event{at: e.At - s.members[member].clockSkew + s.members[member].inputDelay, receiver: member, incarnation: s.members[member].incarnation, input: membership.TimerFired{Token: e.Token}})
 		case membership.StateChanged:
 			if s.OnChange != nil && e.Member != member {
 				s.OnChange(s.now, member, e)
@@ -237,7 +237,7 @@
 	}
 }
 
-// addCounters returns the sums of two sets of counters.
+// addCounters returns two sets of counters added up, counter by counter.
 func addCounters(a, b membership.Counters) membership.Counters {
 	a.Probes += b.Probes
 	a.IndirectProbes += b.IndirectProbes
