--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -73,7 +73,7 @@
 	tier.step(member, ColdServer{Server: 7, Rate: 10, ColdUntil: tier.memberClock(member) + time.Hour})
 }
 
-// killMember kills a member and tells the others that it is not available.
+// killMember kills a member and makes it unavailable to the others.
 func (tier *testTier) killMember(member int) {
 	tier.members[member].reducer, tier.members[member].paused, tier.members[member].heldEvents = nil, false, nil
 	tier.setAvailable(member, false)
@@ -162,15 +162,15 @@
 }
 
 // unitsInUse returns how many units of an owner's quota are used by running members.
-func (tier *testTier) unitsInUse(owner int) (n int) {
+func (tier *testTier) unitsInUse(owner int) (unitCount int) {
 	for member, state := range tier.members {
 		if state.reducer != nil && !state.paused {
 			for usable := state.reducer.Usable(tier.memberClock(member), owner); usable != 0; usable &= usable - 1 {
-				n++
+				unitCount++
 			}
 		}
 	}
-	return n
+	return unitCount
 }
 
 // Units of the quotas of two members that are considered dead go to the available members once their leases have expired, and not
--- a/internal/budget/loans.go
+++ b/internal/budget/loans.go
@@ -36,7 +36,7 @@
 	return units
 }
 
-// lentUnits returns the units of its own quota that this member has lent and that are still lent at the given time.
+// lentUnits returns the units of its own quota that this member has lent at the given time.
 func (r *Reducer) lentUnits(now Time) (units Mask) {
 	for unit, loan := range r.loans {
 		if now < loan.Expiry {
@@ -82,8 +82,8 @@
 	}
 }
 
-// handleBorrow answers a loan request: it renews existing loans while this member can spare the units, and lends
-// additional units. Without any units to lend it sends no answer.
+// handleBorrow answers a borrower's loan request: it renews existing loans while this member can spare the units, and
+// lends additional units. Without any units to lend it sends no answer.
 func (r *Reducer) handleBorrow(borrower int, msg message) {
 	additionalUnits, renewals := int(msg.Items[0]), Mask(msg.Items[1])
 	var units Mask
--- a/internal/budget/reducer.go
+++ b/internal/budget/reducer.go
@@ -34,7 +34,7 @@
 	QuotaRates []float64 // whole quota in set-ups a second, by member; negative: not reported
 }
 
-// Reducer is one member's state of the protocol. It is not safe for concurrent use.
+// Reducer is one member's state of the budget protocol. It is not safe for concurrent use.
 type Reducer struct {
 	cfg             Config
 	now             Time
@@ -48,7 +48,7 @@
 	ownerRefusedAt  []Time         // by owner: when the owner last claimed a unit of its quota in vain
 	heldExpiry      [][Units]Time  // by owner and unit: expiry of the lease that this member holds; 0: none
 	lastClaimSeq    uint32         // number of the last claim
-	recentRounds    []claimRound   // the last four rounds of claims, the newest last
+	recentRounds    []claimRound   // last four rounds of claims
 	loans           [Units]loan    // own units lent, by unit
 	borrowedExpiry  [][Units]Time  // by lender and unit: expiry of the loan to this member
 	lastLoanSeq     uint32         // number of the last loan request
@@ -132,14 +132,14 @@
 // emit adds an effect to the result of the current Step.
 func (r *Reducer) emit(e Effect) { r.effects = append(r.effects, e) }
 
-// guardEnabled reports whether a guard is on, that is, not switched off by a test.
+// guardEnabled reports whether a guard is not switched off by a test.
 func (r *Reducer) guardEnabled(g Guard) bool { return r.cfg.DisabledGuards&g == 0 }
 
 // majoritySize returns the number of members in a majority of the tier.
 func (r *Reducer) majoritySize() int { return r.cfg.TierSize/2 + 1 }
 
 // markCold handles a ColdServer event. This member's own rate for a server never falls while the server is cold.
-// Units of other members' quotas that are used here count at their owners' rates, so no rate should grow with the
+// Units of other members' quotas that are used here count at their owners' rates. So no rate should grow with the
 // callers of dead members; the sender of the event decides until when a rate may grow.
 func (r *Reducer) markCold(ev ColdServer) {
 	if ev.ColdUntil <= r.now || !(ev.Rate >= 0) {
@@ -221,9 +221,9 @@
 	}
 }
 
-// successor returns the member that should have a unit of an unavailable owner: of the available members the one with
-// the highest hash (rendezvous hashing: Thaler and Ravishankar, "Using Name-Based Mappings to Increase Hit Rates",
-// 1998). So all members that consider the same members available agree, and a change of availability moves few units.
+// successor returns the member that should have a unit of an unavailable owner: of the available members the one whose
+// hash of owner, unit and member is highest (rendezvous hashing: Thaler and Ravishankar, "Using Name-Based Mappings to
+// Increase Hit Rates", 1998). So all members that consider the same members available agree, and a change of availability moves few units.
 // It returns -1 if no member is available.
 func (r *Reducer) successor(owner, unit int) (successor int) {
 	var maxHash uint64
@@ -274,8 +274,8 @@
 	return granted
 }
 
-// countVotes counts a vote for units of an owner's quota. A unit with a majority of votes is held, counted from when
-// it was claimed.
+// countVotes counts one member's vote for units of an owner's quota. A unit with a majority of votes is held by a lease,
+// which counts from when the unit was claimed.
 func (r *Reducer) countVotes(round *claimRound, owner int, units Mask) {
 	for unit := 1; unit < Units; unit++ {
 		if units&round.ClaimedUnits[owner]&(1<<unit) == 0 {
@@ -300,8 +300,7 @@
 	}
 }
 
-// dropExpired drops the leases that this member holds and its loans, given or received, that have expired. Step calls it
-// before it handles an event.
+// dropExpired drops the leases that this member holds and its loans that have expired. Step calls it before it handles an event.
 func (r *Reducer) dropExpired() {
 	for owner := range r.heldExpiry {
 		for unit := range Units {
@@ -321,7 +320,7 @@
 	}
 }
 
-// handleDatagram checks a datagram from another member, stores the quotas that it reports, and handles its message.
+// handleDatagram checks a datagram from another member and handles its message.
 func (r *Reducer) handleDatagram(received Datagram) {
 	if received.From < 0 || received.From >= r.cfg.TierSize {
 		r.counters.UnknownSenders++
@@ -443,7 +442,7 @@
 	}
 }
 
-// send sends a message to a member, with tier size, incarnation and lendable units filled in.
+// send sends a message to a member, with tier size, incarnation and the number of lendable units filled in.
 func (r *Reducer) send(to int, msg message) {
 	msg.TierSize, msg.Incarnation, msg.LendableCount = uint16(r.cfg.TierSize), r.incarnation, uint8(r.lendableUnits().Count())
 	if msg.Items == nil {
--- a/internal/budget/types.go
+++ b/internal/budget/types.go
@@ -44,7 +44,7 @@
 	transferableUnits Mask = 1<<Units - 1 - reservedUnit // leased, may move to other members
 )
 
-// Limits holds the times and counts of the protocol. Check reports invalid ones.
+// Limits holds the times and counts of the budget protocol. Check reports invalid ones.
 type Limits struct {
 	// Lease is the duration of a grant of a unit. Units of a dead member become available to others after it.
 	Lease time.Duration
@@ -81,7 +81,7 @@
 // it outlasts two lost rounds.
 func (l Limits) roundInterval() time.Duration { return l.Lease / 4 }
 
-// holderLeaseDuration returns how long a holder relies on a lease or loan, counted from its request: shortened by the drift.
+// holderLeaseDuration returns how long a holder relies on a lease or loan, counted from its request.
 func (l Limits) holderLeaseDuration(lease time.Duration) time.Duration {
 	return time.Duration(float64(lease) * (1 - 2*l.MaxDrift))
 }
@@ -123,7 +123,7 @@
 		From int
 		Data []byte
 	}
-	// TimerFired says that a timer requested by a Timer effect fires.
+	// TimerFired says that a requested timer fires.
 	TimerFired struct{ Token Token }
 	// MemberAvailability says whether membership considers a member available.
 	MemberAvailability struct {
@@ -169,10 +169,10 @@
 func (Send) effect()  {}
 func (Timer) effect() {}
 
-// Token identifies a timer by its number.
+// Token identifies a requested timer.
 type Token struct{ seq uint32 }
 
-// Counters counts what the budget protocol has done since the start of this member.
+// Counters counts events since this member's start.
 type Counters struct {
 	Claims                     uint64 // rounds of claims sent
 	Granted                    uint64 // units that a majority granted to this member, renewals not included
@@ -198,7 +198,7 @@
 // Grant is the grant of a unit that this member, as a voter, has made.
 type Grant struct {
 	Holder      int    // index of the member; -1: none
-	Incarnation uint64 // of the holder, when it claimed the unit
+	Incarnation uint64 // of that holder
 	Seq         uint32 // number of the claim that was granted
 	Expiry      Time   // end of the grant on this member's clock
 }
--- a/internal/datagram/datagram.go
+++ b/internal/datagram/datagram.go
@@ -14,7 +14,7 @@
 // MaxSize is the max size of a datagram between softswitches, in bytes (PROTOCOL, "Between softswitches").
 const MaxSize = 256
 
-// Overhead is the number of bytes that the format adds to the CBOR array: the version byte and the checksum.
+// Overhead is the number of bytes that the version byte and the checksum add to the CBOR array.
 const Overhead = 1 + checksumSize
 
 // checksumSize is the size of the checksum in bytes.
@@ -24,7 +24,7 @@
 var (
 	// ErrMalformed is returned for input that is damaged or cannot be decoded.
 	ErrMalformed = errors.New("garbled")
-	// ErrVersion is returned for a datagram whose first byte names another protocol or version.
+	// ErrVersion is returned for a datagram of another protocol or version.
 	ErrVersion = errors.New("protocol version not supported")
 )
 
@@ -47,7 +47,7 @@
 	}()
 )
 
-// checksum returns the checksum of a datagram: the low 32 bits of the XXH3 hash of all bytes before it.
+// checksum returns the low 32 bits of the XXH3 hash of a datagram's bytes.
 func checksum(b []byte) uint32 { return uint32(xxh3.Hash(b)) }
 
 // Encode encodes v, a value that CBOR encodes as an array, as a datagram with the given version byte. It does not limit
--- a/internal/knowledge/reducer.go
+++ b/internal/knowledge/reducer.go
@@ -18,7 +18,8 @@
 // entry is an observer's latest observation of a server, with times on this member's clock.
 type entry struct {
 	Observation
-	// Stamp is the message's stamp, at least 1; 0: the entry is of an earlier incarnation, so any new message is newer.
+	// Stamp is the stamp of the message that carried the entry, at least 1; 0: the entry is of an earlier incarnation, so
+	// any new message is newer.
 	Stamp uint32
 	// ObservedAt is the time at which the entry was received, less the extra delay of its message (see extraDelay).
 	ObservedAt Time
@@ -29,14 +30,15 @@
 	// Seen says that a message of this member was received; the fields below are valid only then.
 	Seen        bool
 	Incarnation uint32
-	// MinLag is the min lag of the other member's stamps behind this member's clock, in milliseconds, measured at MinLagAt.
+	// MinLag is the min lag of the other member's message stamps behind this member's clock, in milliseconds, measured at
+	// MinLagAt.
 	MinLag   int64
 	MinLagAt Time
 	// Entries holds the latest entries by the hash of the server's name.
 	Entries map[uint32]entry
 }
 
-// Reducer is one member's state of the protocol. It is not safe for concurrent use.
+// Reducer is one member's state of the knowledge protocol. It is not safe for concurrent use.
 type Reducer struct {
 	cfg               Config
 	now               Time
@@ -46,7 +48,7 @@
 	localObservations map[uint32]Observation // own observations, by the hash of the server's name
 	// sendOrder holds the local servers, those whose entries were sent longest ago first.
 	sendOrder     []uint32
-	observers     []observerState // by member: what each has reported
+	observers     []observerState // by member
 	available     []bool          // by member, as membership reports it
 	queried       map[int]bool    // members queried since the start
 	queryRounds   int             // rounds of queries sent
@@ -281,7 +283,7 @@
 // nextOwnEntries returns a message with as many own entries as fit into remainingSpace bytes, and their number. Entries
 // sent longest ago come first. All fresh entries may be included, and at most maxNotFresh others: an entry is fresh if
 // its load report is young (see freshHalfLives) or its server drains. The included entries count as sent.
-func (r *Reducer) nextOwnEntries(remainingSpace, maxNotFresh int) (msg message, n int) {
+func (r *Reducer) nextOwnEntries(remainingSpace, maxNotFresh int) (msg message, entryCount int) {
 	msg = r.withSenderFields(message{Kind: kindEntries, Items: []int64{}})
 	remainingSpace -= datagram.Size(msg) + 2 // two bytes more for the length of the list of items
 	var sent, unsent []uint32
--- a/internal/knowledge/types.go
+++ b/internal/knowledge/types.go
@@ -29,7 +29,7 @@
 // names the protocol and its version.
 const Version = 0x4b
 
-// Limits holds the times and counts of the protocol. Check reports invalid ones.
+// Limits holds the times and counts of the knowledge protocol. Check reports invalid ones.
 type Limits struct {
 	// HalfLife is the age by which the weight of a load report halves.
 	HalfLife time.Duration
@@ -122,7 +122,7 @@
 		From int
 		Data []byte
 	}
-	// TimerFired says that a timer requested by a Timer effect fires.
+	// TimerFired says that a requested timer fires.
 	TimerFired struct{ Token Token }
 	// MemberAvailability says whether membership considers a member available.
 	MemberAvailability struct {
@@ -159,10 +159,10 @@
 func (Timer) effect()          {}
 func (ServersUpdated) effect() {}
 
-// Token identifies a timer by its number.
+// Token identifies a requested timer.
 type Token struct{ seq uint32 }
 
-// Counters counts what the knowledge protocol has done since the start of this member.
+// Counters counts events since this member's start.
 type Counters struct {
 	EntriesSent     uint64 // own entries sent
 	EntriesReceived uint64 // entries of other members stored
@@ -209,7 +209,7 @@
 	ageUnit           = 10 * time.Millisecond  // unit of an encoded age
 	maxEncodedAge     = 1<<14 - 1              // in units of ageUnit
 	shareBits         = 7                      // bits of the hold-back share
-	shareUnknown      = 1<<shareBits - 1       // no hold-back share was reported
+	shareUnknown      = 1<<shareBits - 1       // value: no hold-back share was reported
 	maxEncodedShare   = shareUnknown - 1       // encodes a share of 1
 	maxEncodedRate    = 1<<24 - 1              // in tenths of a set-up a second
 	failureWeightBits = 4                      // bits of the failure weight
@@ -253,22 +253,22 @@
 // decodeObservation decodes the first entry of items, whose ages count back from now, and returns the number of
 // integers consumed. The number is 0 if the entry is malformed. A shortest set-up time above one minute is returned as
 // one minute.
-func decodeObservation(items []int64, now Time) (server uint32, obs Observation, n int) {
+func decodeObservation(items []int64, now Time) (server uint32, obs Observation, consumed int) {
 	const maxValue = int64(1) << 40
 	if len(items) < 3 || items[0] < 0 || items[0] > math.MaxUint32 || items[1] < 0 || items[1]>>shareBits > maxEncodedAge || items[2] < 0 || items[2] > maxValue {
 		return 0, obs, 0
 	}
-	server, n = uint32(items[0]), 3
+	server, consumed = uint32(items[0]), 3
 	if share := items[1] & shareUnknown; share != shareUnknown {
 		obs.HoldBackShare, obs.HoldBackShareAt = float64(share)/maxEncodedShare, now-time.Duration(items[1]>>shareBits)*ageUnit
 	}
 	obs.Rate, obs.FailureWeight = float64(items[2]>>(failureWeightBits+flagBits))/10, int(items[2]>>flagBits&(1<<failureWeightBits-1))
 	next := func() (v int64, ok bool) {
-		if n >= len(items) || items[n] < 0 || items[n] > maxValue {
+		if consumed >= len(items) || items[consumed] < 0 || items[consumed] > maxValue {
 			return 0, false
 		}
-		n++
-		return items[n-1], true
+		consumed++
+		return items[consumed-1], true
 	}
 	if items[2]&hasTotalLines != 0 {
 		v, ok := next()
@@ -288,7 +288,7 @@
 			return 0, obs, 0
 		}
 	}
-	return server, obs, n
+	return server, obs, consumed
 }
 
 // validate validates a message received in a tier of tierSize members. It returns errIncompatible for a message of an
@@ -298,7 +298,7 @@
 		return errIncompatible
 	}
 	for items := m.Items; len(items) > 0; {
-		_, _, n := decodeObservation(items, time.Hour) // the time does not matter, as the observation is not used
+		_, _, n := decodeObservation(items, time.Hour) // any time will do: the observation is not used
 		if n == 0 {
 			return datagram.ErrMalformed
 		}
--- a/internal/knowledge/view.go
+++ b/internal/knowledge/view.go
@@ -86,9 +86,9 @@
 	return combined
 }
 
-// TakeoverFactor returns the factor by which this member's rates grow when the given members have died. Their callers
-// move to all available members in equal numbers, as far as is known; available is the number of these, this member
-// included. If the rates of a dead member or of this one are not known, each member is assumed to have had equally many
+// TakeoverFactor returns the factor by which this member's set-up rates grow when the given members have died. Their
+// callers move to all available members in equal numbers, as far as is known. The parameter available is the number of
+// these, this member included. If the rates of a dead member or of this one are not known, each member is assumed to have had equally many
 // callers. The factor is at most one more than the number of dead members.
 func (r *Reducer) TakeoverFactor(dead []int, available int) float64 {
 	localRate, deadRate, allKnown := 0.0, 0.0, true
--- a/internal/maintenance/codec.go
+++ b/internal/maintenance/codec.go
@@ -7,7 +7,7 @@
 // messageKind is the purpose of a datagram.
 type messageKind uint8
 
-// The kinds of maintenance messages.
+// The kinds of messages.
 const (
 	kindSlotRequest messageKind = iota // requests a grant of Slot, or its renewal
 	kindGrant                          // grants the request with the same sequence number
@@ -28,8 +28,8 @@
 	Seq         uint32 // number of the round, or nonce of the queries; repeated in the answers
 	Slot        uint8
 	Epoch       uint64
-	LeaseMillis uint32 // duration of the requested lease, in milliseconds
-	Recovered   bool   // the sender knows which slots it may have granted before its start
+	LeaseMillis uint32 // in milliseconds
+	Recovered   bool   // the sender knows which slots it may have granted
 	RecordsHash uint32 // of the records that the sender has
 	Name        string // of the sender
 	Items       []int64
--- a/internal/maintenance/lease.go
+++ b/internal/maintenance/lease.go
@@ -66,7 +66,7 @@
 	if !r.recovered || r.heldLease != nil || r.currentRound != nil || r.now < r.earliestRequestAt || record.Stage.Ended() {
 		return
 	}
-	if record.Stage != StageWaiting { // the request was left by an earlier incarnation of this member
+	if record.Stage != StageWaiting { // left by this member's earlier incarnation
 		if !r.serving {
 			return
 		}
@@ -268,7 +268,7 @@
 	}
 }
 
-// repeatReleases sends each pending release notice once more, and removes those that were sent often enough.
+// repeatReleases sends the pending release notices again, and drops finished ones.
 func (r *Reducer) repeatReleases() {
 	for i := range r.releaseNotices {
 		r.releaseNotices[i].Remaining--
--- a/internal/maintenance/maintenance_test.go
+++ b/internal/maintenance/maintenance_test.go
@@ -84,7 +84,7 @@
 	}
 }
 
-// step passes an event to a member and carries out the effects, unless the member is killed.
+// step passes an event to a member, unless the member is killed.
 func (tier *testTier) step(member int, ev Event) {
 	if reducer := tier.reducers[member]; reducer != nil {
 		tier.handleEffects(member, reducer.Step(tier.now, ev))
@@ -131,9 +131,9 @@
 	tier.maxOutOfService = max(tier.maxOutOfService, count)
 }
 
-// advance runs the tier for d of simulated time.
-func (tier *testTier) advance(d time.Duration) {
-	for end := tier.now + d; ; {
+// advance runs the tier for the given duration of simulated time.
+func (tier *testTier) advance(duration time.Duration) {
+	for end := tier.now + duration; ; {
 		slices.SortFunc(tier.queue, func(a, b scheduledEvent) int {
 			if a.at != b.at {
 				return int(a.at - b.at)
@@ -163,9 +163,9 @@
 	return out
 }
 
-// completeWork runs the tier for d, and reports the work as done for every member that becomes ready.
-func (tier *testTier) completeWork(d time.Duration) {
-	for end := tier.now + d; tier.now < end; {
+// completeWork runs the tier for the given duration, and reports the work as done for every member that becomes ready.
+func (tier *testTier) completeWork(duration time.Duration) {
+	for end := tier.now + duration; tier.now < end; {
 		tier.advance(100 * time.Millisecond)
 		for _, m := range tier.membersOutOfService() {
 			if tier.reducers[m].Status().Records[m].Stage == StageReady {
--- a/internal/maintenance/records.go
+++ b/internal/maintenance/records.go
@@ -118,8 +118,8 @@
 }
 
 // Queue returns the indexes of the waiting members in their order: by the time of the request, and among requests
-// made at the same time such that the zones take turns, those of the members out of service counted. Members that know
-// the same records and zones compute the same order.
+// made at the same time such that the zones take turns. A zone's members that are out of service count as turns of
+// the zone. Members that know the same records and zones compute the same order.
 func (r *Reducer) Queue() []int {
 	var waiting []int
 	outPerZone := make(map[int8]int)
@@ -176,7 +176,7 @@
 
 // sendRecords sends as many of the records of these members as fit into one datagram, and returns how many did. Records
 // in StageNone count but are not sent; without others nothing is sent. The room is computed with the maximum sizes of
-// Seq, Lease and RecordsHash, so that the datagram never exceeds its maximum size.
+// Seq, LeaseMillis and RecordsHash, so that the datagram never exceeds its maximum size.
 func (r *Reducer) sendRecords(to int, members []int) (count int) {
 	msg := message{Kind: kindRecords, Seq: math.MaxUint32, RecordsHash: math.MaxUint32, LeaseMillis: math.MaxUint32, Epoch: 0}
 	msg.TierSize, msg.Zone, msg.Name = uint16(r.cfg.TierSize), int8(r.cfg.Zone), r.cfg.Name
@@ -200,7 +200,7 @@
 	return count
 }
 
-// recordsHash returns a hash of all records that this member has, which tells different sets of records apart.
+// recordsHash returns a hash of this member's records that tells different sets of records apart.
 func (r *Reducer) recordsHash() uint32 {
 	var b []byte
 	for m, record := range r.records {
--- a/internal/maintenance/recover.go
+++ b/internal/maintenance/recover.go
@@ -20,8 +20,8 @@
 // The member queries only a few members a round, so that a large tier whose members start together causes no storm of
 // datagrams, and one a round after the rounds in which every member could have been queried twice.
 
-// continueRecovery sends the next queries to members that have not answered as recovered members, or ends the recovery
-// when all grants of earlier incarnations have expired. In the first two rounds it does nothing.
+// continueRecovery sends the next queries to members that have not answered as recovered members. It ends the recovery
+// instead when all grants of earlier incarnations have expired. In the first two rounds it does nothing.
 func (r *Reducer) continueRecovery() {
 	if r.now >= r.startedAt+r.cfg.Limits.maxGrantDuration() {
 		r.finishRecovery()
--- a/internal/maintenance/reducer.go
+++ b/internal/maintenance/reducer.go
@@ -34,7 +34,7 @@
 // (Received), and whether it had recovered itself by then.
 type queryAnswer struct{ Received, Recovered bool }
 
-// Reducer runs the protocol for one member. It is not safe for concurrent use.
+// Reducer runs the maintenance protocol for one member. It is not safe for concurrent use.
 type Reducer struct {
 	cfg                    Config
 	now                    Time
@@ -55,14 +55,14 @@
 	queryRounds            uint32           // rounds of queries sent
 	nextQueried            int              // index of the member queried next
 	queryAnswers           []queryAnswer
-	currentRound           *slotRound // round of this member; nil: none is running
-	heldLease              *slotLease // lease of this member; nil: none is held
+	currentRound           *slotRound // nil: no round is running
+	heldLease              *slotLease // nil: no lease is held
 	releaseNotices         []releaseNotice
 	earliestRequestAt      Time // no new slot is requested before this time
-	drained                bool // this member holds a slot and has no calls left
+	drained                bool // this member holds a slot and has no calls left (Drained event)
 	lastRoundSeq           uint32
 	tickCount              uint32
-	nextGossipIndex        int // index of the record that is sent next
+	nextGossipIndex        int // index of the member whose record is gossiped next
 	counters               Counters
 }
 
@@ -141,7 +141,7 @@
 // emit appends an effect to those that Step returns.
 func (r *Reducer) emit(e Effect) { r.effects = append(r.effects, e) }
 
-// guardEnabled reports whether a guard is on, that is, not switched off by a test.
+// guardEnabled reports whether a guard is not switched off.
 func (r *Reducer) guardEnabled(g Guard) bool { return r.cfg.DisabledGuards&g == 0 }
 
 // nextRoundSeq returns the sequence number of a new round.
@@ -150,7 +150,7 @@
 // majoritySize returns the number of members in a majority of the tier.
 func (r *Reducer) majoritySize() int { return r.cfg.TierSize/2 + 1 }
 
-// scheduleTick requests the timer of the next tick, at which this member looks at the queue and gossips.
+// scheduleTick requests the timer of the next tick (see tokenTick).
 func (r *Reducer) scheduleTick(delay time.Duration) {
 	r.tickCount++
 	r.emit(Timer{At: r.now + delay, Token: Token{kind: tokenTick, seq: r.tickCount}})
--- a/internal/maintenance/types.go
+++ b/internal/maintenance/types.go
@@ -24,7 +24,7 @@
 // counted and dropped.
 const Version = 0x41
 
-// MaxSlots is the number of slots, and the maximum of the budget B (members out of service at once).
+// MaxSlots is the number of slots, and the maximum of the budget B (see Limits.Budget).
 const MaxSlots = 8
 
 // Stage is the progress of a maintenance request.
@@ -54,7 +54,7 @@
 // Ended reports whether a request in this stage has ended, or was never made.
 func (s Stage) Ended() bool { return s == StageNone || s >= StageWithdrawn }
 
-// Limits are the times and counts of the protocol. Check reports an invalid value.
+// Limits are the times and counts of the maintenance protocol. Check reports an invalid value.
 type Limits struct {
 	Budget        int           // B, the maximum number of members out of service at once
 	Lease         time.Duration // lease of a draining member
@@ -171,7 +171,7 @@
 // Token identifies the purpose of a timer.
 type Token struct {
 	kind tokenKind
-	seq  uint32 // number of the tick or the round that the timer belongs to
+	seq  uint32 // number of the tick, or of the round
 }
 
 // tokenKind is the purpose of a timer.
@@ -179,7 +179,7 @@
 
 // The purposes of timers.
 const (
-	tokenTick         tokenKind = iota // a tick: look at the queue of waiting members, and send records to a member
+	tokenTick         tokenKind = iota // tick: look at the queue, gossip records
 	tokenResend                        // half of the round has passed: repeat the unanswered requests
 	tokenRoundTimeout                  // the round has timed out
 	tokenRenew                         // the lease is due for renewal
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -50,8 +50,8 @@
 	return tier
 }
 
-// advance runs the simulation for d of simulated time.
-func (tier *testTier) advance(d time.Duration) { tier.Run(tier.Now() + d) }
+// advance runs the simulation for the given duration of simulated time.
+func (tier *testTier) advance(duration time.Duration) { tier.Run(tier.Now() + duration) }
 
 // expectAgreement fails the test unless every running member considers all running members available, and all stopped
 // members to be in stoppedState.
@@ -345,7 +345,7 @@
 	})
 }
 
-// The error of Limits.Check begins with the name of the invalid limit.
+// Limits.Check names the invalid limit first.
 func TestLimitsCheck(t *testing.T) {
 	for field, invalidate := range map[string]func(*membership.Limits){
 		"period":        func(l *membership.Limits) { l.Period = 0 },
--- a/internal/membership/reducer.go
+++ b/internal/membership/reducer.go
@@ -28,10 +28,10 @@
 	GuardSuspect                   // a failed probe starts a suspicion
 )
 
-// guardEnabled reports whether a guard is in force, that is, not switched off by a test.
+// guardEnabled reports whether a guard is not switched off.
 func (r *Reducer) guardEnabled(g Guard) bool { return r.cfg.DisabledGuards&g == 0 }
 
-// probe is a regular probe: this member starts one in each protocol period, and waits for an answer until the next.
+// probe is this member's regular probe of the current period.
 type probe struct {
 	Target         int
 	Seq            uint32
@@ -57,10 +57,10 @@
 type queuedUpdate struct {
 	update
 	Transmissions int
-	Seq           uint64 // order in which updates were queued
+	Seq           uint64 // number of the update: a higher one was queued later
 }
 
-// Reducer runs the protocol for one member. It is not safe for concurrent use.
+// Reducer runs the membership protocol for one member. It is not safe for concurrent use.
 type Reducer struct {
 	cfg                 Config
 	now                 Time
@@ -70,16 +70,16 @@
 	suspicions          []*suspicion // by index; nil: not suspected
 	updateQueue         []queuedUpdate
 	lastQueuedUpdateSeq uint64
-	healthMultiplier    int // local health multiplier (Lifeguard): 0 is the best health, larger values are worse
+	healthMultiplier    int // local health multiplier; 0 is the best, higher is worse
 	lastProbeSeq        uint32
 	probeOrder          []int // members still to be probed in this round, in a random order
 	nextPeriodAt        Time
 	periodCount         uint32 // number of the period scheduled last
 	currentProbe        *probe
 	relayedProbes       []relayedProbe
-	syncReceived        bool   // part of a kindSyncRequest's answer came since this member's start, last pause and last sign of a healed partition
+	syncReceived        bool   // a kindSyncPart came since this member's start, last pause and last sign of a healed partition
 	lastSyncPeriod      uint32 // period of the last kindSyncRequest; 0: none was sent
-	nextSyncIndex       int    // index of the member with which the next answer to a kindSyncRequest begins
+	nextSyncIndex       int    // index of the member that the next kindSyncPart begins with
 	hasLeft             bool   // this member has announced that it shuts down
 	counters            Counters
 	maxTransmissions    int // number of times that each update is sent
@@ -305,10 +305,14 @@
 	}
 }
 
-// handleStall handles a pause of this process, which shows as a late period timer. During the pause this member could
-// not receive anything, so the current probe does not count as failed, probes on behalf of others are forgotten, the
-// time-out of every suspicion starts again, and the next member that answers is asked for the states of all members.
-// This member's health gets worse, and the next period begins at once. Lifeguard detects a pause only when the member
+// handleStall handles a pause of this process, which shows as a late period timer.
+//
+// During the pause this member could not receive anything. So the current probe does not count as failed, probes on
+// behalf of others are forgotten, the time-out of every suspicion starts again, and the next member that answers
+// is asked for the states of all members.
+// This member's health gets worse, and the next period begins at once.
+//
+// Lifeguard detects a pause only when the member
 // has to refute a suspicion of itself, after it has already suspected others falsely.
 func (r *Reducer) handleStall() {
 	r.counters.Stalls++
@@ -399,7 +403,7 @@
 	return incarnation > uint64((r.now+r.cfg.Limits.MaxSkew)/time.Millisecond)
 }
 
-// respondTo does what a datagram of the member with index from requests, by the kind of its message.
+// respondTo does what a received datagram requests.
 func (r *Reducer) respondTo(from int, msg message) {
 	target := int(msg.Target)
 	switch msg.Kind {
--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -20,7 +20,7 @@
 }
 
 // confirmSuspicion records that one more member, possibly this one, suspects the same member by its own observation. Each
-// new observer, up to K confirmations, shortens the suspicion and is sent on (Lifeguard, LHA-Suspicion).
+// new observer, up to Limits.Confirmations (K), shortens the suspicion and is sent on (Lifeguard, LHA-Suspicion).
 func (r *Reducer) confirmSuspicion(index, observer int) {
 	s := r.suspicions[index]
 	if s == nil || len(s.Observers) > r.cfg.Limits.Confirmations || slices.Contains(s.Observers, observer) {
@@ -49,8 +49,8 @@
 	}
 }
 
-// suspicionTimeout returns how long a suspicion lasts: between β·min and min, decreasing with the logarithm of the
-// number of members that confirm it.
+// suspicionTimeout returns how long a suspicion lasts, from SuspicionMax (β) times the shortest time-out down to the
+// shortest one. It decreases with the logarithm of the number of members that confirm the suspicion.
 func (r *Reducer) suspicionTimeout(running *suspicion) time.Duration {
 	limits := r.cfg.Limits
 	view := r.View()
--- a/internal/membership/types.go
+++ b/internal/membership/types.go
@@ -50,14 +50,14 @@
 // Down reports whether a member in this state is dead or has left. Such a member is excluded from the regular probes.
 func (s State) Down() bool { return s == StateDead || s == StateLeft }
 
-// Limits are the times and counts of the protocol. Check reports an invalid value.
+// Limits are the times and counts of the membership protocol. Check reports an invalid value.
 type Limits struct {
 	Period          time.Duration // protocol period T' (SWIM 3.1); one probe starts in each
 	ProbeTimeout    time.Duration // time-out of a direct probe; shorter than Period
 	IndirectProbes  int           // k, the number of members asked to probe on this member's behalf
 	SuspicionMin    float64       // α: the shortest suspicion time-out is α·max(1, log10 n) periods; n: members not dead or left
-	SuspicionMax    float64       // β: the time-out without confirmations is β times the shortest; 1 makes it constant
-	Confirmations   int           // K, the number of independent confirmations that bring the time-out to its minimum
+	SuspicionMax    float64       // β: the suspicion time-out without confirmations is β times the shortest; 1 makes it constant
+	Confirmations   int           // K, the number of independent confirmations that bring a suspicion's time-out to its minimum
 	RetransmitMult  int           // λ: each update is sent λ·⌈log10(n+1)⌉ times; n: members of the tier
 	MaxHealth       int           // S, the maximum of the local health multiplier; 0 disables local health awareness
 	StallThreshold  time.Duration // a period timer overdue by more than this shows that the process was paused; 0: never
@@ -161,7 +161,7 @@
 // Token identifies the purpose of a timer.
 type Token struct {
 	kind   tokenKind
-	seq    uint32 // number of the period, the probe or the relayed probe that the timer belongs to
+	seq    uint32 // number of the period, the probe or the relayed probe
 	member int    // index of the suspected member
 }
 
--- a/internal/membership/updates.go
+++ b/internal/membership/updates.go
@@ -2,7 +2,7 @@
 
 // mergeUpdate merges an update about a member, in SWIM's order (4.2): a higher incarnation overrides a lower one, and at
 // the same incarnation a suspicion overrides alive, dead overrides both, and left overrides dead too. With propagate, a
-// change of state or incarnation is sent on to other members; suspicions and confirmations are always sent on.
+// change of state or incarnation is sent on to other members. Suspicions and their confirmations are always sent on.
 func (r *Reducer) mergeUpdate(reported update, propagate bool) {
 	if reported.member == r.cfg.Self {
 		r.mergeUpdateAboutSelf(reported)
@@ -38,9 +38,11 @@
 }
 
 // mergeUpdateAboutSelf handles an update about this member. An update that is wrong and has this member's incarnation or a
-// higher one is refuted by a higher incarnation. The refutation of a suspicion or death is announced to some members at
-// once, as the suspicion is timing out, and this member's health gets worse. Information about an earlier incarnation of
-// this member is refuted too, in case the clock was set back between the two starts. After Leave nothing is refuted.
+// higher one is refuted: this member takes a higher incarnation. That includes information about an earlier incarnation
+// of this member, in case the clock was set back between the two starts. After Leave nothing is refuted.
+//
+// The refutation of a suspicion or death is announced to some members at once, as the suspicion is timing out, and this
+// member's health gets worse.
 func (r *Reducer) mergeUpdateAboutSelf(reported update) {
 	self := r.self()
 	if r.hasLeft || !r.guardEnabled(GuardRefute) || reported.incarnation < self.Incarnation || reported.incarnation == self.Incarnation && reported.state == self.State {
--- a/internal/swarm/experiment.go
+++ b/internal/swarm/experiment.go
@@ -64,8 +64,8 @@
 	}
 	const victim = 0 // not impaired, unless all members are: the impaired members are the last
 	sim.Run(Epoch + e.WarmUp)
-	startCounters, killedAt, consideredDead := sim.Counters(), Time(0), make([]bool, e.Members)
-	startPiggybackBytes := sim.PiggybackBytes()
+	countersAtStart, killedAt, consideredDead := sim.Counters(), Time(0), make([]bool, e.Members)
+	piggybackBytesAtStart := sim.PiggybackBytes()
 	sim.OnChange = func(at Time, observer int, change membership.StateChanged) {
 		switch {
 		case killedAt > 0 && change.Member == victim:
@@ -96,11 +96,11 @@
 		sim.Run(min(sim.Now()+e.PauseDuration, end))
 		forEachImpaired(sim.Resume)
 	}
-	endCounters := sim.Counters()
+	countersAtEnd := sim.Counters()
 	memberSeconds := float64(e.Members) * e.MeasureDuration.Seconds()
-	outcome.DatagramRate, outcome.ByteRate = float64(endCounters.Sent-startCounters.Sent)/memberSeconds, float64(endCounters.SentBytes-startCounters.SentBytes)/memberSeconds
-	outcome.Suspicions = endCounters.Suspicions - startCounters.Suspicions
-	outcome.ByteRate += float64(sim.PiggybackBytes()-startPiggybackBytes) / memberSeconds
+	outcome.DatagramRate, outcome.ByteRate = float64(countersAtEnd.Sent-countersAtStart.Sent)/memberSeconds, float64(countersAtEnd.SentBytes-countersAtStart.SentBytes)/memberSeconds
+	outcome.Suspicions = countersAtEnd.Suspicions - countersAtStart.Suspicions
+	outcome.ByteRate += float64(sim.PiggybackBytes()-piggybackBytesAtStart) / memberSeconds
 	outcome.OwnAge, outcome.NewestKnownAge = sim.ReportAges()
 	if !e.Kill {
 		return outcome, nil
--- a/internal/swarm/swarm.go
+++ b/internal/swarm/swarm.go
@@ -120,16 +120,16 @@
 
 // Kill ends a member without notice to the other members.
 func (s *Simulation) Kill(member int) {
-	state := &s.members[member]
-	if state.reducer == nil {
+	simulated := &s.members[member]
+	if simulated.reducer == nil {
 		return
 	}
-	state.earlierCounters = addCounters(state.earlierCounters, state.reducer.Counters())
-	state.reducer, state.paused, state.heldEvents = nil, false, nil
+	simulated.earlierCounters = addCounters(simulated.earlierCounters, simulated.reducer.Counters())
+	simulated.reducer, simulated.paused, simulated.heldEvents = nil, false, nil
 }
 
-// Pause stops a member until Resume. Its events wait meanwhile; of the datagrams, those beyond maxHeldEvents held
-// events are dropped, as by the buffer of a socket.
+// Pause stops a member until Resume. Its events wait meanwhile. Once maxHeldEvents are held, further datagrams are
+// dropped, as by the buffer of a socket.
 func (s *Simulation) Pause(member int) { s.members[member].paused = true }
 
 // maxHeldEvents is the number of held events from which on datagrams for a paused member are dropped.
@@ -137,9 +137,9 @@
 
 // Resume ends a member's pause. The next Run delivers the held timers first, then the held datagrams.
 func (s *Simulation) Resume(member int) {
-	state := &s.members[member]
-	held := state.heldEvents
-	state.paused, state.heldEvents = false, nil
+	simulated := &s.members[member]
+	held := simulated.heldEvents
+	simulated.paused, simulated.heldEvents = false, nil
 	for _, wantTimers := range []bool{true, false} {
 		for _, heldEvent := range held {
 			if _, isTimer := heldEvent.input.(membership.TimerFired); isTimer == wantTimers {
@@ -181,10 +181,10 @@
 
 // Counters returns the sums of the counters over all members and all their incarnations.
 func (s *Simulation) Counters() (total membership.Counters) {
-	for _, state := range s.members {
-		total = addCounters(total, state.earlierCounters)
-		if state.reducer != nil {
-			total = addCounters(total, state.reducer.Counters())
+	for _, simulated := range s.members {
+		total = addCounters(total, simulated.earlierCounters)
+		if simulated.reducer != nil {
+			total = addCounters(total, simulated.reducer.Counters())
 		}
 	}
 	return total
