--- a/internal/knowledge/types.go
+++ b/internal/knowledge/types.go
@@ -29,7 +29,7 @@
 // names the protocol and its version.
 const Version = 0x4b
 
-// Limits holds the times and counts of the protocol. Check reports invalid ones.
+// Limits holds the times and counts of the knowledge protocol. Check reports invalid ones.
 type Limits struct {
 	// HalfLife is the age by which the weight of a load report halves.
 	HalfLife time.Duration
@@ -88,7 +88,7 @@
 	HoldBackShare float64
 	// HoldBackShareAt is the time of the load report that asked for that share, which may be 0; 0: no report has come.
 	HoldBackShareAt Time
-	// Rate is the rate, in set-ups a second, that the server takes from the member when warm; 0: not known.
+	// Rate is the rate, in set-ups a second, that the server takes from the observing member when warm; 0: not known.
 	Rate float64
 	// TotalLines is the server's number of lines; 0: not reported.
 	TotalLines float64
@@ -122,7 +122,7 @@
 		From int
 		Data []byte
 	}
-	// TimerFired says that a timer fires.
+	// TimerFired says that a requested timer fires.
 	TimerFired struct{ Token Token }
 	// MemberAvailability says whether membership considers a member available.
 	MemberAvailability struct {
@@ -159,10 +159,10 @@
 func (Timer) effect()          {}
 func (ServersUpdated) effect() {}
 
-// Token identifies a timer.
+// Token identifies a requested timer.
 type Token struct{ seq uint32 }
 
-// Counters counts events since the start.
+// Counters counts events since this member's start.
 type Counters struct {
 	EntriesSent     uint64 // own entries sent
 	EntriesReceived uint64 // entries of other members stored
@@ -180,8 +180,8 @@
 type message struct {
 	_    struct{} `cbor:",toarray"`
 	Kind messageKind
-	// Tier is the number of members in the sender's tier.
-	Tier uint16
+	// TierSize is the number of members in the sender's tier.
+	TierSize uint16
 	// Incarnation identifies the sender's incarnation: its start time in milliseconds, the low 32 bits.
 	Incarnation uint32
 	// Stamp is the time at which the message was sent, in milliseconds since the sender's start.
@@ -193,7 +193,7 @@
 // messageKind is the kind of a message. Its values are part of the format.
 type messageKind uint8
 
-// The kinds of messages.
+// The kinds of knowledge messages.
 const (
 	kindQuery   messageKind = iota // asks for all entries of the receiver
 	kindEntries                    // carries entries of the sender
@@ -209,7 +209,7 @@
 	ageUnit           = 10 * time.Millisecond  // unit of an encoded age
 	maxEncodedAge     = 1<<14 - 1              // in units of ageUnit
 	shareBits         = 7                      // bits of the hold-back share
-	shareUnknown      = 1<<shareBits - 1       // no hold-back share was reported
+	shareUnknown      = 1<<shareBits - 1       // value: no hold-back share was reported
 	maxEncodedShare   = shareUnknown - 1       // encodes a share of 1
 	maxEncodedRate    = 1<<24 - 1              // in tenths of a set-up a second
 	failureWeightBits = 4                      // bits of the failure weight
@@ -220,7 +220,7 @@
 	setUpTimeUnit     = 100 * time.Microsecond // unit of the shortest set-up time
 )
 
-// encode returns the integers of an entry for the server, with ages as of now.
+// encode returns the observation as the integers of an entry for the server, with ages as of now.
 func (o Observation) encode(server uint32, now Time) []int64 {
 	age, share := int64(0), int64(shareUnknown)
 	if o.HoldBackShareAt > 0 {
@@ -253,22 +253,22 @@
 // decodeObservation decodes the first entry of items, whose ages count back from now, and returns the number of
 // integers consumed. The number is 0 if the entry is malformed. A shortest set-up time above one minute is returned as
 // one minute.
-func decodeObservation(items []int64, now Time) (server uint32, obs Observation, n int) {
+func decodeObservation(items []int64, now Time) (server uint32, obs Observation, consumed int) {
 	const maxValue = int64(1) << 40
 	if len(items) < 3 || items[0] < 0 || items[0] > math.MaxUint32 || items[1] < 0 || items[1]>>shareBits > maxEncodedAge || items[2] < 0 || items[2] > maxValue {
 		return 0, obs, 0
 	}
-	server, n = uint32(items[0]), 3
+	server, consumed = uint32(items[0]), 3
 	if share := items[1] & shareUnknown; share != shareUnknown {
 		obs.HoldBackShare, obs.HoldBackShareAt = float64(share)/maxEncodedShare, now-time.Duration(items[1]>>shareBits)*ageUnit
 	}
 	obs.Rate, obs.FailureWeight = float64(items[2]>>(failureWeightBits+flagBits))/10, int(items[2]>>flagBits&(1<<failureWeightBits-1))
 	next := func() (v int64, ok bool) {
-		if n >= len(items) || items[n] < 0 || items[n] > maxValue {
+		if consumed >= len(items) || items[consumed] < 0 || items[consumed] > maxValue {
 			return 0, false
 		}
-		n++
-		return items[n-1], true
+		consumed++
+		return items[consumed-1], true
 	}
 	if items[2]&hasTotalLines != 0 {
 		v, ok := next()
@@ -288,17 +288,17 @@
 			return 0, obs, 0
 		}
 	}
-	return server, obs, n
+	return server, obs, consumed
 }
 
-// check validates a message received in a tier of tierSize members. It returns errIncompatible for a message of an
+// validate validates a message received in a tier of tierSize members. It returns errIncompatible for a message of an
 // unknown kind or from a tier of another size, and datagram.ErrMalformed for a message with an undecodable entry.
-func (m message) check(tierSize int) error {
-	if m.Kind >= numKinds || int(m.Tier) != tierSize {
+func (m message) validate(tierSize int) error {
+	if m.Kind >= numKinds || int(m.TierSize) != tierSize {
 		return errIncompatible
 	}
 	for items := m.Items; len(items) > 0; {
-		_, _, n := decodeObservation(items, time.Hour) // any time will do: only n is used
+		_, _, n := decodeObservation(items, time.Hour) // any time will do: the observation is not used
 		if n == 0 {
 			return datagram.ErrMalformed
 		}
--- a/internal/swarm/experiment.go
+++ b/internal/swarm/experiment.go
@@ -24,7 +24,7 @@
 	Impaired       int           // number of members that are paused and slowed, the last of the tier
 	PauseDuration  time.Duration // how long the impaired members are paused together
 	PauseInterval  time.Duration // time from one pause to the next, pause included; 0: no pauses
-	SlowDelay      time.Duration // delay of every input of an impaired member
+	SlowDelay      time.Duration // delay of every datagram and timer of an impaired member
 	Servers        int           // number of servers whose load reports members share; 0: none
 	ReportInterval time.Duration // mean time between two load reports that a member receives from a server
 }
@@ -64,8 +64,8 @@
 	}
 	const victim = 0 // not impaired, unless all members are: the impaired members are the last
 	sim.Run(Epoch + e.WarmUp)
-	startCounters, killedAt, consideredDead := sim.Counters(), Time(0), make([]bool, e.Members)
-	startPiggybackBytes := sim.PiggybackBytes()
+	countersAtStart, killedAt, consideredDead := sim.Counters(), Time(0), make([]bool, e.Members)
+	piggybackBytesAtStart := sim.PiggybackBytes()
 	sim.OnChange = func(at Time, observer int, change membership.StateChanged) {
 		switch {
 		case killedAt > 0 && change.Member == victim:
@@ -96,11 +96,11 @@
 		sim.Run(min(sim.Now()+e.PauseDuration, end))
 		forEachImpaired(sim.Resume)
 	}
-	endCounters := sim.Counters()
+	countersAtEnd := sim.Counters()
 	memberSeconds := float64(e.Members) * e.MeasureDuration.Seconds()
-	outcome.DatagramRate, outcome.ByteRate = float64(endCounters.Sent-startCounters.Sent)/memberSeconds, float64(endCounters.SentBytes-startCounters.SentBytes)/memberSeconds
-	outcome.Suspicions = endCounters.Suspicions - startCounters.Suspicions
-	outcome.ByteRate += float64(sim.PiggybackBytes()-startPiggybackBytes) / memberSeconds
+	outcome.DatagramRate, outcome.ByteRate = float64(countersAtEnd.Sent-countersAtStart.Sent)/memberSeconds, float64(countersAtEnd.SentBytes-countersAtStart.SentBytes)/memberSeconds
+	outcome.Suspicions = countersAtEnd.Suspicions - countersAtStart.Suspicions
+	outcome.ByteRate += float64(sim.PiggybackBytes()-piggybackBytesAtStart) / memberSeconds
 	outcome.OwnAge, outcome.NewestKnownAge = sim.ReportAges()
 	if !e.Kill {
 		return outcome, nil
