--- a/internal/m3ua/m3ua_test.go
+++ b/internal/m3ua/m3ua_test.go
@@ -135,14 +135,14 @@
 		MaxAttempts: 4, OwnCell: -1, ReleaseGuard: releaseGuard, MaxRetryAfter: 2 * time.Second, RetransmitInterval: 10 * time.Second,
 		ReportMetrics: []elmseam.LoadMetric{elmseam.LoadMetricHoldBackShare},
 	}
-	stateMachine, err := core.New(controllerSettings, 1, core.Limits{AnswerMargin: 15 * time.Millisecond,
+	reducer, err := core.New(controllerSettings, 1, core.Limits{AnswerMargin: 15 * time.Millisecond,
 		RebindTimeout:      100 * time.Millisecond,
 		InitialRedialDelay: time.Millisecond, MaxRedialDelay: time.Millisecond, ServerLostAfter: time.Minute, CallerConnsTarget: 100, MaxOpen: 10000, MaxCallBytes: 1 << 20, EndedCallTTL: time.Minute})
 	if err != nil {
 		t.Fatal(err)
 	}
 	var m3uaProtocol *M3UA
-	eventLoop := loop.New(stateMachine, 1024, func(e core.Effect) {
+	eventLoop := loop.New(reducer, 1024, func(e core.Effect) {
 		switch e := e.(type) {
 		case core.Serving:
 			m3uaProtocol.SetServing(e.On)
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -58,7 +58,7 @@
 	for _, option := range options {
 		option(s)
 	}
-	stateMachine, err := core.New(elmseam.Settings{
+	reducer, err := core.New(elmseam.Settings{
 		Classes: []elmseam.Class{{Deadline: 9 * time.Second, Worth: 1}}, MaxAttempts: 4, OwnCell: -1,
 		RetransmitInterval: testTimeout, ReleaseGuard: 50 * time.Millisecond, MaxRetryAfter: 2 * time.Second, Tenants: s.tenants, OverShareWorth: 0.1,
 		ReportMetrics: []elmseam.LoadMetric{elmseam.LoadMetricWait},
@@ -66,8 +66,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	stateMachine.SetHook(s.hook)
-	eventLoop := loop.New(stateMachine, 64, func(e core.Effect) {
+	reducer.SetHook(s.hook)
+	eventLoop := loop.New(reducer, 64, func(e core.Effect) {
 		select {
 		case s.effects <- e:
 		default:
@@ -88,7 +88,7 @@
 		platform.Dial(d)
 	})
 	callerListener := listen(t)
-	s.core, s.loop, s.platform, s.callerListener, s.serverListener = stateMachine, eventLoop, platform, callerListener, listen(t)
+	s.core, s.loop, s.platform, s.callerListener, s.serverListener = reducer, eventLoop, platform, callerListener, listen(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go eventLoop.Run(ctx)
