--- a/internal/membership/codec.go
+++ b/internal/membership/codec.go
@@ -81,7 +81,7 @@
 }
 
 // decode decodes a datagram of a tier of tierSize members. One invalid value makes the whole datagram malformed. The
-// error is datagram.ErrMalformed, datagram.ErrVersion or errOtherTier.
+// error is datagram.ErrMalformed, datagram.ErrVersion or errOtherTierSize.
 func decode(data []byte, tierSize, maxSize int) (msg message, updates []update, err error) {
 	if err := datagram.Decode(data, Version, maxSize, &msg); err != nil {
 		return msg, nil, err
